--- /dev/null
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -0,0 +1,126 @@
+//! What processes of two versions say to one another, as literals: a hand-over, a callback and the numbers that all
+//! schedulers of a tier derive from names. A change of any of them would keep two versions from working side by side.
+
+use serde_json::{json, Value};
+use std::process::Command;
+use vetchbridge::list::listing::{Instance, Lifecycle};
+use vetchbridge::peers::{request_id, worker_id, Callback, CallbackState};
+use vetchbridge::upgrade::words::{Offer, Word, VERSION};
+
+fn instance() -> Instance {
+    Instance {
+        instance_id: "s-1".to_string(),
+        host_port: "127.0.0.1:8081".to_string(),
+        zone: "north".to_string(),
+        machine_type: "plain".to_string(),
+        cell: 3,
+        lifecycle: Lifecycle::Draining,
+        weight: 1.5,
+        started_at_ms: 1_700_000_000_123,
+    }
+}
+
+fn entry() -> Value {
+    json!({
+        "instanceId": "s-1", "hostPort": "127.0.0.1:8081", "zone": "north", "machineType": "plain", "cell": 3,
+        "lifecycle": "draining", "weight": 1.5, "startedAtMs": 1_700_000_000_123u64,
+    })
+}
+
+fn callback() -> Callback {
+    let (id, from) = ("00000000000000ab".to_string(), "s-1".to_string());
+    Callback { id, from, state: CallbackState::Done, share: 0.5, result: "ok".to_string(), load: None }
+}
+
+fn written_callback() -> Value {
+    json!({"id": "00000000000000ab", "from": "s-1", "state": "done", "share": 0.5, "result": "ok"})
+}
+
+#[test]
+fn every_handover_message_has_the_json_of_version_1() {
+    let offer = Offer {
+        quiesced: true,
+        source: Some("127.0.0.1:9000".parse().expect("an address")),
+        generation: Some(7),
+        confirmed: false,
+        connections: 2,
+    };
+    let hello = Word::Hello {
+        version: VERSION,
+        name: "n-0".to_string(),
+        listen: "127.0.0.1:8080".parse().expect("an address"),
+    };
+    let offered = json!({
+        "quiesced": true, "source": "127.0.0.1:9000", "generation": 7, "confirmed": false, "connections": 2,
+    });
+    let messages = [
+        (hello, json!({"Hello": {"version": 1, "name": "n-0", "listen": "127.0.0.1:8080"}})),
+        (Word::Offer(offer), json!({"Offer": offered})),
+        (Word::Entries(vec![instance()]), json!({"Entries": [entry()]})),
+        (Word::Refused("no".to_string()), json!({"Refused": "no"})),
+        (Word::Taken, json!("Taken")),
+        (Word::Connection { kept: true }, json!({"Connection": {"kept": true}})),
+        (Word::Holds(9), json!({"Holds": 9})),
+        (Word::Opened(11), json!({"Opened": 11})),
+        (Word::Closed(12), json!({"Closed": 12})),
+        (
+            Word::Callback { number: 4, callback: callback() },
+            json!({"Callback": {"number": 4, "callback": written_callback()}}),
+        ),
+        (Word::Heard { number: 4, known: true }, json!({"Heard": {"number": 4, "known": true}})),
+    ];
+    for (message, literal) in messages {
+        let written: Value = serde_json::from_slice(&message.write()).expect("JSON");
+        assert_eq!(written, literal);
+        let read =
+            Word::read(literal.to_string().as_bytes()).expect("it reads what the other version writes");
+        assert_eq!(format!("{read:?}"), format!("{message:?}"));
+    }
+}
+
+#[test]
+fn an_offer_of_a_process_that_says_nothing_of_confirmation_counts_as_confirmed() {
+    let literal = br#"{"Offer":{"quiesced":false,"source":null,"generation":null,"connections":0}}"#;
+    let Ok(Word::Offer(offer)) = Word::read(literal) else { panic!("an offer") };
+    assert!(offer.confirmed);
+}
+
+#[test]
+fn callbacks_keep_the_names_of_their_states() {
+    for (name, state) in [
+        ("started", CallbackState::Started),
+        ("running", CallbackState::Running),
+        ("done", CallbackState::Done),
+        ("failed", CallbackState::Failed),
+        ("returned", CallbackState::Returned),
+        ("lost", CallbackState::Lost),
+    ] {
+        let text = format!(r#"{{"id":"00000000000000ab","from":"s-1","state":"{name}"}}"#);
+        let callback: Callback = serde_json::from_str(&text).expect("a callback");
+        assert_eq!(callback.state, state);
+    }
+}
+
+#[test]
+fn names_and_ids_become_the_same_numbers_at_every_version() {
+    assert_eq!(worker_id("s-1").0, 0x817c_da19_5c3f_bf24);
+    assert_eq!(worker_id("cell-7/worker-12").0, 0x90c1_cae9_1af4_46a8);
+    assert_eq!(request_id("00000000000000ab").map(|id| id.0), Some(0xab));
+}
+
+/// The configuration that another version's `config default` printed, and the values that its `check` found in it.
+#[test]
+fn a_configuration_file_of_version_e0ba539_means_what_it_meant() {
+    let fixtures = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures");
+    for name in ["config-default-e0ba539", "lima-callao-e0ba539"] {
+        let output = Command::new(env!("CARGO_BIN_EXE_vetchbridge"))
+            .args(["check", &format!("{name}.toml")])
+            .current_dir(fixtures)
+            .env_clear()
+            .output()
+            .expect("it runs");
+        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        let values = std::fs::read_to_string(format!("{fixtures}/{name}.values")).expect("the fixture");
+        assert_eq!(String::from_utf8(output.stdout).expect("text"), values);
+    }
+}
