--- a/Makefile
+++ b/Makefile
@@ -8,10 +8,10 @@
 
 # The daemon and the simulator's adapter, and nothing of the kit.
 build:
-	cargo build --release --locked -p vetchbridge -p wirehost
+	cargo build --release --locked -p vetchbridge -p vetchbridge-simulator-adapter
 
 kit:
-	cargo build --release --locked -p vetchbridge -p vetchkit -p syscall-faults
+	cargo build --release --locked -p vetchbridge -p vetchbridge-testkit -p syscall-faults
 
 # All tests; those that KNOWN-RED.txt lists may fail.
 test:
@@ -26,15 +26,15 @@
 
 # A whole platform on this machine under load, and what came of it.
 demo: kit
-	target/release/vetchkit demo $(DEMO)
+	target/release/vetchbridge-testkit demo $(DEMO)
 
 # Troubles that overlap, against schedulers whose system calls fail, and the promises that must hold.
 soak: kit
-	target/release/vetchkit soak $(SOAK)
+	target/release/vetchbridge-testkit soak $(SOAK)
 
 # The daemon's processor time a request beside a bare relay's.
 bench: kit
-	target/release/vetchkit bench
+	target/release/vetchbridge-testkit bench
 
 # The bench reads three files of its own beside a site file. KIT names the folder that holds them; git ignores the copies.
 sites:
--- a/crates/silverproxy/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,10 +1,10 @@
-//! silverproxy decides, for a dispatcher that pushes jobs to workers, where each job goes.
+//! vetchbridge_scheduling decides, for a dispatcher that pushes jobs to workers, where each job goes.
 //!
 //! The decisions are in [`policy`], its interface in [`interface`]. A dispatcher gives the policy one event
 //! at a time with its clock, and carries out the actions that come back, in order:
 //!
 //! ```
-//! use silverproxy::*;
+//! use vetchbridge_scheduling::*;
 //!
 //! # fn settings() -> Settings {
 //! #     Settings {
--- a/crates/silverproxy/tests/combinations.rs
+++ b/crates/scheduling/tests/combinations.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 
 /// Plays `seconds` of 20 jobs a second; `verdict` says how an attempt on a worker ends. Gives the share served.
 fn play(d: &mut Driver, first_id: u64, seconds: u64, verdict: impl Fn(WorkerId) -> Status) -> f64 {
--- a/crates/silverproxy/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests share: settings, workers, requests, and a driver that keeps score of the rules.
 #![allow(dead_code, missing_docs)]
 
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
--- a/crates/silverproxy/tests/discovery.rs
+++ b/crates/scheduling/tests/discovery.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 
 /// Dispatcher `me` of so many, started with a saved list.
 fn start(me: u32, dispatchers: u32) -> (Driver, Vec<Action>) {
--- a/crates/silverproxy/tests/keepers.rs
+++ b/crates/scheduling/tests/keepers.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use silverproxy::words::Word;
-use silverproxy::*;
+use vetchbridge_scheduling::words::Word;
+use vetchbridge_scheduling::*;
 use std::collections::BTreeMap;
 
 fn talking(me: u32, dispatchers: u32) -> Settings {
--- a/crates/silverproxy/tests/load.rs
+++ b/crates/scheduling/tests/load.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Workers that tell neither start nor load take a queue of seconds before they refuse: their arcs are never even, and the
--- a/crates/silverproxy/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -6,8 +6,8 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use silverproxy::words::Word;
-use silverproxy::*;
+use vetchbridge_scheduling::words::Word;
+use vetchbridge_scheduling::*;
 use std::collections::BTreeMap;
 
 /// One request as the rules see it.
--- a/crates/silverproxy/tests/ramp.rs
+++ b/crates/scheduling/tests/ramp.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What schedulers hear of one another.
--- a/crates/silverproxy/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 use std::collections::BTreeMap;
 
 /// First and second choice of a key at a dispatcher that has seen nothing else.
--- a/crates/silverproxy/tests/rules.rs
+++ b/crates/scheduling/tests/rules.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 
 #[test]
 fn a_refused_job_walks_on_to_another_worker_and_is_refused_when_attempts_run_out() {
--- a/crates/silverproxy/tests/starts.rs
+++ b/crates/scheduling/tests/starts.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use common::*;
-use silverproxy::*;
+use vetchbridge_scheduling::*;
 
 const HOUR: Micros = 3600 * S;
 const WORKERS: u64 = 12;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 //! new ones can appear at any time. It must never judge a value that is well-formed: [`Settings::check`] does.
 
 use serde_json::{Map, Value};
-use silverproxy::interface::*;
+use vetchbridge_scheduling::interface::*;
 
 /// A key that is missing or unreadable, by its path within the object (empty for the object itself).
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,8 +4,8 @@
 
 mod wire;
 
-use silverproxy::interface::{Action, SettingsError};
-use silverproxy::policy::Policy;
+use vetchbridge_scheduling::interface::{Action, SettingsError};
+use vetchbridge_scheduling::policy::Policy;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("silverproxy-adapter: {error}");
+            eprintln!("vetchbridge-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 //! malformed is a [`WireError`] naming the line and the field.
 
 use base64::{engine::general_purpose::STANDARD, Engine as _};
-use silverproxy::interface::*;
+use vetchbridge_scheduling::interface::*;
 use std::io::{BufRead, Write};
 
 /// What was wrong with the input.
@@ -229,7 +229,7 @@
                 None => return fault("setup", "missing"),
             };
             let seed = Fields(head.trim_end()).number("nonce64")?;
-            let settings = match silverproxy_settings::from_json(json) {
+            let settings = match vetchbridge_settings::from_json(json) {
                 Ok(settings) => Box::new(settings),
                 Err(error) => return fault(&error.key_under("setup"), error.reason),
             };
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -12,7 +12,7 @@
 "unknown_setting": [1, 2], "weights": "rough", "zone": 0}"#;
 
 fn adapter(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_silverproxy-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_vetchbridge-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/platform/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! ```no_run
 //! # async fn story() -> std::io::Result<()> {
-//! use platform::{discovery::Discovery, peer::{Act, Peer, PeerSpec}, runs::Runs};
+//! use vetchbridge_testbed::{discovery::Discovery, peer::{Act, Peer, PeerSpec}, runs::Runs};
 //! let scheduler = "127.0.0.1:8080".parse().expect("an address");
 //! let (discovery, runs) = (Discovery::start(1).await?, Runs::default());
 //! let peer = Peer::start(PeerSpec::new("s-0"), runs.clone(), &[scheduler]).await?;
--- a/crates/platform/tests/account.rs
+++ b/crates/testbed/tests/account.rs
@@ -1,10 +1,10 @@
 //! The account of a run: every rule, broken once, is reported, and a sound record reports none.
 #![allow(missing_docs)]
 
-use platform::account::{judge, Outage, Violation};
-use platform::arrivals::{Arrival, ClassLoad, Repeat};
-use platform::client::{JobRecord, Outcome, Try};
-use platform::runs::{result, Run, RunEnd};
+use vetchbridge_testbed::account::{judge, Outage, Violation};
+use vetchbridge_testbed::arrivals::{Arrival, ClassLoad, Repeat};
+use vetchbridge_testbed::client::{JobRecord, Outcome, Try};
+use vetchbridge_testbed::runs::{result, Run, RunEnd};
 use std::time::Duration;
 
 const WINDOW: Duration = Duration::from_secs(15);
--- a/crates/platform/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -1,7 +1,7 @@
 //! A seeded load: its distributions, its reproducibility and the faults of its configuration.
 #![allow(missing_docs)]
 
-use platform::arrivals::{Arrival, Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
+use vetchbridge_testbed::arrivals::{Arrival, Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
 use std::time::Duration;
 
 fn spec() -> LoadSpec {
--- a/crates/platform/tests/queue.rs
+++ b/crates/testbed/tests/queue.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use futures_util::FutureExt;
-use platform::queue::{Order, Queue};
+use vetchbridge_testbed::queue::{Order, Queue};
 
 /// Of three that wait for a queue of three slots with two held: who is in.
 fn served(order: Order, needs: [usize; 3]) -> [bool; 3] {
--- a/crates/platform/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -1,7 +1,7 @@
 //! The record of runs: which repeats of keyed jobs are deduplicated.
 #![allow(missing_docs)]
 
-use platform::runs::{Admission, Run, RunEnd, Runs};
+use vetchbridge_testbed::runs::{Admission, Run, RunEnd, Runs};
 use std::time::Duration;
 
 fn run(key: &str, at: u64) -> Run {
--- a/crates/platform/tests/store.rs
+++ b/crates/testbed/tests/store.rs
@@ -1,7 +1,7 @@
 //! The store and the peers' caches: what is fetched, evicted and waited for.
 #![allow(missing_docs)]
 
-use platform::store::{Kept, Store};
+use vetchbridge_testbed::store::{Kept, Store};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/platform/tests/stories.rs
+++ b/crates/testbed/tests/stories.rs
@@ -2,14 +2,14 @@
 //! on it.
 #![allow(missing_docs)]
 
-use platform::arrivals::{Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
-use platform::client::{Clients, Outcome};
-use platform::discovery::{Discovery, Health};
-use platform::front::Front;
-use platform::peer::{Act, Peer, PeerSpec, ProbeAct, ProbeSpec};
-use platform::runs::{result, RunEnd, Runs};
-use platform::stats::{Field, StatsSpec};
-use platform::wire::{Message, Wire};
+use vetchbridge_testbed::arrivals::{Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
+use vetchbridge_testbed::client::{Clients, Outcome};
+use vetchbridge_testbed::discovery::{Discovery, Health};
+use vetchbridge_testbed::front::Front;
+use vetchbridge_testbed::peer::{Act, Peer, PeerSpec, ProbeAct, ProbeSpec};
+use vetchbridge_testbed::runs::{result, RunEnd, Runs};
+use vetchbridge_testbed::stats::{Field, StatsSpec};
+use vetchbridge_testbed::wire::{Message, Wire};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -280,12 +280,12 @@
     let ready = Arc::new(AtomicBool::new(true));
     let says = ready.clone();
     let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let dead = platform::Port::reserve().expect("a port");
+    let dead = vetchbridge_testbed::Port::reserve().expect("a port");
     let notice = Duration::from_millis(300);
     let front = Front::start(&[dead.address(), scheduler.local_addr().expect("bound")], notice)
         .await
         .expect("a front");
-    let serving = platform::Owned::spawn(async move {
+    let serving = vetchbridge_testbed::Owned::spawn(async move {
         loop {
             let (stream, _) = scheduler.accept().await.expect("a connection");
             let says = says.clone();
--- a/crates/vetchkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -6,8 +6,8 @@
 use crate::stage::Stage;
 use crate::{machine, relay, Failure};
 use comfy_table::{presets, Table};
-use platform::client::{Clients, Outcome};
-use platform::{Owned, Port};
+use vetchbridge_testbed::client::{Clients, Outcome};
+use vetchbridge_testbed::{Owned, Port};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -203,7 +203,7 @@
     let mut every = interval(Duration::from_millis(20));
     for _ in 0..500 {
         every.tick().await;
-        if platform::wire::Wire::dial(address).await.is_ok() {
+        if vetchbridge_testbed::wire::Wire::dial(address).await.is_ok() {
             return Ok(());
         }
     }
--- a/crates/vetchkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::stage::Stage;
 use crate::{bench, relay, Failure};
 use clap::{Args, CommandFactory, Parser, Subcommand};
-use platform::client::Clients;
+use vetchbridge_testbed::client::Clients;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  vetchkit demo                                   a whole platform under load for 20 s, and what came of it
-  vetchkit demo --kill 2                          the same while two schedulers are killed
-  vetchkit demo --upgrade 2 --drain 1             the same while two are replaced and one is drained
-  vetchkit demo scans                             the same on a second deployment, whose peers are probed
-  vetchkit plan default > plan.toml               the plan of that platform, to change
-  vetchkit up plan.toml                           the platform alone, until Ctrl-C
-  vetchkit load --to 127.0.0.1:8080 --rate 100    a load on addresses of yours
-  vetchkit bench                                  the daemon's cost beside a bare relay's
+  vetchbridge-testkit demo                                   a whole platform under load for 20 s, and what came of it
+  vetchbridge-testkit demo --kill 2                          the same while two schedulers are killed
+  vetchbridge-testkit demo --upgrade 2 --drain 1             the same while two are replaced and one is drained
+  vetchbridge-testkit demo scans                             the same on a second deployment, whose peers are probed
+  vetchbridge-testkit plan default > plan.toml               the plan of that platform, to change
+  vetchbridge-testkit up plan.toml                           the platform alone, until Ctrl-C
+  vetchbridge-testkit load --to 127.0.0.1:8080 --rate 100    a load on addresses of yours
+  vetchbridge-testkit bench                                  the daemon's cost beside a bare relay's
 
 Exit codes:
   0  held                         2  bad input: nothing was started
@@ -35,7 +35,7 @@
 
 /// The kit that ships with the daemon: stand-in platform, load, demonstration, measurements.
 #[derive(Debug, Parser)]
-#[command(name = "vetchkit", version, after_help = EXAMPLES)]
+#[command(name = "vetchbridge-testkit", version, after_help = EXAMPLES)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -64,7 +64,7 @@
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Start a platform and its schedulers, and keep them until Ctrl-C
-    #[command(after_help = "Example:\n  vetchkit up plan.toml --logs logs")]
+    #[command(after_help = "Example:\n  vetchbridge-testkit up plan.toml --logs logs")]
     Up {
         /// The plan: a file, or the name of a built-in one; `demo` where it is absent
         plan: Option<PathBuf>,
@@ -74,8 +74,8 @@
     /// Send a load to given addresses and tell what came back
     #[command(after_help = "\
 Examples:
-  vetchkit load --to 127.0.0.1:8080 --to 127.0.0.1:8081 --rate 200 --for 30s
-  vetchkit load --to 127.0.0.1:8080 --connections 64 --for 10s     a closed loop instead")]
+  vetchbridge-testkit load --to 127.0.0.1:8080 --to 127.0.0.1:8081 --rate 200 --for 30s
+  vetchbridge-testkit load --to 127.0.0.1:8080 --connections 64 --for 10s     a closed loop instead")]
     Load {
         /// Where to; several are taken in turn
         #[arg(long, required = true, value_name = "ADDRESS")]
@@ -97,7 +97,7 @@
         json: bool,
     },
     /// Start a platform, send it its load, and hold what clients heard against what peers ran
-    #[command(after_help = "Example:\n  vetchkit demo --for 60s --kill 2 --logs logs")]
+    #[command(after_help = "Example:\n  vetchbridge-testkit demo --for 60s --kill 2 --logs logs")]
     Demo {
         /// The plan: a file, or the name of a built-in one (demo, scans); `demo` where it is absent
         plan: Option<PathBuf>,
@@ -128,8 +128,8 @@
     /// Play troubles that overlap against real schedulers whose system calls fail, and hold them to their promises
     #[command(after_help = "\
 Examples:
-  vetchkit soak --seed 7 --for 60s
-  vetchkit soak --seed 7 --for 10s --schedulers 6 --logs logs     shorter and smaller, with what it leaves
+  vetchbridge-testkit soak --seed 7 --for 60s
+  vetchbridge-testkit soak --seed 7 --for 10s --schedulers 6 --logs logs     shorter and smaller, with what it leaves
 
 The last line counts troubles, overlaps, faults and violations; exit code 0 only if every promise was kept and, from 30 s on,
 every kind of trouble and of fault has happened.")]
@@ -147,7 +147,7 @@
         staging: Staging,
     },
     /// Measure the daemon's processor time a request beside a bare relay's, in turns
-    #[command(after_help = "Example:\n  vetchkit bench --connections 32 --turn 3s --rounds 5")]
+    #[command(after_help = "Example:\n  vetchbridge-testkit bench --connections 32 --turn 3s --rounds 5")]
     Bench {
         /// Connections to keep busy
         #[arg(long, default_value_t = 32)]
@@ -278,7 +278,7 @@
         }
         Command::Completions { shell } => {
             let mut text = Vec::new();
-            clap_complete::generate(shell, &mut Cli::command(), "vetchkit", &mut text);
+            clap_complete::generate(shell, &mut Cli::command(), "vetchbridge-testkit", &mut text);
             print(&String::from_utf8_lossy(&text))
         }
     }
@@ -341,7 +341,7 @@
         let first = addresses.first().map(ToString::to_string).unwrap_or_default();
         text.push_str(&format!("peer        {first}  {} {} {}\n", spec.name, spec.zone, spec.kind));
     }
-    text.push_str(&format!("\nvetchkit load --to {}   sends it jobs; Ctrl-C ends\n", stage.front.address()));
+    text.push_str(&format!("\nvetchbridge-testkit load --to {}   sends it jobs; Ctrl-C ends\n", stage.front.address()));
     print(&text)?;
     let mut every = tokio::time::interval(Duration::from_millis(500));
     loop {
--- a/crates/vetchkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,4 +1,4 @@
-//! vetchkit, the kit that ships with the daemon: a platform of stand-ins with schedulers as real child processes, a
+//! vetchbridge-testkit, the kit that ships with the daemon: a platform of stand-ins with schedulers as real child processes, a
 //! load, a demonstration and measurements. Nothing depends on this crate; it uses the daemon's pieces and no more.
 
 pub mod bench;
--- a/crates/vetchkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,5 +1,5 @@
 //! The kit's program: everything is the library's.
 
 fn main() -> std::process::ExitCode {
-    vetchkit::cli::main()
+    vetchbridge_testkit::cli::main()
 }
--- a/crates/vetchkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -5,7 +5,7 @@
 use super::trouble::TroubleKind;
 use super::Plan;
 use crate::Failure;
-use platform::arrivals::Arrivals;
+use vetchbridge_testbed::arrivals::Arrivals;
 use std::net::{Ipv4Addr, SocketAddr};
 use vetchbridge::config::check::Text;
 use vetchbridge::config::Fault;
--- a/crates/vetchkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -2,7 +2,7 @@
 
 use super::defaults::{one, yes};
 use super::Plan;
-use platform::arrivals::{ClassLoad, LoadSpec, Repeat, TenantLoad};
+use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec, Repeat, TenantLoad};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/vetchkit/src/plan/peers.rs
+++ b/crates/testkit/src/plan/peers.rs
@@ -2,10 +2,10 @@
 
 use super::defaults::one;
 use super::Plan;
-use platform::peer::{PeerSpec, ProbeSpec};
-use platform::queue::Order;
-use platform::stats::{Field, StatsSpec};
-use platform::store::Store;
+use vetchbridge_testbed::peer::{PeerSpec, ProbeSpec};
+use vetchbridge_testbed::queue::Order;
+use vetchbridge_testbed::stats::{Field, StatsSpec};
+use vetchbridge_testbed::store::Store;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use vetchbridge::config::file::QueueOrder;
--- a/crates/vetchkit/src/plan/scheduler.rs
+++ b/crates/testkit/src/plan/scheduler.rs
@@ -1,7 +1,7 @@
 //! The schedulers of a plan: their table in the format, and the configuration file of each.
 
 use super::Plan;
-use platform::peer::PeerSpec;
+use vetchbridge_testbed::peer::PeerSpec;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/vetchkit/src/plan/trouble.rs
+++ b/crates/testkit/src/plan/trouble.rs
@@ -1,6 +1,6 @@
 //! Faults that a plan injects at set times.
 
-use platform::discovery::Health;
+use vetchbridge_testbed::discovery::Health;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use vetchbridge::config::units::Span;
--- a/crates/vetchkit/src/report.rs
+++ b/crates/testkit/src/report.rs
@@ -3,10 +3,10 @@
 
 use comfy_table::{presets, Table};
 use hdrhistogram::Histogram;
-use platform::account::{judge, Answers, Outage};
-use platform::arrivals::{ClassLoad, LoadSpec};
-use platform::client::{JobRecord, LoadRecord, Outcome};
-use platform::runs::Run;
+use vetchbridge_testbed::account::{judge, Answers, Outage};
+use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec};
+use vetchbridge_testbed::client::{JobRecord, LoadRecord, Outcome};
+use vetchbridge_testbed::runs::Run;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/vetchkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -7,10 +7,10 @@
 use crate::stage::Stage;
 use crate::{machine, Failure};
 use indicatif::{ProgressBar, ProgressStyle};
-use platform::account::Outage;
-use platform::client::{Clients, LoadRecord, Standing};
-use platform::discovery::Discovery;
-use platform::peer::Peer;
+use vetchbridge_testbed::account::Outage;
+use vetchbridge_testbed::client::{Clients, LoadRecord, Standing};
+use vetchbridge_testbed::discovery::Discovery;
+use vetchbridge_testbed::peer::Peer;
 use std::future::Future;
 use std::io::IsTerminal;
 use std::time::Duration;
@@ -44,7 +44,7 @@
 /// Turns signals into a wish to stop; a second one ends the program, and its children with it.
 pub struct Interrupt {
     stop: watch::Sender<bool>,
-    _watch: platform::Owned,
+    _watch: vetchbridge_testbed::Owned,
 }
 
 impl Interrupt {
@@ -54,7 +54,7 @@
         let mut terminate = signal(SignalKind::terminate()).map_err(machine("signals"))?;
         let stop = watch::Sender::new(false);
         let told = stop.clone();
-        let watch = platform::Owned::spawn(async move {
+        let watch = vetchbridge_testbed::Owned::spawn(async move {
             for times in 0.. {
                 tokio::select! {
                     _ = interrupt.recv() => {}
--- a/crates/vetchkit/src/scheduler.rs
+++ b/crates/testkit/src/scheduler.rs
@@ -3,7 +3,7 @@
 //! Owns the child; dropping it kills the child. Of what it does it knows what the operators' door says, and no more.
 
 use crate::{machine, Failure};
-use platform::Port;
+use vetchbridge_testbed::Port;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/vetchkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -2,9 +2,9 @@
 
 use super::clients::{Departure, Stayed};
 use super::troubles::{Episode, TroubleKind};
-use platform::arrivals::ClassLoad;
-use platform::client::JobRecord;
-use platform::runs::AttemptArrival;
+use vetchbridge_testbed::arrivals::ClassLoad;
+use vetchbridge_testbed::client::JobRecord;
+use vetchbridge_testbed::runs::AttemptArrival;
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
--- a/crates/vetchkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use platform::arrivals::{Arrival, Repeat};
-use platform::client::{Outcome, Try};
+use vetchbridge_testbed::arrivals::{Arrival, Repeat};
+use vetchbridge_testbed::client::{Outcome, Try};
 
 const PEER: &str = "fast-1";
 
--- a/crates/vetchkit/src/soak/clients.rs
+++ b/crates/testkit/src/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that misbehave: they leave before their answer, stop in the middle of a request and stay, or come in a crowd and say
 //! nothing. What they saw is kept for the checks.
 
-use platform::wire::Wire;
+use vetchbridge_testbed::wire::Wire;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/vetchkit/src/stage.rs
+++ b/crates/testkit/src/stage.rs
@@ -5,11 +5,11 @@
 use crate::plan::{KnownPeer, Plan, SchedulerSpec};
 use crate::scheduler::{binary, Launch, Scheduler};
 use crate::{machine, Failure};
-use platform::discovery::Discovery;
-use platform::front::Front;
-use platform::peer::Peer;
-use platform::runs::Runs;
-use platform::Port;
+use vetchbridge_testbed::discovery::Discovery;
+use vetchbridge_testbed::front::Front;
+use vetchbridge_testbed::peer::Peer;
+use vetchbridge_testbed::runs::Runs;
+use vetchbridge_testbed::Port;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/crates/vetchkit/tests/commands.rs
+++ b/crates/testkit/tests/commands.rs
@@ -8,14 +8,14 @@
 use std::io::{BufRead, BufReader, Read};
 use std::process::{Child, Command, Output, Stdio};
 
-fn vetchkit(arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_vetchkit"));
+fn vetchbridge_testkit(arguments: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_vetchbridge-testkit"));
     command.args(arguments).stdin(Stdio::null());
     command
 }
 
 fn run(arguments: &[&str]) -> Output {
-    vetchkit(arguments).output().expect("it runs")
+    vetchbridge_testkit(arguments).output().expect("it runs")
 }
 
 fn words(output: &Output) -> String {
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_load_that_nobody_answers_has_missed() {
-    let unused = platform::Port::reserve().expect("a port");
+    let unused = vetchbridge_testbed::Port::reserve().expect("a port");
     let to = unused.address().to_string();
     let output = run(&["load", "--to", &to, "--rate", "50", "--for", "500ms", "--json"]);
     let report: Value = serde_json::from_slice(&output.stdout).expect("JSON");
@@ -177,10 +177,10 @@
 #[test]
 fn ctrl_c_ends_a_platform_cleanly_and_its_schedulers_with_it() {
     let daemon = daemon();
-    let mut kit = vetchkit(&["up", "--daemon", daemon.to_str().expect("text")]);
+    let mut kit = vetchbridge_testkit(&["up", "--daemon", daemon.to_str().expect("text")]);
     let mut kit = kit.stdout(Stdio::piped()).spawn().expect("it starts");
     let mut lines = BufReader::new(kit.stdout.take().expect("piped")).lines();
-    let line = lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("vetchkit load")));
+    let line = lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("vetchbridge-testkit load")));
     assert!(line.is_some(), "it came up");
     let of_kit = format!("/proc/{0}/task/{0}/children", kit.id());
     let children = std::fs::read_to_string(of_kit).unwrap_or_default();
@@ -195,7 +195,7 @@
     let arguments = ["demo", "--for", "600s", "--json", "--daemon", daemon.to_str().expect("text")];
     for twice in [false, true] {
         let mut kit =
-            vetchkit(&arguments).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
+            vetchbridge_testkit(&arguments).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
         let mut lines = BufReader::new(kit.stderr.take().expect("piped")).lines().map_while(Result::ok);
         // The first line of progress says that the load runs.
         lines.find(|line| line.contains(" sent, ")).expect("progress");
--- a/crates/vetchkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -5,17 +5,17 @@
 mod common;
 
 use common::daemon;
-use platform::account::{judge, Verdict, Violation};
-use platform::client::Clients;
-use platform::discovery::Health;
-use platform::peer::Act;
+use vetchbridge_testbed::account::{judge, Verdict, Violation};
+use vetchbridge_testbed::client::Clients;
+use vetchbridge_testbed::discovery::Health;
+use vetchbridge_testbed::peer::Act;
 use std::path::Path;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 use vetchbridge::config::file;
-use vetchkit::plan::Plan;
-use vetchkit::stage::Stage;
+use vetchbridge_testkit::plan::Plan;
+use vetchbridge_testkit::stage::Stage;
 
 /// Nothing here takes so long unless something hangs.
 const HANG: Duration = Duration::from_secs(60);
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -10,7 +10,7 @@
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderValue};
 use bytes::Bytes;
-use silverproxy::interface::{ClassId, Effect, Micros, Request};
+use vetchbridge_scheduling::interface::{ClassId, Effect, Micros, Request};
 use std::sync::Arc;
 use tokio::sync::OwnedSemaphorePermit;
 
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -10,7 +10,7 @@
 use crate::snapshot::Snapshot;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
-use silverproxy::interface::Settings;
+use vetchbridge_scheduling::interface::Settings;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::time::Duration;
@@ -166,7 +166,7 @@
         let meaning = |field| json.get("specifics")?.get(field)?.as_str();
         let free_slots = FreeSlots::of(meaning("report_x0"), meaning("report_x1"));
         self.counts(json);
-        let settings = silverproxy_settings::from_value(json)
+        let settings = vetchbridge_settings::from_value(json)
             .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.reason))
             .ok()?;
         if let Err(error) = settings.check() {
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -9,7 +9,7 @@
 use crate::list::listing::{Instance, Lifecycle, Listing, Names, Source};
 use crate::peers::load::{self, Reports};
 use crate::snapshot::Snapshot;
-use silverproxy::interface::{
+use vetchbridge_scheduling::interface::{
     self, Class, Discovery, Effect, KindId, RepeatGroup, ReportVia, Settings, Tenant, ZoneId,
 };
 use std::collections::BTreeSet;
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -2,7 +2,7 @@
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
-use silverproxy::interface::Micros;
+use vetchbridge_scheduling::interface::Micros;
 use std::borrow::Cow;
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -7,8 +7,8 @@
 use crate::list::ask::Ask;
 use crate::logs::Id;
 use crate::peers::UpstreamGroup;
-use silverproxy::interface::*;
-use silverproxy::policy::Policy;
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::policy::Policy;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -222,7 +222,7 @@
     use super::*;
     use crate::config::{file, read_text};
     use crate::peers::{worker_id, ListedPeer};
-    use platform::wire::Wire;
+    use vetchbridge_testbed::wire::Wire;
     use tokio::net::TcpListener;
 
     /// The module's probe reaches the peer, and what the module hears names the peer and how it ended.
--- a/crates/vetchbridge/src/invariants.rs
+++ b/crates/vetchbridge/src/invariants.rs
@@ -2,7 +2,7 @@
 //! and the reason. The count is told when the process ends.
 
 use crate::logs::Id;
-use silverproxy::interface::RequestId;
+use vetchbridge_scheduling::interface::RequestId;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tracing::error;
 
--- a/crates/vetchbridge/src/list/listing.rs
+++ b/crates/vetchbridge/src/list/listing.rs
@@ -4,7 +4,7 @@
 
 use crate::peers::worker_id;
 use serde::{Deserialize, Serialize};
-use silverproxy::interface::*;
+use vetchbridge_scheduling::interface::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/vetchbridge/src/logs.rs
+++ b/crates/vetchbridge/src/logs.rs
@@ -3,7 +3,7 @@
 //! Owns the subscriber and its filter; events reach it through `tracing` alone.
 
 use crate::log_writer::LossyWriter;
-use silverproxy::interface::RequestId;
+use vetchbridge_scheduling::interface::RequestId;
 use std::fmt;
 use std::io;
 use tracing_subscriber::layer::SubscriberExt;
--- a/crates/vetchbridge/src/peers/callbacks.rs
+++ b/crates/vetchbridge/src/peers/callbacks.rs
@@ -8,7 +8,7 @@
 use crate::invariants::{violated, Invariant};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use silverproxy::interface::{RequestId, WorkerId};
+use vetchbridge_scheduling::interface::{RequestId, WorkerId};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/vetchbridge/src/peers/load.rs
+++ b/crates/vetchbridge/src/peers/load.rs
@@ -4,7 +4,7 @@
 //! what a peer says, hold a socket, or judge a peer by its load.
 
 use serde_json::value::RawValue;
-use silverproxy::interface::{LoadReport, ReportVia};
+use vetchbridge_scheduling::interface::{LoadReport, ReportVia};
 use std::collections::BTreeMap;
 use tracing::debug;
 
--- a/crates/vetchbridge/src/peers/mod.rs
+++ b/crates/vetchbridge/src/peers/mod.rs
@@ -27,7 +27,7 @@
 use hyper::{Method, StatusCode};
 use load::Reports;
 use permission::SendPermission;
-use silverproxy::interface::{ListKind, LoadReport, MemberState, Micros, Note, RequestId, Status, WorkerId};
+use vetchbridge_scheduling::interface::{ListKind, LoadReport, MemberState, Micros, Note, RequestId, Status, WorkerId};
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -13,7 +13,7 @@
 use crate::upgrade::words::Word;
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use silverproxy::interface::*;
+use vetchbridge_scheduling::interface::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/vetchbridge/src/siblings.rs
+++ b/crates/vetchbridge/src/siblings.rs
@@ -4,7 +4,7 @@
 use crate::config::Siblings;
 use crate::engine::Engine;
 use crate::upgrade::kin::Kin;
-use silverproxy::interface::{Event, Peer};
+use vetchbridge_scheduling::interface::{Event, Peer};
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use crate::list::listing::Names;
 use crate::peers::load::Reports;
-use silverproxy::interface::{Class, Settings, Tenant, TenantId};
+use vetchbridge_scheduling::interface::{Class, Settings, Tenant, TenantId};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
--- a/crates/vetchbridge/src/upgrade/kin.rs
+++ b/crates/vetchbridge/src/upgrade/kin.rs
@@ -5,7 +5,7 @@
 
 use crate::peers::Callback;
 use crate::upgrade::words::Word;
-use silverproxy::interface::RequestId;
+use vetchbridge_scheduling::interface::RequestId;
 use std::collections::{HashMap, HashSet};
 use std::os::fd::OwnedFd;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::select_all;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use platform::wire::{Message, Wire};
+use vetchbridge_testbed::wire::{Message, Wire};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -4,7 +4,7 @@
 
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
-use silverproxy::interface::ReportVia;
+use vetchbridge_scheduling::interface::ReportVia;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/crates/vetchbridge/tests/crowds.rs
+++ b/crates/vetchbridge/tests/crowds.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use platform::wire::Wire;
+use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use serde_json::json;
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_linger;
 use serde_json::json;
-use silverproxy::interface::{ListKind, MemberState, RequestId, Status, WorkerId};
+use vetchbridge_scheduling::interface::{ListKind, MemberState, RequestId, Status, WorkerId};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
 use serde_json::json;
-use silverproxy::interface::{ClassId, ListKind, MemberState, Request, RequestId, TenantId};
-use silverproxy::policy::Policy;
+use vetchbridge_scheduling::interface::{ClassId, ListKind, MemberState, Request, RequestId, TenantId};
+use vetchbridge_scheduling::policy::Policy;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -9,12 +9,12 @@
 
 use common::*;
 use futures_util::future::join_all;
-use platform::wire::Wire;
+use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
-use silverproxy::interface::{ListKind, MemberState, Status};
-use silverproxy::words::Word as SiblingWord;
+use vetchbridge_scheduling::interface::{ListKind, MemberState, Status};
+use vetchbridge_scheduling::words::Word as SiblingWord;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
--- a/crates/vetchbridge/tests/node.rs
+++ b/crates/vetchbridge/tests/node.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::*;
-use platform::wire::Wire;
+use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::Read;
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
-use platform::wire::Wire;
+use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::{json, Value};
-use silverproxy::interface::*;
-use silverproxy::policy::Policy;
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::policy::Policy;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -103,8 +103,8 @@
     fn reload(&self, discovers: &str) {
         let mut settings = self.current.get().settings.clone();
         settings.discovery = match discovers {
-            "push" => silverproxy::interface::Discovery::Push,
-            _ => silverproxy::interface::Discovery::Ask,
+            "push" => vetchbridge_scheduling::interface::Discovery::Push,
+            _ => vetchbridge_scheduling::interface::Discovery::Ask,
         };
         self.adopt(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
@@ -365,7 +365,7 @@
     let mut parts = Parts::of(300).await;
     parts.follow(json!([]));
     let mut wire = Wire::new(parts.discovery.accept().await.expect("the watch").0);
-    let asked = |call: Option<platform::wire::Message>| call.expect("a call").target().to_string();
+    let asked = |call: Option<vetchbridge_testbed::wire::Message>| call.expect("a call").target().to_string();
     assert!(asked(wire.read().await).contains("index=1&wait="));
     wire.answer(200, "", r#"{"generation":2,"reset":false,"instances":[]}"#).await.expect("it is read");
     assert!(asked(wire.read().await).contains("index=2&wait="));
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
-use platform::{wire::Wire, Port};
+use vetchbridge_testbed::{wire::Wire, Port};
 use rstest::rstest;
-use silverproxy::interface::{ListKind, LoadReport, MemberState, ReportVia, RequestId, Status, WorkerId};
+use vetchbridge_scheduling::interface::{ListKind, LoadReport, MemberState, ReportVia, RequestId, Status, WorkerId};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use futures_util::FutureExt;
-use platform::wire::Wire;
+use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
