--- a/crates/scheduling/src/hash.rs
+++ b/crates/scheduling/src/hash.rs
@@ -1,4 +1,4 @@
-//! The hashes by which all dispatchers agree without a word: the same on every machine and in every port.
+//! The hashes by which all schedulers agree without a word: the same on every machine and in every port.
 
 /// Stable 64-bit finaliser (splitmix64).
 pub(crate) fn mix(x: u64) -> u64 {
--- a/crates/scheduling/src/interface.rs
+++ b/crates/scheduling/src/interface.rs
@@ -1,17 +1,17 @@
 //! The module's whole interface: identifiers, settings, events in, actions out.
 //!
 //! Nothing here decides anything. [`crate::policy::Policy`] takes one [`Event`] at a time and appends
-//! [`Action`]s; the dispatcher that embeds it (or the adapter of this crate) carries them out.
-//! All times are microseconds on the dispatcher's own clock, whose zero is arbitrary.
+//! [`Action`]s; the scheduler that embeds it (or the adapter of this crate) carries them out.
+//! All times are microseconds on the scheduler's own clock, whose zero is arbitrary.
 
-/// A moment on the dispatcher's clock, or a span of time, in microseconds.
+/// A moment on the scheduler's clock, or a span of time, in microseconds.
 pub type Micros = u64;
 
 /// A request as the client sent it; a client's retry is a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A worker. Every dispatcher must know a worker by the same number, or their rings will differ.
+/// A worker. Every scheduler must know a worker by the same number, or their rings will differ.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u64);
 
@@ -45,24 +45,24 @@
 
 /// What repeating a request of a class does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
-    Safe,
+    Idempotent,
     /// Workers of one group drop a repeat for a while.
     Keyed {
         /// Which workers recognise a repeat.
-        group: RepeatGroup,
+        group: DeduplicationScope,
         /// How long after the first attempt that may have run.
         window: Micros,
     },
     /// Must never run twice.
     #[default]
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which workers drop the repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum DeduplicationScope {
     /// All workers.
     All,
     /// Those in the zone of the worker that may have run it.
@@ -75,17 +75,17 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// Answer within this time for the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this many times the job's own running time.
-    pub stretch: f64,
+    pub objective_per_work: f64,
     /// The client's total wait over all of its tries.
     pub deadline: Micros,
     /// Worth of an answer within the aim.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a later answer still has.
-    pub late_share: f64,
+    pub late_weight: f64,
     /// Safe, keyed or unsafe.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The only kind of machine that runs this class, if it is bound to one.
     pub kind: Option<KindId>,
     /// Priority in the workers' queues, where they keep one.
@@ -97,8 +97,8 @@
 /// One tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all dispatchers, that are within its share.
-    pub allowance_per_s: f64,
+    /// Requests a second, over all schedulers, that are within its share.
+    pub quota_per_second: f64,
 }
 
 /// How a worker serves its queue.
@@ -114,25 +114,25 @@
 
 /// When workers send load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportVia {
+pub enum LoadReportSource {
     /// With outcomes and with probe results.
-    Answers,
+    Responses,
     /// With probe results only.
     Probes,
     /// Never.
     Never,
 }
 
-/// How changes of the worker list reach a dispatcher.
+/// How changes of the worker list reach a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum EndpointDelivery {
     /// They arrive unasked.
     Push,
-    /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
-    Ask,
+    /// Only after [`Action::Subscribe`] or [`Action::FetchEndpoints`].
+    Poll,
 }
 
-/// What [`Member::units`] stands for.
+/// What [`Endpoint::units`] stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
     /// Nothing: always 1.
@@ -143,13 +143,13 @@
     Live,
 }
 
-/// What the dispatcher may do.
+/// What the scheduler may do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// A connection not made within this time has failed.
     pub dial_timeout: Micros,
     /// Probes are allowed.
@@ -160,7 +160,7 @@
     pub retry_after: bool,
     /// The longest such advice that a client heeds.
     pub max_retry_after: Micros,
-    /// Messages between dispatchers are allowed.
+    /// Messages between schedulers are allowed.
     pub may_message_peers: bool,
 }
 
@@ -172,20 +172,20 @@
     /// Sends to a draining or gone worker must stop within this time.
     pub drain_grace: Micros,
     /// Where discovery must be asked: silence longer than this counts as having been told.
-    pub ask_within: Option<Micros>,
+    pub poll_within: Option<Micros>,
     /// A worker starts with at least this share of its capacity.
-    pub cold_share: f64,
+    pub slow_start_floor: f64,
     /// It is warm after this at the latest.
-    pub cold_time: Micros,
+    pub slow_start_time: Micros,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this long, a cold worker falls over.
-    pub fall_time: Micros,
+    pub overload_time: Micros,
 }
 
 /// What things cost, in shares of the result; used only to weigh one against another.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct CostWeights {
     /// For attempts that cross zones.
     pub cross_zone: f64,
     /// For a probe, per request.
@@ -196,41 +196,41 @@
     pub handshake: f64,
 }
 
-/// All that a dispatcher is told at its start.
+/// All that a scheduler is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This dispatcher's number among the dispatchers, from 0.
-    pub me: u32,
-    /// How many dispatchers there are.
-    pub dispatchers: u32,
-    /// This dispatcher's zone.
+    /// This scheduler's number among the schedulers, from 0.
+    pub scheduler_index: u32,
+    /// How many schedulers there are.
+    pub scheduler_count: u32,
+    /// This scheduler's zone.
     pub zone: ZoneId,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// Tenants; empty where a site has none.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth is counted by the work in a request rather than by request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// How the worker list is followed.
-    pub discovery: Discovery,
+    pub endpoint_delivery: EndpointDelivery,
     /// Where load reports come from.
-    pub report_via: ReportVia,
+    pub load_report_source: LoadReportSource,
     /// Meaning of the listed units.
     pub weights: Weights,
     /// How workers serve their queues.
     pub queue_order: QueueOrder,
     /// Workers say when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Interval of progress notes; 0 for none.
-    pub progress_every: Micros,
+    pub progress_interval: Micros,
     /// Permissions.
     pub limits: Limits,
     /// The rules' figures.
     pub rules: Rules,
-    /// Prices.
-    pub prices: Prices,
+    /// CostWeights.
+    pub cost_weights: CostWeights,
     /// Events come in batches at most this often.
     pub tick: Micros,
 }
@@ -239,7 +239,7 @@
     /// Refuses settings that contradict themselves.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |field, reason| Err(SettingsError { field, reason });
-        if self.dispatchers == 0 || self.me >= self.dispatchers {
+        if self.scheduler_count == 0 || self.scheduler_index >= self.scheduler_count {
             return bad("me", "must be below the number of dispatchers");
         }
         if self.classes.iter().any(|class| class.deadline == 0) {
@@ -248,13 +248,13 @@
         if self.limits.max_attempts == 0 {
             return bad("limits.max_attempts", "must be at least 1");
         }
-        if !(self.rules.cold_share > 0.0 && self.rules.cold_share <= 1.0) {
+        if !(self.rules.slow_start_floor > 0.0 && self.rules.slow_start_floor <= 1.0) {
             return bad("rules.cold_share", "must lie in (0, 1]");
         }
-        if !(self.rules.fall_multiple > 0.0 && self.rules.fall_multiple.is_finite()) {
+        if !(self.rules.overload_factor > 0.0 && self.rules.overload_factor.is_finite()) {
             return bad("rules.fall_multiple", "must be positive");
         }
-        if self.tenants.iter().any(|t| !(t.allowance_per_s >= 0.0 && t.allowance_per_s.is_finite())) {
+        if self.tenants.iter().any(|t| !(t.quota_per_second >= 0.0 && t.quota_per_second.is_finite())) {
             return bad("tenants.allowance_per_s", "must not be negative");
         }
         Ok(())
@@ -280,19 +280,19 @@
 
 /// State of a listed worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum MemberState {
+pub enum EndpointState {
     /// Takes work.
     #[default]
     Ready,
     /// Completing its work; send nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of a worker list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
     /// Its zone.
@@ -302,44 +302,44 @@
     /// Its cell.
     pub cell: CellId,
     /// Its state.
-    pub state: MemberState,
+    pub state: EndpointState,
     /// Its size, to compare with other workers' (no unit).
-    pub units: f64,
+    pub weight: f64,
     /// When its process last started; 0 for long past.
-    pub born: Micros,
+    pub started_at: Micros,
 }
 
 /// What a worker list event holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Only the changes.
     Changes,
     /// The whole list; a worker not in it is gone.
-    Full,
-    /// The whole list as this dispatcher last had it, maybe long ago.
-    Saved,
+    Snapshot,
+    /// The whole list as this scheduler last had it, maybe long ago.
+    Restored,
     /// The whole list as the process that this one takes over from had it a moment ago.
-    Inherited,
+    HandedOver,
     /// A subscription or fetch failed; the old list stands, but for entries that were heard before it broke off.
     Failed,
     /// The list in hand once more, in the terms of settings that have just changed. Discovery has said nothing.
-    Retold,
+    Renumbered,
 }
 
-impl ListKind {
+impl EndpointUpdate {
     /// Whether a worker that is not among the entries is gone.
-    pub fn is_whole(self) -> bool {
-        matches!(self, ListKind::Full | ListKind::Saved | ListKind::Inherited)
+    pub fn is_complete(self) -> bool {
+        matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Restored | EndpointUpdate::HandedOver)
     }
 
     /// Whether discovery is to be called now.
-    pub fn calls_for_another(self) -> bool {
-        matches!(self, ListKind::Saved | ListKind::Inherited | ListKind::Failed)
+    pub fn needs_poll(self) -> bool {
+        matches!(self, EndpointUpdate::Restored | EndpointUpdate::HandedOver | EndpointUpdate::Failed)
     }
 
     /// Whether discovery has answered a call with it, or pushed it.
-    pub fn is_answer(self) -> bool {
-        matches!(self, ListKind::Full | ListKind::Changes)
+    pub fn is_response(self) -> bool {
+        matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Changes)
     }
 }
 
@@ -355,7 +355,7 @@
     /// What it is about; requests with one key belong together.
     pub key: Option<String>,
     /// When the client gives this try up.
-    pub due: Micros,
+    pub deadline: Micros,
     /// Expected work at standard speed, if told.
     pub expected_work: Option<Micros>,
     /// Slots that the job takes.
@@ -381,13 +381,13 @@
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum Outcome {
     /// Served; the answer went to the client.
     Ok,
     /// The worker returned an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No reply in time; it may have run or be running.
     Timeout,
     /// No connection was made; it never ran.
@@ -395,49 +395,49 @@
     /// The connection broke; it may have run.
     Reset,
     /// The worker did not so much as take the job in time, and was given up; it may have run.
-    Silent,
+    NoResponse,
     /// The worker found fault with the request itself, as any other would; it never ran.
     Invalid,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent: the request was over, out of time or out of attempts.
-    Moot,
+    NotSent,
 }
 
-impl Status {
+impl Outcome {
     /// Whether this outcome proves that the job never ran.
     pub fn never_ran(self) -> bool {
         match self {
-            Status::Full | Status::ConnectFailed | Status::Invalid | Status::Moot => true,
-            Status::Ok | Status::Error | Status::Timeout => false,
-            Status::Reset | Status::Silent | Status::Cancelled => false,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Invalid | Outcome::NotSent => true,
+            Outcome::Ok | Outcome::Error | Outcome::Timeout => false,
+            Outcome::Reset | Outcome::NoResponse | Outcome::Cancelled => false,
         }
     }
 }
 
 /// Word on a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum JobProgress {
     /// The job has started.
     Started,
     /// This share of it is done.
-    Progress(f64),
+    Fraction(f64),
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the worker list.
-    Members {
+    Endpoints {
         /// What the entries are.
-        kind: ListKind,
+        update: EndpointUpdate,
         /// The entries.
-        members: Vec<Member>,
+        endpoints: Vec<Endpoint>,
     },
     /// A client's request arrived; it is owed exactly one final answer.
     Request(Request),
     /// An attempt ended; comes exactly once for each [`Action::Send`].
-    Outcome {
+    AttemptFinished {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -445,7 +445,7 @@
         /// The worker.
         worker: WorkerId,
         /// How it ended.
-        status: Status,
+        outcome: Outcome,
         /// Time since it was sent.
         latency: Micros,
         /// The request is over; no answer is owed any more.
@@ -461,26 +461,26 @@
         attempt: AttemptNo,
     },
     /// Word on a running attempt.
-    Note {
+    JobProgress {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
         /// The word.
-        note: Note,
+        progress: JobProgress,
     },
     /// The client left; no answer is owed any more.
-    Withdrawn(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer fell due.
     Timer(TimerToken),
-    /// The dispatcher is about to end: what is still open needs its final answer now.
-    Ending,
+    /// The scheduler is about to end: what is still open needs its final answer now.
+    ShuttingDown,
     /// The result of one [`Action::Probe`].
     Probed {
         /// The worker.
         worker: WorkerId,
         /// How the probe ended.
-        status: Status,
+        outcome: Outcome,
         /// Time since it was sent.
         latency: Micros,
         /// The worker's load report, if one came along.
@@ -489,7 +489,7 @@
     /// Other settings, from now on. Requests that are open keep their class, which may be gone from the new ones or
     /// stand there under another number. They have passed [`Settings::check`].
     Settings(Box<Settings>),
-    /// A message from another dispatcher.
+    /// A message from another scheduler.
     PeerMessage {
         /// Its number.
         from: u32,
@@ -498,16 +498,16 @@
     },
 }
 
-/// Whom a message between dispatchers is for.
+/// Whom a message between schedulers is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peer {
-    /// One dispatcher, by number.
+pub enum Recipient {
+    /// One scheduler, by number.
     One(u32),
     /// All others.
     All,
 }
 
-/// What the dispatcher is to do.
+/// What the scheduler is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a worker.
@@ -527,7 +527,7 @@
         attempt: AttemptNo,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 for no advice.
@@ -545,7 +545,7 @@
     /// Subscribe to changes of the worker list, or stop.
     Subscribe(bool),
     /// Ask for the whole worker list once.
-    FetchList,
+    FetchEndpoints,
     /// Wake the policy with this token at this time or soon after.
     SetTimer {
         /// When.
@@ -553,13 +553,13 @@
         /// The token that comes back.
         token: TimerToken,
     },
-    /// Send at most 256 bytes to other dispatchers.
-    TellPeers {
+    /// Send at most 256 bytes to other schedulers.
+    SendPeerMessage {
         /// Whom.
-        to: Peer,
+        to: Recipient,
         /// The bytes.
         data: Vec<u8>,
     },
-    /// A line for the dispatcher's log.
+    /// A line for the scheduler's log.
     Log(String),
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,6 +1,6 @@
-//! vetchbridge_scheduling decides, for a dispatcher that pushes jobs to workers, where each job goes.
+//! vetchbridge_scheduling decides, for a scheduler that pushes jobs to workers, where each job goes.
 //!
-//! The decisions are in [`policy`], its interface in [`interface`]. A dispatcher gives the policy one event
+//! The decisions are in [`policy`], its interface in [`interface`]. A scheduler gives the policy one event
 //! at a time with its clock, and carries out the actions that come back, in order:
 //!
 //! ```
@@ -8,13 +8,13 @@
 //!
 //! # fn settings() -> Settings {
 //! #     Settings {
-//! #         me: 0, dispatchers: 1, zone: ZoneId(0),
+//! #         me: 0, schedulers: 1, zone: ZoneId(0),
 //! #         classes: vec![Class {
 //! #             aim: 500_000, stretch: 2.0, deadline: 5_000_000, worth: 1.0, late_share: 0.0,
-//! #             effect: Effect::Unsafe, kind: None, priority: 0, stream: false,
+//! #             effect: Idempotency::NonIdempotent, kind: None, priority: 0, stream: false,
 //! #         }],
 //! #         tenants: vec![], over_share_worth: 1.0, worth_by_work: false,
-//! #         discovery: Discovery::Push, report_via: ReportVia::Answers, weights: Weights::Fixed,
+//! #         discovery: EndpointDelivery::Push, report_via: LoadReportSource::Responses, weights: Weights::Fixed,
 //! #         queue_order: QueueOrder::Fifo, tells_start: false, progress_every: 0,
 //! #         limits: Limits {
 //! #             max_attempts: 4, dial_timeout: 250_000, second_copies: false, may_probe: false, may_cancel: true,
@@ -24,21 +24,21 @@
 //! #             answer_slack: 8_000, drain_grace: 500_000, ask_within: None, cold_share: 0.3,
 //! #             cold_time: 9_000_000, fall_multiple: 3.0, fall_time: 1_000_000,
 //! #         },
-//! #         prices: Prices::default(), tick: 2_000,
+//! #         prices: CostWeights::default(), tick: 2_000,
 //! #     }
 //! # }
 //! let mut policy = Policy::new(settings(), 42)?;
 //! let mut actions = Vec::new();
 //!
 //! // The list of workers, from discovery.
-//! let member = |n| Member {
+//! let member = |n| Endpoint {
 //!     worker: WorkerId(n), zone: ZoneId(0), kind: KindId(0), cell: CellId(0),
-//!     state: MemberState::Ready, units: 1.0, born: 0,
+//!     state: EndpointState::Ready, units: 1.0, born: 0,
 //! };
-//! let list = Event::Members { kind: ListKind::Full, members: vec![member(7), member(8), member(9)] };
+//! let list = Event::Endpoints { kind: EndpointUpdate::Snapshot, members: vec![member(7), member(8), member(9)] };
 //! policy.handle(1_000, list, &mut actions);
 //!
-//! // A client's request: the policy answers with an attempt for the dispatcher to send.
+//! // A client's request: the policy answers with an attempt for the scheduler to send.
 //! let request = Request {
 //!     id: RequestId(1), class: ClassId(0), tenant: TenantId(0), key: Some("timetable".into()),
 //!     due: 5_002_000, expected_work: None, slots: 1.0, retry: false,
@@ -51,8 +51,8 @@
 //!
 //! // It was turned away unseen: the policy walks on along the ring.
 //! actions.clear();
-//! let refused = Event::Outcome {
-//!     request: RequestId(1), attempt: AttemptNo(0), worker, status: Status::Full,
+//! let refused = Event::AttemptFinished {
+//!     request: RequestId(1), attempt: AttemptNo(0), worker, status: Outcome::Rejected,
 //!     latency: 900, closed: false, load: None,
 //! };
 //! policy.handle(3_000, refused, &mut actions);
@@ -62,10 +62,10 @@
 
 mod hash;
 pub mod interface;
-pub mod policy;
-mod repeats;
-mod warm_up;
-pub mod words;
+pub mod scheduler;
+mod retry;
+mod slow_start;
+pub mod peer_message;
 
 pub use interface::*;
-pub use policy::{Policy, CONFIRM_WITHIN};
+pub use scheduler::{Scheduler, CONFIRM_WITHIN};
--- a/crates/scheduling/src/policy.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! All decisions of a dispatcher. The interface (types, events, actions) is in `interface.rs`.
+//! All decisions of a scheduler. The interface (types, events, actions) is in `interface.rs`.
 //!
 //! The ordinary path is one mechanism: a job's key is hashed onto a consistent ring on which every worker
 //! holds virtual points in proportion to its size; the first worker clockwise takes the job, the next
@@ -7,9 +7,9 @@
 
 use crate::hash::{hash_key, mix};
 use crate::interface::*;
-use crate::repeats::Repeats;
-use crate::warm_up::{self, StartBounds};
-use crate::words::Word;
+use crate::retry::Repeats;
+use crate::slow_start::{self, StartBounds};
+use crate::peer_message::PeerMessage;
 use std::collections::BTreeMap;
 
 /// Virtual points of a worker of mean size: keeps arcs within about a tenth of their fair share.
@@ -79,7 +79,7 @@
 const ASK_AGAIN: (Micros, Micros) = (100_000, 1_000_000);
 /// Mean pause after a call that took long to fail, microseconds: it may have been lost while there was news.
 const ASK_PAUSE: Micros = 500_000;
-/// All share one discovery: first calls are spread over this for each dispatcher, up to the second figure;
+/// All share one discovery: first calls are spread over this for each scheduler, up to the second figure;
 /// after failures each calls about as often as the third says: news is due 6 s after discovery is back.
 const ASK_SPREAD: (Micros, Micros, Micros) = (30_000, 2_000_000, 2_000_000);
 /// A saved list may name workers that left: nothing is sent until discovery answers, or for so long at most.
@@ -111,7 +111,7 @@
     /// Expected work; 0 without a hint.
     work: Micros,
     arrived: Micros,
-    due: Micros,
+    deadline: Micros,
     sequence: u64,
     /// Over how many workers its key is spread.
     width: usize,
@@ -124,22 +124,22 @@
 impl Open {
     /// From when on it can't be in time any more with so many times its hinted work still to do.
     fn late_from(&self, rest: f64) -> Micros {
-        self.arrived + self.class.aim + ((self.class.stretch - rest).max(0.0) * self.work as f64) as Micros
+        self.arrived + self.class.latency_objective + ((self.class.objective_per_work - rest).max(0.0) * self.work as f64) as Micros
     }
 
     /// Whether a late answer is worth nothing, and its work is known so far as that says when it is late.
     fn all_or_nothing(&self) -> bool {
-        self.class.late_share < WORTHLESS && (self.work > 0 || self.class.stretch == 0.0)
+        self.class.late_weight < WORTHLESS && (self.work > 0 || self.class.objective_per_work == 0.0)
     }
 
-    fn repeats(&self) -> Repeats {
+    fn retry(&self) -> Repeats {
         let first = self.attempts.iter().find(|attempt| attempt.may_have_run != Some(false));
-        Repeats { effect: self.class.effect, first: first.map(|attempt| attempt.sent) }
+        Repeats { idempotency: self.class.idempotency, first: first.map(|attempt| attempt.sent) }
     }
 
     /// Its work as hinted; without a hint, its class is made for jobs of about its aim.
     fn likely_work(&self) -> Micros {
-        Some(self.work).filter(|work| *work > 0).unwrap_or(self.class.aim)
+        Some(self.work).filter(|work| *work > 0).unwrap_or(self.class.latency_objective)
     }
 }
 
@@ -151,15 +151,15 @@
     share: f64,
 }
 
-/// What this dispatcher knows of a worker.
+/// What this scheduler knows of a worker.
 #[derive(Default)]
 struct Worker {
     /// Its entry in the list.
-    member: Member,
+    endpoint: Endpoint,
     /// When its process started, by this scheduler's own clock; `None`: long ago.
     began: Option<Micros>,
     ready: bool,
-    units: f64,
+    weight: f64,
     points: u32,
     /// Slots in hand there by its keeper's latest report, if the keeper knew, and when it was asked.
     report: (Option<f64>, Option<Micros>),
@@ -173,7 +173,7 @@
     /// Which keeper was asked of it and has not answered yet, and when.
     asked: Option<(u32, Micros)>,
     waiters: Vec<RequestId>,
-    /// As its keeper: attempts that siblings have out there; sibling, when, slots.
+    /// As its keeper: attempts that peers have out there; peer, when, slots.
     kept: Vec<(u32, Micros, f64)>,
     /// As its keeper: who has just been told how full it is while cold, when, and with how much work in hand.
     granted: Vec<(u32, Micros, Micros)>,
@@ -184,8 +184,8 @@
 }
 
 /// When to look after an attempt sent now of a request due then.
-fn watch_at(now: Micros, due: Micros) -> Micros {
-    now + MOVE_AFTER.min(due.saturating_sub(now) / 4).max(START_LAG)
+fn watch_at(now: Micros, deadline: Micros) -> Micros {
+    now + MOVE_AFTER.min(deadline.saturating_sub(now) / 4).max(START_LAG)
 }
 
 impl Worker {
@@ -193,7 +193,7 @@
         self.out.iter().map(|o| o.3).sum()
     }
 
-    /// As its keeper: slots that siblings have in hand there.
+    /// As its keeper: slots that peers have in hand there.
     fn kept_slots(&self, now: Micros) -> f64 {
         self.kept.iter().filter(|k| k.1 + KEPT > now).map(|k| k.2).sum()
     }
@@ -216,14 +216,14 @@
 
     /// `room`: slots that one unit of size is thought to have.
     fn busy(&self, now: Micros, slots: f64, room: f64) -> bool {
-        let crowded = |held: f64| held + slots > (room * self.units).max(slots);
+        let crowded = |held: f64| held + slots > (room * self.weight).max(slots);
         now < self.full_until
             || self.held(now).is_some_and(crowded)
             || self.own_slots() + slots > self.bound.max(slots)
     }
 
-    fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
-        warm_up::warmth(self.began, now, rules)
+    fn warm_up_fraction(&self, now: Micros, rules: &Rules) -> f64 {
+        slow_start::warm_up_fraction(self.began, now, rules)
     }
 }
 
@@ -235,14 +235,14 @@
     number: u32,
 }
 
-/// The decision module of one dispatcher.
-pub struct Policy {
+/// The decision module of one scheduler.
+pub struct Scheduler {
     settings: Settings,
     random: u64,
     workers: Vec<Worker>,
     index: BTreeMap<WorkerId, usize>,
     ring: Vec<Point>,
-    /// Size that gets [`POINTS_PER_MEAN_UNIT`] points, a power of two so that dispatchers agree on it.
+    /// Size that gets [`POINTS_PER_MEAN_UNIT`] points, a power of two so that schedulers agree on it.
     unit_scale: f64,
     ready_count: usize,
     open: BTreeMap<RequestId, Open>,
@@ -263,11 +263,11 @@
     starts: StartBounds,
 }
 
-impl Policy {
+impl Scheduler {
     /// A policy that knows nothing yet. Settings that contradict themselves are refused.
-    pub fn new(settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
+    pub fn new(settings: Settings, seed: u64) -> Result<Scheduler, SettingsError> {
         settings.check()?;
-        Ok(Policy {
+        Ok(Scheduler {
             settings,
             random: seed,
             workers: Vec::new(),
@@ -293,18 +293,18 @@
     /// Takes one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Members { kind, members } => self.on_members(now, kind, members, actions),
+            Event::Endpoints { update, endpoints } => self.on_members(now, update, endpoints, actions),
             Event::Request(request) => self.on_request(now, request, actions),
-            Event::Outcome { request, attempt, worker, status, latency, closed, load: _ } => {
-                self.on_outcome(now, (request, attempt), worker, (status, latency), closed, actions)
+            Event::AttemptFinished { request, attempt, worker, outcome, latency, closed, load: _ } => {
+                self.on_outcome(now, (request, attempt), worker, (outcome, latency), closed, actions)
             }
-            Event::Note { request, attempt, note } => self.on_note(now, request, attempt, note),
+            Event::JobProgress { request, attempt, progress } => self.on_note(now, request, attempt, progress),
             Event::StreamStarted { .. } | Event::Probed { .. } => {}
             Event::PeerMessage { from, data } => self.on_word(now, from, &data, actions),
             Event::Settings(settings) => self.on_settings(*settings),
-            Event::Withdrawn(request) => self.close(request, actions),
+            Event::ClientDisconnected(request) => self.close(request, actions),
             Event::Timer(token) => self.on_timer(now, token, actions),
-            Event::Ending => {
+            Event::ShuttingDown => {
                 let open: Vec<RequestId> = self.open.keys().copied().collect();
                 open.into_iter().for_each(|id| self.give_up(now, id, actions));
             }
@@ -324,58 +324,58 @@
 
     // ---- the worker list and the ring ----
 
-    fn on_members(&mut self, now: Micros, kind: ListKind, members: Vec<Member>, actions: &mut Vec<Action>) {
-        if !matches!(kind, ListKind::Failed | ListKind::Retold) {
+    fn on_members(&mut self, now: Micros, update: EndpointUpdate, endpoints: Vec<Endpoint>, actions: &mut Vec<Action>) {
+        if !matches!(update, EndpointUpdate::Failed | EndpointUpdate::Renumbered) {
             (self.failed_calls, self.last_call) = (0, 0);
-            self.unconfirmed_until = if kind == ListKind::Saved { now + CONFIRM_WITHIN } else { 0 };
+            self.unconfirmed_until = if update == EndpointUpdate::Restored { now + CONFIRM_WITHIN } else { 0 };
         }
-        if kind.is_whole() {
-            let listed: std::collections::BTreeSet<WorkerId> = members.iter().map(|m| m.worker).collect();
-            self.workers.iter_mut().for_each(|worker| worker.ready &= listed.contains(&worker.member.worker));
+        if update.is_complete() {
+            let listed: std::collections::BTreeSet<WorkerId> = endpoints.iter().map(|m| m.worker).collect();
+            self.workers.iter_mut().for_each(|worker| worker.ready &= listed.contains(&worker.endpoint.worker));
         }
         let mut added = Vec::new();
         let sized = self.settings.weights == Weights::Size;
-        for member in members {
-            let sound = sized && member.units.is_finite() && member.units > 0.0;
-            let units = if sound { member.units } else { 1.0 };
-            let ready = member.state == MemberState::Ready;
-            let Some(&at) = self.index.get(&member.worker) else {
+        for endpoint in endpoints {
+            let sound = sized && endpoint.weight.is_finite() && endpoint.weight > 0.0;
+            let weight = if sound { endpoint.weight } else { 1.0 };
+            let ready = endpoint.state == EndpointState::Ready;
+            let Some(&at) = self.index.get(&endpoint.worker) else {
                 if ready {
-                    self.index.insert(member.worker, self.workers.len());
+                    self.index.insert(endpoint.worker, self.workers.len());
                     added.push(self.workers.len());
-                    let began = self.starts.start_of(now, member.born);
-                    self.workers.push(new_worker(member, units, began));
+                    let began = self.starts.start_of(now, endpoint.started_at);
+                    self.workers.push(new_worker(endpoint, weight, began));
                 }
                 continue;
             };
-            let began = self.starts.start_of(now, member.born);
-            let place = (member.zone, member.kind, member.cell);
+            let began = self.starts.start_of(now, endpoint.started_at);
+            let place = (endpoint.zone, endpoint.kind, endpoint.cell);
             let worker = &mut self.workers[at];
             worker.ready = ready;
-            if member.state == MemberState::Gone {
+            if endpoint.state == EndpointState::Removed {
                 continue;
             }
             // Starts are told apart, not ordered, since a clock may be stepped. An older list may tell of who
             // takes no jobs.
-            if ready && member.born != 0 && member.born != worker.member.born {
+            if ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
                 // A restarted process: nothing learned of the old one holds.
                 let (out, points) = (std::mem::take(&mut worker.out), worker.points);
-                *worker = Worker { out, points, ..new_worker(member, units, began) };
+                *worker = Worker { out, points, ..new_worker(endpoint, weight, began) };
             }
-            (worker.member.zone, worker.member.kind, worker.member.cell) = place;
-            if (units / worker.units - 1.0).abs() > 0.01 {
-                worker.units = units;
+            (worker.endpoint.zone, worker.endpoint.kind, worker.endpoint.cell) = place;
+            if (weight / worker.weight - 1.0).abs() > 0.01 {
+                worker.weight = weight;
                 added.push(at);
             }
         }
-        if kind.is_answer() || kind == ListKind::Inherited {
+        if update.is_response() || update == EndpointUpdate::HandedOver {
             self.starts.answered(now);
         }
         self.place_points(added);
         self.ready_count = self.workers.iter().filter(|w| w.ready).count();
         self.forget();
-        if self.settings.discovery == Discovery::Ask && kind.calls_for_another() {
-            self.ask_later(now, kind == ListKind::Saved, actions);
+        if self.settings.endpoint_delivery == EndpointDelivery::Poll && update.needs_poll() {
+            self.ask_later(now, update == EndpointUpdate::Restored, actions);
         }
         let held: Vec<RequestId> = self.open.iter().filter(|(_, o)| o.holding).map(|(id, _)| *id).collect();
         for id in held {
@@ -389,7 +389,7 @@
             return;
         }
         self.workers.retain(|w| w.ready || !w.out.is_empty());
-        self.index = self.workers.iter().enumerate().map(|(at, w)| (w.member.worker, at)).collect();
+        self.index = self.workers.iter().enumerate().map(|(at, w)| (w.endpoint.worker, at)).collect();
         self.ring.clear();
         self.place_points((0..self.workers.len()).collect());
     }
@@ -399,7 +399,7 @@
         if changed.is_empty() {
             return;
         }
-        let mean = self.workers.iter().map(|w| w.units).sum::<f64>() / self.workers.len() as f64;
+        let mean = self.workers.iter().map(|w| w.weight).sum::<f64>() / self.workers.len() as f64;
         if self.unit_scale == 0.0 || !(0.5..=2.0).contains(&(mean / self.unit_scale)) {
             self.unit_scale = mean.log2().round().exp2();
             changed = (0..self.workers.len()).collect();
@@ -409,9 +409,9 @@
         self.ring.retain(|p| !moved.contains(&p.worker));
         for at in changed {
             let worker = &mut self.workers[at];
-            let size = (worker.units / self.unit_scale).min(MAX_POINTS_FACTOR);
+            let size = (worker.weight / self.unit_scale).min(MAX_POINTS_FACTOR);
             worker.points = (POINTS_PER_MEAN_UNIT * size).round().max(1.0) as u32;
-            let seed = mix(worker.member.worker.0);
+            let seed = mix(worker.endpoint.worker.0);
             self.ring.extend((0..worker.points).map(|number| Point {
                 place: mix(seed ^ (u64::from(number) << 32 | 0x5350)),
                 worker: at as u32,
@@ -421,9 +421,9 @@
         self.ring.sort_by_key(|p| (p.place, p.worker));
     }
 
-    /// Asks discovery (again) after a time that grows with failures and with the number of dispatchers.
+    /// Asks discovery (again) after a time that grows with failures and with the number of schedulers.
     fn ask_later(&mut self, now: Micros, first: bool, actions: &mut Vec<Action>) {
-        let spread = (ASK_SPREAD.0 * u64::from(self.settings.dispatchers - 1)).min(ASK_SPREAD.1);
+        let spread = (ASK_SPREAD.0 * u64::from(self.settings.scheduler_count - 1)).min(ASK_SPREAD.1);
         // A watch that breaks after it had an answer broke alone, until the call for the next one fails too.
         let again = self.failed_calls.saturating_sub(1).min(8);
         let herd = if self.failed_calls == 0 { 0 } else { (spread << again.min(2)).min(ASK_SPREAD.2) };
@@ -453,23 +453,23 @@
             let point = self.ring[(start + step) % self.ring.len()];
             let at = point.worker as usize;
             let worker = &self.workers[at];
-            let wrong_kind = class.kind.is_some_and(|kind| kind != worker.member.kind);
+            let wrong_kind = class.kind.is_some_and(|kind| kind != worker.endpoint.kind);
             if seen[at] || !worker.ready || wrong_kind {
                 continue;
             }
-            // A cold worker holds only as many points as it is warm: all dispatchers agree without a word.
-            let warmth = worker.warmth(now, rules);
-            if warmth < 1.0 && f64::from(point.number) >= warmth * f64::from(worker.points) {
+            // A cold worker holds only as many points as it is warm: all schedulers agree without a word.
+            let warm_up_fraction = worker.warm_up_fraction(now, rules);
+            if warm_up_fraction < 1.0 && f64::from(point.number) >= warm_up_fraction * f64::from(worker.points) {
                 continue;
             }
             seen[at] = true;
             // No double effect: a keyed job that may have run goes only where its repeat is dropped.
-            if let (Some(first), Effect::Keyed { group, .. }) = (anchor, class.effect) {
+            if let (Some(first), Idempotency::Keyed { group, .. }) = (anchor, class.idempotency) {
                 let first = self.index.get(&first.worker).map(|at| &self.workers[*at]);
                 let same = match group {
-                    RepeatGroup::All => true,
-                    RepeatGroup::Zone => first.is_some_and(|first| first.member.zone == worker.member.zone),
-                    RepeatGroup::Cell => first.is_some_and(|first| first.member.cell == worker.member.cell),
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => first.is_some_and(|first| first.endpoint.zone == worker.endpoint.zone),
+                    DeduplicationScope::Cell => first.is_some_and(|first| first.endpoint.cell == worker.endpoint.cell),
                 };
                 if !same {
                     continue;
@@ -478,12 +478,12 @@
             let failed_here = open
                 .attempts
                 .iter()
-                .any(|a| a.worker == worker.member.worker && a.may_have_run != Some(false));
+                .any(|a| a.worker == worker.endpoint.worker && a.may_have_run != Some(false));
             if failed_here || (health && now < worker.ejected_until) {
                 continue;
             }
             // A cold worker takes its own keys; all else as a reserve, if its keeper knows it to have room.
-            if warmth < 1.0 && (found.len() >= open.width || !open.attempts.is_empty()) {
+            if warm_up_fraction < 1.0 && (found.len() >= open.width || !open.attempts.is_empty()) {
                 reserve.push(at);
                 continue;
             }
@@ -492,12 +492,12 @@
                 break;
             }
         }
-        // A heavy key is spread over its first `width` workers: each dispatcher starts at one of its own zone
+        // A heavy key is spread over its first `width` workers: each scheduler starts at one of its own zone
         // where there is one, fixed by its number, and goes on clockwise from there.
         let width = open.width.min(found.len());
         if width > 1 {
-            let local = |at: &usize| self.workers[*at].member.zone == self.settings.zone;
-            let pick = mix(open.key ^ u64::from(self.settings.me)) as usize;
+            let local = |at: &usize| self.workers[*at].endpoint.zone == self.settings.zone;
+            let pick = mix(open.key ^ u64::from(self.settings.scheduler_index)) as usize;
             let locals: Vec<usize> = (0..width).filter(|place| local(&found[*place])).collect();
             let start = if locals.is_empty() { pick % width } else { locals[pick % locals.len()] };
             found[..width].rotate_left(start);
@@ -524,8 +524,8 @@
         self.by_sequence.insert(sequence, request.id);
         let most = self.settings.limits.max_attempts;
         let sized = Open { most, slots, work: request.expected_work.unwrap_or(0), width, ..Open::default() };
-        self.open.insert(request.id, Open { class, key, arrived: now, due: request.due, sequence, ..sized });
-        let at = request.due.saturating_sub(self.guard()).max(now);
+        self.open.insert(request.id, Open { class, key, arrived: now, deadline: request.deadline, sequence, ..sized });
+        let at = request.deadline.saturating_sub(self.guard()).max(now);
         actions.push(Action::SetTimer { at, token: TimerToken(TIMER_REQUEST << 56 | sequence) });
         self.place(now, request.id, actions);
     }
@@ -542,8 +542,8 @@
             self.keys.retain(|_, e| decayed(*e) >= 1.0);
         }
         // One sighting proves nothing; but where nothing tells of load, all may have seen as much.
-        let told = self.keepers() || self.settings.tells_start;
-        let (all, least) = if told { (1.0, 5.0) } else { (f64::from(self.settings.dispatchers), 30.0) };
+        let told = self.keepers() || self.settings.reports_start;
+        let (all, least) = if told { (1.0, 5.0) } else { (f64::from(self.settings.scheduler_count), 30.0) };
         let share = (count - 1.0 / all).max(0.0) / (self.requests.0 + least);
         let workers = share * self.ready_count as f64 / KEY_FILL;
         (workers.ceil() as usize).clamp(1, (self.ready_count / 2).max(1))
@@ -555,7 +555,7 @@
         if open.attempts.iter().any(|a| a.may_have_run.is_none()) {
             return;
         }
-        if now + self.guard() >= open.due || !self.may_send_again(now, open) {
+        if now + self.guard() >= open.deadline || !self.may_send_again(now, open) {
             return self.give_up(now, id, actions);
         }
         let (slots, attempts, light) = (open.slots, open.attempts.len(), open.width == 1);
@@ -571,7 +571,7 @@
         let candidates = self.candidates(now, id);
         let mut asked = false;
         for (place, &at) in candidates.iter().enumerate() {
-            if asked && self.workers[at].warmth(now, &self.settings.rules) < 1.0 {
+            if asked && self.workers[at].warm_up_fraction(now, &self.settings.rules) < 1.0 {
                 break;
             }
             if !waited && now >= self.workers[at].full_until && self.ask(now, at, id, actions) {
@@ -583,7 +583,7 @@
                 continue;
             }
             let place = if self.keepers() { place } else { 0 };
-            let bold = light || self.random() < self.workers[at].warmth(now, &self.settings.rules);
+            let bold = light || self.random() < self.workers[at].warm_up_fraction(now, &self.settings.rules);
             if self.has_room(now, at, slots, place + usize::from(!bold)) {
                 if attempts > 0 && self.workers[at].held(now).is_none() {
                     if self.budget < 1.0 {
@@ -606,11 +606,11 @@
         // The least loaded takes it in its queue; where load is told, a refused one waits here: walking
         // on carries the key's data to strangers. A cold worker takes none: queues there grow, and topple it.
         let open_to = |w: &Worker| {
-            let short = w.held(now).is_none_or(|held| held + slots <= QUEUE * self.room * w.units);
-            now >= w.full_until && w.warmth(now, &self.settings.rules) >= 1.0 && short
+            let short = w.held(now).is_none_or(|held| held + slots <= QUEUE * self.room * w.weight);
+            now >= w.full_until && w.warm_up_fraction(now, &self.settings.rules) >= 1.0 && short
         };
         let choices = candidates.iter().copied().filter(|at| open_to(&self.workers[*at]));
-        let load = |w: &Worker| w.held(now).unwrap_or(w.own_slots()) / w.units.max(1e-6);
+        let load = |w: &Worker| w.held(now).unwrap_or(w.own_slots()) / w.weight.max(1e-6);
         let best = choices.min_by(|a, b| load(&self.workers[*a]).total_cmp(&load(&self.workers[*b])));
         match best {
             Some(at) if !late && (attempts == 0 || self.own_bound(now, at).is_some()) => {
@@ -624,20 +624,20 @@
     /// own keys, few of a heavy one (place 0), and some of a share be left; it begins with half of its slots.
     fn has_room(&self, now: Micros, at: usize, slots: f64, place: usize) -> bool {
         let worker = &self.workers[at];
-        let warmth = worker.warmth(now, &self.settings.rules);
+        let warm_up_fraction = worker.warm_up_fraction(now, &self.settings.rules);
         let fair = self.own_bound(now, at).is_none_or(|bound| worker.own_slots() + slots <= bound.max(slots));
         let known = place == 0 || worker.held(now).is_some();
         let left = self.keepers() || self.poured(now, at).1 >= 0.0;
-        let waits = self.settings.tells_start && worker.keeps_waiting(now);
-        let busy = waits || worker.busy(now, slots, self.room * (COLD_SLOTS + warmth).min(1.0));
-        (warmth >= 1.0 || known && left) && fair && !busy
+        let waits = self.settings.reports_start && worker.keeps_waiting(now);
+        let busy = waits || worker.busy(now, slots, self.room * (COLD_SLOTS + warm_up_fraction).min(1.0));
+        (warm_up_fraction >= 1.0 || known && left) && fair && !busy
     }
 
     /// Own slots out at which a worker is busy where nothing tells how full it is: its share of all of them,
     /// if they were spread by what the workers can do now.
     fn own_bound(&self, now: Micros, at: usize) -> Option<f64> {
-        let told = self.settings.tells_start || self.workers[at].held(now).is_some();
-        let able = |w: &Worker| w.units * w.warmth(now, &self.settings.rules);
+        let told = self.settings.reports_start || self.workers[at].held(now).is_some();
+        let able = |w: &Worker| w.weight * w.warm_up_fraction(now, &self.settings.rules);
         let ready = self.workers.iter().filter(|w| w.ready).map(|w| (w.own_slots(), able(w)));
         let share = |(out, all): (f64, f64)| OWN_SHARE * out * able(&self.workers[at]) / all;
         (!told).then(|| share(ready.fold((1.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1))))
@@ -653,60 +653,60 @@
         actions.push(Action::SetTimer { at, token: TimerToken(TIMER_HOLD << 56 | open.sequence) });
     }
 
-    /// Whether dispatchers keep account of workers for one another: they may talk, no worker tells its load.
+    /// Whether schedulers keep account of workers for one another: they may talk, no worker tells its load.
     fn keepers(&self) -> bool {
-        let Settings { limits, report_via, dispatchers, .. } = &self.settings;
-        limits.may_message_peers && *dispatchers > 1 && *report_via == ReportVia::Never
+        let Settings { limits, load_report_source, scheduler_count, .. } = &self.settings;
+        limits.may_message_peers && *scheduler_count > 1 && *load_report_source == LoadReportSource::Never
     }
 
     /// Which one keeps account of a worker: the first by rendezvous that is not silent; all agree on it.
     fn keeper(&mut self, now: Micros, worker: WorkerId) -> Option<u32> {
         self.silent.retain(|_, until| now < *until);
-        let all = if self.keepers() { self.settings.dispatchers } else { 0 };
-        let heard = (0..all).filter(|sibling| !self.silent.contains_key(sibling));
-        heard.max_by_key(|sibling| mix(worker.0 ^ mix(u64::from(*sibling))))
+        let all = if self.keepers() { self.settings.scheduler_count } else { 0 };
+        let heard = (0..all).filter(|peer| !self.silent.contains_key(peer));
+        heard.max_by_key(|peer| mix(worker.0 ^ mix(u64::from(*peer))))
     }
 
-    fn tell(&mut self, now: Micros, at: usize, word: Word, actions: &mut Vec<Action>) {
-        let worker = self.workers[at].member.worker;
+    fn tell(&mut self, now: Micros, at: usize, word: PeerMessage, actions: &mut Vec<Action>) {
+        let worker = self.workers[at].endpoint.worker;
         match (self.keeper(now, worker), word) {
-            (Some(keeper), _) if keeper != self.settings.me => {
-                actions.push(Action::TellPeers { to: Peer::One(keeper), data: word.write(worker) });
+            (Some(keeper), _) if keeper != self.settings.scheduler_index => {
+                actions.push(Action::SendPeerMessage { to: Recipient::One(keeper), data: word.write(worker) });
             }
-            (_, Word::Sent(_, work)) => self.pour(now, at, work),
+            (_, PeerMessage::AttemptStarted(_, work)) => self.pour(now, at, work),
             _ => {}
         }
     }
 
     /// Work sent to a worker on this account that it can't have done yet, and how much more it may get while
-    /// cold. Each dispatcher has an equal share; a keeper spends those of all that are not silent to it.
+    /// cold. Each scheduler has an equal share; a keeper spends those of all that are not silent to it.
     fn poured(&self, now: Micros, at: usize) -> (f64, f64) {
-        let all = f64::from(self.settings.dispatchers);
+        let all = f64::from(self.settings.scheduler_count);
         let share = if self.keepers() { 1.0 - self.silent.len() as f64 / all } else { 1.0 / all };
         let (worker, rules) = (&self.workers[at], &self.settings.rules);
-        let able = share * self.room * worker.units * worker.warmth(now, rules) * rules.fall_multiple;
+        let able = share * self.room * worker.weight * worker.warm_up_fraction(now, rules) * rules.overload_factor;
         let left = worker.poured.0 - able * COLD_MOST.1 * now.saturating_sub(worker.poured.1) as f64;
-        (left.max(0.0), able * (COLD_MOST.0 - COLD_MOST.1) * rules.fall_time as f64 - left.max(0.0))
+        (left.max(0.0), able * (COLD_MOST.0 - COLD_MOST.1) * rules.overload_time as f64 - left.max(0.0))
     }
 
     fn pour(&mut self, now: Micros, at: usize, work: Micros) {
         self.workers[at].poured = (self.poured(now, at).0 + work as f64, now);
     }
 
-    /// As its keeper: slots in hand at a worker, for a dispatcher that has so much work. A cold one that has
+    /// As its keeper: slots in hand at a worker, for a scheduler that has so much work. A cold one that has
     /// been sent nearly what topples it is full; one said to have room is the asker's alone for a moment.
     fn account(&mut self, now: Micros, at: usize, (asker, work): (u32, Micros)) -> f64 {
         self.pour(now, at, 0);
         let (_, most) = self.poured(now, at);
         let (worker, rules) = (&mut self.workers[at], &self.settings.rules);
-        let (held, warmth) = (worker.kept_slots(now) + worker.own_slots(), worker.warmth(now, rules));
-        if warmth >= 1.0 {
+        let (held, warm_up_fraction) = (worker.kept_slots(now) + worker.own_slots(), worker.warm_up_fraction(now, rules));
+        if warm_up_fraction >= 1.0 {
             return held;
         }
         worker.granted.retain(|granted| granted.1 + KEEPER.0 > now && granted.0 != asker);
         let granted: Micros = worker.granted.iter().map(|granted| granted.2).sum();
         let taken = held + worker.granted.len() as f64;
-        let room = self.room * worker.units * (COLD_SLOTS + warmth).min(1.0);
+        let room = self.room * worker.weight * (COLD_SLOTS + warm_up_fraction).min(1.0);
         if granted as f64 > most || taken + 1.0 > room.max(1.0) {
             return FULL;
         }
@@ -718,9 +718,9 @@
     fn ask(&mut self, now: Micros, at: usize, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let worker = &self.workers[at];
         let fresh = worker.report.1.is_some_and(|t| now.saturating_sub(t) < REPORT_FRESH);
-        let Some(keeper) = self.keeper(now, worker.member.worker).filter(|_| !fresh) else { return false };
+        let Some(keeper) = self.keeper(now, worker.endpoint.worker).filter(|_| !fresh) else { return false };
         let work = self.open.get(&id).map_or(0, Open::likely_work);
-        if keeper == self.settings.me {
+        if keeper == self.settings.scheduler_index {
             self.workers[at].report = (Some(self.account(now, at, (keeper, work))), Some(now + 1));
             return false;
         }
@@ -730,29 +730,29 @@
         }
         if worker.asked.is_none() {
             worker.asked = Some((keeper, now));
-            self.tell(now, at, Word::Ask(work), actions);
+            self.tell(now, at, PeerMessage::OccupancyQuery(work), actions);
         }
         true
     }
 
-    /// A sibling has something to say.
+    /// A peer has something to say.
     fn on_word(&mut self, now: Micros, from: u32, data: &[u8], actions: &mut Vec<Action>) {
-        let Some((word, id)) = Word::read(data).filter(|_| from != self.settings.me) else { return };
+        let Some((word, id)) = PeerMessage::read(data).filter(|_| from != self.settings.scheduler_index) else { return };
         self.silent.remove(&from);
         let at = self.index.get(&id).copied();
-        if let Word::Ask(work) = word {
+        if let PeerMessage::OccupancyQuery(work) = word {
             let report = at.map(|at| {
                 let held = self.account(now, at, (from, work));
                 (held, self.workers[at].ejected_until.saturating_sub(now))
             });
-            let data = Word::Report(report).write(id);
-            return actions.push(Action::TellPeers { to: Peer::One(from), data });
+            let data = PeerMessage::OccupancyReply(report).write(id);
+            return actions.push(Action::SendPeerMessage { to: Recipient::One(from), data });
         }
         let Some(at) = at else { return };
         let worker = &mut self.workers[at];
         match word {
-            Word::Ask(_) => {}
-            Word::Report(report) => {
+            PeerMessage::OccupancyQuery(_) => {}
+            PeerMessage::OccupancyReply(report) => {
                 let Some((_, asked)) = worker.asked.take() else { return };
                 worker.report = (report.map(|report| report.0), Some(asked));
                 if let Some((_, passed_over)) = report.filter(|report| report.1 > 0) {
@@ -764,20 +764,20 @@
                     }
                 }
             }
-            Word::Sent(slots, work) => {
+            PeerMessage::AttemptStarted(slots, work) => {
                 worker.granted.retain(|granted| granted.0 != from);
                 worker.kept.retain(|k| k.1 + KEPT > now);
                 worker.kept.push((from, now, slots));
                 self.pour(now, at, work);
             }
-            Word::Ended { served, broke } => {
+            PeerMessage::AttemptFinished { served, broke } => {
                 let place = worker.kept.iter().position(|k| k.0 == from);
                 place.map(|place| worker.kept.remove(place));
                 if served {
                     worker.failures = 0;
                 }
                 if broke {
-                    self.judge(now, at, Status::Silent, 0);
+                    self.judge(now, at, Outcome::NoResponse, 0);
                 }
             }
         }
@@ -787,21 +787,21 @@
         let Some(open) = self.open.get_mut(&id) else { return };
         let worker = &mut self.workers[at];
         worker.out.push((id, open.attempts.len() as u32, now, open.slots));
-        let crowd = worker.held(now).map(|held| held / worker.units.max(1e-6));
-        open.attempts.push(Attempt { worker: worker.member.worker, crowd, may_have_run: None, sent: now });
+        let crowd = worker.held(now).map(|held| held / worker.weight.max(1e-6));
+        open.attempts.push(Attempt { worker: worker.endpoint.worker, crowd, may_have_run: None, sent: now });
         (open.holding, open.asking_until) = (false, None);
         let timeout = open.all_or_nothing().then(|| open.late_from(-OVERRUN).saturating_sub(now).max(1));
-        actions.push(Action::Send { request: id, worker: worker.member.worker, timeout });
+        actions.push(Action::Send { request: id, worker: worker.endpoint.worker, timeout });
         let (limits, slots) = (&self.settings.limits, open.slots);
-        if self.settings.tells_start && limits.may_cancel && limits.second_copies {
+        if self.settings.reports_start && limits.may_cancel && limits.hedging {
             let token = TimerToken(TIMER_WATCH << 56 | open.sequence);
-            actions.push(Action::SetTimer { at: watch_at(now, open.due), token });
+            actions.push(Action::SetTimer { at: watch_at(now, open.deadline), token });
         }
-        if worker.warmth(now, &self.settings.rules) < 1.0 {
+        if worker.warm_up_fraction(now, &self.settings.rules) < 1.0 {
             worker.report = (None, None);
         }
         let work = open.likely_work();
-        self.tell(now, at, Word::Sent(slots, work), actions);
+        self.tell(now, at, PeerMessage::AttemptStarted(slots, work), actions);
     }
 
     /// How long before its due time a request without an attempt out is answered: two ticks and a little.
@@ -814,7 +814,7 @@
         if open.attempts.len() >= open.most as usize {
             return false;
         }
-        open.repeats().may_begin_by(now + self.settings.tick)
+        open.retry().may_begin_by(now + self.settings.tick)
     }
 
     /// When a refused client should come back: once the first worker of its class is thought to have room,
@@ -824,7 +824,7 @@
         if !limits.retry_after {
             return 0;
         }
-        let able = self.workers.iter().filter(|w| w.ready && kind.is_none_or(|kind| kind == w.member.kind));
+        let able = self.workers.iter().filter(|w| w.ready && kind.is_none_or(|kind| kind == w.endpoint.kind));
         let room = able.map(|w| w.full_until.max(w.ejected_until).saturating_sub(now)).min();
         room.map_or(limits.max_retry_after, |wait| wait.max(HOLD_BLIND)).min(limits.max_retry_after)
     }
@@ -833,8 +833,8 @@
     fn give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let retry_after = self.advice(now, open.class.kind);
-        actions.push(if open.repeats().may_be_refused(now, retry_after) {
-            Action::Refuse { request: id, retry_after }
+        actions.push(if open.retry().may_be_refused(now, retry_after) {
+            Action::Reject { request: id, retry_after }
         } else {
             Action::Fail { request: id }
         });
@@ -857,7 +857,7 @@
         now: Micros,
         (id, attempt): (RequestId, AttemptNo),
         worker: WorkerId,
-        (status, latency): (Status, Micros),
+        (outcome, latency): (Outcome, Micros),
         closed: bool,
         actions: &mut Vec<Action>,
     ) {
@@ -866,20 +866,20 @@
         let Some(place) = out.iter().position(|o| (o.0, o.1) == (id, attempt.0)) else { return };
         out.swap_remove(place);
         self.workers[at].started.retain(|s| s.attempt != (id, attempt.0));
-        self.judge(now, at, status, latency);
-        let broke = matches!(status, Status::ConnectFailed | Status::Reset | Status::Silent);
-        self.tell(now, at, Word::Ended { served: status == Status::Ok, broke }, actions);
-        if status == Status::Silent {
+        self.judge(now, at, outcome, latency);
+        let broke = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset | Outcome::NoResponse);
+        self.tell(now, at, PeerMessage::AttemptFinished { served: outcome == Outcome::Ok, broke }, actions);
+        if outcome == Outcome::NoResponse {
             // Where one connection fell silent, the others that stand idle are not to be trusted either.
             actions.push(Action::CloseIdle(worker));
         }
         if let Some(tried) = self.open.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt.0 as usize)) {
-            tried.may_have_run = Some(!status.never_ran());
+            tried.may_have_run = Some(!outcome.never_ran());
         }
         if closed {
             return self.close(id, actions);
         }
-        if status == Status::Invalid && self.open.contains_key(&id) {
+        if outcome == Outcome::Invalid && self.open.contains_key(&id) {
             // The request's own fault: no other worker will have it, and this one is as good as before.
             actions.push(Action::Fail { request: id });
             return self.close(id, actions);
@@ -888,42 +888,42 @@
     }
 
     /// What an outcome says of the worker's room and health; to serve now and then heals it by halves.
-    fn judge(&mut self, now: Micros, at: usize, status: Status, latency: Micros) {
+    fn judge(&mut self, now: Micros, at: usize, outcome: Outcome, latency: Micros) {
         let worker = &mut self.workers[at];
-        let left = if matches!(status, Status::Timeout | Status::Error) { 0.7 } else { 1.0 };
+        let left = if matches!(outcome, Outcome::Timeout | Outcome::Error) { 0.7 } else { 1.0 };
         worker.bound = (worker.bound * left).max(1.0);
-        match status {
-            Status::Ok => {
+        match outcome {
+            Outcome::Ok => {
                 self.budget = (self.budget + REPEAT_BUDGET.0).min(REPEAT_BUDGET.1);
                 worker.failures /= 2;
                 worker.bound += 1.0;
                 worker.ejected_until *= Micros::from(worker.failures > 0);
             }
-            Status::Full => {
+            Outcome::Rejected => {
                 worker.bound = worker.own_slots().max(1.0);
                 worker.full_until = now + FULL_DEFAULT;
             }
             // A connection refused at once met a full table, not a dead worker: no reason to shut it out.
-            Status::ConnectFailed if latency < self.settings.limits.dial_timeout / 2 => {
+            Outcome::ConnectFailed if latency < self.settings.limits.dial_timeout / 2 => {
                 worker.full_until = now + TABLE_FULL;
             }
             // One break, silence or error may be its connection's fault, or its request's; a second is not.
-            Status::Reset | Status::Silent | Status::Error if worker.failures == 0 => worker.failures = 1,
-            Status::ConnectFailed | Status::Reset | Status::Silent | Status::Error => {
+            Outcome::Reset | Outcome::NoResponse | Outcome::Error if worker.failures == 0 => worker.failures = 1,
+            Outcome::ConnectFailed | Outcome::Reset | Outcome::NoResponse | Outcome::Error => {
                 worker.ejected_until = now + (EJECT.0 << worker.failures.min(8)).min(EJECT.1);
                 worker.failures += 1;
             }
-            Status::Invalid => worker.failures = 0,
-            Status::Timeout | Status::Cancelled | Status::Moot => {}
+            Outcome::Invalid => worker.failures = 0,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
     /// Word of a start or of progress: the job has its slots.
-    fn on_note(&mut self, now: Micros, id: RequestId, attempt: AttemptNo, note: Note) {
+    fn on_note(&mut self, now: Micros, id: RequestId, attempt: AttemptNo, progress: JobProgress) {
         let tried = self.open.get(&id).and_then(|open| open.attempts.get(attempt.0 as usize));
         let Some(&at) = tried.and_then(|tried| self.index.get(&tried.worker)) else { return };
         let (worker, attempt) = (&mut self.workers[at], (id, attempt.0));
-        let share = if let Note::Progress(share) = note { share } else { 0.0 };
+        let share = if let JobProgress::Fraction(share) = progress { share } else { 0.0 };
         if let Some(started) = worker.started.iter_mut().find(|s| s.attempt == attempt) {
             (started.heard, started.share) = (now, share);
         } else if let Some(out) = worker.out.iter().find(|o| (o.0, o.1) == attempt) {
@@ -943,13 +943,13 @@
         let Some(number) = open.attempts.iter().rposition(|a| a.may_have_run.is_none()) else { return };
         let Some(&at) = self.index.get(&open.attempts[number].worker) else { return };
         let tries = open.attempts.iter().filter(|a| a.may_have_run != Some(false)).count();
-        if now < watch_at(open.attempts[number].sent, open.due) || tries > MOVES {
+        if now < watch_at(open.attempts[number].sent, open.deadline) || tries > MOVES {
             return; // An earlier attempt's timer, while this one has its own; or there is no move left.
         }
-        let (slots, every) = (open.slots, self.settings.progress_every);
+        let (slots, every) = (open.slots, self.settings.progress_interval);
         let running = self.workers[at].running((id, number as u32));
         let still = running.is_some_and(|s| every > 0 && now > s.heard + STILL * every);
-        let pace = self.workers[at].warmth(now, &self.settings.rules);
+        let pace = self.workers[at].warm_up_fraction(now, &self.settings.rules);
         let crawls = running.is_some_and(|s| {
             let rest = (s.heard - s.began) as f64 * (1.0 - s.share) / s.share;
             s.share > 0.0 && open.work > 0 && rest * pace > CRAWL * open.work as f64
@@ -961,7 +961,7 @@
             if let Some(&to) = next.iter().find(free) {
                 self.budget -= 1.0;
                 if still {
-                    self.judge(now, at, Status::Silent, 0);
+                    self.judge(now, at, Outcome::NoResponse, 0);
                 }
                 actions.push(Action::Cancel { request: id, attempt: AttemptNo(number as u32) });
                 return self.send(now, id, to, actions);
@@ -974,7 +974,7 @@
     fn on_timer(&mut self, now: Micros, token: TimerToken, actions: &mut Vec<Action>) {
         let (kind, sequence) = (token.0 >> 56, token.0 & ((1 << 56) - 1));
         if kind == TIMER_ASK {
-            let ask = self.settings.discovery == Discovery::Ask;
+            let ask = self.settings.endpoint_delivery == EndpointDelivery::Poll;
             return actions.extend(ask.then_some(Action::Subscribe(true)));
         }
         let found = self.by_sequence.get(&sequence).and_then(|id| self.open.get_key_value(id));
@@ -991,7 +991,7 @@
             }
         } else {
             // An attempt's own time-out answers at the due time; this only guards against its absence.
-            let last = open.due + self.settings.rules.answer_slack / 2;
+            let last = open.deadline + self.settings.rules.answer_slack / 2;
             if now < last && open.attempts.iter().any(|a| a.may_have_run.is_none()) {
                 return actions.push(Action::SetTimer { at: last, token });
             }
@@ -1000,7 +1000,7 @@
     }
 }
 
-fn new_worker(member: Member, units: f64, began: Option<Micros>) -> Worker {
-    let ready = member.state == MemberState::Ready;
-    Worker { member, began, ready, units, bound: f64::INFINITY, ..Worker::default() }
+fn new_worker(endpoint: Endpoint, weight: f64, began: Option<Micros>) -> Worker {
+    let ready = endpoint.state == EndpointState::Ready;
+    Worker { endpoint, began, ready, weight, bound: f64::INFINITY, ..Worker::default() }
 }
--- a/crates/scheduling/src/warm_up.rs
+++ b/crates/scheduling/src/slow_start.rs
@@ -39,8 +39,8 @@
 }
 
 /// Share of its capacity that a worker has, by the slowest warming the rules allow.
-pub(crate) fn warmth(began: Option<Micros>, now: Micros, rules: &Rules) -> f64 {
-    let Some(began) = began.filter(|_| rules.cold_time > 0) else { return 1.0 };
-    let age = now.saturating_sub(began) as f64 / rules.cold_time as f64;
-    (rules.cold_share + (1.0 - rules.cold_share) * age).min(1.0)
+pub(crate) fn warm_up_fraction(began: Option<Micros>, now: Micros, rules: &Rules) -> f64 {
+    let Some(began) = began.filter(|_| rules.slow_start_time > 0) else { return 1.0 };
+    let age = now.saturating_sub(began) as f64 / rules.slow_start_time as f64;
+    (rules.slow_start_floor + (1.0 - rules.slow_start_floor) * age).min(1.0)
 }
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -6,14 +6,14 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        aim: 500 * MS,
-        stretch: 2.0,
+        latency_objective: 500 * MS,
+        objective_per_work: 2.0,
         deadline: 5 * S,
-        worth: 1.0,
-        late_share: 0.3,
-        effect,
+        priority_weight: 1.0,
+        late_weight: 0.3,
+        idempotency,
         kind: None,
         priority: 0,
         stream: false,
@@ -29,32 +29,32 @@
 /// One class for each effect, and a safe one bound to machine kind 1.
 pub fn settings() -> Settings {
     let window = 2 * S;
-    let mut bound = class(Effect::Safe);
+    let mut bound = class(Idempotency::Idempotent);
     bound.kind = Some(KindId(1));
     Settings {
-        me: 0,
-        dispatchers: 1,
+        scheduler_index: 0,
+        scheduler_count: 1,
         zone: ZoneId(0),
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Keyed { group: RepeatGroup::All, window }),
-            class(Effect::Keyed { group: RepeatGroup::Cell, window }),
-            class(Effect::Unsafe),
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed { group: DeduplicationScope::All, window }),
+            class(Idempotency::Keyed { group: DeduplicationScope::Cell, window }),
+            class(Idempotency::NonIdempotent),
             bound,
         ],
         tenants: vec![],
-        over_share_worth: 0.1,
-        worth_by_work: false,
-        discovery: Discovery::Push,
-        report_via: ReportVia::Answers,
+        over_quota_weight: 0.1,
+        weight_by_work: false,
+        endpoint_delivery: EndpointDelivery::Push,
+        load_report_source: LoadReportSource::Responses,
         weights: Weights::Size,
         queue_order: QueueOrder::Fifo,
-        tells_start: false,
-        progress_every: 0,
+        reports_start: false,
+        progress_interval: 0,
         limits: Limits {
             max_attempts: 4,
             dial_timeout: 250 * MS,
-            second_copies: false,
+            hedging: false,
             may_probe: false,
             may_cancel: true,
             retry_after: true,
@@ -64,70 +64,70 @@
         rules: Rules {
             answer_slack: 8 * MS,
             drain_grace: 500 * MS,
-            ask_within: None,
-            cold_share: 0.25,
-            cold_time: 10 * S,
-            fall_multiple: 3.0,
-            fall_time: S,
+            poll_within: None,
+            slow_start_floor: 0.25,
+            slow_start_time: 10 * S,
+            overload_factor: 3.0,
+            overload_time: S,
         },
-        prices: Prices::default(),
+        cost_weights: CostWeights::default(),
         tick: 2 * MS,
     }
 }
 
-pub fn member(n: u64) -> Member {
-    Member {
+pub fn endpoint(n: u64) -> Endpoint {
+    Endpoint {
         worker: WorkerId(n),
         zone: ZoneId((n % 3) as u32),
         kind: KindId((n % 2) as u32),
         cell: CellId((n / 4) as u32),
-        state: MemberState::Ready,
-        units: 1.0,
-        born: 0,
+        state: EndpointState::Ready,
+        weight: 1.0,
+        started_at: 0,
     }
 }
 
-pub fn list(kind: ListKind, members: impl IntoIterator<Item = Member>) -> Event {
-    Event::Members { kind, members: members.into_iter().collect() }
+pub fn list(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
+    Event::Endpoints { update, endpoints: endpoints.into_iter().collect() }
 }
 
 pub fn fleet(n: u64) -> Event {
-    list(ListKind::Full, (1..=n).map(member))
+    list(EndpointUpdate::Snapshot, (1..=n).map(endpoint))
 }
 
-pub fn request(id: u64, class: u32, key: &str, due: Micros) -> Request {
+pub fn request(id: u64, class: u32, key: &str, deadline: Micros) -> Request {
     Request {
         id: RequestId(id),
         class: ClassId(class),
         tenant: TenantId(0),
         key: Some(key.to_string()),
-        due,
+        deadline,
         expected_work: None,
         slots: 1.0,
         retry: false,
     }
 }
 
-pub fn outcome(id: u64, attempt: u32, worker: WorkerId, status: Status) -> Event {
-    Event::Outcome {
+pub fn attempt_finished(id: u64, attempt: u32, worker: WorkerId, outcome: Outcome) -> Event {
+    Event::AttemptFinished {
         request: RequestId(id),
         attempt: AttemptNo(attempt),
         worker,
-        status,
+        outcome,
         latency: 5 * MS,
-        closed: status == Status::Ok,
+        closed: outcome == Outcome::Ok,
         load: None,
     }
 }
 
 pub struct Driver {
-    pub policy: Policy,
+    pub scheduler: Scheduler,
     pub now: Micros,
 }
 
 impl Driver {
     pub fn new(settings: Settings) -> Driver {
-        Driver { policy: Policy::new(settings, 1).expect("the test's settings are sound"), now: 100 * S }
+        Driver { scheduler: Scheduler::new(settings, 1).expect("the test's settings are sound"), now: 100 * S }
     }
 
     pub fn with_fleet(settings: Settings, n: u64) -> Driver {
@@ -138,7 +138,7 @@
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.policy.handle(self.now, event, &mut actions);
+        self.scheduler.handle(self.now, event, &mut actions);
         actions
     }
 
@@ -148,8 +148,8 @@
     }
 
     pub fn request(&mut self, id: u64, class: u32, key: &str) -> Vec<Action> {
-        let due = self.now + 5 * S;
-        self.event(Event::Request(request(id, class, key, due)))
+        let deadline = self.now + 5 * S;
+        self.event(Event::Request(request(id, class, key, deadline)))
     }
 }
 
@@ -165,7 +165,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/scheduling/tests/keepers.rs
+++ b/crates/scheduling/tests/keepers.rs
@@ -1,19 +1,19 @@
-//! Keepers: what dispatchers tell one another, and what comes of it for a worker that each of them seldom meets.
+//! Keepers: what schedulers tell one another, and what comes of it for a worker that each of them seldom meets.
 #![allow(missing_docs)]
 
 mod common;
 use common::*;
-use vetchbridge_scheduling::words::Word;
+use vetchbridge_scheduling::peer_message::PeerMessage;
 use vetchbridge_scheduling::*;
 use std::collections::BTreeMap;
 
-fn talking(me: u32, dispatchers: u32) -> Settings {
-    let mut settings = Settings { me, dispatchers, report_via: ReportVia::Never, ..settings() };
+fn talking(scheduler_index: u32, scheduler_count: u32) -> Settings {
+    let mut settings = Settings { scheduler_index, scheduler_count, load_report_source: LoadReportSource::Never, ..settings() };
     settings.limits.may_message_peers = true;
     settings
 }
 
-/// Several dispatchers on one list; what they tell one another arrives at once, unless it is for a deaf one.
+/// Several schedulers on one list; what they tell one another arrives at once, unless it is for a deaf one.
 struct Fleet {
     all: Vec<Driver>,
     deaf: Vec<u32>,
@@ -21,19 +21,19 @@
 }
 
 impl Fleet {
-    fn new(dispatchers: u32, workers: u64) -> Fleet {
-        let one = |me| Driver::with_fleet(talking(me, dispatchers), workers);
-        Fleet { all: (0..dispatchers).map(one).collect(), deaf: vec![], messages: 0 }
+    fn new(scheduler_count: u32, workers: u64) -> Fleet {
+        let one = |scheduler_index| Driver::with_fleet(talking(scheduler_index, scheduler_count), workers);
+        Fleet { all: (0..scheduler_count).map(one).collect(), deaf: vec![], messages: 0 }
     }
 
-    /// Gives one dispatcher an event; returns all that is done about it by anyone, but for the talk.
+    /// Gives one scheduler an event; returns all that is done about it by anyone, but for the talk.
     fn event(&mut self, at: u32, event: Event) -> Vec<Action> {
         let mut post = vec![(at, event)];
         let mut done = vec![];
         while let Some((at, event)) = post.pop() {
             for action in self.all[at as usize].event(event) {
                 match action {
-                    Action::TellPeers { to: Peer::One(to), data } => {
+                    Action::SendPeerMessage { to: Recipient::One(to), data } => {
                         self.messages += 1;
                         if !self.deaf.contains(&to) {
                             post.push((to, Event::PeerMessage { from: at, data }));
@@ -47,8 +47,8 @@
     }
 
     fn request(&mut self, at: u32, id: u64, key: &str) -> Vec<Action> {
-        let due = self.all[0].now + 5 * S;
-        self.event(at, Event::Request(request(id, SAFE, key, due)))
+        let deadline = self.all[0].now + 5 * S;
+        self.event(at, Event::Request(request(id, SAFE, key, deadline)))
     }
 
     fn pass(&mut self, time: Micros) {
@@ -56,14 +56,14 @@
     }
 }
 
-/// Each of ten dispatchers sends a key's home one job: fine for each alone, ten jobs in one place for all.
+/// Each of ten schedulers sends a key's home one job: fine for each alone, ten jobs in one place for all.
 #[test]
-fn jobs_of_one_key_from_many_dispatchers_spill_once_its_home_is_full() {
+fn jobs_of_one_key_from_many_schedulers_spill_once_its_home_is_full() {
     for talk in [true, false] {
         let mut fleet = Fleet::new(10, 12);
         if !talk {
-            fleet.all.iter_mut().enumerate().for_each(|(me, d)| {
-                let mut alone = talking(me as u32, 10);
+            fleet.all.iter_mut().enumerate().for_each(|(scheduler_index, d)| {
+                let mut alone = talking(scheduler_index as u32, 10);
                 alone.limits.may_message_peers = false;
                 *d = Driver::with_fleet(alone, 12);
             });
@@ -83,7 +83,7 @@
     let mut fleet = Fleet::new(10, 12);
     let home = sent(&fleet.request(0, 0, "k"));
     assert_ne!(sent(&fleet.request(1, 1, "k")), home, "one slot for each unit of size is the first guess");
-    fleet.event(0, outcome(0, 0, home, Status::Ok));
+    fleet.event(0, attempt_finished(0, 0, home, Outcome::Ok));
     fleet.pass(100 * MS);
     assert_eq!(sent(&fleet.request(2, 2, "k")), home);
 }
@@ -105,25 +105,25 @@
             done = fleet.event(0, Event::Timer(token));
         }
         let worker = sent(&done);
-        fleet.event(0, outcome(id, 0, worker, Status::Ok));
+        fleet.event(0, attempt_finished(id, 0, worker, Outcome::Ok));
     }
     assert!((1..=8).contains(&waited), "{waited} of 200 jobs waited for 8 dead keepers");
 }
 
-/// What breaks at several dispatchers once each is a dead worker; alone, each would have to see it twice.
+/// What breaks at several schedulers once each is a dead worker; alone, each would have to see it twice.
 #[test]
-fn breaks_at_two_dispatchers_pass_a_worker_over_for_all() {
+fn breaks_at_two_schedulers_pass_a_worker_over_for_all() {
     let mut fleet = Fleet::new(10, 12);
     let home = sent(&fleet.request(0, 0, "k"));
-    fleet.event(0, outcome(0, 0, home, Status::Reset));
+    fleet.event(0, attempt_finished(0, 0, home, Outcome::Reset));
     fleet.pass(S);
     assert_eq!(sent(&fleet.request(1, 1, "k")), home, "one break may be the connection's");
-    fleet.event(1, outcome(1, 0, home, Status::Reset));
+    fleet.event(1, attempt_finished(1, 0, home, Outcome::Reset));
     for at in 2..10 {
         fleet.pass(30 * MS);
         let other = sent(&fleet.request(at, 10 + u64::from(at), "k"));
         assert_ne!(other, home, "dispatcher {at}");
-        fleet.event(at, outcome(10 + u64::from(at), 0, other, Status::Ok));
+        fleet.event(at, attempt_finished(10 + u64::from(at), 0, other, Outcome::Ok));
     }
 }
 
@@ -131,12 +131,12 @@
 #[test]
 fn words_out_of_place_change_nothing() {
     let mut d = Driver::with_fleet(talking(0, 3), 12);
-    let full = Word::Report(Some((900.0, 8 * S)));
+    let full = PeerMessage::OccupancyReply(Some((900.0, 8 * S)));
     for worker in (1..=13).map(WorkerId) {
         d.event(Event::PeerMessage { from: 1, data: full.write(worker) });
         d.event(Event::PeerMessage {
             from: 1,
-            data: Word::Ended { served: false, broke: false }.write(worker),
+            data: PeerMessage::AttemptFinished { served: false, broke: false }.write(worker),
         });
     }
     d.event(Event::PeerMessage { from: 1, data: vec![1; 300] });
@@ -145,18 +145,18 @@
         let key = format!("key-{id}");
         assert_eq!(d.request(id, SAFE, &key), fresh.request(id, SAFE, &key));
     }
-    let answer = d.event(Event::PeerMessage { from: 2, data: Word::Ask(0).write(WorkerId(13)) });
+    let answer = d.event(Event::PeerMessage { from: 2, data: PeerMessage::OccupancyQuery(0).write(WorkerId(13)) });
     assert_eq!(
         answer,
-        [Action::TellPeers { to: Peer::One(2), data: Word::Report(None).write(WorkerId(13)) }]
+        [Action::SendPeerMessage { to: Recipient::One(2), data: PeerMessage::OccupancyReply(None).write(WorkerId(13)) }]
     );
 }
 
-/// Fills every worker by word of a sibling that has `each` slots in hand there.
+/// Fills every worker by word of a peer that has `each` slots in hand there.
 fn fill(fleet: &mut Fleet, workers: u64, each: f64) {
     for at in 0..fleet.all.len() as u32 {
         for worker in (1..=workers).map(WorkerId) {
-            let data = Word::Sent(each, 0).write(worker);
+            let data = PeerMessage::AttemptStarted(each, 0).write(worker);
             fleet.all[at as usize].event(Event::PeerMessage { from: (at + 1) % 10, data });
         }
     }
@@ -179,12 +179,12 @@
 #[test]
 fn a_cold_worker_takes_spill_while_its_keeper_knows_it_to_have_room() {
     let mut fleet = Fleet::new(10, 0);
-    let units = 4.0;
-    let born = fleet.all[0].now - 100 * MS;
-    let mut members: Vec<Member> = (1..=12).map(|n| Member { units, ..member(n) }).collect();
-    members.iter_mut().filter(|m| m.worker.0 > 9).for_each(|cold| cold.born = born);
+    let weight = 4.0;
+    let started_at = fleet.all[0].now - 100 * MS;
+    let mut endpoints: Vec<Endpoint> = (1..=12).map(|n| Endpoint { weight, ..endpoint(n) }).collect();
+    endpoints.iter_mut().filter(|m| m.worker.0 > 9).for_each(|cold| cold.started_at = started_at);
     for at in 0..10 {
-        fleet.event(at, list(ListKind::Full, members.clone()));
+        fleet.event(at, list(EndpointUpdate::Snapshot, endpoints.clone()));
     }
     fill(&mut fleet, 9, 9.0);
     let mut to_cold = BTreeMap::new();
@@ -206,17 +206,17 @@
 fn a_rush_to_a_worker_that_has_just_come_back_is_let_in_by_few_at_a_time() {
     for (work, most) in [(100 * MS, 3), (2 * S, 1)] {
         let mut d = Driver::new(talking(0, 10));
-        d.event(list(ListKind::Full, [Member { units: 4.0, born: d.now - 100 * MS, ..member(1) }]));
+        d.event(list(EndpointUpdate::Snapshot, [Endpoint { weight: 4.0, started_at: d.now - 100 * MS, ..endpoint(1) }]));
         let mut let_in = 0;
         for round in 0..3 {
             for from in 1..10 {
-                let done = d.event(Event::PeerMessage { from, data: Word::Ask(work).write(WorkerId(1)) });
-                let [Action::TellPeers { to: Peer::One(to), data }] = &done[..] else { panic!("{done:?}") };
-                let Some((Word::Report(Some((held, 0))), _)) = Word::read(data) else { panic!("{data:?}") };
+                let done = d.event(Event::PeerMessage { from, data: PeerMessage::OccupancyQuery(work).write(WorkerId(1)) });
+                let [Action::SendPeerMessage { to: Recipient::One(to), data }] = &done[..] else { panic!("{done:?}") };
+                let Some((PeerMessage::OccupancyReply(Some((held, 0))), _)) = PeerMessage::read(data) else { panic!("{data:?}") };
                 assert_eq!(*to, from);
                 if round == 0 && held < 4.0 {
                     let_in += 1;
-                    d.event(Event::PeerMessage { from, data: Word::Sent(1.0, work).write(WorkerId(1)) });
+                    d.event(Event::PeerMessage { from, data: PeerMessage::AttemptStarted(1.0, work).write(WorkerId(1)) });
                 }
                 assert!(round == 0 || held > 4.0, "nothing has ended, {held} in hand");
             }
@@ -233,7 +233,7 @@
         let mut d = Driver::with_fleet(talking(0, 10), 12);
         for worker in (1..=12).filter(|n| n % 3 < zones).map(WorkerId) {
             for from in [1, 2] {
-                let data = Word::Ended { served: false, broke: true }.write(worker);
+                let data = PeerMessage::AttemptFinished { served: false, broke: true }.write(worker);
                 d.event(Event::PeerMessage { from, data });
             }
         }
@@ -248,7 +248,7 @@
             }
             let worker = sent(&done);
             to_dead += u32::from(worker.0 % 3 < zones);
-            d.event(outcome(id, 0, worker, Status::Ok));
+            d.event(attempt_finished(id, 0, worker, Outcome::Ok));
         }
         assert_eq!(
             to_dead == 0,
@@ -262,15 +262,15 @@
 #[test]
 fn a_lost_end_is_forgotten_with_its_job_and_takes_no_other_s_place() {
     let mut d = Driver::with_fleet(talking(0, 10), 12);
-    let tell = |d: &mut Driver, word: Word| {
+    let tell = |d: &mut Driver, word: PeerMessage| {
         let data = word.write(WorkerId(1));
         d.event(Event::PeerMessage { from: 1, data })
     };
-    tell(&mut d, Word::Sent(1.0, S));
+    tell(&mut d, PeerMessage::AttemptStarted(1.0, S));
     d.now += 5 * S;
-    tell(&mut d, Word::Sent(1.0, S));
-    tell(&mut d, Word::Ended { served: true, broke: false });
-    let answer = tell(&mut d, Word::Ask(S));
-    let empty = Word::Report(Some((0.0, 0))).write(WorkerId(1));
-    assert_eq!(answer, [Action::TellPeers { to: Peer::One(1), data: empty }]);
+    tell(&mut d, PeerMessage::AttemptStarted(1.0, S));
+    tell(&mut d, PeerMessage::AttemptFinished { served: true, broke: false });
+    let answer = tell(&mut d, PeerMessage::OccupancyQuery(S));
+    let empty = PeerMessage::OccupancyReply(Some((0.0, 0))).write(WorkerId(1));
+    assert_eq!(answer, [Action::SendPeerMessage { to: Recipient::One(1), data: empty }]);
 }
--- a/crates/scheduling/tests/limits.rs
+++ b/crates/scheduling/tests/limits.rs
@@ -4,9 +4,9 @@
 /// Each file that decides something. A rule that no longer fits into one gets a file of its own, with a name of its own.
 const DECISIONS: [(&str, &str); 4] = [
     ("hash.rs", include_str!("../src/hash.rs")),
-    ("policy.rs", include_str!("../src/policy.rs")),
-    ("repeats.rs", include_str!("../src/repeats.rs")),
-    ("warm_up.rs", include_str!("../src/warm_up.rs")),
+    ("scheduler.rs", include_str!("../src/scheduler.rs")),
+    ("retry.rs", include_str!("../src/retry.rs")),
+    ("slow_start.rs", include_str!("../src/slow_start.rs")),
 ];
 
 #[test]
--- a/crates/scheduling/tests/peer_messages.rs
+++ b/crates/scheduling/tests/peer_messages.rs
@@ -1,6 +1,6 @@
 //! The 16 bytes that schedulers send one another, as literals: schedulers of two versions share a tier.
 
-use vetchbridge_scheduling::words::Word;
+use vetchbridge_scheduling::peer_message::PeerMessage;
 use vetchbridge_scheduling::WorkerId;
 
 const WORKER: WorkerId = WorkerId(0x0123_4567_89ab_cdef);
@@ -8,23 +8,23 @@
 
 #[test]
 fn every_message_has_the_bytes_of_the_first_version() {
-    let messages: [(Word, [u8; 8]); 6] = [
-        (Word::Ask(250_000), [0, 0, 0, 0, 0x90, 0xd0, 0x03, 0]),
-        (Word::Report(None), [1, 0, 0, 0, 0, 0, 0, 0]),
-        (Word::Report(Some((3.25, 8_000_000))), [1, 1, 52, 0, 0x00, 0x12, 0x7a, 0]),
-        (Word::Sent(2.0, 250_000), [2, 0, 32, 0, 0x90, 0xd0, 0x03, 0]),
-        (Word::Ended { served: true, broke: false }, [3, 1, 0, 0, 0, 0, 0, 0]),
-        (Word::Ended { served: false, broke: true }, [3, 2, 0, 0, 0, 0, 0, 0]),
+    let messages: [(PeerMessage, [u8; 8]); 6] = [
+        (PeerMessage::OccupancyQuery(250_000), [0, 0, 0, 0, 0x90, 0xd0, 0x03, 0]),
+        (PeerMessage::OccupancyReply(None), [1, 0, 0, 0, 0, 0, 0, 0]),
+        (PeerMessage::OccupancyReply(Some((3.25, 8_000_000))), [1, 1, 52, 0, 0x00, 0x12, 0x7a, 0]),
+        (PeerMessage::AttemptStarted(2.0, 250_000), [2, 0, 32, 0, 0x90, 0xd0, 0x03, 0]),
+        (PeerMessage::AttemptFinished { served: true, broke: false }, [3, 1, 0, 0, 0, 0, 0, 0]),
+        (PeerMessage::AttemptFinished { served: false, broke: true }, [3, 2, 0, 0, 0, 0, 0, 0]),
     ];
     for (message, head) in messages {
         let literal = [head, WORKER_BYTES].concat();
         assert_eq!(message.write(WORKER), literal, "{message:?}");
-        assert_eq!(Word::read(&literal), Some((message, WORKER)));
+        assert_eq!(PeerMessage::read(&literal), Some((message, WORKER)));
     }
 }
 
 #[test]
 fn figures_too_large_for_their_field_are_written_as_its_largest() {
-    let written = Word::Sent(1e9, u64::MAX).write(WORKER);
+    let written = PeerMessage::AttemptStarted(1e9, u64::MAX).write(WORKER);
     assert_eq!(written[..8], [2, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]);
 }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -6,20 +6,20 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use vetchbridge_scheduling::words::Word;
+use vetchbridge_scheduling::peer_message::PeerMessage;
 use vetchbridge_scheduling::*;
 use std::collections::BTreeMap;
 
 /// One request as the rules see it.
 struct Ledger {
     class: u32,
-    due: Micros,
+    deadline: Micros,
     /// Worker, when sent, and once it ended whether it may have run.
     attempts: Vec<(WorkerId, Micros, Option<bool>)>,
     answered: bool,
 }
 
-/// A dispatcher under test, with everything that is still to come back to it.
+/// A scheduler under test, with everything that is still to come back to it.
 struct World {
     d: Driver,
     log: Vec<Action>,
@@ -46,7 +46,7 @@
             stopped: BTreeMap::new(),
             next: 1,
         };
-        world.event(list(ListKind::Saved, (1..=NODES).map(member)));
+        world.event(list(EndpointUpdate::Restored, (1..=NODES).map(endpoint)));
         world
     }
 
@@ -59,7 +59,7 @@
                 Action::Send { request, worker, .. } => {
                     let ledger = self.ledgers.get_mut(&request.0).expect("a request that exists");
                     assert!(!ledger.answered, "sent after its answer");
-                    assert!(now < ledger.due);
+                    assert!(now < ledger.deadline);
                     assert!(!self.stopped.contains_key(worker), "sent to a drained or gone worker");
                     assert!(ledger.attempts.len() < 4, "too many attempts");
                     assert!(ledger.attempts.iter().all(|a| a.2.is_some()), "two attempts out at once");
@@ -69,7 +69,7 @@
                             KEYED_ALL => assert!(now < first.1 + 2 * S),
                             KEYED_CELL => {
                                 assert!(now < first.1 + 2 * S);
-                                assert_eq!(member(first.0 .0).cell, member(worker.0).cell);
+                                assert_eq!(endpoint(first.0 .0).cell, endpoint(worker.0).cell);
                             }
                             _ => panic!("an unsafe job that may have run was sent again"),
                         }
@@ -77,11 +77,11 @@
                     self.pending.push((request.0, ledger.attempts.len() as u32, *worker));
                     ledger.attempts.push((*worker, now, None));
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     let ledger = self.ledgers.get_mut(&request.0).expect("a request that exists");
                     assert!(!ledger.answered, "answered twice");
-                    assert!(now <= ledger.due + 8 * MS, "answered too late");
-                    if matches!(action, Action::Refuse { .. }) {
+                    assert!(now <= ledger.deadline + 8 * MS, "answered too late");
+                    if matches!(action, Action::Reject { .. }) {
                         let never_ran = ledger.attempts.iter().all(|a| a.2 == Some(false));
                         assert!(
                             never_ran || matches!(ledger.class, SAFE | BOUND | KEYED_ALL),
@@ -92,17 +92,17 @@
                 }
                 Action::SetTimer { at, token } => self.timers.push((*at, *token)),
                 Action::Probe(_) => panic!("workers are not probed"),
-                Action::TellPeers { to, data } => {
-                    let Peer::One(keeper) = to else { panic!("{action:?}") };
+                Action::SendPeerMessage { to, data } => {
+                    let Recipient::One(keeper) = to else { panic!("{action:?}") };
                     assert!(*keeper != 0 && data.len() <= 256);
-                    if Word::read(data).is_some_and(|(word, _)| matches!(word, Word::Ask(_))) {
+                    if PeerMessage::read(data).is_some_and(|(word, _)| matches!(word, PeerMessage::OccupancyQuery(_))) {
                         self.asked.push((*keeper, data.clone()));
                     }
                 }
                 Action::Cancel { request, attempt } => {
                     assert!((attempt.0 as usize) < self.ledgers[&request.0].attempts.len());
                 }
-                Action::CloseIdle(_) | Action::Subscribe(_) | Action::FetchList => {}
+                Action::CloseIdle(_) | Action::Subscribe(_) | Action::FetchEndpoints => {}
                 Action::Log(_) => {}
             }
         }
@@ -111,19 +111,19 @@
 
     fn advance(&mut self, until: Micros) {
         loop {
-            let due = self.timers.iter().enumerate().min_by_key(|(_, t)| t.0).map(|(i, t)| (i, t.0));
+            let deadline = self.timers.iter().enumerate().min_by_key(|(_, t)| t.0).map(|(i, t)| (i, t.0));
             // The client's give-up time ends an attempt with a time-out, within a tick.
             let overdue = self.pending.iter().position(|p| {
                 let ledger = &self.ledgers[&p.0];
-                ledger.due <= until.min(due.map_or(until, |d| d.1))
+                ledger.deadline <= until.min(deadline.map_or(until, |d| d.1))
             });
             if let Some(place) = overdue {
                 let (id, attempt, worker) = self.pending.swap_remove(place);
-                self.d.now = self.d.now.max(self.ledgers[&id].due);
-                self.end(id, attempt, worker, Status::Timeout, None);
+                self.d.now = self.d.now.max(self.ledgers[&id].deadline);
+                self.end(id, attempt, worker, Outcome::Timeout, None);
                 continue;
             }
-            match due {
+            match deadline {
                 Some((i, at)) if at <= until => {
                     let (_, token) = self.timers.swap_remove(i);
                     self.d.now = self.d.now.max(at);
@@ -135,13 +135,13 @@
         self.d.now = until;
     }
 
-    fn end(&mut self, id: u64, attempt: u32, worker: WorkerId, status: Status, load: Option<LoadReport>) {
+    fn end(&mut self, id: u64, attempt: u32, worker: WorkerId, outcome: Outcome, load: Option<LoadReport>) {
         let ledger = self.ledgers.get_mut(&id).expect("sent before");
-        ledger.attempts[attempt as usize].2 = Some(!status.never_ran());
-        ledger.answered |= status == Status::Ok;
+        ledger.attempts[attempt as usize].2 = Some(!outcome.never_ran());
+        ledger.answered |= outcome == Outcome::Ok;
         let closed = ledger.answered;
         let (request, attempt) = (RequestId(id), AttemptNo(attempt));
-        self.event(Event::Outcome { request, attempt, worker, status, latency: 5 * MS, closed, load });
+        self.event(Event::AttemptFinished { request, attempt, worker, outcome, latency: 5 * MS, closed, load });
     }
 
     fn step(&mut self, (what, a, b): (u8, u8, u8)) {
@@ -155,9 +155,9 @@
             0..=2 => {
                 let id = self.next;
                 self.next += 1;
-                let (class, due) = (u32::from(a % 5), self.d.now + 20 * MS + u64::from(b) * 20 * MS);
-                self.ledgers.insert(id, Ledger { class, due, attempts: vec![], answered: false });
-                let mut job = request(id, class, &format!("key-{}", b % 7), due);
+                let (class, deadline) = (u32::from(a % 5), self.d.now + 20 * MS + u64::from(b) * 20 * MS);
+                self.ledgers.insert(id, Ledger { class, deadline, attempts: vec![], answered: false });
+                let mut job = request(id, class, &format!("key-{}", b % 7), deadline);
                 job.slots = f64::from(1 + a / 100);
                 job.retry = a % 11 == 0;
                 self.event(Event::Request(job));
@@ -165,51 +165,51 @@
             3..=5 if !self.pending.is_empty() => {
                 let (id, attempt, worker) = self.pending.swap_remove(a as usize % self.pending.len());
                 let all = [
-                    Status::Ok,
-                    Status::Full,
-                    Status::ConnectFailed,
-                    Status::Error,
-                    Status::Full,
-                    Status::Reset,
-                    Status::Timeout,
-                    Status::Moot,
+                    Outcome::Ok,
+                    Outcome::Rejected,
+                    Outcome::ConnectFailed,
+                    Outcome::Error,
+                    Outcome::Rejected,
+                    Outcome::Reset,
+                    Outcome::Timeout,
+                    Outcome::NotSent,
                 ];
                 self.end(id, attempt, worker, all[b as usize % all.len()], load);
             }
             6 if b % 4 == 0 => {
-                // A sibling says something of its own accord, or what no sibling would say.
-                let words =
-                    [Word::Ask(S), Word::Sent(1.0, S), Word::Ended { served: a % 3 == 0, broke: a % 3 == 1 }];
-                let mut data = words[b as usize / 4 % 3].write(WorkerId(1 + u64::from(a) % (NODES + 1)));
+                // A peer says something of its own accord, or what no peer would say.
+                let peer_message =
+                    [PeerMessage::OccupancyQuery(S), PeerMessage::AttemptStarted(1.0, S), PeerMessage::AttemptFinished { served: a % 3 == 0, broke: a % 3 == 1 }];
+                let mut data = peer_message[b as usize / 4 % 3].write(WorkerId(1 + u64::from(a) % (NODES + 1)));
                 data.truncate(if b > 240 { a as usize % 20 } else { 16 });
                 self.event(Event::PeerMessage { from: u32::from(a) % 5, data });
             }
             6 if !self.asked.is_empty() => {
                 let (from, data) = self.asked.swap_remove(a as usize % self.asked.len());
-                let (_, worker) = Word::read(&data).expect("a word");
+                let (_, worker) = PeerMessage::read(&data).expect("a word");
                 let known = (b % 5 > 0).then_some((f64::from(b % 9), u64::from(b / 200) * S));
-                let data = Word::Report(known).write(worker);
+                let data = PeerMessage::OccupancyReply(known).write(worker);
                 self.event(Event::PeerMessage { from, data });
             }
             7 => {
                 let n = 1 + u64::from(a) % NODES;
-                let state = [MemberState::Ready, MemberState::Draining, MemberState::Gone][b as usize % 3];
+                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][b as usize % 3];
                 match state {
-                    MemberState::Ready => self.stopped.remove(&WorkerId(n)),
-                    MemberState::Draining | MemberState::Gone => self.stopped.insert(WorkerId(n), self.d.now),
+                    EndpointState::Ready => self.stopped.remove(&WorkerId(n)),
+                    EndpointState::Draining | EndpointState::Removed => self.stopped.insert(WorkerId(n), self.d.now),
                 };
-                let born = if b > 128 { self.d.now } else { 0 };
-                self.event(list(ListKind::Changes, [Member { state, born, ..member(n) }]));
+                let started_at = if b > 128 { self.d.now } else { 0 };
+                self.event(list(EndpointUpdate::Changes, [Endpoint { state, started_at, ..endpoint(n) }]));
             }
             8 if b % 4 == 0 => {
-                self.event(list(ListKind::Failed, []));
+                self.event(list(EndpointUpdate::Failed, []));
             }
             8 => {
                 let id = 1 + u64::from(a) % self.next;
                 if let Some(ledger) = self.ledgers.get_mut(&id) {
                     ledger.answered = true;
                 }
-                self.event(Event::Withdrawn(RequestId(id)));
+                self.event(Event::ClientDisconnected(RequestId(id)));
             }
             _ => self.advance(self.d.now + u64::from(a) * 4 * MS),
         }
@@ -236,11 +236,11 @@
 #[test]
 fn the_rules_hold_and_equal_events_give_equal_actions() {
     let mut talking = settings();
-    talking.dispatchers = 5;
+    talking.scheduler_count = 5;
     talking.limits.may_message_peers = true;
-    talking.report_via = ReportVia::Never;
-    talking.discovery = Discovery::Ask;
-    talking.rules.ask_within = Some(10 * S);
+    talking.load_report_source = LoadReportSource::Never;
+    talking.endpoint_delivery = EndpointDelivery::Poll;
+    talking.rules.poll_within = Some(10 * S);
     let sites = [settings(), talking];
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
--- a/crates/scheduling/tests/ramp.rs
+++ b/crates/scheduling/tests/ramp.rs
@@ -38,7 +38,7 @@
 const MEAN: f64 = 0.225e6;
 
 fn rules() -> Rules {
-    Rules { cold_share: 0.2, cold_time: 20 * S, fall_multiple: 2.2, fall_time: 2500 * MS, ..settings().rules }
+    Rules { slow_start_floor: 0.2, slow_start_time: 20 * S, overload_factor: 2.2, overload_time: 2500 * MS, ..settings().rules }
 }
 
 struct Job {
@@ -52,30 +52,30 @@
 /// beyond what the rules put down to chance (below zero: the rule is kept), and the share of the jobs that were served.
 fn play(fleet: Fleet) -> (f64, f64) {
     let rules = rules();
-    let classes: Vec<Class> = [Effect::Safe, Effect::Unsafe].map(class).to_vec();
-    let sized = |n: u64| Member { units: fleet.slots as f64, ..member(n) };
-    let one = |me: u32| {
+    let classes: Vec<Class> = [Idempotency::Idempotent, Idempotency::NonIdempotent].map(class).to_vec();
+    let sized = |n: u64| Endpoint { weight: fleet.slots as f64, ..endpoint(n) };
+    let one = |scheduler_index: u32| {
         let settings = Settings {
-            me,
-            dispatchers: fleet.schedulers,
-            report_via: ReportVia::Never,
-            tells_start: false,
+            scheduler_index,
+            scheduler_count: fleet.schedulers,
+            load_report_source: LoadReportSource::Never,
+            reports_start: false,
             limits: Limits { may_message_peers: fleet.talk != Talk::Never, ..settings().limits },
             classes: classes.clone(),
             rules: rules.clone(),
             ..settings()
         };
-        let policy = Policy::new(settings, 1000 * fleet.seed + u64::from(me)).expect("sound settings");
-        let mut d = Driver { policy, now: 100 * S };
-        d.event(list(ListKind::Full, (1..=fleet.peers).map(sized)));
+        let scheduler = Scheduler::new(settings, 1000 * fleet.seed + u64::from(scheduler_index)).expect("sound settings");
+        let mut d = Driver { scheduler, now: 100 * S };
+        d.event(list(EndpointUpdate::Snapshot, (1..=fleet.peers).map(sized)));
         d
     };
     let mut all: Vec<Driver> = (0..fleet.schedulers).map(&one).collect();
     let start = all[0].now;
-    let born = |peer: u64| (peer <= fleet.restarted).then(|| start + 3 * S + peer * S / fleet.restarted);
-    let warmth = |peer: u64, at: Micros| {
-        let age = born(peer).map_or(f64::MAX, |born| at.saturating_sub(born) as f64 / rules.cold_time as f64);
-        (rules.cold_share + (1.0 - rules.cold_share) * age).min(1.0)
+    let started_at = |peer: u64| (peer <= fleet.restarted).then(|| start + 3 * S + peer * S / fleet.restarted);
+    let warm_up_fraction = |peer: u64, at: Micros| {
+        let age = started_at(peer).map_or(f64::MAX, |started_at| at.saturating_sub(started_at) as f64 / rules.slow_start_time as f64);
+        (rules.slow_start_floor + (1.0 - rules.slow_start_floor) * age).min(1.0)
     };
     let mut state = fleet.seed;
     let mut random = || {
@@ -83,36 +83,36 @@
         (state >> 33) as f64 / (1u64 << 31) as f64
     };
     // Some schedulers get several times the mean.
-    let shares: Vec<f64> = (0..fleet.schedulers).map(|me| [0.4, 0.6, 1.0, 3.0][me as usize % 4]).collect();
+    let shares: Vec<f64> = (0..fleet.schedulers).map(|scheduler_index| [0.4, 0.6, 1.0, 3.0][scheduler_index as usize % 4]).collect();
     let total: f64 = shares.iter().sum();
     let mut peers: BTreeMap<u64, Vec<Job>> = BTreeMap::new();
     let mut mail: VecDeque<(Micros, usize, Event)> = VecDeque::new();
     let troubled = |who: usize| fleet.talk == Talk::Troubled && who % 3 == 0;
-    let mut due = BTreeSet::<(Micros, usize, TimerToken)>::new();
+    let mut deadline = BTreeSet::<(Micros, usize, TimerToken)>::new();
     let mut work = vec![0.0];
     let mut sent: BTreeMap<u64, VecDeque<(Micros, f64)>> = BTreeMap::new();
     let (mut most, mut served) = (f64::MIN, 0);
-    let end = start + 5 * S + rules.cold_time;
+    let end = start + 5 * S + rules.slow_start_time;
     for now in (start..end).step_by(TICK as usize) {
         let mut events = Vec::new();
         for peer in 1..=fleet.restarted {
-            let at = born(peer).expect("it starts anew");
+            let at = started_at(peer).expect("it starts anew");
             if (at..at + TICK).contains(&now) {
-                let anew = || list(ListKind::Changes, [Member { born: at, ..sized(peer) }]);
+                let anew = || list(EndpointUpdate::Changes, [Endpoint { started_at: at, ..sized(peer) }]);
                 events.extend((0..all.len()).map(|from| (from, anew())));
                 peers.remove(&peer).into_iter().flatten().for_each(|job| {
-                    events.push((job.from, outcome(job.id, 0, WorkerId(peer), Status::Reset)));
+                    events.push((job.from, attempt_finished(job.id, 0, WorkerId(peer), Outcome::Reset)));
                 });
             }
         }
         for (peer, jobs) in &mut peers {
-            let pace = warmth(*peer, now);
+            let pace = warm_up_fraction(*peer, now);
             jobs.iter_mut().take(fleet.slots).for_each(|job| job.left -= TICK as f64 * pace);
             jobs.retain(|job| {
-                let status = if job.left <= 0.0 { Status::Ok } else { Status::Timeout };
+                let outcome = if job.left <= 0.0 { Outcome::Ok } else { Outcome::Timeout };
                 let over = job.left <= 0.0 || job.until <= now;
                 served += u64::from(job.left <= 0.0);
-                events.extend(over.then(|| (job.from, outcome(job.id, 0, WorkerId(*peer), status))));
+                events.extend(over.then(|| (job.from, attempt_finished(job.id, 0, WorkerId(*peer), outcome))));
                 !over
             });
         }
@@ -123,24 +123,24 @@
             && dies < all.len() as u64
             && troubled(dies as usize)
         {
-            let born_later = |peer: u64| born(peer).filter(|at| *at <= now).map_or(0, |at| at);
+            let born_later = |peer: u64| started_at(peer).filter(|at| *at <= now).map_or(0, |at| at);
             let mut anew = one(dies as u32);
             anew.now = now;
-            let listed = (1..=fleet.peers).map(|peer| Member { born: born_later(peer), ..sized(peer) });
-            anew.event(list(ListKind::Full, listed));
+            let listed = (1..=fleet.peers).map(|peer| Endpoint { started_at: born_later(peer), ..sized(peer) });
+            anew.event(list(EndpointUpdate::Snapshot, listed));
             all[dies as usize] = anew;
-            due.retain(|(_, from, _)| *from as u64 != dies);
+            deadline.retain(|(_, from, _)| *from as u64 != dies);
             peers.values_mut().flatten().filter(|job| job.from as u64 == dies).for_each(|job| job.left = 0.0);
         }
         while mail.front().is_some_and(|(at, ..)| *at <= now) {
             let (_, to, word) = mail.pop_front().expect("just seen");
             events.push((to, word));
         }
-        while due.first().is_some_and(|(at, ..)| *at <= now) {
-            let (_, from, token) = due.pop_first().expect("just seen");
+        while deadline.first().is_some_and(|(at, ..)| *at <= now) {
+            let (_, from, token) = deadline.pop_first().expect("just seen");
             events.push((from, Event::Timer(token)));
         }
-        let able: f64 = (1..=fleet.peers).map(|peer| fleet.slots as f64 * warmth(peer, now)).sum();
+        let able: f64 = (1..=fleet.peers).map(|peer| fleet.slots as f64 * warm_up_fraction(peer, now)).sum();
         let mut arrivals = fleet.load * able * TICK as f64 / MEAN;
         while random() < arrivals {
             arrivals -= 1.0;
@@ -166,8 +166,8 @@
                         peers.entry(worker.0).or_default().push(Job { from, id, left, until });
                         sent.entry(worker.0).or_default().push_back((now, left / MEAN));
                     }
-                    Action::SetTimer { at, token } => _ = due.insert((at, from, token)),
-                    Action::TellPeers { to: Peer::One(to), data } => {
+                    Action::SetTimer { at, token } => _ = deadline.insert((at, from, token)),
+                    Action::SendPeerMessage { to: Recipient::One(to), data } => {
                         let cut = (8 * S..12 * S).contains(&(now - start))
                             && troubled(from) != troubled(to as usize);
                         let lost = fleet.talk == Talk::Troubled && random() < 0.1;
@@ -179,15 +179,15 @@
             }
         }
         for (peer, sent) in &mut sent {
-            let Some(born) = born(*peer).filter(|born| now > *born && warmth(*peer, now) < 1.0) else {
+            let Some(started_at) = started_at(*peer).filter(|started_at| now > *started_at && warm_up_fraction(*peer, now) < 1.0) else {
                 continue;
             };
-            while sent.front().is_some_and(|(at, _)| at + rules.fall_time <= now || *at < born) {
+            while sent.front().is_some_and(|(at, _)| at + rules.overload_time <= now || *at < started_at) {
                 sent.pop_front();
             }
             let got: f64 = sent.iter().map(|sent| sent.1).sum();
-            let able = fleet.slots as f64 * warmth(*peer, now) * rules.fall_time as f64 / MEAN;
-            let allowed = rules.fall_multiple * able;
+            let able = fleet.slots as f64 * warm_up_fraction(*peer, now) * rules.overload_time as f64 / MEAN;
+            let allowed = rules.overload_factor * able;
             most = most.max(got - allowed - 2.0 * allowed.sqrt() - 2.0);
         }
     }
--- a/crates/scheduling/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -6,19 +6,19 @@
 use vetchbridge_scheduling::*;
 use std::collections::BTreeMap;
 
-/// First and second choice of a key at a dispatcher that has seen nothing else.
-fn choices(members: &[Member], key: &str) -> (WorkerId, WorkerId) {
+/// First and second choice of a key at a scheduler that has seen nothing else.
+fn choices(endpoints: &[Endpoint], key: &str) -> (WorkerId, WorkerId) {
     let mut d = Driver::new(settings());
-    for member in members {
-        d.event(list(ListKind::Changes, [member.clone()]));
+    for endpoint in endpoints {
+        d.event(list(EndpointUpdate::Changes, [endpoint.clone()]));
     }
     let first = sent(&d.request(1, SAFE, key));
-    (first, sent(&d.event(outcome(1, 0, first, Status::Full))))
+    (first, sent(&d.event(attempt_finished(1, 0, first, Outcome::Rejected))))
 }
 
 #[test]
-fn two_dispatchers_with_one_list_agree_whatever_the_order_they_learned_it_in() {
-    let forward: Vec<Member> = (1..=9).map(member).collect();
+fn two_schedulers_with_one_list_agree_whatever_the_order_they_learned_it_in() {
+    let forward: Vec<Endpoint> = (1..=9).map(endpoint).collect();
     let mut backward = forward.clone();
     backward.reverse();
     backward.swap(2, 5);
@@ -30,8 +30,8 @@
 
 #[test]
 fn losing_a_worker_moves_only_its_own_keys() {
-    let all: Vec<Member> = (1..=9).map(member).collect();
-    let fewer: Vec<Member> = all.iter().filter(|m| m.worker != WorkerId(4)).cloned().collect();
+    let all: Vec<Endpoint> = (1..=9).map(endpoint).collect();
+    let fewer: Vec<Endpoint> = all.iter().filter(|m| m.worker != WorkerId(4)).cloned().collect();
     let mut moved = 0;
     for n in 0..300 {
         let key = format!("key-{n}");
@@ -49,17 +49,17 @@
 
 #[test]
 fn arcs_are_in_proportion_to_units() {
-    let mut members: Vec<Member> = (1..=8).map(member).collect();
-    for member in &mut members[..4] {
-        member.units = 3.0;
+    let mut endpoints: Vec<Endpoint> = (1..=8).map(endpoint).collect();
+    for endpoint in &mut endpoints[..4] {
+        endpoint.weight = 3.0;
     }
     let mut d = Driver::new(settings());
-    d.event(list(ListKind::Full, members));
+    d.event(list(EndpointUpdate::Snapshot, endpoints));
     let mut large = 0;
     for id in 0..1000 {
         d.now += S;
         let worker = sent(&d.request(id, SAFE, &format!("key-{id}")));
-        d.event(outcome(id, 0, worker, Status::Ok));
+        d.event(attempt_finished(id, 0, worker, Outcome::Ok));
         large += u32::from(worker.0 <= 4);
     }
     assert!((680..=820).contains(&large), "{large} of 1000 keys on the half that is three times as large");
@@ -73,7 +73,7 @@
         let mut job = request(id, SAFE, "", d.now + 5 * S);
         job.key = None;
         let worker = sent(&d.event(Event::Request(job)));
-        d.event(outcome(id, 0, worker, Status::Ok));
+        d.event(attempt_finished(id, 0, worker, Outcome::Ok));
         *seen.entry(worker).or_insert(0) += 1;
     }
     assert_eq!(seen.len(), 8, "{seen:?}");
@@ -84,29 +84,29 @@
     let mut d = Driver::with_fleet(settings(), 12);
     for id in 0..100 {
         let worker = sent(&d.request(id, BOUND, &format!("key-{id}")));
-        assert_eq!(member(worker.0).kind, KindId(1));
-        d.event(outcome(id, 0, worker, Status::Ok));
+        assert_eq!(endpoint(worker.0).kind, KindId(1));
+        d.event(attempt_finished(id, 0, worker, Outcome::Ok));
     }
 }
 
 #[test]
-fn all_dispatchers_together_send_a_cold_worker_only_the_part_it_is_warm_for() {
-    // 100 dispatchers, 1000 keys of equal weight, one of ten workers just started: its share of first
+fn all_schedulers_together_send_a_cold_worker_only_the_part_it_is_warm_for() {
+    // 100 schedulers, 1000 keys of equal weight, one of ten workers just started: its share of first
     // attempts stays within its warmth of a tenth (25 and 62), at the start and half way, and is not nothing.
     for (age, low, high) in [(0, 2, 45), (5 * S, 25, 140)] {
         let mut to_cold = 0;
-        for me in 0..100 {
+        for scheduler_index in 0..100 {
             let mut own = settings();
-            own.me = me;
-            own.dispatchers = 100;
+            own.scheduler_index = scheduler_index;
+            own.scheduler_count = 100;
             let mut d = Driver::new(own);
-            let cold = Member { born: d.now - age, ..member(10) };
-            d.event(list(ListKind::Full, (1..=9).map(member).chain([cold])));
+            let cold = Endpoint { started_at: d.now - age, ..endpoint(10) };
+            d.event(list(EndpointUpdate::Snapshot, (1..=9).map(endpoint).chain([cold])));
             for n in 0..10 {
-                let id = u64::from(me) * 10 + n;
+                let id = u64::from(scheduler_index) * 10 + n;
                 let worker = sent(&d.request(id, SAFE, &format!("key-{id}")));
                 to_cold += u32::from(worker == WorkerId(10));
-                d.event(outcome(id, 0, worker, Status::Ok));
+                d.event(attempt_finished(id, 0, worker, Outcome::Ok));
             }
         }
         assert!((low..=high).contains(&to_cold), "{to_cold} of 1000 at age {age}");
@@ -116,10 +116,10 @@
 #[test]
 fn a_cold_worker_takes_no_spill_and_no_refused_job() {
     let mut d = Driver::new(settings());
-    let born = d.now;
+    let started_at = d.now;
     d.event(list(
-        ListKind::Full,
-        (1..=8).map(|n| Member { born: if n > 4 { born } else { 0 }, ..member(n) }),
+        EndpointUpdate::Snapshot,
+        (1..=8).map(|n| Endpoint { started_at: if n > 4 { started_at } else { 0 }, ..endpoint(n) }),
     ));
     let mut walked = 0;
     for id in 0..200 {
@@ -127,12 +127,12 @@
         let Some(&first) = sends(&d.request(id, SAFE, &format!("key-{id}"))).first() else { continue };
         // Most are served, so that the refused ones find room on the warm workers.
         if id % 8 != 0 {
-            d.event(outcome(id, 0, first, Status::Ok));
+            d.event(attempt_finished(id, 0, first, Outcome::Ok));
             continue;
         }
-        for next in sends(&d.event(outcome(id, 0, first, Status::Full))) {
+        for next in sends(&d.event(attempt_finished(id, 0, first, Outcome::Rejected))) {
             assert!(next.0 <= 4, "a refused job went to cold worker {next:?}");
-            d.event(outcome(id, 1, next, Status::Ok));
+            d.event(attempt_finished(id, 1, next, Outcome::Ok));
             walked += 1;
         }
         d.now += S / 20;
@@ -141,17 +141,17 @@
 }
 
 #[test]
-fn a_heavy_key_is_spread_and_each_dispatcher_keeps_its_start() {
+fn a_heavy_key_is_spread_and_each_scheduler_keeps_its_start() {
     let mut starts = BTreeMap::new();
-    for me in 0..30 {
+    for scheduler_index in 0..30 {
         let mut own = settings();
-        own.me = me;
-        own.dispatchers = 30;
+        own.scheduler_index = scheduler_index;
+        own.scheduler_count = 30;
         let mut d = Driver::with_fleet(own, 20);
         let mut last = Vec::new();
         for id in 0..60 {
             let worker = sent(&d.request(id, SAFE, "heavy"));
-            d.event(outcome(id, 0, worker, Status::Ok));
+            d.event(attempt_finished(id, 0, worker, Outcome::Ok));
             d.now += 10 * MS;
             last.push(worker);
         }
@@ -163,31 +163,31 @@
 
 #[test]
 fn a_cold_worker_is_spared_a_key_that_may_be_heavy() {
-    // 400 dispatchers that each see the key now and then; the key alone is as much as three workers carry.
+    // 400 schedulers that each see the key now and then; the key alone is as much as three workers carry.
     let (mut to_cold, mut sent_in_all) = (0, 0);
     // A key whose point on the cold worker is among the first to be active: with no multiple to keep, it goes there.
     let mut reckless = settings();
-    reckless.rules.fall_multiple = 1e9;
+    reckless.rules.overload_factor = 1e9;
     let key = (0..5000).map(|n| format!("key-{n}")).find(|key| {
         let mut d = Driver::new(reckless.clone());
-        let born = d.now;
-        d.event(list(ListKind::Full, (1..=29).map(member).chain([Member { born, ..member(30) }])));
+        let started_at = d.now;
+        d.event(list(EndpointUpdate::Snapshot, (1..=29).map(endpoint).chain([Endpoint { started_at, ..endpoint(30) }])));
         sent(&d.request(1, SAFE, key)) == WorkerId(30)
     });
     let key = key.expect("some key is at home there");
-    for me in 0..400 {
+    for scheduler_index in 0..400 {
         let mut own = settings();
-        (own.me, own.dispatchers) = (me, 400);
+        (own.scheduler_index, own.scheduler_count) = (scheduler_index, 400);
         let mut d = Driver::new(own);
-        let born = d.now + 20 * S;
-        d.event(list(ListKind::Full, (1..=29).map(member)));
+        let started_at = d.now + 20 * S;
+        d.event(list(EndpointUpdate::Snapshot, (1..=29).map(endpoint)));
         for n in 0..40 {
             let worker =
-                sent(&d.request(n, SAFE, &if n % 10 == 5 { key.clone() } else { format!("other-{me}-{n}") }));
-            d.event(outcome(n, 0, worker, Status::Ok));
+                sent(&d.request(n, SAFE, &if n % 10 == 5 { key.clone() } else { format!("other-{scheduler_index}-{n}") }));
+            d.event(attempt_finished(n, 0, worker, Outcome::Ok));
             d.now += S / 2;
         }
-        d.event(list(ListKind::Changes, [Member { born, ..member(30) }]));
+        d.event(list(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(30) }]));
         let worker = sent(&d.request(1000, SAFE, &key));
         to_cold += u32::from(worker == WorkerId(30));
         sent_in_all += 1;
@@ -199,11 +199,11 @@
 #[test]
 fn a_worker_that_keeps_a_job_from_starting_spills_to_the_second_choice() {
     for started in [true, false] {
-        let mut d = Driver::with_fleet(Settings { tells_start: true, ..settings() }, 12);
+        let mut d = Driver::with_fleet(Settings { reports_start: true, ..settings() }, 12);
         let home = sent(&d.request(1, SAFE, "k"));
         if started {
             let (request, attempt) = (RequestId(1), AttemptNo(0));
-            d.event(Event::Note { request, attempt, note: Note::Started });
+            d.event(Event::JobProgress { request, attempt, progress: JobProgress::Started });
         }
         d.now += 300 * MS;
         // Another key of the same home: a key seen twice may already be spread.
@@ -219,10 +219,10 @@
 #[test]
 fn a_busy_cold_worker_is_not_the_last_resort() {
     let mut settings = settings();
-    settings.tells_start = true;
+    settings.reports_start = true;
     let mut d = Driver::new(settings);
-    let cold = Member { born: d.now - S, ..member(1) };
-    d.event(list(ListKind::Full, [cold]));
+    let cold = Endpoint { started_at: d.now - S, ..endpoint(1) };
+    d.event(list(EndpointUpdate::Snapshot, [cold]));
     let first = (0..100).find(|id| !sends(&d.request(*id, SAFE, &format!("key-{id}"))).is_empty());
     assert!(first.is_some(), "an idle cold worker takes some jobs");
     d.now += 300 * MS;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -124,7 +124,7 @@
         Some(map) => Object(map, "specifics."),
         None => Object(&empty, "specifics."),
     };
-    let prices = match root.0.get("charges").and_then(Value::as_object) {
+    let cost_weights = match root.0.get("charges").and_then(Value::as_object) {
         Some(map) => Object(map, "charges."),
         None => Object(&empty, "charges."),
     };
@@ -138,24 +138,24 @@
         };
         let class = Object(map, "services[].");
         let group = match class.0.get("group").and_then(Value::as_str) {
-            None | Some("all") => RepeatGroup::All,
-            Some("zone") => RepeatGroup::Zone,
-            Some("cell") => RepeatGroup::Cell,
+            None | Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            Some("cell") => DeduplicationScope::Cell,
             Some(_) => return class.bad("group"),
         };
-        let effect = match class.word("repeat")? {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed { group, window: class.int("window")? },
-            "unsafe" => Effect::Unsafe,
+        let idempotency = match class.word("repeat")? {
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::Keyed { group, window: class.int("window")? },
+            "unsafe" => Idempotency::NonIdempotent,
             _ => return class.bad("repeat"),
         };
         classes.push(Class {
-            aim: class.int("aim")?,
-            stretch: per_class("class_stretch", index).unwrap_or(class.float_or("aim_stretch", 0.0)?),
+            latency_objective: class.int("aim")?,
+            objective_per_work: per_class("class_stretch", index).unwrap_or(class.float_or("aim_stretch", 0.0)?),
             deadline: class.int("deadline")?,
-            worth: class.float_or("importance", 1.0)?,
-            late_share: class.float_or("late_share", 0.0)?,
-            effect,
+            priority_weight: class.float_or("importance", 1.0)?,
+            late_weight: class.float_or("late_share", 0.0)?,
+            idempotency,
             kind: per_class("class_kind", index).filter(|k| *k >= 0.0).map(|k| KindId(k as u32)),
             priority: per_class("class_priority", index).map_or(0, |p| p as i64),
             stream: class.flag_or("stream", false)?,
@@ -168,27 +168,27 @@
                 return fault("accounts", "unreadable");
             };
             let tenant = Object(map, "accounts[].");
-            tenants.push(Tenant { allowance_per_s: tenant.float("allowance_per_s")? });
+            tenants.push(Tenant { quota_per_second: tenant.float("allowance_per_s")? });
         }
     }
     let via = root.0.get("stats").and_then(|stats| stats.get("via")).and_then(Value::as_str);
     Ok(Settings {
-        me: root.small("me")?,
-        dispatchers: root.small("balancers")?,
+        scheduler_index: root.small("me")?,
+        scheduler_count: root.small("balancers")?,
         zone: ZoneId(root.small("zone")?),
         classes,
         tenants,
-        over_share_worth: root.float_or("over_share_worth", 1.0)?,
-        worth_by_work: root.0.get("counted_by").and_then(Value::as_str) == Some("work"),
-        discovery: match root.word("discovery")? {
-            "push" => Discovery::Push,
-            "ask" => Discovery::Ask,
+        over_quota_weight: root.float_or("over_share_worth", 1.0)?,
+        weight_by_work: root.0.get("counted_by").and_then(Value::as_str) == Some("work"),
+        endpoint_delivery: match root.word("discovery")? {
+            "push" => EndpointDelivery::Push,
+            "ask" => EndpointDelivery::Poll,
             _ => return root.bad("discovery"),
         },
-        report_via: match via {
-            Some("inline") => ReportVia::Answers,
-            Some("on_probe") => ReportVia::Probes,
-            None | Some("off") => ReportVia::Never,
+        load_report_source: match via {
+            Some("inline") => LoadReportSource::Responses,
+            Some("on_probe") => LoadReportSource::Probes,
+            None | Some("off") => LoadReportSource::Never,
             Some(_) => return fault("stats.via", "unreadable"),
         },
         weights: match root.0.get("weights").and_then(Value::as_str) {
@@ -202,12 +202,12 @@
             Some("priority") => QueueOrder::Priority,
             _ => QueueOrder::Fifo,
         },
-        tells_start: facts.flag_or("tells_start", false)?,
-        progress_every: facts.int_or("progress", 0)?,
+        reports_start: facts.flag_or("tells_start", false)?,
+        progress_interval: facts.int_or("progress", 0)?,
         limits: Limits {
             max_attempts: limits.small("max_attempts")?,
             dial_timeout: limits.int_or("dial_timeout", 0)?,
-            second_copies: limits.flag_or("second_copies", false)?,
+            hedging: limits.flag_or("second_copies", false)?,
             may_probe: limits.flag_or("may_probe", false)?,
             may_cancel: limits.flag_or("may_cancel", false)?,
             retry_after: limits.flag_or("retry_after", false)?,
@@ -217,17 +217,17 @@
         rules: Rules {
             answer_slack: rules.int_or("answer_slack", 0)?,
             drain_grace: rules.int("stop_sending_within")?,
-            ask_within: rules.0.get("ask_within").map(|_| rules.int("ask_within")).transpose()?,
-            cold_share: rules.float("start_capacity")?,
-            cold_time: rules.int("cold")?,
-            fall_multiple: rules.float("tip_multiple")?,
-            fall_time: rules.int("fall")?,
+            poll_within: rules.0.get("ask_within").map(|_| rules.int("ask_within")).transpose()?,
+            slow_start_floor: rules.float("start_capacity")?,
+            slow_start_time: rules.int("cold")?,
+            overload_factor: rules.float("tip_multiple")?,
+            overload_time: rules.int("fall")?,
         },
-        prices: Prices {
-            cross_zone: prices.float_or("cross_zone", 0.0)?,
-            probe: prices.float_or("probe", 0.0)?,
-            waste: prices.float_or("waste", 0.0)?,
-            handshake: prices.float_or("handshake", 0.0)?,
+        cost_weights: CostWeights {
+            cross_zone: cost_weights.float_or("cross_zone", 0.0)?,
+            probe: cost_weights.float_or("probe", 0.0)?,
+            waste: cost_weights.float_or("waste", 0.0)?,
+            handshake: cost_weights.float_or("handshake", 0.0)?,
         },
         tick: root.int_or("tick", 0)?,
     })
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 mod wire;
 
 use vetchbridge_scheduling::interface::{Action, SettingsError};
-use vetchbridge_scheduling::policy::Policy;
+use vetchbridge_scheduling::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
@@ -24,7 +24,7 @@
 fn run() -> Result<(), Box<dyn std::error::Error>> {
     let mut reader = Reader::new(BufReader::with_capacity(1 << 20, io::stdin().lock()));
     let mut stdout = io::stdout().lock();
-    let mut instances: BTreeMap<u32, Policy> = BTreeMap::new();
+    let mut instances: BTreeMap<u32, Scheduler> = BTreeMap::new();
     let mut actions: Vec<Action> = Vec::new();
     let mut reply: Vec<u8> = Vec::new();
     let mut now: Option<u64> = None;
@@ -56,9 +56,9 @@
             Message::Instance(who) => current = Some(who),
             Message::Open { seed, settings } => {
                 let who = current.ok_or_else(|| wrong("instance", "missing before this line"))?;
-                let policy = Policy::new(*settings, seed)
+                let scheduler = Scheduler::new(*settings, seed)
                     .map_err(|e: SettingsError| wrong("setup", &e.to_string()))?;
-                instances.insert(who, policy);
+                instances.insert(who, scheduler);
             }
             Message::Down => {
                 let who = current.ok_or_else(|| wrong("instance", "missing before this line"))?;
@@ -66,9 +66,9 @@
             }
             Message::Event(event) => {
                 let who = current.ok_or_else(|| wrong("instance", "missing before this line"))?;
-                let policy = instances.get_mut(&who).ok_or_else(|| wrong("instance", "never opened"))?;
+                let scheduler = instances.get_mut(&who).ok_or_else(|| wrong("instance", "never opened"))?;
                 actions.clear();
-                policy.handle(clock, event, &mut actions);
+                scheduler.handle(clock, event, &mut actions);
                 if !actions.is_empty() {
                     print_actions(&mut reply, who, &actions)?;
                 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -96,25 +96,25 @@
             match parse_line(text(&self.buffer).map_err(|Fault(f, r)| self.error(f, r))?) {
                 Ok(Parsed::Message(message)) => return Ok(Some(message)),
                 Ok(Parsed::Skip) => {}
-                Ok(Parsed::Members(kind, count)) => return self.members(kind, count).map(Some),
+                Ok(Parsed::Members(kind, count)) => return self.endpoints(kind, count).map(Some),
                 Err(Fault(field, reason)) => return Err(self.error(field, reason)),
             }
         }
     }
 
-    fn members(&mut self, kind: ListKind, count: usize) -> Result<Message, WireError> {
-        let mut members = Vec::with_capacity(count.min(1 << 16));
-        while members.len() < count {
+    fn endpoints(&mut self, update: EndpointUpdate, count: usize) -> Result<Message, WireError> {
+        let mut endpoints = Vec::with_capacity(count.min(1 << 16));
+        while endpoints.len() < count {
             if !self.fill()? {
                 return Err(self.error("row", "input ends inside a list"));
             }
             let parsed = text(&self.buffer).and_then(parse_row);
             match parsed {
-                Ok(member) => members.push(member),
+                Ok(endpoint) => endpoints.push(endpoint),
                 Err(Fault(field, reason)) => return Err(self.error(field, reason)),
             }
         }
-        Ok(Message::Event(Event::Members { kind, members }))
+        Ok(Message::Event(Event::Endpoints { update, endpoints }))
     }
 }
 
@@ -127,7 +127,7 @@
 
 enum Parsed {
     Message(Message),
-    Members(ListKind, usize),
+    Members(EndpointUpdate, usize),
     Skip,
 }
 
@@ -196,7 +196,7 @@
     }
 }
 
-/// `a.b.c.d:port` as a number, the same at every dispatcher; only the form that prints back unchanged.
+/// `a.b.c.d:port` as a number, the same at every scheduler; only the form that prints back unchanged.
 fn parse_worker(value: &str) -> Option<WorkerId> {
     let bytes = value.as_bytes();
     let (mut id, mut part, mut digits, mut dots) = (0u64, 0u64, 0u32, 0u32);
@@ -238,39 +238,39 @@
         "down" => return Ok(Parsed::Message(Message::Down)),
         "topology" => {
             let kind = match fields.need("mode")? {
-                "INCREMENTAL" => ListKind::Changes,
-                "FULL" => ListKind::Full,
-                "SAVED" => ListKind::Saved,
-                "FAILED" => ListKind::Failed,
+                "INCREMENTAL" => EndpointUpdate::Changes,
+                "FULL" => EndpointUpdate::Snapshot,
+                "SAVED" => EndpointUpdate::Restored,
+                "FAILED" => EndpointUpdate::Failed,
                 other => return fault("mode", format!("unknown value {other:?}")),
             };
             return Ok(Parsed::Members(kind, fields.number_or("nodes_list", 0)?));
         }
         "row" => return fault("row", "outside a list"),
         "req" => Event::Request(parse_request(fields)?),
-        "attempt_end" => Event::Outcome {
+        "attempt_end" => Event::AttemptFinished {
             request: fields.request()?,
             attempt: fields.attempt()?,
             worker: fields.worker()?,
-            status: parse_status(fields)?,
+            outcome: parse_status(fields)?,
             latency: fields.number("spent")?,
             closed: fields.flag("terminal")?,
             load: fields.load(),
         },
         "first" => Event::StreamStarted { request: fields.request()?, attempt: fields.attempt()? },
         "status_note" => {
-            let note = match fields.number::<u32>("sort")? {
-                1 => Note::Started,
-                2 => Note::Progress(fields.number("level")?),
+            let progress = match fields.number::<u32>("sort")? {
+                1 => JobProgress::Started,
+                2 => JobProgress::Fraction(fields.number("level")?),
                 _ => return Ok(Parsed::Skip),
             };
-            Event::Note { request: fields.request()?, attempt: fields.attempt()?, note }
+            Event::JobProgress { request: fields.request()?, attempt: fields.attempt()?, progress }
         }
-        "withdrawn" => Event::Withdrawn(fields.request()?),
+        "withdrawn" => Event::ClientDisconnected(fields.request()?),
         "timer" => Event::Timer(TimerToken(fields.number("token")?)),
         "echo" => Event::Probed {
             worker: fields.worker()?,
-            status: parse_status(fields)?,
+            outcome: parse_status(fields)?,
             latency: fields.number("spent")?,
             load: fields.load(),
         },
@@ -292,45 +292,45 @@
         class: ClassId(fields.number("lane")?),
         tenant: TenantId(fields.number_or("project", 0)?),
         key: fields.find("object").map(str::to_string),
-        due: fields.number("due")?,
+        deadline: fields.number("due")?,
         expected_work: fields.find("estimate").map(|_| fields.number("estimate")).transpose()?,
         slots: fields.number_or("width", 1.0)?,
         retry: fields.flag("retry")?,
     })
 }
 
-fn parse_status(fields: Fields<'_>) -> Result<Status, Fault> {
+fn parse_status(fields: Fields<'_>) -> Result<Outcome, Fault> {
     Ok(match fields.need("state_code")? {
-        "200" => Status::Ok,
-        "502" => Status::Error,
-        "429" => Status::Full,
-        "408" => Status::Timeout,
-        "521" => Status::ConnectFailed,
-        "520" => Status::Reset,
-        "444" => Status::Cancelled,
-        "409" => Status::Moot,
+        "200" => Outcome::Ok,
+        "502" => Outcome::Error,
+        "429" => Outcome::Rejected,
+        "408" => Outcome::Timeout,
+        "521" => Outcome::ConnectFailed,
+        "520" => Outcome::Reset,
+        "444" => Outcome::Cancelled,
+        "409" => Outcome::NotSent,
         other => return fault("state_code", format!("unknown value {other:?}")),
     })
 }
 
-fn parse_row(line: &str) -> Result<Member, Fault> {
+fn parse_row(line: &str) -> Result<Endpoint, Fault> {
     let Some(rest) = line.strip_prefix("row ") else {
         return fault("row", "missing: the list announced more entries");
     };
     let fields = Fields(rest);
-    Ok(Member {
+    Ok(Endpoint {
         worker: fields.worker()?,
         zone: ZoneId(fields.number_or("area", 0)?),
         kind: KindId(fields.number_or("sku", 0)?),
         cell: CellId(fields.number_or("cell", 0)?),
         state: match fields.need("condition")? {
-            "ready" => MemberState::Ready,
-            "draining" => MemberState::Draining,
-            "gone" => MemberState::Gone,
+            "ready" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
+            "gone" => EndpointState::Removed,
             other => return fault("condition", format!("unknown value {other:?}")),
         },
-        units: fields.number_or("units", 1.0)?,
-        born: fields.number_or("born", 0)?,
+        weight: fields.number_or("units", 1.0)?,
+        started_at: fields.number_or("born", 0)?,
     })
 }
 
@@ -359,7 +359,7 @@
             Action::Cancel { request, attempt } => {
                 writeln!(out, "recall req={:016x} leg={}", request.0, attempt.0)?
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 write!(out, "bounce req={:016x}", request.0)?;
                 if *retry_after > 0 {
                     write!(out, " wait={retry_after}")?;
@@ -370,12 +370,12 @@
             Action::Probe(worker) => writeln!(out, "inspect runner={}", Worker(*worker))?,
             Action::CloseIdle(worker) => writeln!(out, "release runner={}", Worker(*worker))?,
             Action::Subscribe(on) => writeln!(out, "keep_informed want={}", u8::from(*on))?,
-            Action::FetchList => writeln!(out, "resolve")?,
+            Action::FetchEndpoints => writeln!(out, "resolve")?,
             Action::SetTimer { at, token } => writeln!(out, "wake_at moment={at} token={}", token.0)?,
-            Action::TellPeers { to, data } => {
+            Action::SendPeerMessage { to, data } => {
                 match to {
-                    Peer::One(peer) => write!(out, "tell recipient={peer}")?,
-                    Peer::All => write!(out, "tell recipient=all")?,
+                    Recipient::One(peer) => write!(out, "tell recipient={peer}")?,
+                    Recipient::All => write!(out, "tell recipient=all")?,
                 }
                 writeln!(out, " body={}", encode_base64(data))?;
             }
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -10,7 +10,7 @@
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderValue};
 use bytes::Bytes;
-use vetchbridge_scheduling::interface::{ClassId, Effect, Micros, Request};
+use vetchbridge_scheduling::interface::{ClassId, Idempotency, Micros, Request};
 use std::sync::Arc;
 use tokio::sync::OwnedSemaphorePermit;
 
@@ -37,7 +37,7 @@
     }
     let (number, class) = settings.class(class_name).ok_or_else(|| format!("no class {class_name:?}"))?;
     let idempotency_key = text("idempotency-key")?.map(str::to_string);
-    if idempotency_key.is_none() && matches!(class.effect, Effect::Keyed { .. }) {
+    if idempotency_key.is_none() && matches!(class.idempotency, Idempotency::Keyed { .. }) {
         return Err("idempotency-key: missing, its class needs one".to_string());
     }
     let key = rest.rsplit('/').next().filter(|key| !key.is_empty());
@@ -62,7 +62,7 @@
         tenant: settings.tenant(customer),
         key: key.map(str::to_string),
         // No client of a class waits longer than this, whatever it says.
-        due: now.saturating_add(wait.min(class.deadline)),
+        deadline: now.saturating_add(wait.min(class.deadline)),
         expected_work: hint.map(|hint| hint as Micros),
         slots: slots.unwrap_or(1.0),
         retry: text("x-second-try")? == Some("1"),
@@ -135,7 +135,7 @@
             r#"[{"name": "acme", "allowance_per_s": 5}, {"name": "caf\u00e9", "allowance_per_s": 3}]"#,
         );
         let tenants = named.settings.tenants.clone();
-        assert_eq!(tenants.iter().map(|t| t.allowance_per_s).collect::<Vec<_>>(), [5.0, 3.0, 0.0]);
+        assert_eq!(tenants.iter().map(|t| t.quota_per_second).collect::<Vec<_>>(), [5.0, 3.0, 0.0]);
         let cases: [(&[&[u8]], u32); 7] = [
             (&[b"acme"], 0),
             (&["caf\u{e9}".as_bytes()], 1),
@@ -182,7 +182,7 @@
         }
         for (value, wait) in [("480m", 480_000), ("1.5m", 1500), ("480000u", 480_000), ("99999m", 9_000_000)]
         {
-            assert_eq!(request("x-expires-in", value).map(|request| request.due), Ok(NOW + wait), "{value}");
+            assert_eq!(request("x-expires-in", value).map(|request| request.deadline), Ok(NOW + wait), "{value}");
         }
         assert!(request("x-expires-in", "480").is_err() && request("x-expires-in", "480s").is_err());
     }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -179,7 +179,7 @@
 
 impl SettingsKeys {
     fn snapshot(self) -> Snapshot {
-        let reports = Reports { via: self.settings.report_via, free_slots: self.free_slots };
+        let reports = Reports { via: self.settings.load_report_source, free_slots: self.free_slots };
         Snapshot::new(self.settings, self.names, self.conn_idle, reports)
     }
 }
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -10,7 +10,7 @@
 use crate::peers::load::{self, Reports};
 use crate::snapshot::Snapshot;
 use vetchbridge_scheduling::interface::{
-    self, Class, Discovery, Effect, KindId, RepeatGroup, ReportVia, Settings, Tenant, ZoneId,
+    self, Class, EndpointDelivery, Idempotency, KindId, DeduplicationScope, LoadReportSource, Settings, Tenant, ZoneId,
 };
 use std::collections::BTreeSet;
 
@@ -142,21 +142,21 @@
     }
 
     /// What a repeat of a class's request does.
-    fn effect(&mut self, index: usize) -> Effect {
+    fn effect(&mut self, index: usize) -> Idempotency {
         let class = &self.file.class[index];
         let group = match class.group {
-            Group::All => RepeatGroup::All,
-            Group::Zone => RepeatGroup::Zone,
-            Group::Cell => RepeatGroup::Cell,
+            Group::All => DeduplicationScope::All,
+            Group::Zone => DeduplicationScope::Zone,
+            Group::Cell => DeduplicationScope::Cell,
         };
         match (class.repeat, class.window) {
-            (Repeat::Safe, _) => Effect::Safe,
-            (Repeat::Unsafe, _) => Effect::Unsafe,
-            (Repeat::Keyed, Some(window)) => Effect::Keyed { group, window: window.0 },
+            (Repeat::Safe, _) => Idempotency::Idempotent,
+            (Repeat::Unsafe, _) => Idempotency::NonIdempotent,
+            (Repeat::Keyed, Some(window)) => Idempotency::Keyed { group, window: window.0 },
             (Repeat::Keyed, None) => {
                 let remedy = "a keyed class says how long peers drop a repeat, such as window = \"15s\"";
                 self.bad(format!("class[{index}].window"), "missing", remedy);
-                Effect::Unsafe
+                Idempotency::NonIdempotent
             }
         }
     }
@@ -176,12 +176,12 @@
         let key = format!("class[{index}].kind");
         let kind = self.index(key, class.kind.as_ref(), &self.file.fleet.kinds, "fleet.kinds");
         Class {
-            aim: class.aim.0,
-            stretch: class.stretch,
+            latency_objective: class.aim.0,
+            objective_per_work: class.stretch,
             deadline: class.deadline.0,
-            worth: class.worth,
-            late_share: class.late_share,
-            effect,
+            priority_weight: class.worth,
+            late_weight: class.late_share,
+            idempotency: effect,
             kind: class.kind.as_ref().map(|_| KindId(kind)),
             priority: class.priority,
             stream: class.stream,
@@ -208,22 +208,22 @@
     fn settings(&self, zone: u32, classes: Vec<Class>) -> Settings {
         let File { tier, fleet, worth, tenant, .. } = self.file;
         Settings {
-            me: tier.me,
-            dispatchers: tier.schedulers,
+            scheduler_index: tier.me,
+            scheduler_count: tier.schedulers,
             zone: ZoneId(zone),
             classes,
-            tenants: tenant.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-            over_share_worth: worth.over_share,
-            worth_by_work: worth.by_work,
-            discovery: discovery(fleet.follow),
-            report_via: report_via(fleet.load),
+            tenants: tenant.iter().map(|t| Tenant { quota_per_second: t.allowance_per_s }).collect(),
+            over_quota_weight: worth.over_share,
+            weight_by_work: worth.by_work,
+            endpoint_delivery: endpoint_delivery(fleet.follow),
+            load_report_source: load_report_source(fleet.load),
             weights: weights(fleet.weights),
             queue_order: queue_order(fleet.queue_order),
-            tells_start: fleet.tells_start,
-            progress_every: fleet.progress.0,
+            reports_start: fleet.tells_start,
+            progress_interval: fleet.progress.0,
             limits: limits(&self.file.attempts),
             rules: rules(&self.file.rules),
-            prices: prices(&self.file.prices),
+            cost_weights: cost_weights(&self.file.prices),
             tick: tier.tick.0,
         }
     }
@@ -240,7 +240,7 @@
 
 fn snapshot(file: &File, settings: Settings) -> Snapshot {
     let reports = Reports {
-        via: settings.report_via,
+        via: settings.load_report_source,
         free_slots: match file.fleet.free_slots {
             FreeSlots::X0 => load::FreeSlots::X0,
             FreeSlots::X1 => load::FreeSlots::X1,
@@ -257,18 +257,18 @@
     Snapshot::new(settings, names, conn_idle.unwrap_or(CONN_IDLE), reports)
 }
 
-fn discovery(follow: Follow) -> Discovery {
+fn endpoint_delivery(follow: Follow) -> EndpointDelivery {
     match follow {
-        Follow::Ask => Discovery::Ask,
-        Follow::Push => Discovery::Push,
+        Follow::Ask => EndpointDelivery::Poll,
+        Follow::Push => EndpointDelivery::Push,
     }
 }
 
-fn report_via(load: Load) -> ReportVia {
+fn load_report_source(load: Load) -> LoadReportSource {
     match load {
-        Load::Off => ReportVia::Never,
-        Load::Answers => ReportVia::Answers,
-        Load::Probes => ReportVia::Probes,
+        Load::Off => LoadReportSource::Never,
+        Load::Answers => LoadReportSource::Responses,
+        Load::Probes => LoadReportSource::Probes,
     }
 }
 
@@ -291,7 +291,7 @@
 fn limits(attempts: &Attempts) -> interface::Limits {
     interface::Limits {
         max_attempts: attempts.max,
-        second_copies: attempts.second_copies,
+        hedging: attempts.second_copies,
         dial_timeout: attempts.dial_timeout.0,
         may_probe: attempts.probe,
         may_cancel: attempts.cancel,
@@ -305,16 +305,16 @@
     interface::Rules {
         answer_slack: rules.answer_slack.0,
         drain_grace: rules.drain_grace.0,
-        ask_within: rules.ask_within.map(|span| span.0),
-        cold_share: rules.cold_share,
-        cold_time: rules.cold_time.0,
-        fall_multiple: rules.fall_multiple,
-        fall_time: rules.fall_time.0,
+        poll_within: rules.ask_within.map(|span| span.0),
+        slow_start_floor: rules.cold_share,
+        slow_start_time: rules.cold_time.0,
+        overload_factor: rules.fall_multiple,
+        overload_time: rules.fall_time.0,
     }
 }
 
-fn prices(prices: &Prices) -> interface::Prices {
-    interface::Prices {
+fn cost_weights(prices: &Prices) -> interface::CostWeights {
+    interface::CostWeights {
         cross_zone: prices.cross_zone,
         probe: prices.probe,
         waste: prices.waste,
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -8,7 +8,7 @@
 use crate::logs::Id;
 use crate::peers::UpstreamGroup;
 use vetchbridge_scheduling::interface::*;
-use vetchbridge_scheduling::policy::Policy;
+use vetchbridge_scheduling::scheduler::Scheduler;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -66,7 +66,7 @@
 }
 
 struct Core {
-    policy: Policy,
+    scheduler: Scheduler,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
     requests: HashMap<RequestId, UnboundedSender<Step>>,
     actions: Vec<Action>,
@@ -80,7 +80,7 @@
     earlier_timer: Notify,
     upstream: Arc<UpstreamGroup>,
     asks: UnboundedSender<Ask>,
-    messages: UnboundedSender<(Peer, Vec<u8>)>,
+    messages: UnboundedSender<(Recipient, Vec<u8>)>,
     /// For the tasks that bring a probe's result back.
     me: Weak<Engine>,
 }
@@ -88,12 +88,12 @@
 impl Engine {
     /// An engine around a module that has seen no event yet.
     pub fn new(
-        policy: Policy,
+        scheduler: Scheduler,
         upstream: Arc<UpstreamGroup>,
         asks: UnboundedSender<Ask>,
-        messages: UnboundedSender<(Peer, Vec<u8>)>,
+        messages: UnboundedSender<(Recipient, Vec<u8>)>,
     ) -> Arc<Engine> {
-        let core = Core { policy, timers: BinaryHeap::new(), requests: HashMap::new(), actions: Vec::new() };
+        let core = Core { scheduler, timers: BinaryHeap::new(), requests: HashMap::new(), actions: Vec::new() };
         let (clock, earlier_timer) = (Clock::start(), Notify::new());
         Arc::new_cyclic(|me| {
             let (core, me) = (Mutex::new(core), me.clone());
@@ -140,7 +140,7 @@
 
     fn step(&self, core: &mut Core, event: Event) {
         let mut actions = std::mem::take(&mut core.actions);
-        core.policy.handle(self.clock.now(), event, &mut actions);
+        core.scheduler.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
             self.carry(core, action);
         }
@@ -151,7 +151,7 @@
         let (request, step) = match action {
             Action::Send { request, worker, timeout } => (request, Step::Send { worker, timeout }),
             Action::Cancel { request, attempt } => (request, Step::Cancel(attempt)),
-            Action::Refuse { request, retry_after } => (request, Step::Reject { retry_after }),
+            Action::Reject { request, retry_after } => (request, Step::Reject { retry_after }),
             Action::Fail { request } => (request, Step::Fail),
             Action::SetTimer { at, token } => {
                 if core.timers.peek().is_none_or(|Reverse((first, _))| at < *first) {
@@ -160,8 +160,8 @@
                 return core.timers.push(Reverse((at, token.0)));
             }
             Action::Subscribe(on) => return self.ask(Ask::Subscribe(on)),
-            Action::FetchList => return self.ask(Ask::Fetch),
-            Action::TellPeers { to, data } => {
+            Action::FetchEndpoints => return self.ask(Ask::Fetch),
+            Action::SendPeerMessage { to, data } => {
                 if self.messages.send((to, data)).is_err() {
                     debug!("siblings.absent");
                 }
@@ -187,7 +187,7 @@
         let (status, load) = self.upstream.probe(worker).await;
         let latency = self.clock.now().saturating_sub(sent);
         debug!(peer = self.upstream.name(worker), ?status, us = latency, ?load, "probe.ended");
-        Event::Probed { worker, status, latency, load }
+        Event::Probed { worker, outcome: status, latency, load }
     }
 
     fn ask(&self, ask: Ask) {
@@ -230,22 +230,22 @@
     async fn a_probe_is_carried_to_its_peer_and_its_end_back() {
         let text = toml::to_string(&file::example()).expect("TOML");
         let settings = read_text("test", &text).expect("it reads").config.snapshot.settings;
-        let policy = Policy::new(settings, 1).expect("sound settings");
+        let scheduler = Scheduler::new(settings, 1).expect("sound settings");
         let (listener, minute) =
             (TcpListener::bind("127.0.0.1:0").await.expect("a port"), Duration::from_secs(60));
         let upstream = Arc::new(UpstreamGroup::new(minute, minute, 1));
         let (worker, address) = (worker_id("s-0"), listener.local_addr().expect("bound").to_string());
-        let (name, state) = ("s-0", MemberState::Ready);
+        let (name, state) = ("s-0", EndpointState::Ready);
         let entry = ListedPeer { worker, name, address: &address, state, started: 0 };
-        upstream.apply(ListKind::Changes, [entry].into_iter());
-        let engine = Engine::new(policy, upstream, unbounded_channel().0, unbounded_channel().0);
+        upstream.apply(EndpointUpdate::Changes, [entry].into_iter());
+        let engine = Engine::new(scheduler, upstream, unbounded_channel().0, unbounded_channel().0);
         engine.carry(&mut engine.core(), Action::Probe(worker));
         let mut peer = Wire::new(listener.accept().await.expect("a connection").0);
         assert_eq!(peer.read().await.expect("a probe").line, "GET /stats HTTP/1.1");
         // The only place is taken until that one has ended.
         let event = engine.probed(worker).await;
         assert!(
-            matches!(event, Event::Probed { worker: of, status: Status::Moot, load: None, .. } if of == worker)
+            matches!(event, Event::Probed { worker: of, outcome: Outcome::NotSent, load: None, .. } if of == worker)
         );
     }
 }
--- a/crates/vetchbridge/src/list/discovery.rs
+++ b/crates/vetchbridge/src/list/discovery.rs
@@ -17,8 +17,8 @@
 use hyper::{Request, StatusCode};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use vetchbridge_scheduling::interface::Discovery::Push as Pushed;
-use vetchbridge_scheduling::interface::{Event, ListKind, Member, MemberState};
+use vetchbridge_scheduling::interface::EndpointDelivery::Push as Pushed;
+use vetchbridge_scheduling::interface::{Event, EndpointUpdate, Endpoint, EndpointState};
 use std::future::{pending, ready, Future};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -169,10 +169,10 @@
     fn begin_with(&mut self, initial: InitialList) {
         if let Source::Fixed(listing) = &self.source {
             // What the configuration itself lists is the whole list; nobody else is to be asked for it.
-            return self.tell(ListKind::Full, listing.clone());
+            return self.tell(EndpointUpdate::Snapshot, listing.clone());
         }
         self.version = initial.versioned.then_some(initial.listing.generation);
-        let kind = if initial.inherited { ListKind::Inherited } else { ListKind::Saved };
+        let kind = if initial.inherited { EndpointUpdate::HandedOver } else { EndpointUpdate::Restored };
         self.pass_on(kind, self.version, &initial.listing.instances);
         self.confirmed.send_replace(initial.inherited);
     }
@@ -193,7 +193,7 @@
         loop {
             // Whose watch ended while lists were pushed has it opened here, also if they are to be asked for since: the
             // module was told of its end while it had nothing to ask for.
-            opens = watch.is_none() && (opens || self.current.get().settings.discovery == Pushed);
+            opens = watch.is_none() && (opens || self.current.get().settings.endpoint_delivery == Pushed);
             let may_be_lost = watch.as_ref().and_then(|watch| watch.hedge_from);
             tokio::select! {
                 () = sleep_until(reopen), if opens => watch = Some(self.watch()),
@@ -258,7 +258,7 @@
     fn phase(&mut self) -> f64 {
         const GOLDEN: f64 = 0.618_033_988_749_895;
         self.watches += 1;
-        ((self.current.get().settings.me + self.watches) as f64 * GOLDEN).fract()
+        ((self.current.get().settings.scheduler_index + self.watches) as f64 * GOLDEN).fract()
     }
 
     /// The next call of a watch; the first at an address takes the whole list.
@@ -323,7 +323,7 @@
             }
             serde_json::from_slice(&text).map_err(|e| Failure::new(format!("unreadable list: {e}"), &text))
         });
-        let few = self.current.get().settings.dispatchers <= HEDGE_MAX_SCHEDULERS;
+        let few = self.current.get().settings.scheduler_count <= HEDGE_MAX_SCHEDULERS;
         let hedge_from = (self.lost && few).then(|| Instant::now() + HEDGE_AFTER);
         Call { version: self.version, hedge_from, answer }
     }
@@ -339,22 +339,22 @@
             Ok(listing) if older(listing.generation) && !(listing.reset && asked == self.version) => {
                 debug!(version = listing.generation, "list.known");
             }
-            Ok(listing) if listing.reset => self.tell(ListKind::Full, listing),
-            Ok(listing) => self.tell(ListKind::Changes, listing),
+            Ok(listing) if listing.reset => self.tell(EndpointUpdate::Snapshot, listing),
+            Ok(listing) => self.tell(EndpointUpdate::Changes, listing),
             Err(Failure { reason, generation, mut instances, .. }) => {
                 // To heed who leaves can do no harm, whatever the version; who is up must not be older news.
                 let newer = generation.is_some_and(|generation| !older(generation));
-                instances.retain(|instance| newer || instance.state() != MemberState::Ready);
+                instances.retain(|instance| newer || instance.state() != EndpointState::Ready);
                 warn!(reason, entries = instances.len(), "discovery.failed");
                 // With the failure and not before it: as changes they would count as an answer, and no pause would grow.
-                self.pass_on(ListKind::Failed, None, &instances);
+                self.pass_on(EndpointUpdate::Failed, None, &instances);
                 return false;
             }
         }
         true
     }
 
-    fn tell(&mut self, kind: ListKind, listing: Listing) {
+    fn tell(&mut self, kind: EndpointUpdate, listing: Listing) {
         debug!(?kind, version = listing.generation, entries = listing.instances.len(), "list.told");
         self.version = Some(listing.generation);
         self.pass_on(kind, self.version, &listing.instances);
@@ -365,20 +365,20 @@
         self.roster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn pass_on(&self, kind: ListKind, version: Option<u64>, instances: &[Instance]) {
+    fn pass_on(&self, kind: EndpointUpdate, version: Option<u64>, instances: &[Instance]) {
         self.roster().tell(kind, version, instances);
         let names = &self.current.get().names;
-        let members: Vec<Member> = instances.iter().map(|i| i.member(names)).collect();
+        let members: Vec<Endpoint> = instances.iter().map(|i| i.endpoint(names)).collect();
         let entries = instances.iter().zip(&members);
         let entries = entries.map(|(i, m)| ListedPeer {
             worker: m.worker,
             name: &i.instance_id,
             address: &i.host_port,
             state: m.state,
-            started: m.born,
+            started: m.started_at,
         });
         self.upstream.apply(kind, entries);
-        self.engine.handle(Event::Members { kind, members });
+        self.engine.handle(Event::Endpoints { update: kind, endpoints: members });
     }
 }
 
--- a/crates/vetchbridge/src/list/listing.rs
+++ b/crates/vetchbridge/src/list/listing.rs
@@ -78,29 +78,29 @@
 
 impl Instance {
     /// Its state in the module's terms.
-    pub fn state(&self) -> MemberState {
+    pub fn state(&self) -> EndpointState {
         match self.lifecycle {
-            Lifecycle::Up => MemberState::Ready,
-            Lifecycle::Draining => MemberState::Draining,
-            Lifecycle::Removed => MemberState::Gone,
+            Lifecycle::Up => EndpointState::Ready,
+            Lifecycle::Draining => EndpointState::Draining,
+            Lifecycle::Removed => EndpointState::Removed,
         }
     }
 
     /// The entry in the module's terms.
-    pub fn member(&self, names: &Names) -> Member {
+    pub fn endpoint(&self, names: &Names) -> Endpoint {
         // A name that the settings don't know gets an index that no class or scheduler has.
         let index = |names: &[String], name: &str| {
             names.iter().position(|known| known == name).map_or(u32::MAX, |at| at as u32)
         };
-        Member {
+        Endpoint {
             worker: worker_id(&self.instance_id),
             zone: ZoneId(index(&names.zones, &self.zone)),
             kind: KindId(index(&names.kinds, &self.machine_type)),
             cell: CellId(self.cell),
             state: self.state(),
-            units: self.weight,
+            weight: self.weight,
             // The module's clock starts from Unix time.
-            born: self.started_at_ms.saturating_mul(1000),
+            started_at: self.started_at_ms.saturating_mul(1000),
         }
     }
 }
@@ -124,8 +124,8 @@
     }
 
     /// Takes news in. News without a version, such as a broken list's, leaves the version as it was.
-    pub fn tell(&mut self, kind: ListKind, generation: Option<u64>, instances: &[Instance]) {
-        if kind.is_whole() {
+    pub fn tell(&mut self, kind: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
+        if kind.is_complete() {
             self.instances.clear();
         }
         for instance in instances {
@@ -144,8 +144,8 @@
     }
 
     /// The list in the module's terms.
-    pub fn members(&self, names: &Names) -> Vec<Member> {
-        self.instances.values().map(|instance| instance.member(names)).collect()
+    pub fn endpoints(&self, names: &Names) -> Vec<Endpoint> {
+        self.instances.values().map(|instance| instance.endpoint(names)).collect()
     }
 
     /// The discovery service that it is from.
--- a/crates/vetchbridge/src/peers/load.rs
+++ b/crates/vetchbridge/src/peers/load.rs
@@ -4,7 +4,7 @@
 //! what a peer says, hold a socket, or judge a peer by its load.
 
 use serde_json::value::RawValue;
-use vetchbridge_scheduling::interface::{LoadReport, ReportVia};
+use vetchbridge_scheduling::interface::{LoadReport, LoadReportSource};
 use std::collections::BTreeMap;
 use tracing::debug;
 
@@ -39,26 +39,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reports {
     /// Where they come from.
-    pub via: ReportVia,
+    pub via: LoadReportSource,
     /// The field that tells free slots.
     pub free_slots: FreeSlots,
 }
 
 impl Default for Reports {
     fn default() -> Reports {
-        Reports { via: ReportVia::Never, free_slots: FreeSlots::default() }
+        Reports { via: LoadReportSource::Never, free_slots: FreeSlots::default() }
     }
 }
 
 impl Reports {
     /// The report on an answer or callback that ended an attempt, if such reports count.
     pub fn of_answer(&self, text: Option<&[u8]>) -> Option<LoadReport> {
-        self.told(text.filter(|_| self.via == ReportVia::Answers))
+        self.told(text.filter(|_| self.via == LoadReportSource::Responses))
     }
 
     /// The report on the answer to a probe, if reports count at all.
     pub fn of_probe(&self, text: Option<&[u8]>) -> Option<LoadReport> {
-        self.told(text.filter(|_| self.via != ReportVia::Never))
+        self.told(text.filter(|_| self.via != LoadReportSource::Never))
     }
 
     fn told(&self, text: Option<&[u8]>) -> Option<LoadReport> {
@@ -172,9 +172,9 @@
     #[test]
     fn only_reports_that_the_settings_name_count() {
         for (via, of_answer, of_probe) in [
-            (ReportVia::Never, false, false),
-            (ReportVia::Probes, false, true),
-            (ReportVia::Answers, true, true),
+            (LoadReportSource::Never, false, false),
+            (LoadReportSource::Probes, false, true),
+            (LoadReportSource::Responses, true, true),
         ] {
             let reports = Reports { via, free_slots: FreeSlots::X0 };
             assert_eq!(reports.of_answer(Some(b"queue=1")).is_some(), of_answer, "{via:?}");
--- a/crates/vetchbridge/src/peers/mod.rs
+++ b/crates/vetchbridge/src/peers/mod.rs
@@ -27,7 +27,7 @@
 use hyper::{Method, StatusCode};
 use load::Reports;
 use permission::SendPermission;
-use vetchbridge_scheduling::interface::{ListKind, LoadReport, MemberState, Micros, Note, RequestId, Status, WorkerId};
+use vetchbridge_scheduling::interface::{EndpointUpdate, LoadReport, EndpointState, Micros, JobProgress, RequestId, Outcome, WorkerId};
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -48,7 +48,7 @@
     /// The peer's result for this request.
     Served(Bytes),
     /// Any other way.
-    Not(Status),
+    Not(Outcome),
 }
 
 /// What an attempt is sent under; it is looked at again when the first byte is about to be written, since a connection may
@@ -112,8 +112,8 @@
 }
 
 impl Availability {
-    fn of(state: MemberState) -> Availability {
-        if state == MemberState::Ready {
+    fn of(state: EndpointState) -> Availability {
+        if state == EndpointState::Ready {
             Availability::Ready
         } else {
             Availability::Leaving
@@ -121,11 +121,11 @@
     }
 
     /// How an attempt ends of which no byte has been written yet.
-    fn ends_unwritten(self) -> Option<Status> {
+    fn ends_unwritten(self) -> Option<Outcome> {
         match self {
             Availability::Ready => None,
-            Availability::Leaving => Some(Status::ConnectFailed),
-            Availability::Replaced => Some(Status::Moot),
+            Availability::Leaving => Some(Outcome::ConnectFailed),
+            Availability::Replaced => Some(Outcome::NotSent),
         }
     }
 }
@@ -140,7 +140,7 @@
     /// Host and port.
     pub address: &'a str,
     /// Its state.
-    pub state: MemberState,
+    pub state: EndpointState,
     /// When its process last started; 0 for long past.
     pub started: Micros,
 }
@@ -241,13 +241,13 @@
     }
 
     /// Follows discovery's news.
-    pub fn apply<'a>(&self, kind: ListKind, entries: impl Iterator<Item = ListedPeer<'a>>) {
+    pub fn apply<'a>(&self, kind: EndpointUpdate, entries: impl Iterator<Item = ListedPeer<'a>>) {
         let peers = &mut *lock(&self.peers);
         let mut missing: HashSet<WorkerId> =
-            if kind.is_whole() { peers.keys().copied().collect() } else { HashSet::new() };
+            if kind.is_complete() { peers.keys().copied().collect() } else { HashSet::new() };
         for ListedPeer { worker, name, address, state, started } in entries {
             missing.remove(&worker);
-            if state == MemberState::Gone {
+            if state == EndpointState::Removed {
                 missing.insert(worker);
                 continue;
             }
@@ -256,7 +256,7 @@
             // no jobs may be told by an older list.
             let same = |address: &Authority| {
                 known.is_some_and(|peer| {
-                    let process = peer.started == started || started == 0 || state != MemberState::Ready;
+                    let process = peer.started == started || started == 0 || state != EndpointState::Ready;
                     peer.address == *address && process
                 })
             };
@@ -316,10 +316,10 @@
 
     /// One probe, over the connections that the peer's attempts use; how it ended, and the load report that came along.
     /// Ends within [`PROBE_WAIT`] whatever the peer does. A peer that is leaving is not probed.
-    pub async fn probe(&self, worker: WorkerId) -> (Status, Option<LoadReport>) {
-        let Ok(_place) = self.probes.try_acquire() else { return (Status::Moot, None) };
+    pub async fn probe(&self, worker: WorkerId) -> (Outcome, Option<LoadReport>) {
+        let Ok(_place) = self.probes.try_acquire() else { return (Outcome::NotSent, None) };
         let Some(peer) = lock(&self.peers).get(&worker).cloned() else {
-            return (Status::ConnectFailed, None);
+            return (Outcome::ConnectFailed, None);
         };
         let mut availability = peer.availability.subscribe();
         if let Some(status) = availability.borrow_and_update().ends_unwritten() {
@@ -349,20 +349,20 @@
                 }
                 answered = &mut whole => break answered,
                 () = &mut until => {
-                    return (if seen.connected() { Status::Timeout } else { Status::ConnectFailed }, None);
+                    return (if seen.connected() { Outcome::Timeout } else { Outcome::ConnectFailed }, None);
                 }
             }
         };
         let (reply, body) = match answered {
             Ok(answered) => answered,
-            Err(Broken::NeverRan) => return (Status::ConnectFailed, None),
-            Err(Broken::MayHaveRun) => return (Status::Reset, None),
+            Err(Broken::NeverRan) => return (Outcome::ConnectFailed, None),
+            Err(Broken::MayHaveRun) => return (Outcome::Reset, None),
         };
         let status = match (reply.status, &body) {
-            (_, None) => return (Status::Reset, None),
-            (StatusCode::OK, _) => Status::Ok,
-            (StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _) => Status::Full,
-            _ => return (Status::Error, None),
+            (_, None) => return (Outcome::Reset, None),
+            (StatusCode::OK, _) => Outcome::Ok,
+            (StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _) => Outcome::Rejected,
+            _ => return (Outcome::Error, None),
         };
         let reports = *lock(&self.reports);
         let body = body.as_deref().filter(|body| !body.is_empty());
@@ -378,11 +378,11 @@
         parcel: &Parcel,
         terms: Terms,
         mut cancelled: oneshot::Receiver<()>,
-        note: impl Fn(Note),
+        note: impl Fn(JobProgress),
     ) -> (Ended, Option<LoadReport>) {
         let not = |status| (Ended::Not(status), None);
         let Some(peer) = lock(&self.peers).get(&worker).cloned() else {
-            return not(Status::ConnectFailed);
+            return not(Outcome::ConnectFailed);
         };
         // Before the first byte: a callback may overtake the 202.
         let mut inbox = self.callbacks.listen(id, worker);
@@ -410,7 +410,7 @@
                 Ok(()) = &mut cancelled => {
                     let begun = accepted || seen.begun();
                     peer.give_up(accepted, &parcel.id);
-                    return not(if begun { Status::Cancelled } else { Status::Moot });
+                    return not(if begun { Outcome::Cancelled } else { Outcome::NotSent });
                 }
                 // Told to leave, or started anew, while the attempt waits for its first byte: not one may go there now.
                 status = no_longer_available(&mut availability), if unwritten => {
@@ -434,17 +434,17 @@
                     }
                     let ended = match call.state {
                         CallbackState::Started => {
-                            note(Note::Started);
+                            note(JobProgress::Started);
                             continue;
                         }
                         CallbackState::Running => {
-                            note(Note::Progress(call.share));
+                            note(JobProgress::Fraction(call.share));
                             continue;
                         }
                         CallbackState::Done => Ended::Served(call.result.into()),
-                        CallbackState::Failed => Ended::Not(Status::Error),
-                        CallbackState::Returned => Ended::Not(Status::Full),
-                        CallbackState::Lost => Ended::Not(Status::Reset),
+                        CallbackState::Failed => Ended::Not(Outcome::Error),
+                        CallbackState::Returned => Ended::Not(Outcome::Rejected),
+                        CallbackState::Lost => Ended::Not(Outcome::Reset),
                     };
                     if call.state != CallbackState::Done {
                         inbox.ended(call.state);
@@ -461,24 +461,24 @@
                     }
                     Ok(reply) => {
                         let status = match reply.status {
-                            _ if reply.never_ran() => Status::Full,
-                            status if blames_request(status) => Status::Invalid,
-                            _ => Status::Error,
+                            _ if reply.never_ran() => Outcome::Rejected,
+                            status if blames_request(status) => Outcome::Invalid,
+                            _ => Outcome::Error,
                         };
                         let load = lock(&self.reports).of_answer(reply.load());
                         reply.drain();
                         return (Ended::Not(status), load);
                     }
-                    Err(Broken::NeverRan) => return not(if permission.wanted() { Status::ConnectFailed } else { Status::Moot }),
-                    Err(Broken::MayHaveRun) => return not(Status::Reset),
+                    Err(Broken::NeverRan) => return not(if permission.wanted() { Outcome::ConnectFailed } else { Outcome::NotSent }),
+                    Err(Broken::MayHaveRun) => return not(Outcome::Reset),
                 },
                 // Dropping the exchange closes its connection, which gives the attempt up.
-                () = &mut silence, if !accepted => return not(Status::Silent),
+                () = &mut silence, if !accepted => return not(Outcome::NoResponse),
                 () = &mut until => {
                     let status = match (accepted || seen.begun(), seen.connected()) {
-                        (true, _) => Status::Timeout,
-                        (false, true) => Status::Moot,
-                        (false, false) => Status::ConnectFailed,
+                        (true, _) => Outcome::Timeout,
+                        (false, true) => Outcome::NotSent,
+                        (false, false) => Outcome::ConnectFailed,
                     };
                     peer.give_up(accepted, &parcel.id);
                     return not(status);
@@ -489,11 +489,11 @@
 }
 
 /// Resolves once a peer may not be written to any more; how an attempt ends then of which no byte has been written.
-async fn no_longer_available(availability: &mut watch::Receiver<Availability>) -> Status {
+async fn no_longer_available(availability: &mut watch::Receiver<Availability>) -> Outcome {
     // The sender lives as long as the peer, which the caller holds.
     match availability.wait_for(|now| *now != Availability::Ready).await {
-        Ok(now) => now.ends_unwritten().unwrap_or(Status::ConnectFailed),
-        Err(_) => Status::ConnectFailed,
+        Ok(now) => now.ends_unwritten().unwrap_or(Outcome::ConnectFailed),
+        Err(_) => Outcome::ConnectFailed,
     }
 }
 
@@ -518,9 +518,9 @@
         let worker = worker_id("s-1");
         let tell = |state| {
             let entry = ListedPeer { worker, name: "s-1", address: &address, state, started: 0 };
-            group.apply(ListKind::Changes, [entry].into_iter());
+            group.apply(EndpointUpdate::Changes, [entry].into_iter());
         };
-        tell(MemberState::Ready);
+        tell(EndpointState::Ready);
         let (id, target) = ("00000000000000ab".to_string(), PathAndQuery::from_static("/safe/k"));
         let parcel = Parcel { id, target, idempotency_key: None, body: Bytes::from_static(b"work") };
         let (_cancel, cancelled) = oneshot::channel();
@@ -529,7 +529,7 @@
         tokio::pin!(attempt);
         // The first poll starts the dial; no dial ends before the runtime has looked at its sockets.
         assert!(futures_util::poll!(attempt.as_mut()).is_pending());
-        tell(MemberState::Draining);
+        tell(EndpointState::Draining);
         let written = async {
             let (stream, _) = listener.accept().await.expect("a connection");
             stream.readable().await.expect("readable");
@@ -537,7 +537,7 @@
         };
         tokio::select! {
             biased;
-            ended = attempt => assert_eq!(ended, (Ended::Not(Status::ConnectFailed), None)),
+            ended = attempt => assert_eq!(ended, (Ended::Not(Outcome::ConnectFailed), None)),
             bytes = written => panic!("{bytes} bytes were written to a draining peer"),
         }
     }
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -72,7 +72,7 @@
 ) -> oneshot::Receiver<Answer> {
     let (reply, answer) = oneshot::channel();
     let Job { request, parcel, settings, room } = job;
-    let (id, class, due) = (request.id, request.class, request.due);
+    let (id, class, deadline) = (request.id, request.class, request.deadline);
     let open_elsewhere = kin.holds(id);
     let Some(steps) = (!open_elsewhere).then(|| engine.open(request)).flatten() else {
         let _ = reply.send(Answer::Duplicate);
@@ -90,7 +90,7 @@
         over: Arc::default(),
         _room: room,
     };
-    tokio::spawn(run(context, upstream, parcel, due));
+    tokio::spawn(run(context, upstream, parcel, deadline));
     answer
 }
 
@@ -120,9 +120,9 @@
     }
 
     /// What a refusal or failure by the module can be told from: the attempts, and the time that was left.
-    fn log_unserved(&self, may_have_run: &[Option<Micros>], due: Micros) {
+    fn log_unserved(&self, may_have_run: &[Option<Micros>], deadline: Micros) {
         let ran = may_have_run.iter().flatten().count();
-        let left = due.saturating_sub(self.engine.clock.now());
+        let left = deadline.saturating_sub(self.engine.clock.now());
         debug!(request = %Id(self.id), attempts = may_have_run.len(), may_have_run = ran, left_us = left, "request.unserved");
     }
 
@@ -142,7 +142,7 @@
             if !reply.is_closed() {
                 violated(Invariant::TakenRequestIsAnswered, Some(self.id), "its life was cut short");
             }
-            self.engine.handle(Event::Withdrawn(self.id));
+            self.engine.handle(Event::ClientDisconnected(self.id));
         }
         self.engine.close(self.id);
         self.kin.tell(|| Word::Closed(self.id.0));
@@ -150,13 +150,13 @@
 }
 
 /// One request's life, from taken on.
-async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, parcel: Parcel, due: Micros) {
+async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, parcel: Parcel, deadline: Micros) {
     let (engine, id) = (context.engine.clone(), context.id);
     let mut attempts = FuturesUnordered::new();
     let mut cancels: Vec<Option<oneshot::Sender<()>>> = Vec::new();
     // When each attempt was sent, but those that surely never ran.
     let mut may_have_run: Vec<Option<Micros>> = Vec::new();
-    let effect = context.settings.settings.classes.get(context.class.0 as usize).map(|class| class.effect);
+    let effect = context.settings.settings.classes.get(context.class.0 as usize).map(|class| class.idempotency);
 
     // Alive until it is answered and each attempt has had its outcome.
     while context.reply.is_some() || !attempts.is_empty() {
@@ -166,20 +166,20 @@
             () = RequestContext::client_left(&mut context.reply) => {
                 context.reply = None;
                 context.over.store(true, Ordering::Relaxed);
-                engine.handle(Event::Withdrawn(id));
+                engine.handle(Event::ClientDisconnected(id));
             }
             step = context.steps.recv() => match step {
                 Some(Step::Send { worker, timeout }) => {
                     let attempt = AttemptNo(cancels.len() as u32);
                     let sent = engine.clock.now();
-                    let until = timeout.map_or(due, |t| due.min(sent.saturating_add(t)));
+                    let until = timeout.map_or(deadline, |t| deadline.min(sent.saturating_add(t)));
                     let (cancel, cancelled) = oneshot::channel();
                     cancels.push(Some(cancel));
                     // The module sent it within these bounds; they must still hold at its first byte.
                     let begin_by = match (effect.unwrap_or_default(), may_have_run.iter().flatten().next()) {
-                        (Effect::Safe, _) | (_, None) => until,
-                        (Effect::Keyed { window, .. }, Some(first)) => until.min(first.saturating_add(window)),
-                        (Effect::Unsafe, Some(_)) => {
+                        (Idempotency::Idempotent, _) | (_, None) => until,
+                        (Idempotency::Keyed { window, .. }, Some(first)) => until.min(first.saturating_add(window)),
+                        (Idempotency::NonIdempotent, Some(_)) => {
                             violated(Invariant::UnsafeJobOnce, Some(id), "an attempt before may have run");
                             sent
                         }
@@ -192,10 +192,10 @@
                         let note = |note| {
                             let after = engine.clock.now().saturating_sub(sent);
                             debug!(request = %Id(id), attempt = attempt.0, peer = upstream.name(worker), ?note, us = after, "attempt.note");
-                            engine.handle(Event::Note { request: id, attempt, note });
+                            engine.handle(Event::JobProgress { request: id, attempt, progress: note });
                         };
                         let ended = if moot {
-                            (Ended::Not(Status::Moot), None)
+                            (Ended::Not(Outcome::NotSent), None)
                         } else {
                             let (wait, begin_within) = (until - sent, begin_by - sent);
                             let (wait, begin_within) =
@@ -212,11 +212,11 @@
                     }
                 }
                 Some(Step::Reject { retry_after }) => {
-                    context.log_unserved(&may_have_run, due);
+                    context.log_unserved(&may_have_run, deadline);
                     context.answer(Answer::Reject { retry_after });
                 }
                 Some(Step::Fail) => {
-                    context.log_unserved(&may_have_run, due);
+                    context.log_unserved(&may_have_run, deadline);
                     context.answer(Answer::Failed);
                 }
                 // The engine never drops a sender before `close`.
@@ -226,7 +226,7 @@
                 let status = match ended {
                     Ended::Served(result) => {
                         context.answer(Answer::Served(result));
-                        Status::Ok
+                        Outcome::Ok
                     }
                     Ended::Not(status) => status,
                 };
@@ -236,7 +236,7 @@
                 let latency = engine.clock.now().saturating_sub(sent);
                 debug!(request = %Id(id), attempt = attempt.0, peer = upstream.name(worker), ?status, us = latency, "attempt.ended");
                 let closed = context.reply.is_none();
-                engine.handle(Event::Outcome { request: id, attempt, worker, status, latency, closed, load });
+                engine.handle(Event::AttemptFinished { request: id, attempt, worker, outcome: status, latency, closed, load });
             }
         }
     }
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -19,8 +19,8 @@
 use crate::upgrade::wire::Door;
 use crate::upgrade::{self, Found, House, Inheritance};
 use serde_json::Value;
-use vetchbridge_scheduling::interface::{Event, ListKind};
-use vetchbridge_scheduling::policy::{Policy, CONFIRM_WITHIN};
+use vetchbridge_scheduling::interface::{Event, EndpointUpdate};
+use vetchbridge_scheduling::scheduler::{Scheduler, CONFIRM_WITHIN};
 use std::error::Error;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -89,7 +89,7 @@
         sleep(QUIET / 10).await;
         if !leaving && !house.life.state().takes() {
             leaving = true;
-            house.engine.handle(Event::Ending);
+            house.engine.handle(Event::ShuttingDown);
         }
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
         let serves_on = house.front.connections() > 0 && !house.life.state().closes_idle();
@@ -160,8 +160,8 @@
         self.document = config.document;
         if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
             // The list in hand was told under other indices; until it is told anew, no job may be placed by it.
-            let members = self.roster.lock().unwrap_or_else(PoisonError::into_inner).members(&names);
-            self.engine.handle(Event::Members { kind: ListKind::Retold, members });
+            let endpoints = self.roster.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
+            self.engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
         if self.asks.send(Ask::Move(config.source)).is_err() {
             error!("discovery.absent");
@@ -227,12 +227,12 @@
     let (asks, asked) = unbounded_channel();
     let (messages, outgoing) = unbounded_channel();
     let roster = Arc::new(Mutex::new(Roster::default()));
-    let policy = Policy::new(config.snapshot.settings.clone(), config.seed)?;
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
     let dial_timeout = Duration::from_micros(config.snapshot.settings.limits.dial_timeout);
     let probes = (config.sockets / PROBES).max(1);
     let upstream = Arc::new(UpstreamGroup::new(dial_timeout, config.snapshot.conn_idle, probes));
     upstream.read_reports(config.snapshot.reports);
-    let engine = Engine::new(policy, upstream.clone(), asks.clone(), messages);
+    let engine = Engine::new(scheduler, upstream.clone(), asks.clone(), messages);
     let current = Arc::new(Current::new(config.snapshot));
     let tuned = Tuned {
         document: config.document,
--- a/crates/vetchbridge/src/siblings.rs
+++ b/crates/vetchbridge/src/siblings.rs
@@ -4,7 +4,7 @@
 use crate::config::Siblings;
 use crate::engine::Engine;
 use crate::upgrade::kin::Kin;
-use vetchbridge_scheduling::interface::{Event, Peer};
+use vetchbridge_scheduling::interface::{Event, Recipient};
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     socket: std::net::UdpSocket,
     engine: Arc<Engine>,
     kin: Arc<Kin>,
-    outgoing: UnboundedReceiver<(Peer, Vec<u8>)>,
+    outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
 ) -> io::Result<impl Future<Output = ()>> {
     socket.set_nonblocking(true)?;
     Ok(carry(config, UdpSocket::from_std(socket)?, engine, kin, outgoing))
@@ -32,7 +32,7 @@
     socket: UdpSocket,
     engine: Arc<Engine>,
     kin: Arc<Kin>,
-    mut outgoing: UnboundedReceiver<(Peer, Vec<u8>)>,
+    mut outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
 ) {
     let mut successor = kin.successor();
     let mut buffer = [0; LONGEST + 1];
@@ -42,8 +42,8 @@
             message = outgoing.recv() => {
                 let Some((to, data)) = message else { return };
                 let address = match to {
-                    Peer::One(number) => config.each.get(number as usize),
-                    Peer::All => config.all.as_ref(),
+                    Recipient::One(number) => config.each.get(number as usize),
+                    Recipient::All => config.all.as_ref(),
                 };
                 match address {
                     Some(address) if data.len() <= LONGEST => {
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -26,7 +26,7 @@
     /// request names none of them must not use up what is another's.
     pub fn new(mut settings: Settings, names: Names, conn_idle: Duration, reports: Reports) -> Snapshot {
         if !settings.tenants.is_empty() {
-            settings.tenants.push(Tenant { allowance_per_s: 0.0 });
+            settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
         Snapshot { settings, names, conn_idle, reports }
     }
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -4,7 +4,7 @@
 
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
-use vetchbridge_scheduling::interface::ReportVia;
+use vetchbridge_scheduling::interface::LoadReportSource;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -149,10 +149,10 @@
         &text.replace("probe = false", "probe = true").replace("probe = 0.0", "probe = 0.01"),
     );
     let snapshot = read_file(&path).expect("it reads").config.snapshot;
-    assert_eq!(snapshot.reports, Reports { via: ReportVia::Probes, free_slots: FreeSlots::X1 });
+    assert_eq!(snapshot.reports, Reports { via: LoadReportSource::Probes, free_slots: FreeSlots::X1 });
     let settings = snapshot.settings;
-    assert_eq!((settings.report_via, settings.limits.may_probe), (ReportVia::Probes, true));
-    assert_eq!(settings.prices.probe, 0.01);
+    assert_eq!((settings.load_report_source, settings.limits.may_probe), (LoadReportSource::Probes, true));
+    assert_eq!(settings.cost_weights.probe, 0.01);
 }
 
 #[test]
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_linger;
 use serde_json::json;
-use vetchbridge_scheduling::interface::{ListKind, MemberState, RequestId, Status, WorkerId};
+use vetchbridge_scheduling::interface::{EndpointUpdate, EndpointState, RequestId, Outcome, WorkerId};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
@@ -68,9 +68,9 @@
         let (listener, worker) = (TcpListener::bind("127.0.0.1:0").expect("a port"), worker_id("s-0"));
         let group = UpstreamGroup::new(dial, MINUTE, 1);
         let address = listener.local_addr().expect("bound").to_string();
-        let (name, state) = ("s-0", MemberState::Ready);
+        let (name, state) = ("s-0", EndpointState::Ready);
         let entry = ListedPeer { worker, name, address: &address, state, started: 0 };
-        group.apply(ListKind::Changes, [entry].into_iter());
+        group.apply(EndpointUpdate::Changes, [entry].into_iter());
         Stage { group, listener, worker }
     }
 
@@ -108,7 +108,7 @@
             line
         };
         let (ended, line) = tokio::join!(self.attempt(), peer);
-        assert_eq!(ended, Ended::Not(Status::Full));
+        assert_eq!(ended, Ended::Not(Outcome::Rejected));
         // The pool's own tasks put it back.
         for _ in 0..8 {
             tokio::task::yield_now().await;
@@ -163,11 +163,11 @@
         Says::End => line.0.shutdown(Shutdown::Write).expect("ended"),
         Says::Reset => {
             line.resets();
-            assert_eq!(attempt.await, Ended::Not(Status::ConnectFailed));
+            assert_eq!(attempt.await, Ended::Not(Outcome::ConnectFailed));
             return;
         }
     }
-    assert_eq!(attempt.await, Ended::Not(Status::ConnectFailed));
+    assert_eq!(attempt.await, Ended::Not(Outcome::ConnectFailed));
     let heard = spawn_blocking(move || line.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
     assert_eq!(heard, 0, "not a byte was written");
     // The next one goes over a connection of its own.
@@ -189,7 +189,7 @@
         tokio::task::yield_now().await;
     }
     line.says(TURNED_AWAY);
-    assert_eq!(attempt.await, Ended::Not(Status::ConnectFailed));
+    assert_eq!(attempt.await, Ended::Not(Outcome::ConnectFailed));
     let heard = spawn_blocking(move || line.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
     assert_eq!(heard, 0, "not a byte was written");
 }
@@ -206,7 +206,7 @@
             line.reads().await.expect("the job");
             line.says(TURNED_AWAY);
         };
-        assert_eq!(tokio::join!(stage.attempt(), peer).0, Ended::Not(Status::Full));
+        assert_eq!(tokio::join!(stage.attempt(), peer).0, Ended::Not(Outcome::Rejected));
     }
 }
 
@@ -226,26 +226,26 @@
         tokio::task::yield_now().await;
     }
     cancel.send(()).expect("it waits");
-    assert_eq!(attempt.await, Ended::Not(Status::Moot));
+    assert_eq!(attempt.await, Ended::Not(Outcome::NotSent));
     assert_eq!(line.reads().await, None);
 }
 
 /// Half an answer is none, and is waited for no longer than silence is. What follows the head decides nothing.
 #[rstest]
-#[case::half_a_line("HTTP/1.1 20", Status::Silent)]
-#[case::half_a_head("HTTP/1.1 202 Accepted\r\ncontent-le", Status::Silent)]
-#[case::hints_without_end("HTTP/1.1 103 Early Hints\r\n\r\n", Status::Silent)]
+#[case::half_a_line("HTTP/1.1 20", Outcome::NoResponse)]
+#[case::half_a_head("HTTP/1.1 202 Accepted\r\ncontent-le", Outcome::NoResponse)]
+#[case::hints_without_end("HTTP/1.1 103 Early Hints\r\n\r\n", Outcome::NoResponse)]
 #[case::turned_away_without_end(
     "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 10\r\n\r\nabc",
-    Status::Full
+    Outcome::Rejected
 )]
 #[case::failed_without_end(
     "HTTP/1.1 500 No\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
-    Status::Error
+    Outcome::Error
 )]
 #[timeout(HANG)]
 #[tokio::test]
-async fn an_answer_that_never_ends_holds_no_attempt(#[case] answer: &str, #[case] expected: Status) {
+async fn an_answer_that_never_ends_holds_no_attempt(#[case] answer: &str, #[case] expected: Outcome) {
     let stage = Stage::set(Duration::from_millis(500));
     let peer = async {
         let mut line = stage.accept().await;
@@ -285,7 +285,7 @@
         assert!(call.expect("a call").starts_with(&format!("DELETE /jobs/{ID} ")));
     };
     let (ended, ()) = tokio::join!(stage.attempt_of(parcel(None, "work"), cancelled), peer);
-    assert_eq!(ended, if goes_on { served() } else { Ended::Not(Status::Cancelled) });
+    assert_eq!(ended, if goes_on { served() } else { Ended::Not(Outcome::Cancelled) });
 }
 
 /// The last byte is the last byte: a break after it may have run, whatever the request is made of.
@@ -304,7 +304,7 @@
     };
     let (_cancel, cancelled) = oneshot::channel();
     let (ended, ()) = tokio::join!(stage.attempt_of(parcel(key, body), cancelled), peer);
-    assert_eq!(ended, Ended::Not(Status::Reset));
+    assert_eq!(ended, Ended::Not(Outcome::Reset));
 }
 
 /// A peer repeats a word that was not answered. One that has ended an attempt does not end the next one there, which is not
@@ -323,7 +323,7 @@
         stage.calls_back(state);
     };
     let (ended, ()) = tokio::join!(stage.attempt(), first);
-    assert!(matches!(ended, Ended::Not(Status::Full | Status::Error | Status::Reset)));
+    assert!(matches!(ended, Ended::Not(Outcome::Rejected | Outcome::Error | Outcome::Reset)));
     let second = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job again");
