--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
 use serde_json::json;
-use vetchbridge_scheduling::interface::{ClassId, ListKind, MemberState, Request, RequestId, TenantId};
-use vetchbridge_scheduling::policy::Policy;
+use vetchbridge_scheduling::interface::{ClassId, EndpointUpdate, EndpointState, Request, RequestId, TenantId};
+use vetchbridge_scheduling::scheduler::Scheduler;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -44,9 +44,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let group = UpstreamGroup::new(MINUTE, MINUTE, 1);
-    let (worker, name, state) = (worker_id("s-0"), "s-0", MemberState::Ready);
+    let (worker, name, state) = (worker_id("s-0"), "s-0", EndpointState::Ready);
     let entry = ListedPeer { worker, name, address: &address, state, started: 0 };
-    group.apply(ListKind::Changes, [entry].into_iter());
+    group.apply(EndpointUpdate::Changes, [entry].into_iter());
     let parcel = parcel();
     let attempt = |number: u64, cancelled| {
         Box::pin(group.attempt(RequestId(number), worker, &parcel, Terms::within(MINUTE), cancelled, |_| {}))
@@ -72,15 +72,15 @@
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
     let config = read_text("invariants", &document.to_string()).expect("it reads").config;
-    let policy = Policy::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
     let runtime = runtime();
     let answer = runtime.block_on(async {
         let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
-        let engine = Engine::new(policy, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
+        let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
         let (id, class, tenant) = (RequestId(0xab), ClassId(0), TenantId(0));
-        let due = engine.clock.now() + 60_000_000;
+        let deadline = engine.clock.now() + 60_000_000;
         let request =
-            Request { id, class, tenant, key: None, due, expected_work: None, slots: 1.0, retry: false };
+            Request { id, class, tenant, key: None, deadline, expected_work: None, slots: 1.0, retry: false };
         let job = Job { request, parcel: parcel(), settings: Arc::new(config.snapshot), room: None };
         let answer = submit(engine, upstream, Arc::new(Kin::default()), job);
         tokio::task::yield_now().await;
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -13,8 +13,8 @@
 use rstest::rstest;
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
-use vetchbridge_scheduling::interface::{ListKind, MemberState, Status};
-use vetchbridge_scheduling::words::Word as SiblingWord;
+use vetchbridge_scheduling::interface::{EndpointUpdate, EndpointState, Outcome};
+use vetchbridge_scheduling::peer_message::PeerMessage;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
@@ -143,8 +143,8 @@
         let (length, sender) = socket.recv_from(&mut buffer).await.expect("a datagram");
         // Nobody listens any more once the story has heard what it needs.
         let _ = heard.send(number);
-        if let Some((SiblingWord::Ask(_), worker)) = SiblingWord::read(&buffer[..length]) {
-            let report = SiblingWord::Report(Some((0.0, 0))).write(worker);
+        if let Some((PeerMessage::OccupancyQuery(_), worker)) = PeerMessage::read(&buffer[..length]) {
+            let report = PeerMessage::OccupancyReply(Some((0.0, 0))).write(worker);
             socket.send_to(&report, sender).await.expect("sent");
         }
     }
@@ -393,9 +393,9 @@
     for number in 0..=BESIDE {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (name, address) = (worker_name(number, 0), listener.local_addr().expect("bound").to_string());
-        let (worker, state) = (worker_id(&name), MemberState::Ready);
+        let (worker, state) = (worker_id(&name), EndpointState::Ready);
         let listed = ListedPeer { worker, name: &name, address: &address, state, started: 0 };
-        group.apply(ListKind::Changes, std::iter::once(listed));
+        group.apply(EndpointUpdate::Changes, std::iter::once(listed));
         tokio::spawn(turn_away(number, listener, heard.clone()));
     }
     // Worker 0 is used again after each of the others, which are used once.
@@ -405,7 +405,7 @@
         let parcel = Parcel { id, target, idempotency_key: None, body: "work".into() };
         let (_cancel, cancelled) = oneshot::channel();
         let (end, _) = group.attempt(request, worker, &parcel, Terms::within(HANG), cancelled, |_| {}).await;
-        assert_eq!(end, Ended::Not(Status::Full));
+        assert_eq!(end, Ended::Not(Outcome::Rejected));
     }
     let mut closed = BTreeSet::new();
     for _ in 0..BESIDE + 1 - MOST {
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -12,7 +12,7 @@
 use rstest::rstest;
 use serde_json::json;
 use vetchbridge_scheduling::interface::*;
-use vetchbridge_scheduling::policy::Policy;
+use vetchbridge_scheduling::scheduler::Scheduler;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -53,9 +53,9 @@
     }
 }
 
-fn tell(group: &UpstreamGroup, narrow: &Narrow, state: MemberState, started: Micros) {
+fn tell(group: &UpstreamGroup, narrow: &Narrow, state: EndpointState, started: Micros) {
     let (worker, name, address) = (worker_id("s-0"), "s-0", &*narrow.address.to_string());
-    group.apply(ListKind::Changes, [ListedPeer { worker, name, address, state, started }].into_iter());
+    group.apply(EndpointUpdate::Changes, [ListedPeer { worker, name, address, state, started }].into_iter());
 }
 
 fn parcel(id: &str) -> Parcel {
@@ -84,13 +84,13 @@
 /// does not, no byte is written, and the attempt never ran. A callback that comes meanwhile is about an earlier attempt.
 #[rstest]
 #[case::all_holds(Change::Nothing, Ended::Served("made".into()))]
-#[case::nobody_waits_any_more(Change::RequestOver, Ended::Not(Status::Moot))]
-#[case::the_time_is_up(Change::TimeUp, Ended::Not(Status::Moot))]
-#[case::the_peer_drains(Change::Drains, Ended::Not(Status::ConnectFailed))]
-#[case::the_peer_starts_anew(Change::StartsAnew, Ended::Not(Status::Moot))]
+#[case::nobody_waits_any_more(Change::RequestOver, Ended::Not(Outcome::NotSent))]
+#[case::the_time_is_up(Change::TimeUp, Ended::Not(Outcome::NotSent))]
+#[case::the_peer_drains(Change::Drains, Ended::Not(Outcome::ConnectFailed))]
+#[case::the_peer_starts_anew(Change::StartsAnew, Ended::Not(Outcome::NotSent))]
 #[case::the_peer_starts_anew_by_a_clock_that_was_stepped_back(
     Change::StartsAnewAfterItsClockWasSteppedBack,
-    Ended::Not(Status::Moot)
+    Ended::Not(Outcome::NotSent)
 )]
 #[case::an_earlier_attempt_is_handed_back(Change::ReturnedBefore, Ended::Served("made".into()))]
 #[case::an_earlier_attempt_is_done(Change::DoneBefore, Ended::Served("made".into()))]
@@ -100,7 +100,7 @@
     const ID: &str = "00000000000000ab";
     const STARTED: Micros = 7;
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, MemberState::Ready, STARTED);
+    tell(&group, &narrow, EndpointState::Ready, STARTED);
     let _filler = narrow.fill().await;
     let mut terms = Terms::within(MINUTE);
     if change == Change::TimeUp {
@@ -114,10 +114,10 @@
     match change {
         Change::Nothing | Change::TimeUp => {}
         Change::RequestOver => over.store(true, Ordering::Relaxed),
-        Change::Drains => tell(&group, &narrow, MemberState::Draining, STARTED),
-        Change::StartsAnew => tell(&group, &narrow, MemberState::Ready, STARTED + 1),
+        Change::Drains => tell(&group, &narrow, EndpointState::Draining, STARTED),
+        Change::StartsAnew => tell(&group, &narrow, EndpointState::Ready, STARTED + 1),
         Change::StartsAnewAfterItsClockWasSteppedBack => {
-            tell(&group, &narrow, MemberState::Ready, STARTED - 1);
+            tell(&group, &narrow, EndpointState::Ready, STARTED - 1);
         }
         Change::ReturnedBefore => assert!(group.called_back(&callback(ID, "returned"))),
         Change::DoneBefore => assert!(group.called_back(&callback(ID, "done"))),
@@ -173,7 +173,7 @@
     /// Between the first byte and its reading here; less than the second for which the kernel pauses.
     const READ_WITHIN: Duration = Duration::from_millis(500);
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, MemberState::Ready, 0);
+    tell(&group, &narrow, EndpointState::Ready, 0);
     let _filler = narrow.fill().await;
     let (parcel, (_cancel, cancelled)) = (parcel("00000000000000ab"), oneshot::channel());
     let decided = std::time::Instant::now();
@@ -204,7 +204,7 @@
 #[tokio::test]
 async fn a_late_connection_is_not_written_to_for_a_request_that_is_gone() {
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, MemberState::Ready, 0);
+    tell(&group, &narrow, EndpointState::Ready, 0);
     let _filler = narrow.fill().await;
     let (first, second) = (parcel("00000000000000ab"), parcel("00000000000000cd"));
     let ((cancel, cancelled), (_keep, kept)) = (oneshot::channel(), oneshot::channel());
@@ -216,7 +216,7 @@
         futures_util::poll!(gone.as_mut()).is_pending() && futures_util::poll!(stays.as_mut()).is_pending()
     );
     cancel.send(()).expect("it waits");
-    assert_eq!(gone.await.0, Ended::Not(Status::Moot), "it never ran");
+    assert_eq!(gone.await.0, Ended::Not(Outcome::NotSent), "it never ran");
     let peer = async {
         narrow.accept().await.closed_by_the_story();
         let mut peer = narrow.accept().await;
@@ -243,34 +243,34 @@
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
     let config = read_text("late", &document.to_string()).expect("it reads").config;
-    let policy = Policy::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
-    let engine = Engine::new(policy, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
+    let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
     tokio::spawn(engine.clone().run_timers());
     let peers = [Narrow::open(), Narrow::open()];
-    let (names, ready) = (["s-0", "s-1"], MemberState::Ready);
+    let (names, ready) = (["s-0", "s-1"], EndpointState::Ready);
     let addresses = peers.each_ref().map(|peer| peer.address.to_string());
     let entries = names.iter().zip(&addresses).map(|(name, address)| {
         let worker = worker_id(name);
         ListedPeer { worker, name, address, state: ready, started: 0 }
     });
-    upstream.apply(ListKind::Full, entries);
-    let member = |name| Member {
+    upstream.apply(EndpointUpdate::Snapshot, entries);
+    let endpoint = |name| Endpoint {
         worker: worker_id(name),
         zone: ZoneId(0),
         kind: KindId(0),
         cell: CellId(0),
         state: ready,
-        units: 1.0,
-        born: 0,
+        weight: 1.0,
+        started_at: 0,
     };
-    engine.handle(Event::Members { kind: ListKind::Full, members: names.map(member).to_vec() });
+    engine.handle(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: names.map(endpoint).to_vec() });
     let request = Request {
         id: RequestId(0xab),
         class: ClassId(0),
         tenant: TenantId(0),
         key: Some("k".to_string()),
-        due: engine.clock.now() + 60_000_000,
+        deadline: engine.clock.now() + 60_000_000,
         expected_work: None,
         slots: 1.0,
         retry: false,
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use vetchbridge_scheduling::interface::*;
-use vetchbridge_scheduling::policy::Policy;
+use vetchbridge_scheduling::scheduler::Scheduler;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -76,10 +76,10 @@
                 "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                           "tip_multiple": 2.5, "fall": 2_000_000}}});
         let config = read_text("parts", &document.to_string()).expect("it reads").config;
-        let policy = Policy::new(config.snapshot.settings.clone(), seed).expect("sound settings");
+        let scheduler = Scheduler::new(config.snapshot.settings.clone(), seed).expect("sound settings");
         let upstream = Arc::new(UpstreamGroup::new(HANG, HANG, 1));
         let (asks, asked) = unbounded_channel();
-        let engine = Engine::new(policy, upstream.clone(), asks.clone(), unbounded_channel().0);
+        let engine = Engine::new(scheduler, upstream.clone(), asks.clone(), unbounded_channel().0);
         tokio::spawn(engine.clone().run_timers());
         Parts {
             engine,
@@ -102,9 +102,9 @@
     /// What a reload does that names the same discovery and lists that are asked for (`ask`) or pushed (`push`).
     fn reload(&self, discovers: &str) {
         let mut settings = self.current.get().settings.clone();
-        settings.discovery = match discovers {
-            "push" => vetchbridge_scheduling::interface::Discovery::Push,
-            _ => vetchbridge_scheduling::interface::Discovery::Ask,
+        settings.endpoint_delivery = match discovers {
+            "push" => vetchbridge_scheduling::interface::EndpointDelivery::Push,
+            _ => vetchbridge_scheduling::interface::EndpointDelivery::Poll,
         };
         self.adopt(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
@@ -134,7 +134,7 @@
             class: ClassId(0),
             tenant: TenantId(0),
             key: Some("k".to_string()),
-            due: self.engine.clock.now() + 60_000_000,
+            deadline: self.engine.clock.now() + 60_000_000,
             expected_work: None,
             slots: 1.0,
             retry: false,
@@ -266,7 +266,7 @@
     parts.follow(json!([instance("s-a", a.local_addr().unwrap()), instance("s-b", b.local_addr().unwrap())]));
     let _watch = parts.confirm().await;
     let mut settings = parts.current.get().settings.clone();
-    settings.classes[0].effect = Effect::Safe;
+    settings.classes[0].idempotency = Idempotency::Idempotent;
     parts.engine.handle(Event::Settings(Box::new(settings.clone())));
     if safe {
         parts.adopt(settings);
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -6,7 +6,7 @@
 use hyper::http::uri::PathAndQuery;
 use vetchbridge_testbed::{wire::Wire, Port};
 use rstest::rstest;
-use vetchbridge_scheduling::interface::{ListKind, LoadReport, MemberState, ReportVia, RequestId, Status, WorkerId};
+use vetchbridge_scheduling::interface::{EndpointUpdate, LoadReport, EndpointState, LoadReportSource, RequestId, Outcome, WorkerId};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -26,18 +26,18 @@
     worker: WorkerId,
 }
 
-fn tell(group: &UpstreamGroup, address: SocketAddr, state: MemberState) {
+fn tell(group: &UpstreamGroup, address: SocketAddr, state: EndpointState) {
     let (worker, name, address) = (worker_id("s-0"), "s-0", &*address.to_string());
     let entry = ListedPeer { worker, name, address, state, started: 0 };
-    group.apply(ListKind::Changes, [entry].into_iter());
+    group.apply(EndpointUpdate::Changes, [entry].into_iter());
 }
 
 impl Stage {
-    async fn set(via: ReportVia, probes: usize) -> Stage {
+    async fn set(via: LoadReportSource, probes: usize) -> Stage {
         let peer = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let group = UpstreamGroup::new(MINUTE, MINUTE, probes);
         group.read_reports(Reports { via, free_slots: FreeSlots::X0 });
-        tell(&group, peer.local_addr().expect("bound"), MemberState::Ready);
+        tell(&group, peer.local_addr().expect("bound"), EndpointState::Ready);
         Stage { group, peer, worker: worker_id("s-0") }
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// A probe whose answer is this status, with these header lines and this body.
-    async fn probe(&self, status: u16, headers: &str, body: &str) -> (Status, Option<LoadReport>) {
+    async fn probe(&self, status: u16, headers: &str, body: &str) -> (Outcome, Option<LoadReport>) {
         let answering = async {
             let mut wire = self.accept().await;
             wire.read().await.expect("a probe");
@@ -92,7 +92,7 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn probes_ask_for_stats_over_one_kept_connection() {
-    let stage = Stage::set(ReportVia::Probes, 4).await;
+    let stage = Stage::set(LoadReportSource::Probes, 4).await;
     let probing = async { [stage.group.probe(stage.worker).await, stage.group.probe(stage.worker).await] };
     let answering = async {
         let mut wire = stage.accept().await;
@@ -106,27 +106,27 @@
     };
     let (ended, _wire) = tokio::join!(probing, answering);
     let second = LoadReport { queued: Some(3.0), free_slots: Some(1.0), ..LoadReport::default() };
-    assert_eq!(ended, [(Status::Ok, queued(2.0)), (Status::Ok, Some(second))]);
+    assert_eq!(ended, [(Outcome::Ok, queued(2.0)), (Outcome::Ok, Some(second))]);
 }
 
 #[rstest]
-#[case::by_header(200, "Endpoint-Load-Metrics: TEXT queue=2\r\n", "", Status::Ok, queued(2.0))]
-#[case::no_report(200, "", "", Status::Ok, None)]
-#[case::garbage(200, "", "<html>\u{0}{\"queue\":", Status::Ok, None)]
-#[case::not_well(503, "", "{\"queue\":9}", Status::Full, queued(9.0))]
-#[case::too_many(429, "", "", Status::Full, None)]
-#[case::unknown_there(404, "", "queue=9", Status::Error, None)]
-#[case::broken_there(500, "", "", Status::Error, None)]
+#[case::by_header(200, "Endpoint-Load-Metrics: TEXT queue=2\r\n", "", Outcome::Ok, queued(2.0))]
+#[case::no_report(200, "", "", Outcome::Ok, None)]
+#[case::garbage(200, "", "<html>\u{0}{\"queue\":", Outcome::Ok, None)]
+#[case::not_well(503, "", "{\"queue\":9}", Outcome::Rejected, queued(9.0))]
+#[case::too_many(429, "", "", Outcome::Rejected, None)]
+#[case::unknown_there(404, "", "queue=9", Outcome::Error, None)]
+#[case::broken_there(500, "", "", Outcome::Error, None)]
 #[timeout(HANG)]
 #[tokio::test]
 async fn an_answer_tells_how_the_peer_is(
     #[case] status: u16,
     #[case] headers: &str,
     #[case] body: &str,
-    #[case] expected: Status,
+    #[case] expected: Outcome,
     #[case] load: Option<LoadReport>,
 ) {
-    let stage = Stage::set(ReportVia::Probes, 1).await;
+    let stage = Stage::set(LoadReportSource::Probes, 1).await;
     assert_eq!(stage.probe(status, headers, body).await, (expected, load));
 }
 
@@ -135,7 +135,7 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn an_endless_report_is_none() {
-    let stage = Stage::set(ReportVia::Probes, 1).await;
+    let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let answering = async {
         let mut wire = stage.accept().await;
         wire.read().await.expect("a probe");
@@ -143,7 +143,7 @@
         let _ = wire.answer(200, "", &format!("queue=1,{}", " ".repeat(1 << 20))).await;
     };
     let (ended, ()) = tokio::join!(stage.group.probe(stage.worker), answering);
-    assert_eq!(ended, (Status::Ok, None));
+    assert_eq!(ended, (Outcome::Ok, None));
 }
 
 #[rstest]
@@ -153,14 +153,14 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_probe_that_breaks_off_is_a_reset(#[case] before: &str) {
-    let stage = Stage::set(ReportVia::Probes, 1).await;
+    let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let answering = async {
         let mut wire = stage.accept().await;
         wire.read().await.expect("a probe");
         wire.write(before).await.expect("it is read");
     };
     let (ended, ()) = tokio::join!(stage.group.probe(stage.worker), answering);
-    assert_eq!(ended, (Status::Reset, None));
+    assert_eq!(ended, (Outcome::Reset, None));
 }
 
 /// Silence ends at the bound, and hanging up tells the peer that nobody waits any more. The place is given back.
@@ -168,7 +168,7 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn an_answer_that_is_late_is_not_waited_for() {
-    let stage = Stage::set(ReportVia::Probes, 1).await;
+    let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let silent = async {
         let mut wire = stage.accept().await;
         wire.read().await.expect("a probe");
@@ -178,19 +178,19 @@
         tokio::time::resume();
     };
     let (ended, ()) = tokio::join!(stage.group.probe(stage.worker), silent);
-    assert_eq!(ended, (Status::Timeout, None));
-    assert_eq!(stage.probe(200, "", "queue=2").await, (Status::Ok, queued(2.0)));
+    assert_eq!(ended, (Outcome::Timeout, None));
+    assert_eq!(stage.probe(200, "", "queue=2").await, (Outcome::Ok, queued(2.0)));
 }
 
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_peer_that_refuses_or_is_unknown_can_t_be_connected_to() {
-    let stage = Stage::set(ReportVia::Probes, 1).await;
+    let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let nobody = Port::reserve().expect("a port");
-    tell(&stage.group, nobody.address(), MemberState::Ready);
-    assert_eq!(stage.group.probe(stage.worker).await, (Status::ConnectFailed, None));
-    assert_eq!(stage.group.probe(WorkerId(7)).await, (Status::ConnectFailed, None));
+    tell(&stage.group, nobody.address(), EndpointState::Ready);
+    assert_eq!(stage.group.probe(stage.worker).await, (Outcome::ConnectFailed, None));
+    assert_eq!(stage.group.probe(WorkerId(7)).await, (Outcome::ConnectFailed, None));
 }
 
 /// Not one byte goes to a peer that is leaving, be it told before the probe or while it dials.
@@ -198,13 +198,13 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_peer_that_drains_is_not_probed() {
-    let stage = Stage::set(ReportVia::Probes, 1).await;
+    let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let address = stage.peer.local_addr().expect("bound");
     let probe = stage.group.probe(stage.worker);
     tokio::pin!(probe);
     // The first poll starts the dial; no dial ends before the runtime has looked at its sockets.
     assert!(futures_util::poll!(probe.as_mut()).is_pending());
-    tell(&stage.group, address, MemberState::Draining);
+    tell(&stage.group, address, EndpointState::Draining);
     let written = async {
         let (stream, _) = stage.peer.accept().await.expect("a connection");
         stream.readable().await.expect("readable");
@@ -212,10 +212,10 @@
     };
     tokio::select! {
         biased;
-        ended = probe => assert_eq!(ended, (Status::ConnectFailed, None)),
+        ended = probe => assert_eq!(ended, (Outcome::ConnectFailed, None)),
         bytes = written => panic!("{bytes} bytes were written to a draining peer"),
     }
-    assert_eq!(stage.group.probe(stage.worker).await, (Status::ConnectFailed, None));
+    assert_eq!(stage.group.probe(stage.worker).await, (Outcome::ConnectFailed, None));
 }
 
 /// Each probe may hold a descriptor: beyond the bound one is never sent, and ends at once.
@@ -223,21 +223,21 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn more_probes_than_there_is_room_for_are_not_sent() {
-    let stage = Stage::set(ReportVia::Probes, 2).await;
+    let stage = Stage::set(LoadReportSource::Probes, 2).await;
     let (a, b) = (stage.group.probe(stage.worker), stage.group.probe(stage.worker));
     tokio::pin!(a, b);
     assert!(futures_util::poll!(a.as_mut()).is_pending() && futures_util::poll!(b.as_mut()).is_pending());
-    assert_eq!(stage.group.probe(stage.worker).await, (Status::Moot, None));
+    assert_eq!(stage.group.probe(stage.worker).await, (Outcome::NotSent, None));
 }
 
 /// What ended the attempt brings the report; what came before is older than the job.
 #[rstest]
-#[case::turned_away((503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=2\r\n"), None, Ended::Not(Status::Full), queued(2.0))]
-#[case::failed((500, "Endpoint-Load-Metrics: queue=2\r\n"), None, Ended::Not(Status::Error), queued(2.0))]
-#[case::garbage((500, "Endpoint-Load-Metrics: BIN CAES\r\n"), None, Ended::Not(Status::Error), None)]
+#[case::turned_away((503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=2\r\n"), None, Ended::Not(Outcome::Rejected), queued(2.0))]
+#[case::failed((500, "Endpoint-Load-Metrics: queue=2\r\n"), None, Ended::Not(Outcome::Error), queued(2.0))]
+#[case::garbage((500, "Endpoint-Load-Metrics: BIN CAES\r\n"), None, Ended::Not(Outcome::Error), None)]
 #[case::done((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"done","result":"made","load":{"queue":2}"#), Ended::Served(Bytes::from_static(b"made")), queued(2.0))]
-#[case::silent((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"lost""#), Ended::Not(Status::Reset), None)]
-#[case::out_of_range((202, ""), Some(r#""state":"failed","load":{"util":1e999,"queue":2}"#), Ended::Not(Status::Error), queued(2.0))]
+#[case::silent((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"lost""#), Ended::Not(Outcome::Reset), None)]
+#[case::out_of_range((202, ""), Some(r#""state":"failed","load":{"util":1e999,"queue":2}"#), Ended::Not(Outcome::Error), queued(2.0))]
 #[case::no_object((202, ""), Some(r#""state":"done","result":"made","load":[{"queue":2}]"#), Ended::Served(Bytes::from_static(b"made")), None)]
 #[timeout(HANG)]
 #[tokio::test]
@@ -247,7 +247,7 @@
     #[case] expected: Ended,
     #[case] load: Option<LoadReport>,
 ) {
-    let stage = Stage::set(ReportVia::Answers, 1).await;
+    let stage = Stage::set(LoadReportSource::Responses, 1).await;
     let callback = callback.map(|rest| format!("{{\"id\":\"{ID}\",\"from\":\"s-0\",{rest}}}"));
     assert_eq!(stage.attempt(answer, callback.as_deref()).await, (expected, load));
 }
@@ -257,7 +257,7 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_report_that_the_settings_do_not_name_is_not_read() {
-    let stage = Stage::set(ReportVia::Probes, 1).await;
+    let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let answer = (503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: queue=2\r\n");
-    assert_eq!(stage.attempt(answer, None).await, (Ended::Not(Status::Full), None));
+    assert_eq!(stage.attempt(answer, None).await, (Ended::Not(Outcome::Rejected), None));
 }
