--- a/crates/vetchbridge/tests/crowds.rs
+++ b/crates/vetchbridge/tests/crowds.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Clients and callbacks that have been answered and stay fill all there is, discovery is down and no connection to a peer
+/// Clients and callbacks that have been answered and stay fill all there is, discovery is down and no connection to a worker
 /// is left: a job still gets its dial, its callback and its answer, and readiness is told.
 #[rstest]
 #[timeout(HANG)]
@@ -99,15 +99,15 @@
     assert_eq!(stage.readiness().await.status(), "200");
 }
 
-/// An attempt that finds no descriptor for its dial never ran, and is no fault of its peer: even one that must not run twice
+/// An attempt that finds no descriptor for its dial never ran, and is no fault of its worker: even one that must not run twice
 /// is refused at once with harmless advice, which does not grow however often it happens, and goes through once there are
 /// descriptors again.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_dial_without_a_descriptor_blames_no_peer() {
+async fn a_dial_without_a_descriptor_blames_no_worker() {
     const TIMES: usize = 2;
-    // A peer that is ejected is tried all the same where there is no other, and the advice tells until when it would be.
+    // A worker that is ejected is tried all the same where there is no other, and the advice tells until when it would be.
     let mut stage = Stage::limited(1, &[], 1024).await;
     stage.discovery_goes().await;
     let mut client = dial(stage.daemon.address).await;
@@ -128,7 +128,7 @@
     drop(crowd);
 }
 
-/// Hands in jobs to the one peer until a newcomer is turned away: the connections of all others, which are owed an answer, and
+/// Hands in jobs to the one worker until a newcomer is turned away: the connections of all others, which are owed an answer, and
 /// their ids.
 async fn every_place_is_owed_an_answer(stage: &mut Stage) -> Vec<(Wire, String)> {
     let mut owed = Vec::new();
@@ -140,11 +140,11 @@
                 assert!(owed.len() >= SOCKETS as usize / 4, "{} connections", owed.len());
                 return owed;
             }
-            (_, mut peer) = stage.peer() => {
-                let job = peer.read().await.expect("the job");
+            (_, mut worker) = stage.worker() => {
+                let job = worker.read().await.expect("the job");
                 assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "and not one that was turned away");
-                peer.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
-                peer.closed().await;
+                worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+                worker.closed().await;
                 owed.push((client, id));
             }
         }
@@ -173,7 +173,7 @@
     let owed = every_place_is_owed_an_answer(&mut stage).await;
     let mut callbacks = Vec::new();
     for (_, id) in &owed {
-        // A peer that keeps its connection must not keep the next callback out.
+        // A worker that keeps its connection must not keep the next callback out.
         let mut callback = dial(stage.daemon.address).await;
         let body = json!({"id": id, "from": "s-0", "state": "started"}).to_string();
         callback.hand_in("/callback", "", &body).await;
@@ -187,7 +187,7 @@
 }
 
 /// However many requests come at once on one connection, those of others are answered; who sends them and goes has
-/// none of them sent to a peer.
+/// none of them sent to a worker.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -1,5 +1,5 @@
-//! Answers of peers that are cut, come twice or never end, and connections that end while they are idle: one story for each
-//! way. The peer is a blocking socket, so that what it says is with the kernel before the runtime can look at any socket.
+//! Answers of workers that are cut, come twice or never end, and connections that end while they are idle: one story for each
+//! way. The worker is a blocking socket, so that what it says is with the kernel before the runtime can look at any socket.
 #![allow(missing_docs)]
 
 mod common;
@@ -16,20 +16,20 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::spawn_blocking;
-use vetchbridge::peers::{worker_id, Callback, Ended, ListedPeer, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::{worker_id, Callback, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
 
 const MINUTE: Duration = Duration::from_secs(60);
 const ID: &str = "00000000000000ab";
 const TURNED_AWAY: &str = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// A group that knows one peer, `s-0`.
+/// A group that knows one worker, `s-0`.
 struct Stage {
     group: UpstreamGroup,
     listener: TcpListener,
     worker: WorkerId,
 }
 
-/// The peer's end of a connection.
+/// The worker's end of a connection.
 struct Line(TcpStream);
 
 impl Line {
@@ -69,7 +69,7 @@
         let group = UpstreamGroup::new(dial, MINUTE, 1);
         let address = listener.local_addr().expect("bound").to_string();
         let (name, state) = ("s-0", EndpointState::Ready);
-        let entry = ListedPeer { worker, name, address: &address, state, started: 0 };
+        let entry = ListedWorker { worker_id: worker, name, address: &address, state, started: 0 };
         group.apply(EndpointUpdate::Changes, [entry].into_iter());
         Stage { group, listener, worker }
     }
@@ -101,13 +101,13 @@
 
     /// A connection that is idle since just now: its answer was read to the end, as the attempt's end tells.
     async fn kept(&self) -> Line {
-        let peer = async {
+        let worker = async {
             let mut line = self.accept().await;
             line.reads().await.expect("the job");
             line.says(TURNED_AWAY);
             line
         };
-        let (ended, line) = tokio::join!(self.attempt(), peer);
+        let (ended, line) = tokio::join!(self.attempt(), worker);
         assert_eq!(ended, Ended::Not(Outcome::Rejected));
         // The pool's own tasks put it back.
         for _ in 0..8 {
@@ -133,7 +133,7 @@
     Reset,
 }
 
-/// What a peer has said on an idle connection, or that it has ended it, may be with the kernel and not be known here yet. The
+/// What a worker has said on an idle connection, or that it has ended it, may be with the kernel and not be known here yet. The
 /// next request is not written then, whatever its class it never ran, and no answer is taken for its own. Both right after
 /// the answer before, while the connection rests, and long after it.
 #[rstest]
@@ -202,11 +202,11 @@
     let stage = Stage::set(MINUTE);
     let mut line = stage.kept().await;
     for _ in 0..3 {
-        let peer = async {
+        let worker = async {
             line.reads().await.expect("the job");
             line.says(TURNED_AWAY);
         };
-        assert_eq!(tokio::join!(stage.attempt(), peer).0, Ended::Not(Outcome::Rejected));
+        assert_eq!(tokio::join!(stage.attempt(), worker).0, Ended::Not(Outcome::Rejected));
     }
 }
 
@@ -247,13 +247,13 @@
 #[tokio::test]
 async fn an_answer_that_never_ends_holds_no_attempt(#[case] answer: &str, #[case] expected: Outcome) {
     let stage = Stage::set(Duration::from_millis(500));
-    let peer = async {
+    let worker = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job");
         line.says(answer);
         line
     };
-    let (ended, _line) = tokio::join!(stage.attempt(), peer);
+    let (ended, _line) = tokio::join!(stage.attempt(), worker);
     assert_eq!(ended, Ended::Not(expected));
 }
 
@@ -268,11 +268,11 @@
 async fn the_head_of_a_202_is_enough(#[case] answer: &str, #[values(true, false)] goes_on: bool) {
     let stage = Stage::set(Duration::from_millis(500));
     let (cancel, cancelled) = oneshot::channel();
-    let peer = async {
+    let worker = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job");
         line.says(answer);
-        // Longer than a peer may be silent.
+        // Longer than a worker may be silent.
         tokio::time::sleep(Duration::from_secs(1)).await;
         if goes_on {
             stage.calls_back("done");
@@ -284,7 +284,7 @@
         let call = if ended { line.reads().await } else { stage.accept().await.reads().await };
         assert!(call.expect("a call").starts_with(&format!("DELETE /jobs/{ID} ")));
     };
-    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(None, "work"), cancelled), peer);
+    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(None, "work"), cancelled), worker);
     assert_eq!(ended, if goes_on { served() } else { Ended::Not(Outcome::Cancelled) });
 }
 
@@ -297,17 +297,17 @@
     #[values("", "w", "work")] body: &'static str,
 ) {
     let stage = Stage::set(MINUTE);
-    let peer = async {
+    let worker = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job");
         line.resets();
     };
     let (_cancel, cancelled) = oneshot::channel();
-    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(key, body), cancelled), peer);
+    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(key, body), cancelled), worker);
     assert_eq!(ended, Ended::Not(Outcome::Reset));
 }
 
-/// A peer repeats a word that was not answered. One that has ended an attempt does not end the next one there, which is not
+/// A worker repeats a word that was not answered. One that has ended an attempt does not end the next one there, which is not
 /// even taken yet; what it says after that one's 202 is about that one.
 #[rstest]
 #[timeout(HANG)]
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -15,7 +15,7 @@
 use vetchbridge::config::read_text;
 use vetchbridge::engine::Engine;
 use vetchbridge::invariants::violations;
-use vetchbridge::peers::{worker_id, ListedPeer, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::{worker_id, ListedWorker, Parcel, Terms, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::kin::Kin;
 
@@ -45,7 +45,7 @@
     let address = listener.local_addr().expect("bound").to_string();
     let group = UpstreamGroup::new(MINUTE, MINUTE, 1);
     let (worker, name, state) = (worker_id("s-0"), "s-0", EndpointState::Ready);
-    let entry = ListedPeer { worker, name, address: &address, state, started: 0 };
+    let entry = ListedWorker { worker_id: worker, name, address: &address, state, started: 0 };
     group.apply(EndpointUpdate::Changes, [entry].into_iter());
     let parcel = parcel();
     let attempt = |number: u64, cancelled| {
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -28,7 +28,7 @@
 use tokio::time::sleep;
 use vetchbridge::config::read_text;
 use vetchbridge::list::listing::Instance;
-use vetchbridge::peers::{request_id, worker_id, Ended, ListedPeer, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::{request_id, worker_id, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
 use vetchbridge::upgrade::words::{in_messages, Word, LONGEST};
 
 const WORKERS: usize = 1200;
@@ -394,7 +394,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (name, address) = (worker_name(number, 0), listener.local_addr().expect("bound").to_string());
         let (worker, state) = (worker_id(&name), EndpointState::Ready);
-        let listed = ListedPeer { worker, name: &name, address: &address, state, started: 0 };
+        let listed = ListedWorker { worker_id: worker, name: &name, address: &address, state, started: 0 };
         group.apply(EndpointUpdate::Changes, std::iter::once(listed));
         tokio::spawn(turn_away(number, listener, heard.clone()));
     }
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to peers that come up late, and what was decided long before: one story for each thing that may no longer hold
+//! Connections to workers that come up late, and what was decided long before: one story for each thing that may no longer hold
 //! at the first byte. The kernel drops the first call of a dial while a listener's queue is full, and repeats it after a
 //! second; nothing here waits for that time to pass but by waiting for the connection.
 #![allow(missing_docs)]
@@ -22,7 +22,7 @@
 use tokio::sync::oneshot;
 use vetchbridge::config::read_text;
 use vetchbridge::engine::Engine;
-use vetchbridge::peers::{worker_id, Callback, Ended, ListedPeer, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::{worker_id, Callback, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::kin::Kin;
 
@@ -55,7 +55,7 @@
 
 fn tell(group: &UpstreamGroup, narrow: &Narrow, state: EndpointState, started: Micros) {
     let (worker, name, address) = (worker_id("s-0"), "s-0", &*narrow.address.to_string());
-    group.apply(EndpointUpdate::Changes, [ListedPeer { worker, name, address, state, started }].into_iter());
+    group.apply(EndpointUpdate::Changes, [ListedWorker { worker_id: worker, name, address, state, started }].into_iter());
 }
 
 fn parcel(id: &str) -> Parcel {
@@ -86,9 +86,9 @@
 #[case::all_holds(Change::Nothing, Ended::Served("made".into()))]
 #[case::nobody_waits_any_more(Change::RequestOver, Ended::Not(Outcome::NotSent))]
 #[case::the_time_is_up(Change::TimeUp, Ended::Not(Outcome::NotSent))]
-#[case::the_peer_drains(Change::Drains, Ended::Not(Outcome::ConnectFailed))]
-#[case::the_peer_starts_anew(Change::StartsAnew, Ended::Not(Outcome::NotSent))]
-#[case::the_peer_starts_anew_by_a_clock_that_was_stepped_back(
+#[case::the_worker_drains(Change::Drains, Ended::Not(Outcome::ConnectFailed))]
+#[case::the_worker_starts_anew(Change::StartsAnew, Ended::Not(Outcome::NotSent))]
+#[case::the_worker_starts_anew_by_a_clock_that_was_stepped_back(
     Change::StartsAnewAfterItsClockWasSteppedBack,
     Ended::Not(Outcome::NotSent)
 )]
@@ -122,18 +122,18 @@
         Change::ReturnedBefore => assert!(group.called_back(&callback(ID, "returned"))),
         Change::DoneBefore => assert!(group.called_back(&callback(ID, "done"))),
     }
-    let peer = async {
+    let worker = async {
         narrow.accept().await.closed_by_the_story();
-        let mut peer = narrow.accept().await;
-        if let Some(job) = peer.read().await {
+        let mut worker = narrow.accept().await;
+        if let Some(job) = worker.read().await {
             assert_eq!(job.header("x-trace-id"), Some(ID));
-            peer.answer(202, "", "").await.expect("it is read");
+            worker.answer(202, "", "").await.expect("it is read");
             assert!(group.called_back(&callback(ID, "done")));
             return true;
         }
         false
     };
-    tokio::pin!(peer);
+    tokio::pin!(worker);
     match change {
         // The dial goes with the attempt: there is no connection to wait for.
         Change::Drains
@@ -143,11 +143,11 @@
             tokio::select! {
                 biased;
                 (ended, _) = attempt => assert_eq!(ended, expected),
-                written = &mut peer => panic!("a connection came, written to: {written}"),
+                written = &mut worker => panic!("a connection came, written to: {written}"),
             }
         }
         _ => {
-            let ((ended, _), written) = tokio::join!(attempt, peer);
+            let ((ended, _), written) = tokio::join!(attempt, worker);
             let holds = matches!(change, Change::Nothing | Change::ReturnedBefore);
             assert_eq!((ended, written), (expected, holds));
         }
@@ -181,24 +181,24 @@
     let attempt = group.attempt(RequestId(0xab), worker, &parcel, Terms::within(WAIT), cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
-    let peer = async {
+    let worker = async {
         narrow.accept().await.closed_by_the_story();
-        let mut peer = narrow.accept().await;
-        let job = peer.read().await.expect("the job");
+        let mut worker = narrow.accept().await;
+        let job = worker.read().await.expect("the job");
         let read = decided.elapsed();
-        peer.answer(202, "", "").await.expect("it is read");
+        worker.answer(202, "", "").await.expect("it is read");
         assert!(group.called_back(&callback("00000000000000ab", "done")));
         let told = job.header("x-expires-in").expect("a span");
         let micros = told.strip_suffix('u').and_then(|digits| digits.parse().ok()).expect("microseconds");
         (Duration::from_micros(micros), read)
     };
-    let ((ended, _), (told, read)) = tokio::join!(attempt, peer);
+    let ((ended, _), (told, read)) = tokio::join!(attempt, worker);
     assert_eq!(ended, Ended::Served("made".into()));
     assert!(told + read <= WAIT + READ_WITHIN, "told {told:?} when {read:?} of {WAIT:?} were over");
     assert!(told + read >= WAIT, "told {told:?} when {read:?} of {WAIT:?} were over");
 }
 
-/// Two requests wait for one peer, and the first is called off. Connections that come up afterwards carry the second alone.
+/// Two requests wait for one worker, and the first is called off. Connections that come up afterwards carry the second alone.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
@@ -217,19 +217,19 @@
     );
     cancel.send(()).expect("it waits");
     assert_eq!(gone.await.0, Ended::Not(Outcome::NotSent), "it never ran");
-    let peer = async {
+    let worker = async {
         narrow.accept().await.closed_by_the_story();
-        let mut peer = narrow.accept().await;
-        let job = peer.read().await.expect("the job that is wanted");
+        let mut worker = narrow.accept().await;
+        let job = worker.read().await.expect("the job that is wanted");
         assert_eq!(job.header("x-trace-id"), Some("00000000000000cd"));
-        peer.answer(202, "", "").await.expect("it is read");
+        worker.answer(202, "", "").await.expect("it is read");
         assert!(group.called_back(&callback("00000000000000cd", "done")));
     };
-    let ((ended, _), ()) = tokio::join!(stays, peer);
+    let ((ended, _), ()) = tokio::join!(stays, worker);
     assert_eq!(ended, Ended::Served("made".into()));
 }
 
-/// A keyed job may have run at its first peer. The second one's connection comes up when peers drop its repeat no longer: it
+/// A keyed job may have run at its first worker. The second one's connection comes up when workers drop its repeat no longer: it
 /// is not written, and the client has an answer at once.
 #[rstest]
 #[timeout(HANG)]
@@ -247,12 +247,12 @@
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
     let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
     tokio::spawn(engine.clone().run_timers());
-    let peers = [Narrow::open(), Narrow::open()];
+    let workers = [Narrow::open(), Narrow::open()];
     let (names, ready) = (["s-0", "s-1"], EndpointState::Ready);
-    let addresses = peers.each_ref().map(|peer| peer.address.to_string());
+    let addresses = workers.each_ref().map(|worker| worker.address.to_string());
     let entries = names.iter().zip(&addresses).map(|(name, address)| {
         let worker = worker_id(name);
-        ListedPeer { worker, name, address, state: ready, started: 0 }
+        ListedWorker { worker_id: worker, name, address, state: ready, started: 0 }
     });
     upstream.apply(EndpointUpdate::Snapshot, entries);
     let endpoint = |name| Endpoint {
@@ -279,8 +279,8 @@
         Job { request, parcel: parcel("00000000000000ab"), settings: Arc::new(config.snapshot), room: None };
     let answer = submit(engine.clone(), upstream.clone(), Arc::new(Kin::default()), job);
     let (mut first, other) = tokio::select! {
-        peer = peers[0].accept() => (peer, &peers[1]),
-        peer = peers[1].accept() => (peer, &peers[0]),
+        worker = workers[0].accept() => (worker, &workers[1]),
+        worker = workers[1].accept() => (worker, &workers[0]),
     };
     first.read().await.expect("the job");
     let _filler = other.fill().await;
@@ -295,6 +295,6 @@
     };
     let (written, answer) = tokio::join!(late, answer);
     assert_eq!(written, None, "the window was over");
-    // A refusal would promise that trying again is harmless, and peers drop a repeat no longer.
+    // A refusal would promise that trying again is harmless, and workers drop a repeat no longer.
     assert_eq!(answer.expect("an answer"), Answer::Failed);
 }
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -42,12 +42,12 @@
     }
 }
 
-/// A client that has gone before the first peer is listed has its job sent to nobody, whatever it wrote after it.
+/// A client that has gone before the first worker is listed has its job sent to nobody, whatever it wrote after it.
 /// `at_once`: list and departure reach the daemon in this order, and before it can look at either.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_job_that_waits_for_a_peer_ends_with_its_client(
+async fn a_job_that_waits_for_a_worker_ends_with_its_client(
     #[values("", "\r\n", NEXT, &NEXT.repeat(2000))] after: &str,
     #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
     #[values(true, false)] at_once: bool,
@@ -61,8 +61,8 @@
     twin.hand_in("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
     assert_eq!(status(&twin.read().await), "409", "the job is open");
 
-    stage.peers.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
-    let list = json!([instance(0, stage.peers[0].local_addr().expect("bound"), "up")]);
+    stage.workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+    let list = json!([instance(0, stage.workers[0].local_addr().expect("bound"), "up")]);
     if at_once {
         stage.daemon.freeze().await;
         watch.list(5, list).await;
@@ -88,14 +88,14 @@
     let mut stage = Stage::set(2).await;
     let (mut client, _) = stage.job("unsafe", "k").await;
     client.send(after).await;
-    let (_, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
+    let (_, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
     stage.daemon.freeze().await;
-    peer.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
-    delivered(&mut peer).await;
+    worker.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+    delivered(&mut worker).await;
     how.leave(client).await;
     stage.daemon.thaw();
-    peer.closed().await;
+    worker.closed().await;
     assert_eq!(stage.only_one_more_arrives().await, 0, "nobody is dialled for it");
 }
 
@@ -110,10 +110,10 @@
     let mut stage = Stage::set(1).await;
     let (mut client, _) = stage.job("safe", "k").await;
     client.send(after).await;
-    let (_, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
+    let (_, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
     how.leave(client).await;
-    assert!(peer.read().await.is_none(), "the attempt is given up by its connection");
+    assert!(worker.read().await.is_none(), "the attempt is given up by its connection");
     assert_eq!(stage.only_one_more_arrives().await, 0, "nobody is dialled for it");
 }
 
@@ -141,16 +141,16 @@
         client.write_in_pieces(&format!("{head}{body}")).await.expect("the daemon reads");
         client.send(after).await;
     }
-    let (number, mut peer) = stage.peer().await;
-    let job = peer.read().await.expect("the job");
+    let (number, mut worker) = stage.worker().await;
+    let job = worker.read().await.expect("the job");
     assert_eq!(job.text(), if body.len() > 5 { "work" } else { "" });
     // Once it is taken, nothing but its client's departure calls the attempt off.
-    peer.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+    worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     stage.call_back("00000000000000cd", number, "started").await;
     how.leave(client).await;
-    let (_, mut peer) = stage.peer().await;
-    assert_eq!(peer.read().await.expect("a call").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
-    drop(peer);
+    let (_, mut worker) = stage.worker().await;
+    assert_eq!(worker.read().await.expect("a call").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
+    drop(worker);
     assert_eq!(stage.only_one_more_arrives().await, 0, "nobody is dialled for it");
 }
 
@@ -194,9 +194,9 @@
     client.send(&all).await;
     for id in 1..=20 {
         let id = format!("{id:016x}");
-        let (number, mut peer) = stage.peer().await;
-        assert_eq!(peer.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
-        peer.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+        let (number, mut worker) = stage.worker().await;
+        assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
+        worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         stage.call_back(&id, number, "done").await;
         assert_eq!(status(&client.read().await), "200");
     }
@@ -204,7 +204,7 @@
     assert_eq!(status(&client.read().await), "200", "it is kept");
 }
 
-/// A client that goes while its job waits for a connection to the peer has it written to none.
+/// A client that goes while its job waits for a connection to the worker has it written to none.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
@@ -229,7 +229,7 @@
     for _ in &filling {
         drop(full.accept().await.expect("one of those that fill it"));
     }
-    stage.peers.push(full);
+    stage.workers.push(full);
     // The dial that was on its way may have come up.
     assert!(stage.only_one_more_arrives().await <= 1);
 }
--- a/crates/vetchbridge/tests/node.rs
+++ b/crates/vetchbridge/tests/node.rs
@@ -1,5 +1,5 @@
-//! Stories over loopback sockets: the daemon as a process, against scripted peers, discovery and clients.
-//! One story for each way that a peer, a client or an input has to go wrong. No bench is needed.
+//! Stories over loopback sockets: the daemon as a process, against scripted workers, discovery and clients.
+//! One story for each way that a worker, a client or an input has to go wrong. No bench is needed.
 #![allow(missing_docs)]
 
 mod common;
@@ -25,8 +25,8 @@
     let headers =
         "X-Trace-Id: 00000000000000ab\r\nX-Qos: safe\r\nX-Expires-In: 30000m\r\nIdempotency-Key: 5c0f\r\n";
     client.hand_in("/safe/a%2Fb?q=%20", headers, "some work").await;
-    let (number, mut peer) = stage.peer().await;
-    let job = peer.read().await.expect("the job");
+    let (number, mut worker) = stage.worker().await;
+    let job = worker.read().await.expect("the job");
     assert_eq!(job.line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
     assert_eq!(job.header("x-trace-id"), Some("00000000000000ab"));
     assert_eq!(job.header("idempotency-key"), Some("5c0f"));
@@ -40,21 +40,21 @@
     let answer = client.read().await;
     assert_eq!((status(&answer), answer.as_ref().unwrap().text().as_str()), ("200", "made"));
     // The connection is kept: the 202 was still read after the job was done.
-    peer.send(ACCEPTED).await;
+    worker.send(ACCEPTED).await;
     client.hand_in("/safe/c", "X-Trace-Id: 00000000000000ac\r\n", "more").await;
-    assert_eq!(peer.asked().await, "/safe/c");
+    assert_eq!(worker.asked().await, "/safe/c");
 }
 
 /// Answers and callbacks come in pieces of any size, and are read whole.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_peer_may_write_a_byte_at_a_time() {
+async fn a_worker_may_write_a_byte_at_a_time() {
     let mut stage = Stage::set(1).await;
     let (mut client, id) = stage.job("unsafe", "k").await;
-    let (_, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.write_in_pieces(ACCEPTED).await.expect("the daemon reads");
+    let (_, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.write_in_pieces(ACCEPTED).await.expect("the daemon reads");
     let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
     let call = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let mut caller = dial(stage.daemon.address).await;
@@ -82,11 +82,11 @@
 ) {
     let mut stage = Stage::set(2).await;
     let (mut client, id) = stage.job(class, "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(answer).await;
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(answer).await;
     if callback.is_empty() {
-        drop(peer);
+        drop(worker);
     } else {
         stage.call_back(&id, number, callback).await;
     }
@@ -97,7 +97,7 @@
     assert_eq!(status(&client.read().await), if resent { "200" } else { "502" });
 }
 
-/// What a peer says of an attempt that has ended is answered and heeded no more, a result too: the job is out at another peer
+/// What a worker says of an attempt that has ended is answered and heeded no more, a result too: the job is out at another worker
 /// by then, and the first attempt may have failed on the way to its end.
 #[rstest]
 #[timeout(HANG)]
@@ -108,16 +108,16 @@
 ) {
     let mut stage = Stage::set(2).await;
     let (mut client, id) = stage.job("safe", "k").await;
-    let (first, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(answer).await;
+    let (first, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(answer).await;
     if answer == ACCEPTED {
         stage.call_back(&id, first, "failed").await;
     }
-    let (second, mut peer) = stage.peer().await;
+    let (second, mut worker) = stage.worker().await;
     assert_ne!(first, second);
-    peer.read().await.expect("the job again");
-    peer.send(ACCEPTED).await;
+    worker.read().await.expect("the job again");
+    worker.send(ACCEPTED).await;
     let mut caller = dial(stage.daemon.address).await;
     let late = json!({"id": id, "from": format!("s-{first}"), "state": state, "result": "late"}).to_string();
     caller.hand_in("/callback", "", &late).await;
@@ -127,14 +127,14 @@
     assert_eq!((answer.status(), answer.text().as_str()), ("200", "made"));
 }
 
-/// A connected peer that does not take a job loses it, long before the client's time is up.
+/// A connected worker that does not take a job loses it, long before the client's time is up.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_peer_that_stays_silent_is_given_up(#[values("safe", "unsafe")] class: &str) {
+async fn a_worker_that_stays_silent_is_given_up(#[values("safe", "unsafe")] class: &str) {
     let mut stage = Stage::set(2).await;
     let (mut client, id) = stage.job(class, "k").await;
-    let (_, mut mute) = stage.peer().await;
+    let (_, mut mute) = stage.worker().await;
     mute.read().await.expect("the job");
     if class == "safe" {
         stage.serve_next(&id).await;
@@ -143,24 +143,24 @@
     assert!(mute.read().await.is_none(), "closing the connection gives the attempt up");
 }
 
-/// What one peer finds wrong with a request is wrong everywhere: no resend, and no blame for the peer.
+/// What one worker finds wrong with a request is wrong everywhere: no resend, and no blame for the worker.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_request_that_a_peer_finds_fault_with_fails_at_once() {
+async fn a_request_that_a_worker_finds_fault_with_fails_at_once() {
     let mut stage = Stage::set(2).await;
     let mut first = None;
     for _ in 0..3 {
         let (mut client, _) = stage.job("safe", "k").await;
-        let (number, mut peer) = stage.peer().await;
-        peer.read().await.expect("the job");
-        peer.send("HTTP/1.1 400 No\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+        let (number, mut worker) = stage.worker().await;
+        worker.read().await.expect("the job");
+        worker.send("HTTP/1.1 400 No\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         assert_eq!(status(&client.read().await), "502");
         assert_eq!(*first.get_or_insert(number), number, "the key stays with its peer");
     }
 }
 
-/// A peer that refuses connections never ran the job, whatever its class.
+/// A worker that refuses connections never ran the job, whatever its class.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
@@ -169,23 +169,23 @@
     let refusing = TcpSocket::new_v4().expect("a socket");
     refusing.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let mut stage = Stage::set_with(1, &[refusing.local_addr().expect("bound")]).await;
-    stage.peer_0_serves("unsafe").await;
+    stage.worker_0_serves("unsafe").await;
 }
 
-/// A connection that the peer has closed while it was idle is never written to.
+/// A connection that the worker has closed while it was idle is never written to.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_connection_closed_by_the_peer_is_not_used_again() {
+async fn a_connection_closed_by_the_worker_is_not_used_again() {
     let mut stage = Stage::set(1).await;
     let (mut client, id) = stage.job("unsafe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(ACCEPTED).await;
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(ACCEPTED).await;
     stage.call_back(&id, number, "done").await;
     assert_eq!(status(&client.read().await), "200");
-    peer.socket().shutdown().await.expect("closed");
-    assert!(peer.read().await.is_none(), "the daemon closes its side too");
+    worker.socket().shutdown().await.expect("closed");
+    assert!(worker.read().await.is_none(), "the daemon closes its side too");
     let (mut client, id) = stage.job("unsafe", "k").await;
     stage.serve_next(&id).await;
     assert_eq!(status(&client.read().await), "200");
@@ -198,15 +198,15 @@
 async fn a_client_that_leaves_has_its_attempt_given_up(#[values(true, false)] accepted: bool) {
     let mut stage = Stage::set(1).await;
     let (client, id) = stage.job("safe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
     if accepted {
-        peer.send(ACCEPTED).await;
+        worker.send(ACCEPTED).await;
         // Its answer shows that the daemon is past the 202, which came before.
         stage.call_back(&id, number, "started").await;
     }
     drop(client);
-    let given_up = peer.read().await.map(|call| call.line);
+    let given_up = worker.read().await.map(|call| call.line);
     assert_eq!(given_up, accepted.then(|| format!("DELETE /jobs/{id} HTTP/1.1")));
 }
 
@@ -218,9 +218,9 @@
     let mut stage = Stage::set(2).await;
     let (mut client, _) = stage.job("unsafe", "k").await;
     for _ in 0..2 {
-        let (_, mut peer) = stage.peer().await;
-        peer.read().await.expect("the job");
-        peer.send("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
+        let (_, mut worker) = stage.worker().await;
+        worker.read().await.expect("the job");
+        worker.send("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
     }
     let answer = client.read().await;
     assert_eq!(status(&answer), "503");
@@ -229,32 +229,32 @@
     assert!(seconds > 0.0 && seconds <= 2.0, "{seconds}");
 }
 
-/// A job that comes before the first peer is listed waits for it; the list may be seconds late at a start.
+/// A job that comes before the first worker is listed waits for it; the list may be seconds late at a start.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_job_that_finds_no_peer_goes_to_the_first_one_listed() {
+async fn a_job_that_finds_no_worker_goes_to_the_first_one_listed() {
     let mut stage = Stage::set(0).await;
     let (mut client, id) = stage.job("safe", "k").await;
-    let peers = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let workers = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let mut watch = Wire::new(stage.discovery.accept().await.expect("the watch").0);
     watch.asked().await;
-    watch.list(5, json!([instance(0, peers.local_addr().expect("bound"), "up")])).await;
-    let mut peer = Wire::new(peers.accept().await.expect("the job's connection").0);
-    peer.read().await.expect("the job");
-    peer.send(ACCEPTED).await;
+    watch.list(5, json!([instance(0, workers.local_addr().expect("bound"), "up")])).await;
+    let mut worker = Wire::new(workers.accept().await.expect("the job's connection").0);
+    worker.read().await.expect("the job");
+    worker.send(ACCEPTED).await;
     stage.call_back(&id, 0, "done").await;
     assert_eq!(status(&client.read().await), "200");
 }
 
-/// The watch goes on from the version last told, a list that can't be read changes nothing, and a peer that
+/// The watch goes on from the version last told, a list that can't be read changes nothing, and a worker that
 /// drains gets nothing new.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
 async fn the_upstream_group_follows_discovery() {
     let mut stage = Stage::set(2).await;
-    let address = |n: usize, stage: &Stage| stage.peers[n].local_addr().unwrap();
+    let address = |n: usize, stage: &Stage| stage.workers[n].local_addr().unwrap();
     let lists =
         [json!([instance(0, address(0, &stage), "up")]), json!([{"instanceId": "s-0", "lifecycle": "?"}])];
     let mut watch = Wire::new(stage.discovery.accept().await.expect("the watch").0);
@@ -265,16 +265,16 @@
     }
     // The unreadable list ended the watch; the module asks again from the version that it has.
     assert!(watch.asked().await.contains("index=5&"));
-    stage.peer_0_serves("safe").await;
+    stage.worker_0_serves("safe").await;
 }
 
-/// A list that breaks off is no list, but a peer that it has already called draining is told to be.
+/// A list that breaks off is no list, but a worker that it has already called draining is told to be.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_broken_list_still_tells_who_leaves() {
     let mut stage = Stage::set(2).await;
-    let drains = instance(1, stage.peers[1].local_addr().unwrap(), "draining");
+    let drains = instance(1, stage.workers[1].local_addr().unwrap(), "draining");
     let mut watch = Wire::new(stage.discovery.accept().await.expect("the watch").0);
     assert!(watch.asked().await.contains("index=1&"));
     let part = format!(
@@ -285,7 +285,7 @@
     // The version is what it was.
     let mut watch = Wire::new(stage.discovery.accept().await.expect("the next watch").0);
     assert!(watch.asked().await.contains("index=1&"));
-    stage.peer_0_serves("safe").await;
+    stage.worker_0_serves("safe").await;
 }
 
 /// SIGHUP moves the watch to the discovery that the file now names, whatever the environment says. Versions of
@@ -296,15 +296,15 @@
 #[tokio::test]
 async fn sighup_moves_to_the_new_discovery() {
     let mut stage = Stage::set(1).await;
-    let peer_address = stage.peers[0].local_addr().unwrap();
+    let worker_address = stage.workers[0].local_addr().unwrap();
     let mut watch = Wire::new(stage.discovery.accept().await.expect("the watch").0);
     assert!(watch.asked().await.contains("index=1&"));
-    watch.list(70, json!([instance(0, peer_address, "up")])).await;
+    watch.list(70, json!([instance(0, worker_address, "up")])).await;
     assert!(watch.asked().await.contains("index=70&"));
     let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(ACCEPTED).await;
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(ACCEPTED).await;
 
     std::fs::write(&stage.daemon.config, "{").expect("written");
     stage.daemon.signal("-HUP");
@@ -316,7 +316,7 @@
         stage.daemon.signal("-HUP");
         let mut watch = Wire::new(moved.accept().await.expect("the new watch").0);
         assert_eq!(watch.asked().await, "/registry/instances");
-        watch.list(version, json!([instance(0, peer_address, "up")])).await;
+        watch.list(version, json!([instance(0, worker_address, "up")])).await;
         assert!(watch.asked().await.contains(&format!("index={version}&")));
     }
 
@@ -335,11 +335,11 @@
 async fn new_settings_bind_and_open_jobs_keep_their_class() {
     let mut stage = Stage::set(2).await;
     let (mut dropped, dropped_id) = stage.job("unsafe", "k").await;
-    let (dropped_peer, mut wire) = stage.peer().await;
+    let (dropped_worker, mut wire) = stage.worker().await;
     wire.read().await.expect("the job");
     wire.send(ACCEPTED).await;
     let (mut once_safe, once_safe_id) = stage.job("safe", "k").await;
-    let (_, mut second) = stage.peer().await;
+    let (_, mut second) = stage.worker().await;
     second.read().await.expect("the job, at the peer that has none yet");
 
     let mut other = config(stage.discovery.local_addr().unwrap(), json!(stage.known));
@@ -359,23 +359,23 @@
     let mut gone = dial(stage.daemon.address).await;
     gone.hand_in("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(&gone.read().await), "400", "there is no such class any more");
-    // Broken before its 202: one that was taken as safe goes on to the other peer, a new one does not.
+    // Broken before its 202: one that was taken as safe goes on to the other worker, a new one does not.
     drop(second);
     wire.read().await.expect("the job again");
     wire.send(ACCEPTED).await;
-    stage.call_back(&once_safe_id, dropped_peer, "done").await;
+    stage.call_back(&once_safe_id, dropped_worker, "done").await;
     assert_eq!(status(&once_safe.read().await), "200");
     let (mut now_unsafe, _) = stage.job("safe", "k").await;
-    let (_, mut second) = stage.peer().await;
+    let (_, mut second) = stage.worker().await;
     second.read().await.expect("the job");
     drop(second);
     assert_eq!(status(&now_unsafe.read().await), "502");
     let (mut fresh, fresh_id) = stage.job("fresh", "k").await;
     wire.read().await.expect("the job, where the other peer has broken off twice");
     wire.send(ACCEPTED).await;
-    stage.call_back(&fresh_id, dropped_peer, "done").await;
+    stage.call_back(&fresh_id, dropped_worker, "done").await;
     assert_eq!(status(&fresh.read().await), "200");
-    stage.call_back(&dropped_id, dropped_peer, "done").await;
+    stage.call_back(&dropped_id, dropped_worker, "done").await;
     assert_eq!(status(&dropped.read().await), "200");
 }
 
@@ -456,9 +456,9 @@
 async fn sigterm_lets_everything_taken_be_answered() {
     let mut stage = Stage::set(1).await;
     let (mut early, early_id) = stage.job("safe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(ACCEPTED).await;
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(ACCEPTED).await;
     // Never whole, so never taken: it must not hold up the end, not even until its time is up.
     let mut half = dial(stage.daemon.address).await;
     half.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nwork").await;
@@ -472,8 +472,8 @@
     };
     assert_eq!(closed.header("connection"), None);
     let (mut late, late_id) = stage.job("safe", "k").await;
-    peer.read().await.expect("the late job");
-    peer.send(ACCEPTED).await;
+    worker.read().await.expect("the late job");
+    worker.send(ACCEPTED).await;
     for (client, id) in [(&mut early, early_id), (&mut late, late_id)] {
         stage.call_back(&id, number, "done").await;
         let answer = client.read().await.expect("an answer");
@@ -481,8 +481,8 @@
     }
     // Whoever holds a connection goes on using it.
     early.hand_in("/safe/k", "X-Trace-Id: 00000000000000aa\r\n", "work").await;
-    peer.read().await.expect("the next job");
-    peer.send(ACCEPTED).await;
+    worker.read().await.expect("the next job");
+    worker.send(ACCEPTED).await;
     stage.call_back("00000000000000aa", number, "done").await;
     assert_eq!(status(&early.read().await), "200");
     assert!(early.read().await.is_none() && late.read().await.is_none(), "closed once it hangs up");
@@ -504,20 +504,20 @@
     // Connected and not heard of yet: whenever its job comes, it is owed an answer.
     let mut slow = dial(stage.daemon.address).await;
     let (mut early, early_id) = stage.job("safe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(ACCEPTED).await;
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(ACCEPTED).await;
     assert_eq!(stage.daemon.operate("quiesce").await, "ok draining\n");
     let not_ready = stage.readiness().await;
     assert_eq!((not_ready.status(), not_ready.header("connection")), ("503", Some("close")));
     assert!(idle.read().await.is_none(), "an idle connection is closed");
     assert_eq!(stage.daemon.operate("health").await, "ok drained\n");
     slow.hand_in("/safe/k", "X-Trace-Id: 00000000000000aa\r\n", "work").await;
-    peer.read().await.expect("the slow client's job");
-    peer.send(ACCEPTED).await;
+    worker.read().await.expect("the slow client's job");
+    worker.send(ACCEPTED).await;
     let (mut late, late_id) = stage.job("safe", "k").await;
-    peer.read().await.expect("the late job");
-    peer.send(ACCEPTED).await;
+    worker.read().await.expect("the late job");
+    worker.send(ACCEPTED).await;
     let slow_id = "00000000000000aa".to_string();
     for (client, id) in [(&mut early, early_id), (&mut late, late_id), (&mut slow, slow_id)] {
         stage.call_back(&id, number, "done").await;
@@ -551,9 +551,9 @@
     assert_eq!(status(&idle.read().await), "200");
     let mut fresh = dial(stage.daemon.address).await;
     let (mut early, early_id) = stage.job("unsafe", "k").await;
-    let (number, mut old_peer) = stage.peer().await;
-    old_peer.read().await.expect("the job");
-    old_peer.send(ACCEPTED).await;
+    let (number, mut old_worker) = stage.worker().await;
+    old_worker.read().await.expect("the job");
+    old_worker.send(ACCEPTED).await;
     stage.call_back(&early_id, number, "started").await;
 
     let successor = stage.successor();
@@ -562,9 +562,9 @@
     assert!(watch.asked().await.contains("index=70&"), "it goes on from the list that it was given");
     // The old one has heard that it is succeeded once it passes connections on.
     let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut new_peer) = stage.peer().await;
-    assert_eq!(new_peer.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
-    new_peer.send(ACCEPTED).await;
+    let (number, mut new_worker) = stage.worker().await;
+    assert_eq!(new_worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
+    new_worker.send(ACCEPTED).await;
     let mut twin = dial(stage.daemon.address).await;
     twin.hand_in("/safe/k", &format!("X-Trace-Id: {early_id}\r\n"), "").await;
     assert_eq!(status(&twin.read().await), "409", "the old one has it open");
@@ -576,11 +576,11 @@
     }
     stage.daemon.signal("-TERM");
     assert!(stage.daemon.child.wait().expect("it ends").success());
-    assert!(old_peer.read().await.is_none(), "its connections have gone with it");
+    assert!(old_worker.read().await.is_none(), "its connections have gone with it");
     for (number, kept) in [&mut idle, &mut fresh, &mut early, &mut client].into_iter().enumerate() {
         kept.hand_in("/safe/k", &format!("X-Trace-Id: 00000000000000a{number}\r\n"), "work").await;
-        assert_eq!(new_peer.asked().await, "/safe/k", "the same connection, another process");
-        new_peer.send(ACCEPTED).await;
+        assert_eq!(new_worker.asked().await, "/safe/k", "the same connection, another process");
+        new_worker.send(ACCEPTED).await;
         stage.call_back(&format!("00000000000000a{number}"), 0, "done").await;
         assert_eq!(status(&kept.read().await), "200");
     }
@@ -593,9 +593,9 @@
 async fn a_connection_outlives_a_successor_that_died_before_it_could_follow() {
     let mut stage = Stage::set(1).await;
     let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(ACCEPTED).await;
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(ACCEPTED).await;
     let mut successor = stage.successor();
     assert_eq!(successor.operate("health").await, "ok serving\n");
     // The old process has heard of it before this answer.
@@ -723,24 +723,24 @@
     assert_eq!(stage.readiness().await.status(), "200");
 }
 
-/// What can't be finished before the end is answered all the same, and the peer is told to stop.
+/// What can't be finished before the end is answered all the same, and the worker is told to stop.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
 async fn what_is_open_at_the_very_end_gets_its_answer() {
     let mut stage = Stage::set(1).await;
     let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
-    peer.send(ACCEPTED).await;
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
+    worker.send(ACCEPTED).await;
     stage.call_back(&id, number, "started").await;
     stage.daemon.signal("-TERM");
     assert_eq!(status(&client.read().await), "503");
-    assert_eq!(peer.read().await.expect("a call").line, format!("DELETE /jobs/{id} HTTP/1.1"));
+    assert_eq!(worker.read().await.expect("a call").line, format!("DELETE /jobs/{id} HTTP/1.1"));
     assert!(stage.daemon.child.wait().expect("it ends").success());
 }
 
-/// No input ends the program or reaches a peer half understood.
+/// No input ends the program or reaches a worker half understood.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
@@ -782,13 +782,13 @@
     huge.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n").await;
     assert_eq!(status(&huge.read().await), "413");
     let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut peer) = stage.peer().await;
-    peer.read().await.expect("the job");
+    let (number, mut worker) = stage.worker().await;
+    worker.read().await.expect("the job");
     // A second request under an id that is still open would rob the first of its answer.
     let mut twin = dial(stage.daemon.address).await;
     twin.hand_in("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
     assert_eq!(status(&twin.read().await), "409");
-    peer.send(ACCEPTED).await;
+    worker.send(ACCEPTED).await;
     stage.call_back(&id, number, "done").await;
     assert_eq!(status(&client.read().await), "200");
 }
@@ -812,7 +812,7 @@
     assert!(client.read().await.is_none(), "and the connection is closed");
 }
 
-/// Silent connections take the place of no client, no peer and no callback, however many there are.
+/// Silent connections take the place of no client, no worker and no callback, however many there are.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
@@ -827,7 +827,7 @@
     assert_eq!(status(&client.read().await), "200");
 }
 
-/// More than half of the descriptors are the clients' when the peers need few: jobs that wait for their answer, those
+/// More than half of the descriptors are the clients' when the workers need few: jobs that wait for their answer, those
 /// who asked once and stayed and those who never finish keep out no further job, however many they are.
 #[rstest]
 #[timeout(HANG)]
@@ -846,10 +846,10 @@
             rude.push(half);
         }
         waiting.push(stage.job("safe", "k").await);
-        let (_, mut peer) = stage.peer().await;
-        peer.read().await.expect("the job");
+        let (_, mut worker) = stage.worker().await;
+        worker.read().await.expect("the job");
         // So that the next job is seen to be dialled for.
-        peer.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+        worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     }
     for (client, id) in &mut waiting {
         stage.call_back(id, 0, "done").await;
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -22,7 +22,7 @@
 use vetchbridge::list::ask::Ask;
 use vetchbridge::list::discovery::{Discovery, InitialList};
 use vetchbridge::list::listing::{Lifecycle, Roster, Source};
-use vetchbridge::peers::{request_id, Callback, Parcel, UpstreamGroup};
+use vetchbridge::workers::{request_id, Callback, Parcel, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::snapshot::{Current, Snapshot};
 use vetchbridge::upgrade::kin::Kin;
@@ -145,7 +145,7 @@
         submit(self.engine.clone(), self.upstream.clone(), Arc::new(Kin::default()), job)
     }
 
-    /// The list as told: name and state of each peer.
+    /// The list as told: name and state of each worker.
     fn list(&self) -> Vec<(String, Lifecycle)> {
         let (instances, _) = self.roster.lock().expect("no panic").whole();
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
@@ -198,7 +198,7 @@
 }
 
 /// Whether a job that must not run twice goes on is a matter of its last byte alone: a connection that breaks before it was
-/// written carried nothing that a peer may begin; one that breaks after it ends the job, which is not sent again.
+/// written carried nothing that a worker may begin; one that breaks after it ends the job, which is not sent again.
 #[rstest]
 #[case::before(16 << 20, 1, true)]
 #[case::after(4, 4, false)]
@@ -323,12 +323,12 @@
     }
 }
 
-/// A peer starts anew under its name and address while a job waits for a connection to it: the new process is cold, so the
+/// A worker starts anew under its name and address while a job waits for a connection to it: the new process is cold, so the
 /// job, which nobody has had yet, is decided anew at once, and goes where there is room.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_job_that_waits_for_a_connection_is_decided_anew_when_its_peer_starts_anew() {
+async fn a_job_that_waits_for_a_connection_is_decided_anew_when_its_worker_starts_anew() {
     let mut parts = Parts::of(1).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
@@ -352,8 +352,8 @@
     anew["startedAtMs"] = (parts.engine.clock.now() / 1000).into();
     let listed = json!([anew, instance("s-b", warm.local_addr().expect("bound"))]);
     watch.answer(200, "", &list(3, listed)).await.expect("it is read");
-    let mut peer = Wire::new(warm.accept().await.expect("a connection").0);
-    assert_eq!(peer.read().await.expect("the job").header("x-trace-id"), Some("00000000000000ab"));
+    let mut worker = Wire::new(warm.accept().await.expect("a connection").0);
+    assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some("00000000000000ab"));
 }
 
 /// What a silent watch missed counts as told 6 s after its call, so that it has to be opened anew before that, however many
@@ -505,8 +505,8 @@
     let (mut beside, target) = parts.call().await;
     assert!(called.elapsed() < Duration::from_millis(1_500), "{:?}", called.elapsed());
     assert_eq!(target, "/registry/instances?index=1&wait=0");
-    let peer = instance("s-new", "127.0.0.1:9".parse().expect("an address"));
-    let list = json!({"generation": 2, "reset": false, "instances": [peer]}).to_string();
+    let worker = instance("s-new", "127.0.0.1:9".parse().expect("an address"));
+    let list = json!({"generation": 2, "reset": false, "instances": [worker]}).to_string();
     beside.answer(200, "", &list).await.expect("it is read");
     let next = beside.read().await.expect("the watch goes on");
     assert!(next.target().contains("index=2&wait="), "{}", next.target());
@@ -663,9 +663,9 @@
     let (mut wire, _) = parts.call().await;
     let address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let (a, b) = (instance("s-a", address), instance("s-b", address));
-    let drains = |mut peer: Value| {
-        peer["lifecycle"] = "draining".into();
-        peer
+    let drains = |mut worker: Value| {
+        worker["lifecycle"] = "draining".into();
+        worker
     };
     let told =
         json!({"generation": 5, "reset": true, "instances": [drains(a.clone()), b.clone()]}).to_string();
@@ -690,9 +690,9 @@
     parts.follow(json!([]));
     let address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let whole = |generation: u32, state: &str| {
-        let mut peer = instance("s-a", address);
-        peer["lifecycle"] = state.into();
-        json!({"generation": generation, "reset": true, "instances": [peer]}).to_string()
+        let mut worker = instance("s-a", address);
+        worker["lifecycle"] = state.into();
+        json!({"generation": generation, "reset": true, "instances": [worker]}).to_string()
     };
     let (mut watch, _) = parts.call().await;
     parts.ask.send(Ask::Fetch).expect("it is served");
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of peers and their load reports, against scripted peers on loopback sockets: one story for each way that a
+//! Probes of workers and their load reports, against scripted workers on loopback sockets: one story for each way that a
 //! probe can end, and for each way that a report can come.
 #![allow(missing_docs)]
 
@@ -11,38 +11,38 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
-use vetchbridge::peers::load::{FreeSlots, Reports};
-use vetchbridge::peers::{worker_id, Callback, Ended, ListedPeer, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::load::{FreeSlots, Reports};
+use vetchbridge::workers::{worker_id, Callback, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
 
 /// A story that stands still fails; none of them measures time.
 const HANG: Duration = Duration::from_secs(60);
 const MINUTE: Duration = Duration::from_secs(60);
 const ID: &str = "00000000000000ab";
 
-/// A group that knows one peer, `s-0`.
+/// A group that knows one worker, `s-0`.
 struct Stage {
     group: UpstreamGroup,
-    peer: TcpListener,
-    worker: WorkerId,
+    worker: TcpListener,
+    worker_id: WorkerId,
 }
 
 fn tell(group: &UpstreamGroup, address: SocketAddr, state: EndpointState) {
-    let (worker, name, address) = (worker_id("s-0"), "s-0", &*address.to_string());
-    let entry = ListedPeer { worker, name, address, state, started: 0 };
+    let (worker_id, name, address) = (worker_id("s-0"), "s-0", &*address.to_string());
+    let entry = ListedWorker { worker_id, name, address, state, started: 0 };
     group.apply(EndpointUpdate::Changes, [entry].into_iter());
 }
 
 impl Stage {
     async fn set(via: LoadReportSource, probes: usize) -> Stage {
-        let peer = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let worker = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let group = UpstreamGroup::new(MINUTE, MINUTE, probes);
         group.read_reports(Reports { via, free_slots: FreeSlots::X0 });
-        tell(&group, peer.local_addr().expect("bound"), EndpointState::Ready);
-        Stage { group, peer, worker: worker_id("s-0") }
+        tell(&group, worker.local_addr().expect("bound"), EndpointState::Ready);
+        Stage { group, worker, worker_id: worker_id("s-0") }
     }
 
     async fn accept(&self) -> Wire {
-        Wire::new(self.peer.accept().await.expect("a connection").0)
+        Wire::new(self.worker.accept().await.expect("a connection").0)
     }
 
     /// A probe whose answer is this status, with these header lines and this body.
@@ -53,17 +53,17 @@
             wire.answer(status, headers, body).await.expect("it is read");
             wire
         };
-        tokio::join!(self.group.probe(self.worker), answering).0
+        tokio::join!(self.group.probe(self.worker_id), answering).0
     }
 
-    /// An attempt whose answer this peer writes, and whose callback follows where there is one.
+    /// An attempt whose answer this worker writes, and whose callback follows where there is one.
     async fn attempt(&self, answer: (u16, &str), callback: Option<&str>) -> (Ended, Option<LoadReport>) {
         let target = PathAndQuery::from_static("/safe/k");
         let parcel = Parcel { id: ID.to_string(), target, idempotency_key: None, body: Bytes::new() };
         let (_cancel, cancelled) = oneshot::channel();
         let attempt = self.group.attempt(
             RequestId(0xab),
-            self.worker,
+            self.worker_id,
             &parcel,
             Terms::within(MINUTE),
             cancelled,
@@ -87,13 +87,13 @@
     Some(LoadReport { queued: Some(jobs), ..LoadReport::default() })
 }
 
-/// Probes name no request and share the connections that are kept: a new one would cost the peer work.
+/// Probes name no request and share the connections that are kept: a new one would cost the worker work.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
 async fn probes_ask_for_stats_over_one_kept_connection() {
     let stage = Stage::set(LoadReportSource::Probes, 4).await;
-    let probing = async { [stage.group.probe(stage.worker).await, stage.group.probe(stage.worker).await] };
+    let probing = async { [stage.group.probe(stage.worker_id).await, stage.group.probe(stage.worker_id).await] };
     let answering = async {
         let mut wire = stage.accept().await;
         for body in ["{\"queue\":2}", "TEXT queue=3, x0=1"] {
@@ -119,7 +119,7 @@
 #[case::broken_there(500, "", "", Outcome::Error, None)]
 #[timeout(HANG)]
 #[tokio::test]
-async fn an_answer_tells_how_the_peer_is(
+async fn an_answer_tells_how_the_worker_is(
     #[case] status: u16,
     #[case] headers: &str,
     #[case] body: &str,
@@ -142,7 +142,7 @@
         // The other side may hang up in the middle of it.
         let _ = wire.answer(200, "", &format!("queue=1,{}", " ".repeat(1 << 20))).await;
     };
-    let (ended, ()) = tokio::join!(stage.group.probe(stage.worker), answering);
+    let (ended, ()) = tokio::join!(stage.group.probe(stage.worker_id), answering);
     assert_eq!(ended, (Outcome::Ok, None));
 }
 
@@ -159,11 +159,11 @@
         wire.read().await.expect("a probe");
         wire.write(before).await.expect("it is read");
     };
-    let (ended, ()) = tokio::join!(stage.group.probe(stage.worker), answering);
+    let (ended, ()) = tokio::join!(stage.group.probe(stage.worker_id), answering);
     assert_eq!(ended, (Outcome::Reset, None));
 }
 
-/// Silence ends at the bound, and hanging up tells the peer that nobody waits any more. The place is given back.
+/// Silence ends at the bound, and hanging up tells the worker that nobody waits any more. The place is given back.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
@@ -177,7 +177,7 @@
         wire.closed().await;
         tokio::time::resume();
     };
-    let (ended, ()) = tokio::join!(stage.group.probe(stage.worker), silent);
+    let (ended, ()) = tokio::join!(stage.group.probe(stage.worker_id), silent);
     assert_eq!(ended, (Outcome::Timeout, None));
     assert_eq!(stage.probe(200, "", "queue=2").await, (Outcome::Ok, queued(2.0)));
 }
@@ -185,28 +185,28 @@
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_peer_that_refuses_or_is_unknown_can_t_be_connected_to() {
+async fn a_worker_that_refuses_or_is_unknown_can_t_be_connected_to() {
     let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let nobody = Port::reserve().expect("a port");
     tell(&stage.group, nobody.address(), EndpointState::Ready);
-    assert_eq!(stage.group.probe(stage.worker).await, (Outcome::ConnectFailed, None));
+    assert_eq!(stage.group.probe(stage.worker_id).await, (Outcome::ConnectFailed, None));
     assert_eq!(stage.group.probe(WorkerId(7)).await, (Outcome::ConnectFailed, None));
 }
 
-/// Not one byte goes to a peer that is leaving, be it told before the probe or while it dials.
+/// Not one byte goes to a worker that is leaving, be it told before the probe or while it dials.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_peer_that_drains_is_not_probed() {
+async fn a_worker_that_drains_is_not_probed() {
     let stage = Stage::set(LoadReportSource::Probes, 1).await;
-    let address = stage.peer.local_addr().expect("bound");
-    let probe = stage.group.probe(stage.worker);
+    let address = stage.worker.local_addr().expect("bound");
+    let probe = stage.group.probe(stage.worker_id);
     tokio::pin!(probe);
     // The first poll starts the dial; no dial ends before the runtime has looked at its sockets.
     assert!(futures_util::poll!(probe.as_mut()).is_pending());
     tell(&stage.group, address, EndpointState::Draining);
     let written = async {
-        let (stream, _) = stage.peer.accept().await.expect("a connection");
+        let (stream, _) = stage.worker.accept().await.expect("a connection");
         stream.readable().await.expect("readable");
         stream.try_read(&mut [0; 1]).unwrap_or(0)
     };
@@ -215,7 +215,7 @@
         ended = probe => assert_eq!(ended, (Outcome::ConnectFailed, None)),
         bytes = written => panic!("{bytes} bytes were written to a draining peer"),
     }
-    assert_eq!(stage.group.probe(stage.worker).await, (Outcome::ConnectFailed, None));
+    assert_eq!(stage.group.probe(stage.worker_id).await, (Outcome::ConnectFailed, None));
 }
 
 /// Each probe may hold a descriptor: beyond the bound one is never sent, and ends at once.
@@ -224,10 +224,10 @@
 #[tokio::test]
 async fn more_probes_than_there_is_room_for_are_not_sent() {
     let stage = Stage::set(LoadReportSource::Probes, 2).await;
-    let (a, b) = (stage.group.probe(stage.worker), stage.group.probe(stage.worker));
+    let (a, b) = (stage.group.probe(stage.worker_id), stage.group.probe(stage.worker_id));
     tokio::pin!(a, b);
     assert!(futures_util::poll!(a.as_mut()).is_pending() && futures_util::poll!(b.as_mut()).is_pending());
-    assert_eq!(stage.group.probe(stage.worker).await, (Outcome::NotSent, None));
+    assert_eq!(stage.group.probe(stage.worker_id).await, (Outcome::NotSent, None));
 }
 
 /// What ended the attempt brings the report; what came before is older than the job.
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -131,12 +131,12 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn kinds_that_are_numbered_anew_are_followed_without_a_word_of_discovery() {
-    let mut peers = Vec::new();
+    let mut workers = Vec::new();
     for _ in 0..2 {
-        peers.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+        workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
     }
     let listed = |(number, kind): (usize, &str)| {
-        let mut instance = instance(number, peers[number].local_addr().expect("bound"), "up");
+        let mut instance = instance(number, workers[number].local_addr().expect("bound"), "up");
         instance["machineType"] = kind.into();
         instance
     };
@@ -153,11 +153,11 @@
             let id = format!("{:016x}", 0xab00 + 16 * round + number);
             let mut client = dial(daemon.address).await;
             client.hand_in(&format!("/safe/{number}"), &format!("X-Trace-Id: {id}\r\n"), "work").await;
-            let (peer, accepted) = tokio::select! {
-                accepted = peers[0].accept() => (0, accepted),
-                accepted = peers[1].accept() => (1, accepted),
+            let (worker, accepted) = tokio::select! {
+                accepted = workers[0].accept() => (0, accepted),
+                accepted = workers[1].accept() => (1, accepted),
             };
-            assert_eq!(peer, 1, "round {round}, job {number}: it is bound to large machines");
+            assert_eq!(worker, 1, "round {round}, job {number}: it is bound to large machines");
             let mut wire = Wire::new(accepted.expect("a connection").0);
             wire.read().await.expect("the job");
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -42,10 +42,10 @@
         let headers = format!("X-Trace-Id: {id}\r\nX-Qos: safe\r\n");
         kept.hand_in("/safe/k", &headers, &"work ".repeat(300)).await;
         let job = async {
-            // The daemon keeps its connection to the peer, or makes another one.
-            let mut peer = Wire::new(stage.peers[0].accept().await.expect("a connection").0);
-            let heard = peer.read().await.expect("the job");
-            peer.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+            // The daemon keeps its connection to the worker, or makes another one.
+            let mut worker = Wire::new(stage.workers[0].accept().await.expect("a connection").0);
+            let heard = worker.read().await.expect("the job");
+            worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             heard
         };
         let heard = job.await;
