--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -22,7 +22,7 @@
   vetchbridge-testkit demo                                   a whole platform under load for 20 s, and what came of it
   vetchbridge-testkit demo --kill 2                          the same while two schedulers are killed
   vetchbridge-testkit demo --upgrade 2 --drain 1             the same while two are replaced and one is drained
-  vetchbridge-testkit demo scans                             the same on a second deployment, whose peers are probed
+  vetchbridge-testkit demo scans                             the same on a second deployment, whose workers are probed
   vetchbridge-testkit plan default > plan.toml               the plan of that platform, to change
   vetchbridge-testkit up plan.toml                           the platform alone, until Ctrl-C
   vetchbridge-testkit load --to 127.0.0.1:8080 --rate 100    a load on addresses of yours
--- a/crates/testkit/tests/commands.rs
+++ b/crates/testkit/tests/commands.rs
@@ -103,7 +103,7 @@
             "name = \"museums\"\nshare",
             &["load.tenant[2].name: not in daemon.tenant"],
         ),
-        ("peer = \"drum-2\"", "peer = \"drum-4\"", &["trouble[1].peer: no such peer"]),
+        ("peer = \"drum-2\"", "peer = \"drum-4\"", &["trouble[1].peer: no such worker"]),
         ("\"inflight\", \"x0\"", "\"inflight\", \"x1\"", &["stats.fields"]),
         ("[daemon.limits]", "[daemon.limitz]", &["daemon.limitz: unknown key; did you mean \"limits\"?"]),
     ];
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
 
-/// Descriptors that a process needs for itself: standard streams, runtime, listeners, signals, siblings, discovery and
+/// Descriptors that a process needs for itself: standard streams, runtime, listeners, signals, peers, discovery and
 /// a hand-over. One at rest holds 14.
 const PROGRAM: usize = 24;
 /// This share of the limit is left free for connections to workers that are still to be made.
--- a/crates/vetchbridge/src/clients/front.rs
+++ b/crates/vetchbridge/src/clients/front.rs
@@ -16,8 +16,8 @@
 use crate::workers::{Callback, UpstreamGroup};
 use crate::request::{submit, Answer};
 use crate::snapshot::Current;
-use crate::upgrade::kin::{Forwarded, Kin};
-use crate::upgrade::words::Word;
+use crate::upgrade::process_links::{Forwarded, ProcessLinks};
+use crate::upgrade::message::HandoverMessage;
 use axum::body::Body;
 use axum::extract::{Extension, Request as HttpRequest, State};
 use axum::http::header::{CONNECTION, RETRY_AFTER};
@@ -65,7 +65,7 @@
     upstream: Arc<UpstreamGroup>,
     current: Arc<Current>,
     life: Arc<Life>,
-    kin: Arc<Kin>,
+    process_links: Arc<ProcessLinks>,
     /// Client connections that another process has served so far, and whether they have had an answer.
     adopted: (UnboundedSender<Adopted>, Mutex<Option<UnboundedReceiver<Adopted>>>),
     connections: ClientConnections,
@@ -84,7 +84,7 @@
         sockets: usize,
         memory: usize,
         life: Arc<Life>,
-        kin: Arc<Kin>,
+        process_links: Arc<ProcessLinks>,
     ) -> Arc<Front> {
         let (adopted, adoptions) = unbounded_channel();
         let connections = ClientConnections::new(sockets, admin::callers(sockets), upstream.connections());
@@ -93,7 +93,7 @@
             upstream,
             current,
             life,
-            kin,
+            process_links,
             adopted: (adopted, Mutex::new(Some(adoptions))),
             connections,
             job_room: body::room(memory),
@@ -122,7 +122,7 @@
     }
 
     fn elsewhere(&self) -> Elsewhere {
-        Elsewhere { processes: self.kin.processes(), connections: self.kin.connections() }
+        Elsewhere { processes: self.process_links.processes(), connections: self.process_links.connections() }
     }
 
     /// Goes on with a client connection that another process has served so far.
@@ -141,7 +141,7 @@
         let adoptions = self.adopted.1.lock().unwrap_or_else(PoisonError::into_inner).take();
         let Some(mut adoptions) = adoptions else { return };
         let mut sweep = tokio::time::interval(SWEEP);
-        let mut successor = self.kin.successor();
+        let mut successor = self.process_links.successor();
         loop {
             let alone = successor.borrow_and_update().is_none();
             // Until then a newcomer waits with the kernel: those just before it have not had the time to speak.
@@ -190,13 +190,13 @@
         let io = TokioIo::new(Watched { stream, connection: connection.clone() });
         let mut serving = http1::Builder::new().max_buf_size(HEAD_LIMIT).serve_connection(io, service);
         let mut state = self.life.subscribe();
-        let mut successor = self.kin.successor();
+        let mut successor = self.process_links.successor();
         let succeeded = async {
             loop {
                 drop(successor.wait_for(Option::is_some).await);
                 connection.rests().await;
                 // It may have gone again while a request was in flight.
-                if self.kin.has_successor() {
+                if self.process_links.has_successor() {
                     return;
                 }
             }
@@ -256,9 +256,9 @@
     /// Gives a client connection between two requests to the successor. What the client writes meanwhile stays in the
     /// socket.
     fn pass(&self, stream: RetryingStream, kept: bool) {
-        let (successor, descriptor) = (self.kin.successor().borrow().clone(), stream.into_std());
+        let (successor, descriptor) = (self.process_links.successor().borrow().clone(), stream.into_std());
         let passed = descriptor
-            .map(|stream| successor.is_some_and(|to| to.say(Word::Connection { kept }, vec![stream.into()])));
+            .map(|stream| successor.is_some_and(|to| to.say(HandoverMessage::Connection { kept }, vec![stream.into()])));
         debug!(?passed, "connection.passed");
     }
 
@@ -275,7 +275,7 @@
             router.call(request.map(Body::new)).await?
         };
         connection.answered();
-        let stays = self.kin.has_successor() || !self.life.state().hangs_up();
+        let stays = self.process_links.has_successor() || !self.life.state().hangs_up();
         if !stays || connection.last() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -299,7 +299,7 @@
 
 async fn ready(State(front): State<Arc<Front>>) -> StatusCode {
     // With a successor the scheduler goes on, whatever becomes of this process; operators may have drained it.
-    let succeeded = front.kin.has_successor() && !front.life.quiesced();
+    let succeeded = front.process_links.has_successor() && !front.life.quiesced();
     if succeeded || front.life.state().ready() {
         StatusCode::OK
     } else {
@@ -321,7 +321,7 @@
             if front.upstream.called_back(&callback) {
                 return StatusCode::OK.into_response();
             }
-            match front.kin.forward(&callback, None).await {
+            match front.process_links.forward(&callback, None).await {
                 Forwarded::Known => StatusCode::OK.into_response(),
                 Forwarded::Unknown => {
                     debug!(request = callback.id, worker = callback.from, "callback.late");
@@ -365,7 +365,7 @@
         }
     };
     // Dropped by hyper when the client closes its connection, and the receiver with it.
-    let answer = submit(front.engine.clone(), front.upstream.clone(), front.kin.clone(), job).await;
+    let answer = submit(front.engine.clone(), front.upstream.clone(), front.process_links.clone(), job).await;
     render(answer.unwrap_or(Answer::Failed))
 }
 
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -39,8 +39,8 @@
     pub sockets: usize,
     /// Bytes that it may take.
     pub memory: usize,
-    /// Where siblings' datagrams arrive and where each sibling is reached; absent where they may not talk.
-    pub siblings: Option<Siblings>,
+    /// Where peers' datagrams arrive and where each peer is reached; absent where they may not talk.
+    pub peers: Option<Peers>,
     /// The list of workers as this scheduler last had it.
     pub known: Listing,
     /// The settings, which were checked.
@@ -54,7 +54,7 @@
 }
 
 /// Addresses of the schedulers of this tier.
-pub struct Siblings {
+pub struct Peers {
     /// Own address for their datagrams.
     pub listen: SocketAddr,
     /// One address for each scheduler, in the order of their numbers.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -3,7 +3,7 @@
 //! Owns the names of its keys. It stays as the platform has it: a key of ours belongs into our own file.
 
 use super::precedence::{self, Environment, Overrides};
-use super::{file, Config, ConfigError, Effective, Fault, Flags, Read, Siblings};
+use super::{file, Config, ConfigError, Effective, Fault, Flags, Read, Peers};
 use crate::list::listing::{Listing, Names, Source};
 use crate::workers::load::{FreeSlots, Reports};
 use crate::workers::name_hash;
@@ -185,10 +185,10 @@
 }
 
 impl OwnKeys {
-    /// The addresses of the siblings, where messages to them are permitted.
-    fn siblings(&self, settings: &Settings) -> Option<Siblings> {
+    /// The addresses of the peers, where messages to them are permitted.
+    fn peers(&self, settings: &Settings) -> Option<Peers> {
         let listen = self.messages.filter(|_| settings.limits.may_message_peers)?;
-        Some(Siblings { listen, each: self.each.clone(), all: self.all })
+        Some(Peers { listen, each: self.each.clone(), all: self.all })
     }
 }
 
@@ -235,7 +235,7 @@
     let config = Config {
         // What the platform keeps between two processes of one scheduler is this folder.
         handover: env("TMPDIR").map(|folder| Path::new(&folder).join(handover(&own.name))),
-        siblings: own.siblings(&settings.settings),
+        peers: own.peers(&settings.settings),
         name: own.name,
         listen: own.listen,
         admin: own.admin,
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -5,7 +5,7 @@
     Attempts, File, Follow, FreeSlots, Group, Load, Prices, QueueOrder, Repeat, Rules, Weights,
 };
 use super::platform::CONN_IDLE;
-use super::{Config, ConfigError, Siblings};
+use super::{Config, ConfigError, Peers};
 use crate::list::listing::{Instance, Lifecycle, Listing, Names, Source};
 use crate::workers::load::{self, Reports};
 use crate::snapshot::Snapshot;
@@ -88,7 +88,7 @@
             source,
             sockets: file.limits.sockets as usize,
             memory: file.limits.memory.0 as usize,
-            siblings: siblings(file),
+            peers: peers(file),
             known,
             seed: file.seed.map_or_else(seed_of_this_start, |seed| seed.0),
             snapshot: snapshot(file, settings),
@@ -229,9 +229,9 @@
     }
 }
 
-fn siblings(file: &File) -> Option<Siblings> {
+fn peers(file: &File) -> Option<Peers> {
     let listen = file.tier.messages.filter(|_| file.attempts.messages)?;
-    Some(Siblings {
+    Some(Peers {
         listen: listen.0,
         each: file.tier.each.iter().map(|address| address.0).collect(),
         all: file.tier.all.map(|address| address.0),
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -1,7 +1,7 @@
 //! Sole owner of the decision module, its clock and its timers.
 //!
 //! Every event enters through [`Engine::handle`]; every action that comes back is carried at once to the
-//! request context, the upstream group, discovery or the siblings it belongs to. Carrying never waits, so
+//! request context, the upstream group, discovery or the peers it belongs to. Carrying never waits, so
 //! the lock is held for one event at a time. The engine must never judge, drop or reorder an action.
 
 use crate::list::ask::Ask;
@@ -163,7 +163,7 @@
             Action::FetchEndpoints => return self.ask(Ask::Fetch),
             Action::SendPeerMessage { to, data } => {
                 if self.messages.send((to, data)).is_err() {
-                    debug!("siblings.absent");
+                    debug!("peer_socket.absent");
                 }
                 return;
             }
--- a/crates/vetchbridge/src/lib.rs
+++ b/crates/vetchbridge/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod workers;
 pub mod request;
 pub mod serve;
-pub mod siblings;
+pub mod peers;
 pub mod signals;
 pub mod snapshot;
 pub mod upgrade;
--- a/crates/vetchbridge/src/list/discovery.rs
+++ b/crates/vetchbridge/src/list/discovery.rs
@@ -8,7 +8,7 @@
 
 use crate::engine::Engine;
 use crate::list::ask::Ask;
-use crate::list::listing::{Instance, Listing, Roster, Source};
+use crate::list::listing::{Instance, Listing, EndpointList, Source};
 use crate::net::Connector;
 use crate::workers::{ListedWorker, UpstreamGroup};
 use crate::snapshot::Current;
@@ -121,7 +121,7 @@
     current: Arc<Current>,
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    roster: Arc<Mutex<Roster>>,
+    endpoint_list: Arc<Mutex<EndpointList>>,
     /// The version last seen at this address; `None` before its first whole list.
     version: Option<u64>,
     /// The last call failed.
@@ -142,7 +142,7 @@
         initial: InitialList,
         engine: Arc<Engine>,
         upstream: Arc<UpstreamGroup>,
-        roster: Arc<Mutex<Roster>>,
+        endpoint_list: Arc<Mutex<EndpointList>>,
     ) -> Discovery {
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE)
@@ -154,14 +154,14 @@
             current,
             engine,
             upstream,
-            roster,
+            endpoint_list,
             version: None,
             failed: false,
             lost: false,
             confirmed: watch::Sender::new(false),
             watches: 0,
         };
-        discovery.roster().move_to(&discovery.source);
+        discovery.endpoint_list().move_to(&discovery.source);
         discovery.begin_with(initial);
         discovery
     }
@@ -207,7 +207,7 @@
                     Some(Ask::Move(source)) => {
                         info!(from = ?self.source, to = ?source, "discovery.moves");
                         (self.source, self.version) = (source, None);
-                        self.roster().move_to(&self.source);
+                        self.endpoint_list().move_to(&self.source);
                         // What the old one still says is no news; its list stands until the new one's is here.
                         (watch, fetch, hedge) = (Some(self.watch()), None, None);
                     }
@@ -361,12 +361,12 @@
         self.confirmed.send_replace(true);
     }
 
-    fn roster(&self) -> MutexGuard<'_, Roster> {
-        self.roster.lock().unwrap_or_else(PoisonError::into_inner)
+    fn endpoint_list(&self) -> MutexGuard<'_, EndpointList> {
+        self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn pass_on(&self, kind: EndpointUpdate, version: Option<u64>, instances: &[Instance]) {
-        self.roster().tell(kind, version, instances);
+        self.endpoint_list().tell(kind, version, instances);
         let names = &self.current.get().names;
         let members: Vec<Endpoint> = instances.iter().map(|i| i.endpoint(names)).collect();
         let entries = instances.iter().zip(&members);
--- a/crates/vetchbridge/src/list/listing.rs
+++ b/crates/vetchbridge/src/list/listing.rs
@@ -107,13 +107,13 @@
 
 /// The whole list as last told, in discovery's form: what a successor begins with.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct EndpointList {
     source: Option<SocketAddr>,
     generation: Option<u64>,
     instances: BTreeMap<String, Instance>,
 }
 
-impl Roster {
+impl EndpointList {
     /// The list comes from here from now on; versions of the one before mean nothing any more.
     pub fn move_to(&mut self, source: &Source) {
         self.source = match source {
--- a/crates/vetchbridge/src/operators/admin.rs
+++ b/crates/vetchbridge/src/operators/admin.rs
@@ -7,7 +7,7 @@
 use crate::net::RetryingStream;
 use crate::operators::life::Life;
 use crate::operators::lifecycle::Refusal;
-use crate::upgrade::kin::Kin;
+use crate::upgrade::process_links::ProcessLinks;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -40,14 +40,14 @@
 }
 
 /// The answer to one line, without its end.
-fn answer(line: &[u8], life: &Life, kin: &Kin) -> String {
+fn answer(line: &[u8], life: &Life, process_links: &ProcessLinks) -> String {
     let Ok(text) = std::str::from_utf8(line) else { return format!("fail not text; say {CALLS}") };
     let mut words = text.split_ascii_whitespace();
     let (call, more) = (words.next(), words.next());
     if let (Some(call @ ("health" | "quiesce" | "resume")), Some(_)) = (call, more) {
         return format!("fail {call} takes no further words");
     }
-    if matches!(call, Some("quiesce" | "resume")) && kin.has_successor() {
+    if matches!(call, Some("quiesce" | "resume")) && process_links.has_successor() {
         return "fail handed over; ask the successor".to_string();
     }
     let done = match call {
@@ -87,10 +87,10 @@
     }
 }
 
-async fn caller(mut stream: RetryingStream, life: Arc<Life>, kin: Arc<Kin>, spoke: Arc<AtomicBool>) {
+async fn caller(mut stream: RetryingStream, life: Arc<Life>, process_links: Arc<ProcessLinks>, spoke: Arc<AtomicBool>) {
     let words = match timeout(LINE_TIMEOUT, line(&mut stream, &spoke)).await {
         Ok(Ok(line)) => {
-            let words = answer(&line, &life, &kin);
+            let words = answer(&line, &life, &process_links);
             info!(call = %String::from_utf8_lossy(&line).trim_end(), answer = words, "admin.called");
             words
         }
@@ -109,7 +109,7 @@
 }
 
 /// Answers callers until the program ends, at most so many at once.
-pub async fn serve(listener: TcpListener, life: Arc<Life>, kin: Arc<Kin>, most: usize) {
+pub async fn serve(listener: TcpListener, life: Arc<Life>, process_links: Arc<ProcessLinks>, most: usize) {
     let mut callers: VecDeque<(Arc<AtomicBool>, AbortHandle)> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
@@ -130,7 +130,7 @@
             }
         }
         let spoke = Arc::new(AtomicBool::new(false));
-        let task = tokio::spawn(caller(stream, life.clone(), kin.clone(), spoke.clone()));
+        let task = tokio::spawn(caller(stream, life.clone(), process_links.clone(), spoke.clone()));
         callers.push_back((spoke, task.abort_handle()));
     }
 }
--- a/crates/vetchbridge/src/siblings.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -1,9 +1,9 @@
 //! Datagrams between the schedulers of one tier. Owns the UDP socket at work; carries the module's messages as they
 //! are, drops what is too long or comes from a stranger, and must never answer or repeat anything itself.
 
-use crate::config::Siblings;
+use crate::config::Peers;
 use crate::engine::Engine;
-use crate::upgrade::kin::Kin;
+use crate::upgrade::process_links::ProcessLinks;
 use vetchbridge_scheduling::interface::{Event, Recipient};
 use std::future::Future;
 use std::io;
@@ -17,24 +17,24 @@
 
 /// Carries messages both ways for as long as the engine lives; a successor hears in this process's place.
 pub fn run(
-    config: Siblings,
+    config: Peers,
     socket: std::net::UdpSocket,
     engine: Arc<Engine>,
-    kin: Arc<Kin>,
+    process_links: Arc<ProcessLinks>,
     outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
 ) -> io::Result<impl Future<Output = ()>> {
     socket.set_nonblocking(true)?;
-    Ok(carry(config, UdpSocket::from_std(socket)?, engine, kin, outgoing))
+    Ok(carry(config, UdpSocket::from_std(socket)?, engine, process_links, outgoing))
 }
 
 async fn carry(
-    config: Siblings,
+    config: Peers,
     socket: UdpSocket,
     engine: Arc<Engine>,
-    kin: Arc<Kin>,
+    process_links: Arc<ProcessLinks>,
     mut outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
 ) {
-    let mut successor = kin.successor();
+    let mut successor = process_links.successor();
     let mut buffer = [0; LONGEST + 1];
     loop {
         let alone = successor.borrow_and_update().is_none();
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -9,8 +9,8 @@
 use crate::logs::Id;
 use crate::workers::{Ended, Parcel, Terms, UpstreamGroup};
 use crate::snapshot::Snapshot;
-use crate::upgrade::kin::Kin;
-use crate::upgrade::words::Word;
+use crate::upgrade::process_links::ProcessLinks;
+use crate::upgrade::message::HandoverMessage;
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use vetchbridge_scheduling::interface::*;
@@ -67,21 +67,21 @@
 pub fn submit(
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    kin: Arc<Kin>,
+    process_links: Arc<ProcessLinks>,
     job: Job,
 ) -> oneshot::Receiver<Answer> {
     let (reply, answer) = oneshot::channel();
     let Job { request, parcel, settings, room } = job;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
-    let open_elsewhere = kin.holds(id);
+    let open_elsewhere = process_links.holds(id);
     let Some(steps) = (!open_elsewhere).then(|| engine.open(request)).flatten() else {
         let _ = reply.send(Answer::Duplicate);
         return answer;
     };
-    kin.tell(|| Word::Opened(id.0));
+    process_links.tell(|| HandoverMessage::Opened(id.0));
     let context = RequestContext {
         engine,
-        kin,
+        process_links,
         settings,
         id,
         class,
@@ -97,7 +97,7 @@
 /// Holds a request's place with the engine; given back here and nowhere else.
 struct RequestContext {
     engine: Arc<Engine>,
-    kin: Arc<Kin>,
+    process_links: Arc<ProcessLinks>,
     settings: Arc<Snapshot>,
     id: RequestId,
     class: ClassId,
@@ -145,7 +145,7 @@
             self.engine.handle(Event::ClientDisconnected(self.id));
         }
         self.engine.close(self.id);
-        self.kin.tell(|| Word::Closed(self.id.0));
+        self.process_links.tell(|| HandoverMessage::Closed(self.id.0));
     }
 }
 
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -6,18 +6,18 @@
 use crate::invariants::violations;
 use crate::list::ask::Ask;
 use crate::list::discovery::{Discovery, InitialList};
-use crate::list::listing::{Roster, Source};
+use crate::list::listing::{EndpointList, Source};
 use crate::logs::Logs;
 use crate::net::retry_for;
 use crate::operators::admin;
 use crate::operators::life::Life;
 use crate::workers::UpstreamGroup;
-use crate::siblings;
+use crate::peers;
 use crate::signals::{CaughtSignals, SignalNotices};
 use crate::snapshot::Current;
-use crate::upgrade::kin::Kin;
-use crate::upgrade::wire::Door;
-use crate::upgrade::{self, Found, House, Inheritance};
+use crate::upgrade::process_links::ProcessLinks;
+use crate::upgrade::socket::HandoverListener;
+use crate::upgrade::{self, Found, HandoverServer, Inheritance};
 use serde_json::Value;
 use vetchbridge_scheduling::interface::{Event, EndpointUpdate};
 use vetchbridge_scheduling::scheduler::{Scheduler, CONFIRM_WITHIN};
@@ -68,32 +68,32 @@
             None
         }
     };
-    let kin = Arc::new(Kin::default());
+    let process_links = Arc::new(ProcessLinks::default());
     let life = Arc::new(Life::begin(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
     if let Some(address) = config.admin {
         let door = claim(address, || listen(address, false)).await?;
         info!(address = %door.local_addr()?, "admin.listens");
-        tokio::spawn(admin::serve(door, life.clone(), kin.clone(), admin::callers(config.sockets)));
+        tokio::spawn(admin::serve(door, life.clone(), process_links.clone(), admin::callers(config.sockets)));
     }
     let keeper = life.clone();
     tokio::spawn(async move { keeper.keep_time().await });
-    let house = start(config, inheritance, hangup, flags, logs, (life, kin)).await?;
+    let handover_server = start(config, inheritance, hangup, flags, logs, (life, process_links)).await?;
 
     terminate.notified().await;
-    house.life.terminate(house.front.longest_deadline());
+    handover_server.life.terminate(handover_server.front.longest_deadline());
     sleep(LISTEN_ON).await;
     let mut quiet_since = Instant::now();
     let mut leaving = false;
-    let lingers = |quiet: Duration| house.front.lingers() && quiet < QUIET + LAST_WORDS;
+    let lingers = |quiet: Duration| handover_server.front.lingers() && quiet < QUIET + LAST_WORDS;
     while quiet_since.elapsed() < QUIET || lingers(quiet_since.elapsed()) {
         sleep(QUIET / 10).await;
-        if !leaving && !house.life.state().takes() {
+        if !leaving && !handover_server.life.state().takes() {
             leaving = true;
-            house.engine.handle(Event::ShuttingDown);
+            handover_server.engine.handle(Event::ShuttingDown);
         }
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
-        let serves_on = house.front.connections() > 0 && !house.life.state().closes_idle();
-        if house.front.owes() || house.kin.behind() || serves_on {
+        let serves_on = handover_server.front.connections() > 0 && !handover_server.life.state().closes_idle();
+        if handover_server.front.owes() || handover_server.process_links.behind() || serves_on {
             quiet_since = Instant::now();
         }
     }
@@ -124,7 +124,7 @@
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     current: Arc<Current>,
-    roster: Arc<Mutex<Roster>>,
+    endpoint_list: Arc<Mutex<EndpointList>>,
 }
 
 impl Tuned {
@@ -160,7 +160,7 @@
         self.document = config.document;
         if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
             // The list in hand was told under other indices; until it is told anew, no job may be placed by it.
-            let endpoints = self.roster.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
+            let endpoints = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
             self.engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
         if self.asks.send(Ask::Move(config.source)).is_err() {
@@ -177,12 +177,12 @@
     hangup: Arc<Notify>,
     flags: Flags,
     logs: Logs,
-    (life, kin): (Arc<Life>, Arc<Kin>),
-) -> Result<Arc<House>, Box<dyn Error>> {
+    (life, process_links): (Arc<Life>, Arc<ProcessLinks>),
+) -> Result<Arc<HandoverServer>, Box<dyn Error>> {
     // Not there for others to find before the listener is ours.
     let mut door = None;
     if let Some(path) = config.handover.as_deref() {
-        match retry_for("handover", || Door::open(path)).await {
+        match retry_for("handover", || HandoverListener::open(path)).await {
             Ok(opened) => door = Some(opened),
             Err(error) => warn!(path = %path.display(), %error, "upgrade.impossible"),
         }
@@ -190,9 +190,9 @@
     let shared = config.handover.is_some() && door.is_none();
     let (mut from, mut socket, mut rest) = (None, None, None);
     let mut initial = InitialList { listing: config.known, versioned: true, inherited: false };
-    if let Some(Inheritance { listener, siblings, offer, listing, wire }) = inheritance {
+    if let Some(Inheritance { listener, peers, offer, listing, wire }) = inheritance {
         listener.set_nonblocking(true)?;
-        (from, socket) = (Some(TcpListener::from_std(listener)?), siblings);
+        (from, socket) = (Some(TcpListener::from_std(listener)?), peers);
         let same = matches!(config.source, Source::Service(address) if Some(address) == offer.source);
         initial = InitialList {
             listing,
@@ -207,14 +207,14 @@
     };
     let spare = retry_for("listener", || listener.as_fd().try_clone_to_owned()).await?;
     let spare = std::net::TcpListener::from(spare);
-    let siblings = match config.siblings {
-        Some(siblings) => {
-            let address = siblings.listen;
+    let peers = match config.peers {
+        Some(peers) => {
+            let address = peers.listen;
             let socket = match socket {
                 Some(socket) => Ok(socket),
                 None => claim(address, || UdpSocket::bind(address)).await,
             };
-            Some((siblings, socket))
+            Some((peers, socket))
         }
         None => None,
     };
@@ -226,7 +226,7 @@
 
     let (asks, asked) = unbounded_channel();
     let (messages, outgoing) = unbounded_channel();
-    let roster = Arc::new(Mutex::new(Roster::default()));
+    let endpoint_list = Arc::new(Mutex::new(EndpointList::default()));
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
     let dial_timeout = Duration::from_micros(config.snapshot.settings.limits.dial_timeout);
     let probes = (config.sockets / PROBES).max(1);
@@ -240,18 +240,18 @@
         engine: engine.clone(),
         upstream: upstream.clone(),
         current: current.clone(),
-        roster: roster.clone(),
+        endpoint_list: endpoint_list.clone(),
     };
     tokio::spawn(tuned.reload_on(hangup, flags, logs));
     tokio::spawn(engine.clone().run_timers());
-    let siblings = siblings.and_then(|(config, socket)| {
+    let peers = peers.and_then(|(config, socket)| {
         let socket = socket.and_then(|socket| {
             let spare = socket.try_clone().map_err(|error| error.to_string())?;
-            let siblings = siblings::run(config, socket, engine.clone(), kin.clone(), outgoing);
-            tokio::spawn(siblings.map_err(|error| error.to_string())?);
+            let peers = peers::run(config, socket, engine.clone(), process_links.clone(), outgoing);
+            tokio::spawn(peers.map_err(|error| error.to_string())?);
             Ok(spare)
         });
-        socket.map_err(|error| error!(error, "siblings.failed")).ok()
+        socket.map_err(|error| error!(error, "peer_socket.failed")).ok()
     });
     let discovery = Discovery::start(
         config.source,
@@ -259,7 +259,7 @@
         initial,
         engine.clone(),
         upstream.clone(),
-        roster.clone(),
+        endpoint_list.clone(),
     );
     let mut confirmed = discovery.confirmed();
     tokio::spawn(discovery.run(asked));
@@ -270,16 +270,16 @@
         config.sockets,
         config.memory,
         life.clone(),
-        kin.clone(),
+        process_links.clone(),
     );
     tokio::spawn(front.clone().serve(listener));
     let (name, listen) = (config.name, spare.local_addr()?);
-    let house = House { name, listen, listener: spare, siblings, roster, life, engine, upstream, front, kin };
-    let house = Arc::new(house);
+    let handover_server = HandoverServer { name, listen, listener: spare, peers, endpoint_list, life, engine, upstream, front, process_links };
+    let handover_server = Arc::new(handover_server);
     if *confirmed.borrow() {
-        house.life.started();
+        handover_server.life.started();
     } else {
-        let life = house.life.clone();
+        let life = handover_server.life.clone();
         tokio::spawn(async move {
             // If no answer comes, the module sends by the saved list from then on: there is no better one.
             let wait = Duration::from_micros(CONFIRM_WITHIN);
@@ -288,10 +288,10 @@
         });
     }
     if let Some((wire, connections)) = rest {
-        house.taken(wire, connections);
+        handover_server.taken(wire, connections);
     }
     if let (Some(door), Some(path)) = (door, config.handover) {
-        tokio::spawn(house.clone().receive(path, door));
+        tokio::spawn(handover_server.clone().receive(path, door));
     }
-    Ok(house)
+    Ok(handover_server)
 }
--- a/crates/vetchbridge/src/upgrade/words.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -17,7 +17,7 @@
 
 /// One word.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Word {
+pub enum HandoverMessage {
     /// A successor: hand over what this scheduler has at this address.
     Hello {
         /// [`VERSION`].
@@ -27,7 +27,7 @@
         /// Where its clients connect.
         listen: SocketAddr,
     },
-    /// The predecessor: here it is. Brings the clients' listener and, if there is one, the siblings' socket.
+    /// The predecessor: here it is. Brings the clients' listener and, if there is one, the peers' socket.
     Offer(Offer),
     /// The predecessor: so much of its list; the last message has none.
     Entries(Vec<Instance>),
@@ -48,7 +48,7 @@
     Closed(u64),
     /// A callback that the sender knows no attempt for.
     Callback {
-        /// Comes back with [`Word::Heard`].
+        /// Comes back with [`HandoverMessage::Heard`].
         number: u64,
         /// The callback.
         callback: Callback,
@@ -83,7 +83,7 @@
     true
 }
 
-impl Word {
+impl HandoverMessage {
     /// The message.
     pub fn write(&self) -> Vec<u8> {
         // No map with other keys than text and no failing type is in it.
@@ -91,14 +91,14 @@
     }
 
     /// Reads a message.
-    pub fn read(message: &[u8]) -> Result<Word, String> {
+    pub fn read(message: &[u8]) -> Result<HandoverMessage, String> {
         serde_json::from_slice(message).map_err(|error| error.to_string())
     }
 }
 
-/// Splits a list into what one [`Word::Entries`] each brings. An entry that no message can hold is left out.
+/// Splits a list into what one [`HandoverMessage::Entries`] each brings. An entry that no message can hold is left out.
 pub fn in_messages(instances: Vec<Instance>) -> Vec<Vec<Instance>> {
-    let frame = Word::Entries(Vec::new()).write().len();
+    let frame = HandoverMessage::Entries(Vec::new()).write().len();
     let mut messages: Vec<Vec<Instance>> = Vec::new();
     let mut room = 0;
     for instance in instances {
@@ -131,10 +131,10 @@
             "{{\"id\":\"00000000000000ab\",\"from\":\"s\",\"state\":\"done\",\"load\":{{\"queue\":1e999}},\"result\":{result:?}}}"
         );
         let callback: Callback = serde_json::from_str(&text).expect("a callback");
-        let word = Word::Callback { number: u64::MAX, callback }.write();
+        let word = HandoverMessage::Callback { number: u64::MAX, callback }.write();
         assert!(word.len() <= LONGEST, "{}", word.len());
         assert!(
-            matches!(Word::read(&word), Ok(Word::Callback { callback, .. }) if callback.result == result && callback.load.is_some())
+            matches!(HandoverMessage::read(&word), Ok(HandoverMessage::Callback { callback, .. }) if callback.result == result && callback.load.is_some())
         );
     }
 
@@ -144,19 +144,19 @@
         let offer =
             Offer { quiesced: true, source: None, generation: Some(7), confirmed: false, connections: 3 };
         let words = [
-            Word::Offer(offer),
-            Word::Entries(Vec::new()),
-            Word::Refused("no".to_string()),
-            Word::Connection { kept: true },
-            Word::Opened(u64::MAX),
+            HandoverMessage::Offer(offer),
+            HandoverMessage::Entries(Vec::new()),
+            HandoverMessage::Refused("no".to_string()),
+            HandoverMessage::Connection { kept: true },
+            HandoverMessage::Opened(u64::MAX),
         ];
         for word in words {
             let written = word.write();
-            assert_eq!(Word::read(&written).expect("a word").write(), written, "{word:?}");
+            assert_eq!(HandoverMessage::read(&written).expect("a word").write(), written, "{word:?}");
             for end in 0..written.len() {
-                assert!(Word::read(&written[..end]).is_err(), "{word:?} cut at {end}");
+                assert!(HandoverMessage::read(&written[..end]).is_err(), "{word:?} cut at {end}");
             }
         }
-        assert!(Word::read(b"\"Unheard\"").is_err() && Word::read(b"{\"Holds\":-1}").is_err());
+        assert!(HandoverMessage::read(b"\"Unheard\"").is_err() && HandoverMessage::read(b"{\"Holds\":-1}").is_err());
     }
 }
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -1,24 +1,24 @@
 //! Upgrades: the old and the new process of one scheduler, as one.
 //!
 //! A process that starts first asks whether another serves at its place ([`take_over`]): it is handed the clients'
-//! listener itself, so that no connection queued there is lost, the siblings' socket, and the list of workers as last
-//! told. From [`Word::Taken`] on the old one accepts nothing; each of its client connections follows as soon as it is
+//! listener itself, so that no connection queued there is lost, the peers' socket, and the list of workers as last
+//! told. From [`HandoverMessage::Taken`] on the old one accepts nothing; each of its client connections follows as soon as it is
 //! between two requests. Callbacks reach whichever process has the job, and an id that is open in either is open.
 //!
 //! This file owns the hand-over socket and the links. It must never end a process: a successor that breaks off leaves
 //! the old one as it was, and the old one ends when it is told to.
 
-pub mod kin;
-pub mod wire;
-pub mod words;
+pub mod process_links;
+pub mod socket;
+pub mod message;
 
 use crate::clients::front::Front;
 use crate::engine::Engine;
-use crate::list::listing::{Listing, Roster};
+use crate::list::listing::{Listing, EndpointList};
 use crate::operators::life::Life;
 use crate::operators::lifecycle::State;
 use crate::workers::UpstreamGroup;
-use crate::upgrade::kin::{Forwarded, Kin, Link, Message};
+use crate::upgrade::process_links::{Forwarded, ProcessLinks, Link, Message};
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::fd::{AsFd, OwnedFd};
@@ -28,8 +28,8 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info, warn};
-use wire::{Door, Wire};
-use words::{in_messages, Offer, Word, LONGEST, VERSION};
+use socket::{HandoverListener, HandoverSocket};
+use message::{in_messages, Offer, HandoverMessage, LONGEST, VERSION};
 
 /// How long a predecessor may take over its whole offer. A new process has 6 s in all.
 const OFFERED_WITHIN: Duration = Duration::from_secs(3);
@@ -44,14 +44,14 @@
 pub struct Inheritance {
     /// The clients' listener.
     pub listener: TcpListener,
-    /// The siblings' socket.
-    pub siblings: Option<UdpSocket>,
+    /// The peers' socket.
+    pub peers: Option<UdpSocket>,
     /// What else it said.
     pub offer: Offer,
     /// The list of workers.
     pub listing: Listing,
     /// The way to the predecessor.
-    pub wire: Wire,
+    pub wire: HandoverSocket,
 }
 
 /// What was found at the hand-over path.
@@ -66,7 +66,7 @@
 
 /// Asks the process that serves at this place to hand over.
 pub async fn take_over(path: &Path, name: &str, listen: SocketAddr) -> Found {
-    let wire = match Wire::dial(path) {
+    let wire = match HandoverSocket::dial(path) {
         Ok(wire) => wire,
         Err(error) => {
             // A file that a crash or anyone else left behind is worth a line.
@@ -95,47 +95,47 @@
 }
 
 /// What the process there hands over, or why it won't; the outer error is that it said neither.
-async fn inherit(wire: Wire, name: &str, listen: SocketAddr) -> Result<Result<Inheritance, String>, String> {
+async fn inherit(wire: HandoverSocket, name: &str, listen: SocketAddr) -> Result<Result<Inheritance, String>, String> {
     let said = |error: io::Error| error.to_string();
-    let hello = Word::Hello { version: VERSION, name: name.to_string(), listen };
+    let hello = HandoverMessage::Hello { version: VERSION, name: name.to_string(), listen };
     wire.send(&hello.write(), &[]).await.map_err(said)?;
     let mut buffer = vec![0; LONGEST];
     let mut next = async || -> Result<Message, String> {
         let received = wire.receive(&mut buffer).await.map_err(said)?;
         let (bytes, descriptors) = received.ok_or("it broke off")?;
-        Ok((Word::read(&buffer[..bytes])?, descriptors))
+        Ok((HandoverMessage::read(&buffer[..bytes])?, descriptors))
     };
     let (offer, mut descriptors) = match next().await? {
-        (Word::Offer(offer), descriptors) => (offer, descriptors.into_iter()),
-        (Word::Refused(reason), _) => return Ok(Err(reason)),
+        (HandoverMessage::Offer(offer), descriptors) => (offer, descriptors.into_iter()),
+        (HandoverMessage::Refused(reason), _) => return Ok(Err(reason)),
         (word, _) => return Err(format!("unexpected word {word:?}")),
     };
     let listener = TcpListener::from(descriptors.next().ok_or("no listener came")?);
-    let siblings = descriptors.next().map(UdpSocket::from);
+    let peers = descriptors.next().map(UdpSocket::from);
     let mut listing =
         Listing { generation: offer.generation.unwrap_or(0), reset: true, instances: Vec::new() };
     loop {
         match next().await? {
-            (Word::Entries(entries), _) if entries.is_empty() => break,
-            (Word::Entries(entries), _) => listing.instances.extend(entries),
+            (HandoverMessage::Entries(entries), _) if entries.is_empty() => break,
+            (HandoverMessage::Entries(entries), _) => listing.instances.extend(entries),
             (word, _) => return Err(format!("unexpected word {word:?}")),
         }
     }
-    Ok(Ok(Inheritance { listener, siblings, offer, listing, wire }))
+    Ok(Ok(Inheritance { listener, peers, offer, listing, wire }))
 }
 
 /// A process at work, as far as another one can take over from it.
-pub struct House {
+pub struct HandoverServer {
     /// The scheduler's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The clients' listener.
     pub listener: TcpListener,
-    /// The siblings' socket.
-    pub siblings: Option<UdpSocket>,
+    /// The peers' socket.
+    pub peers: Option<UdpSocket>,
     /// The list of workers.
-    pub roster: Arc<Mutex<Roster>>,
+    pub endpoint_list: Arc<Mutex<EndpointList>>,
     /// The lifecycle.
     pub life: Arc<Life>,
     /// The module at work.
@@ -145,25 +145,25 @@
     /// The front.
     pub front: Arc<Front>,
     /// The other processes.
-    pub kin: Arc<Kin>,
+    pub process_links: Arc<ProcessLinks>,
 }
 
-impl House {
+impl HandoverServer {
     /// Tells the predecessor that this process serves from now on, and keeps in touch with it.
-    pub fn taken(self: &Arc<Self>, inheritance: Wire, connections: usize) {
+    pub fn taken(self: &Arc<Self>, inheritance: HandoverSocket, connections: usize) {
         let (link, queue) = Link::new();
-        link.note(&Word::Holds(connections));
+        link.note(&HandoverMessage::Holds(connections));
         self.enter(&link);
-        link.say(Word::Taken, Vec::new());
-        let house = self.clone();
-        tokio::spawn(async move { house.keep(inheritance, link, queue).await });
+        link.say(HandoverMessage::Taken, Vec::new());
+        let handover_server = self.clone();
+        tokio::spawn(async move { handover_server.keep(inheritance, link, queue).await });
     }
 
     /// Hands over to whoever asks at this path, where the door is published, for as long as the process lives.
-    pub async fn receive(self: Arc<Self>, path: PathBuf, mut door: Door) {
+    pub async fn receive(self: Arc<Self>, path: PathBuf, mut listener: HandoverListener) {
         loop {
             tokio::select! {
-                accepted = door.accept() => match accepted {
+                accepted = listener.accept() => match accepted {
                     Ok(wire) => drop(tokio::spawn(self.clone().host(wire))),
                     Err(error) => {
                         warn!(%error, "upgrade.turned.away");
@@ -171,10 +171,10 @@
                     }
                 },
                 // It may have put itself in this one's place before it went.
-                () = self.kin.gone() => if !self.kin.has_successor() {
-                    let opened = Door::open(&path).and_then(|mut door| door.publish(&path).map(|()| door));
+                () = self.process_links.gone() => if !self.process_links.has_successor() {
+                    let opened = HandoverListener::open(&path).and_then(|mut listener| listener.publish(&path).map(|()| listener));
                     match opened {
-                        Ok(opened) => door = opened,
+                        Ok(opened) => listener = opened,
                         Err(error) => warn!(path = %path.display(), %error, "upgrade.impossible"),
                     }
                 },
@@ -183,22 +183,22 @@
     }
 
     /// One process that has come: an offer if it is this scheduler's successor, and what follows.
-    async fn host(self: Arc<Self>, wire: Wire) {
+    async fn host(self: Arc<Self>, wire: HandoverSocket) {
         let mut buffer = vec![0; LONGEST];
         let hello = match timeout(HELLO_WITHIN, wire.receive(&mut buffer)).await {
-            Ok(Ok(Some((bytes, _)))) => Word::read(&buffer[..bytes]),
+            Ok(Ok(Some((bytes, _)))) => HandoverMessage::read(&buffer[..bytes]),
             Ok(Ok(None)) => return,
             Ok(Err(error)) => Err(error.to_string()),
             Err(_) => Err("it said nothing".to_string()),
         };
         drop(buffer);
         let refused = match hello {
-            Ok(Word::Hello { version: VERSION, name, listen }) => {
+            Ok(HandoverMessage::Hello { version: VERSION, name, listen }) => {
                 let same = name == self.name && listen == self.listen;
-                let handed_over = self.kin.has_successor().then(|| "it has handed over already".to_string());
+                let handed_over = self.process_links.has_successor().then(|| "it has handed over already".to_string());
                 handed_over.or_else(|| (!same).then(|| format!("this is {} at {}", self.name, self.listen)))
             }
-            Ok(Word::Hello { version, .. }) => {
+            Ok(HandoverMessage::Hello { version, .. }) => {
                 Some(format!("words of version {version} are not understood, only {VERSION}"))
             }
             Ok(word) => Some(format!("unexpected word {word:?}")),
@@ -206,20 +206,20 @@
         };
         if let Some(reason) = refused {
             warn!(reason, "upgrade.turned.away");
-            let _ = timeout(HELLO_WITHIN, wire.send(&Word::Refused(reason).write(), &[])).await;
+            let _ = timeout(HELLO_WITHIN, wire.send(&HandoverMessage::Refused(reason).write(), &[])).await;
             return;
         }
         let (link, queue) = Link::new();
         let offered = async {
             let ((instances, generation), source) = {
-                let roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
-                (roster.whole(), roster.source())
+                let endpoint_list = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner);
+                (endpoint_list.whole(), endpoint_list.source())
             };
             let listed = instances.len();
             let messages = in_messages(instances);
             // A successor that can't be given all of the list asks for it as a whole.
             let whole = messages.iter().map(Vec::len).sum::<usize>() == listed;
-            let offer = Word::Offer(Offer {
+            let offer = HandoverMessage::Offer(Offer {
                 quiesced: self.life.quiesced(),
                 source,
                 generation: generation.filter(|_| whole),
@@ -227,10 +227,10 @@
                 connections: self.front.connections(),
             });
             let mut descriptors = vec![self.listener.as_fd()];
-            descriptors.extend(self.siblings.as_ref().map(AsFd::as_fd));
+            descriptors.extend(self.peers.as_ref().map(AsFd::as_fd));
             wire.send(&offer.write(), &descriptors).await?;
             for entries in messages.into_iter().chain([Vec::new()]) {
-                wire.send(&Word::Entries(entries).write(), &[]).await?;
+                wire.send(&HandoverMessage::Entries(entries).write(), &[]).await?;
             }
             io::Result::Ok(())
         };
@@ -244,19 +244,19 @@
 
     /// Another process is there: it hears of what is open, and of all changes after it.
     fn enter(&self, link: &Arc<Link>) {
-        self.kin.add(link.clone());
+        self.process_links.add(link.clone());
         for id in self.engine.open_requests() {
-            link.say(Word::Opened(id.0), Vec::new());
+            link.say(HandoverMessage::Opened(id.0), Vec::new());
         }
     }
 
     /// Carries words both ways until one side ends.
-    async fn keep(&self, wire: Wire, link: Arc<Link>, mut queue: Receiver<Message>) {
+    async fn keep(&self, wire: HandoverSocket, link: Arc<Link>, mut queue: Receiver<Message>) {
         let reading = async {
             let mut buffer = vec![0; LONGEST];
             loop {
                 match wire.receive(&mut buffer).await {
-                    Ok(Some((bytes, descriptors))) => match Word::read(&buffer[..bytes]) {
+                    Ok(Some((bytes, descriptors))) => match HandoverMessage::read(&buffer[..bytes]) {
                         Ok(word) => self.heard(&link, word, descriptors),
                         Err(reason) => break warn!(reason, "upgrade.unreadable"),
                     },
@@ -279,7 +279,7 @@
                 let held = self.front.connections();
                 if held != told {
                     told = held;
-                    link.say(Word::Holds(held), Vec::new());
+                    link.say(HandoverMessage::Holds(held), Vec::new());
                 }
                 sleep(COUNT_EVERY).await;
             }
@@ -289,36 +289,36 @@
             () = writing => {}
             () = counting => {}
         }
-        self.kin.remove(&link);
+        self.process_links.remove(&link);
         info!("upgrade.alone");
     }
 
-    fn heard(&self, link: &Arc<Link>, word: Word, descriptors: Vec<OwnedFd>) {
+    fn heard(&self, link: &Arc<Link>, word: HandoverMessage, descriptors: Vec<OwnedFd>) {
         link.note(&word);
         match word {
-            Word::Taken => {
+            HandoverMessage::Taken => {
                 info!(
                     connections = self.front.connections(),
                     requests = self.engine.requests(),
                     "upgrade.taken"
                 );
-                self.kin.succeeded(link.clone());
+                self.process_links.succeeded(link.clone());
                 // Idle connections to workers are the successor's to have.
                 self.upstream.close_all_idle();
             }
-            Word::Connection { kept } => descriptors.into_iter().for_each(|it| self.front.adopt(it, kept)),
-            Word::Callback { number, callback } => {
-                let (link, upstream, kin) = (link.clone(), self.upstream.clone(), self.kin.clone());
+            HandoverMessage::Connection { kept } => descriptors.into_iter().for_each(|it| self.front.adopt(it, kept)),
+            HandoverMessage::Callback { number, callback } => {
+                let (link, upstream, process_links) = (link.clone(), self.upstream.clone(), self.process_links.clone());
                 tokio::spawn(async move {
                     let forwarded = if upstream.called_back(&callback) {
                         Forwarded::Known
                     } else {
-                        kin.forward(&callback, Some(&link)).await
+                        process_links.forward(&callback, Some(&link)).await
                     };
                     // Who asked waits no longer than for an answer, and takes silence for what it is.
                     if forwarded != Forwarded::Unanswered {
                         let known = forwarded == Forwarded::Known;
-                        link.say(Word::Heard { number, known }, Vec::new());
+                        link.say(HandoverMessage::Heard { number, known }, Vec::new());
                     }
                 });
             }
--- a/crates/vetchbridge/src/upgrade/kin.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -4,7 +4,7 @@
 //! carries the words. It must never wait for a process that has gone, nor hold a request up where there is none.
 
 use crate::workers::Callback;
-use crate::upgrade::words::Word;
+use crate::upgrade::message::HandoverMessage;
 use vetchbridge_scheduling::interface::RequestId;
 use std::collections::{HashMap, HashSet};
 use std::os::fd::OwnedFd;
@@ -31,7 +31,7 @@
 }
 
 /// A word and what goes with it.
-pub type Message = (Word, Vec<OwnedFd>);
+pub type Message = (HandoverMessage, Vec<OwnedFd>);
 
 #[derive(Default)]
 struct Known {
@@ -62,7 +62,7 @@
     }
 
     /// Says a word; false if the other side hangs or has gone.
-    pub fn say(&self, word: Word, beside: Vec<OwnedFd>) -> bool {
+    pub fn say(&self, word: HandoverMessage, beside: Vec<OwnedFd>) -> bool {
         self.words.try_send((word, beside)).is_ok()
     }
 
@@ -80,7 +80,7 @@
             known.asked.insert(known.next, heard);
             known.next
         };
-        let said = self.say(Word::Callback { number, callback }, Vec::new());
+        let said = self.say(HandoverMessage::Callback { number, callback }, Vec::new());
         let forwarded = if said {
             match timeout(HEARD_WITHIN, answer).await {
                 Ok(Ok(true)) => Forwarded::Known,
@@ -95,14 +95,14 @@
     }
 
     /// Takes note of what the other side said of itself.
-    pub fn note(&self, word: &Word) {
+    pub fn note(&self, word: &HandoverMessage) {
         let known = &mut *lock(&self.known);
         match word {
-            Word::Opened(id) => drop(known.open.insert(*id)),
-            Word::Closed(id) => drop(known.open.remove(id)),
-            Word::Holds(connections) => known.connections = *connections,
-            Word::Connection { .. } => known.connections = known.connections.saturating_sub(1),
-            Word::Heard { number, known: there } => {
+            HandoverMessage::Opened(id) => drop(known.open.insert(*id)),
+            HandoverMessage::Closed(id) => drop(known.open.remove(id)),
+            HandoverMessage::Holds(connections) => known.connections = *connections,
+            HandoverMessage::Connection { .. } => known.connections = known.connections.saturating_sub(1),
+            HandoverMessage::Heard { number, known: there } => {
                 if let Some(asked) = known.asked.remove(number) {
                     // Failure means that nobody waits for it any more.
                     let _ = asked.send(*there);
@@ -114,19 +114,19 @@
 }
 
 /// See the head of this file.
-pub struct Kin {
+pub struct ProcessLinks {
     links: Mutex<Vec<Arc<Link>>>,
     successor: watch::Sender<Option<Arc<Link>>>,
     gone: Notify,
 }
 
-impl Default for Kin {
-    fn default() -> Kin {
-        Kin { links: Mutex::default(), successor: watch::Sender::new(None), gone: Notify::new() }
+impl Default for ProcessLinks {
+    fn default() -> ProcessLinks {
+        ProcessLinks { links: Mutex::default(), successor: watch::Sender::new(None), gone: Notify::new() }
     }
 }
 
-impl Kin {
+impl ProcessLinks {
     /// Another process is there.
     pub fn add(&self, link: Arc<Link>) {
         lock(&self.links).push(link);
@@ -204,7 +204,7 @@
     }
 
     /// Tells every other process.
-    pub fn tell(&self, word: impl Fn() -> Word) {
+    pub fn tell(&self, word: impl Fn() -> HandoverMessage) {
         for link in lock(&self.links).iter() {
             link.say(word(), Vec::new());
         }
@@ -229,37 +229,37 @@
     /// What another process has said of itself goes with it, and this one is on its own again.
     #[test]
     fn a_process_that_has_gone_holds_nothing() {
-        let kin = Kin::default();
+        let process_links = ProcessLinks::default();
         let ((old, _old_queue), (new, _new_queue)) = (Link::new(), Link::new());
-        kin.add(old.clone());
-        kin.add(new.clone());
-        kin.succeeded(new.clone());
+        process_links.add(old.clone());
+        process_links.add(new.clone());
+        process_links.succeeded(new.clone());
         for (link, word) in [
-            (&old, Word::Opened(1)),
-            (&old, Word::Opened(2)),
-            (&old, Word::Closed(1)),
-            (&old, Word::Holds(5)),
-            (&old, Word::Connection { kept: true }),
-            (&new, Word::Holds(3)),
+            (&old, HandoverMessage::Opened(1)),
+            (&old, HandoverMessage::Opened(2)),
+            (&old, HandoverMessage::Closed(1)),
+            (&old, HandoverMessage::Holds(5)),
+            (&old, HandoverMessage::Connection { kept: true }),
+            (&new, HandoverMessage::Holds(3)),
         ] {
             link.note(&word);
         }
-        assert_eq!((kin.holds(RequestId(1)), kin.holds(RequestId(2)), kin.connections()), (false, true, 7));
-        kin.remove(&old);
-        assert_eq!((kin.holds(RequestId(2)), kin.connections(), kin.has_successor()), (false, 3, true));
-        kin.remove(&new);
-        assert_eq!((kin.connections(), kin.has_successor()), (0, false));
+        assert_eq!((process_links.holds(RequestId(1)), process_links.holds(RequestId(2)), process_links.connections()), (false, true, 7));
+        process_links.remove(&old);
+        assert_eq!((process_links.holds(RequestId(2)), process_links.connections(), process_links.has_successor()), (false, 3, true));
+        process_links.remove(&new);
+        assert_eq!((process_links.connections(), process_links.has_successor()), (0, false));
     }
 
     /// A callback is asked about everywhere but where it came from; one that hangs, or has gone, is not waited for.
     #[tokio::test(start_paused = true)]
     async fn a_callback_is_asked_about_in_turn() {
-        let kin = Kin::default();
-        assert_eq!(kin.forward(&callback(), None).await, Forwarded::Unknown, "there is nobody to ask");
+        let process_links = ProcessLinks::default();
+        assert_eq!(process_links.forward(&callback(), None).await, Forwarded::Unknown, "there is nobody to ask");
         let links: Vec<_> = (0..4).map(|_| Link::new()).collect();
         let mut queues = Vec::new();
         for (link, queue) in links {
-            kin.add(link.clone());
+            process_links.add(link.clone());
             queues.push((link, Some(queue)));
         }
         // The first has gone, the second hangs, from the third it came, the fourth has the job.
@@ -267,17 +267,17 @@
         let (knows, mut asked) = (queues[3].0.clone(), queues[3].1.take().expect("a queue"));
         let answering = async {
             while let Some((word, _)) = asked.recv().await {
-                if let Word::Callback { number, .. } = word {
-                    return knows.note(&Word::Heard { number, known: true });
+                if let HandoverMessage::Callback { number, .. } = word {
+                    return knows.note(&HandoverMessage::Heard { number, known: true });
                 }
             }
         };
         let callback = callback();
-        let (known, ()) = tokio::join!(kin.forward(&callback, Some(&queues[2].0)), answering);
+        let (known, ()) = tokio::join!(process_links.forward(&callback, Some(&queues[2].0)), answering);
         assert_eq!(known, Forwarded::Known);
         assert!(queues[2].1.as_mut().expect("a queue").try_recv().is_err(), "it came from there");
         // From the fourth it came this time; the second may have it, and does not say.
-        let unheard = kin.forward(&callback, Some(&queues[3].0)).await;
+        let unheard = process_links.forward(&callback, Some(&queues[3].0)).await;
         assert_eq!(unheard, Forwarded::Unanswered, "the worker is to say it again");
     }
 }
--- a/crates/vetchbridge/src/upgrade/wire.rs
+++ b/crates/vetchbridge/src/upgrade/socket.rs
@@ -29,21 +29,21 @@
 }
 
 /// A socket that successors connect to.
-pub struct Door {
+pub struct HandoverListener {
     socket: UnixListener,
     /// Where it is until it is published.
     beside: Option<PathBuf>,
 }
 
-impl Door {
+impl HandoverListener {
     /// Listens beside a path, where nobody looks yet.
-    pub fn open(path: &Path) -> io::Result<Door> {
+    pub fn open(path: &Path) -> io::Result<HandoverListener> {
         let beside = path.with_extension(std::process::id().to_string());
         let _ = std::fs::remove_file(&beside);
         let socket = socket()?;
         bind(&socket, &SocketAddrUnix::new(&beside)?)?;
         listen(&socket, BACKLOG)?;
-        Ok(Door { socket: UnixListener::from_std(socket.into())?, beside: Some(beside) })
+        Ok(HandoverListener { socket: UnixListener::from_std(socket.into())?, beside: Some(beside) })
     }
 
     /// Moves to the path. What lies there, of a process that has ended or of one that has handed over, is replaced.
@@ -55,16 +55,16 @@
     }
 
     /// The next process that connects. One of another user is turned away.
-    pub async fn accept(&self) -> io::Result<Wire> {
+    pub async fn accept(&self) -> io::Result<HandoverSocket> {
         let (accepted, _) = self.socket.accept().await?;
         if accepted.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
             return Err(io::Error::new(io::ErrorKind::PermissionDenied, "a process of another user"));
         }
-        Ok(Wire(accepted))
+        Ok(HandoverSocket(accepted))
     }
 }
 
-impl Drop for Door {
+impl Drop for HandoverListener {
     fn drop(&mut self) {
         if let Some(beside) = self.beside.take() {
             let _ = std::fs::remove_file(beside);
@@ -73,14 +73,14 @@
 }
 
 /// One end of a connection between two processes.
-pub struct Wire(UnixStream);
+pub struct HandoverSocket(UnixStream);
 
-impl Wire {
+impl HandoverSocket {
     /// Connects to the process that listens at a path.
-    pub fn dial(path: &Path) -> io::Result<Wire> {
+    pub fn dial(path: &Path) -> io::Result<HandoverSocket> {
         let socket = socket()?;
         connect(&socket, &SocketAddrUnix::new(path)?)?;
-        Ok(Wire(UnixStream::from_std(socket.into())?))
+        Ok(HandoverSocket(UnixStream::from_std(socket.into())?))
     }
 
     /// Sends one message, with descriptors beside it.
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -352,7 +352,7 @@
     pub async fn worker_0_serves(&mut self, class: &str) {
         for key in 0..8 {
             let (mut client, id) = self.job(class, &key.to_string()).await;
-            let mut worker = Wire::new(self.workers[0].accept().await.expect("peer 0 is asked").0);
+            let mut worker = Wire::new(self.workers[0].accept().await.expect("worker 0 is asked").0);
             worker.read().await.expect("the job");
             // Ends the connection after each job, so that the next one is seen to be dialled.
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use vetchbridge::list::listing::{Instance, Lifecycle};
 use vetchbridge::workers::{request_id, worker_id, Callback, CallbackState};
-use vetchbridge::upgrade::words::{Offer, Word, VERSION};
+use vetchbridge::upgrade::message::{HandoverMessage, Offer, VERSION};
 
 fn instance() -> Instance {
     Instance {
@@ -45,7 +45,7 @@
         confirmed: false,
         connections: 2,
     };
-    let hello = Word::Hello {
+    let hello = HandoverMessage::Hello {
         version: VERSION,
         name: "n-0".to_string(),
         listen: "127.0.0.1:8080".parse().expect("an address"),
@@ -55,25 +55,25 @@
     });
     let messages = [
         (hello, json!({"Hello": {"version": 1, "name": "n-0", "listen": "127.0.0.1:8080"}})),
-        (Word::Offer(offer), json!({"Offer": offered})),
-        (Word::Entries(vec![instance()]), json!({"Entries": [entry()]})),
-        (Word::Refused("no".to_string()), json!({"Refused": "no"})),
-        (Word::Taken, json!("Taken")),
-        (Word::Connection { kept: true }, json!({"Connection": {"kept": true}})),
-        (Word::Holds(9), json!({"Holds": 9})),
-        (Word::Opened(11), json!({"Opened": 11})),
-        (Word::Closed(12), json!({"Closed": 12})),
+        (HandoverMessage::Offer(offer), json!({"Offer": offered})),
+        (HandoverMessage::Entries(vec![instance()]), json!({"Entries": [entry()]})),
+        (HandoverMessage::Refused("no".to_string()), json!({"Refused": "no"})),
+        (HandoverMessage::Taken, json!("Taken")),
+        (HandoverMessage::Connection { kept: true }, json!({"Connection": {"kept": true}})),
+        (HandoverMessage::Holds(9), json!({"Holds": 9})),
+        (HandoverMessage::Opened(11), json!({"Opened": 11})),
+        (HandoverMessage::Closed(12), json!({"Closed": 12})),
         (
-            Word::Callback { number: 4, callback: callback() },
+            HandoverMessage::Callback { number: 4, callback: callback() },
             json!({"Callback": {"number": 4, "callback": written_callback()}}),
         ),
-        (Word::Heard { number: 4, known: true }, json!({"Heard": {"number": 4, "known": true}})),
+        (HandoverMessage::Heard { number: 4, known: true }, json!({"Heard": {"number": 4, "known": true}})),
     ];
     for (message, literal) in messages {
         let written: Value = serde_json::from_slice(&message.write()).expect("JSON");
         assert_eq!(written, literal);
         let read =
-            Word::read(literal.to_string().as_bytes()).expect("it reads what the other version writes");
+            HandoverMessage::read(literal.to_string().as_bytes()).expect("it reads what the other version writes");
         assert_eq!(format!("{read:?}"), format!("{message:?}"));
     }
 }
@@ -81,7 +81,7 @@
 #[test]
 fn an_offer_of_a_process_that_says_nothing_of_confirmation_counts_as_confirmed() {
     let literal = br#"{"Offer":{"quiesced":false,"source":null,"generation":null,"connections":0}}"#;
-    let Ok(Word::Offer(offer)) = Word::read(literal) else { panic!("an offer") };
+    let Ok(HandoverMessage::Offer(offer)) = HandoverMessage::read(literal) else { panic!("an offer") };
     assert!(offer.confirmed);
 }
 
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -17,7 +17,7 @@
 use vetchbridge::invariants::violations;
 use vetchbridge::workers::{worker_id, ListedWorker, Parcel, Terms, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
-use vetchbridge::upgrade::kin::Kin;
+use vetchbridge::upgrade::process_links::ProcessLinks;
 
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -82,7 +82,7 @@
         let request =
             Request { id, class, tenant, key: None, deadline, expected_work: None, slots: 1.0, retry: false };
         let job = Job { request, parcel: parcel(), settings: Arc::new(config.snapshot), room: None };
-        let answer = submit(engine, upstream, Arc::new(Kin::default()), job);
+        let answer = submit(engine, upstream, Arc::new(ProcessLinks::default()), job);
         tokio::task::yield_now().await;
         Some(answer)
     });
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -29,12 +29,12 @@
 use vetchbridge::config::read_text;
 use vetchbridge::list::listing::Instance;
 use vetchbridge::workers::{request_id, worker_id, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
-use vetchbridge::upgrade::words::{in_messages, Word, LONGEST};
+use vetchbridge::upgrade::message::{in_messages, HandoverMessage, LONGEST};
 
 const WORKERS: usize = 1200;
 const SCHEDULERS: usize = 1200;
-/// The siblings share so many sockets.
-const SIBLING_SOCKETS: usize = 12;
+/// The peers share so many sockets.
+const PEER_SOCKETS: usize = 12;
 /// The version of the list.
 const GENERATION: u32 = 70;
 /// A name as long as this makes a hundred entries longer than one message of the hand-over.
@@ -135,9 +135,9 @@
     Ok(())
 }
 
-/// The siblings behind one socket: whoever is asked for a worker's load says that it has none. Each datagram is told by the
+/// The peers behind one socket: whoever is asked for a worker's load says that it has none. Each datagram is told by the
 /// number of its socket.
-async fn run_siblings(number: usize, socket: UdpSocket, heard: UnboundedSender<usize>) {
+async fn run_peers(number: usize, socket: UdpSocket, heard: UnboundedSender<usize>) {
     let mut buffer = [0; 256];
     loop {
         let (length, sender) = socket.recv_from(&mut buffer).await.expect("a datagram");
@@ -150,7 +150,7 @@
     }
 }
 
-/// The workers, the siblings and discovery around one scheduler.
+/// The workers, the peers and discovery around one scheduler.
 struct Fleet {
     folder: tempfile::TempDir,
     /// The scheduler's configuration, without a list of workers.
@@ -160,7 +160,7 @@
     target: Target,
     /// The targets of the calls that discovery got.
     calls: UnboundedReceiver<String>,
-    /// The numbers of the sockets that siblings got datagrams at.
+    /// The numbers of the sockets that peers got datagrams at.
     datagrams: UnboundedReceiver<usize>,
     jobs: u64,
 }
@@ -180,13 +180,13 @@
         let list = json!({"generation": GENERATION, "reset": true, "instances": instances});
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (heard, datagrams) = unbounded_channel();
-        let mut siblings = Vec::new();
-        for number in 0..SIBLING_SOCKETS {
+        let mut peers = Vec::new();
+        for number in 0..PEER_SOCKETS {
             let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-            siblings.push(socket.local_addr().expect("bound"));
-            tokio::spawn(run_siblings(number, socket, heard.clone()));
+            peers.push(socket.local_addr().expect("bound"));
+            tokio::spawn(run_peers(number, socket, heard.clone()));
         }
-        let config = large_config(discovery.local_addr().expect("bound"), &siblings);
+        let config = large_config(discovery.local_addr().expect("bound"), &peers);
         let (target, (called, calls)) = (Target::default(), unbounded_channel());
         tokio::spawn(run_workers(workers, name_length, target.clone()));
         tokio::spawn(run_discovery(discovery, list.clone(), form, called));
@@ -251,12 +251,12 @@
     workers
 }
 
-/// The last of 1,200 schedulers, which may send one another datagrams; `siblings` are the others' sockets.
-fn large_config(discovery: SocketAddr, siblings: &[SocketAddr]) -> Value {
+/// The last of 1,200 schedulers, which may send one another datagrams; `peers` are the others' sockets.
+fn large_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let own = reserved.local_addr().expect("bound");
-    let per_socket = SCHEDULERS / siblings.len();
-    let mut each: Vec<String> = (0..SCHEDULERS).map(|n| siblings[n / per_socket].to_string()).collect();
+    let per_socket = SCHEDULERS / peers.len();
+    let mut each: Vec<String> = (0..SCHEDULERS).map(|n| peers[n / per_socket].to_string()).collect();
     each[SCHEDULERS - 1] = own.to_string();
     let mut config = config(discovery, json!([]));
     config["limits"]["sockets"] = 1024.into();
@@ -320,7 +320,7 @@
     }
     assert_eq!(
         asked.len(),
-        SIBLING_SOCKETS,
+        PEER_SOCKETS,
         "schedulers of all numbers keep account of some worker: {asked:?}"
     );
 }
@@ -477,7 +477,7 @@
     assert_eq!(names(&messages.concat()), names(&entries));
     for message in messages {
         assert!(!message.is_empty(), "an empty one ends the list");
-        let length = Word::Entries(message).write().len();
+        let length = HandoverMessage::Entries(message).write().len();
         assert!(length <= LONGEST, "{length}");
     }
     assert_eq!(
@@ -537,7 +537,7 @@
     let reading = || {
         let began = now();
         let read = read_text("large.toml", &file).expect("it is accepted");
-        assert_eq!(read.config.siblings.map(|siblings| siblings.each.len()), Some(size));
+        assert_eq!(read.config.peers.map(|peers| peers.each.len()), Some(size));
         now() - began
     };
     (0..3).map(|_| reading()).min().expect("three")
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -24,7 +24,7 @@
 use vetchbridge::engine::Engine;
 use vetchbridge::workers::{worker_id, Callback, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
-use vetchbridge::upgrade::kin::Kin;
+use vetchbridge::upgrade::process_links::ProcessLinks;
 
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -277,7 +277,7 @@
     };
     let job =
         Job { request, parcel: parcel("00000000000000ab"), settings: Arc::new(config.snapshot), room: None };
-    let answer = submit(engine.clone(), upstream.clone(), Arc::new(Kin::default()), job);
+    let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), job);
     let (mut first, other) = tokio::select! {
         worker = workers[0].accept() => (worker, &workers[1]),
         worker = workers[1].accept() => (worker, &workers[0]),
--- a/crates/vetchbridge/tests/node.rs
+++ b/crates/vetchbridge/tests/node.rs
@@ -13,7 +13,7 @@
 use std::path::Path;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket};
-use vetchbridge::upgrade::{self, words::VERSION};
+use vetchbridge::upgrade::{self, message::VERSION};
 
 /// What a worker is given is what the client sent, and callbacks may come early, twice, or for nobody.
 #[rstest]
@@ -156,7 +156,7 @@
         worker.read().await.expect("the job");
         worker.send("HTTP/1.1 400 No\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         assert_eq!(status(&client.read().await), "502");
-        assert_eq!(*first.get_or_insert(number), number, "the key stays with its peer");
+        assert_eq!(*first.get_or_insert(number), number, "the key stays with its worker");
     }
 }
 
@@ -340,7 +340,7 @@
     wire.send(ACCEPTED).await;
     let (mut once_safe, once_safe_id) = stage.job("safe", "k").await;
     let (_, mut second) = stage.worker().await;
-    second.read().await.expect("the job, at the peer that has none yet");
+    second.read().await.expect("the job, at the worker that has none yet");
 
     let mut other = config(stage.discovery.local_addr().unwrap(), json!(stage.known));
     let services = other["settings"]["services"].as_array_mut().expect("classes");
@@ -371,7 +371,7 @@
     drop(second);
     assert_eq!(status(&now_unsafe.read().await), "502");
     let (mut fresh, fresh_id) = stage.job("fresh", "k").await;
-    wire.read().await.expect("the job, where the other peer has broken off twice");
+    wire.read().await.expect("the job, where the other worker has broken off twice");
     wire.send(ACCEPTED).await;
     stage.call_back(&fresh_id, dropped_worker, "done").await;
     assert_eq!(status(&fresh.read().await), "200");
@@ -609,19 +609,19 @@
     assert_eq!(status(&client.read().await), "200", "the connection is still served");
 }
 
-/// The siblings' address goes over too: two processes can't both bind it, and it must not be free in between.
+/// The peers' address goes over too: two processes can't both bind it, and it must not be free in between.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn the_siblings_address_stays_taken_through_an_upgrade() {
+async fn the_peers_address_stays_taken_through_an_upgrade() {
     let mut stage = Stage::set(0).await;
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let siblings = reserved.local_addr().expect("bound");
+    let peers = reserved.local_addr().expect("bound");
     drop(reserved);
     let mut config = config(stage.discovery.local_addr().unwrap(), json!([]));
     config["name"] = "n1".into();
-    config["peer_listen"] = siblings.to_string().into();
-    config["peers"] = json!([siblings.to_string()]);
+    config["peer_listen"] = peers.to_string().into();
+    config["peers"] = json!([peers.to_string()]);
     config["settings"]["limits"]["peers"] = true.into();
     let (daemon, _discovery) = Process::serving(&mut config, stage.folder.path()).await;
     stage.daemon = daemon;
@@ -630,7 +630,7 @@
     assert_eq!(successor.operate("health").await, "ok serving\n");
     stage.daemon.child.kill().expect("killed");
     stage.daemon.child.wait().expect("it ends");
-    let taken = std::net::UdpSocket::bind(siblings).expect_err("the successor holds it");
+    let taken = std::net::UdpSocket::bind(peers).expect_err("the successor holds it");
     assert_eq!(taken.kind(), std::io::ErrorKind::AddrInUse);
 }
 
@@ -692,7 +692,7 @@
 async fn a_stranger_at_the_hand_over_is_survived(#[case] says: Vec<u8>, #[case] hears: &str) {
     let stage = Stage::set(0).await;
     let says = String::from_utf8(says).expect("text").replace("LISTEN", &stage.daemon.address.to_string());
-    let wire = upgrade::wire::Wire::dial(&stage.folder.path().join(HANDOVER)).expect("it listens");
+    let wire = upgrade::socket::HandoverSocket::dial(&stage.folder.path().join(HANDOVER)).expect("it listens");
     wire.send(says.as_bytes(), &[]).await.expect("sent");
     let mut buffer = vec![0; 65536];
     let (length, _) = wire.receive(&mut buffer).await.expect("an answer").expect("it does not hang up first");
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -21,11 +21,11 @@
 use vetchbridge::engine::Engine;
 use vetchbridge::list::ask::Ask;
 use vetchbridge::list::discovery::{Discovery, InitialList};
-use vetchbridge::list::listing::{Lifecycle, Roster, Source};
+use vetchbridge::list::listing::{Lifecycle, EndpointList, Source};
 use vetchbridge::workers::{request_id, Callback, Parcel, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::snapshot::{Current, Snapshot};
-use vetchbridge::upgrade::kin::Kin;
+use vetchbridge::upgrade::process_links::ProcessLinks;
 
 /// The seed of the module's random numbers where none is named.
 const SEED: u64 = 0x5eed;
@@ -42,7 +42,7 @@
     current: Arc<Current>,
     asks: Option<UnboundedReceiver<Ask>>,
     discovery: TcpListener,
-    roster: Arc<Mutex<Roster>>,
+    endpoint_list: Arc<Mutex<EndpointList>>,
     ask: UnboundedSender<Ask>,
 }
 
@@ -87,7 +87,7 @@
             current: Arc::new(Current::new(config.snapshot)),
             asks: Some(asked),
             discovery,
-            roster: Arc::default(),
+            endpoint_list: Arc::default(),
             ask: asks,
         }
     }
@@ -142,12 +142,12 @@
         let target = PathAndQuery::from_static("/receipt/k");
         let parcel = Parcel { id: id.to_string(), target, idempotency_key: None, body };
         let job = Job { request, parcel, settings: self.current.get(), room: None };
-        submit(self.engine.clone(), self.upstream.clone(), Arc::new(Kin::default()), job)
+        submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
     }
 
     /// The list as told: name and state of each worker.
     fn list(&self) -> Vec<(String, Lifecycle)> {
-        let (instances, _) = self.roster.lock().expect("no panic").whole();
+        let (instances, _) = self.endpoint_list.lock().expect("no panic").whole();
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
     }
 
@@ -157,9 +157,9 @@
         let listing = serde_json::from_value(known).expect("a list");
         let initial = InitialList { listing, versioned: true, inherited: false };
         let source = Source::Service(self.discovery.local_addr().expect("bound"));
-        let roster = self.roster.clone();
+        let endpoint_list = self.endpoint_list.clone();
         let (current, engine, upstream) = (self.current.clone(), self.engine.clone(), self.upstream.clone());
-        let discovery = Discovery::start(source, current, initial, engine, upstream, roster);
+        let discovery = Discovery::start(source, current, initial, engine, upstream, endpoint_list);
         tokio::spawn(discovery.run(self.asks.take().expect("followed once")));
     }
 }
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -213,7 +213,7 @@
     tokio::select! {
         biased;
         ended = probe => assert_eq!(ended, (Outcome::ConnectFailed, None)),
-        bytes = written => panic!("{bytes} bytes were written to a draining peer"),
+        bytes = written => panic!("{bytes} bytes were written to a draining worker"),
     }
     assert_eq!(stage.group.probe(stage.worker_id).await, (Outcome::ConnectFailed, None));
 }
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -84,10 +84,10 @@
 
 async fn starts(seed: u32) {
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let siblings = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let peers = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let mut config = config(discovery.local_addr().expect("bound"), json!([]));
-    config["peer_listen"] = siblings.to_string().into();
-    config["peers"] = json!([siblings.to_string()]);
+    config["peer_listen"] = peers.to_string().into();
+    config["peers"] = json!([peers.to_string()]);
     let folder = tempfile::tempdir().expect("a folder");
     let faults = format!("seed={seed},socket.failed=0.5,connect.failed=0.3");
     let mut process = Process::start_with_faults(&config, folder.path(), &faults);
