--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -62,10 +62,10 @@
 
 mod hash;
 pub mod interface;
-pub mod scheduler;
+pub mod peer_message;
 mod retry;
+pub mod scheduler;
 mod slow_start;
-pub mod peer_message;
 
 pub use interface::*;
 pub use scheduler::{Scheduler, CONFIRM_WITHIN};
--- a/crates/scheduling/src/peer_message.rs
+++ b/crates/scheduling/src/peer_message.rs
@@ -32,7 +32,9 @@
             PeerMessage::OccupancyReply(None) => (1, 0, 0.0, 0),
             PeerMessage::OccupancyReply(Some((slots, time))) => (1, 1, slots, time),
             PeerMessage::AttemptStarted(slots, work) => (2, 0, slots, work),
-            PeerMessage::AttemptFinished { served, broke } => (3, u8::from(served) | u8::from(broke) << 1, 0.0, 0),
+            PeerMessage::AttemptFinished { served, broke } => {
+                (3, u8::from(served) | u8::from(broke) << 1, 0.0, 0)
+            }
         };
         let (slots, time) = ((slots * 16.0) as u16, u32::try_from(time).unwrap_or(u32::MAX));
         [&[word, detail][..], &slots.to_le_bytes(), &time.to_le_bytes(), &worker.0.to_le_bytes()].concat()
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -1,7 +1,7 @@
 //! Whether a job may run again: sent by this scheduler, or by its client after a refusal, which
 //! promises that trying again is harmless.
 
-use crate::interface::{Idempotency, Micros, DeduplicationScope};
+use crate::interface::{DeduplicationScope, Idempotency, Micros};
 
 /// A client that was refused is back this long after the time it was told, at the latest, microseconds.
 const CLIENT_RETURNS: Micros = 500_000;
@@ -29,7 +29,8 @@
     /// Whether the client may be told that trying again, so long from now, is harmless. It may come back to
     /// any scheduler, and its request may go to any worker.
     pub(crate) fn may_be_refused(self, now: Micros, retry_after: Micros) -> bool {
-        let anywhere = !matches!(self.idempotency, Idempotency::Keyed { group, .. } if group != DeduplicationScope::All);
+        let anywhere =
+            !matches!(self.idempotency, Idempotency::Keyed { group, .. } if group != DeduplicationScope::All);
         (anywhere || self.first.is_none()) && self.may_begin_by(now + retry_after + CLIENT_RETURNS)
     }
 }
--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -7,9 +7,9 @@
 
 use crate::hash::{hash_key, mix};
 use crate::interface::*;
+use crate::peer_message::PeerMessage;
 use crate::retry::Repeats;
 use crate::slow_start::{self, StartBounds};
-use crate::peer_message::PeerMessage;
 use std::collections::BTreeMap;
 
 /// Virtual points of a worker of mean size: keeps arcs within about a tenth of their fair share.
@@ -124,7 +124,9 @@
 impl Open {
     /// From when on it can't be in time any more with so many times its hinted work still to do.
     fn late_from(&self, rest: f64) -> Micros {
-        self.arrived + self.class.latency_objective + ((self.class.objective_per_work - rest).max(0.0) * self.work as f64) as Micros
+        self.arrived
+            + self.class.latency_objective
+            + ((self.class.objective_per_work - rest).max(0.0) * self.work as f64) as Micros
     }
 
     /// Whether a late answer is worth nothing, and its work is known so far as that says when it is late.
@@ -298,7 +300,9 @@
             Event::AttemptFinished { request, attempt, worker, outcome, latency, closed, load: _ } => {
                 self.on_outcome(now, (request, attempt), worker, (outcome, latency), closed, actions)
             }
-            Event::JobProgress { request, attempt, progress } => self.on_note(now, request, attempt, progress),
+            Event::JobProgress { request, attempt, progress } => {
+                self.on_note(now, request, attempt, progress)
+            }
             Event::StreamStarted { .. } | Event::Probed { .. } => {}
             Event::PeerMessage { from, data } => self.on_word(now, from, &data, actions),
             Event::Settings(settings) => self.on_settings(*settings),
@@ -324,14 +328,23 @@
 
     // ---- the worker list and the ring ----
 
-    fn on_members(&mut self, now: Micros, update: EndpointUpdate, endpoints: Vec<Endpoint>, actions: &mut Vec<Action>) {
+    fn on_members(
+        &mut self,
+        now: Micros,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+        actions: &mut Vec<Action>,
+    ) {
         if !matches!(update, EndpointUpdate::Failed | EndpointUpdate::Renumbered) {
             (self.failed_calls, self.last_call) = (0, 0);
-            self.unconfirmed_until = if update == EndpointUpdate::Restored { now + CONFIRM_WITHIN } else { 0 };
+            self.unconfirmed_until =
+                if update == EndpointUpdate::Restored { now + CONFIRM_WITHIN } else { 0 };
         }
         if update.is_complete() {
             let listed: std::collections::BTreeSet<WorkerId> = endpoints.iter().map(|m| m.worker).collect();
-            self.workers.iter_mut().for_each(|worker| worker.ready &= listed.contains(&worker.endpoint.worker));
+            self.workers
+                .iter_mut()
+                .for_each(|worker| worker.ready &= listed.contains(&worker.endpoint.worker));
         }
         let mut added = Vec::new();
         let sized = self.settings.weights == Weights::Size;
@@ -459,7 +472,9 @@
             }
             // A cold worker holds only as many points as it is warm: all schedulers agree without a word.
             let warm_up_fraction = worker.warm_up_fraction(now, rules);
-            if warm_up_fraction < 1.0 && f64::from(point.number) >= warm_up_fraction * f64::from(worker.points) {
+            if warm_up_fraction < 1.0
+                && f64::from(point.number) >= warm_up_fraction * f64::from(worker.points)
+            {
                 continue;
             }
             seen[at] = true;
@@ -468,8 +483,12 @@
                 let first = self.index.get(&first.worker).map(|at| &self.workers[*at]);
                 let same = match group {
                     DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => first.is_some_and(|first| first.endpoint.zone == worker.endpoint.zone),
-                    DeduplicationScope::Cell => first.is_some_and(|first| first.endpoint.cell == worker.endpoint.cell),
+                    DeduplicationScope::Zone => {
+                        first.is_some_and(|first| first.endpoint.zone == worker.endpoint.zone)
+                    }
+                    DeduplicationScope::Cell => {
+                        first.is_some_and(|first| first.endpoint.cell == worker.endpoint.cell)
+                    }
                 };
                 if !same {
                     continue;
@@ -524,7 +543,10 @@
         self.by_sequence.insert(sequence, request.id);
         let most = self.settings.limits.max_attempts;
         let sized = Open { most, slots, work: request.expected_work.unwrap_or(0), width, ..Open::default() };
-        self.open.insert(request.id, Open { class, key, arrived: now, deadline: request.deadline, sequence, ..sized });
+        self.open.insert(
+            request.id,
+            Open { class, key, arrived: now, deadline: request.deadline, sequence, ..sized },
+        );
         let at = request.deadline.saturating_sub(self.guard()).max(now);
         actions.push(Action::SetTimer { at, token: TimerToken(TIMER_REQUEST << 56 | sequence) });
         self.place(now, request.id, actions);
@@ -671,7 +693,8 @@
         let worker = self.workers[at].endpoint.worker;
         match (self.keeper(now, worker), word) {
             (Some(keeper), _) if keeper != self.settings.scheduler_index => {
-                actions.push(Action::SendPeerMessage { to: Recipient::One(keeper), data: word.write(worker) });
+                actions
+                    .push(Action::SendPeerMessage { to: Recipient::One(keeper), data: word.write(worker) });
             }
             (_, PeerMessage::AttemptStarted(_, work)) => self.pour(now, at, work),
             _ => {}
@@ -684,7 +707,8 @@
         let all = f64::from(self.settings.scheduler_count);
         let share = if self.keepers() { 1.0 - self.silent.len() as f64 / all } else { 1.0 / all };
         let (worker, rules) = (&self.workers[at], &self.settings.rules);
-        let able = share * self.room * worker.weight * worker.warm_up_fraction(now, rules) * rules.overload_factor;
+        let able =
+            share * self.room * worker.weight * worker.warm_up_fraction(now, rules) * rules.overload_factor;
         let left = worker.poured.0 - able * COLD_MOST.1 * now.saturating_sub(worker.poured.1) as f64;
         (left.max(0.0), able * (COLD_MOST.0 - COLD_MOST.1) * rules.overload_time as f64 - left.max(0.0))
     }
@@ -699,7 +723,8 @@
         self.pour(now, at, 0);
         let (_, most) = self.poured(now, at);
         let (worker, rules) = (&mut self.workers[at], &self.settings.rules);
-        let (held, warm_up_fraction) = (worker.kept_slots(now) + worker.own_slots(), worker.warm_up_fraction(now, rules));
+        let (held, warm_up_fraction) =
+            (worker.kept_slots(now) + worker.own_slots(), worker.warm_up_fraction(now, rules));
         if warm_up_fraction >= 1.0 {
             return held;
         }
@@ -737,7 +762,10 @@
 
     /// A peer has something to say.
     fn on_word(&mut self, now: Micros, from: u32, data: &[u8], actions: &mut Vec<Action>) {
-        let Some((word, id)) = PeerMessage::read(data).filter(|_| from != self.settings.scheduler_index) else { return };
+        let Some((word, id)) = PeerMessage::read(data).filter(|_| from != self.settings.scheduler_index)
+        else {
+            return;
+        };
         self.silent.remove(&from);
         let at = self.index.get(&id).copied();
         if let PeerMessage::OccupancyQuery(work) = word {
@@ -908,7 +936,9 @@
                 worker.full_until = now + TABLE_FULL;
             }
             // One break, silence or error may be its connection's fault, or its request's; a second is not.
-            Outcome::Reset | Outcome::NoResponse | Outcome::Error if worker.failures == 0 => worker.failures = 1,
+            Outcome::Reset | Outcome::NoResponse | Outcome::Error if worker.failures == 0 => {
+                worker.failures = 1
+            }
             Outcome::ConnectFailed | Outcome::Reset | Outcome::NoResponse | Outcome::Error => {
                 worker.ejected_until = now + (EJECT.0 << worker.failures.min(8)).min(EJECT.1);
                 worker.failures += 1;
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -127,7 +127,10 @@
 
 impl Driver {
     pub fn new(settings: Settings) -> Driver {
-        Driver { scheduler: Scheduler::new(settings, 1).expect("the test's settings are sound"), now: 100 * S }
+        Driver {
+            scheduler: Scheduler::new(settings, 1).expect("the test's settings are sound"),
+            now: 100 * S,
+        }
     }
 
     pub fn with_fleet(settings: Settings, n: u64) -> Driver {
--- a/crates/scheduling/tests/discovery.rs
+++ b/crates/scheduling/tests/discovery.rs
@@ -7,7 +7,12 @@
 
 /// Dispatcher `me` of so many, started with a saved list.
 fn start(scheduler_index: u32, scheduler_count: u32) -> (Driver, Vec<Action>) {
-    let settings = Settings { scheduler_index, scheduler_count, endpoint_delivery: EndpointDelivery::Poll, ..settings() };
+    let settings = Settings {
+        scheduler_index,
+        scheduler_count,
+        endpoint_delivery: EndpointDelivery::Poll,
+        ..settings()
+    };
     let scheduler = Scheduler::new(settings, 7 + u64::from(scheduler_index)).expect("sound settings");
     let mut d = Driver { scheduler, now: 100 * S };
     let done = d.event(list(EndpointUpdate::Restored, (1..=9).map(endpoint)));
@@ -54,21 +59,24 @@
     // When, whose, and what: a timer, or a call that fails or is answered.
     let mut deadline = std::collections::BTreeSet::new();
     let mut heard = vec![None; scheduler_count as usize];
-    let mut take = |scheduler_index: u32, now: Micros, done: &[Action], deadline: &mut std::collections::BTreeSet<_>| {
-        deadline.extend(timers(done).into_iter().map(|(at, token)| (at, scheduler_index, Next::Timer(token))));
-        if asks(done) == 0 {
-            return;
-        }
-        let served = now.max(ready);
-        if now < up {
-            deadline.insert((now + 5 * MS, scheduler_index, Next::CallFails));
-        } else if served > now + 2 * S {
-            deadline.insert((now + 2 * S, scheduler_index, Next::CallFails));
-        } else {
-            ready = served + work;
-            deadline.insert((ready, scheduler_index, Next::CallIsAnswered));
-        }
-    };
+    let mut take =
+        |scheduler_index: u32, now: Micros, done: &[Action], deadline: &mut std::collections::BTreeSet<_>| {
+            deadline.extend(
+                timers(done).into_iter().map(|(at, token)| (at, scheduler_index, Next::Timer(token))),
+            );
+            if asks(done) == 0 {
+                return;
+            }
+            let served = now.max(ready);
+            if now < up {
+                deadline.insert((now + 5 * MS, scheduler_index, Next::CallFails));
+            } else if served > now + 2 * S {
+                deadline.insert((now + 2 * S, scheduler_index, Next::CallFails));
+            } else {
+                ready = served + work;
+                deadline.insert((ready, scheduler_index, Next::CallIsAnswered));
+            }
+        };
     for scheduler_index in 0..scheduler_count {
         let (driver, done) = start(scheduler_index, scheduler_count);
         take(scheduler_index, driver.now, &done, &mut deadline);
@@ -128,7 +136,10 @@
         for fails in [0, 5 * MS, S, 2 * S, 2_450 * MS] {
             for scheduler_index in 0..scheduler_count {
                 let at = calls_failing(scheduler_index, scheduler_count, 60 * S, fails);
-                assert!(at.windows(2).all(|pair| pair[1] - pair[0] <= 3_200 * MS), "{scheduler_count}: {at:?}");
+                assert!(
+                    at.windows(2).all(|pair| pair[1] - pair[0] <= 3_200 * MS),
+                    "{scheduler_count}: {at:?}"
+                );
             }
         }
     }
@@ -176,7 +187,12 @@
 /// The process before this one held its list a moment ago: jobs are sent by it at once, and the watch goes on at once.
 #[test]
 fn an_inherited_list_is_sent_by_at_once_and_asked_for_soon() {
-    let settings = Settings { scheduler_index: 1, scheduler_count: 300, endpoint_delivery: EndpointDelivery::Poll, ..settings() };
+    let settings = Settings {
+        scheduler_index: 1,
+        scheduler_count: 300,
+        endpoint_delivery: EndpointDelivery::Poll,
+        ..settings()
+    };
     let mut d = Driver { scheduler: Scheduler::new(settings, 7).expect("sound settings"), now: 100 * S };
     let done = d.event(list(EndpointUpdate::HandedOver, (1..=9).map(endpoint)));
     assert!(timers(&done).iter().any(|(at, _)| *at <= d.now + 150 * MS), "{done:?}");
@@ -260,7 +276,11 @@
         let mut calls = vec![];
         for scheduler_index in 0..3 {
             let (asked, mut d) = outage(scheduler_index, fails, drains());
-            assert!(asked[0] <= 150 * MS, "the watch of {scheduler_index} was opened anew after {} us", asked[0]);
+            assert!(
+                asked[0] <= 150 * MS,
+                "the watch of {scheduler_index} was opened anew after {} us",
+                asked[0]
+            );
             let apart: Vec<Micros> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
             // A refusal at once invites no storm; three are no herd, and learn of the return within 1.5 s of a call's end.
             assert!(apart.iter().all(|apart| (50 * MS..=1_500 * MS + fails).contains(apart)), "{apart:?}");
--- a/crates/scheduling/tests/keepers.rs
+++ b/crates/scheduling/tests/keepers.rs
@@ -3,12 +3,17 @@
 
 mod common;
 use common::*;
+use std::collections::BTreeMap;
 use vetchbridge_scheduling::peer_message::PeerMessage;
 use vetchbridge_scheduling::*;
-use std::collections::BTreeMap;
 
 fn talking(scheduler_index: u32, scheduler_count: u32) -> Settings {
-    let mut settings = Settings { scheduler_index, scheduler_count, load_report_source: LoadReportSource::Never, ..settings() };
+    let mut settings = Settings {
+        scheduler_index,
+        scheduler_count,
+        load_report_source: LoadReportSource::Never,
+        ..settings()
+    };
     settings.limits.may_message_peers = true;
     settings
 }
@@ -145,10 +150,14 @@
         let key = format!("key-{id}");
         assert_eq!(d.request(id, SAFE, &key), fresh.request(id, SAFE, &key));
     }
-    let answer = d.event(Event::PeerMessage { from: 2, data: PeerMessage::OccupancyQuery(0).write(WorkerId(13)) });
+    let answer =
+        d.event(Event::PeerMessage { from: 2, data: PeerMessage::OccupancyQuery(0).write(WorkerId(13)) });
     assert_eq!(
         answer,
-        [Action::SendPeerMessage { to: Recipient::One(2), data: PeerMessage::OccupancyReply(None).write(WorkerId(13)) }]
+        [Action::SendPeerMessage {
+            to: Recipient::One(2),
+            data: PeerMessage::OccupancyReply(None).write(WorkerId(13))
+        }]
     );
 }
 
@@ -206,17 +215,30 @@
 fn a_rush_to_a_worker_that_has_just_come_back_is_let_in_by_few_at_a_time() {
     for (work, most) in [(100 * MS, 3), (2 * S, 1)] {
         let mut d = Driver::new(talking(0, 10));
-        d.event(list(EndpointUpdate::Snapshot, [Endpoint { weight: 4.0, started_at: d.now - 100 * MS, ..endpoint(1) }]));
+        d.event(list(
+            EndpointUpdate::Snapshot,
+            [Endpoint { weight: 4.0, started_at: d.now - 100 * MS, ..endpoint(1) }],
+        ));
         let mut let_in = 0;
         for round in 0..3 {
             for from in 1..10 {
-                let done = d.event(Event::PeerMessage { from, data: PeerMessage::OccupancyQuery(work).write(WorkerId(1)) });
-                let [Action::SendPeerMessage { to: Recipient::One(to), data }] = &done[..] else { panic!("{done:?}") };
-                let Some((PeerMessage::OccupancyReply(Some((held, 0))), _)) = PeerMessage::read(data) else { panic!("{data:?}") };
+                let done = d.event(Event::PeerMessage {
+                    from,
+                    data: PeerMessage::OccupancyQuery(work).write(WorkerId(1)),
+                });
+                let [Action::SendPeerMessage { to: Recipient::One(to), data }] = &done[..] else {
+                    panic!("{done:?}")
+                };
+                let Some((PeerMessage::OccupancyReply(Some((held, 0))), _)) = PeerMessage::read(data) else {
+                    panic!("{data:?}")
+                };
                 assert_eq!(*to, from);
                 if round == 0 && held < 4.0 {
                     let_in += 1;
-                    d.event(Event::PeerMessage { from, data: PeerMessage::AttemptStarted(1.0, work).write(WorkerId(1)) });
+                    d.event(Event::PeerMessage {
+                        from,
+                        data: PeerMessage::AttemptStarted(1.0, work).write(WorkerId(1)),
+                    });
                 }
                 assert!(round == 0 || held > 4.0, "nothing has ended, {held} in hand");
             }
--- a/crates/scheduling/tests/load.rs
+++ b/crates/scheduling/tests/load.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use vetchbridge_scheduling::*;
 use std::collections::{BTreeMap, BTreeSet};
+use vetchbridge_scheduling::*;
 
 /// Workers that tell neither start nor load take a queue of seconds before they refuse: their arcs are never even, and the
 /// owner of a popular key drowns while others idle. So own jobs are spread by size, each key as near its place as that allows.
@@ -100,7 +100,8 @@
 #[test]
 fn a_peer_that_answers_with_errors_again_and_again_is_passed_over() {
     let share_of_bad = |fails: &dyn Fn(WorkerId, u64) -> bool| {
-        let mut d = Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 6);
+        let mut d =
+            Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 6);
         let (mut bad, mut all) = (0, 0);
         for id in 1..=1200 {
             d.now += 20 * MS;
@@ -132,17 +133,32 @@
 const COLD: u64 = 4;
 
 fn cold_rules() -> Rules {
-    Rules { slow_start_floor: 0.14, slow_start_time: 24 * S, overload_factor: 2.5, overload_time: 3 * S, ..settings().rules }
+    Rules {
+        slow_start_floor: 0.14,
+        slow_start_time: 24 * S,
+        overload_factor: 2.5,
+        overload_time: 3 * S,
+        ..settings().rules
+    }
 }
 
 /// Three schedulers without a word between them, at peers that tell neither start nor load unasked.
 fn strangers(seed: u64) -> Vec<Driver> {
     let classes = [(Idempotency::Idempotent, 2.5), (Idempotency::NonIdempotent, 1.75)];
-    let classes =
-        classes.map(|(idempotency, objective_per_work)| Class { latency_objective: 200 * MS, objective_per_work, late_weight: 0.0, ..class(idempotency) });
+    let classes = classes.map(|(idempotency, objective_per_work)| Class {
+        latency_objective: 200 * MS,
+        objective_per_work,
+        late_weight: 0.0,
+        ..class(idempotency)
+    });
     let one = |scheduler_index: u32| {
-        let fleet =
-            Settings { scheduler_index, scheduler_count: 3, zone: ZoneId(scheduler_index), load_report_source: LoadReportSource::Probes, ..settings() };
+        let fleet = Settings {
+            scheduler_index,
+            scheduler_count: 3,
+            zone: ZoneId(scheduler_index),
+            load_report_source: LoadReportSource::Probes,
+            ..settings()
+        };
         let scheduler = Scheduler::new(
             Settings { classes: classes.to_vec(), rules: cold_rules(), ..fleet },
             3 * seed + u64::from(scheduler_index),
@@ -168,7 +184,8 @@
     let (start, rules) = (all[0].now, cold_rules());
     let back = start + 3 * S;
     let warm_up_fraction = |at: Micros| {
-        rules.slow_start_floor + (1.0 - rules.slow_start_floor) * at.saturating_sub(back) as f64 / rules.slow_start_time as f64
+        rules.slow_start_floor
+            + (1.0 - rules.slow_start_floor) * at.saturating_sub(back) as f64 / rules.slow_start_time as f64
     };
     let mut state = seed;
     let mut random = || {
@@ -191,7 +208,8 @@
             jobs.retain(|job| {
                 let outcome = if job.left <= 0.0 { Outcome::Ok } else { Outcome::Timeout };
                 let over = job.left <= 0.0 || job.until <= now;
-                events.extend(over.then(|| (job.from, attempt_finished(job.id, 0, WorkerId(*peer), outcome))));
+                events
+                    .extend(over.then(|| (job.from, attempt_finished(job.id, 0, WorkerId(*peer), outcome))));
                 !over
             });
         }
@@ -225,7 +243,8 @@
         if now >= back + rules.overload_time {
             let sent: f64 =
                 poured.iter().filter(|sent| sent.0 + rules.overload_time > now).map(|sent| sent.1).sum();
-            let able = SLOTS as f64 * warm_up_fraction(now - rules.overload_time / 2) * rules.overload_time as f64;
+            let able =
+                SLOTS as f64 * warm_up_fraction(now - rules.overload_time / 2) * rules.overload_time as f64;
             most = most.max(sent / able);
             idle += peers.iter().filter(|(peer, jobs)| **peer != COLD && jobs.len() < SLOTS).count();
         }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -6,9 +6,9 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use std::collections::BTreeMap;
 use vetchbridge_scheduling::peer_message::PeerMessage;
 use vetchbridge_scheduling::*;
-use std::collections::BTreeMap;
 
 /// One request as the rules see it.
 struct Ledger {
@@ -95,7 +95,9 @@
                 Action::SendPeerMessage { to, data } => {
                     let Recipient::One(keeper) = to else { panic!("{action:?}") };
                     assert!(*keeper != 0 && data.len() <= 256);
-                    if PeerMessage::read(data).is_some_and(|(word, _)| matches!(word, PeerMessage::OccupancyQuery(_))) {
+                    if PeerMessage::read(data)
+                        .is_some_and(|(word, _)| matches!(word, PeerMessage::OccupancyQuery(_)))
+                    {
                         self.asked.push((*keeper, data.clone()));
                     }
                 }
@@ -141,7 +143,15 @@
         ledger.answered |= outcome == Outcome::Ok;
         let closed = ledger.answered;
         let (request, attempt) = (RequestId(id), AttemptNo(attempt));
-        self.event(Event::AttemptFinished { request, attempt, worker, outcome, latency: 5 * MS, closed, load });
+        self.event(Event::AttemptFinished {
+            request,
+            attempt,
+            worker,
+            outcome,
+            latency: 5 * MS,
+            closed,
+            load,
+        });
     }
 
     fn step(&mut self, (what, a, b): (u8, u8, u8)) {
@@ -178,9 +188,13 @@
             }
             6 if b % 4 == 0 => {
                 // A peer says something of its own accord, or what no peer would say.
-                let peer_message =
-                    [PeerMessage::OccupancyQuery(S), PeerMessage::AttemptStarted(1.0, S), PeerMessage::AttemptFinished { served: a % 3 == 0, broke: a % 3 == 1 }];
-                let mut data = peer_message[b as usize / 4 % 3].write(WorkerId(1 + u64::from(a) % (NODES + 1)));
+                let peer_message = [
+                    PeerMessage::OccupancyQuery(S),
+                    PeerMessage::AttemptStarted(1.0, S),
+                    PeerMessage::AttemptFinished { served: a % 3 == 0, broke: a % 3 == 1 },
+                ];
+                let mut data =
+                    peer_message[b as usize / 4 % 3].write(WorkerId(1 + u64::from(a) % (NODES + 1)));
                 data.truncate(if b > 240 { a as usize % 20 } else { 16 });
                 self.event(Event::PeerMessage { from: u32::from(a) % 5, data });
             }
@@ -193,10 +207,13 @@
             }
             7 => {
                 let n = 1 + u64::from(a) % NODES;
-                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][b as usize % 3];
+                let state =
+                    [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][b as usize % 3];
                 match state {
                     EndpointState::Ready => self.stopped.remove(&WorkerId(n)),
-                    EndpointState::Draining | EndpointState::Removed => self.stopped.insert(WorkerId(n), self.d.now),
+                    EndpointState::Draining | EndpointState::Removed => {
+                        self.stopped.insert(WorkerId(n), self.d.now)
+                    }
                 };
                 let started_at = if b > 128 { self.d.now } else { 0 };
                 self.event(list(EndpointUpdate::Changes, [Endpoint { state, started_at, ..endpoint(n) }]));
--- a/crates/scheduling/tests/ramp.rs
+++ b/crates/scheduling/tests/ramp.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use vetchbridge_scheduling::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use vetchbridge_scheduling::*;
 
 /// What schedulers hear of one another.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -38,7 +38,13 @@
 const MEAN: f64 = 0.225e6;
 
 fn rules() -> Rules {
-    Rules { slow_start_floor: 0.2, slow_start_time: 20 * S, overload_factor: 2.2, overload_time: 2500 * MS, ..settings().rules }
+    Rules {
+        slow_start_floor: 0.2,
+        slow_start_time: 20 * S,
+        overload_factor: 2.2,
+        overload_time: 2500 * MS,
+        ..settings().rules
+    }
 }
 
 struct Job {
@@ -65,16 +71,20 @@
             rules: rules.clone(),
             ..settings()
         };
-        let scheduler = Scheduler::new(settings, 1000 * fleet.seed + u64::from(scheduler_index)).expect("sound settings");
+        let scheduler =
+            Scheduler::new(settings, 1000 * fleet.seed + u64::from(scheduler_index)).expect("sound settings");
         let mut d = Driver { scheduler, now: 100 * S };
         d.event(list(EndpointUpdate::Snapshot, (1..=fleet.peers).map(sized)));
         d
     };
     let mut all: Vec<Driver> = (0..fleet.schedulers).map(&one).collect();
     let start = all[0].now;
-    let started_at = |peer: u64| (peer <= fleet.restarted).then(|| start + 3 * S + peer * S / fleet.restarted);
+    let started_at =
+        |peer: u64| (peer <= fleet.restarted).then(|| start + 3 * S + peer * S / fleet.restarted);
     let warm_up_fraction = |peer: u64, at: Micros| {
-        let age = started_at(peer).map_or(f64::MAX, |started_at| at.saturating_sub(started_at) as f64 / rules.slow_start_time as f64);
+        let age = started_at(peer).map_or(f64::MAX, |started_at| {
+            at.saturating_sub(started_at) as f64 / rules.slow_start_time as f64
+        });
         (rules.slow_start_floor + (1.0 - rules.slow_start_floor) * age).min(1.0)
     };
     let mut state = fleet.seed;
@@ -83,7 +93,9 @@
         (state >> 33) as f64 / (1u64 << 31) as f64
     };
     // Some schedulers get several times the mean.
-    let shares: Vec<f64> = (0..fleet.schedulers).map(|scheduler_index| [0.4, 0.6, 1.0, 3.0][scheduler_index as usize % 4]).collect();
+    let shares: Vec<f64> = (0..fleet.schedulers)
+        .map(|scheduler_index| [0.4, 0.6, 1.0, 3.0][scheduler_index as usize % 4])
+        .collect();
     let total: f64 = shares.iter().sum();
     let mut peers: BTreeMap<u64, Vec<Job>> = BTreeMap::new();
     let mut mail: VecDeque<(Micros, usize, Event)> = VecDeque::new();
@@ -112,7 +124,8 @@
                 let outcome = if job.left <= 0.0 { Outcome::Ok } else { Outcome::Timeout };
                 let over = job.left <= 0.0 || job.until <= now;
                 served += u64::from(job.left <= 0.0);
-                events.extend(over.then(|| (job.from, attempt_finished(job.id, 0, WorkerId(*peer), outcome))));
+                events
+                    .extend(over.then(|| (job.from, attempt_finished(job.id, 0, WorkerId(*peer), outcome))));
                 !over
             });
         }
@@ -126,7 +139,8 @@
             let born_later = |peer: u64| started_at(peer).filter(|at| *at <= now).map_or(0, |at| at);
             let mut anew = one(dies as u32);
             anew.now = now;
-            let listed = (1..=fleet.peers).map(|peer| Endpoint { started_at: born_later(peer), ..sized(peer) });
+            let listed =
+                (1..=fleet.peers).map(|peer| Endpoint { started_at: born_later(peer), ..sized(peer) });
             anew.event(list(EndpointUpdate::Snapshot, listed));
             all[dies as usize] = anew;
             deadline.retain(|(_, from, _)| *from as u64 != dies);
@@ -179,7 +193,9 @@
             }
         }
         for (peer, sent) in &mut sent {
-            let Some(started_at) = started_at(*peer).filter(|started_at| now > *started_at && warm_up_fraction(*peer, now) < 1.0) else {
+            let Some(started_at) = started_at(*peer)
+                .filter(|started_at| now > *started_at && warm_up_fraction(*peer, now) < 1.0)
+            else {
                 continue;
             };
             while sent.front().is_some_and(|(at, _)| at + rules.overload_time <= now || *at < started_at) {
--- a/crates/scheduling/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use vetchbridge_scheduling::*;
 use std::collections::BTreeMap;
+use vetchbridge_scheduling::*;
 
 /// First and second choice of a key at a scheduler that has seen nothing else.
 fn choices(endpoints: &[Endpoint], key: &str) -> (WorkerId, WorkerId) {
@@ -171,7 +171,10 @@
     let key = (0..5000).map(|n| format!("key-{n}")).find(|key| {
         let mut d = Driver::new(reckless.clone());
         let started_at = d.now;
-        d.event(list(EndpointUpdate::Snapshot, (1..=29).map(endpoint).chain([Endpoint { started_at, ..endpoint(30) }])));
+        d.event(list(
+            EndpointUpdate::Snapshot,
+            (1..=29).map(endpoint).chain([Endpoint { started_at, ..endpoint(30) }]),
+        ));
         sent(&d.request(1, SAFE, key)) == WorkerId(30)
     });
     let key = key.expect("some key is at home there");
@@ -182,8 +185,11 @@
         let started_at = d.now + 20 * S;
         d.event(list(EndpointUpdate::Snapshot, (1..=29).map(endpoint)));
         for n in 0..40 {
-            let worker =
-                sent(&d.request(n, SAFE, &if n % 10 == 5 { key.clone() } else { format!("other-{scheduler_index}-{n}") }));
+            let worker = sent(&d.request(
+                n,
+                SAFE,
+                &if n % 10 == 5 { key.clone() } else { format!("other-{scheduler_index}-{n}") },
+            ));
             d.event(attempt_finished(n, 0, worker, Outcome::Ok));
             d.now += S / 2;
         }
--- a/crates/scheduling/tests/rules.rs
+++ b/crates/scheduling/tests/rules.rs
@@ -11,7 +11,8 @@
         let mut d = Driver::with_fleet(settings(), 12);
         let mut tried = vec![sent(&d.request(1, class, "k"))];
         for attempt in 0..3 {
-            let next = sent(&d.event(attempt_finished(1, attempt, *tried.last().unwrap(), Outcome::Rejected)));
+            let next =
+                sent(&d.event(attempt_finished(1, attempt, *tried.last().unwrap(), Outcome::Rejected)));
             assert!(!tried.contains(&next));
             tried.push(next);
         }
@@ -179,7 +180,11 @@
             let worker = sent(&done);
             for (after, share) in notes {
                 wait(&mut d, *after, &mut done);
-                d.event(progress(if *share == 0.0 { JobProgress::Started } else { JobProgress::Fraction(*share) }));
+                d.event(progress(if *share == 0.0 {
+                    JobProgress::Started
+                } else {
+                    JobProgress::Fraction(*share)
+                }));
             }
             wait(&mut d, if moved { 4 * S } else { S }, &mut done);
             let next = &sends(&done)[1..];
@@ -233,9 +238,14 @@
     for (before, after, resent) in [
         (Idempotency::Idempotent, Idempotency::NonIdempotent, true),
         (Idempotency::NonIdempotent, Idempotency::Idempotent, false),
-        (Idempotency::Keyed { group: DeduplicationScope::Cell, window: 2 * S }, Idempotency::NonIdempotent, true),
+        (
+            Idempotency::Keyed { group: DeduplicationScope::Cell, window: 2 * S },
+            Idempotency::NonIdempotent,
+            true,
+        ),
     ] {
-        let with = |idempotency, classes| Settings { classes: vec![class(idempotency); classes], ..settings() };
+        let with =
+            |idempotency, classes| Settings { classes: vec![class(idempotency); classes], ..settings() };
         let mut d = Driver::with_fleet(with(before, 2), 23);
         let open = sent(&d.request(1, 1, "k"));
         // The class that it was taken under is the second; there is but one now, and it is another.
@@ -265,7 +275,9 @@
         assert!(sends(&last).is_empty() && refused(&last), "{before} to {after}: {last:?}");
         let mut attempts = 1;
         worker = sent(&d.request(2, SAFE, "k"));
-        while let Some(next) = sends(&d.event(attempt_finished(2, attempts - 1, worker, Outcome::Rejected))).first() {
+        while let Some(next) =
+            sends(&d.event(attempt_finished(2, attempts - 1, worker, Outcome::Rejected))).first()
+        {
             (worker, attempts) = (*next, attempts + 1);
         }
         assert_eq!(attempts, after);
--- a/crates/scheduling/tests/starts.rs
+++ b/crates/scheduling/tests/starts.rs
@@ -22,7 +22,10 @@
 /// A scheduler that has heard its whole list, and a second later that nothing has changed.
 fn serving(started_at: Micros) -> Driver {
     let mut d = Driver::new(without_budget());
-    d.at(BEGIN, list(EndpointUpdate::Snapshot, (1..=WORKERS).map(|n| Endpoint { started_at, ..endpoint(n) })));
+    d.at(
+        BEGIN,
+        list(EndpointUpdate::Snapshot, (1..=WORKERS).map(|n| Endpoint { started_at, ..endpoint(n) })),
+    );
     d.at(BEGIN + S, list(EndpointUpdate::Changes, []));
     d
 }
@@ -70,8 +73,8 @@
 #[test]
 fn a_start_that_the_first_list_puts_into_the_future_was_now() {
     let mut d = Driver::new(without_budget());
-    let endpoints =
-        (1..=WORKERS).map(|n| Endpoint { started_at: if n == RESTARTED { BEGIN + HOUR } else { 0 }, ..endpoint(n) });
+    let endpoints = (1..=WORKERS)
+        .map(|n| Endpoint { started_at: if n == RESTARTED { BEGIN + HOUR } else { 0 }, ..endpoint(n) });
     d.at(BEGIN, list(EndpointUpdate::Snapshot, endpoints));
     let cold = keys_sent_there(&mut d);
     d.now = BEGIN + settings().rules.slow_start_time;
@@ -96,7 +99,10 @@
 #[test]
 fn zone_kind_and_cell_follow_the_list() {
     let mut d = Driver::new(settings());
-    d.event(list(EndpointUpdate::Snapshot, (1..=4).map(|n| Endpoint { kind: KindId(u32::from(n > 2)), ..endpoint(n) })));
+    d.event(list(
+        EndpointUpdate::Snapshot,
+        (1..=4).map(|n| Endpoint { kind: KindId(u32::from(n > 2)), ..endpoint(n) }),
+    ));
     let bound = |d: &mut Driver, id: u64| {
         let worker = sent(&d.request(id, BOUND, &format!("key-{id}"))).0;
         d.event(attempt_finished(id, 0, WorkerId(worker), Outcome::Ok));
@@ -110,7 +116,10 @@
     assert!((20..40).all(|id| bound(&mut d, id) <= 2), "the kinds have changed places");
 
     let mut d = Driver::new(settings());
-    d.event(list(EndpointUpdate::Snapshot, (1..=4).map(|n| Endpoint { cell: CellId(n as u32 / 2), ..endpoint(n) })));
+    d.event(list(
+        EndpointUpdate::Snapshot,
+        (1..=4).map(|n| Endpoint { cell: CellId(n as u32 / 2), ..endpoint(n) }),
+    ));
     let first = sent(&d.request(1, KEYED_CELL, "k"));
     // Its cell mate of before is in another cell now, and another worker has come to it.
     let mates = |n: u64| CellId(u32::from((n == first.0) || (n == first.0 % 4 + 1)));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -151,7 +151,8 @@
         };
         classes.push(Class {
             latency_objective: class.int("aim")?,
-            objective_per_work: per_class("class_stretch", index).unwrap_or(class.float_or("aim_stretch", 0.0)?),
+            objective_per_work: per_class("class_stretch", index)
+                .unwrap_or(class.float_or("aim_stretch", 0.0)?),
             deadline: class.int("deadline")?,
             priority_weight: class.float_or("importance", 1.0)?,
             late_weight: class.float_or("late_share", 0.0)?,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,11 +4,11 @@
 
 mod wire;
 
-use vetchbridge_scheduling::interface::{Action, SettingsError};
-use vetchbridge_scheduling::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
+use vetchbridge_scheduling::interface::{Action, SettingsError};
+use vetchbridge_scheduling::scheduler::Scheduler;
 use wire::{print_actions, Message, Reader, WireError};
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,8 +4,8 @@
 //! malformed is a [`WireError`] naming the line and the field.
 
 use base64::{engine::general_purpose::STANDARD, Engine as _};
-use vetchbridge_scheduling::interface::*;
 use std::io::{BufRead, Write};
+use vetchbridge_scheduling::interface::*;
 
 /// What was wrong with the input.
 #[derive(Debug)]
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -3,8 +3,8 @@
 //! One port for each scheduler, so that each can be told its own addresses and be moved on its own. One task owns the
 //! listeners and their connections. It must never look at a worker: it knows what it was told.
 
-use crate::worker::Worker;
 use crate::wire::Wire;
+use crate::worker::Worker;
 use crate::{Owned, Port};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -22,12 +22,12 @@
 pub mod client;
 pub mod discovery;
 pub mod front;
-pub mod worker;
 pub mod queue;
 pub mod runs;
 pub mod stats;
 pub mod store;
 pub mod wire;
+pub mod worker;
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -16,7 +16,7 @@
 mod state;
 
 pub use script::{Act, ProbeAct};
-pub use spec::{WorkerSpec, ProbeSpec};
+pub use spec::{ProbeSpec, WorkerSpec};
 
 use crate::runs::Runs;
 use crate::{Owned, Port};
--- a/crates/testbed/tests/account.rs
+++ b/crates/testbed/tests/account.rs
@@ -1,11 +1,11 @@
 //! The account of a run: every rule, broken once, is reported, and a sound record reports none.
 #![allow(missing_docs)]
 
+use std::time::Duration;
 use vetchbridge_testbed::account::{judge, Outage, Violation};
 use vetchbridge_testbed::arrivals::{Arrival, ClassLoad, Repeat};
 use vetchbridge_testbed::client::{JobRecord, Outcome, Try};
 use vetchbridge_testbed::runs::{result, Run, RunEnd};
-use std::time::Duration;
 
 const WINDOW: Duration = Duration::from_secs(15);
 
--- a/crates/testbed/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -1,8 +1,8 @@
 //! A seeded load: its distributions, its reproducibility and the faults of its configuration.
 #![allow(missing_docs)]
 
-use vetchbridge_testbed::arrivals::{Arrival, Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
 use std::time::Duration;
+use vetchbridge_testbed::arrivals::{Arrival, Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
 
 fn spec() -> LoadSpec {
     let class = |name: &str, share, work| ClassLoad {
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -1,8 +1,8 @@
 //! The record of runs: which repeats of keyed jobs are deduplicated.
 #![allow(missing_docs)]
 
-use vetchbridge_testbed::runs::{Admission, Run, RunEnd, Runs};
 use std::time::Duration;
+use vetchbridge_testbed::runs::{Admission, Run, RunEnd, Runs};
 
 fn run(key: &str, at: u64) -> Run {
     let (class, object, worker) = ("c".to_string(), "o".to_string(), "s-0".to_string());
--- a/crates/testbed/tests/store.rs
+++ b/crates/testbed/tests/store.rs
@@ -1,9 +1,9 @@
 //! The store and the workers' caches: what is fetched, evicted and waited for.
 #![allow(missing_docs)]
 
-use vetchbridge_testbed::store::{Kept, Store};
 use std::time::Duration;
 use tokio::time::Instant;
+use vetchbridge_testbed::store::{Kept, Store};
 
 #[tokio::test(start_paused = true)]
 async fn a_worker_fetches_what_it_no_longer_keeps_and_waits_for_the_stores_room() {
--- a/crates/testbed/tests/stories.rs
+++ b/crates/testbed/tests/stories.rs
@@ -2,20 +2,20 @@
 //! on it.
 #![allow(missing_docs)]
 
+use rstest::rstest;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
 use vetchbridge_testbed::arrivals::{Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
 use vetchbridge_testbed::client::{Clients, Outcome};
 use vetchbridge_testbed::discovery::{Discovery, Health};
 use vetchbridge_testbed::front::Front;
-use vetchbridge_testbed::worker::{Act, Worker, WorkerSpec, ProbeAct, ProbeSpec};
 use vetchbridge_testbed::runs::{result, RunEnd, Runs};
 use vetchbridge_testbed::stats::{Field, StatsSpec};
 use vetchbridge_testbed::wire::{Message, Wire};
-use rstest::rstest;
-use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
-use std::time::Duration;
-use tokio::net::TcpListener;
+use vetchbridge_testbed::worker::{Act, ProbeAct, ProbeSpec, Worker, WorkerSpec};
 
 const HANG: Duration = Duration::from_secs(60);
 
@@ -79,7 +79,8 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_worker_that_refuses_or_drains_takes_nothing_and_hands_back_what_waits() {
-    let spec = WorkerSpec { slots: 1, tells_start: false, progress: Duration::ZERO, ..WorkerSpec::new("s-0") };
+    let spec =
+        WorkerSpec { slots: 1, tells_start: false, progress: Duration::ZERO, ..WorkerSpec::new("s-0") };
     let stage = Stage::set(spec).await;
     let turned_away = async |id| {
         let answer = stage.send(id, "", "").await.read().await.expect("an answer");
@@ -151,7 +152,8 @@
 #[tokio::test]
 async fn a_full_worker_turns_away_unseen_and_a_repeat_of_a_key_runs_once() {
     let stage =
-        Stage::set(WorkerSpec { slots: 1, queue: 1, progress: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
+        Stage::set(WorkerSpec { slots: 1, queue: 1, progress: Duration::ZERO, ..WorkerSpec::new("s-0") })
+            .await;
     let key = "idempotency-key: k\r\n";
     // Longer than this story: it ends with its worker.
     let mut running = stage.send(1, key, "work_us=600000000").await;
@@ -197,8 +199,9 @@
 #[tokio::test]
 async fn discovery_tells_changes_by_version_and_fails_as_told() {
     let discovery = Discovery::start(1).await.expect("a service");
-    let worker =
-        Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)]).await.expect("a worker");
+    let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
+        .await
+        .expect("a worker");
     let mut wire = Wire::dial(discovery.address(0)).await.expect("it listens");
     let mut ask = async |target: &str| -> serde_json::Value {
         wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("sent");
@@ -229,8 +232,9 @@
 #[tokio::test]
 async fn discovery_falls_silent_breaks_off_and_learns_late_as_told() {
     let discovery = Discovery::start(1).await.expect("a service");
-    let worker =
-        Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)]).await.expect("a worker");
+    let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
+        .await
+        .expect("a worker");
     let call = async |target: &str| {
         let mut wire = Wire::dial(discovery.address(0)).await.expect("it listens");
         wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("sent");
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -6,8 +6,6 @@
 use crate::stage::Stage;
 use crate::{machine, relay, Failure};
 use comfy_table::{presets, Table};
-use vetchbridge_testbed::client::{Clients, Outcome};
-use vetchbridge_testbed::{Owned, Port};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,6 +13,8 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 use tokio::time::{interval, Instant};
+use vetchbridge_testbed::client::{Clients, Outcome};
+use vetchbridge_testbed::{Owned, Port};
 
 /// How the daemon is run in each of its turns.
 const VARIANTS: [(&str, &[&str]); 4] = [
--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -1,13 +1,12 @@
 //! The kit's command line. Owns its words, its exit codes and what is printed.
 
 use crate::plan::{self, Plan};
-use crate::report::{WorkerSide, Report};
+use crate::report::{Report, WorkerSide};
 use crate::runner::{self, Interrupt, Progress, Trouble};
 use crate::soak::{self, SoakSpec};
 use crate::stage::Stage;
 use crate::{bench, relay, Failure};
 use clap::{Args, CommandFactory, Parser, Subcommand};
-use vetchbridge_testbed::client::Clients;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -16,6 +15,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vetchbridge::config::units::Span;
+use vetchbridge_testbed::client::Clients;
 
 const EXAMPLES: &str = "\
 Examples:
@@ -341,7 +341,10 @@
         let first = addresses.first().map(ToString::to_string).unwrap_or_default();
         text.push_str(&format!("worker      {first}  {} {} {}\n", spec.name, spec.zone, spec.kind));
     }
-    text.push_str(&format!("\nvetchbridge-testkit load --to {}   sends it jobs; Ctrl-C ends\n", stage.front.address()));
+    text.push_str(&format!(
+        "\nvetchbridge-testkit load --to {}   sends it jobs; Ctrl-C ends\n",
+        stage.front.address()
+    ));
     print(&text)?;
     let mut every = tokio::time::interval(Duration::from_millis(500));
     loop {
--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -1,14 +1,14 @@
 //! Checks of a plan beyond its schema: names that refer to other tables, and what the daemon would refuse.
 
-use super::workers::WorkerGroup;
 use super::scheduler::SchedulerSpec;
 use super::trouble::TroubleKind;
+use super::workers::WorkerGroup;
 use super::Plan;
 use crate::Failure;
-use vetchbridge_testbed::arrivals::Arrivals;
 use std::net::{Ipv4Addr, SocketAddr};
 use vetchbridge::config::check::Text;
 use vetchbridge::config::Fault;
+use vetchbridge_testbed::arrivals::Arrivals;
 
 /// An address for a configuration that is only checked, never used.
 const PLACEHOLDER: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 1);
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -2,12 +2,12 @@
 
 use super::defaults::{one, yes};
 use super::Plan;
-use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec, Repeat, TenantLoad};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use vetchbridge::config::file;
 use vetchbridge::config::units::Span;
+use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec, Repeat, TenantLoad};
 
 /// The load: an open loop.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
--- a/crates/testkit/src/plan/mod.rs
+++ b/crates/testkit/src/plan/mod.rs
@@ -4,14 +4,14 @@
 mod check;
 mod defaults;
 mod load;
-mod workers;
 mod scheduler;
 mod trouble;
+mod workers;
 
 pub use load::{Load, LoadClass, LoadTenant};
-pub use workers::{WorkerGroup, Probes, Setup, Stats, StatsField};
 pub use scheduler::{KnownWorker, SchedulerSpec, Schedulers};
 pub use trouble::{Trouble, TroubleKind};
+pub use workers::{Probes, Setup, Stats, StatsField, WorkerGroup};
 
 use crate::Failure;
 use schemars::JsonSchema;
--- a/crates/testkit/src/plan/scheduler.rs
+++ b/crates/testkit/src/plan/scheduler.rs
@@ -1,13 +1,13 @@
 //! The schedulers of a plan: their table in the format, and the configuration file of each.
 
 use super::Plan;
-use vetchbridge_testbed::worker::WorkerSpec;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use vetchbridge::config::file;
 use vetchbridge::config::units::{Address, Seed, Span};
+use vetchbridge_testbed::worker::WorkerSpec;
 
 /// An odd constant that spreads the plan's seed over its schedulers: 2^64 divided by the golden ratio.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/crates/testkit/src/plan/trouble.rs
+++ b/crates/testkit/src/plan/trouble.rs
@@ -1,9 +1,9 @@
 //! Faults that a plan injects at set times.
 
-use vetchbridge_testbed::discovery::Health;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use vetchbridge::config::units::Span;
+use vetchbridge_testbed::discovery::Health;
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -2,14 +2,14 @@
 
 use super::defaults::one;
 use super::Plan;
-use vetchbridge_testbed::worker::{WorkerSpec, ProbeSpec};
-use vetchbridge_testbed::queue::Order;
-use vetchbridge_testbed::stats::{Field, StatsSpec};
-use vetchbridge_testbed::store::Store;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use vetchbridge::config::file::QueueOrder;
 use vetchbridge::config::units::Span;
+use vetchbridge_testbed::queue::Order;
+use vetchbridge_testbed::stats::{Field, StatsSpec};
+use vetchbridge_testbed::store::Store;
+use vetchbridge_testbed::worker::{ProbeSpec, WorkerSpec};
 
 /// How long repeats of a keyed job are deduplicated where no class says so.
 const DEFAULT_WINDOW: Span = Span::s(15);
@@ -173,7 +173,8 @@
     pub fn worker_specs(&self) -> Vec<WorkerSpec> {
         let (zones, common) = (&self.daemon.fleet.zones, self.common_worker_spec());
         let named = self.workers.iter().flat_map(|workers| workers.names().map(move |name| (workers, name)));
-        let spec = |((workers, name), zone): ((&WorkerGroup, String), &String)| workers.spec(name, zone, &common);
+        let spec =
+            |((workers, name), zone): ((&WorkerGroup, String), &String)| workers.spec(name, zone, &common);
         named.zip(zones.iter().cycle()).map(spec).collect()
     }
 
--- a/crates/testkit/src/report.rs
+++ b/crates/testkit/src/report.rs
@@ -3,13 +3,13 @@
 
 use comfy_table::{presets, Table};
 use hdrhistogram::Histogram;
+use serde::Serialize;
+use std::collections::BTreeMap;
+use std::time::Duration;
 use vetchbridge_testbed::account::{judge, Answers, Outage};
 use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec};
 use vetchbridge_testbed::client::{JobRecord, LoadRecord, Outcome};
 use vetchbridge_testbed::runs::Run;
-use serde::Serialize;
-use std::collections::BTreeMap;
-use std::time::Duration;
 
 /// A load that ran so late was not what was asked for: the machine, not the schedulers, made its clients wait.
 pub const LAG_LIMIT: Duration = Duration::from_millis(100);
@@ -100,7 +100,12 @@
 
 impl Report {
     /// Reckons up a load; without workers of ours, from the clients' side alone.
-    pub fn of(spec: &LoadSpec, record: &LoadRecord, workers: Option<&WorkerSide>, outages: &[Outage]) -> Report {
+    pub fn of(
+        spec: &LoadSpec,
+        record: &LoadRecord,
+        workers: Option<&WorkerSide>,
+        outages: &[Outage],
+    ) -> Report {
         let classes = &spec.classes;
         let verdict = judge(classes, &record.jobs, workers.map(|workers| workers.runs.as_slice()), outages);
         let jobs = record.jobs.len() as u64;
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -7,16 +7,16 @@
 use crate::stage::Stage;
 use crate::{machine, Failure};
 use indicatif::{ProgressBar, ProgressStyle};
-use vetchbridge_testbed::account::Outage;
-use vetchbridge_testbed::client::{Clients, LoadRecord, Standing};
-use vetchbridge_testbed::discovery::Discovery;
-use vetchbridge_testbed::worker::Worker;
 use std::future::Future;
 use std::io::IsTerminal;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
+use vetchbridge_testbed::account::Outage;
+use vetchbridge_testbed::client::{Clients, LoadRecord, Standing};
+use vetchbridge_testbed::discovery::Discovery;
+use vetchbridge_testbed::worker::Worker;
 
 /// Between two lines of progress where there is no terminal.
 const LINE_EVERY: Duration = Duration::from_secs(5);
--- a/crates/testkit/src/scheduler.rs
+++ b/crates/testkit/src/scheduler.rs
@@ -3,7 +3,6 @@
 //! Owns the child; dropping it kills the child. Of what it does it knows what the operators' door says, and no more.
 
 use crate::{machine, Failure};
-use vetchbridge_testbed::Port;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,6 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
+use vetchbridge_testbed::Port;
 
 /// How long a successor may take until it can serve, and a drain until it is over.
 const SERVES_WITHIN: Duration = Duration::from_secs(6);
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -2,12 +2,12 @@
 
 use super::clients::{Departure, Stayed};
 use super::troubles::{Episode, TroubleKind};
-use vetchbridge_testbed::arrivals::ClassLoad;
-use vetchbridge_testbed::client::JobRecord;
-use vetchbridge_testbed::runs::AttemptArrival;
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
+use vetchbridge_testbed::arrivals::ClassLoad;
+use vetchbridge_testbed::client::JobRecord;
+use vetchbridge_testbed::runs::AttemptArrival;
 
 /// News counts as told so long after discovery had it and could be reached.
 const TOLD_WITHIN: Duration = Duration::from_secs(6);
--- a/crates/testkit/src/soak/clients.rs
+++ b/crates/testkit/src/soak/clients.rs
@@ -1,12 +1,12 @@
 //! Clients that misbehave: they leave before their answer, stop in the middle of a request and stay, or come in a crowd and say
 //! nothing. What they saw is kept for the checks.
 
-use vetchbridge_testbed::wire::Wire;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
+use vetchbridge_testbed::wire::Wire;
 
 /// Ids of these clients' requests begin so; no request of the load does.
 const IDS: u64 = 0xdead_0000_0000_0000;
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -17,14 +17,14 @@
 use checks::{Broken, Evidence};
 use clients::Misbehaved;
 use faults::FaultPlan;
-use vetchbridge_testbed::account::{judge, Answers, Outage, Violation};
-use vetchbridge_testbed::arrivals::ClassLoad;
-use vetchbridge_testbed::client::{Clients, LoadRecord};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::Instant;
 use troubles::{Episode, Journal, TroubleKind};
+use vetchbridge_testbed::account::{judge, Answers, Outage, Violation};
+use vetchbridge_testbed::arrivals::ClassLoad;
+use vetchbridge_testbed::client::{Clients, LoadRecord};
 
 /// From this span on, each kind of trouble and of fault must have happened.
 const FULL_SPAN: Duration = Duration::from_secs(30);
--- a/crates/testkit/src/soak/troubles.rs
+++ b/crates/testkit/src/soak/troubles.rs
@@ -5,8 +5,6 @@
 use crate::runner::DOWN;
 use crate::scheduler::Scheduler;
 use crate::{machine, Failure};
-use vetchbridge_testbed::discovery::{Discovery, Health};
-use vetchbridge_testbed::worker::{Act, Worker};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -14,6 +12,8 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
+use vetchbridge_testbed::discovery::{Discovery, Health};
+use vetchbridge_testbed::worker::{Act, Worker};
 
 /// The latest that discovery learns of a change here.
 pub(super) const LATEST_NEWS: Duration = Duration::from_millis(800);
@@ -318,7 +318,8 @@
             Act::Garble,
             Act::Pieces,
         ];
-        let mut turns = Turns::new(self.seed, 30, &[WorkerMisbehaves, WorkerIsSlow, WorkerRefuses], self.until);
+        let mut turns =
+            Turns::new(self.seed, 30, &[WorkerMisbehaves, WorkerIsSlow, WorkerRefuses], self.until);
         while let Some(kind) = turns.next().await {
             let (worker, from) = (turns.one_of(workers), Instant::now());
             match kind {
--- a/crates/testkit/src/stage.rs
+++ b/crates/testkit/src/stage.rs
@@ -5,15 +5,15 @@
 use crate::plan::{KnownWorker, Plan, SchedulerSpec};
 use crate::scheduler::{binary, Launch, Scheduler};
 use crate::{machine, Failure};
-use vetchbridge_testbed::discovery::Discovery;
-use vetchbridge_testbed::front::Front;
-use vetchbridge_testbed::worker::Worker;
-use vetchbridge_testbed::runs::Runs;
-use vetchbridge_testbed::Port;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::time::{interval, Instant};
+use vetchbridge_testbed::discovery::Discovery;
+use vetchbridge_testbed::front::Front;
+use vetchbridge_testbed::runs::Runs;
+use vetchbridge_testbed::worker::Worker;
+use vetchbridge_testbed::Port;
 
 /// How long the schedulers may take until all of them are ready.
 const READY_WITHIN: Duration = Duration::from_secs(15);
@@ -118,8 +118,10 @@
 
     /// The workers as one scheduler knows them at its start.
     fn known_workers(&self, scheduler: usize) -> Vec<KnownWorker> {
-        let known =
-            |worker: &Worker| KnownWorker { spec: worker.spec().clone(), address: worker.addresses()[scheduler] };
+        let known = |worker: &Worker| KnownWorker {
+            spec: worker.spec().clone(),
+            address: worker.addresses()[scheduler],
+        };
         self.workers.iter().map(known).collect()
     }
 
--- a/crates/testkit/tests/commands.rs
+++ b/crates/testkit/tests/commands.rs
@@ -194,8 +194,11 @@
     let daemon = daemon();
     let arguments = ["demo", "--for", "600s", "--json", "--daemon", daemon.to_str().expect("text")];
     for twice in [false, true] {
-        let mut kit =
-            vetchbridge_testkit(&arguments).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
+        let mut kit = vetchbridge_testkit(&arguments)
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("it starts");
         let mut lines = BufReader::new(kit.stderr.take().expect("piped")).lines().map_while(Result::ok);
         // The first line of progress says that the load runs.
         lines.find(|line| line.contains(" sent, ")).expect("progress");
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -5,15 +5,15 @@
 mod common;
 
 use common::daemon;
-use vetchbridge_testbed::account::{judge, Verdict, Violation};
-use vetchbridge_testbed::client::Clients;
-use vetchbridge_testbed::discovery::Health;
-use vetchbridge_testbed::worker::Act;
 use std::path::Path;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 use vetchbridge::config::file;
+use vetchbridge_testbed::account::{judge, Verdict, Violation};
+use vetchbridge_testbed::client::Clients;
+use vetchbridge_testbed::discovery::Health;
+use vetchbridge_testbed::worker::Act;
 use vetchbridge_testkit::plan::Plan;
 use vetchbridge_testkit::stage::Stage;
 
--- a/crates/vetchbridge/src/operators/admin.rs
+++ b/crates/vetchbridge/src/admin.rs
@@ -4,9 +4,9 @@
 //! bytes, and when all places are taken one that has said nothing makes room. It must never do more than ask the
 //! lifecycle, and never let a caller hold another up.
 
+use crate::lifecycle::clock::Lifecycle;
+use crate::lifecycle::state::Refusal;
 use crate::net::RetryingStream;
-use crate::operators::life::Life;
-use crate::operators::lifecycle::Refusal;
 use crate::upgrade::process_links::ProcessLinks;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -40,7 +40,7 @@
 }
 
 /// The answer to one line, without its end.
-fn answer(line: &[u8], life: &Life, process_links: &ProcessLinks) -> String {
+fn answer(line: &[u8], lifecycle: &Lifecycle, process_links: &ProcessLinks) -> String {
     let Ok(text) = std::str::from_utf8(line) else { return format!("fail not text; say {CALLS}") };
     let mut words = text.split_ascii_whitespace();
     let (call, more) = (words.next(), words.next());
@@ -51,17 +51,17 @@
         return "fail handed over; ask the successor".to_string();
     }
     let done = match call {
-        Some("health") => life.state().can_serve(),
+        Some("health") => lifecycle.state().can_serve(),
         Some("quiesce") => {
-            life.quiesce();
+            lifecycle.quiesce();
             Ok(())
         }
-        Some("resume") => life.resume(),
+        Some("resume") => lifecycle.resume(),
         Some(_) => return format!("fail unknown call; say {CALLS}"),
         None => return format!("fail empty call; say {CALLS}"),
     };
     match done {
-        Ok(()) => format!("ok {}", life.state().name()),
+        Ok(()) => format!("ok {}", lifecycle.state().name()),
         Err(Refusal::Starting) => "fail starting, it can't serve yet".to_string(),
         Err(Refusal::Ending) => "fail ending".to_string(),
     }
@@ -87,10 +87,15 @@
     }
 }
 
-async fn caller(mut stream: RetryingStream, life: Arc<Life>, process_links: Arc<ProcessLinks>, spoke: Arc<AtomicBool>) {
+async fn caller(
+    mut stream: RetryingStream,
+    lifecycle: Arc<Lifecycle>,
+    process_links: Arc<ProcessLinks>,
+    spoke: Arc<AtomicBool>,
+) {
     let words = match timeout(LINE_TIMEOUT, line(&mut stream, &spoke)).await {
         Ok(Ok(line)) => {
-            let words = answer(&line, &life, &process_links);
+            let words = answer(&line, &lifecycle, &process_links);
             info!(call = %String::from_utf8_lossy(&line).trim_end(), answer = words, "admin.called");
             words
         }
@@ -109,7 +114,12 @@
 }
 
 /// Answers callers until the program ends, at most so many at once.
-pub async fn serve(listener: TcpListener, life: Arc<Life>, process_links: Arc<ProcessLinks>, most: usize) {
+pub async fn serve(
+    listener: TcpListener,
+    lifecycle: Arc<Lifecycle>,
+    process_links: Arc<ProcessLinks>,
+    most: usize,
+) {
     let mut callers: VecDeque<(Arc<AtomicBool>, AbortHandle)> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
@@ -130,7 +140,7 @@
             }
         }
         let spoke = Arc::new(AtomicBool::new(false));
-        let task = tokio::spawn(caller(stream, life.clone(), process_links.clone(), spoke.clone()));
+        let task = tokio::spawn(caller(stream, lifecycle.clone(), process_links.clone(), spoke.clone()));
         callers.push_back((spoke, task.abort_handle()));
     }
 }
--- a/crates/vetchbridge/src/clients/connection.rs
+++ b/crates/vetchbridge/src/clients/connection.rs
@@ -4,9 +4,9 @@
 //! in which connections can be spared, and how one is closed. It knows nothing of what requests say. It must never name
 //! one as spare that owes an answer or brings a callback, nor one that has just been made.
 
+use super::eviction::{Group, SpareOrder, Standing, YOUNG};
 use super::framing::{Watch, HEAD_LIMIT};
 use super::lock;
-use super::spare::{Group, SpareOrder, Standing, YOUNG};
 use crate::net::RetryingStream;
 use std::io;
 use std::pin::Pin;
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -4,8 +4,8 @@
 //! when it is used up. It must never end a connection that says of itself that it can't be spared.
 
 use super::connection::ClientConnection;
+use super::eviction::{Newcomers, SpareOrder};
 use super::lock;
-use super::spare::{Newcomers, SpareOrder};
 use crate::workers::{Count, Counted};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -66,14 +66,14 @@
 }
 
 /// A connection's place in the budget.
-pub struct Place<'a> {
+pub struct ConnectionSlot<'a> {
     owner: &'a ClientConnections,
     number: u64,
     /// The connection that holds it.
     pub connection: Arc<ClientConnection>,
 }
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
         lock(&self.owner.table).open.remove(&self.number);
     }
@@ -93,7 +93,8 @@
 
     /// How many there may be here.
     fn budget(&self, elsewhere: Elsewhere) -> usize {
-        let taken = self.aside + PROGRAM * (1 + elsewhere.processes) + self.workers.get() + self.limit / SPARE;
+        let taken =
+            self.aside + PROGRAM * (1 + elsewhere.processes) + self.workers.get() + self.limit / SPARE;
         let clients = self.limit.saturating_sub(taken).max(self.limit / AT_LEAST);
         clients.saturating_sub(elsewhere.connections)
     }
@@ -116,7 +117,7 @@
     }
 
     /// A place for a new connection, if need be that of one that can be spared; `None` if there is none.
-    pub fn place(&self, elsewhere: Elsewhere) -> Option<Place<'_>> {
+    pub fn place(&self, elsewhere: Elsewhere) -> Option<ConnectionSlot<'_>> {
         let table = &mut *lock(&self.table);
         // Those that made room for others before and have not gone yet hold descriptors as well.
         while table.staying() >= self.budget(elsewhere) {
@@ -128,7 +129,7 @@
         let (number, connection) =
             (table.next, Arc::new(ClientConnection::new(table.next, table.order.clone())));
         table.open.insert(number, connection.clone());
-        Some(Place { owner: self, number, connection })
+        Some(ConnectionSlot { owner: self, number, connection })
     }
 
     /// A place beside the budget, for a callback; `None` if there is none. Where every client connection is owed an answer, a
--- a/crates/vetchbridge/src/clients/connections/tests.rs
+++ b/crates/vetchbridge/src/clients/connections/tests.rs
@@ -1,14 +1,14 @@
 //! The budget of client connections: who makes room, and what is left to the workers.
 
 use super::*;
-use crate::clients::spare::YOUNG;
+use crate::clients::eviction::YOUNG;
 use std::time::Duration;
 
 /// Room is made by who has said nothing, then by who stopped half-way, then by who only stays.
 #[tokio::test(start_paused = true)]
 async fn the_silent_go_first_and_who_is_owed_an_answer_never() {
     let connections = of_six();
-    let places: Vec<Place<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
+    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
     let [owed, callback, kept, once, half, silent] = &places[..] else { panic!("six places") };
     owed.connection.owe();
     callback.connection.seen(b"POST /callback HTTP/1.1\r\n");
@@ -39,7 +39,7 @@
     let workers = Count::default();
     let connections = ClientConnections::new(384, 16, workers.clone());
     let held: Vec<Counted> = (0..46).map(|_| workers.one()).collect();
-    let crowd: Vec<Place<'_>> = (0..400).map_while(|_| connections.place(ALONE)).collect();
+    let crowd: Vec<ConnectionSlot<'_>> = (0..400).map_while(|_| connections.place(ALONE)).collect();
     assert_eq!(crowd.len(), 384 - 16 - PROGRAM - 46 - 48);
     for place in &crowd {
         place.connection.keep();
@@ -57,7 +57,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_connection_just_made_is_left_the_time_to_send_its_request() {
     let connections = of_six();
-    let places: Vec<Place<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
+    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
     assert!(connections.place(ALONE).is_none());
     let relief = connections.relief(ALONE).expect("they grow older");
     tokio::time::advance(relief - Instant::now()).await;
@@ -71,7 +71,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crosses_the_choice_is_answered_first() {
     let connections = of_six();
-    let places: Vec<Place<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
+    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
     places[0].connection.keep();
     let _newcomer = connections.place(ALONE).expect("the idle one makes room");
     let chosen = &places[0].connection;
@@ -89,7 +89,7 @@
 #[tokio::test(start_paused = true)]
 async fn who_lingers_is_counted_and_goes_first() {
     let connections = of_six();
-    let places: Vec<Place<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
+    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
     places[0].connection.keep();
     let _newcomer = connections.place(ALONE).expect("the idle one makes room");
     places[0].connection.ended().await;
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -3,16 +3,16 @@
 //! Owns the names of the headers and the words of what is malformed in them. It must never let through what could be
 //! read in two ways, nor open the body.
 
-use crate::workers::{request_id, Parcel};
 use crate::request::Job;
 use crate::snapshot::Snapshot;
+use crate::workers::{request_id, Payload};
 use axum::http::header::HOST;
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderValue};
 use bytes::Bytes;
-use vetchbridge_scheduling::interface::{ClassId, Idempotency, Micros, Request};
 use std::sync::Arc;
 use tokio::sync::OwnedSemaphorePermit;
+use vetchbridge_scheduling::interface::{ClassId, Idempotency, Micros, Request};
 
 /// Reads a job; its time counts from `now` (microseconds), when its last byte is here.
 pub(super) fn read(
@@ -67,8 +67,8 @@
         slots: slots.unwrap_or(1.0),
         retry: text("x-second-try")? == Some("1"),
     };
-    let parcel = Parcel { id: id_text.to_string(), target: target.clone(), idempotency_key, body };
-    Ok(Job { request, parcel, settings, room: Some(room) })
+    let payload = Payload { id: id_text.to_string(), target: target.clone(), idempotency_key, body };
+    Ok(Job { request, payload, settings, room: Some(room) })
 }
 
 /// A header's only value. Two of them are two clients' words in one request, and neither can be believed.
@@ -182,7 +182,11 @@
         }
         for (value, wait) in [("480m", 480_000), ("1.5m", 1500), ("480000u", 480_000), ("99999m", 9_000_000)]
         {
-            assert_eq!(request("x-expires-in", value).map(|request| request.deadline), Ok(NOW + wait), "{value}");
+            assert_eq!(
+                request("x-expires-in", value).map(|request| request.deadline),
+                Ok(NOW + wait),
+                "{value}"
+            );
         }
         assert!(request("x-expires-in", "480").is_err() && request("x-expires-in", "480s").is_err());
     }
--- a/crates/vetchbridge/src/clients/mod.rs
+++ b/crates/vetchbridge/src/clients/mod.rs
@@ -6,10 +6,10 @@
 mod chunks;
 mod connection;
 mod connections;
+mod eviction;
 mod framing;
-pub mod front;
 mod job;
-mod spare;
+pub mod server;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/vetchbridge/src/clients/front.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -5,19 +5,19 @@
 //! is in doubt.
 
 use super::connection::{ClientConnection, Watched};
-use super::connections::{ClientConnections, Elsewhere, Place};
+use super::connections::{ClientConnections, ConnectionSlot, Elsewhere};
 use super::framing::HEAD_LIMIT;
 use super::{body, job};
+use crate::admin;
 use crate::engine::Engine;
 use crate::invariants::{violated, Invariant};
+use crate::lifecycle::clock::Lifecycle;
 use crate::net::RetryingStream;
-use crate::operators::admin;
-use crate::operators::life::Life;
-use crate::workers::{Callback, UpstreamGroup};
 use crate::request::{submit, Answer};
-use crate::snapshot::Current;
-use crate::upgrade::process_links::{Forwarded, ProcessLinks};
+use crate::snapshot::CurrentSettings;
 use crate::upgrade::message::HandoverMessage;
+use crate::upgrade::process_links::{Forwarded, ProcessLinks};
+use crate::workers::{Callback, UpstreamGroup};
 use axum::body::Body;
 use axum::extract::{Extension, Request as HttpRequest, State};
 use axum::http::header::{CONNECTION, RETRY_AFTER};
@@ -60,11 +60,11 @@
 type Adopted = (OwnedFd, bool);
 
 /// See the head of this file.
-pub struct Front {
+pub struct ClientServer {
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    current: Arc<Current>,
-    life: Arc<Life>,
+    current: Arc<CurrentSettings>,
+    lifecycle: Arc<Lifecycle>,
     process_links: Arc<ProcessLinks>,
     /// Client connections that another process has served so far, and whether they have had an answer.
     adopted: (UnboundedSender<Adopted>, Mutex<Option<UnboundedReceiver<Adopted>>>),
@@ -75,24 +75,24 @@
     callback_room: Arc<Semaphore>,
 }
 
-impl Front {
+impl ClientServer {
     /// A front that takes work; `sockets` is the limit on descriptors, `memory` that on bytes.
     pub fn new(
         engine: Arc<Engine>,
         upstream: Arc<UpstreamGroup>,
-        current: Arc<Current>,
+        current: Arc<CurrentSettings>,
         sockets: usize,
         memory: usize,
-        life: Arc<Life>,
+        lifecycle: Arc<Lifecycle>,
         process_links: Arc<ProcessLinks>,
-    ) -> Arc<Front> {
+    ) -> Arc<ClientServer> {
         let (adopted, adoptions) = unbounded_channel();
         let connections = ClientConnections::new(sockets, admin::callers(sockets), upstream.connections());
-        Arc::new(Front {
+        Arc::new(ClientServer {
             engine,
             upstream,
             current,
-            life,
+            lifecycle,
             process_links,
             adopted: (adopted, Mutex::new(Some(adoptions))),
             connections,
@@ -176,7 +176,7 @@
     /// A client connection's life here: to its end, or until a successor goes on with it. `kept`: another process has
     /// served it so far, and has or has not answered on it.
     async fn client_connection(self: Arc<Self>, stream: TcpStream, kept: Option<bool>, router: Router) {
-        let Some(Place { connection, .. }) = &self.connections.place(self.elsewhere()) else {
+        let Some(ConnectionSlot { connection, .. }) = &self.connections.place(self.elsewhere()) else {
             return self.callback_connection(stream, router).await;
         };
         if kept == Some(true) {
@@ -189,7 +189,7 @@
         let stream = RetryingStream::new(stream);
         let io = TokioIo::new(Watched { stream, connection: connection.clone() });
         let mut serving = http1::Builder::new().max_buf_size(HEAD_LIMIT).serve_connection(io, service);
-        let mut state = self.life.subscribe();
+        let mut state = self.lifecycle.subscribe();
         let mut successor = self.process_links.successor();
         let succeeded = async {
             loop {
@@ -206,7 +206,7 @@
             loop {
                 drop(state.wait_for(|state| state.closes_idle()).await);
                 connection.idles().await;
-                if self.life.state().closes_idle() {
+                if self.lifecycle.state().closes_idle() {
                     return;
                 }
             }
@@ -257,8 +257,9 @@
     /// socket.
     fn pass(&self, stream: RetryingStream, kept: bool) {
         let (successor, descriptor) = (self.process_links.successor().borrow().clone(), stream.into_std());
-        let passed = descriptor
-            .map(|stream| successor.is_some_and(|to| to.say(HandoverMessage::Connection { kept }, vec![stream.into()])));
+        let passed = descriptor.map(|stream| {
+            successor.is_some_and(|to| to.say(HandoverMessage::Connection { kept }, vec![stream.into()]))
+        });
         debug!(?passed, "connection.passed");
     }
 
@@ -275,7 +276,7 @@
             router.call(request.map(Body::new)).await?
         };
         connection.answered();
-        let stays = self.process_links.has_successor() || !self.life.state().hangs_up();
+        let stays = self.process_links.has_successor() || !self.lifecycle.state().hangs_up();
         if !stays || connection.last() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -297,10 +298,10 @@
     }
 }
 
-async fn ready(State(front): State<Arc<Front>>) -> StatusCode {
+async fn ready(State(client_server): State<Arc<ClientServer>>) -> StatusCode {
     // With a successor the scheduler goes on, whatever becomes of this process; operators may have drained it.
-    let succeeded = front.process_links.has_successor() && !front.life.quiesced();
-    if succeeded || front.life.state().ready() {
+    let succeeded = client_server.process_links.has_successor() && !client_server.lifecycle.quiesced();
+    if succeeded || client_server.lifecycle.state().ready() {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
@@ -308,20 +309,21 @@
 }
 
 async fn callback(
-    State(front): State<Arc<Front>>,
+    State(client_server): State<Arc<ClientServer>>,
     Extension(connection): Extension<Arc<ClientConnection>>,
     request: HttpRequest,
 ) -> Response {
-    let (body, _room) = match body::read(request.into_body(), &connection, &front.callback_room).await {
+    let (body, _room) = match body::read(request.into_body(), &connection, &client_server.callback_room).await
+    {
         Ok(read) => read,
         Err(refused) => return refused.into_response(),
     };
     match serde_json::from_slice::<Callback>(&body) {
         Ok(callback) => {
-            if front.upstream.called_back(&callback) {
+            if client_server.upstream.called_back(&callback) {
                 return StatusCode::OK.into_response();
             }
-            match front.process_links.forward(&callback, None).await {
+            match client_server.process_links.forward(&callback, None).await {
                 Forwarded::Known => StatusCode::OK.into_response(),
                 Forwarded::Unknown => {
                     debug!(request = callback.id, worker = callback.from, "callback.late");
@@ -341,7 +343,7 @@
 }
 
 async fn take(
-    State(front): State<Arc<Front>>,
+    State(client_server): State<Arc<ClientServer>>,
     Extension(connection): Extension<Arc<ClientConnection>>,
     request: HttpRequest,
 ) -> Response {
@@ -349,23 +351,30 @@
         return (StatusCode::METHOD_NOT_ALLOWED, "jobs arrive by POST\n").into_response();
     }
     let (parts, body) = request.into_parts();
-    let (body, room) = match body::read(body, &connection, &front.job_room).await {
+    let (body, room) = match body::read(body, &connection, &client_server.job_room).await {
         Ok(read) => read,
         Err(refused) => return refused.into_response(),
     };
-    if !front.life.state().takes() {
+    if !client_server.lifecycle.state().takes() {
         debug!(reason = "ending", "request.refused");
         return (StatusCode::SERVICE_UNAVAILABLE, "ending\n").into_response();
     }
-    let job = match job::read(&parts, body, room, front.current.get(), front.engine.clock.now()) {
-        Ok(job) => job,
-        Err(reason) => {
-            debug!(reason, "request.malformed");
-            return (StatusCode::BAD_REQUEST, format!("{reason}\n")).into_response();
-        }
-    };
+    let job =
+        match job::read(&parts, body, room, client_server.current.get(), client_server.engine.clock.now()) {
+            Ok(job) => job,
+            Err(reason) => {
+                debug!(reason, "request.malformed");
+                return (StatusCode::BAD_REQUEST, format!("{reason}\n")).into_response();
+            }
+        };
     // Dropped by hyper when the client closes its connection, and the receiver with it.
-    let answer = submit(front.engine.clone(), front.upstream.clone(), front.process_links.clone(), job).await;
+    let answer = submit(
+        client_server.engine.clone(),
+        client_server.upstream.clone(),
+        client_server.process_links.clone(),
+        job,
+    )
+    .await;
     render(answer.unwrap_or(Answer::Failed))
 }
 
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -14,7 +14,7 @@
 pub use check::Fault;
 pub use precedence::{Effective, Flags};
 
-use crate::list::listing::{Listing, Source};
+use crate::discovery::document::{EndpointDocument, Source};
 use crate::snapshot::Snapshot;
 use check::{hold, Text};
 use file::File;
@@ -42,7 +42,7 @@
     /// Where peers' datagrams arrive and where each peer is reached; absent where they may not talk.
     pub peers: Option<Peers>,
     /// The list of workers as this scheduler last had it.
-    pub known: Listing,
+    pub known: EndpointDocument,
     /// The settings, which were checked.
     pub snapshot: Snapshot,
     /// Seed of the module's random numbers.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -3,17 +3,17 @@
 //! Owns the names of its keys. It stays as the platform has it: a key of ours belongs into our own file.
 
 use super::precedence::{self, Environment, Overrides};
-use super::{file, Config, ConfigError, Effective, Fault, Flags, Read, Peers};
-use crate::list::listing::{Listing, Names, Source};
+use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
+use crate::discovery::document::{EndpointDocument, Names, Source};
+use crate::snapshot::Snapshot;
 use crate::workers::load::{FreeSlots, Reports};
 use crate::workers::name_hash;
-use crate::snapshot::Snapshot;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
-use vetchbridge_scheduling::interface::Settings;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::time::Duration;
+use vetchbridge_scheduling::interface::Settings;
 
 /// Descriptors that the process may hold where nothing says otherwise.
 const SOCKETS: usize = 1024;
@@ -114,7 +114,7 @@
     sockets: usize,
     memory_mb: usize,
     seed: u64,
-    known: Listing,
+    known: EndpointDocument,
     messages: Option<SocketAddr>,
     each: Vec<SocketAddr>,
     all: Option<SocketAddr>,
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -6,13 +6,14 @@
 };
 use super::platform::CONN_IDLE;
 use super::{Config, ConfigError, Peers};
-use crate::list::listing::{Instance, Lifecycle, Listing, Names, Source};
-use crate::workers::load::{self, Reports};
+use crate::discovery::document::{EndpointDocument, Instance, InstanceState, Names, Source};
 use crate::snapshot::Snapshot;
+use crate::workers::load::{self, Reports};
+use std::collections::BTreeSet;
 use vetchbridge_scheduling::interface::{
-    self, Class, EndpointDelivery, Idempotency, KindId, DeduplicationScope, LoadReportSource, Settings, Tenant, ZoneId,
+    self, Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings,
+    Tenant, ZoneId,
 };
-use std::collections::BTreeSet;
 
 /// Translates a file whose text is `text`; all of its faults otherwise, in the order of their places.
 pub(super) fn config(file: &File, text: &Text<'_>) -> Result<Config, ConfigError> {
@@ -75,10 +76,10 @@
             self.faults.sort_by_key(|fault| fault.at);
             return Err(ConfigError(self.faults));
         }
-        let listing = Listing { generation: 0, reset: true, instances };
+        let listing = EndpointDocument { generation: 0, reset: true, instances };
         let (source, known) = match file.discovery {
             Some(address) => (Source::Service(address.0), listing),
-            None => (Source::Fixed(listing), Listing::default()),
+            None => (Source::Fixed(listing), EndpointDocument::default()),
         };
         Ok(Config {
             name: file.name.clone(),
@@ -190,8 +191,10 @@
 
     fn worker(&mut self, index: usize) -> Instance {
         let (worker, fleet) = (&self.file.workers[index], &self.file.fleet);
-        let zone = self.index(format!("peer[{index}].zone"), worker.zone.as_ref(), &fleet.zones, "fleet.zones");
-        let kind = self.index(format!("peer[{index}].kind"), worker.kind.as_ref(), &fleet.kinds, "fleet.kinds");
+        let zone =
+            self.index(format!("peer[{index}].zone"), worker.zone.as_ref(), &fleet.zones, "fleet.zones");
+        let kind =
+            self.index(format!("peer[{index}].kind"), worker.kind.as_ref(), &fleet.kinds, "fleet.kinds");
         let name = |names: &[String], index: u32| names.get(index as usize).cloned().unwrap_or_default();
         Instance {
             instance_id: worker.name.clone(),
@@ -199,7 +202,7 @@
             zone: name(&fleet.zones, zone),
             machine_type: name(&fleet.kinds, kind),
             cell: worker.cell,
-            lifecycle: Lifecycle::Up,
+            lifecycle: InstanceState::Up,
             weight: worker.weight,
             started_at_ms: 0,
         }
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -2,12 +2,12 @@
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
-use vetchbridge_scheduling::interface::Micros;
 use std::borrow::Cow;
 use std::fmt;
 use std::net::SocketAddr;
 use std::str::FromStr;
 use std::time::Duration;
+use vetchbridge_scheduling::interface::Micros;
 
 /// A text form: how it is read, what the schema calls it, and an example for whoever got it wrong.
 pub trait Unit: Sized {
--- a/crates/vetchbridge/src/list/discovery.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -6,19 +6,17 @@
 //! is opened at the start and again whenever it ends. It must never ask unbidden otherwise (but for a move of discovery
 //! itself), nor drop the list it has for one it can't read, nor compare versions of one discovery with those of another.
 
+use crate::discovery::document::{EndpointDocument, EndpointList, Instance, Source};
+use crate::discovery::request::DiscoveryRequest;
 use crate::engine::Engine;
-use crate::list::ask::Ask;
-use crate::list::listing::{Instance, Listing, EndpointList, Source};
 use crate::net::Connector;
+use crate::snapshot::CurrentSettings;
 use crate::workers::{ListedWorker, UpstreamGroup};
-use crate::snapshot::Current;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use vetchbridge_scheduling::interface::EndpointDelivery::Push as Pushed;
-use vetchbridge_scheduling::interface::{Event, EndpointUpdate, Endpoint, EndpointState};
 use std::future::{pending, ready, Future};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -27,6 +25,8 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
+use vetchbridge_scheduling::interface::EndpointDelivery::Push as Pushed;
+use vetchbridge_scheduling::interface::{Endpoint, EndpointState, EndpointUpdate, Event};
 
 /// How long a watch may wait at discovery, and how much less at most: silence shows only at the end of the wait, and the
 /// watches of all schedulers, which one change answers together, are not to end together as well.
@@ -58,7 +58,7 @@
     version: Option<u64>,
     /// When a second one may be made; `None`: never.
     hedge_from: Option<Instant>,
-    answer: Pin<Box<dyn Future<Output = Result<Listing, Failure>> + Send>>,
+    answer: Pin<Box<dyn Future<Output = Result<EndpointDocument, Failure>> + Send>>,
 }
 
 /// A call that failed, and what could be heard of its answer.
@@ -107,7 +107,7 @@
 /// The list that a process begins with.
 pub struct InitialList {
     /// The list.
-    pub listing: Listing,
+    pub listing: EndpointDocument,
     /// Its version is one at the discovery service that is followed; otherwise the whole list is taken first.
     pub versioned: bool,
     /// The process before this one hands it over, so that it is as new as that one's. A saved one may be of any age.
@@ -118,7 +118,7 @@
 pub struct Discovery {
     source: Source,
     client: Client<Connector, Empty<Bytes>>,
-    current: Arc<Current>,
+    current: Arc<CurrentSettings>,
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     endpoint_list: Arc<Mutex<EndpointList>>,
@@ -138,7 +138,7 @@
     /// Tells the upstream group and the module the list that there is; nothing is asked yet.
     pub fn start(
         source: Source,
-        current: Arc<Current>,
+        current: Arc<CurrentSettings>,
         initial: InitialList,
         engine: Arc<Engine>,
         upstream: Arc<UpstreamGroup>,
@@ -183,7 +183,7 @@
     }
 
     /// Serves the module's asks for as long as the engine lives.
-    pub async fn run(mut self, mut asks: UnboundedReceiver<Ask>) {
+    pub async fn run(mut self, mut asks: UnboundedReceiver<DiscoveryRequest>) {
         let (mut watch, mut fetch): (Option<Call>, Option<Call>) = (None, None);
         // A second call while the watch's may have been lost, or after it has been.
         let mut hedge: Option<Call> = None;
@@ -199,12 +199,12 @@
                 () = sleep_until(reopen), if opens => watch = Some(self.watch()),
                 ask = asks.recv() => match ask {
                     // After a move of discovery one is under way already.
-                    Some(Ask::Subscribe(true)) if watch.is_some() => {}
-                    Some(Ask::Subscribe(true)) => watch = Some(self.watch()),
-                    Some(Ask::Subscribe(false)) => (watch, hedge) = (None, None),
-                    Some(Ask::Fetch) => fetch = Some(self.whole()),
-                    Some(Ask::Move(source)) if self.is_at(&source) => {}
-                    Some(Ask::Move(source)) => {
+                    Some(DiscoveryRequest::Subscribe(true)) if watch.is_some() => {}
+                    Some(DiscoveryRequest::Subscribe(true)) => watch = Some(self.watch()),
+                    Some(DiscoveryRequest::Subscribe(false)) => (watch, hedge) = (None, None),
+                    Some(DiscoveryRequest::Fetch) => fetch = Some(self.whole()),
+                    Some(DiscoveryRequest::Move(source)) if self.is_at(&source) => {}
+                    Some(DiscoveryRequest::Move(source)) => {
                         info!(from = ?self.source, to = ?source, "discovery.moves");
                         (self.source, self.version) = (source, None);
                         self.endpoint_list().move_to(&self.source);
@@ -329,7 +329,7 @@
     }
 
     /// Takes the answer to a call made with this version in hand; says whether it was one.
-    fn news(&mut self, (asked, answer): (Option<u64>, Result<Listing, Failure>)) -> bool {
+    fn news(&mut self, (asked, answer): (Option<u64>, Result<EndpointDocument, Failure>)) -> bool {
         self.failed = answer.is_err();
         self.lost = answer.as_ref().is_err_and(|failure| failure.lost);
         let older = |generation: u64| self.version.is_some_and(|version| generation < version);
@@ -354,7 +354,7 @@
         true
     }
 
-    fn tell(&mut self, kind: EndpointUpdate, listing: Listing) {
+    fn tell(&mut self, kind: EndpointUpdate, listing: EndpointDocument) {
         debug!(?kind, version = listing.generation, entries = listing.instances.len(), "list.told");
         self.version = Some(listing.generation);
         self.pass_on(kind, self.version, &listing.instances);
@@ -390,7 +390,7 @@
     }
 }
 
-async fn under_way(call: &mut Option<Call>) -> (Option<u64>, Result<Listing, Failure>) {
+async fn under_way(call: &mut Option<Call>) -> (Option<u64>, Result<EndpointDocument, Failure>) {
     match call {
         Some(call) => (call.version, (&mut call.answer).await),
         None => pending().await,
--- a/crates/vetchbridge/src/list/listing.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -4,9 +4,9 @@
 
 use crate::workers::worker_id;
 use serde::{Deserialize, Serialize};
-use vetchbridge_scheduling::interface::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use vetchbridge_scheduling::interface::*;
 
 /// What the settings' indices are called on the sockets.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 /// A list, or the changes of one, in discovery's form.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Listing {
+pub struct EndpointDocument {
     /// The list's version.
     pub generation: u64,
     /// It is the whole list, not changes alone.
@@ -51,7 +51,7 @@
     #[serde(default)]
     pub cell: u32,
     /// Its state.
-    pub lifecycle: Lifecycle,
+    pub lifecycle: InstanceState,
     /// Its size, to compare with other workers'.
     #[serde(default = "one")]
     pub weight: f64,
@@ -63,7 +63,7 @@
 /// A worker's state as discovery words it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Lifecycle {
+pub enum InstanceState {
     /// Takes jobs.
     Up,
     /// Finishes what it has.
@@ -80,9 +80,9 @@
     /// Its state in the module's terms.
     pub fn state(&self) -> EndpointState {
         match self.lifecycle {
-            Lifecycle::Up => EndpointState::Ready,
-            Lifecycle::Draining => EndpointState::Draining,
-            Lifecycle::Removed => EndpointState::Removed,
+            InstanceState::Up => EndpointState::Ready,
+            InstanceState::Draining => EndpointState::Draining,
+            InstanceState::Removed => EndpointState::Removed,
         }
     }
 
@@ -129,7 +129,7 @@
             self.instances.clear();
         }
         for instance in instances {
-            if instance.lifecycle == Lifecycle::Removed {
+            if instance.lifecycle == InstanceState::Removed {
                 self.instances.remove(&instance.instance_id);
             } else {
                 self.instances.insert(instance.instance_id.clone(), instance.clone());
@@ -160,5 +160,5 @@
     /// A discovery service at this address.
     Service(SocketAddr),
     /// The configuration; the list changes only with it.
-    Fixed(Listing),
+    Fixed(EndpointDocument),
 }
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -4,11 +4,9 @@
 //! request context, the upstream group, discovery or the peers it belongs to. Carrying never waits, so
 //! the lock is held for one event at a time. The engine must never judge, drop or reorder an action.
 
-use crate::list::ask::Ask;
+use crate::discovery::request::DiscoveryRequest;
 use crate::logs::Id;
 use crate::workers::UpstreamGroup;
-use vetchbridge_scheduling::interface::*;
-use vetchbridge_scheduling::scheduler::Scheduler;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -17,6 +15,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use tracing::{debug, error, info};
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::scheduler::Scheduler;
 
 /// The module's clock: Unix time at the start, monotonic from there on, so that the start times in
 /// discovery's lists need no translation.
@@ -46,7 +46,7 @@
 
 /// What the module wants done for one request.
 #[derive(Debug)]
-pub enum Step {
+pub enum RequestCommand {
     /// Send an attempt to a worker.
     Send {
         /// The worker.
@@ -68,7 +68,7 @@
 struct Core {
     scheduler: Scheduler,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    requests: HashMap<RequestId, UnboundedSender<Step>>,
+    requests: HashMap<RequestId, UnboundedSender<RequestCommand>>,
     actions: Vec<Action>,
 }
 
@@ -79,7 +79,7 @@
     core: Mutex<Core>,
     earlier_timer: Notify,
     upstream: Arc<UpstreamGroup>,
-    asks: UnboundedSender<Ask>,
+    asks: UnboundedSender<DiscoveryRequest>,
     messages: UnboundedSender<(Recipient, Vec<u8>)>,
     /// For the tasks that bring a probe's result back.
     me: Weak<Engine>,
@@ -90,10 +90,11 @@
     pub fn new(
         scheduler: Scheduler,
         upstream: Arc<UpstreamGroup>,
-        asks: UnboundedSender<Ask>,
+        asks: UnboundedSender<DiscoveryRequest>,
         messages: UnboundedSender<(Recipient, Vec<u8>)>,
     ) -> Arc<Engine> {
-        let core = Core { scheduler, timers: BinaryHeap::new(), requests: HashMap::new(), actions: Vec::new() };
+        let core =
+            Core { scheduler, timers: BinaryHeap::new(), requests: HashMap::new(), actions: Vec::new() };
         let (clock, earlier_timer) = (Clock::start(), Notify::new());
         Arc::new_cyclic(|me| {
             let (core, me) = (Mutex::new(core), me.clone());
@@ -112,7 +113,7 @@
     }
 
     /// Hands a request to the module; its steps arrive on the receiver. `None` while its id is in use.
-    pub fn open(&self, request: Request) -> Option<UnboundedReceiver<Step>> {
+    pub fn open(&self, request: Request) -> Option<UnboundedReceiver<RequestCommand>> {
         let core = &mut *self.core();
         if core.requests.contains_key(&request.id) {
             return None;
@@ -149,18 +150,18 @@
 
     fn carry(&self, core: &mut Core, action: Action) {
         let (request, step) = match action {
-            Action::Send { request, worker, timeout } => (request, Step::Send { worker, timeout }),
-            Action::Cancel { request, attempt } => (request, Step::Cancel(attempt)),
-            Action::Reject { request, retry_after } => (request, Step::Reject { retry_after }),
-            Action::Fail { request } => (request, Step::Fail),
+            Action::Send { request, worker, timeout } => (request, RequestCommand::Send { worker, timeout }),
+            Action::Cancel { request, attempt } => (request, RequestCommand::Cancel(attempt)),
+            Action::Reject { request, retry_after } => (request, RequestCommand::Reject { retry_after }),
+            Action::Fail { request } => (request, RequestCommand::Fail),
             Action::SetTimer { at, token } => {
                 if core.timers.peek().is_none_or(|Reverse((first, _))| at < *first) {
                     self.earlier_timer.notify_one();
                 }
                 return core.timers.push(Reverse((at, token.0)));
             }
-            Action::Subscribe(on) => return self.ask(Ask::Subscribe(on)),
-            Action::FetchEndpoints => return self.ask(Ask::Fetch),
+            Action::Subscribe(on) => return self.ask(DiscoveryRequest::Subscribe(on)),
+            Action::FetchEndpoints => return self.ask(DiscoveryRequest::Fetch),
             Action::SendPeerMessage { to, data } => {
                 if self.messages.send((to, data)).is_err() {
                     debug!("peer_socket.absent");
@@ -190,7 +191,7 @@
         Event::Probed { worker, outcome: status, latency, load }
     }
 
-    fn ask(&self, ask: Ask) {
+    fn ask(&self, ask: DiscoveryRequest) {
         if self.asks.send(ask).is_err() {
             error!("discovery.absent");
         }
@@ -222,8 +223,8 @@
     use super::*;
     use crate::config::{file, read_text};
     use crate::workers::{worker_id, ListedWorker};
-    use vetchbridge_testbed::wire::Wire;
     use tokio::net::TcpListener;
+    use vetchbridge_testbed::wire::Wire;
 
     /// The module's probe reaches the worker, and what the module hears names the worker and how it ended.
     #[tokio::test]
--- a/crates/vetchbridge/src/invariants.rs
+++ b/crates/vetchbridge/src/invariants.rs
@@ -2,9 +2,9 @@
 //! and the reason. The count is told when the process ends.
 
 use crate::logs::Id;
-use vetchbridge_scheduling::interface::RequestId;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tracing::error;
+use vetchbridge_scheduling::interface::RequestId;
 
 /// One thing that must never happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/vetchbridge/src/lib.rs
+++ b/crates/vetchbridge/src/lib.rs
@@ -1,23 +1,26 @@
-//! vetchbridge, the scheduler daemon: sockets around the decision module. Nothing in this crate decides where a job
-//! goes, when it is tried again or what a client is told; [`serve::run`] is the whole program.
+//! vetchbridge, the scheduler daemon: sockets around the decision module (`vetchbridge_scheduling`). Nothing in this crate
+//! decides where a job goes, when it is retried or what a client is told; [`serve::run`] is the whole program.
 //!
-//! Each side that the daemon faces has a room: [`clients`], [`workers`], the [`list`] of them, [`operators`], and the
-//! other process of an [`upgrade`]. What all of them meet in stands beside the rooms.
+//! Each party that the daemon talks to has a module: [`clients`], [`workers`], [`discovery`], [`peers`] (the other
+//! schedulers), operators ([`admin`]), and the predecessor or successor of an [`upgrade`]. [`request`] carries one request
+//! from its arrival to its answer, [`engine`] the decision module's events and actions, and [`lifecycle`] tells how far the
+//! process is between its start and its end.
 
+pub mod admin;
 pub mod cli;
 pub mod clients;
 pub mod config;
+pub mod discovery;
 pub mod engine;
 pub mod invariants;
-pub mod list;
+pub mod lifecycle;
 mod log_writer;
 pub mod logs;
 mod net;
-pub mod operators;
-pub mod workers;
+pub mod peers;
 pub mod request;
 pub mod serve;
-pub mod peers;
 pub mod signals;
 pub mod snapshot;
 pub mod upgrade;
+pub mod workers;
--- a/crates/vetchbridge/src/operators/life.rs
+++ b/crates/vetchbridge/src/lifecycle/clock.rs
@@ -1,27 +1,27 @@
 //! The lifecycle at work: its clock, and everyone who has to know of a change.
 //!
-//! Owns the one [`Lifecycle`] of this process. Calls go in, the state comes out on a watch; time is told by
-//! [`Life::keep_time`]. It must never decide what a state means.
+//! Owns the one [`LifecycleMachine`] of this process. Calls go in, the state comes out on a watch; time is told by
+//! [`Lifecycle::keep_time`]. It must never decide what a state means.
 
-use crate::operators::lifecycle::{Lifecycle, Refusal, State};
+use crate::lifecycle::state::{LifecycleMachine, Refusal, State};
 use std::sync::{Mutex, PoisonError};
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
 /// See the head of this file.
-pub struct Life {
+pub struct Lifecycle {
     began: Instant,
-    machine: Mutex<Lifecycle>,
+    machine: Mutex<LifecycleMachine>,
     state: watch::Sender<State>,
 }
 
-impl Life {
+impl Lifecycle {
     /// The life of a process that has just started.
-    pub fn begin(quiesced: bool) -> Life {
-        let machine = Lifecycle::new(quiesced);
+    pub fn begin(quiesced: bool) -> Lifecycle {
+        let machine = LifecycleMachine::new(quiesced);
         let state = watch::Sender::new(machine.state());
-        Life { began: Instant::now(), machine: Mutex::new(machine), state }
+        Lifecycle { began: Instant::now(), machine: Mutex::new(machine), state }
     }
 
     /// The state.
@@ -31,7 +31,7 @@
 
     /// Whether operators want its clients sent away.
     pub fn quiesced(&self) -> bool {
-        self.call(|life, _| life.quiesced())
+        self.call(|lifecycle, _| lifecycle.quiesced())
     }
 
     /// Follows the state.
@@ -41,25 +41,25 @@
 
     /// It can serve from now on.
     pub fn started(&self) {
-        self.call(|life, now| life.started(now));
+        self.call(|lifecycle, now| lifecycle.started(now));
     }
 
     /// Operators: send clients away.
     pub fn quiesce(&self) {
-        self.call(|life, now| life.quiesce(now));
+        self.call(|lifecycle, now| lifecycle.quiesce(now));
     }
 
     /// Operators: take clients again.
     pub fn resume(&self) -> Result<(), Refusal> {
-        self.call(|life, _| life.resume())
+        self.call(|lifecycle, _| lifecycle.resume())
     }
 
     /// It is to end; its clients wait no longer than `deadline`.
     pub fn terminate(&self, deadline: std::time::Duration) {
-        self.call(|life, now| life.terminate(now, deadline));
+        self.call(|lifecycle, now| lifecycle.terminate(now, deadline));
     }
 
-    fn call<T>(&self, call: impl FnOnce(&mut Lifecycle, std::time::Duration) -> T) -> T {
+    fn call<T>(&self, call: impl FnOnce(&mut LifecycleMachine, std::time::Duration) -> T) -> T {
         let machine = &mut *self.machine.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.began.elapsed();
         machine.advance(now);
@@ -78,7 +78,7 @@
         let mut changes = self.subscribe();
         let mut logged = "";
         loop {
-            let wakes = self.call(|life, _| life.wakes());
+            let wakes = self.call(|lifecycle, _| lifecycle.wakes());
             let name = changes.borrow_and_update().name();
             if name != logged {
                 info!(state = name, "daemon.state");
--- a/crates/vetchbridge/src/operators/lifecycle.rs
+++ b/crates/vetchbridge/src/lifecycle/state.rs
@@ -95,7 +95,7 @@
 
 /// The state and what leads on from it.
 #[derive(Debug)]
-pub struct Lifecycle {
+pub struct LifecycleMachine {
     state: State,
     /// When it was told to drain or to end.
     since: Duration,
@@ -105,10 +105,10 @@
     final_answers_after: Duration,
 }
 
-impl Lifecycle {
+impl LifecycleMachine {
     /// A process that has just started; `quiesced`: it begins with its clients sent away.
-    pub fn new(quiesced: bool) -> Lifecycle {
-        Lifecycle {
+    pub fn new(quiesced: bool) -> LifecycleMachine {
+        LifecycleMachine {
             state: State::Starting,
             since: Duration::ZERO,
             quiesced,
--- a/crates/vetchbridge/src/logs.rs
+++ b/crates/vetchbridge/src/logs.rs
@@ -3,13 +3,13 @@
 //! Owns the subscriber and its filter; events reach it through `tracing` alone.
 
 use crate::log_writer::LossyWriter;
-use vetchbridge_scheduling::interface::RequestId;
 use std::fmt;
 use std::io;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::reload::{self, Handle};
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{EnvFilter, Registry};
+use vetchbridge_scheduling::interface::RequestId;
 
 /// What is logged when nothing else is said.
 pub const DEFAULT_FILTER: &str = "info";
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -4,13 +4,13 @@
 use crate::config::Peers;
 use crate::engine::Engine;
 use crate::upgrade::process_links::ProcessLinks;
-use vetchbridge_scheduling::interface::{Event, Recipient};
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{debug, warn};
+use vetchbridge_scheduling::interface::{Event, Recipient};
 
 /// The longest datagram allowed; a longer one voids the run.
 const LONGEST: usize = 256;
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -4,29 +4,29 @@
 //! protocol: front makes a [`Job`] and renders an [`Answer`]. It must never choose a worker, a pause or an
 //! answer itself; it asks the module, through the engine, at each point of choice.
 
-use crate::engine::{Engine, Step};
+use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{violated, Invariant};
 use crate::logs::Id;
-use crate::workers::{Ended, Parcel, Terms, UpstreamGroup};
 use crate::snapshot::Snapshot;
-use crate::upgrade::process_links::ProcessLinks;
 use crate::upgrade::message::HandoverMessage;
+use crate::upgrade::process_links::ProcessLinks;
+use crate::workers::{AttemptResult, Payload, SendConditions, UpstreamGroup};
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use vetchbridge_scheduling::interface::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 use tracing::debug;
+use vetchbridge_scheduling::interface::*;
 
 /// A request as it was taken from a client, in no protocol's terms.
 pub struct Job {
     /// What the module is told.
     pub request: Request,
     /// What a worker is given, unopened.
-    pub parcel: Parcel,
+    pub payload: Payload,
     /// The settings that it was read under; they hold to its end.
     pub settings: Arc<Snapshot>,
     /// Its share of the memory for bodies, given back with the job.
@@ -71,7 +71,7 @@
     job: Job,
 ) -> oneshot::Receiver<Answer> {
     let (reply, answer) = oneshot::channel();
-    let Job { request, parcel, settings, room } = job;
+    let Job { request, payload, settings, room } = job;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
     let open_elsewhere = process_links.holds(id);
     let Some(steps) = (!open_elsewhere).then(|| engine.open(request)).flatten() else {
@@ -90,7 +90,7 @@
         over: Arc::default(),
         _room: room,
     };
-    tokio::spawn(run(context, upstream, parcel, deadline));
+    tokio::spawn(run(context, upstream, payload, deadline));
     answer
 }
 
@@ -101,7 +101,7 @@
     settings: Arc<Snapshot>,
     id: RequestId,
     class: ClassId,
-    steps: UnboundedReceiver<Step>,
+    steps: UnboundedReceiver<RequestCommand>,
     reply: Option<oneshot::Sender<Answer>>,
     /// Set once nobody waits for the answer any more.
     over: Arc<AtomicBool>,
@@ -150,13 +150,14 @@
 }
 
 /// One request's life, from taken on.
-async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, parcel: Parcel, deadline: Micros) {
+async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, payload: Payload, deadline: Micros) {
     let (engine, id) = (context.engine.clone(), context.id);
     let mut attempts = FuturesUnordered::new();
     let mut cancels: Vec<Option<oneshot::Sender<()>>> = Vec::new();
     // When each attempt was sent, but those that surely never ran.
     let mut may_have_run: Vec<Option<Micros>> = Vec::new();
-    let effect = context.settings.settings.classes.get(context.class.0 as usize).map(|class| class.idempotency);
+    let effect =
+        context.settings.settings.classes.get(context.class.0 as usize).map(|class| class.idempotency);
 
     // Alive until it is answered and each attempt has had its outcome.
     while context.reply.is_some() || !attempts.is_empty() {
@@ -169,7 +170,7 @@
                 engine.handle(Event::ClientDisconnected(id));
             }
             step = context.steps.recv() => match step {
-                Some(Step::Send { worker, timeout }) => {
+                Some(RequestCommand::Send { worker, timeout }) => {
                     let attempt = AttemptNo(cancels.len() as u32);
                     let sent = engine.clock.now();
                     let until = timeout.map_or(deadline, |t| deadline.min(sent.saturating_add(t)));
@@ -185,7 +186,7 @@
                         }
                     };
                     may_have_run.push(Some(sent));
-                    let (engine, upstream, parcel) = (&engine, &upstream, &parcel);
+                    let (engine, upstream, payload) = (&engine, &upstream, &payload);
                     let moot = context.reply.is_none() || begin_by <= sent;
                     let over = context.over.clone();
                     attempts.push(async move {
@@ -195,27 +196,27 @@
                             engine.handle(Event::JobProgress { request: id, attempt, progress: note });
                         };
                         let ended = if moot {
-                            (Ended::Not(Outcome::NotSent), None)
+                            (AttemptResult::NotServed(Outcome::NotSent), None)
                         } else {
                             let (wait, begin_within) = (until - sent, begin_by - sent);
                             let (wait, begin_within) =
                                 (Duration::from_micros(wait), Duration::from_micros(begin_within));
-                            let terms = Terms { wait, begin_within, over };
-                            upstream.attempt(id, worker, parcel, terms, cancelled, note).await
+                            let conditions = SendConditions { wait, begin_within, over };
+                            upstream.attempt(id, worker, payload, conditions, cancelled, note).await
                         };
                         (attempt, worker, sent, ended)
                     });
                 }
-                Some(Step::Cancel(attempt)) => {
+                Some(RequestCommand::Cancel(attempt)) => {
                     if let Some(cancel) = cancels.get_mut(attempt.0 as usize).and_then(Option::take) {
                         let _ = cancel.send(());
                     }
                 }
-                Some(Step::Reject { retry_after }) => {
+                Some(RequestCommand::Reject { retry_after }) => {
                     context.log_unserved(&may_have_run, deadline);
                     context.answer(Answer::Reject { retry_after });
                 }
-                Some(Step::Fail) => {
+                Some(RequestCommand::Fail) => {
                     context.log_unserved(&may_have_run, deadline);
                     context.answer(Answer::Failed);
                 }
@@ -224,11 +225,11 @@
             },
             Some((attempt, worker, sent, (ended, load))) = attempts.next() => {
                 let status = match ended {
-                    Ended::Served(result) => {
+                    AttemptResult::Served(result) => {
                         context.answer(Answer::Served(result));
                         Outcome::Ok
                     }
-                    Ended::Not(status) => status,
+                    AttemptResult::NotServed(status) => status,
                 };
                 if status.never_ran() {
                     may_have_run[attempt.0 as usize] = None;
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -1,26 +1,24 @@
 //! The daemon's life: owns the start, the wiring and the end of the program; it must never touch a request.
 
-use crate::clients::front::Front;
+use crate::admin;
+use crate::clients::server::ClientServer;
 use crate::config::{self, Config, Flags};
+use crate::discovery::client::{Discovery, InitialList};
+use crate::discovery::document::{EndpointList, Source};
+use crate::discovery::request::DiscoveryRequest;
 use crate::engine::Engine;
 use crate::invariants::violations;
-use crate::list::ask::Ask;
-use crate::list::discovery::{Discovery, InitialList};
-use crate::list::listing::{EndpointList, Source};
+use crate::lifecycle::clock::Lifecycle;
 use crate::logs::Logs;
 use crate::net::retry_for;
-use crate::operators::admin;
-use crate::operators::life::Life;
-use crate::workers::UpstreamGroup;
 use crate::peers;
 use crate::signals::{CaughtSignals, SignalNotices};
-use crate::snapshot::Current;
+use crate::snapshot::CurrentSettings;
 use crate::upgrade::process_links::ProcessLinks;
 use crate::upgrade::socket::HandoverListener;
 use crate::upgrade::{self, Found, HandoverServer, Inheritance};
+use crate::workers::UpstreamGroup;
 use serde_json::Value;
-use vetchbridge_scheduling::interface::{Event, EndpointUpdate};
-use vetchbridge_scheduling::scheduler::{Scheduler, CONFIRM_WITHIN};
 use std::error::Error;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -32,6 +30,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 use tracing::{error, info, warn};
+use vetchbridge_scheduling::interface::{EndpointUpdate, Event};
+use vetchbridge_scheduling::scheduler::{Scheduler, CONFIRM_WITHIN};
 
 /// Connections that the kernel keeps for us until they are accepted; it takes `net.core.somaxconn` if that is less. More
 /// workers than this would have to call back in one moment.
@@ -69,31 +69,37 @@
         }
     };
     let process_links = Arc::new(ProcessLinks::default());
-    let life = Arc::new(Life::begin(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
+    let lifecycle = Arc::new(Lifecycle::begin(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
     if let Some(address) = config.admin {
         let door = claim(address, || listen(address, false)).await?;
         info!(address = %door.local_addr()?, "admin.listens");
-        tokio::spawn(admin::serve(door, life.clone(), process_links.clone(), admin::callers(config.sockets)));
+        tokio::spawn(admin::serve(
+            door,
+            lifecycle.clone(),
+            process_links.clone(),
+            admin::callers(config.sockets),
+        ));
     }
-    let keeper = life.clone();
+    let keeper = lifecycle.clone();
     tokio::spawn(async move { keeper.keep_time().await });
-    let handover_server = start(config, inheritance, hangup, flags, logs, (life, process_links)).await?;
+    let handover_server = start(config, inheritance, hangup, flags, logs, (lifecycle, process_links)).await?;
 
     terminate.notified().await;
-    handover_server.life.terminate(handover_server.front.longest_deadline());
+    handover_server.lifecycle.terminate(handover_server.client_server.longest_deadline());
     sleep(LISTEN_ON).await;
     let mut quiet_since = Instant::now();
     let mut leaving = false;
-    let lingers = |quiet: Duration| handover_server.front.lingers() && quiet < QUIET + LAST_WORDS;
+    let lingers = |quiet: Duration| handover_server.client_server.lingers() && quiet < QUIET + LAST_WORDS;
     while quiet_since.elapsed() < QUIET || lingers(quiet_since.elapsed()) {
         sleep(QUIET / 10).await;
-        if !leaving && !handover_server.life.state().takes() {
+        if !leaving && !handover_server.lifecycle.state().takes() {
             leaving = true;
             handover_server.engine.handle(Event::ShuttingDown);
         }
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
-        let serves_on = handover_server.front.connections() > 0 && !handover_server.life.state().closes_idle();
-        if handover_server.front.owes() || handover_server.process_links.behind() || serves_on {
+        let serves_on = handover_server.client_server.connections() > 0
+            && !handover_server.lifecycle.state().closes_idle();
+        if handover_server.client_server.owes() || handover_server.process_links.behind() || serves_on {
             quiet_since = Instant::now();
         }
     }
@@ -120,10 +126,10 @@
 struct Tuned {
     /// The platform's document in force, if it is one.
     document: Option<Value>,
-    asks: UnboundedSender<Ask>,
+    asks: UnboundedSender<DiscoveryRequest>,
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    current: Arc<Current>,
+    current: Arc<CurrentSettings>,
     endpoint_list: Arc<Mutex<EndpointList>>,
 }
 
@@ -160,10 +166,11 @@
         self.document = config.document;
         if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
             // The list in hand was told under other indices; until it is told anew, no job may be placed by it.
-            let endpoints = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
+            let endpoints =
+                self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
             self.engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
-        if self.asks.send(Ask::Move(config.source)).is_err() {
+        if self.asks.send(DiscoveryRequest::Move(config.source)).is_err() {
             error!("discovery.absent");
         }
         info!(classes = names.classes.join(","), "configuration.read");
@@ -177,7 +184,7 @@
     hangup: Arc<Notify>,
     flags: Flags,
     logs: Logs,
-    (life, process_links): (Arc<Life>, Arc<ProcessLinks>),
+    (lifecycle, process_links): (Arc<Lifecycle>, Arc<ProcessLinks>),
 ) -> Result<Arc<HandoverServer>, Box<dyn Error>> {
     // Not there for others to find before the listener is ours.
     let mut door = None;
@@ -233,7 +240,7 @@
     let upstream = Arc::new(UpstreamGroup::new(dial_timeout, config.snapshot.conn_idle, probes));
     upstream.read_reports(config.snapshot.reports);
     let engine = Engine::new(scheduler, upstream.clone(), asks.clone(), messages);
-    let current = Arc::new(Current::new(config.snapshot));
+    let current = Arc::new(CurrentSettings::new(config.snapshot));
     let tuned = Tuned {
         document: config.document,
         asks,
@@ -263,28 +270,39 @@
     );
     let mut confirmed = discovery.confirmed();
     tokio::spawn(discovery.run(asked));
-    let front = Front::new(
+    let client_server = ClientServer::new(
         engine.clone(),
         upstream.clone(),
         current,
         config.sockets,
         config.memory,
-        life.clone(),
+        lifecycle.clone(),
         process_links.clone(),
     );
-    tokio::spawn(front.clone().serve(listener));
+    tokio::spawn(client_server.clone().serve(listener));
     let (name, listen) = (config.name, spare.local_addr()?);
-    let handover_server = HandoverServer { name, listen, listener: spare, peers, endpoint_list, life, engine, upstream, front, process_links };
+    let handover_server = HandoverServer {
+        name,
+        listen,
+        listener: spare,
+        peers,
+        endpoint_list,
+        lifecycle,
+        engine,
+        upstream,
+        client_server,
+        process_links,
+    };
     let handover_server = Arc::new(handover_server);
     if *confirmed.borrow() {
-        handover_server.life.started();
+        handover_server.lifecycle.started();
     } else {
-        let life = handover_server.life.clone();
+        let lifecycle = handover_server.lifecycle.clone();
         tokio::spawn(async move {
             // If no answer comes, the module sends by the saved list from then on: there is no better one.
             let wait = Duration::from_micros(CONFIRM_WITHIN);
             let _ = timeout(wait, confirmed.wait_for(|confirmed| *confirmed)).await;
-            life.started();
+            lifecycle.started();
         });
     }
     if let Some((wire, connections)) = rest {
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -3,11 +3,11 @@
 //! Owns which snapshot is current. Whoever works on a request keeps the one that the request was taken under. It must
 //! never check a value: what is swapped in has been checked.
 
-use crate::list::listing::Names;
+use crate::discovery::document::Names;
 use crate::workers::load::Reports;
-use vetchbridge_scheduling::interface::{Class, Settings, Tenant, TenantId};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
+use vetchbridge_scheduling::interface::{Class, Settings, Tenant, TenantId};
 
 /// Settings, whole.
 pub struct Snapshot {
@@ -50,12 +50,12 @@
 }
 
 /// The snapshot in force.
-pub struct Current(Mutex<Arc<Snapshot>>);
+pub struct CurrentSettings(Mutex<Arc<Snapshot>>);
 
-impl Current {
+impl CurrentSettings {
     /// Begins with this one.
-    pub fn new(snapshot: Snapshot) -> Current {
-        Current(Mutex::new(Arc::new(snapshot)))
+    pub fn new(snapshot: Snapshot) -> CurrentSettings {
+        CurrentSettings(Mutex::new(Arc::new(snapshot)))
     }
 
     /// The one in force now.
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -3,7 +3,7 @@
 //! Owns the words and their form: one JSON object a message, with descriptors beside it where a word brings some. It
 //! must never hold a socket. A word that can't be read ends the link, as another version's would.
 
-use crate::list::listing::Instance;
+use crate::discovery::document::Instance;
 use crate::workers::Callback;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -157,6 +157,9 @@
                 assert!(HandoverMessage::read(&written[..end]).is_err(), "{word:?} cut at {end}");
             }
         }
-        assert!(HandoverMessage::read(b"\"Unheard\"").is_err() && HandoverMessage::read(b"{\"Holds\":-1}").is_err());
+        assert!(
+            HandoverMessage::read(b"\"Unheard\"").is_err()
+                && HandoverMessage::read(b"{\"Holds\":-1}").is_err()
+        );
     }
 }
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -8,17 +8,19 @@
 //! This file owns the hand-over socket and the links. It must never end a process: a successor that breaks off leaves
 //! the old one as it was, and the old one ends when it is told to.
 
+pub mod message;
 pub mod process_links;
 pub mod socket;
-pub mod message;
 
-use crate::clients::front::Front;
+use crate::clients::server::ClientServer;
+use crate::discovery::document::{EndpointDocument, EndpointList};
 use crate::engine::Engine;
-use crate::list::listing::{Listing, EndpointList};
-use crate::operators::life::Life;
-use crate::operators::lifecycle::State;
+use crate::lifecycle::clock::Lifecycle;
+use crate::lifecycle::state::State;
+use crate::upgrade::process_links::{Forwarded, Link, Message, ProcessLinks};
 use crate::workers::UpstreamGroup;
-use crate::upgrade::process_links::{Forwarded, ProcessLinks, Link, Message};
+use message::{in_messages, HandoverMessage, Offer, LONGEST, VERSION};
+use socket::{HandoverListener, HandoverSocket};
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::fd::{AsFd, OwnedFd};
@@ -28,8 +30,6 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info, warn};
-use socket::{HandoverListener, HandoverSocket};
-use message::{in_messages, Offer, HandoverMessage, LONGEST, VERSION};
 
 /// How long a predecessor may take over its whole offer. A new process has 6 s in all.
 const OFFERED_WITHIN: Duration = Duration::from_secs(3);
@@ -49,7 +49,7 @@
     /// What else it said.
     pub offer: Offer,
     /// The list of workers.
-    pub listing: Listing,
+    pub listing: EndpointDocument,
     /// The way to the predecessor.
     pub wire: HandoverSocket,
 }
@@ -95,7 +95,11 @@
 }
 
 /// What the process there hands over, or why it won't; the outer error is that it said neither.
-async fn inherit(wire: HandoverSocket, name: &str, listen: SocketAddr) -> Result<Result<Inheritance, String>, String> {
+async fn inherit(
+    wire: HandoverSocket,
+    name: &str,
+    listen: SocketAddr,
+) -> Result<Result<Inheritance, String>, String> {
     let said = |error: io::Error| error.to_string();
     let hello = HandoverMessage::Hello { version: VERSION, name: name.to_string(), listen };
     wire.send(&hello.write(), &[]).await.map_err(said)?;
@@ -113,7 +117,7 @@
     let listener = TcpListener::from(descriptors.next().ok_or("no listener came")?);
     let peers = descriptors.next().map(UdpSocket::from);
     let mut listing =
-        Listing { generation: offer.generation.unwrap_or(0), reset: true, instances: Vec::new() };
+        EndpointDocument { generation: offer.generation.unwrap_or(0), reset: true, instances: Vec::new() };
     loop {
         match next().await? {
             (HandoverMessage::Entries(entries), _) if entries.is_empty() => break,
@@ -137,13 +141,13 @@
     /// The list of workers.
     pub endpoint_list: Arc<Mutex<EndpointList>>,
     /// The lifecycle.
-    pub life: Arc<Life>,
+    pub lifecycle: Arc<Lifecycle>,
     /// The module at work.
     pub engine: Arc<Engine>,
     /// The upstream group.
     pub upstream: Arc<UpstreamGroup>,
     /// The front.
-    pub front: Arc<Front>,
+    pub client_server: Arc<ClientServer>,
     /// The other processes.
     pub process_links: Arc<ProcessLinks>,
 }
@@ -195,7 +199,8 @@
         let refused = match hello {
             Ok(HandoverMessage::Hello { version: VERSION, name, listen }) => {
                 let same = name == self.name && listen == self.listen;
-                let handed_over = self.process_links.has_successor().then(|| "it has handed over already".to_string());
+                let handed_over =
+                    self.process_links.has_successor().then(|| "it has handed over already".to_string());
                 handed_over.or_else(|| (!same).then(|| format!("this is {} at {}", self.name, self.listen)))
             }
             Ok(HandoverMessage::Hello { version, .. }) => {
@@ -220,11 +225,11 @@
             // A successor that can't be given all of the list asks for it as a whole.
             let whole = messages.iter().map(Vec::len).sum::<usize>() == listed;
             let offer = HandoverMessage::Offer(Offer {
-                quiesced: self.life.quiesced(),
+                quiesced: self.lifecycle.quiesced(),
                 source,
                 generation: generation.filter(|_| whole),
-                confirmed: self.life.state() != State::Starting,
-                connections: self.front.connections(),
+                confirmed: self.lifecycle.state() != State::Starting,
+                connections: self.client_server.connections(),
             });
             let mut descriptors = vec![self.listener.as_fd()];
             descriptors.extend(self.peers.as_ref().map(AsFd::as_fd));
@@ -276,7 +281,7 @@
         let counting = async {
             let mut told = 0;
             loop {
-                let held = self.front.connections();
+                let held = self.client_server.connections();
                 if held != told {
                     told = held;
                     link.say(HandoverMessage::Holds(held), Vec::new());
@@ -298,7 +303,7 @@
         match word {
             HandoverMessage::Taken => {
                 info!(
-                    connections = self.front.connections(),
+                    connections = self.client_server.connections(),
                     requests = self.engine.requests(),
                     "upgrade.taken"
                 );
@@ -306,9 +311,12 @@
                 // Idle connections to workers are the successor's to have.
                 self.upstream.close_all_idle();
             }
-            HandoverMessage::Connection { kept } => descriptors.into_iter().for_each(|it| self.front.adopt(it, kept)),
+            HandoverMessage::Connection { kept } => {
+                descriptors.into_iter().for_each(|it| self.client_server.adopt(it, kept))
+            }
             HandoverMessage::Callback { number, callback } => {
-                let (link, upstream, process_links) = (link.clone(), self.upstream.clone(), self.process_links.clone());
+                let (link, upstream, process_links) =
+                    (link.clone(), self.upstream.clone(), self.process_links.clone());
                 tokio::spawn(async move {
                     let forwarded = if upstream.called_back(&callback) {
                         Forwarded::Known
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -3,9 +3,8 @@
 //! Owns what is known of each, and the queue of words to it. Whoever needs the other process asks here; `upgrade`
 //! carries the words. It must never wait for a process that has gone, nor hold a request up where there is none.
 
-use crate::workers::Callback;
 use crate::upgrade::message::HandoverMessage;
-use vetchbridge_scheduling::interface::RequestId;
+use crate::workers::Callback;
 use std::collections::{HashMap, HashSet};
 use std::os::fd::OwnedFd;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,6 +12,7 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tokio::time::timeout;
 use tracing::warn;
+use vetchbridge_scheduling::interface::RequestId;
 
 /// Words that wait for a slow process; beyond them it is taken for one that hangs.
 const QUEUE: usize = 8192;
@@ -244,9 +244,19 @@
         ] {
             link.note(&word);
         }
-        assert_eq!((process_links.holds(RequestId(1)), process_links.holds(RequestId(2)), process_links.connections()), (false, true, 7));
+        assert_eq!(
+            (
+                process_links.holds(RequestId(1)),
+                process_links.holds(RequestId(2)),
+                process_links.connections()
+            ),
+            (false, true, 7)
+        );
         process_links.remove(&old);
-        assert_eq!((process_links.holds(RequestId(2)), process_links.connections(), process_links.has_successor()), (false, 3, true));
+        assert_eq!(
+            (process_links.holds(RequestId(2)), process_links.connections(), process_links.has_successor()),
+            (false, 3, true)
+        );
         process_links.remove(&new);
         assert_eq!((process_links.connections(), process_links.has_successor()), (0, false));
     }
@@ -255,7 +265,11 @@
     #[tokio::test(start_paused = true)]
     async fn a_callback_is_asked_about_in_turn() {
         let process_links = ProcessLinks::default();
-        assert_eq!(process_links.forward(&callback(), None).await, Forwarded::Unknown, "there is nobody to ask");
+        assert_eq!(
+            process_links.forward(&callback(), None).await,
+            Forwarded::Unknown,
+            "there is nobody to ask"
+        );
         let links: Vec<_> = (0..4).map(|_| Link::new()).collect();
         let mut queues = Vec::new();
         for (link, queue) in links {
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -8,13 +8,13 @@
 use crate::invariants::{violated, Invariant};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use vetchbridge_scheduling::interface::{RequestId, WorkerId};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::Instant;
 use tracing::warn;
+use vetchbridge_scheduling::interface::{RequestId, WorkerId};
 
 /// A worker that was not answered says the same again; so long after an attempt's end, such a word is still about that one.
 const REPEATS: Duration = Duration::from_secs(2);
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -26,7 +26,7 @@
 const BODY_LIMIT: usize = 64 * 1024;
 
 /// What a worker is given of a request, unchanged.
-pub struct Parcel {
+pub struct Payload {
     /// The request's id as the client wrote it.
     pub id: String,
     /// Path and query.
@@ -134,11 +134,11 @@
         &self,
         method: Method,
         target: &PathAndQuery,
-        job: Option<(&Parcel, Duration)>,
+        job: Option<(&Payload, Duration)>,
         permission: SendPermission,
     ) -> Exchange {
         let mut request =
-            Request::new(Full::new(job.map(|(parcel, _)| parcel.body.clone()).unwrap_or_default()));
+            Request::new(Full::new(job.map(|(payload, _)| payload.body.clone()).unwrap_or_default()));
         *request.method_mut() = method;
         let uri = Uri::builder().scheme(Scheme::HTTP).authority(self.address.clone());
         // With all three parts given and checked, building can't fail.
@@ -150,11 +150,11 @@
             }
         };
         header(HOST.as_str(), self.address.as_str());
-        if let Some((parcel, wait)) = job {
-            header(CONTENT_LENGTH.as_str(), &parcel.body.len().to_string());
-            header("x-trace-id", &parcel.id);
+        if let Some((payload, wait)) = job {
+            header(CONTENT_LENGTH.as_str(), &payload.body.len().to_string());
+            header("x-trace-id", &payload.id);
             header(EXPIRES_IN, &expiry::value(wait));
-            if let Some(key) = &parcel.idempotency_key {
+            if let Some(key) = &payload.idempotency_key {
                 header("idempotency-key", key);
             }
         }
--- a/crates/vetchbridge/src/workers/load.rs
+++ b/crates/vetchbridge/src/workers/load.rs
@@ -4,9 +4,9 @@
 //! what a worker says, hold a socket, or judge a worker by its load.
 
 use serde_json::value::RawValue;
-use vetchbridge_scheduling::interface::{LoadReport, LoadReportSource};
 use std::collections::BTreeMap;
 use tracing::debug;
+use vetchbridge_scheduling::interface::{LoadReport, LoadReportSource};
 
 /// The header that carries a report on an answer.
 pub const HEADER: &str = "endpoint-load-metrics";
--- a/crates/vetchbridge/src/workers/mod.rs
+++ b/crates/vetchbridge/src/workers/mod.rs
@@ -16,7 +16,7 @@
 
 pub use callbacks::{Callback, CallbackState};
 pub use dial::{Count, Counted};
-pub use exchange::Parcel;
+pub use exchange::Payload;
 
 use bytes::Bytes;
 use callbacks::Callbacks;
@@ -27,7 +27,6 @@
 use hyper::{Method, StatusCode};
 use load::Reports;
 use permission::SendPermission;
-use vetchbridge_scheduling::interface::{EndpointUpdate, LoadReport, EndpointState, Micros, JobProgress, RequestId, Outcome, WorkerId};
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -35,6 +34,9 @@
 use tokio::sync::{oneshot, watch, Semaphore};
 use tokio::time::Instant;
 use tracing::{debug, warn};
+use vetchbridge_scheduling::interface::{
+    EndpointState, EndpointUpdate, JobProgress, LoadReport, Micros, Outcome, RequestId, WorkerId,
+};
 
 /// How long a worker may take to answer 202 where the settings put no limit on a dial.
 const TAKEN_WITHIN: Duration = Duration::from_secs(1);
@@ -44,17 +46,17 @@
 
 /// How an attempt ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptResult {
     /// The worker's result for this request.
     Served(Bytes),
     /// Any other way.
-    Not(Outcome),
+    NotServed(Outcome),
 }
 
 /// What an attempt is sent under; it is looked at again when the first byte is about to be written, since a connection may
 /// have taken long to come.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct SendConditions {
     /// How long the attempt waits for its end.
     pub wait: Duration,
     /// Its first byte must be written within this time.
@@ -63,10 +65,10 @@
     pub over: Arc<AtomicBool>,
 }
 
-impl Terms {
+impl SendConditions {
     /// Of a request that somebody waits for, for so long.
-    pub fn within(wait: Duration) -> Terms {
-        Terms { wait, begin_within: wait, over: Arc::default() }
+    pub fn within(wait: Duration) -> SendConditions {
+        SendConditions { wait, begin_within: wait, over: Arc::default() }
     }
 }
 
@@ -270,7 +272,8 @@
             if let Some(address) = address {
                 let (availability, client) =
                     (watch::Sender::new(Availability::Ready), Mutex::new(self.client()));
-                let worker = Arc::new(Worker { name: name.to_string(), address, client, started, availability });
+                let worker =
+                    Arc::new(Worker { name: name.to_string(), address, client, started, availability });
                 if let Some(old) = workers.insert(worker_id, worker) {
                     old.availability.send_replace(Availability::Replaced);
                 }
@@ -375,25 +378,25 @@
         &self,
         id: RequestId,
         worker_id: WorkerId,
-        parcel: &Parcel,
-        terms: Terms,
+        payload: &Payload,
+        conditions: SendConditions,
         mut cancelled: oneshot::Receiver<()>,
         note: impl Fn(JobProgress),
-    ) -> (Ended, Option<LoadReport>) {
-        let not = |status| (Ended::Not(status), None);
+    ) -> (AttemptResult, Option<LoadReport>) {
+        let not = |status| (AttemptResult::NotServed(status), None);
         let Some(worker) = lock(&self.workers).get(&worker_id).cloned() else {
             return not(Outcome::ConnectFailed);
         };
         // Before the first byte: a callback may overtake the 202.
         let mut inbox = self.callbacks.listen(id, worker_id);
-        let Terms { wait, begin_within, over } = terms;
+        let SendConditions { wait, begin_within, over } = conditions;
         let begin_by = Instant::now() + begin_within.min(wait);
         let until = tokio::time::sleep(wait);
         tokio::pin!(until);
         let mut availability = worker.availability.subscribe();
         let permission = SendPermission::while_available(availability.clone()).until(begin_by, over);
         let Exchange { seen, mut answer } =
-            worker.exchange(Method::POST, &parcel.target, Some((parcel, wait)), permission.clone());
+            worker.exchange(Method::POST, &payload.target, Some((payload, wait)), permission.clone());
         self.make_room();
         let (mut unwritten, mut accepted) = (true, false);
         // A worker takes a job at once or not at all: one that stays silent must not hold it to its deadline.
@@ -409,7 +412,7 @@
                 biased;
                 Ok(()) = &mut cancelled => {
                     let begun = accepted || seen.begun();
-                    worker.give_up(accepted, &parcel.id);
+                    worker.give_up(accepted, &payload.id);
                     return not(if begun { Outcome::Cancelled } else { Outcome::NotSent });
                 }
                 // Told to leave, or started anew, while the attempt waits for its first byte: not one may go there now.
@@ -424,7 +427,7 @@
                     // result is one of this request, whichever attempt it is from.
                     let of_earlier = !accepted && (!seen.written() || inbox.repeats(call.state));
                     if of_earlier && call.state != CallbackState::Done {
-                        debug!(request = parcel.id, worker = worker.name, state = ?call.state, "callback.of_earlier");
+                        debug!(request = payload.id, worker = worker.name, state = ?call.state, "callback.of_earlier");
                         continue;
                     }
                     if !accepted && seen.written() {
@@ -441,10 +444,10 @@
                             note(JobProgress::Fraction(call.share));
                             continue;
                         }
-                        CallbackState::Done => Ended::Served(call.result.into()),
-                        CallbackState::Failed => Ended::Not(Outcome::Error),
-                        CallbackState::Returned => Ended::Not(Outcome::Rejected),
-                        CallbackState::Lost => Ended::Not(Outcome::Reset),
+                        CallbackState::Done => AttemptResult::Served(call.result.into()),
+                        CallbackState::Failed => AttemptResult::NotServed(Outcome::Error),
+                        CallbackState::Returned => AttemptResult::NotServed(Outcome::Rejected),
+                        CallbackState::Lost => AttemptResult::NotServed(Outcome::Reset),
                     };
                     if call.state != CallbackState::Done {
                         inbox.ended(call.state);
@@ -455,7 +458,7 @@
                 answered = &mut answer, if !accepted => match answered {
                     // The head says all that there is to know; a worker may never come to the end of the rest.
                     Ok(reply) if reply.status == StatusCode::ACCEPTED => {
-                        debug!(request = parcel.id, worker = worker.name, "attempt.accepted");
+                        debug!(request = payload.id, worker = worker.name, "attempt.accepted");
                         (accepted, unwritten) = (true, false);
                         reply.drain();
                     }
@@ -467,7 +470,7 @@
                         };
                         let load = lock(&self.reports).of_answer(reply.load());
                         reply.drain();
-                        return (Ended::Not(status), load);
+                        return (AttemptResult::NotServed(status), load);
                     }
                     Err(Broken::NeverRan) => return not(if permission.wanted() { Outcome::ConnectFailed } else { Outcome::NotSent }),
                     Err(Broken::MayHaveRun) => return not(Outcome::Reset),
@@ -480,7 +483,7 @@
                         (false, true) => Outcome::NotSent,
                         (false, false) => Outcome::ConnectFailed,
                     };
-                    worker.give_up(accepted, &parcel.id);
+                    worker.give_up(accepted, &payload.id);
                     return not(status);
                 }
             }
@@ -522,10 +525,10 @@
         };
         tell(EndpointState::Ready);
         let (id, target) = ("00000000000000ab".to_string(), PathAndQuery::from_static("/safe/k"));
-        let parcel = Parcel { id, target, idempotency_key: None, body: Bytes::from_static(b"work") };
+        let payload = Payload { id, target, idempotency_key: None, body: Bytes::from_static(b"work") };
         let (_cancel, cancelled) = oneshot::channel();
-        let terms = Terms::within(Duration::from_secs(60));
-        let attempt = group.attempt(RequestId(0xab), worker_id, &parcel, terms, cancelled, |_| {});
+        let conditions = SendConditions::within(Duration::from_secs(60));
+        let attempt = group.attempt(RequestId(0xab), worker_id, &payload, conditions, cancelled, |_| {});
         tokio::pin!(attempt);
         // The first poll starts the dial; no dial ends before the runtime has looked at its sockets.
         assert!(futures_util::poll!(attempt.as_mut()).is_pending());
@@ -537,7 +540,7 @@
         };
         tokio::select! {
             biased;
-            ended = attempt => assert_eq!(ended, (Ended::Not(Outcome::ConnectFailed), None)),
+            ended = attempt => assert_eq!(ended, (AttemptResult::NotServed(Outcome::ConnectFailed), None)),
             bytes = written => panic!("{bytes} bytes were written to a draining worker"),
         }
     }
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -10,7 +10,7 @@
 
 /// Why a request may not be written any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Withheld {
+pub(super) enum NotSent {
     /// The worker drains or has gone.
     WorkerLeaving,
     /// Another process goes by the worker's name.
@@ -50,23 +50,23 @@
 
     /// Whether the request itself is still wanted, whatever has become of the worker.
     pub(super) fn wanted(&self) -> bool {
-        !matches!(self.request_withheld(), Some(Withheld::RequestOver | Withheld::TimeOver))
+        !matches!(self.request_withheld(), Some(NotSent::RequestOver | NotSent::TimeOver))
     }
 
     /// Why the first byte may not be written now, if it may not.
-    pub(super) fn withheld(&self) -> Option<Withheld> {
+    pub(super) fn withheld(&self) -> Option<NotSent> {
         let availability = self.availability.as_ref().map(|availability| *availability.borrow());
         match availability {
-            Some(Availability::Leaving) => Some(Withheld::WorkerLeaving),
-            Some(Availability::Replaced) => Some(Withheld::WorkerReplaced),
+            Some(Availability::Leaving) => Some(NotSent::WorkerLeaving),
+            Some(Availability::Replaced) => Some(NotSent::WorkerReplaced),
             Some(Availability::Ready) | None => self.request_withheld(),
         }
     }
 
-    fn request_withheld(&self) -> Option<Withheld> {
+    fn request_withheld(&self) -> Option<NotSent> {
         if self.over.load(Ordering::Relaxed) {
-            return Some(Withheld::RequestOver);
+            return Some(NotSent::RequestOver);
         }
-        self.begin_by.is_some_and(|begin_by| Instant::now() >= begin_by).then_some(Withheld::TimeOver)
+        self.begin_by.is_some_and(|begin_by| Instant::now() >= begin_by).then_some(NotSent::TimeOver)
     }
 }
--- a/crates/vetchbridge/tests/admin.rs
+++ b/crates/vetchbridge/tests/admin.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use vetchbridge::operators::admin::{serve, LINE_LIMIT};
-use vetchbridge::operators::life::Life;
+use vetchbridge::admin::{serve, LINE_LIMIT};
+use vetchbridge::lifecycle::clock::Lifecycle;
 
-async fn door(life: &Arc<Life>, most: usize) -> SocketAddr {
+async fn door(lifecycle: &Arc<Lifecycle>, most: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    tokio::spawn(serve(listener, life.clone(), Arc::default(), most));
+    tokio::spawn(serve(listener, lifecycle.clone(), Arc::default(), most));
     address
 }
 
@@ -30,10 +30,10 @@
 /// Every kind of line has a stated answer, and what it says is true.
 #[tokio::test]
 async fn each_call_has_its_answer() {
-    let life = Arc::new(Life::begin(false));
-    let address = door(&life, 4).await;
+    let lifecycle = Arc::new(Lifecycle::begin(false));
+    let address = door(&lifecycle, 4).await;
     assert_eq!(call(address, b"health\n").await, "fail starting, it can't serve yet\n");
-    life.started();
+    lifecycle.started();
     let long = [b"health".as_slice(), &[b' '; LINE_LIMIT], b"\n"].concat();
     let cases: [(&[u8], &str, bool); 15] = [
         (b"health\n", "ok serving\n", true),
@@ -54,9 +54,9 @@
     ];
     for (line, expected, ready) in cases {
         assert_eq!(call(address, line).await, expected, "{}", line.escape_ascii());
-        assert_eq!(life.state().ready(), ready, "after {}", line.escape_ascii());
+        assert_eq!(lifecycle.state().ready(), ready, "after {}", line.escape_ascii());
     }
-    life.terminate(Duration::from_secs(5));
+    lifecycle.terminate(Duration::from_secs(5));
     assert_eq!(call(address, b"health\n").await, "fail ending\n");
     assert_eq!(call(address, b"resume\n").await, "fail ending\n");
     assert_eq!(call(address, b"quiesce\n").await, "ok ending\n");
@@ -65,9 +65,9 @@
 /// Whoever holds a connection without a word, or with half a call, keeps nobody out.
 #[tokio::test]
 async fn silent_callers_make_room_for_one_that_speaks() {
-    let life = Arc::new(Life::begin(false));
-    life.started();
-    let address = door(&life, 4).await;
+    let lifecycle = Arc::new(Lifecycle::begin(false));
+    lifecycle.started();
+    let address = door(&lifecycle, 4).await;
     let mut half = TcpStream::connect(address).await.expect("the door is there");
     half.write_all(b"hea").await.expect("written");
     assert_eq!(call(address, b"health\n").await, "ok serving\n");
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::*;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
+use vetchbridge_testbed::wire::Wire;
 
 /// A connection of which the other side alone has closed, in the kernel's words.
 const CLOSE_WAIT: &str = "08";
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -6,7 +6,6 @@
 
 use futures_util::future::select_all;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use vetchbridge_testbed::wire::{Message, Wire};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -18,6 +17,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use vetchbridge_testbed::wire::{Message, Wire};
 
 /// A story that stands still fails; none of them measures time.
 pub const HANG: Duration = Duration::from_secs(60);
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -3,9 +3,9 @@
 
 use serde_json::{json, Value};
 use std::process::Command;
-use vetchbridge::list::listing::{Instance, Lifecycle};
-use vetchbridge::workers::{request_id, worker_id, Callback, CallbackState};
+use vetchbridge::discovery::document::{Instance, InstanceState};
 use vetchbridge::upgrade::message::{HandoverMessage, Offer, VERSION};
+use vetchbridge::workers::{request_id, worker_id, Callback, CallbackState};
 
 fn instance() -> Instance {
     Instance {
@@ -14,7 +14,7 @@
         zone: "north".to_string(),
         machine_type: "plain".to_string(),
         cell: 3,
-        lifecycle: Lifecycle::Draining,
+        lifecycle: InstanceState::Draining,
         weight: 1.5,
         started_at_ms: 1_700_000_000_123,
     }
@@ -72,8 +72,8 @@
     for (message, literal) in messages {
         let written: Value = serde_json::from_slice(&message.write()).expect("JSON");
         assert_eq!(written, literal);
-        let read =
-            HandoverMessage::read(literal.to_string().as_bytes()).expect("it reads what the other version writes");
+        let read = HandoverMessage::read(literal.to_string().as_bytes())
+            .expect("it reads what the other version writes");
         assert_eq!(format!("{read:?}"), format!("{message:?}"));
     }
 }
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -4,12 +4,12 @@
 
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
-use vetchbridge_scheduling::interface::LoadReportSource;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 use vetchbridge::config::{load, read_file, Flags};
 use vetchbridge::workers::load::{FreeSlots, Reports};
+use vetchbridge_scheduling::interface::LoadReportSource;
 
 fn file(name: &str, text: &str) -> PathBuf {
     static FILES: AtomicU32 = AtomicU32::new(0);
--- a/crates/vetchbridge/tests/crowds.rs
+++ b/crates/vetchbridge/tests/crowds.rs
@@ -4,13 +4,13 @@
 mod common;
 
 use common::*;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use serde_json::json;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
+use vetchbridge_testbed::wire::Wire;
 
 const READY: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
 
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -10,13 +10,15 @@
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_linger;
 use serde_json::json;
-use vetchbridge_scheduling::interface::{EndpointUpdate, EndpointState, RequestId, Outcome, WorkerId};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::spawn_blocking;
-use vetchbridge::workers::{worker_id, Callback, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::{
+    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+};
+use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome, RequestId, WorkerId};
 
 const MINUTE: Duration = Duration::from_secs(60);
 const ID: &str = "00000000000000ab";
@@ -89,14 +91,14 @@
         assert!(self.group.called_back(&callback));
     }
 
-    async fn attempt_of(&self, parcel: Parcel, cancelled: oneshot::Receiver<()>) -> Ended {
-        let terms = Terms::within(MINUTE);
-        self.group.attempt(RequestId(0xab), self.worker, &parcel, terms, cancelled, |_| {}).await.0
+    async fn attempt_of(&self, payload: Payload, cancelled: oneshot::Receiver<()>) -> AttemptResult {
+        let conditions = SendConditions::within(MINUTE);
+        self.group.attempt(RequestId(0xab), self.worker, &payload, conditions, cancelled, |_| {}).await.0
     }
 
-    async fn attempt(&self) -> Ended {
+    async fn attempt(&self) -> AttemptResult {
         let (_cancel, cancelled) = oneshot::channel();
-        self.attempt_of(parcel(None, "work"), cancelled).await
+        self.attempt_of(payload(None, "work"), cancelled).await
     }
 
     /// A connection that is idle since just now: its answer was read to the end, as the attempt's end tells.
@@ -108,7 +110,7 @@
             line
         };
         let (ended, line) = tokio::join!(self.attempt(), worker);
-        assert_eq!(ended, Ended::Not(Outcome::Rejected));
+        assert_eq!(ended, AttemptResult::NotServed(Outcome::Rejected));
         // The pool's own tasks put it back.
         for _ in 0..8 {
             tokio::task::yield_now().await;
@@ -117,13 +119,13 @@
     }
 }
 
-fn parcel(key: Option<&str>, body: &'static str) -> Parcel {
+fn payload(key: Option<&str>, body: &'static str) -> Payload {
     let target = PathAndQuery::from_static("/safe/k?a=1");
-    Parcel { id: ID.to_string(), target, idempotency_key: key.map(str::to_string), body: body.into() }
+    Payload { id: ID.to_string(), target, idempotency_key: key.map(str::to_string), body: body.into() }
 }
 
-fn served() -> Ended {
-    Ended::Served(Bytes::from_static(b"made"))
+fn served() -> AttemptResult {
+    AttemptResult::Served(Bytes::from_static(b"made"))
 }
 
 #[derive(Clone, Copy)]
@@ -163,11 +165,11 @@
         Says::End => line.0.shutdown(Shutdown::Write).expect("ended"),
         Says::Reset => {
             line.resets();
-            assert_eq!(attempt.await, Ended::Not(Outcome::ConnectFailed));
+            assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
             return;
         }
     }
-    assert_eq!(attempt.await, Ended::Not(Outcome::ConnectFailed));
+    assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
     let heard = spawn_blocking(move || line.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
     assert_eq!(heard, 0, "not a byte was written");
     // The next one goes over a connection of its own.
@@ -189,7 +191,7 @@
         tokio::task::yield_now().await;
     }
     line.says(TURNED_AWAY);
-    assert_eq!(attempt.await, Ended::Not(Outcome::ConnectFailed));
+    assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
     let heard = spawn_blocking(move || line.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
     assert_eq!(heard, 0, "not a byte was written");
 }
@@ -206,7 +208,7 @@
             line.reads().await.expect("the job");
             line.says(TURNED_AWAY);
         };
-        assert_eq!(tokio::join!(stage.attempt(), worker).0, Ended::Not(Outcome::Rejected));
+        assert_eq!(tokio::join!(stage.attempt(), worker).0, AttemptResult::NotServed(Outcome::Rejected));
     }
 }
 
@@ -218,7 +220,7 @@
     let stage = Stage::set(MINUTE);
     let mut line = stage.kept().await;
     let (cancel, cancelled) = oneshot::channel();
-    let attempt = stage.attempt_of(parcel(None, "work"), cancelled);
+    let attempt = stage.attempt_of(payload(None, "work"), cancelled);
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
     // The connection's task takes it, and holds it back.
@@ -226,7 +228,7 @@
         tokio::task::yield_now().await;
     }
     cancel.send(()).expect("it waits");
-    assert_eq!(attempt.await, Ended::Not(Outcome::NotSent));
+    assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::NotSent));
     assert_eq!(line.reads().await, None);
 }
 
@@ -254,7 +256,7 @@
         line
     };
     let (ended, _line) = tokio::join!(stage.attempt(), worker);
-    assert_eq!(ended, Ended::Not(expected));
+    assert_eq!(ended, AttemptResult::NotServed(expected));
 }
 
 /// The head of a 202 says that the job is taken: its connection is given up in time, the job goes on, and is called off by a
@@ -284,8 +286,8 @@
         let call = if ended { line.reads().await } else { stage.accept().await.reads().await };
         assert!(call.expect("a call").starts_with(&format!("DELETE /jobs/{ID} ")));
     };
-    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(None, "work"), cancelled), worker);
-    assert_eq!(ended, if goes_on { served() } else { Ended::Not(Outcome::Cancelled) });
+    let (ended, ()) = tokio::join!(stage.attempt_of(payload(None, "work"), cancelled), worker);
+    assert_eq!(ended, if goes_on { served() } else { AttemptResult::NotServed(Outcome::Cancelled) });
 }
 
 /// The last byte is the last byte: a break after it may have run, whatever the request is made of.
@@ -303,8 +305,8 @@
         line.resets();
     };
     let (_cancel, cancelled) = oneshot::channel();
-    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(key, body), cancelled), worker);
-    assert_eq!(ended, Ended::Not(Outcome::Reset));
+    let (ended, ()) = tokio::join!(stage.attempt_of(payload(key, body), cancelled), worker);
+    assert_eq!(ended, AttemptResult::NotServed(Outcome::Reset));
 }
 
 /// A worker repeats a word that was not answered. One that has ended an attempt does not end the next one there, which is not
@@ -323,7 +325,7 @@
         stage.calls_back(state);
     };
     let (ended, ()) = tokio::join!(stage.attempt(), first);
-    assert!(matches!(ended, Ended::Not(Outcome::Rejected | Outcome::Error | Outcome::Reset)));
+    assert!(matches!(ended, AttemptResult::NotServed(Outcome::Rejected | Outcome::Error | Outcome::Reset)));
     let second = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job again");
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -4,8 +4,6 @@
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
 use serde_json::json;
-use vetchbridge_scheduling::interface::{ClassId, EndpointUpdate, EndpointState, Request, RequestId, TenantId};
-use vetchbridge_scheduling::scheduler::Scheduler;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -15,9 +13,13 @@
 use vetchbridge::config::read_text;
 use vetchbridge::engine::Engine;
 use vetchbridge::invariants::violations;
-use vetchbridge::workers::{worker_id, ListedWorker, Parcel, Terms, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::process_links::ProcessLinks;
+use vetchbridge::workers::{worker_id, ListedWorker, Payload, SendConditions, UpstreamGroup};
+use vetchbridge_scheduling::interface::{
+    ClassId, EndpointState, EndpointUpdate, Request, RequestId, TenantId,
+};
+use vetchbridge_scheduling::scheduler::Scheduler;
 
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -25,9 +27,9 @@
     Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-fn parcel() -> Parcel {
+fn payload() -> Payload {
     let (id, target) = ("00000000000000ab".to_string(), PathAndQuery::from_static("/safe/k"));
-    Parcel { id, target, idempotency_key: None, body: Bytes::from_static(b"work") }
+    Payload { id, target, idempotency_key: None, body: Bytes::from_static(b"work") }
 }
 
 #[test]
@@ -47,9 +49,16 @@
     let (worker, name, state) = (worker_id("s-0"), "s-0", EndpointState::Ready);
     let entry = ListedWorker { worker_id: worker, name, address: &address, state, started: 0 };
     group.apply(EndpointUpdate::Changes, [entry].into_iter());
-    let parcel = parcel();
+    let payload = payload();
     let attempt = |number: u64, cancelled| {
-        Box::pin(group.attempt(RequestId(number), worker, &parcel, Terms::within(MINUTE), cancelled, |_| {}))
+        Box::pin(group.attempt(
+            RequestId(number),
+            worker,
+            &payload,
+            SendConditions::within(MINUTE),
+            cancelled,
+            |_| {},
+        ))
     };
     let cancels: [_; 3] = std::array::from_fn(|_| oneshot::channel::<()>());
     let [(_a, first), (_b, of_another), (_c, second)] = cancels;
@@ -81,7 +90,7 @@
         let deadline = engine.clock.now() + 60_000_000;
         let request =
             Request { id, class, tenant, key: None, deadline, expected_work: None, slots: 1.0, retry: false };
-        let job = Job { request, parcel: parcel(), settings: Arc::new(config.snapshot), room: None };
+        let job = Job { request, payload: payload(), settings: Arc::new(config.snapshot), room: None };
         let answer = submit(engine, upstream, Arc::new(ProcessLinks::default()), job);
         tokio::task::yield_now().await;
         Some(answer)
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -9,12 +9,9 @@
 
 use common::*;
 use futures_util::future::join_all;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
-use vetchbridge_scheduling::interface::{EndpointUpdate, EndpointState, Outcome};
-use vetchbridge_scheduling::peer_message::PeerMessage;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
@@ -27,9 +24,14 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 use vetchbridge::config::read_text;
-use vetchbridge::list::listing::Instance;
-use vetchbridge::workers::{request_id, worker_id, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
+use vetchbridge::discovery::document::Instance;
 use vetchbridge::upgrade::message::{in_messages, HandoverMessage, LONGEST};
+use vetchbridge::workers::{
+    request_id, worker_id, AttemptResult, ListedWorker, Payload, SendConditions, UpstreamGroup,
+};
+use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
+use vetchbridge_scheduling::peer_message::PeerMessage;
+use vetchbridge_testbed::wire::Wire;
 
 const WORKERS: usize = 1200;
 const SCHEDULERS: usize = 1200;
@@ -318,11 +320,7 @@
     while let Some(socket) = fleet.datagrams.recv().await {
         asked.insert(socket);
     }
-    assert_eq!(
-        asked.len(),
-        PEER_SOCKETS,
-        "schedulers of all numbers keep account of some worker: {asked:?}"
-    );
+    assert_eq!(asked.len(), PEER_SOCKETS, "schedulers of all numbers keep account of some worker: {asked:?}");
 }
 
 /// A list of 1,200 workers is heard from discovery, however it is written.
@@ -402,10 +400,11 @@
     for number in (1..=BESIDE).flat_map(|number| [number, 0]) {
         let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
         let (request, worker) = (request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
-        let parcel = Parcel { id, target, idempotency_key: None, body: "work".into() };
+        let payload = Payload { id, target, idempotency_key: None, body: "work".into() };
         let (_cancel, cancelled) = oneshot::channel();
-        let (end, _) = group.attempt(request, worker, &parcel, Terms::within(HANG), cancelled, |_| {}).await;
-        assert_eq!(end, Ended::Not(Outcome::Rejected));
+        let (end, _) =
+            group.attempt(request, worker, &payload, SendConditions::within(HANG), cancelled, |_| {}).await;
+        assert_eq!(end, AttemptResult::NotServed(Outcome::Rejected));
     }
     let mut closed = BTreeSet::new();
     for _ in 0..BESIDE + 1 - MOST {
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -8,11 +8,8 @@
 use bytes::Bytes;
 use common::HANG;
 use hyper::http::uri::PathAndQuery;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::json;
-use vetchbridge_scheduling::interface::*;
-use vetchbridge_scheduling::scheduler::Scheduler;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -22,9 +19,14 @@
 use tokio::sync::oneshot;
 use vetchbridge::config::read_text;
 use vetchbridge::engine::Engine;
-use vetchbridge::workers::{worker_id, Callback, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::process_links::ProcessLinks;
+use vetchbridge::workers::{
+    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+};
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_testbed::wire::Wire;
 
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -55,12 +57,15 @@
 
 fn tell(group: &UpstreamGroup, narrow: &Narrow, state: EndpointState, started: Micros) {
     let (worker, name, address) = (worker_id("s-0"), "s-0", &*narrow.address.to_string());
-    group.apply(EndpointUpdate::Changes, [ListedWorker { worker_id: worker, name, address, state, started }].into_iter());
+    group.apply(
+        EndpointUpdate::Changes,
+        [ListedWorker { worker_id: worker, name, address, state, started }].into_iter(),
+    );
 }
 
-fn parcel(id: &str) -> Parcel {
+fn payload(id: &str) -> Payload {
     let target = PathAndQuery::from_static("/safe/k");
-    Parcel { id: id.to_string(), target, idempotency_key: None, body: Bytes::from_static(b"work") }
+    Payload { id: id.to_string(), target, idempotency_key: None, body: Bytes::from_static(b"work") }
 }
 
 fn callback(id: &str, state: &str) -> Callback {
@@ -83,32 +88,35 @@
 /// A connection comes up long after its dial began. What the attempt was sent under must still hold at its first byte; if it
 /// does not, no byte is written, and the attempt never ran. A callback that comes meanwhile is about an earlier attempt.
 #[rstest]
-#[case::all_holds(Change::Nothing, Ended::Served("made".into()))]
-#[case::nobody_waits_any_more(Change::RequestOver, Ended::Not(Outcome::NotSent))]
-#[case::the_time_is_up(Change::TimeUp, Ended::Not(Outcome::NotSent))]
-#[case::the_worker_drains(Change::Drains, Ended::Not(Outcome::ConnectFailed))]
-#[case::the_worker_starts_anew(Change::StartsAnew, Ended::Not(Outcome::NotSent))]
+#[case::all_holds(Change::Nothing, AttemptResult::Served("made".into()))]
+#[case::nobody_waits_any_more(Change::RequestOver, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_time_is_up(Change::TimeUp, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_worker_drains(Change::Drains, AttemptResult::NotServed(Outcome::ConnectFailed))]
+#[case::the_worker_starts_anew(Change::StartsAnew, AttemptResult::NotServed(Outcome::NotSent))]
 #[case::the_worker_starts_anew_by_a_clock_that_was_stepped_back(
     Change::StartsAnewAfterItsClockWasSteppedBack,
-    Ended::Not(Outcome::NotSent)
+    AttemptResult::NotServed(Outcome::NotSent)
 )]
-#[case::an_earlier_attempt_is_handed_back(Change::ReturnedBefore, Ended::Served("made".into()))]
-#[case::an_earlier_attempt_is_done(Change::DoneBefore, Ended::Served("made".into()))]
+#[case::an_earlier_attempt_is_handed_back(Change::ReturnedBefore, AttemptResult::Served("made".into()))]
+#[case::an_earlier_attempt_is_done(Change::DoneBefore, AttemptResult::Served("made".into()))]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_late_connection_carries_only_what_still_holds(#[case] change: Change, #[case] expected: Ended) {
+async fn a_late_connection_carries_only_what_still_holds(
+    #[case] change: Change,
+    #[case] expected: AttemptResult,
+) {
     const ID: &str = "00000000000000ab";
     const STARTED: Micros = 7;
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     tell(&group, &narrow, EndpointState::Ready, STARTED);
     let _filler = narrow.fill().await;
-    let mut terms = Terms::within(MINUTE);
+    let mut conditions = SendConditions::within(MINUTE);
     if change == Change::TimeUp {
         // Over before the kernel calls again.
-        terms.begin_within = Duration::from_micros(1);
+        conditions.begin_within = Duration::from_micros(1);
     }
-    let (over, parcel, (_cancel, cancelled)) = (terms.over.clone(), parcel(ID), oneshot::channel());
-    let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &parcel, terms, cancelled, |_| {});
+    let (over, payload, (_cancel, cancelled)) = (conditions.over.clone(), payload(ID), oneshot::channel());
+    let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
     match change {
@@ -175,10 +183,11 @@
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     tell(&group, &narrow, EndpointState::Ready, 0);
     let _filler = narrow.fill().await;
-    let (parcel, (_cancel, cancelled)) = (parcel("00000000000000ab"), oneshot::channel());
+    let (payload, (_cancel, cancelled)) = (payload("00000000000000ab"), oneshot::channel());
     let decided = std::time::Instant::now();
     let worker = worker_id("s-0");
-    let attempt = group.attempt(RequestId(0xab), worker, &parcel, Terms::within(WAIT), cancelled, |_| {});
+    let attempt =
+        group.attempt(RequestId(0xab), worker, &payload, SendConditions::within(WAIT), cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
     let worker = async {
@@ -193,7 +202,7 @@
         (Duration::from_micros(micros), read)
     };
     let ((ended, _), (told, read)) = tokio::join!(attempt, worker);
-    assert_eq!(ended, Ended::Served("made".into()));
+    assert_eq!(ended, AttemptResult::Served("made".into()));
     assert!(told + read <= WAIT + READ_WITHIN, "told {told:?} when {read:?} of {WAIT:?} were over");
     assert!(told + read >= WAIT, "told {told:?} when {read:?} of {WAIT:?} were over");
 }
@@ -206,17 +215,18 @@
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     tell(&group, &narrow, EndpointState::Ready, 0);
     let _filler = narrow.fill().await;
-    let (first, second) = (parcel("00000000000000ab"), parcel("00000000000000cd"));
+    let (first, second) = (payload("00000000000000ab"), payload("00000000000000cd"));
     let ((cancel, cancelled), (_keep, kept)) = (oneshot::channel(), oneshot::channel());
     let worker = worker_id("s-0");
-    let gone = group.attempt(RequestId(0xab), worker, &first, Terms::within(MINUTE), cancelled, |_| {});
-    let stays = group.attempt(RequestId(0xcd), worker, &second, Terms::within(MINUTE), kept, |_| {});
+    let gone =
+        group.attempt(RequestId(0xab), worker, &first, SendConditions::within(MINUTE), cancelled, |_| {});
+    let stays = group.attempt(RequestId(0xcd), worker, &second, SendConditions::within(MINUTE), kept, |_| {});
     tokio::pin!(gone, stays);
     assert!(
         futures_util::poll!(gone.as_mut()).is_pending() && futures_util::poll!(stays.as_mut()).is_pending()
     );
     cancel.send(()).expect("it waits");
-    assert_eq!(gone.await.0, Ended::Not(Outcome::NotSent), "it never ran");
+    assert_eq!(gone.await.0, AttemptResult::NotServed(Outcome::NotSent), "it never ran");
     let worker = async {
         narrow.accept().await.closed_by_the_story();
         let mut worker = narrow.accept().await;
@@ -226,7 +236,7 @@
         assert!(group.called_back(&callback("00000000000000cd", "done")));
     };
     let ((ended, _), ()) = tokio::join!(stays, worker);
-    assert_eq!(ended, Ended::Served("made".into()));
+    assert_eq!(ended, AttemptResult::Served("made".into()));
 }
 
 /// A keyed job may have run at its first worker. The second one's connection comes up when workers drop its repeat no longer: it
@@ -264,7 +274,10 @@
         weight: 1.0,
         started_at: 0,
     };
-    engine.handle(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: names.map(endpoint).to_vec() });
+    engine.handle(Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: names.map(endpoint).to_vec(),
+    });
     let request = Request {
         id: RequestId(0xab),
         class: ClassId(0),
@@ -275,8 +288,12 @@
         slots: 1.0,
         retry: false,
     };
-    let job =
-        Job { request, parcel: parcel("00000000000000ab"), settings: Arc::new(config.snapshot), room: None };
+    let job = Job {
+        request,
+        payload: payload("00000000000000ab"),
+        settings: Arc::new(config.snapshot),
+        room: None,
+    };
     let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), job);
     let (mut first, other) = tokio::select! {
         worker = workers[0].accept() => (worker, &workers[1]),
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::*;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::json;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use vetchbridge_testbed::wire::Wire;
 
 /// The next request of one who doesn't wait for the answer to the first.
 const NEXT: &str =
--- a/crates/vetchbridge/tests/lifecycle.rs
+++ b/crates/vetchbridge/tests/lifecycle.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::time::Duration;
-use vetchbridge::operators::lifecycle::{End, Lifecycle, Refusal, State};
+use vetchbridge::lifecycle::state::{End, LifecycleMachine, Refusal, State};
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -13,7 +13,7 @@
 /// The whole way there and back: nothing is ready before it can serve, while clients are sent away, or at the end.
 #[test]
 fn a_drain_ends_with_resume_and_an_end_with_nothing() {
-    let mut life = Lifecycle::new(false);
+    let mut life = LifecycleMachine::new(false);
     assert!(!life.state().ready() && life.state().can_serve() == Err(Refusal::Starting));
     life.started(at(10));
     assert!(life.state().ready() && !life.state().hangs_up());
@@ -35,7 +35,7 @@
 #[test]
 fn quiesced_before_its_start_it_begins_drained() {
     for (calls, ready) in [("q", false), ("qr", true), ("rq", false), ("", true)] {
-        let mut life = Lifecycle::new(false);
+        let mut life = LifecycleMachine::new(false);
         for call in calls.chars() {
             match call {
                 'q' => life.quiesce(at(1)),
@@ -45,7 +45,7 @@
         life.started(at(2));
         assert_eq!(life.state().ready(), ready, "{calls}");
     }
-    let mut successor = Lifecycle::new(true);
+    let mut successor = LifecycleMachine::new(true);
     successor.started(at(2));
     assert_eq!(successor.state(), State::Draining);
 }
@@ -56,7 +56,7 @@
     for (deadline, hangs_up, leaves) in
         [(60_000, 2_300, 3_300), (3_000, 2_300, 3_300), (1_500, 800, 1_800), (200, 0, 500)]
     {
-        let mut life = Lifecycle::new(false);
+        let mut life = LifecycleMachine::new(false);
         life.started(at(10));
         life.terminate(at(20), at(deadline));
         let mut state = |ms: u64| {
@@ -84,7 +84,7 @@
     /// when it can serve and its clients are wanted, and time leads to rest.
     #[test]
     fn no_order_of_calls_confuses_it(calls in prop::collection::vec((0..5u8, 0..900u64), 1..40)) {
-        let mut life = Lifecycle::new(false);
+        let mut life = LifecycleMachine::new(false);
         let (mut now, mut started, mut wanted, mut ended) = (0, false, true, false);
         let rank = |state: State| match state {
             State::Ending(End::Draining) => 1,
--- a/crates/vetchbridge/tests/node.rs
+++ b/crates/vetchbridge/tests/node.rs
@@ -5,7 +5,6 @@
 mod common;
 
 use common::*;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::Read;
@@ -14,6 +13,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket};
 use vetchbridge::upgrade::{self, message::VERSION};
+use vetchbridge_testbed::wire::Wire;
 
 /// What a worker is given is what the client sent, and callbacks may come early, twice, or for nobody.
 #[rstest]
@@ -692,7 +692,8 @@
 async fn a_stranger_at_the_hand_over_is_survived(#[case] says: Vec<u8>, #[case] hears: &str) {
     let stage = Stage::set(0).await;
     let says = String::from_utf8(says).expect("text").replace("LISTEN", &stage.daemon.address.to_string());
-    let wire = upgrade::socket::HandoverSocket::dial(&stage.folder.path().join(HANDOVER)).expect("it listens");
+    let wire =
+        upgrade::socket::HandoverSocket::dial(&stage.folder.path().join(HANDOVER)).expect("it listens");
     wire.send(says.as_bytes(), &[]).await.expect("sent");
     let mut buffer = vec![0; 65536];
     let (length, _) = wire.receive(&mut buffer).await.expect("an answer").expect("it does not hang up first");
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -4,11 +4,8 @@
 
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::{json, Value};
-use vetchbridge_scheduling::interface::*;
-use vetchbridge_scheduling::scheduler::Scheduler;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -18,14 +15,17 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 use vetchbridge::config::read_text;
+use vetchbridge::discovery::client::{Discovery, InitialList};
+use vetchbridge::discovery::document::{EndpointList, InstanceState, Source};
+use vetchbridge::discovery::request::DiscoveryRequest;
 use vetchbridge::engine::Engine;
-use vetchbridge::list::ask::Ask;
-use vetchbridge::list::discovery::{Discovery, InitialList};
-use vetchbridge::list::listing::{Lifecycle, EndpointList, Source};
-use vetchbridge::workers::{request_id, Callback, Parcel, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
-use vetchbridge::snapshot::{Current, Snapshot};
+use vetchbridge::snapshot::{CurrentSettings, Snapshot};
 use vetchbridge::upgrade::process_links::ProcessLinks;
+use vetchbridge::workers::{request_id, Callback, Payload, UpstreamGroup};
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_testbed::wire::Wire;
 
 /// The seed of the module's random numbers where none is named.
 const SEED: u64 = 0x5eed;
@@ -39,11 +39,11 @@
 struct Parts {
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    current: Arc<Current>,
-    asks: Option<UnboundedReceiver<Ask>>,
+    current: Arc<CurrentSettings>,
+    asks: Option<UnboundedReceiver<DiscoveryRequest>>,
     discovery: TcpListener,
     endpoint_list: Arc<Mutex<EndpointList>>,
-    ask: UnboundedSender<Ask>,
+    ask: UnboundedSender<DiscoveryRequest>,
 }
 
 impl Parts {
@@ -84,7 +84,7 @@
         Parts {
             engine,
             upstream,
-            current: Arc::new(Current::new(config.snapshot)),
+            current: Arc::new(CurrentSettings::new(config.snapshot)),
             asks: Some(asked),
             discovery,
             endpoint_list: Arc::default(),
@@ -109,7 +109,7 @@
         self.adopt(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
         let source = Source::Service(self.discovery.local_addr().expect("bound"));
-        self.ask.send(Ask::Move(source)).expect("it is served");
+        self.ask.send(DiscoveryRequest::Move(source)).expect("it is served");
     }
 
     /// The next connection that discovery gets, and the call on it.
@@ -140,13 +140,13 @@
             retry: false,
         };
         let target = PathAndQuery::from_static("/receipt/k");
-        let parcel = Parcel { id: id.to_string(), target, idempotency_key: None, body };
-        let job = Job { request, parcel, settings: self.current.get(), room: None };
+        let payload = Payload { id: id.to_string(), target, idempotency_key: None, body };
+        let job = Job { request, payload, settings: self.current.get(), room: None };
         submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
     }
 
     /// The list as told: name and state of each worker.
-    fn list(&self) -> Vec<(String, Lifecycle)> {
+    fn list(&self) -> Vec<(String, InstanceState)> {
         let (instances, _) = self.endpoint_list.lock().expect("no panic").whole();
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
     }
@@ -510,7 +510,7 @@
     beside.answer(200, "", &list).await.expect("it is read");
     let next = beside.read().await.expect("the watch goes on");
     assert!(next.target().contains("index=2&wait="), "{}", next.target());
-    assert_eq!(parts.list(), [("s-new".to_string(), Lifecycle::Up)]);
+    assert_eq!(parts.list(), [("s-new".to_string(), InstanceState::Up)]);
 }
 
 /// An answer beside a lost call that breaks off has told its whole entries, as any other.
@@ -530,7 +530,7 @@
         json!({"generation": 2, "reset": false, "instances": [leaves, instance("s-b", address)]}).to_string();
     break_off(beside, &list, "s-b").await;
     at_rest().await;
-    assert!(parts.list().contains(&("s-a".to_string(), Lifecycle::Draining)), "{:?}", parts.list());
+    assert!(parts.list().contains(&("s-a".to_string(), InstanceState::Draining)), "{:?}", parts.list());
 }
 
 /// A first call whose connection never comes up is one that was lost, too.
@@ -649,14 +649,14 @@
 /// An answer that breaks off has told what it holds up to there. Who leaves is heeded whatever the version; who is up, or up
 /// again as another process, only where the answer is no older than the list in hand.
 #[rstest]
-#[case::newer(6, Lifecycle::Up)]
-#[case::as_old(5, Lifecycle::Up)]
-#[case::older(4, Lifecycle::Draining)]
+#[case::newer(6, InstanceState::Up)]
+#[case::as_old(5, InstanceState::Up)]
+#[case::older(4, InstanceState::Draining)]
 #[timeout(HANG)]
 #[tokio::test(start_paused = true)]
 async fn a_list_that_breaks_off_has_told_its_whole_entries(
     #[case] generation: u32,
-    #[case] first: Lifecycle,
+    #[case] first: InstanceState,
 ) {
     let mut parts = Parts::of(1).await;
     parts.follow(json!([]));
@@ -677,7 +677,7 @@
     let text = serde_json::to_string_pretty(&text).expect("JSON");
     break_off(wire, &text, "s-c").await;
     let _next = parts.call().await;
-    assert_eq!(parts.list(), [("s-a".into(), first), ("s-b".into(), Lifecycle::Draining)]);
+    assert_eq!(parts.list(), [("s-a".into(), first), ("s-b".into(), InstanceState::Draining)]);
 }
 
 /// The whole list was asked for, and before it is here the watch brings newer changes: they stand. A version that goes back in
@@ -695,19 +695,19 @@
         json!({"generation": generation, "reset": true, "instances": [worker]}).to_string()
     };
     let (mut watch, _) = parts.call().await;
-    parts.ask.send(Ask::Fetch).expect("it is served");
+    parts.ask.send(DiscoveryRequest::Fetch).expect("it is served");
     let (mut fetch, target) = parts.call().await;
     assert_eq!(target, "/registry/instances");
     watch.answer(200, "", &whole(7, "draining")).await.expect("it is read");
     watch.read().await.expect("the watch goes on");
     fetch.answer(200, "", &whole(6, "up")).await.expect("it is read");
     at_rest().await;
-    assert_eq!(parts.list(), [("s-a".into(), Lifecycle::Draining)]);
-    parts.ask.send(Ask::Fetch).expect("it is served");
+    assert_eq!(parts.list(), [("s-a".into(), InstanceState::Draining)]);
+    parts.ask.send(DiscoveryRequest::Fetch).expect("it is served");
     fetch.read().await.expect("the next call");
     fetch.answer(200, "", &whole(3, "up")).await.expect("it is read");
     at_rest().await;
-    assert_eq!(parts.list(), [("s-a".into(), Lifecycle::Up)]);
+    assert_eq!(parts.list(), [("s-a".into(), InstanceState::Up)]);
 }
 
 /// After a call that failed, the next one must not wait for news: that it is answered is the news that discovery is back. A
@@ -722,8 +722,8 @@
     wire.answer(503, "connection: close\r\n", "").await.expect("it is read");
     let (mut wire, target) = parts.call().await;
     assert_eq!(target, "/registry/instances?index=1&wait=0");
-    parts.ask.send(Ask::Subscribe(true)).expect("it is served");
-    parts.ask.send(Ask::Fetch).expect("it is served");
+    parts.ask.send(DiscoveryRequest::Subscribe(true)).expect("it is served");
+    parts.ask.send(DiscoveryRequest::Fetch).expect("it is served");
     let (_fetch, target) = parts.call().await;
     assert_eq!(target, "/registry/instances", "and not the watch once more");
     wire.answer(200, "", r#"{"generation":2,"reset":false,"instances":[]}"#).await.expect("it is read");
@@ -750,5 +750,5 @@
         let waited = broke.elapsed();
         assert!(waited >= Duration::from_millis(pause), "{waited:?} after one of them broke off");
     }
-    assert_eq!(parts.list(), [("s-a".into(), Lifecycle::Up)]);
+    assert_eq!(parts.list(), [("s-a".into(), InstanceState::Up)]);
 }
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -4,15 +4,19 @@
 
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
-use vetchbridge_testbed::{wire::Wire, Port};
 use rstest::rstest;
-use vetchbridge_scheduling::interface::{EndpointUpdate, LoadReport, EndpointState, LoadReportSource, RequestId, Outcome, WorkerId};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 use vetchbridge::workers::load::{FreeSlots, Reports};
-use vetchbridge::workers::{worker_id, Callback, Ended, ListedWorker, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::{
+    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+};
+use vetchbridge_scheduling::interface::{
+    EndpointState, EndpointUpdate, LoadReport, LoadReportSource, Outcome, RequestId, WorkerId,
+};
+use vetchbridge_testbed::{wire::Wire, Port};
 
 /// A story that stands still fails; none of them measures time.
 const HANG: Duration = Duration::from_secs(60);
@@ -57,15 +61,19 @@
     }
 
     /// An attempt whose answer this worker writes, and whose callback follows where there is one.
-    async fn attempt(&self, answer: (u16, &str), callback: Option<&str>) -> (Ended, Option<LoadReport>) {
+    async fn attempt(
+        &self,
+        answer: (u16, &str),
+        callback: Option<&str>,
+    ) -> (AttemptResult, Option<LoadReport>) {
         let target = PathAndQuery::from_static("/safe/k");
-        let parcel = Parcel { id: ID.to_string(), target, idempotency_key: None, body: Bytes::new() };
+        let payload = Payload { id: ID.to_string(), target, idempotency_key: None, body: Bytes::new() };
         let (_cancel, cancelled) = oneshot::channel();
         let attempt = self.group.attempt(
             RequestId(0xab),
             self.worker_id,
-            &parcel,
-            Terms::within(MINUTE),
+            &payload,
+            SendConditions::within(MINUTE),
             cancelled,
             |_| {},
         );
@@ -93,7 +101,8 @@
 #[tokio::test]
 async fn probes_ask_for_stats_over_one_kept_connection() {
     let stage = Stage::set(LoadReportSource::Probes, 4).await;
-    let probing = async { [stage.group.probe(stage.worker_id).await, stage.group.probe(stage.worker_id).await] };
+    let probing =
+        async { [stage.group.probe(stage.worker_id).await, stage.group.probe(stage.worker_id).await] };
     let answering = async {
         let mut wire = stage.accept().await;
         for body in ["{\"queue\":2}", "TEXT queue=3, x0=1"] {
@@ -232,19 +241,19 @@
 
 /// What ended the attempt brings the report; what came before is older than the job.
 #[rstest]
-#[case::turned_away((503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=2\r\n"), None, Ended::Not(Outcome::Rejected), queued(2.0))]
-#[case::failed((500, "Endpoint-Load-Metrics: queue=2\r\n"), None, Ended::Not(Outcome::Error), queued(2.0))]
-#[case::garbage((500, "Endpoint-Load-Metrics: BIN CAES\r\n"), None, Ended::Not(Outcome::Error), None)]
-#[case::done((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"done","result":"made","load":{"queue":2}"#), Ended::Served(Bytes::from_static(b"made")), queued(2.0))]
-#[case::silent((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"lost""#), Ended::Not(Outcome::Reset), None)]
-#[case::out_of_range((202, ""), Some(r#""state":"failed","load":{"util":1e999,"queue":2}"#), Ended::Not(Outcome::Error), queued(2.0))]
-#[case::no_object((202, ""), Some(r#""state":"done","result":"made","load":[{"queue":2}]"#), Ended::Served(Bytes::from_static(b"made")), None)]
+#[case::turned_away((503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Rejected), queued(2.0))]
+#[case::failed((500, "Endpoint-Load-Metrics: queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Error), queued(2.0))]
+#[case::garbage((500, "Endpoint-Load-Metrics: BIN CAES\r\n"), None, AttemptResult::NotServed(Outcome::Error), None)]
+#[case::done((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"done","result":"made","load":{"queue":2}"#), AttemptResult::Served(Bytes::from_static(b"made")), queued(2.0))]
+#[case::silent((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"lost""#), AttemptResult::NotServed(Outcome::Reset), None)]
+#[case::out_of_range((202, ""), Some(r#""state":"failed","load":{"util":1e999,"queue":2}"#), AttemptResult::NotServed(Outcome::Error), queued(2.0))]
+#[case::no_object((202, ""), Some(r#""state":"done","result":"made","load":[{"queue":2}]"#), AttemptResult::Served(Bytes::from_static(b"made")), None)]
 #[timeout(HANG)]
 #[tokio::test]
 async fn an_attempt_ends_with_the_report_that_came_with_its_end(
     #[case] answer: (u16, &str),
     #[case] callback: Option<&str>,
-    #[case] expected: Ended,
+    #[case] expected: AttemptResult,
     #[case] load: Option<LoadReport>,
 ) {
     let stage = Stage::set(LoadReportSource::Responses, 1).await;
@@ -259,5 +268,5 @@
 async fn a_report_that_the_settings_do_not_name_is_not_read() {
     let stage = Stage::set(LoadReportSource::Probes, 1).await;
     let answer = (503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: queue=2\r\n");
-    assert_eq!(stage.attempt(answer, None).await, (Ended::Not(Outcome::Rejected), None));
+    assert_eq!(stage.attempt(answer, None).await, (AttemptResult::NotServed(Outcome::Rejected), None));
 }
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -5,7 +5,6 @@
 mod common;
 
 use common::*;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::json;
 use std::fs;
@@ -16,6 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::spawn_blocking;
+use vetchbridge_testbed::wire::Wire;
 
 /// How far a start has come when the signal arrives.
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -5,12 +5,12 @@
 
 use common::*;
 use futures_util::FutureExt;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
+use vetchbridge_testbed::wire::Wire;
 
 /// The process before this one may still be on its way out: its address is waited for, and not given up at once.
 #[rstest]
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::*;
-use vetchbridge_testbed::wire::Wire;
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::timeout;
+use vetchbridge_testbed::wire::Wire;
 
 /// Far more than a job takes here, and less than its deadline.
 const STUCK: Duration = Duration::from_secs(20);
