--- a/crates/platform/tests/account.rs
+++ b/crates/testbed/tests/account.rs
@@ -1,11 +1,11 @@
 //! The account of a run: every rule, broken once, is reported, and a sound record reports none.
 #![allow(missing_docs)]
 
-use platform::account::{judge, Outage, Violation};
-use platform::arrivals::{Arrival, ClassLoad, Repeat};
-use platform::client::{JobRecord, Outcome, Try};
-use platform::runs::{result, Run, RunEnd};
 use std::time::Duration;
+use vetchbridge_testbed::account::{judge, Outage, Violation};
+use vetchbridge_testbed::arrivals::{Arrival, ClassLoad, Repeat};
+use vetchbridge_testbed::client::{JobRecord, Outcome, Try};
+use vetchbridge_testbed::runs::{result, Run, RunEnd};
 
 const WINDOW: Duration = Duration::from_secs(15);
 
@@ -56,7 +56,7 @@
         key: key(n),
         class: classes[n].name.clone(),
         object: format!("o{n}"),
-        peer: "s-0".to_string(),
+        worker: "s-0".to_string(),
         started: Duration::ZERO,
         end: RunEnd::Finished,
     });
--- a/crates/vetchkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -1,4 +1,4 @@
-//! What the daemon costs: a closed loop against one scheduler whose peers finish at once, and against the bare relay,
+//! What the daemon costs: a closed loop against one scheduler whose workers finish at once, and against the bare relay,
 //! in turns within one run. Owns the turns and the figures; the ratio is what counts, the figures depend on the machine.
 
 use crate::plan::Plan;
@@ -6,8 +6,6 @@
 use crate::stage::Stage;
 use crate::{machine, relay, Failure};
 use comfy_table::{presets, Table};
-use platform::client::{Clients, Outcome};
-use platform::{Owned, Port};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,6 +13,8 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 use tokio::time::{interval, Instant};
+use vetchbridge_testbed::client::{Clients, Outcome};
+use vetchbridge_testbed::{Owned, Port};
 
 /// How the daemon is run in each of its turns.
 const VARIANTS: [(&str, &[&str]); 4] = [
@@ -100,8 +100,8 @@
     for class in &mut plan.load.class {
         class.work = vetchbridge::config::units::Span(0);
     }
-    for peers in &mut plan.peers {
-        (peers.slots, peers.queue) = (1 << 16, 1 << 16);
+    for workers in &mut plan.workers {
+        (workers.slots, workers.queue) = (1 << 16, 1 << 16);
     }
     let binary = crate::scheduler::binary(daemon)?;
     let mut stage = Stage::set(&plan, daemon, None, &[]).await?;
@@ -115,8 +115,8 @@
         let config = folder.join(Plan::file_name(number));
         stage.schedulers[number] = Scheduler::start(&binary, &config, address, launch)?;
     }
-    let port = Port::reserve().map_err(machine("a port for the relay's peer"))?;
-    let _peer = Owned::spawn(relay::answer_at_once(port.listen().map_err(machine("the relay's peer"))?));
+    let port = Port::reserve().map_err(machine("a port for the relay's worker"))?;
+    let _worker = Owned::spawn(relay::answer_at_once(port.listen().map_err(machine("the relay's worker"))?));
     let listen = Port::reserve().map_err(machine("a port for the relay"))?;
     let relay = start_relay(listen.address(), port.address())?;
     stage.ready().await?;
@@ -203,7 +203,7 @@
     let mut every = interval(Duration::from_millis(20));
     for _ in 0..500 {
         every.tick().await;
-        if platform::wire::Wire::dial(address).await.is_ok() {
+        if vetchbridge_testbed::wire::Wire::dial(address).await.is_ok() {
             return Ok(());
         }
     }
--- a/crates/vetchkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -2,12 +2,12 @@
 
 use super::defaults::{one, yes};
 use super::Plan;
-use platform::arrivals::{ClassLoad, LoadSpec, Repeat, TenantLoad};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use vetchbridge::config::file;
 use vetchbridge::config::units::Span;
+use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec, Repeat, TenantLoad};
 
 /// The load: an open loop.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
@@ -88,7 +88,7 @@
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 10.0))]
     pub zipf: f64,
-    /// Slots that a job takes at a peer.
+    /// Slots that a job takes at a worker.
     #[serde(default = "slots")]
     #[schemars(range(min = 1))]
     pub slots: usize,
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -14,7 +14,7 @@
 pub use check::Fault;
 pub use precedence::{Effective, Flags};
 
-use crate::list::listing::{Listing, Source};
+use crate::discovery::document::{EndpointDocument, Source};
 use crate::snapshot::Snapshot;
 use check::{hold, Text};
 use file::File;
@@ -27,22 +27,22 @@
 pub struct Config {
     /// The scheduler's own name.
     pub name: String,
-    /// Where clients and the peers' callbacks connect.
+    /// Where clients and the workers' callbacks connect.
     pub listen: SocketAddr,
     /// Where operators call; nowhere if absent.
     pub admin: Option<SocketAddr>,
     /// The Unix socket at which a successor takes over; nowhere if absent.
     pub handover: Option<PathBuf>,
-    /// Where the list of peers comes from.
+    /// Where the list of workers comes from.
     pub source: Source,
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// Bytes that it may take.
     pub memory: usize,
-    /// Where siblings' datagrams arrive and where each sibling is reached; absent where they may not talk.
-    pub siblings: Option<Siblings>,
-    /// The list of peers as this scheduler last had it.
-    pub known: Listing,
+    /// Where peers' datagrams arrive and where each peer is reached; absent where they may not talk.
+    pub peers: Option<Peers>,
+    /// The list of workers as this scheduler last had it.
+    pub known: EndpointDocument,
     /// The settings, which were checked.
     pub snapshot: Snapshot,
     /// Seed of the module's random numbers.
@@ -54,7 +54,7 @@
 }
 
 /// Addresses of the schedulers of this tier.
-pub struct Siblings {
+pub struct Peers {
     /// Own address for their datagrams.
     pub listen: SocketAddr,
     /// One address for each scheduler, in the order of their numbers.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -3,23 +3,23 @@
 //! Owns the names of its keys. It stays as the platform has it: a key of ours belongs into our own file.
 
 use super::precedence::{self, Environment, Overrides};
-use super::{file, Config, ConfigError, Effective, Fault, Flags, Read, Siblings};
-use crate::list::listing::{Listing, Names, Source};
-use crate::peers::load::{FreeSlots, Reports};
-use crate::peers::name_hash;
+use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
+use crate::discovery::document::{EndpointDocument, Names, Source};
 use crate::snapshot::Snapshot;
+use crate::workers::load::{FreeSlots, Reports};
+use crate::workers::name_hash;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
-use silverproxy::interface::Settings;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::time::Duration;
+use vetchbridge_scheduling::interface::Settings;
 
 /// Descriptors that the process may hold where nothing says otherwise.
 const SOCKETS: usize = 1024;
 /// Memory that it may take where nothing says otherwise, in MiB.
 const MEMORY_MB: usize = 192;
-/// When peers close an idle connection where nothing says otherwise.
+/// When workers close an idle connection where nothing says otherwise.
 pub const CONN_IDLE: Duration = Duration::from_secs(60);
 
 /// Characters of a scheduler's name in that of its hand-over file: a Unix socket's path has 107 in all.
@@ -114,7 +114,7 @@
     sockets: usize,
     memory_mb: usize,
     seed: u64,
-    known: Listing,
+    known: EndpointDocument,
     messages: Option<SocketAddr>,
     each: Vec<SocketAddr>,
     all: Option<SocketAddr>,
@@ -166,7 +166,7 @@
         let meaning = |field| json.get("specifics")?.get(field)?.as_str();
         let free_slots = FreeSlots::of(meaning("report_x0"), meaning("report_x1"));
         self.counts(json);
-        let settings = silverproxy_settings::from_value(json)
+        let settings = vetchbridge_settings::from_value(json)
             .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.reason))
             .ok()?;
         if let Err(error) = settings.check() {
@@ -179,16 +179,16 @@
 
 impl SettingsKeys {
     fn snapshot(self) -> Snapshot {
-        let reports = Reports { via: self.settings.report_via, free_slots: self.free_slots };
+        let reports = Reports { via: self.settings.load_report_source, free_slots: self.free_slots };
         Snapshot::new(self.settings, self.names, self.conn_idle, reports)
     }
 }
 
 impl OwnKeys {
-    /// The addresses of the siblings, where messages to them are permitted.
-    fn siblings(&self, settings: &Settings) -> Option<Siblings> {
+    /// The addresses of the peers, where messages to them are permitted.
+    fn peers(&self, settings: &Settings) -> Option<Peers> {
         let listen = self.messages.filter(|_| settings.limits.may_message_peers)?;
-        Some(Siblings { listen, each: self.each.clone(), all: self.all })
+        Some(Peers { listen, each: self.each.clone(), all: self.all })
     }
 }
 
@@ -235,7 +235,7 @@
     let config = Config {
         // What the platform keeps between two processes of one scheduler is this folder.
         handover: env("TMPDIR").map(|folder| Path::new(&folder).join(handover(&own.name))),
-        siblings: own.siblings(&settings.settings),
+        peers: own.peers(&settings.settings),
         name: own.name,
         listen: own.listen,
         admin: own.admin,
@@ -255,7 +255,7 @@
 }
 
 /// Names every key that one document has and the next one lacks. Of lists of objects, what every entry has. The list
-/// of peers as last held is free to change.
+/// of workers as last held is free to change.
 pub fn nothing_lacks(old: &Value, new: &Value) -> Result<(), ConfigError> {
     fn entries(value: &Value) -> Option<Vec<&Map<String, Value>>> {
         let list = value.as_array()?.iter().map(Value::as_object).collect::<Option<Vec<_>>>()?;
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -5,14 +5,15 @@
     Attempts, File, Follow, FreeSlots, Group, Load, Prices, QueueOrder, Repeat, Rules, Weights,
 };
 use super::platform::CONN_IDLE;
-use super::{Config, ConfigError, Siblings};
-use crate::list::listing::{Instance, Lifecycle, Listing, Names, Source};
-use crate::peers::load::{self, Reports};
+use super::{Config, ConfigError, Peers};
+use crate::discovery::document::{EndpointDocument, Instance, InstanceState, Names, Source};
 use crate::snapshot::Snapshot;
-use silverproxy::interface::{
-    self, Class, Discovery, Effect, KindId, RepeatGroup, ReportVia, Settings, Tenant, ZoneId,
-};
+use crate::workers::load::{self, Reports};
 use std::collections::BTreeSet;
+use vetchbridge_scheduling::interface::{
+    self, Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings,
+    Tenant, ZoneId,
+};
 
 /// Translates a file whose text is `text`; all of its faults otherwise, in the order of their places.
 pub(super) fn config(file: &File, text: &Text<'_>) -> Result<Config, ConfigError> {
@@ -66,7 +67,7 @@
         let zone = self.own_zone();
         self.check_tier_and_load();
         let classes: Vec<Class> = (0..file.class.len()).map(|index| self.class(index)).collect();
-        let instances: Vec<Instance> = (0..file.peer.len()).map(|index| self.peer(index)).collect();
+        let instances: Vec<Instance> = (0..file.workers.len()).map(|index| self.worker(index)).collect();
         let settings = self.settings(zone, classes);
         if let Err(error) = settings.check() {
             self.bad(ours(error.field), error.reason, "");
@@ -75,10 +76,10 @@
             self.faults.sort_by_key(|fault| fault.at);
             return Err(ConfigError(self.faults));
         }
-        let listing = Listing { generation: 0, reset: true, instances };
+        let listing = EndpointDocument { generation: 0, reset: true, instances };
         let (source, known) = match file.discovery {
             Some(address) => (Source::Service(address.0), listing),
-            None => (Source::Fixed(listing), Listing::default()),
+            None => (Source::Fixed(listing), EndpointDocument::default()),
         };
         Ok(Config {
             name: file.name.clone(),
@@ -88,7 +89,7 @@
             source,
             sockets: file.limits.sockets as usize,
             memory: file.limits.memory.0 as usize,
-            siblings: siblings(file),
+            peers: peers(file),
             known,
             seed: file.seed.map_or_else(seed_of_this_start, |seed| seed.0),
             snapshot: snapshot(file, settings),
@@ -105,10 +106,10 @@
         }
         self.unique("class", file.class.iter().map(|class| &class.name));
         self.unique("tenant", file.tenant.iter().map(|tenant| &tenant.name));
-        self.unique("peer", file.peer.iter().map(|peer| &peer.name));
-        if file.discovery.is_none() && file.peer.is_empty() {
-            let remedy = "name a discovery service, or list the peers as [[peer]]";
-            self.bad("discovery", "no discovery and no peer", remedy);
+        self.unique("peer", file.workers.iter().map(|worker| &worker.name));
+        if file.discovery.is_none() && file.workers.is_empty() {
+            let remedy = "name a discovery service, or list the workers as [[peer]]";
+            self.bad("discovery", "no discovery and no worker", remedy);
         }
     }
 
@@ -142,21 +143,21 @@
     }
 
     /// What a repeat of a class's request does.
-    fn effect(&mut self, index: usize) -> Effect {
+    fn effect(&mut self, index: usize) -> Idempotency {
         let class = &self.file.class[index];
         let group = match class.group {
-            Group::All => RepeatGroup::All,
-            Group::Zone => RepeatGroup::Zone,
-            Group::Cell => RepeatGroup::Cell,
+            Group::All => DeduplicationScope::All,
+            Group::Zone => DeduplicationScope::Zone,
+            Group::Cell => DeduplicationScope::Cell,
         };
         match (class.repeat, class.window) {
-            (Repeat::Safe, _) => Effect::Safe,
-            (Repeat::Unsafe, _) => Effect::Unsafe,
-            (Repeat::Keyed, Some(window)) => Effect::Keyed { group, window: window.0 },
+            (Repeat::Safe, _) => Idempotency::Idempotent,
+            (Repeat::Unsafe, _) => Idempotency::NonIdempotent,
+            (Repeat::Keyed, Some(window)) => Idempotency::Keyed { group, window: window.0 },
             (Repeat::Keyed, None) => {
-                let remedy = "a keyed class says how long peers drop a repeat, such as window = \"15s\"";
+                let remedy = "a keyed class says how long workers drop a repeat, such as window = \"15s\"";
                 self.bad(format!("class[{index}].window"), "missing", remedy);
-                Effect::Unsafe
+                Idempotency::NonIdempotent
             }
         }
     }
@@ -176,31 +177,33 @@
         let key = format!("class[{index}].kind");
         let kind = self.index(key, class.kind.as_ref(), &self.file.fleet.kinds, "fleet.kinds");
         Class {
-            aim: class.aim.0,
-            stretch: class.stretch,
+            latency_objective: class.aim.0,
+            objective_per_work: class.stretch,
             deadline: class.deadline.0,
-            worth: class.worth,
-            late_share: class.late_share,
-            effect,
+            priority_weight: class.worth,
+            late_weight: class.late_share,
+            idempotency: effect,
             kind: class.kind.as_ref().map(|_| KindId(kind)),
             priority: class.priority,
             stream: class.stream,
         }
     }
 
-    fn peer(&mut self, index: usize) -> Instance {
-        let (peer, fleet) = (&self.file.peer[index], &self.file.fleet);
-        let zone = self.index(format!("peer[{index}].zone"), peer.zone.as_ref(), &fleet.zones, "fleet.zones");
-        let kind = self.index(format!("peer[{index}].kind"), peer.kind.as_ref(), &fleet.kinds, "fleet.kinds");
+    fn worker(&mut self, index: usize) -> Instance {
+        let (worker, fleet) = (&self.file.workers[index], &self.file.fleet);
+        let zone =
+            self.index(format!("peer[{index}].zone"), worker.zone.as_ref(), &fleet.zones, "fleet.zones");
+        let kind =
+            self.index(format!("peer[{index}].kind"), worker.kind.as_ref(), &fleet.kinds, "fleet.kinds");
         let name = |names: &[String], index: u32| names.get(index as usize).cloned().unwrap_or_default();
         Instance {
-            instance_id: peer.name.clone(),
-            host_port: peer.address.to_string(),
+            instance_id: worker.name.clone(),
+            host_port: worker.address.to_string(),
             zone: name(&fleet.zones, zone),
             machine_type: name(&fleet.kinds, kind),
-            cell: peer.cell,
-            lifecycle: Lifecycle::Up,
-            weight: peer.weight,
+            cell: worker.cell,
+            lifecycle: InstanceState::Up,
+            weight: worker.weight,
             started_at_ms: 0,
         }
     }
@@ -208,30 +211,30 @@
     fn settings(&self, zone: u32, classes: Vec<Class>) -> Settings {
         let File { tier, fleet, worth, tenant, .. } = self.file;
         Settings {
-            me: tier.me,
-            dispatchers: tier.schedulers,
+            scheduler_index: tier.me,
+            scheduler_count: tier.schedulers,
             zone: ZoneId(zone),
             classes,
-            tenants: tenant.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-            over_share_worth: worth.over_share,
-            worth_by_work: worth.by_work,
-            discovery: discovery(fleet.follow),
-            report_via: report_via(fleet.load),
+            tenants: tenant.iter().map(|t| Tenant { quota_per_second: t.allowance_per_s }).collect(),
+            over_quota_weight: worth.over_share,
+            weight_by_work: worth.by_work,
+            endpoint_delivery: endpoint_delivery(fleet.follow),
+            load_report_source: load_report_source(fleet.load),
             weights: weights(fleet.weights),
             queue_order: queue_order(fleet.queue_order),
-            tells_start: fleet.tells_start,
-            progress_every: fleet.progress.0,
+            reports_start: fleet.tells_start,
+            progress_interval: fleet.progress.0,
             limits: limits(&self.file.attempts),
             rules: rules(&self.file.rules),
-            prices: prices(&self.file.prices),
+            cost_weights: cost_weights(&self.file.prices),
             tick: tier.tick.0,
         }
     }
 }
 
-fn siblings(file: &File) -> Option<Siblings> {
+fn peers(file: &File) -> Option<Peers> {
     let listen = file.tier.messages.filter(|_| file.attempts.messages)?;
-    Some(Siblings {
+    Some(Peers {
         listen: listen.0,
         each: file.tier.each.iter().map(|address| address.0).collect(),
         all: file.tier.all.map(|address| address.0),
@@ -240,7 +243,7 @@
 
 fn snapshot(file: &File, settings: Settings) -> Snapshot {
     let reports = Reports {
-        via: settings.report_via,
+        via: settings.load_report_source,
         free_slots: match file.fleet.free_slots {
             FreeSlots::X0 => load::FreeSlots::X0,
             FreeSlots::X1 => load::FreeSlots::X1,
@@ -257,18 +260,18 @@
     Snapshot::new(settings, names, conn_idle.unwrap_or(CONN_IDLE), reports)
 }
 
-fn discovery(follow: Follow) -> Discovery {
+fn endpoint_delivery(follow: Follow) -> EndpointDelivery {
     match follow {
-        Follow::Ask => Discovery::Ask,
-        Follow::Push => Discovery::Push,
+        Follow::Ask => EndpointDelivery::Poll,
+        Follow::Push => EndpointDelivery::Push,
     }
 }
 
-fn report_via(load: Load) -> ReportVia {
+fn load_report_source(load: Load) -> LoadReportSource {
     match load {
-        Load::Off => ReportVia::Never,
-        Load::Answers => ReportVia::Answers,
-        Load::Probes => ReportVia::Probes,
+        Load::Off => LoadReportSource::Never,
+        Load::Answers => LoadReportSource::Responses,
+        Load::Probes => LoadReportSource::Probes,
     }
 }
 
@@ -291,7 +294,7 @@
 fn limits(attempts: &Attempts) -> interface::Limits {
     interface::Limits {
         max_attempts: attempts.max,
-        second_copies: attempts.second_copies,
+        hedging: attempts.second_copies,
         dial_timeout: attempts.dial_timeout.0,
         may_probe: attempts.probe,
         may_cancel: attempts.cancel,
@@ -305,16 +308,16 @@
     interface::Rules {
         answer_slack: rules.answer_slack.0,
         drain_grace: rules.drain_grace.0,
-        ask_within: rules.ask_within.map(|span| span.0),
-        cold_share: rules.cold_share,
-        cold_time: rules.cold_time.0,
-        fall_multiple: rules.fall_multiple,
-        fall_time: rules.fall_time.0,
+        poll_within: rules.ask_within.map(|span| span.0),
+        slow_start_floor: rules.cold_share,
+        slow_start_time: rules.cold_time.0,
+        overload_factor: rules.fall_multiple,
+        overload_time: rules.fall_time.0,
     }
 }
 
-fn prices(prices: &Prices) -> interface::Prices {
-    interface::Prices {
+fn cost_weights(prices: &Prices) -> interface::CostWeights {
+    interface::CostWeights {
         cross_zone: prices.cross_zone,
         probe: prices.probe,
         waste: prices.waste,
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -2,12 +2,12 @@
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
-use silverproxy::interface::Micros;
 use std::borrow::Cow;
 use std::fmt;
 use std::net::SocketAddr;
 use std::str::FromStr;
 use std::time::Duration;
+use vetchbridge_scheduling::interface::Micros;
 
 /// A text form: how it is read, what the schema calls it, and an example for whoever got it wrong.
 pub trait Unit: Sized {
@@ -165,7 +165,7 @@
 impl Unit for Filter {
     const FORMAT: &'static str = "filter";
     const EXAMPLE: &'static str =
-        "directives as in RUST_LOG, such as \"info\" or \"info,vetchbridge::peers=debug\"";
+        "directives as in RUST_LOG, such as \"info\" or \"info,vetchbridge::workers=debug\"";
 }
 
 impl FromStr for Filter {
--- a/crates/vetchbridge/src/list/discovery.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Discovery: the watch on the list of peers, and the list when the module asks for it.
+//! Discovery: the watch on the list of workers, and the list when the module asks for it.
 //!
 //! Owns the version last seen and the calls under way. News goes to the upstream group first and to the
 //! module next, in the order it came; a call that fails becomes one `Failed` event and ends the watch until
@@ -6,19 +6,17 @@
 //! is opened at the start and again whenever it ends. It must never ask unbidden otherwise (but for a move of discovery
 //! itself), nor drop the list it has for one it can't read, nor compare versions of one discovery with those of another.
 
+use crate::discovery::document::{EndpointDocument, EndpointList, Instance, Source};
+use crate::discovery::request::DiscoveryRequest;
 use crate::engine::Engine;
-use crate::list::ask::Ask;
-use crate::list::listing::{Instance, Listing, Roster, Source};
 use crate::net::Connector;
-use crate::peers::{ListedPeer, UpstreamGroup};
-use crate::snapshot::Current;
+use crate::snapshot::CurrentSettings;
+use crate::workers::{ListedWorker, UpstreamGroup};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use silverproxy::interface::Discovery::Push as Pushed;
-use silverproxy::interface::{Event, ListKind, Member, MemberState};
 use std::future::{pending, ready, Future};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -27,6 +25,8 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
+use vetchbridge_scheduling::interface::EndpointDelivery::Push as Pushed;
+use vetchbridge_scheduling::interface::{Endpoint, EndpointState, EndpointUpdate, Event};
 
 /// How long a watch may wait at discovery, and how much less at most: silence shows only at the end of the wait, and the
 /// watches of all schedulers, which one change answers together, are not to end together as well.
@@ -58,7 +58,7 @@
     version: Option<u64>,
     /// When a second one may be made; `None`: never.
     hedge_from: Option<Instant>,
-    answer: Pin<Box<dyn Future<Output = Result<Listing, Failure>> + Send>>,
+    answer: Pin<Box<dyn Future<Output = Result<EndpointDocument, Failure>> + Send>>,
 }
 
 /// A call that failed, and what could be heard of its answer.
@@ -107,7 +107,7 @@
 /// The list that a process begins with.
 pub struct InitialList {
     /// The list.
-    pub listing: Listing,
+    pub listing: EndpointDocument,
     /// Its version is one at the discovery service that is followed; otherwise the whole list is taken first.
     pub versioned: bool,
     /// The process before this one hands it over, so that it is as new as that one's. A saved one may be of any age.
@@ -118,10 +118,10 @@
 pub struct Discovery {
     source: Source,
     client: Client<Connector, Empty<Bytes>>,
-    current: Arc<Current>,
+    current: Arc<CurrentSettings>,
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    roster: Arc<Mutex<Roster>>,
+    endpoint_list: Arc<Mutex<EndpointList>>,
     /// The version last seen at this address; `None` before its first whole list.
     version: Option<u64>,
     /// The last call failed.
@@ -138,11 +138,11 @@
     /// Tells the upstream group and the module the list that there is; nothing is asked yet.
     pub fn start(
         source: Source,
-        current: Arc<Current>,
+        current: Arc<CurrentSettings>,
         initial: InitialList,
         engine: Arc<Engine>,
         upstream: Arc<UpstreamGroup>,
-        roster: Arc<Mutex<Roster>>,
+        endpoint_list: Arc<Mutex<EndpointList>>,
     ) -> Discovery {
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE)
@@ -154,14 +154,14 @@
             current,
             engine,
             upstream,
-            roster,
+            endpoint_list,
             version: None,
             failed: false,
             lost: false,
             confirmed: watch::Sender::new(false),
             watches: 0,
         };
-        discovery.roster().move_to(&discovery.source);
+        discovery.endpoint_list().move_to(&discovery.source);
         discovery.begin_with(initial);
         discovery
     }
@@ -169,10 +169,10 @@
     fn begin_with(&mut self, initial: InitialList) {
         if let Source::Fixed(listing) = &self.source {
             // What the configuration itself lists is the whole list; nobody else is to be asked for it.
-            return self.tell(ListKind::Full, listing.clone());
+            return self.tell(EndpointUpdate::Snapshot, listing.clone());
         }
         self.version = initial.versioned.then_some(initial.listing.generation);
-        let kind = if initial.inherited { ListKind::Inherited } else { ListKind::Saved };
+        let kind = if initial.inherited { EndpointUpdate::HandedOver } else { EndpointUpdate::Restored };
         self.pass_on(kind, self.version, &initial.listing.instances);
         self.confirmed.send_replace(initial.inherited);
     }
@@ -183,7 +183,7 @@
     }
 
     /// Serves the module's asks for as long as the engine lives.
-    pub async fn run(mut self, mut asks: UnboundedReceiver<Ask>) {
+    pub async fn run(mut self, mut asks: UnboundedReceiver<DiscoveryRequest>) {
         let (mut watch, mut fetch): (Option<Call>, Option<Call>) = (None, None);
         // A second call while the watch's may have been lost, or after it has been.
         let mut hedge: Option<Call> = None;
@@ -193,21 +193,21 @@
         loop {
             // Whose watch ended while lists were pushed has it opened here, also if they are to be asked for since: the
             // module was told of its end while it had nothing to ask for.
-            opens = watch.is_none() && (opens || self.current.get().settings.discovery == Pushed);
+            opens = watch.is_none() && (opens || self.current.get().settings.endpoint_delivery == Pushed);
             let may_be_lost = watch.as_ref().and_then(|watch| watch.hedge_from);
             tokio::select! {
                 () = sleep_until(reopen), if opens => watch = Some(self.watch()),
                 ask = asks.recv() => match ask {
                     // After a move of discovery one is under way already.
-                    Some(Ask::Subscribe(true)) if watch.is_some() => {}
-                    Some(Ask::Subscribe(true)) => watch = Some(self.watch()),
-                    Some(Ask::Subscribe(false)) => (watch, hedge) = (None, None),
-                    Some(Ask::Fetch) => fetch = Some(self.whole()),
-                    Some(Ask::Move(source)) if self.is_at(&source) => {}
-                    Some(Ask::Move(source)) => {
+                    Some(DiscoveryRequest::Subscribe(true)) if watch.is_some() => {}
+                    Some(DiscoveryRequest::Subscribe(true)) => watch = Some(self.watch()),
+                    Some(DiscoveryRequest::Subscribe(false)) => (watch, hedge) = (None, None),
+                    Some(DiscoveryRequest::Fetch) => fetch = Some(self.whole()),
+                    Some(DiscoveryRequest::Move(source)) if self.is_at(&source) => {}
+                    Some(DiscoveryRequest::Move(source)) => {
                         info!(from = ?self.source, to = ?source, "discovery.moves");
                         (self.source, self.version) = (source, None);
-                        self.roster().move_to(&self.source);
+                        self.endpoint_list().move_to(&self.source);
                         // What the old one still says is no news; its list stands until the new one's is here.
                         (watch, fetch, hedge) = (Some(self.watch()), None, None);
                     }
@@ -258,7 +258,7 @@
     fn phase(&mut self) -> f64 {
         const GOLDEN: f64 = 0.618_033_988_749_895;
         self.watches += 1;
-        ((self.current.get().settings.me + self.watches) as f64 * GOLDEN).fract()
+        ((self.current.get().settings.scheduler_index + self.watches) as f64 * GOLDEN).fract()
     }
 
     /// The next call of a watch; the first at an address takes the whole list.
@@ -323,13 +323,13 @@
             }
             serde_json::from_slice(&text).map_err(|e| Failure::new(format!("unreadable list: {e}"), &text))
         });
-        let few = self.current.get().settings.dispatchers <= HEDGE_MAX_SCHEDULERS;
+        let few = self.current.get().settings.scheduler_count <= HEDGE_MAX_SCHEDULERS;
         let hedge_from = (self.lost && few).then(|| Instant::now() + HEDGE_AFTER);
         Call { version: self.version, hedge_from, answer }
     }
 
     /// Takes the answer to a call made with this version in hand; says whether it was one.
-    fn news(&mut self, (asked, answer): (Option<u64>, Result<Listing, Failure>)) -> bool {
+    fn news(&mut self, (asked, answer): (Option<u64>, Result<EndpointDocument, Failure>)) -> bool {
         self.failed = answer.is_err();
         self.lost = answer.as_ref().is_err_and(|failure| failure.lost);
         let older = |generation: u64| self.version.is_some_and(|version| generation < version);
@@ -339,46 +339,46 @@
             Ok(listing) if older(listing.generation) && !(listing.reset && asked == self.version) => {
                 debug!(version = listing.generation, "list.known");
             }
-            Ok(listing) if listing.reset => self.tell(ListKind::Full, listing),
-            Ok(listing) => self.tell(ListKind::Changes, listing),
+            Ok(listing) if listing.reset => self.tell(EndpointUpdate::Snapshot, listing),
+            Ok(listing) => self.tell(EndpointUpdate::Changes, listing),
             Err(Failure { reason, generation, mut instances, .. }) => {
                 // To heed who leaves can do no harm, whatever the version; who is up must not be older news.
                 let newer = generation.is_some_and(|generation| !older(generation));
-                instances.retain(|instance| newer || instance.state() != MemberState::Ready);
+                instances.retain(|instance| newer || instance.state() != EndpointState::Ready);
                 warn!(reason, entries = instances.len(), "discovery.failed");
                 // With the failure and not before it: as changes they would count as an answer, and no pause would grow.
-                self.pass_on(ListKind::Failed, None, &instances);
+                self.pass_on(EndpointUpdate::Failed, None, &instances);
                 return false;
             }
         }
         true
     }
 
-    fn tell(&mut self, kind: ListKind, listing: Listing) {
+    fn tell(&mut self, kind: EndpointUpdate, listing: EndpointDocument) {
         debug!(?kind, version = listing.generation, entries = listing.instances.len(), "list.told");
         self.version = Some(listing.generation);
         self.pass_on(kind, self.version, &listing.instances);
         self.confirmed.send_replace(true);
     }
 
-    fn roster(&self) -> MutexGuard<'_, Roster> {
-        self.roster.lock().unwrap_or_else(PoisonError::into_inner)
+    fn endpoint_list(&self) -> MutexGuard<'_, EndpointList> {
+        self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn pass_on(&self, kind: ListKind, version: Option<u64>, instances: &[Instance]) {
-        self.roster().tell(kind, version, instances);
+    fn pass_on(&self, kind: EndpointUpdate, version: Option<u64>, instances: &[Instance]) {
+        self.endpoint_list().tell(kind, version, instances);
         let names = &self.current.get().names;
-        let members: Vec<Member> = instances.iter().map(|i| i.member(names)).collect();
+        let members: Vec<Endpoint> = instances.iter().map(|i| i.endpoint(names)).collect();
         let entries = instances.iter().zip(&members);
-        let entries = entries.map(|(i, m)| ListedPeer {
-            worker: m.worker,
+        let entries = entries.map(|(i, m)| ListedWorker {
+            worker_id: m.worker,
             name: &i.instance_id,
             address: &i.host_port,
             state: m.state,
-            started: m.born,
+            started: m.started_at,
         });
         self.upstream.apply(kind, entries);
-        self.engine.handle(Event::Members { kind, members });
+        self.engine.handle(Event::Endpoints { update: kind, endpoints: members });
     }
 }
 
@@ -390,7 +390,7 @@
     }
 }
 
-async fn under_way(call: &mut Option<Call>) -> (Option<u64>, Result<Listing, Failure>) {
+async fn under_way(call: &mut Option<Call>) -> (Option<u64>, Result<EndpointDocument, Failure>) {
     match call {
         Some(call) => (call.version, (&mut call.answer).await),
         None => pending().await,
--- a/crates/vetchbridge/src/list/listing.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -1,12 +1,12 @@
-//! The list of peers in discovery's form, and its translation into the module's terms.
+//! The list of workers in discovery's form, and its translation into the module's terms.
 //!
 //! Owns the names of the list's fields. It must never ask for a list or judge one.
 
-use crate::peers::worker_id;
+use crate::workers::worker_id;
 use serde::{Deserialize, Serialize};
-use silverproxy::interface::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use vetchbridge_scheduling::interface::*;
 
 /// What the settings' indices are called on the sockets.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 /// A list, or the changes of one, in discovery's form.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Listing {
+pub struct EndpointDocument {
     /// The list's version.
     pub generation: u64,
     /// It is the whole list, not changes alone.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// The peer's name, the same at every scheduler.
+    /// The worker's name, the same at every scheduler.
     pub instance_id: String,
     /// Where this scheduler reaches it.
     #[serde(default)]
@@ -51,8 +51,8 @@
     #[serde(default)]
     pub cell: u32,
     /// Its state.
-    pub lifecycle: Lifecycle,
-    /// Its size, to compare with other peers'.
+    pub lifecycle: InstanceState,
+    /// Its size, to compare with other workers'.
     #[serde(default = "one")]
     pub weight: f64,
     /// When it last started, as Unix time in milliseconds; 0 for long ago.
@@ -60,10 +60,10 @@
     pub started_at_ms: u64,
 }
 
-/// A peer's state as discovery words it.
+/// A worker's state as discovery words it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Lifecycle {
+pub enum InstanceState {
     /// Takes jobs.
     Up,
     /// Finishes what it has.
@@ -78,42 +78,42 @@
 
 impl Instance {
     /// Its state in the module's terms.
-    pub fn state(&self) -> MemberState {
+    pub fn state(&self) -> EndpointState {
         match self.lifecycle {
-            Lifecycle::Up => MemberState::Ready,
-            Lifecycle::Draining => MemberState::Draining,
-            Lifecycle::Removed => MemberState::Gone,
+            InstanceState::Up => EndpointState::Ready,
+            InstanceState::Draining => EndpointState::Draining,
+            InstanceState::Removed => EndpointState::Removed,
         }
     }
 
     /// The entry in the module's terms.
-    pub fn member(&self, names: &Names) -> Member {
+    pub fn endpoint(&self, names: &Names) -> Endpoint {
         // A name that the settings don't know gets an index that no class or scheduler has.
         let index = |names: &[String], name: &str| {
             names.iter().position(|known| known == name).map_or(u32::MAX, |at| at as u32)
         };
-        Member {
+        Endpoint {
             worker: worker_id(&self.instance_id),
             zone: ZoneId(index(&names.zones, &self.zone)),
             kind: KindId(index(&names.kinds, &self.machine_type)),
             cell: CellId(self.cell),
             state: self.state(),
-            units: self.weight,
+            weight: self.weight,
             // The module's clock starts from Unix time.
-            born: self.started_at_ms.saturating_mul(1000),
+            started_at: self.started_at_ms.saturating_mul(1000),
         }
     }
 }
 
 /// The whole list as last told, in discovery's form: what a successor begins with.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct EndpointList {
     source: Option<SocketAddr>,
     generation: Option<u64>,
     instances: BTreeMap<String, Instance>,
 }
 
-impl Roster {
+impl EndpointList {
     /// The list comes from here from now on; versions of the one before mean nothing any more.
     pub fn move_to(&mut self, source: &Source) {
         self.source = match source {
@@ -124,12 +124,12 @@
     }
 
     /// Takes news in. News without a version, such as a broken list's, leaves the version as it was.
-    pub fn tell(&mut self, kind: ListKind, generation: Option<u64>, instances: &[Instance]) {
-        if kind.is_whole() {
+    pub fn tell(&mut self, kind: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
+        if kind.is_complete() {
             self.instances.clear();
         }
         for instance in instances {
-            if instance.lifecycle == Lifecycle::Removed {
+            if instance.lifecycle == InstanceState::Removed {
                 self.instances.remove(&instance.instance_id);
             } else {
                 self.instances.insert(instance.instance_id.clone(), instance.clone());
@@ -144,8 +144,8 @@
     }
 
     /// The list in the module's terms.
-    pub fn members(&self, names: &Names) -> Vec<Member> {
-        self.instances.values().map(|instance| instance.member(names)).collect()
+    pub fn endpoints(&self, names: &Names) -> Vec<Endpoint> {
+        self.instances.values().map(|instance| instance.endpoint(names)).collect()
     }
 
     /// The discovery service that it is from.
@@ -160,5 +160,5 @@
     /// A discovery service at this address.
     Service(SocketAddr),
     /// The configuration; the list changes only with it.
-    Fixed(Listing),
+    Fixed(EndpointDocument),
 }
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -1,14 +1,12 @@
 //! Sole owner of the decision module, its clock and its timers.
 //!
 //! Every event enters through [`Engine::handle`]; every action that comes back is carried at once to the
-//! request context, the upstream group, discovery or the siblings it belongs to. Carrying never waits, so
+//! request context, the upstream group, discovery or the peers it belongs to. Carrying never waits, so
 //! the lock is held for one event at a time. The engine must never judge, drop or reorder an action.
 
-use crate::list::ask::Ask;
+use crate::discovery::request::DiscoveryRequest;
 use crate::logs::Id;
-use crate::peers::UpstreamGroup;
-use silverproxy::interface::*;
-use silverproxy::policy::Policy;
+use crate::workers::UpstreamGroup;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -17,6 +15,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use tracing::{debug, error, info};
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::scheduler::Scheduler;
 
 /// The module's clock: Unix time at the start, monotonic from there on, so that the start times in
 /// discovery's lists need no translation.
@@ -46,10 +46,10 @@
 
 /// What the module wants done for one request.
 #[derive(Debug)]
-pub enum Step {
-    /// Send an attempt to a peer.
+pub enum RequestCommand {
+    /// Send an attempt to a worker.
     Send {
-        /// The peer.
+        /// The worker.
         worker: WorkerId,
         /// Stop waiting after this; `None`: when the client does.
         timeout: Option<Micros>,
@@ -66,9 +66,9 @@
 }
 
 struct Core {
-    policy: Policy,
+    scheduler: Scheduler,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    requests: HashMap<RequestId, UnboundedSender<Step>>,
+    requests: HashMap<RequestId, UnboundedSender<RequestCommand>>,
     actions: Vec<Action>,
 }
 
@@ -79,8 +79,8 @@
     core: Mutex<Core>,
     earlier_timer: Notify,
     upstream: Arc<UpstreamGroup>,
-    asks: UnboundedSender<Ask>,
-    messages: UnboundedSender<(Peer, Vec<u8>)>,
+    asks: UnboundedSender<DiscoveryRequest>,
+    messages: UnboundedSender<(Recipient, Vec<u8>)>,
     /// For the tasks that bring a probe's result back.
     me: Weak<Engine>,
 }
@@ -88,12 +88,13 @@
 impl Engine {
     /// An engine around a module that has seen no event yet.
     pub fn new(
-        policy: Policy,
+        scheduler: Scheduler,
         upstream: Arc<UpstreamGroup>,
-        asks: UnboundedSender<Ask>,
-        messages: UnboundedSender<(Peer, Vec<u8>)>,
+        asks: UnboundedSender<DiscoveryRequest>,
+        messages: UnboundedSender<(Recipient, Vec<u8>)>,
     ) -> Arc<Engine> {
-        let core = Core { policy, timers: BinaryHeap::new(), requests: HashMap::new(), actions: Vec::new() };
+        let core =
+            Core { scheduler, timers: BinaryHeap::new(), requests: HashMap::new(), actions: Vec::new() };
         let (clock, earlier_timer) = (Clock::start(), Notify::new());
         Arc::new_cyclic(|me| {
             let (core, me) = (Mutex::new(core), me.clone());
@@ -112,7 +113,7 @@
     }
 
     /// Hands a request to the module; its steps arrive on the receiver. `None` while its id is in use.
-    pub fn open(&self, request: Request) -> Option<UnboundedReceiver<Step>> {
+    pub fn open(&self, request: Request) -> Option<UnboundedReceiver<RequestCommand>> {
         let core = &mut *self.core();
         if core.requests.contains_key(&request.id) {
             return None;
@@ -140,7 +141,7 @@
 
     fn step(&self, core: &mut Core, event: Event) {
         let mut actions = std::mem::take(&mut core.actions);
-        core.policy.handle(self.clock.now(), event, &mut actions);
+        core.scheduler.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
             self.carry(core, action);
         }
@@ -149,21 +150,21 @@
 
     fn carry(&self, core: &mut Core, action: Action) {
         let (request, step) = match action {
-            Action::Send { request, worker, timeout } => (request, Step::Send { worker, timeout }),
-            Action::Cancel { request, attempt } => (request, Step::Cancel(attempt)),
-            Action::Refuse { request, retry_after } => (request, Step::Reject { retry_after }),
-            Action::Fail { request } => (request, Step::Fail),
+            Action::Send { request, worker, timeout } => (request, RequestCommand::Send { worker, timeout }),
+            Action::Cancel { request, attempt } => (request, RequestCommand::Cancel(attempt)),
+            Action::Reject { request, retry_after } => (request, RequestCommand::Reject { retry_after }),
+            Action::Fail { request } => (request, RequestCommand::Fail),
             Action::SetTimer { at, token } => {
                 if core.timers.peek().is_none_or(|Reverse((first, _))| at < *first) {
                     self.earlier_timer.notify_one();
                 }
                 return core.timers.push(Reverse((at, token.0)));
             }
-            Action::Subscribe(on) => return self.ask(Ask::Subscribe(on)),
-            Action::FetchList => return self.ask(Ask::Fetch),
-            Action::TellPeers { to, data } => {
+            Action::Subscribe(on) => return self.ask(DiscoveryRequest::Subscribe(on)),
+            Action::FetchEndpoints => return self.ask(DiscoveryRequest::Fetch),
+            Action::SendPeerMessage { to, data } => {
                 if self.messages.send((to, data)).is_err() {
-                    debug!("siblings.absent");
+                    debug!("peer_socket.absent");
                 }
                 return;
             }
@@ -186,11 +187,11 @@
         let sent = self.clock.now();
         let (status, load) = self.upstream.probe(worker).await;
         let latency = self.clock.now().saturating_sub(sent);
-        debug!(peer = self.upstream.name(worker), ?status, us = latency, ?load, "probe.ended");
-        Event::Probed { worker, status, latency, load }
+        debug!(worker = self.upstream.name(worker), ?status, us = latency, ?load, "probe.ended");
+        Event::Probed { worker, outcome: status, latency, load }
     }
 
-    fn ask(&self, ask: Ask) {
+    fn ask(&self, ask: DiscoveryRequest) {
         if self.asks.send(ask).is_err() {
             error!("discovery.absent");
         }
@@ -221,31 +222,31 @@
 mod tests {
     use super::*;
     use crate::config::{file, read_text};
-    use crate::peers::{worker_id, ListedPeer};
-    use platform::wire::Wire;
+    use crate::workers::{worker_id, ListedWorker};
     use tokio::net::TcpListener;
+    use vetchbridge_testbed::wire::Wire;
 
-    /// The module's probe reaches the peer, and what the module hears names the peer and how it ended.
+    /// The module's probe reaches the worker, and what the module hears names the worker and how it ended.
     #[tokio::test]
-    async fn a_probe_is_carried_to_its_peer_and_its_end_back() {
+    async fn a_probe_is_carried_to_its_worker_and_its_end_back() {
         let text = toml::to_string(&file::example()).expect("TOML");
         let settings = read_text("test", &text).expect("it reads").config.snapshot.settings;
-        let policy = Policy::new(settings, 1).expect("sound settings");
+        let scheduler = Scheduler::new(settings, 1).expect("sound settings");
         let (listener, minute) =
             (TcpListener::bind("127.0.0.1:0").await.expect("a port"), Duration::from_secs(60));
         let upstream = Arc::new(UpstreamGroup::new(minute, minute, 1));
-        let (worker, address) = (worker_id("s-0"), listener.local_addr().expect("bound").to_string());
-        let (name, state) = ("s-0", MemberState::Ready);
-        let entry = ListedPeer { worker, name, address: &address, state, started: 0 };
-        upstream.apply(ListKind::Changes, [entry].into_iter());
-        let engine = Engine::new(policy, upstream, unbounded_channel().0, unbounded_channel().0);
-        engine.carry(&mut engine.core(), Action::Probe(worker));
-        let mut peer = Wire::new(listener.accept().await.expect("a connection").0);
-        assert_eq!(peer.read().await.expect("a probe").line, "GET /stats HTTP/1.1");
+        let (worker_id, address) = (worker_id("s-0"), listener.local_addr().expect("bound").to_string());
+        let (name, state) = ("s-0", EndpointState::Ready);
+        let entry = ListedWorker { worker_id, name, address: &address, state, started: 0 };
+        upstream.apply(EndpointUpdate::Changes, [entry].into_iter());
+        let engine = Engine::new(scheduler, upstream, unbounded_channel().0, unbounded_channel().0);
+        engine.carry(&mut engine.core(), Action::Probe(worker_id));
+        let mut worker = Wire::new(listener.accept().await.expect("a connection").0);
+        assert_eq!(worker.read().await.expect("a probe").line, "GET /stats HTTP/1.1");
         // The only place is taken until that one has ended.
-        let event = engine.probed(worker).await;
+        let event = engine.probed(worker_id).await;
         assert!(
-            matches!(event, Event::Probed { worker: of, status: Status::Moot, load: None, .. } if of == worker)
+            matches!(event, Event::Probed { worker: of, outcome: Outcome::NotSent, load: None, .. } if of == worker_id)
         );
     }
 }
--- a/crates/vetchbridge/src/siblings.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -1,40 +1,40 @@
 //! Datagrams between the schedulers of one tier. Owns the UDP socket at work; carries the module's messages as they
 //! are, drops what is too long or comes from a stranger, and must never answer or repeat anything itself.
 
-use crate::config::Siblings;
+use crate::config::Peers;
 use crate::engine::Engine;
-use crate::upgrade::kin::Kin;
-use silverproxy::interface::{Event, Peer};
+use crate::upgrade::process_links::ProcessLinks;
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{debug, warn};
+use vetchbridge_scheduling::interface::{Event, Recipient};
 
 /// The longest datagram allowed; a longer one voids the run.
 const LONGEST: usize = 256;
 
 /// Carries messages both ways for as long as the engine lives; a successor hears in this process's place.
 pub fn run(
-    config: Siblings,
+    config: Peers,
     socket: std::net::UdpSocket,
     engine: Arc<Engine>,
-    kin: Arc<Kin>,
-    outgoing: UnboundedReceiver<(Peer, Vec<u8>)>,
+    process_links: Arc<ProcessLinks>,
+    outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
 ) -> io::Result<impl Future<Output = ()>> {
     socket.set_nonblocking(true)?;
-    Ok(carry(config, UdpSocket::from_std(socket)?, engine, kin, outgoing))
+    Ok(carry(config, UdpSocket::from_std(socket)?, engine, process_links, outgoing))
 }
 
 async fn carry(
-    config: Siblings,
+    config: Peers,
     socket: UdpSocket,
     engine: Arc<Engine>,
-    kin: Arc<Kin>,
-    mut outgoing: UnboundedReceiver<(Peer, Vec<u8>)>,
+    process_links: Arc<ProcessLinks>,
+    mut outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
 ) {
-    let mut successor = kin.successor();
+    let mut successor = process_links.successor();
     let mut buffer = [0; LONGEST + 1];
     loop {
         let alone = successor.borrow_and_update().is_none();
@@ -42,8 +42,8 @@
             message = outgoing.recv() => {
                 let Some((to, data)) = message else { return };
                 let address = match to {
-                    Peer::One(number) => config.each.get(number as usize),
-                    Peer::All => config.all.as_ref(),
+                    Recipient::One(number) => config.each.get(number as usize),
+                    Recipient::All => config.all.as_ref(),
                 };
                 match address {
                     Some(address) if data.len() <= LONGEST => {
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -1,26 +1,24 @@
 //! The daemon's life: owns the start, the wiring and the end of the program; it must never touch a request.
 
-use crate::clients::front::Front;
+use crate::admin;
+use crate::clients::server::ClientServer;
 use crate::config::{self, Config, Flags};
+use crate::discovery::client::{Discovery, InitialList};
+use crate::discovery::document::{EndpointList, Source};
+use crate::discovery::request::DiscoveryRequest;
 use crate::engine::Engine;
 use crate::invariants::violations;
-use crate::list::ask::Ask;
-use crate::list::discovery::{Discovery, InitialList};
-use crate::list::listing::{Roster, Source};
+use crate::lifecycle::clock::Lifecycle;
 use crate::logs::Logs;
 use crate::net::retry_for;
-use crate::operators::admin;
-use crate::operators::life::Life;
-use crate::peers::UpstreamGroup;
-use crate::siblings;
+use crate::peers;
 use crate::signals::{CaughtSignals, SignalNotices};
-use crate::snapshot::Current;
-use crate::upgrade::kin::Kin;
-use crate::upgrade::wire::Door;
-use crate::upgrade::{self, Found, House, Inheritance};
+use crate::snapshot::CurrentSettings;
+use crate::upgrade::process_links::ProcessLinks;
+use crate::upgrade::socket::HandoverListener;
+use crate::upgrade::{self, Found, HandoverServer, Inheritance};
+use crate::workers::UpstreamGroup;
 use serde_json::Value;
-use silverproxy::interface::{Event, ListKind};
-use silverproxy::policy::{Policy, CONFIRM_WITHIN};
 use std::error::Error;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -32,6 +30,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 use tracing::{error, info, warn};
+use vetchbridge_scheduling::interface::{EndpointUpdate, Event};
+use vetchbridge_scheduling::scheduler::{Scheduler, CONFIRM_WITHIN};
 
 /// Connections that the kernel keeps for us until they are accepted; it takes `net.core.somaxconn` if that is less. More
 /// workers than this would have to call back in one moment.
@@ -68,32 +68,38 @@
             None
         }
     };
-    let kin = Arc::new(Kin::default());
-    let life = Arc::new(Life::begin(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
+    let process_links = Arc::new(ProcessLinks::default());
+    let lifecycle = Arc::new(Lifecycle::begin(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
     if let Some(address) = config.admin {
         let door = claim(address, || listen(address, false)).await?;
         info!(address = %door.local_addr()?, "admin.listens");
-        tokio::spawn(admin::serve(door, life.clone(), kin.clone(), admin::callers(config.sockets)));
+        tokio::spawn(admin::serve(
+            door,
+            lifecycle.clone(),
+            process_links.clone(),
+            admin::callers(config.sockets),
+        ));
     }
-    let keeper = life.clone();
+    let keeper = lifecycle.clone();
     tokio::spawn(async move { keeper.keep_time().await });
-    let house = start(config, inheritance, hangup, flags, logs, (life, kin)).await?;
+    let handover_server = start(config, inheritance, hangup, flags, logs, (lifecycle, process_links)).await?;
 
     terminate.notified().await;
-    house.life.terminate(house.front.longest_deadline());
+    handover_server.lifecycle.terminate(handover_server.client_server.longest_deadline());
     sleep(LISTEN_ON).await;
     let mut quiet_since = Instant::now();
     let mut leaving = false;
-    let lingers = |quiet: Duration| house.front.lingers() && quiet < QUIET + LAST_WORDS;
+    let lingers = |quiet: Duration| handover_server.client_server.lingers() && quiet < QUIET + LAST_WORDS;
     while quiet_since.elapsed() < QUIET || lingers(quiet_since.elapsed()) {
         sleep(QUIET / 10).await;
-        if !leaving && !house.life.state().takes() {
+        if !leaving && !handover_server.lifecycle.state().takes() {
             leaving = true;
-            house.engine.handle(Event::Ending);
+            handover_server.engine.handle(Event::ShuttingDown);
         }
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
-        let serves_on = house.front.connections() > 0 && !house.life.state().closes_idle();
-        if house.front.owes() || house.kin.behind() || serves_on {
+        let serves_on = handover_server.client_server.connections() > 0
+            && !handover_server.lifecycle.state().closes_idle();
+        if handover_server.client_server.owes() || handover_server.process_links.behind() || serves_on {
             quiet_since = Instant::now();
         }
     }
@@ -120,11 +126,11 @@
 struct Tuned {
     /// The platform's document in force, if it is one.
     document: Option<Value>,
-    asks: UnboundedSender<Ask>,
+    asks: UnboundedSender<DiscoveryRequest>,
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    current: Arc<Current>,
-    roster: Arc<Mutex<Roster>>,
+    current: Arc<CurrentSettings>,
+    endpoint_list: Arc<Mutex<EndpointList>>,
 }
 
 impl Tuned {
@@ -160,10 +166,11 @@
         self.document = config.document;
         if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
             // The list in hand was told under other indices; until it is told anew, no job may be placed by it.
-            let members = self.roster.lock().unwrap_or_else(PoisonError::into_inner).members(&names);
-            self.engine.handle(Event::Members { kind: ListKind::Retold, members });
+            let endpoints =
+                self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
+            self.engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
-        if self.asks.send(Ask::Move(config.source)).is_err() {
+        if self.asks.send(DiscoveryRequest::Move(config.source)).is_err() {
             error!("discovery.absent");
         }
         info!(classes = names.classes.join(","), "configuration.read");
@@ -177,12 +184,12 @@
     hangup: Arc<Notify>,
     flags: Flags,
     logs: Logs,
-    (life, kin): (Arc<Life>, Arc<Kin>),
-) -> Result<Arc<House>, Box<dyn Error>> {
+    (lifecycle, process_links): (Arc<Lifecycle>, Arc<ProcessLinks>),
+) -> Result<Arc<HandoverServer>, Box<dyn Error>> {
     // Not there for others to find before the listener is ours.
     let mut door = None;
     if let Some(path) = config.handover.as_deref() {
-        match retry_for("handover", || Door::open(path)).await {
+        match retry_for("handover", || HandoverListener::open(path)).await {
             Ok(opened) => door = Some(opened),
             Err(error) => warn!(path = %path.display(), %error, "upgrade.impossible"),
         }
@@ -190,9 +197,9 @@
     let shared = config.handover.is_some() && door.is_none();
     let (mut from, mut socket, mut rest) = (None, None, None);
     let mut initial = InitialList { listing: config.known, versioned: true, inherited: false };
-    if let Some(Inheritance { listener, siblings, offer, listing, wire }) = inheritance {
+    if let Some(Inheritance { listener, peers, offer, listing, wire }) = inheritance {
         listener.set_nonblocking(true)?;
-        (from, socket) = (Some(TcpListener::from_std(listener)?), siblings);
+        (from, socket) = (Some(TcpListener::from_std(listener)?), peers);
         let same = matches!(config.source, Source::Service(address) if Some(address) == offer.source);
         initial = InitialList {
             listing,
@@ -207,14 +214,14 @@
     };
     let spare = retry_for("listener", || listener.as_fd().try_clone_to_owned()).await?;
     let spare = std::net::TcpListener::from(spare);
-    let siblings = match config.siblings {
-        Some(siblings) => {
-            let address = siblings.listen;
+    let peers = match config.peers {
+        Some(peers) => {
+            let address = peers.listen;
             let socket = match socket {
                 Some(socket) => Ok(socket),
                 None => claim(address, || UdpSocket::bind(address)).await,
             };
-            Some((siblings, socket))
+            Some((peers, socket))
         }
         None => None,
     };
@@ -226,32 +233,32 @@
 
     let (asks, asked) = unbounded_channel();
     let (messages, outgoing) = unbounded_channel();
-    let roster = Arc::new(Mutex::new(Roster::default()));
-    let policy = Policy::new(config.snapshot.settings.clone(), config.seed)?;
+    let endpoint_list = Arc::new(Mutex::new(EndpointList::default()));
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
     let dial_timeout = Duration::from_micros(config.snapshot.settings.limits.dial_timeout);
     let probes = (config.sockets / PROBES).max(1);
     let upstream = Arc::new(UpstreamGroup::new(dial_timeout, config.snapshot.conn_idle, probes));
     upstream.read_reports(config.snapshot.reports);
-    let engine = Engine::new(policy, upstream.clone(), asks.clone(), messages);
-    let current = Arc::new(Current::new(config.snapshot));
+    let engine = Engine::new(scheduler, upstream.clone(), asks.clone(), messages);
+    let current = Arc::new(CurrentSettings::new(config.snapshot));
     let tuned = Tuned {
         document: config.document,
         asks,
         engine: engine.clone(),
         upstream: upstream.clone(),
         current: current.clone(),
-        roster: roster.clone(),
+        endpoint_list: endpoint_list.clone(),
     };
     tokio::spawn(tuned.reload_on(hangup, flags, logs));
     tokio::spawn(engine.clone().run_timers());
-    let siblings = siblings.and_then(|(config, socket)| {
+    let peers = peers.and_then(|(config, socket)| {
         let socket = socket.and_then(|socket| {
             let spare = socket.try_clone().map_err(|error| error.to_string())?;
-            let siblings = siblings::run(config, socket, engine.clone(), kin.clone(), outgoing);
-            tokio::spawn(siblings.map_err(|error| error.to_string())?);
+            let peers = peers::run(config, socket, engine.clone(), process_links.clone(), outgoing);
+            tokio::spawn(peers.map_err(|error| error.to_string())?);
             Ok(spare)
         });
-        socket.map_err(|error| error!(error, "siblings.failed")).ok()
+        socket.map_err(|error| error!(error, "peer_socket.failed")).ok()
     });
     let discovery = Discovery::start(
         config.source,
@@ -259,39 +266,50 @@
         initial,
         engine.clone(),
         upstream.clone(),
-        roster.clone(),
+        endpoint_list.clone(),
     );
     let mut confirmed = discovery.confirmed();
     tokio::spawn(discovery.run(asked));
-    let front = Front::new(
+    let client_server = ClientServer::new(
         engine.clone(),
         upstream.clone(),
         current,
         config.sockets,
         config.memory,
-        life.clone(),
-        kin.clone(),
+        lifecycle.clone(),
+        process_links.clone(),
     );
-    tokio::spawn(front.clone().serve(listener));
+    tokio::spawn(client_server.clone().serve(listener));
     let (name, listen) = (config.name, spare.local_addr()?);
-    let house = House { name, listen, listener: spare, siblings, roster, life, engine, upstream, front, kin };
-    let house = Arc::new(house);
+    let handover_server = HandoverServer {
+        name,
+        listen,
+        listener: spare,
+        peers,
+        endpoint_list,
+        lifecycle,
+        engine,
+        upstream,
+        client_server,
+        process_links,
+    };
+    let handover_server = Arc::new(handover_server);
     if *confirmed.borrow() {
-        house.life.started();
+        handover_server.lifecycle.started();
     } else {
-        let life = house.life.clone();
+        let lifecycle = handover_server.lifecycle.clone();
         tokio::spawn(async move {
             // If no answer comes, the module sends by the saved list from then on: there is no better one.
             let wait = Duration::from_micros(CONFIRM_WITHIN);
             let _ = timeout(wait, confirmed.wait_for(|confirmed| *confirmed)).await;
-            life.started();
+            lifecycle.started();
         });
     }
     if let Some((wire, connections)) = rest {
-        house.taken(wire, connections);
+        handover_server.taken(wire, connections);
     }
     if let (Some(door), Some(path)) = (door, config.handover) {
-        tokio::spawn(house.clone().receive(path, door));
+        tokio::spawn(handover_server.clone().receive(path, door));
     }
-    Ok(house)
+    Ok(handover_server)
 }
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -3,11 +3,11 @@
 //! Owns which snapshot is current. Whoever works on a request keeps the one that the request was taken under. It must
 //! never check a value: what is swapped in has been checked.
 
-use crate::list::listing::Names;
-use crate::peers::load::Reports;
-use silverproxy::interface::{Class, Settings, Tenant, TenantId};
+use crate::discovery::document::Names;
+use crate::workers::load::Reports;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
+use vetchbridge_scheduling::interface::{Class, Settings, Tenant, TenantId};
 
 /// Settings, whole.
 pub struct Snapshot {
@@ -15,9 +15,9 @@
     pub settings: Settings,
     /// What the settings' indices are called on the sockets.
     pub names: Names,
-    /// A peer closes a connection that has been idle for this long.
+    /// A worker closes a connection that has been idle for this long.
     pub conn_idle: Duration,
-    /// Which load reports of peers count.
+    /// Which load reports of workers count.
     pub reports: Reports,
 }
 
@@ -26,7 +26,7 @@
     /// request names none of them must not use up what is another's.
     pub fn new(mut settings: Settings, names: Names, conn_idle: Duration, reports: Reports) -> Snapshot {
         if !settings.tenants.is_empty() {
-            settings.tenants.push(Tenant { allowance_per_s: 0.0 });
+            settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
         Snapshot { settings, names, conn_idle, reports }
     }
@@ -50,12 +50,12 @@
 }
 
 /// The snapshot in force.
-pub struct Current(Mutex<Arc<Snapshot>>);
+pub struct CurrentSettings(Mutex<Arc<Snapshot>>);
 
-impl Current {
+impl CurrentSettings {
     /// Begins with this one.
-    pub fn new(snapshot: Snapshot) -> Current {
-        Current(Mutex::new(Arc::new(snapshot)))
+    pub fn new(snapshot: Snapshot) -> CurrentSettings {
+        CurrentSettings(Mutex::new(Arc::new(snapshot)))
     }
 
     /// The one in force now.
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -4,12 +4,12 @@
 
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
-use silverproxy::interface::ReportVia;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 use vetchbridge::config::{load, read_file, Flags};
-use vetchbridge::peers::load::{FreeSlots, Reports};
+use vetchbridge::workers::load::{FreeSlots, Reports};
+use vetchbridge_scheduling::interface::LoadReportSource;
 
 fn file(name: &str, text: &str) -> PathBuf {
     static FILES: AtomicU32 = AtomicU32::new(0);
@@ -59,7 +59,7 @@
 )]
 #[case::nobody(
     "[[class]]\nname = \"c\"\nrepeat = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"",
-    "1:1: discovery: no discovery and no peer"
+    "1:1: discovery: no discovery and no worker"
 )]
 #[case::syntax("name = \"n\nlisten = 3", "1:")]
 fn a_fault_of_shape_is_named_with_its_place_and_its_remedy(#[case] text: &str, #[case] expected: &str) {
@@ -149,10 +149,10 @@
         &text.replace("probe = false", "probe = true").replace("probe = 0.0", "probe = 0.01"),
     );
     let snapshot = read_file(&path).expect("it reads").config.snapshot;
-    assert_eq!(snapshot.reports, Reports { via: ReportVia::Probes, free_slots: FreeSlots::X1 });
+    assert_eq!(snapshot.reports, Reports { via: LoadReportSource::Probes, free_slots: FreeSlots::X1 });
     let settings = snapshot.settings;
-    assert_eq!((settings.report_via, settings.limits.may_probe), (ReportVia::Probes, true));
-    assert_eq!(settings.prices.probe, 0.01);
+    assert_eq!((settings.load_report_source, settings.limits.may_probe), (LoadReportSource::Probes, true));
+    assert_eq!(settings.cost_weights.probe, 0.01);
 }
 
 #[test]
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -1,5 +1,5 @@
-//! Answers of peers that are cut, come twice or never end, and connections that end while they are idle: one story for each
-//! way. The peer is a blocking socket, so that what it says is with the kernel before the runtime can look at any socket.
+//! Answers of workers that are cut, come twice or never end, and connections that end while they are idle: one story for each
+//! way. The worker is a blocking socket, so that what it says is with the kernel before the runtime can look at any socket.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,26 +10,28 @@
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_linger;
 use serde_json::json;
-use silverproxy::interface::{ListKind, MemberState, RequestId, Status, WorkerId};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::spawn_blocking;
-use vetchbridge::peers::{worker_id, Callback, Ended, ListedPeer, Parcel, Terms, UpstreamGroup};
+use vetchbridge::workers::{
+    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+};
+use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome, RequestId, WorkerId};
 
 const MINUTE: Duration = Duration::from_secs(60);
 const ID: &str = "00000000000000ab";
 const TURNED_AWAY: &str = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// A group that knows one peer, `s-0`.
+/// A group that knows one worker, `s-0`.
 struct Stage {
     group: UpstreamGroup,
     listener: TcpListener,
     worker: WorkerId,
 }
 
-/// The peer's end of a connection.
+/// The worker's end of a connection.
 struct Line(TcpStream);
 
 impl Line {
@@ -68,9 +70,9 @@
         let (listener, worker) = (TcpListener::bind("127.0.0.1:0").expect("a port"), worker_id("s-0"));
         let group = UpstreamGroup::new(dial, MINUTE, 1);
         let address = listener.local_addr().expect("bound").to_string();
-        let (name, state) = ("s-0", MemberState::Ready);
-        let entry = ListedPeer { worker, name, address: &address, state, started: 0 };
-        group.apply(ListKind::Changes, [entry].into_iter());
+        let (name, state) = ("s-0", EndpointState::Ready);
+        let entry = ListedWorker { worker_id: worker, name, address: &address, state, started: 0 };
+        group.apply(EndpointUpdate::Changes, [entry].into_iter());
         Stage { group, listener, worker }
     }
 
@@ -89,26 +91,26 @@
         assert!(self.group.called_back(&callback));
     }
 
-    async fn attempt_of(&self, parcel: Parcel, cancelled: oneshot::Receiver<()>) -> Ended {
-        let terms = Terms::within(MINUTE);
-        self.group.attempt(RequestId(0xab), self.worker, &parcel, terms, cancelled, |_| {}).await.0
+    async fn attempt_of(&self, payload: Payload, cancelled: oneshot::Receiver<()>) -> AttemptResult {
+        let conditions = SendConditions::within(MINUTE);
+        self.group.attempt(RequestId(0xab), self.worker, &payload, conditions, cancelled, |_| {}).await.0
     }
 
-    async fn attempt(&self) -> Ended {
+    async fn attempt(&self) -> AttemptResult {
         let (_cancel, cancelled) = oneshot::channel();
-        self.attempt_of(parcel(None, "work"), cancelled).await
+        self.attempt_of(payload(None, "work"), cancelled).await
     }
 
     /// A connection that is idle since just now: its answer was read to the end, as the attempt's end tells.
     async fn kept(&self) -> Line {
-        let peer = async {
+        let worker = async {
             let mut line = self.accept().await;
             line.reads().await.expect("the job");
             line.says(TURNED_AWAY);
             line
         };
-        let (ended, line) = tokio::join!(self.attempt(), peer);
-        assert_eq!(ended, Ended::Not(Status::Full));
+        let (ended, line) = tokio::join!(self.attempt(), worker);
+        assert_eq!(ended, AttemptResult::NotServed(Outcome::Rejected));
         // The pool's own tasks put it back.
         for _ in 0..8 {
             tokio::task::yield_now().await;
@@ -117,13 +119,13 @@
     }
 }
 
-fn parcel(key: Option<&str>, body: &'static str) -> Parcel {
+fn payload(key: Option<&str>, body: &'static str) -> Payload {
     let target = PathAndQuery::from_static("/safe/k?a=1");
-    Parcel { id: ID.to_string(), target, idempotency_key: key.map(str::to_string), body: body.into() }
+    Payload { id: ID.to_string(), target, idempotency_key: key.map(str::to_string), body: body.into() }
 }
 
-fn served() -> Ended {
-    Ended::Served(Bytes::from_static(b"made"))
+fn served() -> AttemptResult {
+    AttemptResult::Served(Bytes::from_static(b"made"))
 }
 
 #[derive(Clone, Copy)]
@@ -133,7 +135,7 @@
     Reset,
 }
 
-/// What a peer has said on an idle connection, or that it has ended it, may be with the kernel and not be known here yet. The
+/// What a worker has said on an idle connection, or that it has ended it, may be with the kernel and not be known here yet. The
 /// next request is not written then, whatever its class it never ran, and no answer is taken for its own. Both right after
 /// the answer before, while the connection rests, and long after it.
 #[rstest]
@@ -163,11 +165,11 @@
         Says::End => line.0.shutdown(Shutdown::Write).expect("ended"),
         Says::Reset => {
             line.resets();
-            assert_eq!(attempt.await, Ended::Not(Status::ConnectFailed));
+            assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
             return;
         }
     }
-    assert_eq!(attempt.await, Ended::Not(Status::ConnectFailed));
+    assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
     let heard = spawn_blocking(move || line.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
     assert_eq!(heard, 0, "not a byte was written");
     // The next one goes over a connection of its own.
@@ -189,7 +191,7 @@
         tokio::task::yield_now().await;
     }
     line.says(TURNED_AWAY);
-    assert_eq!(attempt.await, Ended::Not(Status::ConnectFailed));
+    assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
     let heard = spawn_blocking(move || line.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
     assert_eq!(heard, 0, "not a byte was written");
 }
@@ -202,11 +204,11 @@
     let stage = Stage::set(MINUTE);
     let mut line = stage.kept().await;
     for _ in 0..3 {
-        let peer = async {
+        let worker = async {
             line.reads().await.expect("the job");
             line.says(TURNED_AWAY);
         };
-        assert_eq!(tokio::join!(stage.attempt(), peer).0, Ended::Not(Status::Full));
+        assert_eq!(tokio::join!(stage.attempt(), worker).0, AttemptResult::NotServed(Outcome::Rejected));
     }
 }
 
@@ -218,7 +220,7 @@
     let stage = Stage::set(MINUTE);
     let mut line = stage.kept().await;
     let (cancel, cancelled) = oneshot::channel();
-    let attempt = stage.attempt_of(parcel(None, "work"), cancelled);
+    let attempt = stage.attempt_of(payload(None, "work"), cancelled);
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
     // The connection's task takes it, and holds it back.
@@ -226,35 +228,35 @@
         tokio::task::yield_now().await;
     }
     cancel.send(()).expect("it waits");
-    assert_eq!(attempt.await, Ended::Not(Status::Moot));
+    assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::NotSent));
     assert_eq!(line.reads().await, None);
 }
 
 /// Half an answer is none, and is waited for no longer than silence is. What follows the head decides nothing.
 #[rstest]
-#[case::half_a_line("HTTP/1.1 20", Status::Silent)]
-#[case::half_a_head("HTTP/1.1 202 Accepted\r\ncontent-le", Status::Silent)]
-#[case::hints_without_end("HTTP/1.1 103 Early Hints\r\n\r\n", Status::Silent)]
+#[case::half_a_line("HTTP/1.1 20", Outcome::NoResponse)]
+#[case::half_a_head("HTTP/1.1 202 Accepted\r\ncontent-le", Outcome::NoResponse)]
+#[case::hints_without_end("HTTP/1.1 103 Early Hints\r\n\r\n", Outcome::NoResponse)]
 #[case::turned_away_without_end(
     "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 10\r\n\r\nabc",
-    Status::Full
+    Outcome::Rejected
 )]
 #[case::failed_without_end(
     "HTTP/1.1 500 No\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
-    Status::Error
+    Outcome::Error
 )]
 #[timeout(HANG)]
 #[tokio::test]
-async fn an_answer_that_never_ends_holds_no_attempt(#[case] answer: &str, #[case] expected: Status) {
+async fn an_answer_that_never_ends_holds_no_attempt(#[case] answer: &str, #[case] expected: Outcome) {
     let stage = Stage::set(Duration::from_millis(500));
-    let peer = async {
+    let worker = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job");
         line.says(answer);
         line
     };
-    let (ended, _line) = tokio::join!(stage.attempt(), peer);
-    assert_eq!(ended, Ended::Not(expected));
+    let (ended, _line) = tokio::join!(stage.attempt(), worker);
+    assert_eq!(ended, AttemptResult::NotServed(expected));
 }
 
 /// The head of a 202 says that the job is taken: its connection is given up in time, the job goes on, and is called off by a
@@ -268,11 +270,11 @@
 async fn the_head_of_a_202_is_enough(#[case] answer: &str, #[values(true, false)] goes_on: bool) {
     let stage = Stage::set(Duration::from_millis(500));
     let (cancel, cancelled) = oneshot::channel();
-    let peer = async {
+    let worker = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job");
         line.says(answer);
-        // Longer than a peer may be silent.
+        // Longer than a worker may be silent.
         tokio::time::sleep(Duration::from_secs(1)).await;
         if goes_on {
             stage.calls_back("done");
@@ -284,8 +286,8 @@
         let call = if ended { line.reads().await } else { stage.accept().await.reads().await };
         assert!(call.expect("a call").starts_with(&format!("DELETE /jobs/{ID} ")));
     };
-    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(None, "work"), cancelled), peer);
-    assert_eq!(ended, if goes_on { served() } else { Ended::Not(Status::Cancelled) });
+    let (ended, ()) = tokio::join!(stage.attempt_of(payload(None, "work"), cancelled), worker);
+    assert_eq!(ended, if goes_on { served() } else { AttemptResult::NotServed(Outcome::Cancelled) });
 }
 
 /// The last byte is the last byte: a break after it may have run, whatever the request is made of.
@@ -297,17 +299,17 @@
     #[values("", "w", "work")] body: &'static str,
 ) {
     let stage = Stage::set(MINUTE);
-    let peer = async {
+    let worker = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job");
         line.resets();
     };
     let (_cancel, cancelled) = oneshot::channel();
-    let (ended, ()) = tokio::join!(stage.attempt_of(parcel(key, body), cancelled), peer);
-    assert_eq!(ended, Ended::Not(Status::Reset));
+    let (ended, ()) = tokio::join!(stage.attempt_of(payload(key, body), cancelled), worker);
+    assert_eq!(ended, AttemptResult::NotServed(Outcome::Reset));
 }
 
-/// A peer repeats a word that was not answered. One that has ended an attempt does not end the next one there, which is not
+/// A worker repeats a word that was not answered. One that has ended an attempt does not end the next one there, which is not
 /// even taken yet; what it says after that one's 202 is about that one.
 #[rstest]
 #[timeout(HANG)]
@@ -323,7 +325,7 @@
         stage.calls_back(state);
     };
     let (ended, ()) = tokio::join!(stage.attempt(), first);
-    assert!(matches!(ended, Ended::Not(Status::Full | Status::Error | Status::Reset)));
+    assert!(matches!(ended, AttemptResult::NotServed(Outcome::Rejected | Outcome::Error | Outcome::Reset)));
     let second = async {
         let mut line = stage.accept().await;
         line.reads().await.expect("the job again");
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to peers that come up late, and what was decided long before: one story for each thing that may no longer hold
+//! Connections to workers that come up late, and what was decided long before: one story for each thing that may no longer hold
 //! at the first byte. The kernel drops the first call of a dial while a listener's queue is full, and repeats it after a
 //! second; nothing here waits for that time to pass but by waiting for the connection.
 #![allow(missing_docs)]
@@ -8,11 +8,8 @@
 use bytes::Bytes;
 use common::HANG;
 use hyper::http::uri::PathAndQuery;
-use platform::wire::Wire;
 use rstest::rstest;
 use serde_json::json;
-use silverproxy::interface::*;
-use silverproxy::policy::Policy;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -22,9 +19,14 @@
 use tokio::sync::oneshot;
 use vetchbridge::config::read_text;
 use vetchbridge::engine::Engine;
-use vetchbridge::peers::{worker_id, Callback, Ended, ListedPeer, Parcel, Terms, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
-use vetchbridge::upgrade::kin::Kin;
+use vetchbridge::upgrade::process_links::ProcessLinks;
+use vetchbridge::workers::{
+    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+};
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_testbed::wire::Wire;
 
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -53,14 +55,17 @@
     }
 }
 
-fn tell(group: &UpstreamGroup, narrow: &Narrow, state: MemberState, started: Micros) {
+fn tell(group: &UpstreamGroup, narrow: &Narrow, state: EndpointState, started: Micros) {
     let (worker, name, address) = (worker_id("s-0"), "s-0", &*narrow.address.to_string());
-    group.apply(ListKind::Changes, [ListedPeer { worker, name, address, state, started }].into_iter());
+    group.apply(
+        EndpointUpdate::Changes,
+        [ListedWorker { worker_id: worker, name, address, state, started }].into_iter(),
+    );
 }
 
-fn parcel(id: &str) -> Parcel {
+fn payload(id: &str) -> Payload {
     let target = PathAndQuery::from_static("/safe/k");
-    Parcel { id: id.to_string(), target, idempotency_key: None, body: Bytes::from_static(b"work") }
+    Payload { id: id.to_string(), target, idempotency_key: None, body: Bytes::from_static(b"work") }
 }
 
 fn callback(id: &str, state: &str) -> Callback {
@@ -83,57 +88,60 @@
 /// A connection comes up long after its dial began. What the attempt was sent under must still hold at its first byte; if it
 /// does not, no byte is written, and the attempt never ran. A callback that comes meanwhile is about an earlier attempt.
 #[rstest]
-#[case::all_holds(Change::Nothing, Ended::Served("made".into()))]
-#[case::nobody_waits_any_more(Change::RequestOver, Ended::Not(Status::Moot))]
-#[case::the_time_is_up(Change::TimeUp, Ended::Not(Status::Moot))]
-#[case::the_peer_drains(Change::Drains, Ended::Not(Status::ConnectFailed))]
-#[case::the_peer_starts_anew(Change::StartsAnew, Ended::Not(Status::Moot))]
-#[case::the_peer_starts_anew_by_a_clock_that_was_stepped_back(
+#[case::all_holds(Change::Nothing, AttemptResult::Served("made".into()))]
+#[case::nobody_waits_any_more(Change::RequestOver, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_time_is_up(Change::TimeUp, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_worker_drains(Change::Drains, AttemptResult::NotServed(Outcome::ConnectFailed))]
+#[case::the_worker_starts_anew(Change::StartsAnew, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_worker_starts_anew_by_a_clock_that_was_stepped_back(
     Change::StartsAnewAfterItsClockWasSteppedBack,
-    Ended::Not(Status::Moot)
+    AttemptResult::NotServed(Outcome::NotSent)
 )]
-#[case::an_earlier_attempt_is_handed_back(Change::ReturnedBefore, Ended::Served("made".into()))]
-#[case::an_earlier_attempt_is_done(Change::DoneBefore, Ended::Served("made".into()))]
+#[case::an_earlier_attempt_is_handed_back(Change::ReturnedBefore, AttemptResult::Served("made".into()))]
+#[case::an_earlier_attempt_is_done(Change::DoneBefore, AttemptResult::Served("made".into()))]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_late_connection_carries_only_what_still_holds(#[case] change: Change, #[case] expected: Ended) {
+async fn a_late_connection_carries_only_what_still_holds(
+    #[case] change: Change,
+    #[case] expected: AttemptResult,
+) {
     const ID: &str = "00000000000000ab";
     const STARTED: Micros = 7;
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, MemberState::Ready, STARTED);
+    tell(&group, &narrow, EndpointState::Ready, STARTED);
     let _filler = narrow.fill().await;
-    let mut terms = Terms::within(MINUTE);
+    let mut conditions = SendConditions::within(MINUTE);
     if change == Change::TimeUp {
         // Over before the kernel calls again.
-        terms.begin_within = Duration::from_micros(1);
+        conditions.begin_within = Duration::from_micros(1);
     }
-    let (over, parcel, (_cancel, cancelled)) = (terms.over.clone(), parcel(ID), oneshot::channel());
-    let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &parcel, terms, cancelled, |_| {});
+    let (over, payload, (_cancel, cancelled)) = (conditions.over.clone(), payload(ID), oneshot::channel());
+    let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
     match change {
         Change::Nothing | Change::TimeUp => {}
         Change::RequestOver => over.store(true, Ordering::Relaxed),
-        Change::Drains => tell(&group, &narrow, MemberState::Draining, STARTED),
-        Change::StartsAnew => tell(&group, &narrow, MemberState::Ready, STARTED + 1),
+        Change::Drains => tell(&group, &narrow, EndpointState::Draining, STARTED),
+        Change::StartsAnew => tell(&group, &narrow, EndpointState::Ready, STARTED + 1),
         Change::StartsAnewAfterItsClockWasSteppedBack => {
-            tell(&group, &narrow, MemberState::Ready, STARTED - 1);
+            tell(&group, &narrow, EndpointState::Ready, STARTED - 1);
         }
         Change::ReturnedBefore => assert!(group.called_back(&callback(ID, "returned"))),
         Change::DoneBefore => assert!(group.called_back(&callback(ID, "done"))),
     }
-    let peer = async {
+    let worker = async {
         narrow.accept().await.closed_by_the_story();
-        let mut peer = narrow.accept().await;
-        if let Some(job) = peer.read().await {
+        let mut worker = narrow.accept().await;
+        if let Some(job) = worker.read().await {
             assert_eq!(job.header("x-trace-id"), Some(ID));
-            peer.answer(202, "", "").await.expect("it is read");
+            worker.answer(202, "", "").await.expect("it is read");
             assert!(group.called_back(&callback(ID, "done")));
             return true;
         }
         false
     };
-    tokio::pin!(peer);
+    tokio::pin!(worker);
     match change {
         // The dial goes with the attempt: there is no connection to wait for.
         Change::Drains
@@ -143,11 +151,11 @@
             tokio::select! {
                 biased;
                 (ended, _) = attempt => assert_eq!(ended, expected),
-                written = &mut peer => panic!("a connection came, written to: {written}"),
+                written = &mut worker => panic!("a connection came, written to: {written}"),
             }
         }
         _ => {
-            let ((ended, _), written) = tokio::join!(attempt, peer);
+            let ((ended, _), written) = tokio::join!(attempt, worker);
             let holds = matches!(change, Change::Nothing | Change::ReturnedBefore);
             assert_eq!((ended, written), (expected, holds));
         }
@@ -173,63 +181,65 @@
     /// Between the first byte and its reading here; less than the second for which the kernel pauses.
     const READ_WITHIN: Duration = Duration::from_millis(500);
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, MemberState::Ready, 0);
+    tell(&group, &narrow, EndpointState::Ready, 0);
     let _filler = narrow.fill().await;
-    let (parcel, (_cancel, cancelled)) = (parcel("00000000000000ab"), oneshot::channel());
+    let (payload, (_cancel, cancelled)) = (payload("00000000000000ab"), oneshot::channel());
     let decided = std::time::Instant::now();
     let worker = worker_id("s-0");
-    let attempt = group.attempt(RequestId(0xab), worker, &parcel, Terms::within(WAIT), cancelled, |_| {});
+    let attempt =
+        group.attempt(RequestId(0xab), worker, &payload, SendConditions::within(WAIT), cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
-    let peer = async {
+    let worker = async {
         narrow.accept().await.closed_by_the_story();
-        let mut peer = narrow.accept().await;
-        let job = peer.read().await.expect("the job");
+        let mut worker = narrow.accept().await;
+        let job = worker.read().await.expect("the job");
         let read = decided.elapsed();
-        peer.answer(202, "", "").await.expect("it is read");
+        worker.answer(202, "", "").await.expect("it is read");
         assert!(group.called_back(&callback("00000000000000ab", "done")));
         let told = job.header("x-expires-in").expect("a span");
         let micros = told.strip_suffix('u').and_then(|digits| digits.parse().ok()).expect("microseconds");
         (Duration::from_micros(micros), read)
     };
-    let ((ended, _), (told, read)) = tokio::join!(attempt, peer);
-    assert_eq!(ended, Ended::Served("made".into()));
+    let ((ended, _), (told, read)) = tokio::join!(attempt, worker);
+    assert_eq!(ended, AttemptResult::Served("made".into()));
     assert!(told + read <= WAIT + READ_WITHIN, "told {told:?} when {read:?} of {WAIT:?} were over");
     assert!(told + read >= WAIT, "told {told:?} when {read:?} of {WAIT:?} were over");
 }
 
-/// Two requests wait for one peer, and the first is called off. Connections that come up afterwards carry the second alone.
+/// Two requests wait for one worker, and the first is called off. Connections that come up afterwards carry the second alone.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_late_connection_is_not_written_to_for_a_request_that_is_gone() {
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, MemberState::Ready, 0);
+    tell(&group, &narrow, EndpointState::Ready, 0);
     let _filler = narrow.fill().await;
-    let (first, second) = (parcel("00000000000000ab"), parcel("00000000000000cd"));
+    let (first, second) = (payload("00000000000000ab"), payload("00000000000000cd"));
     let ((cancel, cancelled), (_keep, kept)) = (oneshot::channel(), oneshot::channel());
     let worker = worker_id("s-0");
-    let gone = group.attempt(RequestId(0xab), worker, &first, Terms::within(MINUTE), cancelled, |_| {});
-    let stays = group.attempt(RequestId(0xcd), worker, &second, Terms::within(MINUTE), kept, |_| {});
+    let gone =
+        group.attempt(RequestId(0xab), worker, &first, SendConditions::within(MINUTE), cancelled, |_| {});
+    let stays = group.attempt(RequestId(0xcd), worker, &second, SendConditions::within(MINUTE), kept, |_| {});
     tokio::pin!(gone, stays);
     assert!(
         futures_util::poll!(gone.as_mut()).is_pending() && futures_util::poll!(stays.as_mut()).is_pending()
     );
     cancel.send(()).expect("it waits");
-    assert_eq!(gone.await.0, Ended::Not(Status::Moot), "it never ran");
-    let peer = async {
+    assert_eq!(gone.await.0, AttemptResult::NotServed(Outcome::NotSent), "it never ran");
+    let worker = async {
         narrow.accept().await.closed_by_the_story();
-        let mut peer = narrow.accept().await;
-        let job = peer.read().await.expect("the job that is wanted");
+        let mut worker = narrow.accept().await;
+        let job = worker.read().await.expect("the job that is wanted");
         assert_eq!(job.header("x-trace-id"), Some("00000000000000cd"));
-        peer.answer(202, "", "").await.expect("it is read");
+        worker.answer(202, "", "").await.expect("it is read");
         assert!(group.called_back(&callback("00000000000000cd", "done")));
     };
-    let ((ended, _), ()) = tokio::join!(stays, peer);
-    assert_eq!(ended, Ended::Served("made".into()));
+    let ((ended, _), ()) = tokio::join!(stays, worker);
+    assert_eq!(ended, AttemptResult::Served("made".into()));
 }
 
-/// A keyed job may have run at its first peer. The second one's connection comes up when peers drop its repeat no longer: it
+/// A keyed job may have run at its first worker. The second one's connection comes up when workers drop its repeat no longer: it
 /// is not written, and the client has an answer at once.
 #[rstest]
 #[timeout(HANG)]
@@ -243,44 +253,51 @@
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
     let config = read_text("late", &document.to_string()).expect("it reads").config;
-    let policy = Policy::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
-    let engine = Engine::new(policy, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
+    let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
     tokio::spawn(engine.clone().run_timers());
-    let peers = [Narrow::open(), Narrow::open()];
-    let (names, ready) = (["s-0", "s-1"], MemberState::Ready);
-    let addresses = peers.each_ref().map(|peer| peer.address.to_string());
+    let workers = [Narrow::open(), Narrow::open()];
+    let (names, ready) = (["s-0", "s-1"], EndpointState::Ready);
+    let addresses = workers.each_ref().map(|worker| worker.address.to_string());
     let entries = names.iter().zip(&addresses).map(|(name, address)| {
         let worker = worker_id(name);
-        ListedPeer { worker, name, address, state: ready, started: 0 }
+        ListedWorker { worker_id: worker, name, address, state: ready, started: 0 }
     });
-    upstream.apply(ListKind::Full, entries);
-    let member = |name| Member {
+    upstream.apply(EndpointUpdate::Snapshot, entries);
+    let endpoint = |name| Endpoint {
         worker: worker_id(name),
         zone: ZoneId(0),
         kind: KindId(0),
         cell: CellId(0),
         state: ready,
-        units: 1.0,
-        born: 0,
+        weight: 1.0,
+        started_at: 0,
     };
-    engine.handle(Event::Members { kind: ListKind::Full, members: names.map(member).to_vec() });
+    engine.handle(Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: names.map(endpoint).to_vec(),
+    });
     let request = Request {
         id: RequestId(0xab),
         class: ClassId(0),
         tenant: TenantId(0),
         key: Some("k".to_string()),
-        due: engine.clock.now() + 60_000_000,
+        deadline: engine.clock.now() + 60_000_000,
         expected_work: None,
         slots: 1.0,
         retry: false,
     };
-    let job =
-        Job { request, parcel: parcel("00000000000000ab"), settings: Arc::new(config.snapshot), room: None };
-    let answer = submit(engine.clone(), upstream.clone(), Arc::new(Kin::default()), job);
+    let job = Job {
+        request,
+        payload: payload("00000000000000ab"),
+        settings: Arc::new(config.snapshot),
+        room: None,
+    };
+    let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), job);
     let (mut first, other) = tokio::select! {
-        peer = peers[0].accept() => (peer, &peers[1]),
-        peer = peers[1].accept() => (peer, &peers[0]),
+        worker = workers[0].accept() => (worker, &workers[1]),
+        worker = workers[1].accept() => (worker, &workers[0]),
     };
     first.read().await.expect("the job");
     let _filler = other.fill().await;
@@ -295,6 +312,6 @@
     };
     let (written, answer) = tokio::join!(late, answer);
     assert_eq!(written, None, "the window was over");
-    // A refusal would promise that trying again is harmless, and peers drop a repeat no longer.
+    // A refusal would promise that trying again is harmless, and workers drop a repeat no longer.
     assert_eq!(answer.expect("an answer"), Answer::Failed);
 }
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -4,11 +4,8 @@
 
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
-use platform::wire::Wire;
 use rstest::rstest;
 use serde_json::{json, Value};
-use silverproxy::interface::*;
-use silverproxy::policy::Policy;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -18,14 +15,17 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 use vetchbridge::config::read_text;
+use vetchbridge::discovery::client::{Discovery, InitialList};
+use vetchbridge::discovery::document::{EndpointList, InstanceState, Source};
+use vetchbridge::discovery::request::DiscoveryRequest;
 use vetchbridge::engine::Engine;
-use vetchbridge::list::ask::Ask;
-use vetchbridge::list::discovery::{Discovery, InitialList};
-use vetchbridge::list::listing::{Lifecycle, Roster, Source};
-use vetchbridge::peers::{request_id, Callback, Parcel, UpstreamGroup};
 use vetchbridge::request::{submit, Answer, Job};
-use vetchbridge::snapshot::{Current, Snapshot};
-use vetchbridge::upgrade::kin::Kin;
+use vetchbridge::snapshot::{CurrentSettings, Snapshot};
+use vetchbridge::upgrade::process_links::ProcessLinks;
+use vetchbridge::workers::{request_id, Callback, Payload, UpstreamGroup};
+use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_testbed::wire::Wire;
 
 /// The seed of the module's random numbers where none is named.
 const SEED: u64 = 0x5eed;
@@ -39,11 +39,11 @@
 struct Parts {
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
-    current: Arc<Current>,
-    asks: Option<UnboundedReceiver<Ask>>,
+    current: Arc<CurrentSettings>,
+    asks: Option<UnboundedReceiver<DiscoveryRequest>>,
     discovery: TcpListener,
-    roster: Arc<Mutex<Roster>>,
-    ask: UnboundedSender<Ask>,
+    endpoint_list: Arc<Mutex<EndpointList>>,
+    ask: UnboundedSender<DiscoveryRequest>,
 }
 
 impl Parts {
@@ -76,18 +76,18 @@
                 "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                           "tip_multiple": 2.5, "fall": 2_000_000}}});
         let config = read_text("parts", &document.to_string()).expect("it reads").config;
-        let policy = Policy::new(config.snapshot.settings.clone(), seed).expect("sound settings");
+        let scheduler = Scheduler::new(config.snapshot.settings.clone(), seed).expect("sound settings");
         let upstream = Arc::new(UpstreamGroup::new(HANG, HANG, 1));
         let (asks, asked) = unbounded_channel();
-        let engine = Engine::new(policy, upstream.clone(), asks.clone(), unbounded_channel().0);
+        let engine = Engine::new(scheduler, upstream.clone(), asks.clone(), unbounded_channel().0);
         tokio::spawn(engine.clone().run_timers());
         Parts {
             engine,
             upstream,
-            current: Arc::new(Current::new(config.snapshot)),
+            current: Arc::new(CurrentSettings::new(config.snapshot)),
             asks: Some(asked),
             discovery,
-            roster: Arc::default(),
+            endpoint_list: Arc::default(),
             ask: asks,
         }
     }
@@ -102,14 +102,14 @@
     /// What a reload does that names the same discovery and lists that are asked for (`ask`) or pushed (`push`).
     fn reload(&self, discovers: &str) {
         let mut settings = self.current.get().settings.clone();
-        settings.discovery = match discovers {
-            "push" => silverproxy::interface::Discovery::Push,
-            _ => silverproxy::interface::Discovery::Ask,
+        settings.endpoint_delivery = match discovers {
+            "push" => vetchbridge_scheduling::interface::EndpointDelivery::Push,
+            _ => vetchbridge_scheduling::interface::EndpointDelivery::Poll,
         };
         self.adopt(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
         let source = Source::Service(self.discovery.local_addr().expect("bound"));
-        self.ask.send(Ask::Move(source)).expect("it is served");
+        self.ask.send(DiscoveryRequest::Move(source)).expect("it is served");
     }
 
     /// The next connection that discovery gets, and the call on it.
@@ -134,20 +134,20 @@
             class: ClassId(0),
             tenant: TenantId(0),
             key: Some("k".to_string()),
-            due: self.engine.clock.now() + 60_000_000,
+            deadline: self.engine.clock.now() + 60_000_000,
             expected_work: None,
             slots: 1.0,
             retry: false,
         };
         let target = PathAndQuery::from_static("/receipt/k");
-        let parcel = Parcel { id: id.to_string(), target, idempotency_key: None, body };
-        let job = Job { request, parcel, settings: self.current.get(), room: None };
-        submit(self.engine.clone(), self.upstream.clone(), Arc::new(Kin::default()), job)
+        let payload = Payload { id: id.to_string(), target, idempotency_key: None, body };
+        let job = Job { request, payload, settings: self.current.get(), room: None };
+        submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
     }
 
-    /// The list as told: name and state of each peer.
-    fn list(&self) -> Vec<(String, Lifecycle)> {
-        let (instances, _) = self.roster.lock().expect("no panic").whole();
+    /// The list as told: name and state of each worker.
+    fn list(&self) -> Vec<(String, InstanceState)> {
+        let (instances, _) = self.endpoint_list.lock().expect("no panic").whole();
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
     }
 
@@ -157,9 +157,9 @@
         let listing = serde_json::from_value(known).expect("a list");
         let initial = InitialList { listing, versioned: true, inherited: false };
         let source = Source::Service(self.discovery.local_addr().expect("bound"));
-        let roster = self.roster.clone();
+        let endpoint_list = self.endpoint_list.clone();
         let (current, engine, upstream) = (self.current.clone(), self.engine.clone(), self.upstream.clone());
-        let discovery = Discovery::start(source, current, initial, engine, upstream, roster);
+        let discovery = Discovery::start(source, current, initial, engine, upstream, endpoint_list);
         tokio::spawn(discovery.run(self.asks.take().expect("followed once")));
     }
 }
@@ -198,7 +198,7 @@
 }
 
 /// Whether a job that must not run twice goes on is a matter of its last byte alone: a connection that breaks before it was
-/// written carried nothing that a peer may begin; one that breaks after it ends the job, which is not sent again.
+/// written carried nothing that a worker may begin; one that breaks after it ends the job, which is not sent again.
 #[rstest]
 #[case::before(16 << 20, 1, true)]
 #[case::after(4, 4, false)]
@@ -266,7 +266,7 @@
     parts.follow(json!([instance("s-a", a.local_addr().unwrap()), instance("s-b", b.local_addr().unwrap())]));
     let _watch = parts.confirm().await;
     let mut settings = parts.current.get().settings.clone();
-    settings.classes[0].effect = Effect::Safe;
+    settings.classes[0].idempotency = Idempotency::Idempotent;
     parts.engine.handle(Event::Settings(Box::new(settings.clone())));
     if safe {
         parts.adopt(settings);
@@ -323,12 +323,12 @@
     }
 }
 
-/// A peer starts anew under its name and address while a job waits for a connection to it: the new process is cold, so the
+/// A worker starts anew under its name and address while a job waits for a connection to it: the new process is cold, so the
 /// job, which nobody has had yet, is decided anew at once, and goes where there is room.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_job_that_waits_for_a_connection_is_decided_anew_when_its_peer_starts_anew() {
+async fn a_job_that_waits_for_a_connection_is_decided_anew_when_its_worker_starts_anew() {
     let mut parts = Parts::of(1).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
@@ -352,8 +352,8 @@
     anew["startedAtMs"] = (parts.engine.clock.now() / 1000).into();
     let listed = json!([anew, instance("s-b", warm.local_addr().expect("bound"))]);
     watch.answer(200, "", &list(3, listed)).await.expect("it is read");
-    let mut peer = Wire::new(warm.accept().await.expect("a connection").0);
-    assert_eq!(peer.read().await.expect("the job").header("x-trace-id"), Some("00000000000000ab"));
+    let mut worker = Wire::new(warm.accept().await.expect("a connection").0);
+    assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some("00000000000000ab"));
 }
 
 /// What a silent watch missed counts as told 6 s after its call, so that it has to be opened anew before that, however many
@@ -365,7 +365,7 @@
     let mut parts = Parts::of(300).await;
     parts.follow(json!([]));
     let mut wire = Wire::new(parts.discovery.accept().await.expect("the watch").0);
-    let asked = |call: Option<platform::wire::Message>| call.expect("a call").target().to_string();
+    let asked = |call: Option<vetchbridge_testbed::wire::Message>| call.expect("a call").target().to_string();
     assert!(asked(wire.read().await).contains("index=1&wait="));
     wire.answer(200, "", r#"{"generation":2,"reset":false,"instances":[]}"#).await.expect("it is read");
     assert!(asked(wire.read().await).contains("index=2&wait="));
@@ -505,12 +505,12 @@
     let (mut beside, target) = parts.call().await;
     assert!(called.elapsed() < Duration::from_millis(1_500), "{:?}", called.elapsed());
     assert_eq!(target, "/registry/instances?index=1&wait=0");
-    let peer = instance("s-new", "127.0.0.1:9".parse().expect("an address"));
-    let list = json!({"generation": 2, "reset": false, "instances": [peer]}).to_string();
+    let worker = instance("s-new", "127.0.0.1:9".parse().expect("an address"));
+    let list = json!({"generation": 2, "reset": false, "instances": [worker]}).to_string();
     beside.answer(200, "", &list).await.expect("it is read");
     let next = beside.read().await.expect("the watch goes on");
     assert!(next.target().contains("index=2&wait="), "{}", next.target());
-    assert_eq!(parts.list(), [("s-new".to_string(), Lifecycle::Up)]);
+    assert_eq!(parts.list(), [("s-new".to_string(), InstanceState::Up)]);
 }
 
 /// An answer beside a lost call that breaks off has told its whole entries, as any other.
@@ -530,7 +530,7 @@
         json!({"generation": 2, "reset": false, "instances": [leaves, instance("s-b", address)]}).to_string();
     break_off(beside, &list, "s-b").await;
     at_rest().await;
-    assert!(parts.list().contains(&("s-a".to_string(), Lifecycle::Draining)), "{:?}", parts.list());
+    assert!(parts.list().contains(&("s-a".to_string(), InstanceState::Draining)), "{:?}", parts.list());
 }
 
 /// A first call whose connection never comes up is one that was lost, too.
@@ -649,23 +649,23 @@
 /// An answer that breaks off has told what it holds up to there. Who leaves is heeded whatever the version; who is up, or up
 /// again as another process, only where the answer is no older than the list in hand.
 #[rstest]
-#[case::newer(6, Lifecycle::Up)]
-#[case::as_old(5, Lifecycle::Up)]
-#[case::older(4, Lifecycle::Draining)]
+#[case::newer(6, InstanceState::Up)]
+#[case::as_old(5, InstanceState::Up)]
+#[case::older(4, InstanceState::Draining)]
 #[timeout(HANG)]
 #[tokio::test(start_paused = true)]
 async fn a_list_that_breaks_off_has_told_its_whole_entries(
     #[case] generation: u32,
-    #[case] first: Lifecycle,
+    #[case] first: InstanceState,
 ) {
     let mut parts = Parts::of(1).await;
     parts.follow(json!([]));
     let (mut wire, _) = parts.call().await;
     let address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let (a, b) = (instance("s-a", address), instance("s-b", address));
-    let drains = |mut peer: Value| {
-        peer["lifecycle"] = "draining".into();
-        peer
+    let drains = |mut worker: Value| {
+        worker["lifecycle"] = "draining".into();
+        worker
     };
     let told =
         json!({"generation": 5, "reset": true, "instances": [drains(a.clone()), b.clone()]}).to_string();
@@ -677,7 +677,7 @@
     let text = serde_json::to_string_pretty(&text).expect("JSON");
     break_off(wire, &text, "s-c").await;
     let _next = parts.call().await;
-    assert_eq!(parts.list(), [("s-a".into(), first), ("s-b".into(), Lifecycle::Draining)]);
+    assert_eq!(parts.list(), [("s-a".into(), first), ("s-b".into(), InstanceState::Draining)]);
 }
 
 /// The whole list was asked for, and before it is here the watch brings newer changes: they stand. A version that goes back in
@@ -690,24 +690,24 @@
     parts.follow(json!([]));
     let address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let whole = |generation: u32, state: &str| {
-        let mut peer = instance("s-a", address);
-        peer["lifecycle"] = state.into();
-        json!({"generation": generation, "reset": true, "instances": [peer]}).to_string()
+        let mut worker = instance("s-a", address);
+        worker["lifecycle"] = state.into();
+        json!({"generation": generation, "reset": true, "instances": [worker]}).to_string()
     };
     let (mut watch, _) = parts.call().await;
-    parts.ask.send(Ask::Fetch).expect("it is served");
+    parts.ask.send(DiscoveryRequest::Fetch).expect("it is served");
     let (mut fetch, target) = parts.call().await;
     assert_eq!(target, "/registry/instances");
     watch.answer(200, "", &whole(7, "draining")).await.expect("it is read");
     watch.read().await.expect("the watch goes on");
     fetch.answer(200, "", &whole(6, "up")).await.expect("it is read");
     at_rest().await;
-    assert_eq!(parts.list(), [("s-a".into(), Lifecycle::Draining)]);
-    parts.ask.send(Ask::Fetch).expect("it is served");
+    assert_eq!(parts.list(), [("s-a".into(), InstanceState::Draining)]);
+    parts.ask.send(DiscoveryRequest::Fetch).expect("it is served");
     fetch.read().await.expect("the next call");
     fetch.answer(200, "", &whole(3, "up")).await.expect("it is read");
     at_rest().await;
-    assert_eq!(parts.list(), [("s-a".into(), Lifecycle::Up)]);
+    assert_eq!(parts.list(), [("s-a".into(), InstanceState::Up)]);
 }
 
 /// After a call that failed, the next one must not wait for news: that it is answered is the news that discovery is back. A
@@ -722,8 +722,8 @@
     wire.answer(503, "connection: close\r\n", "").await.expect("it is read");
     let (mut wire, target) = parts.call().await;
     assert_eq!(target, "/registry/instances?index=1&wait=0");
-    parts.ask.send(Ask::Subscribe(true)).expect("it is served");
-    parts.ask.send(Ask::Fetch).expect("it is served");
+    parts.ask.send(DiscoveryRequest::Subscribe(true)).expect("it is served");
+    parts.ask.send(DiscoveryRequest::Fetch).expect("it is served");
     let (_fetch, target) = parts.call().await;
     assert_eq!(target, "/registry/instances", "and not the watch once more");
     wire.answer(200, "", r#"{"generation":2,"reset":false,"instances":[]}"#).await.expect("it is read");
@@ -750,5 +750,5 @@
         let waited = broke.elapsed();
         assert!(waited >= Duration::from_millis(pause), "{waited:?} after one of them broke off");
     }
-    assert_eq!(parts.list(), [("s-a".into(), Lifecycle::Up)]);
+    assert_eq!(parts.list(), [("s-a".into(), InstanceState::Up)]);
 }
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::*;
-use platform::wire::Wire;
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::timeout;
+use vetchbridge_testbed::wire::Wire;
 
 /// Far more than a job takes here, and less than its deadline.
 const STUCK: Duration = Duration::from_secs(20);
@@ -42,10 +42,10 @@
         let headers = format!("X-Trace-Id: {id}\r\nX-Qos: safe\r\n");
         kept.hand_in("/safe/k", &headers, &"work ".repeat(300)).await;
         let job = async {
-            // The daemon keeps its connection to the peer, or makes another one.
-            let mut peer = Wire::new(stage.peers[0].accept().await.expect("a connection").0);
-            let heard = peer.read().await.expect("the job");
-            peer.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+            // The daemon keeps its connection to the worker, or makes another one.
+            let mut worker = Wire::new(stage.workers[0].accept().await.expect("a connection").0);
+            let heard = worker.read().await.expect("the job");
+            worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             heard
         };
         let heard = job.await;
@@ -84,10 +84,10 @@
 
 async fn starts(seed: u32) {
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let siblings = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let peers = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let mut config = config(discovery.local_addr().expect("bound"), json!([]));
-    config["peer_listen"] = siblings.to_string().into();
-    config["peers"] = json!([siblings.to_string()]);
+    config["peer_listen"] = peers.to_string().into();
+    config["peers"] = json!([peers.to_string()]);
     let folder = tempfile::tempdir().expect("a folder");
     let faults = format!("seed={seed},socket.failed=0.5,connect.failed=0.3");
     let mut process = Process::start_with_faults(&config, folder.path(), &faults);
