--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -6,7 +6,7 @@
 use super::Plan;
 use crate::Failure;
 use std::net::{Ipv4Addr, SocketAddr};
-use vetchbridge::config::check::Text;
+use vetchbridge::config::text::Text;
 use vetchbridge::config::Fault;
 use vetchbridge_testbed::arrivals::Arrivals;
 
--- a/crates/testkit/src/plan/mod.rs
+++ b/crates/testkit/src/plan/mod.rs
@@ -17,8 +17,8 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
-use vetchbridge::config::check::{hold, schema_of};
 use vetchbridge::config::file::File;
+use vetchbridge::config::schema::{self, schema_of};
 
 /// The plan of the demonstration.
 pub const DEMO: &str = include_str!("../../plans/demo.toml");
@@ -80,7 +80,8 @@
 
     /// Reads the text of a plan.
     pub fn parse(source: &str, text: &str) -> Result<Plan, Failure> {
-        let plan: Plan = hold(source, text, &schema()).map_err(|faults| check::bad_input(&faults))?;
+        let plan: Plan =
+            schema::parse(source, text, &schema()).map_err(|faults| check::bad_input(&faults))?;
         let faults = check::references(&plan, source, text);
         if !faults.is_empty() {
             return Err(check::bad_input(&faults));
--- a/crates/vetchbridge/src/config/file.rs
+++ b/crates/vetchbridge/src/config/file/mod.rs
@@ -1,7 +1,14 @@
 //! The daemon's own configuration format: every key with its meaning, its unit and its default.
 //!
-//! Owns the shape of the file, from which the schema, the commented default and the checks are made. It must never
-//! read a file or the environment, nor hold a rule that the module holds.
+//! The types here are the shape of the file: the schema, the commented default and the checks are made from them, and
+//! their fields have the names of its keys, which `translate` maps to the decision module's terms. Nothing here reads a file
+//! or the environment, or repeats a rule of the decision module.
+
+mod classes;
+mod fleet;
+
+pub use classes::{Class, Group, Repeat, Tenant};
+pub use fleet::{Fleet, Follow, FreeSlots, Load, QueueOrder, Weights, Worker};
 
 use super::units::{Address, Filter, Seed, Size, Span};
 use crate::logs::LogFormat;
@@ -53,8 +60,7 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenant: Vec<Tenant>,
     /// Workers: the whole list where there is no discovery service, otherwise the list as last held.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "peer")]
+    #[serde(rename = "peer", skip_serializing_if = "Vec::is_empty")]
     pub workers: Vec<Worker>,
 }
 
@@ -153,116 +159,6 @@
     }
 }
 
-/// How the list of workers is followed.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Follow {
-    /// Changes come only when they are asked for.
-    #[default]
-    Ask,
-    /// Changes come unasked.
-    Push,
-}
-
-/// What a worker's weight stands for.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Weights {
-    /// Nothing.
-    #[default]
-    Off,
-    /// The registered size.
-    Nominal,
-    /// The size, approximately.
-    Rough,
-    /// The size lowered by the load.
-    Live,
-}
-
-/// How workers serve their queues.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum QueueOrder {
-    /// In order; the head waits until it fits.
-    #[default]
-    Fifo,
-    /// Whatever fits first.
-    Backfill,
-    /// By the classes' priority.
-    Priority,
-}
-
-/// Where the workers tell how loaded they are.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Load {
-    /// Nowhere.
-    #[default]
-    Off,
-    /// With what ends an attempt, and when they are probed.
-    Answers,
-    /// When they are probed.
-    Probes,
-}
-
-/// The field of a load report that tells free slots.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum FreeSlots {
-    /// x0.
-    #[default]
-    X0,
-    /// x1.
-    X1,
-    /// Neither.
-    Untold,
-}
-
-/// What is true of the workers as a whole.
-#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-#[serde(deny_unknown_fields, default)]
-pub struct Fleet {
-    /// The names of the zones.
-    #[schemars(length(min = 1))]
-    pub zones: Vec<String>,
-    /// The names of the kinds of machine.
-    #[schemars(length(min = 1))]
-    pub kinds: Vec<String>,
-    /// How the list of workers is followed: ask or push.
-    pub follow: Follow,
-    /// What a worker's weight stands for: off, nominal, rough or live. Live ones vary with the load and count as off.
-    pub weights: Weights,
-    /// How workers serve their queues: fifo, backfill or priority.
-    pub queue_order: QueueOrder,
-    /// Workers tell when a job starts.
-    pub tells_start: bool,
-    /// The time between two progress notes; 0s for none.
-    pub progress: Span,
-    /// Workers close a connection that has been idle for this long; ours are closed at half of it.
-    pub conn_idle: Span,
-    /// Where workers tell how loaded they are: off, answers (with what ends an attempt, and when probed) or probes.
-    pub load: Load,
-    /// The field of a load report that tells free slots: x0, x1 or untold.
-    pub free_slots: FreeSlots,
-}
-
-impl Default for Fleet {
-    fn default() -> Fleet {
-        Fleet {
-            zones: vec!["main".to_string()],
-            kinds: vec!["any".to_string()],
-            follow: Follow::Ask,
-            weights: Weights::Off,
-            queue_order: QueueOrder::Fifo,
-            tells_start: true,
-            progress: Span::s(1),
-            conn_idle: Span::s(60),
-            load: Load::Off,
-            free_slots: FreeSlots::X0,
-        }
-    }
-}
-
 /// What the module may do for a request.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
@@ -373,110 +269,6 @@
     }
 }
 
-/// What repeating a request does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Repeat {
-    /// It may run any number of times.
-    Safe,
-    /// Workers drop a repeat for a while.
-    Keyed,
-    /// It must never run twice.
-    Unsafe,
-}
-
-/// Which workers drop the repeat of a keyed request.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Group {
-    /// All.
-    #[default]
-    All,
-    /// Those of one zone.
-    Zone,
-    /// Those of one cell.
-    Cell,
-}
-
-fn worth() -> f64 {
-    1.0
-}
-
-/// A class of requests: the first part of their paths.
-#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Class {
-    /// Its name.
-    pub name: String,
-    /// safe, keyed or unsafe to repeat.
-    pub repeat: Repeat,
-    /// An answer within this time has its full worth.
-    pub aim: Span,
-    /// The aim grows by this many times the job's own running time.
-    #[serde(default)]
-    #[schemars(range(min = 0.0))]
-    pub stretch: f64,
-    /// The client's whole wait.
-    pub deadline: Span,
-    /// Worth of an answer within the aim.
-    #[serde(default = "worth")]
-    #[schemars(range(min = 0.0))]
-    pub worth: f64,
-    /// Share of the worth that a later answer still has.
-    #[serde(default)]
-    #[schemars(range(min = 0.0, max = 1.0))]
-    pub late_share: f64,
-    /// Of a keyed class: which workers drop a repeat.
-    #[serde(default)]
-    pub group: Group,
-    /// Of a keyed class: how long they do, from the first attempt that may have run.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub window: Option<Span>,
-    /// The only kind of machine that runs it, one of fleet.kinds.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kind: Option<String>,
-    /// Its priority in the workers' queues.
-    #[serde(default)]
-    pub priority: i64,
-    /// Its answers are streamed.
-    #[serde(default)]
-    pub stream: bool,
-}
-
-/// A tenant.
-#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Tenant {
-    /// Its name.
-    pub name: String,
-    /// Requests a second within its share, over all schedulers.
-    #[schemars(range(min = 0.0))]
-    pub allowance_per_s: f64,
-}
-
-/// A worker.
-#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Worker {
-    /// Its name, the same at every scheduler: the ring is built from it.
-    pub name: String,
-    /// Where it listens.
-    pub address: Address,
-    /// Its zone, one of fleet.zones; the first where it is absent.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub zone: Option<String>,
-    /// Its kind of machine, one of fleet.kinds; the first where it is absent.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kind: Option<String>,
-    /// Its cell.
-    #[serde(default)]
-    pub cell: u32,
-    /// Its size, to compare with other workers'.
-    #[serde(default = "worth")]
-    #[schemars(range(min = 0.0))]
-    pub weight: f64,
-}
-
 /// A small file that works: the defaults, one class and one worker.
 pub fn example() -> File {
     let class = Class {
@@ -500,5 +292,5 @@
 
 /// The JSON Schema of the format.
 pub fn schema() -> serde_json::Value {
-    super::check::schema_of::<File>()
+    super::schema::schema_of::<File>()
 }
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -4,24 +4,26 @@
 //! platform's document (`BALANCER_CONFIG`, [`platform`]); ours is TOML ([`file`]). Either becomes a [`Config`], or
 //! all of its [`Fault`]s at once. This module must never open a socket or give the decision module an event.
 
-pub mod check;
+mod fault;
 pub mod file;
 mod platform;
 mod precedence;
+pub mod schema;
+pub mod text;
 mod translate;
 pub mod units;
 
-pub use check::Fault;
+pub use fault::Fault;
 pub use precedence::{Effective, Flags};
 
 use crate::discovery::document::{EndpointDocument, Source};
 use crate::snapshot::Snapshot;
-use check::{hold, Text};
 use file::File;
 use precedence::Environment;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use text::Text;
 
 /// Everything that the daemon is told at its start.
 pub struct Config {
@@ -113,7 +115,7 @@
 pub fn reload(flags: &Flags, in_force: Option<&Value>) -> Result<Config, ConfigError> {
     let config = combine(flags, When::Reload)?;
     match (in_force, &config.document) {
-        (Some(old), Some(new)) => platform::nothing_lacks(old, new).map(|()| config),
+        (Some(old), Some(new)) => platform::check_no_key_removed(old, new).map(|()| config),
         (Some(_), None) => Err(ConfigError::one("configuration", "", "not a JSON object any more", "")),
         (None, _) => Ok(config),
     }
@@ -175,5 +177,5 @@
 
 /// The file as its shape has it; all that its schema finds wrong otherwise.
 fn check_shape(source: &str, text: &str) -> Result<File, ConfigError> {
-    hold(source, text, &file::schema()).map_err(ConfigError)
+    schema::parse(source, text, &file::schema()).map_err(ConfigError)
 }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -256,7 +256,7 @@
 
 /// Names every key that one document has and the next one lacks. Of lists of objects, what every entry has. The list
 /// of workers as last held is free to change.
-pub fn nothing_lacks(old: &Value, new: &Value) -> Result<(), ConfigError> {
+pub fn check_no_key_removed(old: &Value, new: &Value) -> Result<(), ConfigError> {
     fn entries(value: &Value) -> Option<Vec<&Map<String, Value>>> {
         let list = value.as_array()?.iter().map(Value::as_object).collect::<Option<Vec<_>>>()?;
         (!list.is_empty()).then_some(list)
--- a/crates/vetchbridge/src/config/precedence.rs
+++ b/crates/vetchbridge/src/config/precedence.rs
@@ -1,8 +1,8 @@
 //! Precedence: flags win over the environment, that over the file, that over the defaults; and where each value in
 //! force came from.
 
-use super::check::Text;
 use super::file::{self, File};
+use super::text::Text;
 use super::units::{Address, Filter, Unit};
 use super::ConfigError;
 use crate::logs::LogFormat;
--- /dev/null
+++ b/crates/vetchbridge/src/config/text.rs
@@ -0,0 +1,81 @@
+//! A configuration file's text, with the places of its keys, so that each fault can name line and column.
+
+use super::Fault;
+use toml::de::{DeTable, DeValue};
+use toml::Spanned;
+
+/// A file's text with the places of its keys.
+pub struct Text<'t> {
+    source: &'t str,
+    text: &'t str,
+    /// Where each line begins, by its offset.
+    line_starts: Vec<usize>,
+    root: Spanned<DeTable<'t>>,
+}
+
+impl<'t> Text<'t> {
+    /// The name of the file, as faults give it.
+    pub(super) fn source(&self) -> &str {
+        self.source
+    }
+
+    /// The document's root table.
+    pub(super) fn root(&self) -> &Spanned<DeTable<'t>> {
+        &self.root
+    }
+
+    /// Parses a text; what is no TOML becomes faults, and the rest is still there to look at.
+    pub fn parse(source: &'t str, text: &'t str) -> (Text<'t>, Vec<Fault>) {
+        let (root, errors) = DeTable::parse_recoverable(text);
+        let line_starts =
+            std::iter::once(0).chain(text.match_indices('\n').map(|(end, _)| end + 1)).collect();
+        let parsed = Text { source, text, line_starts, root };
+        let faults = errors
+            .iter()
+            .map(|error| Fault {
+                source: source.to_string(),
+                at: error.span().map(|span| parsed.place(span.start)),
+                key: String::new(),
+                what: error.message().to_string(),
+                remedy: String::new(),
+            })
+            .collect();
+        (parsed, faults)
+    }
+
+    /// Line and column, from 1, of an offset into the text.
+    pub(super) fn place(&self, offset: usize) -> (usize, usize) {
+        let offset = offset.min(self.text.len());
+        let line = self.line_starts.partition_point(|start| *start <= offset);
+        let before = &self.text.as_bytes()[self.line_starts[line - 1]..offset];
+        (line, String::from_utf8_lossy(before).chars().count() + 1)
+    }
+
+    /// A fault at a key's value, or at the nearest table around it that the text has.
+    pub fn fault(&self, key: &str, what: impl Into<String>, remedy: impl Into<String>) -> Fault {
+        let at = self.locate(key).1;
+        let (source, key) = (self.source.to_string(), key.to_string());
+        Fault { source, at: Some(at), key, what: what.into(), remedy: remedy.into() }
+    }
+
+    /// Whether the text has this key, and where it or the nearest table around it stands.
+    pub fn locate(&self, key: &str) -> (bool, (usize, usize)) {
+        let mut offset = self.root.span().start;
+        let mut table = Some(self.root.get_ref());
+        let mut value: Option<&Spanned<DeValue<'_>>> = None;
+        for part in key.split('.') {
+            let (name, index) = match part.split_once('[') {
+                Some((name, rest)) => (name, rest.trim_end_matches(']').parse::<usize>().ok()),
+                None => (part, None),
+            };
+            value = table.and_then(|table| table.get(name));
+            if let Some(index) = index {
+                value = value.and_then(|list| list.get_ref().get(index));
+            }
+            let Some(found) = value else { break };
+            offset = found.span().start;
+            table = found.get_ref().as_table();
+        }
+        (value.is_some(), self.place(offset))
+    }
+}
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -1,11 +1,11 @@
 //! Translation of a well-formed file into a [`Config`], with the faults that the format's schema can't find.
 
-use super::check::{Fault, Text};
 use super::file::{
     Attempts, File, Follow, FreeSlots, Group, Load, Prices, QueueOrder, Repeat, Rules, Weights,
 };
 use super::platform::CONN_IDLE;
-use super::{Config, ConfigError, Peers};
+use super::text::Text;
+use super::{Config, ConfigError, Fault, Peers};
 use crate::discovery::document::{EndpointDocument, Instance, InstanceState, Names, Source};
 use crate::snapshot::Snapshot;
 use crate::workers::load::{self, Reports};
@@ -70,7 +70,7 @@
         let instances: Vec<Instance> = (0..file.workers.len()).map(|index| self.worker(index)).collect();
         let settings = self.settings(zone, classes);
         if let Err(error) = settings.check() {
-            self.bad(ours(error.field), error.reason, "");
+            self.bad(file_key(error.field), error.reason, "");
         }
         if !self.faults.is_empty() {
             self.faults.sort_by_key(|fault| fault.at);
@@ -326,7 +326,7 @@
 }
 
 /// The key of the file for a field of the decision module's settings.
-fn ours(field: &str) -> &str {
+fn file_key(field: &str) -> &str {
     match field {
         "me" => "tier.me",
         "limits.max_attempts" => "attempts.max",
