--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -2,7 +2,10 @@
 //!
 //! Flags win over the environment, that over the file, that over the defaults. The environment may name the
 //! platform's document (`BALANCER_CONFIG`, [`platform`]); ours is TOML ([`file`]). Either becomes a [`Config`], or
-//! all of its [`Fault`]s at once. This module must never open a socket or give the decision module an event.
+//! all of its [`Fault`]s at once. This module opens no socket and gives the decision module no event.
+//!
+//! A file goes through [`text`] (keys and their places), [`schema`] (its shape), [`precedence`] (what wins over it) and
+//! `translate` (the decision module's and the daemon's terms, with the faults that no schema can find).
 
 mod fault;
 pub mod file;
@@ -25,7 +28,7 @@
 use std::path::{Path, PathBuf};
 use text::Text;
 
-/// Everything that the daemon is told at its start.
+/// The configuration of the daemon.
 pub struct Config {
     /// The scheduler's own name.
     pub name: String,
@@ -41,7 +44,7 @@
     pub sockets: usize,
     /// Bytes that it may take.
     pub memory: usize,
-    /// Where peers' datagrams arrive and where each peer is reached; absent where they may not talk.
+    /// Where the peers' datagrams arrive and where each peer is reached; absent where schedulers may not exchange messages.
     pub peers: Option<Peers>,
     /// The list of workers as this scheduler last had it.
     pub known: EndpointDocument,
@@ -88,32 +91,40 @@
 
 /// A configuration that was read.
 pub struct Read {
-    /// As the daemon takes it.
+    /// As the daemon uses it.
     pub config: Config,
-    /// As people read it.
+    /// Every value in force with its origin, for people to read.
     pub effective: Vec<Effective>,
 }
 
-fn env(key: &str) -> Option<String> {
+fn non_empty_variable(key: &str) -> Option<String> {
     std::env::var(key).ok().filter(|value| !value.is_empty())
 }
 
-/// When a configuration is read: a running daemon's environment is as old as its process while the file is new.
+/// Why a configuration is read: at a reload the environment is as old as the process while the file is new.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum When {
+enum ReadReason {
     Start,
     Reload,
 }
 
-/// Reads what this process was started with.
+/// Reads the configuration that this process was started with.
+///
+/// # Errors
+///
+/// Every fault of the file or document, of the flags and of the environment.
 pub fn load(flags: &Flags) -> Result<Config, ConfigError> {
-    combine(flags, When::Start)
+    read_sources(flags, ReadReason::Start)
 }
 
-/// Reads it again in a running daemon: `discovery` and the log's filter are the file's now. What the document in force
-/// has, a new one may not lack: a file that was written in part must not be taken for a whole one.
+/// Reads the configuration again in a running daemon: `discovery` and the log's filter are the file's from now on.
+///
+/// # Errors
+///
+/// As [`load`]; and each key that the document in force has and the new one lacks, since a file that was written in part
+/// must not pass for a complete one.
 pub fn reload(flags: &Flags, in_force: Option<&Value>) -> Result<Config, ConfigError> {
-    let config = combine(flags, When::Reload)?;
+    let config = read_sources(flags, ReadReason::Reload)?;
     match (in_force, &config.document) {
         (Some(old), Some(new)) => platform::check_no_key_removed(old, new).map(|()| config),
         (Some(_), None) => Err(ConfigError::one("configuration", "", "not a JSON object any more", "")),
@@ -121,11 +132,12 @@
     }
 }
 
-fn combine(flags: &Flags, when: When) -> Result<Config, ConfigError> {
+fn read_sources(flags: &Flags, reason: ReadReason) -> Result<Config, ConfigError> {
     let env = |key: &str| {
-        env(key).filter(|_| when == When::Start || !matches!(key, "BALANCER_DISCOVERY" | "RUST_LOG"))
+        non_empty_variable(key)
+            .filter(|_| reason == ReadReason::Start || !matches!(key, "BALANCER_DISCOVERY" | "RUST_LOG"))
     };
-    let ours = flags.config.as_deref().map(|path| Ok((path, text(path)?))).transpose()?;
+    let ours = flags.config.as_deref().map(|path| Ok((path, read_to_string(path)?))).transpose()?;
     let Some(platform) = env("BALANCER_CONFIG") else {
         let Some((path, text)) = ours else {
             let remedy =
@@ -148,17 +160,25 @@
     Ok(config)
 }
 
-fn text(path: &Path) -> Result<String, ConfigError> {
+fn read_to_string(path: &Path) -> Result<String, ConfigError> {
     let source = path.to_string_lossy();
     std::fs::read_to_string(path).map_err(|error| ConfigError::one(&source, "", error, ""))
 }
 
 /// Reads a file of either format on its own, as `check` does; the environment does not count.
+///
+/// # Errors
+///
+/// Every fault of the file.
 pub fn read_file(path: &Path) -> Result<Read, ConfigError> {
-    read_text(&path.to_string_lossy(), &text(path)?)
+    read_text(&path.to_string_lossy(), &read_to_string(path)?)
 }
 
 /// Reads a text of either format in the same way.
+///
+/// # Errors
+///
+/// Every fault of the text.
 pub fn read_text(source: &str, text: &str) -> Result<Read, ConfigError> {
     read(source, text, &Flags::default(), &|_| None)
 }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's configuration document: JSON, with the settings object as the simulator has it.
 //!
-//! Owns the names of its keys. It stays as the platform has it: a key of ours belongs into our own file.
+//! The names of its keys are mapped here. The document stays as the platform has it: a key of ours belongs into our own file.
 
 use super::precedence::{self, Environment, Overrides};
 use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
@@ -16,29 +16,28 @@
 use vetchbridge_scheduling::interface::Settings;
 
 /// Descriptors that the process may hold where nothing says otherwise.
-const SOCKETS: usize = 1024;
+const DEFAULT_SOCKETS: usize = 1024;
 /// Memory that it may take where nothing says otherwise, in MiB.
-const MEMORY_MB: usize = 192;
-/// When workers close an idle connection where nothing says otherwise.
-pub const CONN_IDLE: Duration = Duration::from_secs(60);
+const DEFAULT_MEMORY_MB: usize = 192;
+/// After how long workers close an idle connection where nothing says otherwise.
+pub const DEFAULT_CONN_IDLE: Duration = Duration::from_secs(60);
 
 /// Characters of a scheduler's name in that of its hand-over file: a Unix socket's path has 107 in all.
-const NAME_IN_FILE: usize = 32;
+const MAX_NAME_IN_FILE: usize = 32;
 
-/// A file's name for the hand-over between two processes of one scheduler; others may share their folder, also such whose
-/// names begin alike.
-fn handover(scheduler: &str) -> String {
+/// The name of the hand-over socket of a scheduler. Others may share its folder, also some whose names begin alike.
+fn handover_file_name(scheduler: &str) -> String {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let mut name: String = scheduler.chars().map(plain).collect();
-    if name.len() > NAME_IN_FILE {
+    if name.len() > MAX_NAME_IN_FILE {
         let hash = format!("-{:016x}", name_hash(scheduler));
-        name.truncate(NAME_IN_FILE - hash.len());
+        name.truncate(MAX_NAME_IN_FILE - hash.len());
         name.push_str(&hash);
     }
     format!("vetchbridge-{name}.handover")
 }
 
-/// Reads the document and notes what is wrong with it, all at once.
+/// Reads the document and collects all of its faults.
 struct Document<'s> {
     source: &'s str,
     faults: Vec<Fault>,
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Every deadline and the number of attempts has to be a number above 0; each that is not is named.
-    fn counts(&mut self, settings: &Value) {
+    /// Every deadline and the number of attempts has to be a number above 0; each that is not becomes a fault.
+    fn check_positive(&mut self, settings: &Value) {
         let services = settings.get("services").and_then(Value::as_array).into_iter().flatten();
         let deadlines = services.enumerate().map(|(place, service)| {
             (format!("settings.services[{place}].deadline"), service.get("deadline"))
@@ -134,8 +133,8 @@
         let (top, limits) = (Some(root), root.get("limits"));
         let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         OwnKeys {
-            sockets: self.optional(limits, "sockets", "limits.sockets").unwrap_or(SOCKETS),
-            memory_mb: self.optional(limits, "memory_mb", "limits.memory_mb").unwrap_or(MEMORY_MB),
+            sockets: self.optional(limits, "sockets", "limits.sockets").unwrap_or(DEFAULT_SOCKETS),
+            memory_mb: self.optional(limits, "memory_mb", "limits.memory_mb").unwrap_or(DEFAULT_MEMORY_MB),
             seed: self.seed(root).unwrap_or_default(),
             name: self.required(root, "name").unwrap_or_default(),
             listen: self.required(root, "listen").unwrap_or(nowhere),
@@ -165,14 +164,14 @@
         };
         let meaning = |field| json.get("specifics")?.get(field)?.as_str();
         let free_slots = FreeSlots::of(meaning("report_x0"), meaning("report_x1"));
-        self.counts(json);
+        self.check_positive(json);
         let settings = vetchbridge_settings::from_value(json)
             .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.reason))
             .ok()?;
         if let Err(error) = settings.check() {
             self.bad_once(&format!("settings.{}", error.field), error.reason);
         }
-        let conn_idle = conn_idle.filter(|idle| *idle > 0).map_or(CONN_IDLE, Duration::from_micros);
+        let conn_idle = conn_idle.filter(|idle| *idle > 0).map_or(DEFAULT_CONN_IDLE, Duration::from_micros);
         Some(SettingsKeys { settings, names, conn_idle, free_slots })
     }
 }
@@ -234,7 +233,7 @@
     };
     let config = Config {
         // What the platform keeps between two processes of one scheduler is this folder.
-        handover: env("TMPDIR").map(|folder| Path::new(&folder).join(handover(&own.name))),
+        handover: env("TMPDIR").map(|folder| Path::new(&folder).join(handover_file_name(&own.name))),
         peers: own.peers(&settings.settings),
         name: own.name,
         listen: own.listen,
--- a/crates/vetchbridge/src/config/precedence.rs
+++ b/crates/vetchbridge/src/config/precedence.rs
@@ -3,7 +3,7 @@
 
 use super::file::{self, File};
 use super::text::Text;
-use super::units::{Address, Filter, Unit};
+use super::units::{Address, Filter, Unit, UnitError};
 use super::ConfigError;
 use crate::logs::LogFormat;
 use serde_json::Value;
@@ -108,7 +108,7 @@
         return Ok(Some(Address(address)));
     }
     let Some(text) = env(variable) else { return Ok(None) };
-    let fault = |what: String| ConfigError::one("environment", variable, what, Address::EXAMPLE);
+    let fault = |error: UnitError| ConfigError::one("environment", variable, error, Address::EXAMPLE);
     text.parse().map(Some).map_err(fault)
 }
 
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -1,9 +1,11 @@
 //! Translation of a well-formed file into a [`Config`], with the faults that the format's schema can't find.
+//!
+//! This is where the names of the file's keys become those of the decision module's settings.
 
 use super::file::{
     Attempts, File, Follow, FreeSlots, Group, Load, Prices, QueueOrder, Repeat, Rules, Weights,
 };
-use super::platform::CONN_IDLE;
+use super::platform::DEFAULT_CONN_IDLE;
 use super::text::Text;
 use super::{Config, ConfigError, Fault, Peers};
 use crate::discovery::document::{EndpointDocument, Instance, InstanceState, Names, Source};
@@ -98,7 +100,7 @@
         })
     }
 
-    /// Lists that must not be empty, or have a name twice.
+    /// Lists that must not be empty, or name an entry twice.
     fn check_lists(&mut self) {
         let file = self.file;
         if file.class.is_empty() {
@@ -142,10 +144,10 @@
         }
     }
 
-    /// What a repeat of a class's request does.
-    fn effect(&mut self, index: usize) -> Idempotency {
+    /// Whether a class's request may be repeated.
+    fn idempotency(&mut self, index: usize) -> Idempotency {
         let class = &self.file.class[index];
-        let group = match class.group {
+        let scope = match class.group {
             Group::All => DeduplicationScope::All,
             Group::Zone => DeduplicationScope::Zone,
             Group::Cell => DeduplicationScope::Cell,
@@ -153,7 +155,7 @@
         match (class.repeat, class.window) {
             (Repeat::Safe, _) => Idempotency::Idempotent,
             (Repeat::Unsafe, _) => Idempotency::NonIdempotent,
-            (Repeat::Keyed, Some(window)) => Idempotency::Keyed { group, window: window.0 },
+            (Repeat::Keyed, Some(window)) => Idempotency::Keyed { group: scope, window: window.0 },
             (Repeat::Keyed, None) => {
                 let remedy = "a keyed class says how long workers drop a repeat, such as window = \"15s\"";
                 self.bad(format!("class[{index}].window"), "missing", remedy);
@@ -163,7 +165,7 @@
     }
 
     fn class(&mut self, index: usize) -> Class {
-        let (class, effect) = (&self.file.class[index], self.effect(index));
+        let (class, idempotency) = (&self.file.class[index], self.idempotency(index));
         if class.aim > class.deadline {
             self.bad(
                 format!("class[{index}].aim"),
@@ -182,7 +184,7 @@
             deadline: class.deadline.0,
             priority_weight: class.worth,
             late_weight: class.late_share,
-            idempotency: effect,
+            idempotency,
             kind: class.kind.as_ref().map(|_| KindId(kind)),
             priority: class.priority,
             stream: class.stream,
@@ -257,7 +259,7 @@
         tenants: file.tenant.iter().map(|tenant| tenant.name.clone()).collect(),
     };
     let conn_idle = Some(file.fleet.conn_idle.duration()).filter(|idle| !idle.is_zero());
-    Snapshot::new(settings, names, conn_idle.unwrap_or(CONN_IDLE), reports)
+    Snapshot::new(settings, names, conn_idle.unwrap_or(DEFAULT_CONN_IDLE), reports)
 }
 
 fn endpoint_delivery(follow: Follow) -> EndpointDelivery {
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -1,14 +1,43 @@
-//! Values that people write with units. Owns their text forms, both ways; it must never know which key one is for.
+//! Values that people write with units: their text forms, both ways. Nothing here knows which key a value is for.
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
 use std::borrow::Cow;
 use std::fmt;
 use std::net::SocketAddr;
+use std::num::ParseIntError;
 use std::str::FromStr;
 use std::time::Duration;
 use vetchbridge_scheduling::interface::Micros;
 
+/// Why a text is no value of a unit. What would be right is [`Unit::EXAMPLE`].
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum UnitError {
+    /// Not a span of time.
+    #[error("{0:?} is no span of time")]
+    NoSpan(String),
+    /// A span of more microseconds than 64 bits hold.
+    #[error("{0:?} is too long")]
+    SpanTooLong(String),
+    /// Not a number of bytes.
+    #[error("{0:?} is no size")]
+    NoSize(String),
+    /// Not an IP address with a port.
+    #[error("{0:?} is no address with a port")]
+    NoAddress(String),
+    /// Not a hexadecimal number of 64 bits.
+    #[error("{text:?}: {reason}")]
+    NoSeed {
+        /// The text.
+        text: String,
+        /// What is wrong with it.
+        reason: ParseIntError,
+    },
+    /// Not a log filter.
+    #[error("{0}")]
+    NoFilter(String),
+}
+
 /// A text form: how it is read, what the schema calls it, and an example for whoever got it wrong.
 pub trait Unit: Sized {
     /// The `format` of the schema.
@@ -17,6 +46,9 @@
     const EXAMPLE: &'static str;
 }
 
+/// Longest span that is read with a fraction, in microseconds.
+const MAX_FRACTION_MICROS: f64 = 1e18;
+
 /// A span of time such as `480ms`, `1.5s`, `2m 30s` or `250us`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Micros);
@@ -44,32 +76,32 @@
 }
 
 impl FromStr for Span {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Span, String> {
-        let whole = humantime::parse_duration(text);
-        // Fractions, which humantime does not read, in the three units that are written that way.
-        let fraction = || {
-            let number = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
-            let scale = match &text[number.len()..] {
-                "s" => 1e6,
-                "ms" => 1e3,
-                "us" => 1.0,
-                _ => return None,
-            };
-            let plain = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-            let micros = number.parse::<f64>().ok()? * scale;
-            (plain && micros < 1e18).then_some(Span(micros.round() as Micros))
-        };
-        match whole {
-            Ok(span) => {
-                u64::try_from(span.as_micros()).map(Span).map_err(|_| format!("{text:?} is too long"))
-            }
-            Err(_) => fraction().ok_or_else(|| format!("{text:?} is no span of time")),
+    type Err = UnitError;
+
+    fn from_str(text: &str) -> Result<Span, UnitError> {
+        match humantime::parse_duration(text) {
+            Ok(span) => u64::try_from(span.as_micros())
+                .map(Span)
+                .map_err(|_| UnitError::SpanTooLong(text.to_string())),
+            Err(_) => parse_fraction(text).ok_or_else(|| UnitError::NoSpan(text.to_string())),
         }
     }
 }
 
+/// Reads a span with a fraction, which humantime does not, in the three units that are written that way.
+fn parse_fraction(text: &str) -> Option<Span> {
+    let number = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
+    let micros_per_unit = match &text[number.len()..] {
+        "s" => 1e6,
+        "ms" => 1e3,
+        "us" => 1.0,
+        _ => return None,
+    };
+    let plain = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let micros = number.parse::<f64>().ok()? * micros_per_unit;
+    (plain && micros < MAX_FRACTION_MICROS).then_some(Span(micros.round() as Micros))
+}
+
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
@@ -91,20 +123,20 @@
 }
 
 impl FromStr for Size {
-    type Err = String;
+    type Err = UnitError;
 
-    fn from_str(text: &str) -> Result<Size, String> {
+    fn from_str(text: &str) -> Result<Size, UnitError> {
         text.parse::<bytesize::ByteSize>()
             .map(|size| Size(size.0))
-            .map_err(|_| format!("{text:?} is no size"))
+            .map_err(|_| UnitError::NoSize(text.to_string()))
     }
 }
 
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let units = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
-        let whole = units.iter().find(|(shift, _)| self.0 >= 1 << shift && self.0 % (1 << shift) == 0);
-        match whole {
+        let unit = units.iter().find(|(shift, _)| self.0 >= 1 << shift && self.0 % (1 << shift) == 0);
+        match unit {
             Some((shift, unit)) => write!(f, "{}{unit}", self.0 >> shift),
             None => write!(f, "{}B", self.0),
         }
@@ -122,10 +154,10 @@
 }
 
 impl FromStr for Address {
-    type Err = String;
+    type Err = UnitError;
 
-    fn from_str(text: &str) -> Result<Address, String> {
-        text.parse().map(Address).map_err(|_| format!("{text:?} is no address with a port"))
+    fn from_str(text: &str) -> Result<Address, UnitError> {
+        text.parse().map(Address).map_err(|_| UnitError::NoAddress(text.to_string()))
     }
 }
 
@@ -145,10 +177,12 @@
 }
 
 impl FromStr for Seed {
-    type Err = String;
+    type Err = UnitError;
 
-    fn from_str(text: &str) -> Result<Seed, String> {
-        u64::from_str_radix(text, 16).map(Seed).map_err(|error| format!("{text:?}: {error}"))
+    fn from_str(text: &str) -> Result<Seed, UnitError> {
+        u64::from_str_radix(text, 16)
+            .map(Seed)
+            .map_err(|reason| UnitError::NoSeed { text: text.to_string(), reason })
     }
 }
 
@@ -169,10 +203,13 @@
 }
 
 impl FromStr for Filter {
-    type Err = String;
+    type Err = UnitError;
 
-    fn from_str(text: &str) -> Result<Filter, String> {
-        crate::logs::parse(text).map(|_| Filter(text.to_string()))
+    fn from_str(text: &str) -> Result<Filter, UnitError> {
+        match crate::logs::parse(text) {
+            Ok(_) => Ok(Filter(text.to_string())),
+            Err(reason) => Err(UnitError::NoFilter(reason.to_string())),
+        }
     }
 }
 
@@ -184,8 +221,8 @@
 
 /// What is wrong with a text of this format, and what would be right; `None` if nothing is, or no unit has it.
 pub fn fault(format: &str, text: &str) -> Option<(String, &'static str)> {
-    fn of<U: Unit + FromStr<Err = String>>(text: &str) -> Option<(String, &'static str)> {
-        text.parse::<U>().err().map(|what| (what, U::EXAMPLE))
+    fn of<U: Unit + FromStr<Err = UnitError>>(text: &str) -> Option<(String, &'static str)> {
+        text.parse::<U>().err().map(|error| (error.to_string(), U::EXAMPLE))
     }
     match format {
         Span::FORMAT => of::<Span>(text),
