--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -8,8 +8,9 @@
 use crate::hash::{hash_key, mix};
 use crate::interface::*;
 use crate::peer_message::PeerMessage;
-use crate::retry::Repeats;
-use crate::slow_start::{self, StartBounds};
+use crate::request::{Attempt, Open};
+use crate::slow_start::StartBounds;
+use crate::worker::{new_worker, watch_at, Started, Worker, KEPT, MOVE_AFTER, START_LAG};
 use std::collections::BTreeMap;
 
 /// Virtual points of a worker of mean size: keeps arcs within about a tenth of their fair share.
@@ -38,18 +39,12 @@
 const MAX_KEYS: usize = 1024;
 /// A keeper's report younger than this is not asked for again, microseconds: about a round trip and a tick.
 const REPORT_FRESH: Micros = 20_000;
-/// A report older than this says nothing any more where nothing else is known, microseconds.
-const REPORT_HORIZON: Micros = 1_000_000;
 /// A keeper is waited for this long, then not asked for as long as the second figure, microseconds.
 const KEEPER: (Micros, Micros) = (40_000, 2_000_000);
-/// What a keeper was told of an attempt counts for this long: word of its end may be lost, microseconds.
-const KEPT: Micros = 4_000_000;
 /// Weight of one job's start in the slots learned for a unit of size.
 const ROOM_STEP: f64 = 0.05;
 /// Pause before a request that found every candidate busy looks again, microseconds; it doubles with its age.
 const HOLD_BLIND: Micros = 200_000;
-/// Late answers with a smaller share of their worth are worth nothing: the peer is to work on others.
-const WORTHLESS: f64 = 0.01;
 /// A job may run for longer than hinted by this many times its hint before it is called off as late.
 const OVERRUN: f64 = 0.3;
 /// Where nothing tells how full a worker is: how much of its share of all own slots out it may have.
@@ -60,10 +55,6 @@
 const TABLE_FULL: Micros = 600_000;
 /// Blind repeats earned by each job served, and how many may be saved up: they add cost, but no capacity.
 const REPEAT_BUDGET: (f64, f64) = (1.0, 10.0);
-/// Word of a start takes no longer than this where the job need not wait, microseconds.
-const START_LAG: Micros = 60_000;
-/// A job not started within this, or a quarter of its time, waits for a slot and may move.
-const MOVE_AFTER: Micros = 300_000;
 /// How often one request may be moved, and from how many saved repeats on: where much fails, those go first.
 const MOVES: usize = 2;
 const MOVE_BUDGET: f64 = 0.9 * REPEAT_BUDGET.1;
@@ -89,146 +80,6 @@
 const TIMER_ASK: u64 = 2;
 const TIMER_WATCH: u64 = 3;
 
-/// An attempt of an open request.
-struct Attempt {
-    worker: WorkerId,
-    /// Slots in hand there per unit of size, its own included, if that was known.
-    crowd: Option<f64>,
-    /// `None` while out; else whether it may have run.
-    may_have_run: Option<bool>,
-    sent: Micros,
-}
-
-/// A request that is owed its final answer.
-#[derive(Default)]
-struct Open {
-    /// As it was when the request came; newer settings don't touch it.
-    class: Class,
-    /// Attempts allowed, by the settings then and by any since.
-    most: u32,
-    key: u64,
-    slots: f64,
-    /// Expected work; 0 without a hint.
-    work: Micros,
-    arrived: Micros,
-    deadline: Micros,
-    sequence: u64,
-    /// Over how many workers its key is spread.
-    width: usize,
-    attempts: Vec<Attempt>,
-    /// Waiting for keepers' reports until this time.
-    asking_until: Option<Micros>,
-    holding: bool,
-}
-
-impl Open {
-    /// From when on it can't be in time any more with so many times its hinted work still to do.
-    fn late_from(&self, rest: f64) -> Micros {
-        self.arrived
-            + self.class.latency_objective
-            + ((self.class.objective_per_work - rest).max(0.0) * self.work as f64) as Micros
-    }
-
-    /// Whether a late answer is worth nothing, and its work is known so far as that says when it is late.
-    fn all_or_nothing(&self) -> bool {
-        self.class.late_weight < WORTHLESS && (self.work > 0 || self.class.objective_per_work == 0.0)
-    }
-
-    fn retry(&self) -> Repeats {
-        let first = self.attempts.iter().find(|attempt| attempt.may_have_run != Some(false));
-        Repeats { idempotency: self.class.idempotency, first: first.map(|attempt| attempt.sent) }
-    }
-
-    /// Its work as hinted; without a hint, its class is made for jobs of about its aim.
-    fn likely_work(&self) -> Micros {
-        Some(self.work).filter(|work| *work > 0).unwrap_or(self.class.latency_objective)
-    }
-}
-
-/// An own attempt that runs: its number, since when, when it was last heard of, and the share done by then.
-struct Started {
-    attempt: (RequestId, u32),
-    began: Micros,
-    heard: Micros,
-    share: f64,
-}
-
-/// What this scheduler knows of a worker.
-#[derive(Default)]
-struct Worker {
-    /// Its entry in the list.
-    endpoint: Endpoint,
-    /// When its process started, by this scheduler's own clock; `None`: long ago.
-    began: Option<Micros>,
-    ready: bool,
-    weight: f64,
-    points: u32,
-    /// Slots in hand there by its keeper's latest report, if the keeper knew, and when it was asked.
-    report: (Option<f64>, Option<Micros>),
-    full_until: Micros,
-    /// Own outstanding slots at which it counts as busy when no report speaks; learned from refusals.
-    bound: f64,
-    /// Own attempts out: request, attempt, when sent, slots.
-    out: Vec<(RequestId, u32, Micros, f64)>,
-    /// Those of them that have started, where workers tell.
-    started: Vec<Started>,
-    /// Which keeper was asked of it and has not answered yet, and when.
-    asked: Option<(u32, Micros)>,
-    waiters: Vec<RequestId>,
-    /// As its keeper: attempts that peers have out there; peer, when, slots.
-    kept: Vec<(u32, Micros, f64)>,
-    /// As its keeper: who has just been told how full it is while cold, when, and with how much work in hand.
-    granted: Vec<(u32, Micros, Micros)>,
-    /// On this account: work sent there less what it can have done of it by then, and when that was.
-    poured: (f64, Micros),
-    failures: u32,
-    ejected_until: Micros,
-}
-
-/// When to look after an attempt sent now of a request due then.
-fn watch_at(now: Micros, deadline: Micros) -> Micros {
-    now + MOVE_AFTER.min(deadline.saturating_sub(now) / 4).max(START_LAG)
-}
-
-impl Worker {
-    fn own_slots(&self) -> f64 {
-        self.out.iter().map(|o| o.3).sum()
-    }
-
-    /// As its keeper: slots that peers have in hand there.
-    fn kept_slots(&self, now: Micros) -> f64 {
-        self.kept.iter().filter(|k| k.1 + KEPT > now).map(|k| k.2).sum()
-    }
-
-    /// Slots in hand by the latest report of its keeper and what was sent since.
-    fn held(&self, now: Micros) -> Option<f64> {
-        let at = self.report.1.filter(|at| now.saturating_sub(*at) < REPORT_HORIZON)?;
-        let since: f64 = self.out.iter().filter(|o| o.2 >= at).map(|o| o.3).sum();
-        self.report.0.map(|held| held + since)
-    }
-
-    /// Whether an own job has waited here for longer than word of its start takes: the slots are full.
-    fn keeps_waiting(&self, now: Micros) -> bool {
-        self.out.iter().any(|o| o.2 + START_LAG < now && self.running((o.0, o.1)).is_none())
-    }
-
-    fn running(&self, attempt: (RequestId, u32)) -> Option<&Started> {
-        self.started.iter().find(|s| s.attempt == attempt)
-    }
-
-    /// `room`: slots that one unit of size is thought to have.
-    fn busy(&self, now: Micros, slots: f64, room: f64) -> bool {
-        let crowded = |held: f64| held + slots > (room * self.weight).max(slots);
-        now < self.full_until
-            || self.held(now).is_some_and(crowded)
-            || self.own_slots() + slots > self.bound.max(slots)
-    }
-
-    fn warm_up_fraction(&self, now: Micros, rules: &Rules) -> f64 {
-        slow_start::warm_up_fraction(self.began, now, rules)
-    }
-}
-
 /// A point of the ring: place, worker, and which of the worker's points it is.
 #[derive(Clone, Copy)]
 struct Point {
@@ -1029,8 +880,3 @@
         }
     }
 }
-
-fn new_worker(endpoint: Endpoint, weight: f64, began: Option<Micros>) -> Worker {
-    let ready = endpoint.state == EndpointState::Ready;
-    Worker { endpoint, began, ready, weight, bound: f64::INFINITY, ..Worker::default() }
-}
--- a/crates/scheduling/tests/limits.rs
+++ b/crates/scheduling/tests/limits.rs
@@ -2,11 +2,13 @@
 #![allow(missing_docs)]
 
 /// Each file that decides something. A rule that no longer fits into one gets a file of its own, with a name of its own.
-const DECISIONS: [(&str, &str); 4] = [
+const DECISIONS: [(&str, &str); 6] = [
     ("hash.rs", include_str!("../src/hash.rs")),
+    ("request.rs", include_str!("../src/request.rs")),
     ("scheduler.rs", include_str!("../src/scheduler.rs")),
     ("retry.rs", include_str!("../src/retry.rs")),
     ("slow_start.rs", include_str!("../src/slow_start.rs")),
+    ("worker.rs", include_str!("../src/worker.rs")),
 ];
 
 #[test]
