--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -14,7 +14,7 @@
 pub use check::Fault;
 pub use precedence::{Effective, Flags};
 
-use crate::discovery::document::{EndpointDocument, Source};
+use crate::discovery::document::{EndpointDocument, EndpointSource};
 use crate::snapshot::Snapshot;
 use check::{hold, Text};
 use file::File;
@@ -34,7 +34,7 @@
     /// The Unix socket at which a successor takes over; nowhere if absent.
     pub handover: Option<PathBuf>,
     /// Where the list of workers comes from.
-    pub source: Source,
+    pub source: EndpointSource,
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// Bytes that it may take.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -4,8 +4,8 @@
 
 use super::precedence::{self, Environment, Overrides};
 use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
-use crate::discovery::document::{EndpointDocument, Names, Source};
-use crate::snapshot::Snapshot;
+use crate::discovery::document::{EndpointDocument, EndpointSource};
+use crate::snapshot::{NameTables, Snapshot};
 use crate::workers::load::{FreeSlots, Reports};
 use crate::workers::name_hash;
 use serde::de::DeserializeOwned;
@@ -123,7 +123,7 @@
 /// The document's settings and what the daemon alone needs of them.
 struct SettingsKeys {
     settings: Settings,
-    names: Names,
+    names: NameTables,
     conn_idle: Duration,
     free_slots: FreeSlots,
 }
@@ -157,7 +157,7 @@
     fn settings(&mut self, json: &Value) -> Option<SettingsKeys> {
         let limits = json.get("limits");
         let conn_idle = self.optional(limits, "conn_idle", "settings.limits.conn_idle");
-        let names = Names {
+        let names = NameTables {
             zones: self.optional(Some(json), "areas", "settings.areas").unwrap_or_default(),
             kinds: self.optional(Some(json), "kinds", "settings.kinds").unwrap_or_default(),
             classes: self.names_of(json, "services"),
@@ -239,7 +239,7 @@
         name: own.name,
         listen: own.listen,
         admin: own.admin,
-        source: Source::Service(own.discovery),
+        source: EndpointSource::Service(own.discovery),
         sockets: own.sockets,
         memory: own.memory_mb.saturating_mul(1 << 20),
         known: own.known,
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -6,8 +6,8 @@
 };
 use super::platform::CONN_IDLE;
 use super::{Config, ConfigError, Peers};
-use crate::discovery::document::{EndpointDocument, Instance, InstanceState, Names, Source};
-use crate::snapshot::Snapshot;
+use crate::discovery::document::{EndpointDocument, EndpointSource, Instance, InstanceState};
+use crate::snapshot::{NameTables, Snapshot};
 use crate::workers::load::{self, Reports};
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::interface::{
@@ -78,8 +78,8 @@
         }
         let listing = EndpointDocument { generation: 0, reset: true, instances };
         let (source, known) = match file.discovery {
-            Some(address) => (Source::Service(address.0), listing),
-            None => (Source::Fixed(listing), EndpointDocument::default()),
+            Some(address) => (EndpointSource::Service(address.0), listing),
+            None => (EndpointSource::Fixed(listing), EndpointDocument::default()),
         };
         Ok(Config {
             name: file.name.clone(),
@@ -250,7 +250,7 @@
             FreeSlots::Untold => load::FreeSlots::Untold,
         },
     };
-    let names = Names {
+    let names = NameTables {
         zones: file.fleet.zones.clone(),
         kinds: file.fleet.kinds.clone(),
         classes: file.class.iter().map(|class| class.name.clone()).collect(),
--- a/crates/vetchbridge/src/discovery/mod.rs
+++ b/crates/vetchbridge/src/discovery/mod.rs
@@ -1,8 +1,19 @@
-//! Discovery: the service that keeps the list of workers.
+//! Endpoint discovery: how this scheduler learns which workers there are.
 //!
-//! [`document`] is the form of a list, [`request`] what may be asked of the service, and [`client`] the watch on it. Nothing
-//! here judges a list, or speaks to a worker that stands on one.
+//! - [`document`] is the form in which the discovery service gives the list, and `partial` what can be read of a
+//!   document that breaks off.
+//! - `client` makes the HTTP calls.
+//! - `schedule` decides when a call is made and how long it may take; it is pure.
+//! - [`watcher`] follows the service and publishes what it learns.
+//! - [`endpoint_list`] is the list as last published, which a successor process starts from.
+//! - [`request`] is what the rest of the daemon may ask of the watcher.
+//!
+//! Nothing here judges a worker or talks to one.
 
-pub mod client;
+mod client;
 pub mod document;
+pub mod endpoint_list;
+mod partial;
 pub mod request;
+mod schedule;
+pub mod watcher;
--- /dev/null
+++ b/crates/vetchbridge/src/discovery/partial/tests.rs
@@ -0,0 +1,42 @@
+//! Reading documents that break off; the reader is private to the crate.
+
+use super::*;
+use serde_json::json;
+
+fn instance(name: &str) -> serde_json::Value {
+    json!({"instanceId": name, "hostPort": "127.0.0.1:9", "lifecycle": "up"})
+}
+
+fn names(partial: &PartialDocument) -> Vec<&str> {
+    partial.instances.iter().map(|instance| instance.instance_id.as_str()).collect()
+}
+
+/// Whatever the length to which a document was cut: what is read is a prefix of it, never a value that it does not hold.
+#[test]
+fn every_prefix_of_a_document_yields_its_complete_parts_alone() {
+    let document =
+        json!({"generation": 1234, "reset": true, "instances": [instance("w-0"), instance("w-1")]});
+    let text = document.to_string();
+    for length in 0..=text.len() {
+        let partial = PartialDocument::parse(&text.as_bytes()[..length]);
+        assert!(matches!(partial.generation, None | Some(1234)), "{partial:?} of {length} bytes");
+        assert!(["w-0", "w-1"].starts_with(&names(&partial)), "{partial:?} of {length} bytes");
+    }
+    let complete = PartialDocument::parse(text.as_bytes());
+    assert_eq!((complete.generation, names(&complete)), (Some(1234), vec!["w-0", "w-1"]));
+}
+
+/// A number at the very end of the text may lack its last digits.
+#[test]
+fn a_generation_that_ends_the_text_is_not_taken() {
+    assert_eq!(PartialDocument::parse(br#"{"generation":12"#).generation, None);
+    assert_eq!(PartialDocument::parse(br#"{"generation":12,"#).generation, Some(12));
+}
+
+#[test]
+fn a_text_that_is_no_document_yields_nothing() {
+    for text in ["", "busy", r#"{"instances""#, r#"{"generation":"x","instances":7}"#] {
+        let partial = PartialDocument::parse(text.as_bytes());
+        assert!(partial.generation.is_none() && partial.instances.is_empty(), "{partial:?} of {text}");
+    }
+}
--- a/crates/vetchbridge/src/discovery/request.rs
+++ b/crates/vetchbridge/src/discovery/request.rs
@@ -1,15 +1,19 @@
-//! What is asked of discovery, and by whom. Owns the words alone, so that the engine, which passes the module's asks
-//! on, and discovery, which gives the engine its news, need not know each other. It must never hold any state.
+//! What the rest of the daemon may ask of the endpoint watcher.
+//!
+//! A module of its own, so that the engine, which passes on the scheduler's requests, and the watcher, which gives the
+//! engine its events, need not know each other. It holds no state.
 
-use crate::discovery::document::Source;
+use crate::discovery::document::EndpointSource;
 
-/// What the module may ask of discovery.
+/// A request to the [`EndpointWatcher`](super::watcher::EndpointWatcher).
 #[derive(Debug)]
 pub enum DiscoveryRequest {
-    /// Follow the changes, or stop.
-    Subscribe(bool),
-    /// The whole list, once.
+    /// Watch the list for changes.
+    Subscribe,
+    /// Stop watching the list.
+    Unsubscribe,
+    /// Fetch the complete list once.
     Fetch,
-    /// The list comes from here from now on. The operators' ask, not the module's.
-    Move(Source),
+    /// Take the list from this source from now on. Sent by a configuration reload, never by the scheduler.
+    Move(EndpointSource),
 }
--- /dev/null
+++ b/crates/vetchbridge/src/discovery/schedule/tests.rs
@@ -0,0 +1,99 @@
+//! The schedule on its own, without a clock or a service; it is private to the discovery module.
+
+use super::*;
+use rstest::rstest;
+
+const AT_ONCE: WatchTimes = WatchTimes { wait: Duration::ZERO, timeout: RESPONSE_TIMEOUT };
+
+#[rstest]
+#[case::before_the_first_answer(CallOutcome::Answered, false)]
+#[case::after_a_failed_call(CallOutcome::Failed, true)]
+#[case::after_an_unanswered_call(CallOutcome::Unanswered, true)]
+fn a_call_that_shows_the_service_to_be_there_waits_for_no_change(
+    #[case] outcome: CallOutcome,
+    #[case] confirmed: bool,
+) {
+    let mut schedule = DiscoverySchedule::new(Instant::now());
+    schedule.record_outcome(outcome);
+    assert_eq!(schedule.next_watch_times(0, confirmed), AT_ONCE);
+}
+
+/// A change that a silent watch missed must be known 6 s after the watch fell silent, which leaves the next call time
+/// for its own answer.
+#[test]
+fn a_silent_watch_is_noticed_in_time_for_another_call() {
+    let mut schedule = DiscoverySchedule::new(Instant::now());
+    for index in 0..1000 {
+        let times = schedule.next_watch_times(index, true);
+        assert!(times.wait >= Duration::from_millis(1200) && times.wait <= Duration::from_millis(2000));
+        assert_eq!(times.timeout, times.wait + Duration::from_secs(1));
+    }
+}
+
+#[test]
+fn the_waits_of_the_schedulers_of_a_tier_are_spread_and_change_with_each_call() {
+    let mut schedules: Vec<_> = (0..20).map(|_| DiscoverySchedule::new(Instant::now())).collect();
+    let mut previous = vec![Duration::ZERO; schedules.len()];
+    for _ in 0..5 {
+        let schedulers = schedules.iter_mut().zip(0..);
+        let waits: Vec<_> =
+            schedulers.map(|(schedule, index)| schedule.next_watch_times(index, true).wait).collect();
+        assert!(waits.iter().zip(&previous).all(|(wait, before)| wait != before), "{waits:?}");
+        previous.clone_from(&waits);
+        let mut sorted = waits;
+        sorted.sort_unstable();
+        let closest = sorted.windows(2).map(|pair| pair[1] - pair[0]).min().expect("more than one");
+        // Half of what 20 waits would be apart that share the spread evenly.
+        assert!(closest >= Duration::from_millis(20), "{sorted:?}");
+    }
+}
+
+#[rstest]
+#[case::after_an_unanswered_call_in_a_small_tier(CallOutcome::Unanswered, 11, true)]
+#[case::not_in_a_large_tier(CallOutcome::Unanswered, 12, false)]
+#[case::not_after_a_call_that_was_refused(CallOutcome::Failed, 1, false)]
+#[case::not_after_an_answer(CallOutcome::Answered, 1, false)]
+fn a_call_is_hedged_only_after_an_unanswered_one_and_in_a_small_tier(
+    #[case] outcome: CallOutcome,
+    #[case] scheduler_count: u32,
+    #[case] hedged: bool,
+) {
+    let now = Instant::now();
+    let mut schedule = DiscoverySchedule::new(now);
+    schedule.record_outcome(outcome);
+    let expected = hedged.then(|| now + Duration::from_millis(1100));
+    assert_eq!(schedule.hedge_at(now, scheduler_count), expected);
+}
+
+#[test]
+fn a_pushed_list_is_watched_at_once_and_again_soon_after_each_end() {
+    let start = Instant::now();
+    let mut schedule = DiscoverySchedule::new(start);
+    schedule.update_reopening(false, true);
+    assert_eq!(schedule.reopen_at(), Some(start));
+    schedule.update_reopening(true, true);
+    assert_eq!(schedule.reopen_at(), None, "it is open");
+    let end = start + Duration::from_secs(3);
+    schedule.record_watch_end(end);
+    schedule.update_reopening(false, true);
+    assert_eq!(schedule.reopen_at(), Some(end + Duration::from_millis(100)));
+}
+
+#[test]
+fn a_polled_list_is_watched_when_the_scheduler_subscribes() {
+    let mut schedule = DiscoverySchedule::new(Instant::now());
+    schedule.update_reopening(false, false);
+    assert_eq!(schedule.reopen_at(), None);
+}
+
+#[test]
+fn a_watch_that_ended_while_lists_were_pushed_is_opened_again_though_they_are_polled_since() {
+    let start = Instant::now();
+    let mut schedule = DiscoverySchedule::new(start);
+    schedule.update_reopening(false, true);
+    schedule.update_reopening(false, false);
+    assert_eq!(schedule.reopen_at(), Some(start));
+    schedule.update_reopening(true, false);
+    schedule.update_reopening(false, false);
+    assert_eq!(schedule.reopen_at(), None, "its next end is the scheduler's to act on");
+}
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -160,7 +160,8 @@
                 }
                 return core.timers.push(Reverse((at, token.0)));
             }
-            Action::Subscribe(on) => return self.ask(DiscoveryRequest::Subscribe(on)),
+            Action::Subscribe(true) => return self.ask(DiscoveryRequest::Subscribe),
+            Action::Subscribe(false) => return self.ask(DiscoveryRequest::Unsubscribe),
             Action::FetchEndpoints => return self.ask(DiscoveryRequest::Fetch),
             Action::SendPeerMessage { to, data } => {
                 if self.messages.send((to, data)).is_err() {
@@ -193,7 +194,7 @@
 
     fn ask(&self, ask: DiscoveryRequest) {
         if self.asks.send(ask).is_err() {
-            error!("discovery.absent");
+            error!("discovery.stopped");
         }
     }
 
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -3,9 +3,10 @@
 use crate::admin;
 use crate::clients::server::ClientServer;
 use crate::config::{self, Config, Flags};
-use crate::discovery::client::{Discovery, InitialList};
-use crate::discovery::document::{EndpointList, Source};
+use crate::discovery::document::EndpointSource;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::request::DiscoveryRequest;
+use crate::discovery::watcher::{EndpointWatcher, InitialEndpoints};
 use crate::engine::Engine;
 use crate::invariants::violations;
 use crate::lifecycle::clock::Lifecycle;
@@ -171,7 +172,7 @@
             self.engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
         if self.asks.send(DiscoveryRequest::Move(config.source)).is_err() {
-            error!("discovery.absent");
+            error!("discovery.stopped");
         }
         info!(classes = names.classes.join(","), "configuration.read");
     }
@@ -196,15 +197,15 @@
     }
     let shared = config.handover.is_some() && door.is_none();
     let (mut from, mut socket, mut rest) = (None, None, None);
-    let mut initial = InitialList { listing: config.known, versioned: true, inherited: false };
+    let mut initial = InitialEndpoints { document: config.known, generation_valid: true, handed_over: false };
     if let Some(Inheritance { listener, peers, offer, listing, wire }) = inheritance {
         listener.set_nonblocking(true)?;
         (from, socket) = (Some(TcpListener::from_std(listener)?), peers);
-        let same = matches!(config.source, Source::Service(address) if Some(address) == offer.source);
-        initial = InitialList {
-            listing,
-            versioned: same && offer.generation.is_some(),
-            inherited: offer.confirmed,
+        let same = matches!(config.source, EndpointSource::Service(address) if Some(address) == offer.source);
+        initial = InitialEndpoints {
+            document: listing,
+            generation_valid: same && offer.generation.is_some(),
+            handed_over: offer.confirmed,
         };
         rest = Some((wire, offer.connections));
     }
@@ -260,7 +261,7 @@
         });
         socket.map_err(|error| error!(error, "peer_socket.failed")).ok()
     });
-    let discovery = Discovery::start(
+    let discovery = EndpointWatcher::start(
         config.source,
         current.clone(),
         initial,
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -3,18 +3,30 @@
 //! Owns which snapshot is current. Whoever works on a request keeps the one that the request was taken under. It must
 //! never check a value: what is swapped in has been checked.
 
-use crate::discovery::document::Names;
 use crate::workers::load::Reports;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use vetchbridge_scheduling::interface::{Class, Settings, Tenant, TenantId};
 
+/// The names behind the settings' indices, as the sockets use them: a name's place in its table is its index.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NameTables {
+    /// Zones.
+    pub zones: Vec<String>,
+    /// Kinds of machine.
+    pub kinds: Vec<String>,
+    /// Classes of requests.
+    pub classes: Vec<String>,
+    /// Tenants.
+    pub tenants: Vec<String>,
+}
+
 /// Settings, whole.
 pub struct Snapshot {
     /// What the module is told.
     pub settings: Settings,
     /// What the settings' indices are called on the sockets.
-    pub names: Names,
+    pub names: NameTables,
     /// A worker closes a connection that has been idle for this long.
     pub conn_idle: Duration,
     /// Which load reports of workers count.
@@ -24,7 +36,7 @@
 impl Snapshot {
     /// Settings as they were read. Where they name tenants, one more is added, without a share and without a name: whose
     /// request names none of them must not use up what is another's.
-    pub fn new(mut settings: Settings, names: Names, conn_idle: Duration, reports: Reports) -> Snapshot {
+    pub fn new(mut settings: Settings, names: NameTables, conn_idle: Duration, reports: Reports) -> Snapshot {
         if !settings.tenants.is_empty() {
             settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -13,7 +13,8 @@
 pub mod socket;
 
 use crate::clients::server::ClientServer;
-use crate::discovery::document::{EndpointDocument, EndpointList};
+use crate::discovery::document::EndpointDocument;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::engine::Engine;
 use crate::lifecycle::clock::Lifecycle;
 use crate::lifecycle::state::State;
@@ -218,7 +219,7 @@
         let offered = async {
             let ((instances, generation), source) = {
                 let endpoint_list = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner);
-                (endpoint_list.whole(), endpoint_list.source())
+                (endpoint_list.snapshot(), endpoint_list.source())
             };
             let listed = instances.len();
             let messages = in_messages(instances);
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -15,9 +15,10 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 use vetchbridge::config::read_text;
-use vetchbridge::discovery::client::{Discovery, InitialList};
-use vetchbridge::discovery::document::{EndpointList, InstanceState, Source};
+use vetchbridge::discovery::document::{EndpointSource, InstanceState};
+use vetchbridge::discovery::endpoint_list::EndpointList;
 use vetchbridge::discovery::request::DiscoveryRequest;
+use vetchbridge::discovery::watcher::{EndpointWatcher, InitialEndpoints};
 use vetchbridge::engine::Engine;
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::snapshot::{CurrentSettings, Snapshot};
@@ -108,7 +109,7 @@
         };
         self.adopt(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
-        let source = Source::Service(self.discovery.local_addr().expect("bound"));
+        let source = EndpointSource::Service(self.discovery.local_addr().expect("bound"));
         self.ask.send(DiscoveryRequest::Move(source)).expect("it is served");
     }
 
@@ -147,19 +148,19 @@
 
     /// The list as told: name and state of each worker.
     fn list(&self) -> Vec<(String, InstanceState)> {
-        let (instances, _) = self.endpoint_list.lock().expect("no panic").whole();
+        let (instances, _) = self.endpoint_list.lock().expect("no panic").snapshot();
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
     }
 
     /// Begins to follow the list, which is this one as last held.
     fn follow(&mut self, instances: Value) {
         let known = json!({"generation": 1, "reset": true, "instances": instances});
-        let listing = serde_json::from_value(known).expect("a list");
-        let initial = InitialList { listing, versioned: true, inherited: false };
-        let source = Source::Service(self.discovery.local_addr().expect("bound"));
+        let document = serde_json::from_value(known).expect("a list");
+        let initial = InitialEndpoints { document, generation_valid: true, handed_over: false };
+        let source = EndpointSource::Service(self.discovery.local_addr().expect("bound"));
         let endpoint_list = self.endpoint_list.clone();
         let (current, engine, upstream) = (self.current.clone(), self.engine.clone(), self.upstream.clone());
-        let discovery = Discovery::start(source, current, initial, engine, upstream, endpoint_list);
+        let discovery = EndpointWatcher::start(source, current, initial, engine, upstream, endpoint_list);
         tokio::spawn(discovery.run(self.asks.take().expect("followed once")));
     }
 }
@@ -722,7 +723,7 @@
     wire.answer(503, "connection: close\r\n", "").await.expect("it is read");
     let (mut wire, target) = parts.call().await;
     assert_eq!(target, "/registry/instances?index=1&wait=0");
-    parts.ask.send(DiscoveryRequest::Subscribe(true)).expect("it is served");
+    parts.ask.send(DiscoveryRequest::Subscribe).expect("it is served");
     parts.ask.send(DiscoveryRequest::Fetch).expect("it is served");
     let (_fetch, target) = parts.call().await;
     assert_eq!(target, "/registry/instances", "and not the watch once more");
