--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -6,7 +6,7 @@
 use super::connection::ClientConnection;
 use super::eviction::{Newcomers, SpareOrder};
 use super::lock;
-use crate::workers::{Count, Counted};
+use crate::workers::{ConnectionCount, ConnectionGuard};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
@@ -60,9 +60,9 @@
     limit: usize,
     aside: usize,
     /// Connections to workers.
-    workers: Count,
+    workers: ConnectionCount,
     table: Mutex<Table>,
-    callbacks: Count,
+    callbacks: ConnectionCount,
 }
 
 /// A connection's place in the budget.
@@ -82,8 +82,14 @@
 impl ClientConnections {
     /// Connections of a process that may hold `limit` descriptors, of which so many are set `aside` beside
     /// [`PROGRAM`]; the connections to `workers` share the rest with them.
-    pub fn new(limit: usize, aside: usize, workers: Count) -> ClientConnections {
-        ClientConnections { limit, aside, workers, table: Mutex::default(), callbacks: Count::default() }
+    pub fn new(limit: usize, aside: usize, workers: ConnectionCount) -> ClientConnections {
+        ClientConnections {
+            limit,
+            aside,
+            workers,
+            table: Mutex::default(),
+            callbacks: ConnectionCount::default(),
+        }
     }
 
     /// How many there are.
@@ -134,9 +140,9 @@
 
     /// A place beside the budget, for a callback; `None` if there is none. Where every client connection is owed an answer, a
     /// callback is what they wait for.
-    pub fn place_for_callback(&self) -> Option<Counted> {
+    pub fn place_for_callback(&self) -> Option<ConnectionGuard> {
         let most = (self.limit / CALLBACKS).max(2);
-        (self.callbacks.get() < most).then(|| self.callbacks.one())
+        (self.callbacks.get() < most).then(|| self.callbacks.register())
     }
 
     /// Whether any connection owes an answer, or may still be sending one.
--- a/crates/vetchbridge/src/clients/connections/tests.rs
+++ b/crates/vetchbridge/src/clients/connections/tests.rs
@@ -36,16 +36,16 @@
 /// Clients have what the program and the workers leave, not a fixed half; what the workers come to need is given up.
 #[tokio::test(start_paused = true)]
 async fn clients_have_what_the_workers_leave_and_make_room_for_them() {
-    let workers = Count::default();
+    let workers = ConnectionCount::default();
     let connections = ClientConnections::new(384, 16, workers.clone());
-    let held: Vec<Counted> = (0..46).map(|_| workers.one()).collect();
+    let held: Vec<ConnectionGuard> = (0..46).map(|_| workers.register()).collect();
     let crowd: Vec<ConnectionSlot<'_>> = (0..400).map_while(|_| connections.place(ALONE)).collect();
     assert_eq!(crowd.len(), 384 - 16 - PROGRAM - 46 - 48);
     for place in &crowd {
         place.connection.keep();
     }
     assert!(connections.place(ALONE).is_some(), "they can be spared");
-    let more: Vec<Counted> = (0..100).map(|_| workers.one()).collect();
+    let more: Vec<ConnectionGuard> = (0..100).map(|_| workers.register()).collect();
     connections.sweep(ALONE);
     assert_eq!(lock(&connections.table).staying(), crowd.len() - 100);
     drop((held, more));
@@ -112,14 +112,14 @@
 
 /// The least of limits: a quarter of it is the clients'.
 fn of_six() -> ClientConnections {
-    ClientConnections::new(24, 0, Count::default())
+    ClientConnections::new(24, 0, ConnectionCount::default())
 }
 
 /// Idle connections to workers have what the clients leave: clients find room as they come, and workers never lose all of theirs.
 #[tokio::test]
 async fn workers_have_what_the_clients_leave() {
     for limit in [64, 256, 512, 1024] {
-        let connections = ClientConnections::new(limit, 4, Count::default());
+        let connections = ClientConnections::new(limit, 4, ConnectionCount::default());
         let mut places = Vec::new();
         let mut before = usize::MAX;
         while let Some(place) = connections.place(ALONE).filter(|_| places.len() < limit / 2) {
@@ -140,7 +140,7 @@
     const NEWCOMERS: usize = 500;
     const ROUNDS: usize = 8;
     let full = |limit| {
-        let connections = ClientConnections::new(limit, 0, Count::default());
+        let connections = ClientConnections::new(limit, 0, ConnectionCount::default());
         (0..limit).map_while(|_| connections.place(ALONE)).for_each(|place| {
             place.connection.keep();
             std::mem::forget(place);
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -5,7 +5,7 @@
 
 use crate::request::Job;
 use crate::snapshot::Snapshot;
-use crate::workers::{request_id, Payload};
+use crate::workers::{parse_request_id, Payload};
 use axum::http::header::HOST;
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderValue};
@@ -24,7 +24,7 @@
 ) -> Result<Job, String> {
     let text = |name| only(&parts.headers, name);
     let id_text = text("x-trace-id")?.ok_or("x-trace-id: missing")?;
-    let id = request_id(id_text).ok_or("x-trace-id: not 16 hex digits")?;
+    let id = parse_request_id(id_text).ok_or("x-trace-id: not 16 hex digits")?;
     text(HOST.as_str())?;
     let target = parts.uri.path_and_query().filter(|target| {
         target.as_str().starts_with('/') && target.as_str().bytes().all(|byte| byte.is_ascii_graphic())
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -326,11 +326,11 @@
             match client_server.process_links.forward(&callback, None).await {
                 Forwarded::Known => StatusCode::OK.into_response(),
                 Forwarded::Unknown => {
-                    debug!(request = callback.id, worker = callback.from, "callback.late");
+                    debug!(request = callback.id, worker = callback.worker, "callback.late");
                     StatusCode::OK.into_response()
                 }
                 Forwarded::Unanswered => {
-                    warn!(request = callback.id, worker = callback.from, "callback.unforwarded");
+                    warn!(request = callback.id, worker = callback.worker, "callback.unforwarded");
                     (StatusCode::SERVICE_UNAVAILABLE, "say it again\n").into_response()
                 }
             }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -6,7 +6,7 @@
 use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
 use crate::discovery::document::{EndpointDocument, Names, Source};
 use crate::snapshot::Snapshot;
-use crate::workers::load::{FreeSlots, Reports};
+use crate::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use crate::workers::name_hash;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -125,7 +125,7 @@
     settings: Settings,
     names: Names,
     conn_idle: Duration,
-    free_slots: FreeSlots,
+    free_slots: FreeSlotsField,
 }
 
 impl Document<'_> {
@@ -164,7 +164,7 @@
             tenants: self.names_of(json, "accounts"),
         };
         let meaning = |field| json.get("specifics")?.get(field)?.as_str();
-        let free_slots = FreeSlots::of(meaning("report_x0"), meaning("report_x1"));
+        let free_slots = FreeSlotsField::from_descriptions(meaning("report_x0"), meaning("report_x1"));
         self.counts(json);
         let settings = vetchbridge_settings::from_value(json)
             .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.reason))
@@ -179,7 +179,8 @@
 
 impl SettingsKeys {
     fn snapshot(self) -> Snapshot {
-        let reports = Reports { via: self.settings.load_report_source, free_slots: self.free_slots };
+        let reports =
+            LoadReportSettings { source: self.settings.load_report_source, free_slots: self.free_slots };
         Snapshot::new(self.settings, self.names, self.conn_idle, reports)
     }
 }
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -8,7 +8,7 @@
 use super::{Config, ConfigError, Peers};
 use crate::discovery::document::{EndpointDocument, Instance, InstanceState, Names, Source};
 use crate::snapshot::Snapshot;
-use crate::workers::load::{self, Reports};
+use crate::workers::load_report::{self, LoadReportSettings};
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::interface::{
     self, Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings,
@@ -242,12 +242,12 @@
 }
 
 fn snapshot(file: &File, settings: Settings) -> Snapshot {
-    let reports = Reports {
-        via: settings.load_report_source,
+    let reports = LoadReportSettings {
+        source: settings.load_report_source,
         free_slots: match file.fleet.free_slots {
-            FreeSlots::X0 => load::FreeSlots::X0,
-            FreeSlots::X1 => load::FreeSlots::X1,
-            FreeSlots::Untold => load::FreeSlots::Untold,
+            FreeSlots::X0 => load_report::FreeSlotsField::X0,
+            FreeSlots::X1 => load_report::FreeSlotsField::X1,
+            FreeSlots::Untold => load_report::FreeSlotsField::Unreported,
         },
     };
     let names = Names {
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -4,7 +4,7 @@
 //! never check a value: what is swapped in has been checked.
 
 use crate::discovery::document::Names;
-use crate::workers::load::Reports;
+use crate::workers::load_report::LoadReportSettings;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use vetchbridge_scheduling::interface::{Class, Settings, Tenant, TenantId};
@@ -18,13 +18,18 @@
     /// A worker closes a connection that has been idle for this long.
     pub conn_idle: Duration,
     /// Which load reports of workers count.
-    pub reports: Reports,
+    pub reports: LoadReportSettings,
 }
 
 impl Snapshot {
     /// Settings as they were read. Where they name tenants, one more is added, without a share and without a name: whose
     /// request names none of them must not use up what is another's.
-    pub fn new(mut settings: Settings, names: Names, conn_idle: Duration, reports: Reports) -> Snapshot {
+    pub fn new(
+        mut settings: Settings,
+        names: Names,
+        conn_idle: Duration,
+        reports: LoadReportSettings,
+    ) -> Snapshot {
         if !settings.tenants.is_empty() {
             settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -223,7 +223,14 @@
 
     fn callback() -> Callback {
         let (id, from) = ("00000000000000ab".to_string(), "s-0".to_string());
-        Callback { id, from, state: CallbackState::Started, share: 0.0, result: String::new(), load: None }
+        Callback {
+            id,
+            worker: from,
+            state: CallbackState::Started,
+            fraction: 0.0,
+            result: String::new(),
+            load: None,
+        }
     }
 
     /// What another process has said of itself goes with it, and this one is on its own again.
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -1,10 +1,9 @@
-//! Callbacks: a worker's words on a job, and the table of the attempts that wait for them.
+//! Callbacks of workers, and their dispatch to the attempts that wait for them.
 //!
-//! Owns the form of those words, and for [`REPEATS`] which of them ended an attempt without a result. Each attempt owns its
-//! place in the table and gives it back when it is dropped. It must never judge what a worker says, nor keep a word that no
-//! attempt here waits for.
+//! Each attempt owns a [`CallbackSubscription`] and gives it back when it is dropped. A callback without a subscriber is not
+//! stored; the router only remembers for [`CALLBACK_RETRY_WINDOW`] which callbacks ended an attempt without a result.
 
-use super::{lock, request_id, worker_id};
+use super::{lock, parse_request_id, worker_id};
 use crate::invariants::{violated, Invariant};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -16,30 +15,31 @@
 use tracing::warn;
 use vetchbridge_scheduling::interface::{RequestId, WorkerId};
 
-/// A worker that was not answered says the same again; so long after an attempt's end, such a word is still about that one.
-const REPEATS: Duration = Duration::from_secs(2);
+/// How long after the end of an attempt a worker may still retry the callback that ended it.
+const CALLBACK_RETRY_WINDOW: Duration = Duration::from_secs(2);
 
-/// A worker's word on a job, sent to the address that clients use.
+/// What a worker reports about a job, sent to the address that clients use.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Callback {
-    /// The request's id.
+    /// The id of the request.
     pub id: String,
-    /// The worker, by its name in discovery.
-    pub from: String,
-    /// What became of the job.
+    /// The name of the worker in the endpoint list.
+    #[serde(rename = "from")]
+    pub worker: String,
+    /// The state of the job.
     pub state: CallbackState,
-    /// Share done.
-    #[serde(default)]
-    pub share: f64,
-    /// The answer.
+    /// The fraction of the job that is done.
+    #[serde(default, rename = "share")]
+    pub fraction: f64,
+    /// The result of the job.
     #[serde(default)]
     pub result: String,
-    /// The worker's load report, as it was written: one that can't be read must not spoil the word on the job.
+    /// The worker's load report, unparsed: a malformed report must not invalidate the callback.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<Box<RawValue>>,
 }
 
-/// What a callback may tell.
+/// The states of a job that a callback reports.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CallbackState {
@@ -51,78 +51,93 @@
     Done,
     /// It failed; it may have run.
     Failed,
-    /// Handed back unstarted.
+    /// It was returned before it started.
     Returned,
-    /// Killed, or its process died; it may have run.
+    /// It was killed, or its process died; it may have run.
     Lost,
 }
 
-type Key = (RequestId, WorkerId);
+/// Identifies an attempt: a request has at most one at a time at each worker.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct AttemptKey {
+    request: RequestId,
+    worker: WorkerId,
+}
+
+/// An attempt that a callback ended without a result.
+struct EndedAttempt {
+    ended_at: Instant,
+    key: AttemptKey,
+    state: CallbackState,
+}
 
 #[derive(Default)]
-struct Table {
-    waiting: HashMap<Key, UnboundedSender<Callback>>,
-    /// What ended attempts that a worker may get again, the earliest first.
-    ended: VecDeque<(Instant, Key, CallbackState)>,
+struct RouterState {
+    subscribers: HashMap<AttemptKey, UnboundedSender<Callback>>,
+    /// The attempts ended within the retry window, the earliest first.
+    ended: VecDeque<EndedAttempt>,
 }
 
-/// The table of callbacks.
+/// Dispatches callbacks to the attempts that they are about.
 #[derive(Default)]
-pub(super) struct Callbacks(Arc<Mutex<Table>>);
+pub(super) struct CallbackRouter(Arc<Mutex<RouterState>>);
 
-/// An attempt's place in the table of callbacks.
-pub(super) struct Inbox {
-    table: Arc<Mutex<Table>>,
-    key: Key,
-    /// What ended this request's earlier attempts at the same worker, lately.
-    ended_before: Vec<CallbackState>,
-    /// What its worker says, in the order it came.
-    pub(super) calls: UnboundedReceiver<Callback>,
+/// The subscription of one attempt to its callbacks.
+pub(super) struct CallbackSubscription {
+    router: Arc<Mutex<RouterState>>,
+    key: AttemptKey,
+    /// The callbacks that recently ended earlier attempts of this request at the same worker.
+    earlier_ends: Vec<CallbackState>,
+    /// The callbacks about this attempt, in the order of their arrival.
+    pub(super) callbacks: UnboundedReceiver<Callback>,
 }
 
-impl Drop for Inbox {
+impl Drop for CallbackSubscription {
     fn drop(&mut self) {
-        lock(&self.table).waiting.remove(&self.key);
+        lock(&self.router).subscribers.remove(&self.key);
     }
 }
 
-impl Inbox {
-    /// Whether this word, come before the attempt was taken, is one that has ended an earlier attempt already.
-    pub(super) fn repeats(&self, state: CallbackState) -> bool {
-        self.ended_before.contains(&state)
+impl CallbackSubscription {
+    /// Whether a callback in this state has already ended an earlier attempt, and may be a retry of that one.
+    pub(super) fn ended_earlier_attempt(&self, state: CallbackState) -> bool {
+        self.earlier_ends.contains(&state)
     }
 
-    /// Keeps in mind what ended this attempt, for a later one at the same worker.
-    pub(super) fn ended(&self, state: CallbackState) {
-        lock(&self.table).ended.push_back((Instant::now(), self.key, state));
+    /// Records the callback that ended this attempt, for a later attempt at the same worker.
+    pub(super) fn record_end(&self, state: CallbackState) {
+        let ended = EndedAttempt { ended_at: Instant::now(), key: self.key, state };
+        lock(&self.router).ended.push_back(ended);
     }
 }
 
-impl Callbacks {
-    /// A place for an attempt, from before its first byte on.
-    pub(super) fn listen(&self, id: RequestId, worker_id: WorkerId) -> Inbox {
-        let ((sender, calls), key) = (unbounded_channel(), (id, worker_id));
-        let table = &mut *lock(&self.0);
-        if table.waiting.insert(key, sender).is_some() {
-            violated(Invariant::OneAttemptAtAWorker, Some(id), "an earlier attempt there still waits");
+impl CallbackRouter {
+    /// Subscribes an attempt to its callbacks.
+    pub(super) fn subscribe(&self, request: RequestId, worker: WorkerId) -> CallbackSubscription {
+        let key = AttemptKey { request, worker };
+        let (sender, callbacks) = unbounded_channel();
+        let state = &mut *lock(&self.0);
+        if state.subscribers.insert(key, sender).is_some() {
+            violated(Invariant::OneAttemptAtAWorker, Some(request), "an earlier attempt there still waits");
         }
-        while table.ended.front().is_some_and(|(at, ..)| at.elapsed() >= REPEATS) {
-            table.ended.pop_front();
+        while state.ended.front().is_some_and(|ended| ended.ended_at.elapsed() >= CALLBACK_RETRY_WINDOW) {
+            state.ended.pop_front();
         }
-        let ended_before = table.ended.iter().filter(|(_, of, _)| *of == key).map(|(.., state)| *state);
-        Inbox { table: self.0.clone(), key, ended_before: ended_before.collect(), calls }
+        let earlier_ends = state.ended.iter().filter(|ended| ended.key == key).map(|ended| ended.state);
+        CallbackSubscription { router: self.0.clone(), key, earlier_ends: earlier_ends.collect(), callbacks }
     }
 
-    /// Passes a callback to the attempt that it is about; false if none such is out here.
-    pub(super) fn pass(&self, callback: &Callback) -> bool {
-        let Some(id) = request_id(&callback.id) else {
-            warn!(worker = callback.from, "callback.unreadable");
+    /// Dispatches a callback to the attempt that it is about; false if there is no such attempt here.
+    pub(super) fn dispatch(&self, callback: &Callback) -> bool {
+        let Some(request) = parse_request_id(&callback.id) else {
+            warn!(worker = callback.worker, "callback.malformed");
             return true;
         };
-        let table = lock(&self.0);
-        let Some(inbox) = table.waiting.get(&(id, worker_id(&callback.from))) else { return false };
-        // Failure means that the attempt is ending in this instant.
-        drop(inbox.send(callback.clone()));
+        let key = AttemptKey { request, worker: worker_id(&callback.worker) };
+        let state = lock(&self.0);
+        let Some(subscriber) = state.subscribers.get(&key) else { return false };
+        // Sending fails only while the attempt is ending.
+        drop(subscriber.send(callback.clone()));
         true
     }
 }
--- a/crates/vetchbridge/src/workers/client.rs
+++ b/crates/vetchbridge/src/workers/client.rs
@@ -4,7 +4,8 @@
 //! Owns how a worker's connections are made and kept. It must never choose whose connections are closed: the upstream group
 //! does.
 
-use super::dial::{Count, Dialer};
+use super::connection_count::ConnectionCount;
+use super::dial::Dialer;
 use super::Times;
 use crate::net::Connector;
 use bytes::Bytes;
@@ -22,15 +23,15 @@
 /// See the head of this file. Dropping it closes the idle connections.
 pub(super) struct WorkerClient {
     http: HttpClient,
-    connections: Count,
+    connections: ConnectionCount,
     last_used: Instant,
 }
 
 impl WorkerClient {
     /// A client without connections; each that it makes is counted among `all` too.
-    pub(super) fn new(times: Times, all: Count) -> WorkerClient {
+    pub(super) fn new(times: Times, all: ConnectionCount) -> WorkerClient {
         let tcp = Connector::new(Some(times.dial).filter(|t| !t.is_zero()));
-        let connections = Count::default();
+        let connections = ConnectionCount::default();
         let http = Client::builder(TokioExecutor::new())
             // A resend that the module does not know of would be a second attempt.
             .retry_canceled_requests(false)
--- /dev/null
+++ b/crates/vetchbridge/src/workers/connection_count.rs
@@ -0,0 +1,30 @@
+//! A live count of open connections.
+
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+
+/// The number of connections that are open now; clones share the count.
+#[derive(Clone, Default)]
+pub struct ConnectionCount(Arc<AtomicUsize>);
+
+/// Keeps one connection counted in a [`ConnectionCount`] until it is dropped.
+pub struct ConnectionGuard(Arc<AtomicUsize>);
+
+impl ConnectionCount {
+    /// Counts one more connection for as long as the guard lives.
+    pub fn register(&self) -> ConnectionGuard {
+        self.0.fetch_add(1, Ordering::Relaxed);
+        ConnectionGuard(self.0.clone())
+    }
+
+    /// The number of connections counted now.
+    pub fn get(&self) -> usize {
+        self.0.load(Ordering::Relaxed)
+    }
+}
+
+impl Drop for ConnectionGuard {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
+}
--- a/crates/vetchbridge/src/workers/dial.rs
+++ b/crates/vetchbridge/src/workers/dial.rs
@@ -3,6 +3,7 @@
 //! Owns what is known of bytes written, by which an exchange that broke is told from one that may have run, and the check
 //! before an exchange's first byte. It must never choose where to dial, nor end a connection that is in use and sound.
 
+use super::connection_count::{ConnectionCount, ConnectionGuard};
 use super::expiry::Expiry;
 use super::lock;
 use super::permission::SendPermission;
@@ -16,7 +17,6 @@
 use std::future::Future;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
-use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
@@ -24,32 +24,6 @@
 use tower_service::Service;
 use tracing::debug;
 
-/// How many of a kind there are.
-#[derive(Clone, Default)]
-pub struct Count(Arc<AtomicUsize>);
-
-/// One of those that a [`Count`] counts, until it is dropped.
-pub struct Counted(Arc<AtomicUsize>);
-
-impl Count {
-    /// One more.
-    pub fn one(&self) -> Counted {
-        self.0.fetch_add(1, Ordering::Relaxed);
-        Counted(self.0.clone())
-    }
-
-    /// How many there are.
-    pub fn get(&self) -> usize {
-        self.0.load(Ordering::Relaxed)
-    }
-}
-
-impl Drop for Counted {
-    fn drop(&mut self) {
-        self.0.fetch_sub(1, Ordering::Relaxed);
-    }
-}
-
 /// How long a connection rests after an answer. A worker that answers twice is found out by then; the second answer would
 /// else be taken for that of the next request.
 pub(super) const REST: Duration = Duration::from_millis(20);
@@ -111,11 +85,11 @@
 
 /// Dials workers; its connections carry a [`Meter`] and are counted from the dial on, among all and among those of one worker.
 #[derive(Clone)]
-pub(super) struct Dialer(Connector, [Count; 2]);
+pub(super) struct Dialer(Connector, [ConnectionCount; 2]);
 
 impl Dialer {
     /// One whose connections are counted there.
-    pub(super) fn new(tcp: Connector, counts: [Count; 2]) -> Dialer {
+    pub(super) fn new(tcp: Connector, counts: [ConnectionCount; 2]) -> Dialer {
         Dialer(tcp, counts)
     }
 }
@@ -125,7 +99,7 @@
     io: TokioIo<RetryingStream>,
     meter: Meter,
     rest: Option<Pin<Box<Sleep>>>,
-    _counted: [Counted; 2],
+    _counted: [ConnectionGuard; 2],
 }
 
 impl Metered {
@@ -171,7 +145,7 @@
     }
 
     fn call(&mut self, uri: Uri) -> Self::Future {
-        let (dial, counted) = (self.0.call(uri), self.1.each_ref().map(Count::one));
+        let (dial, counted) = (self.0.call(uri), self.1.each_ref().map(ConnectionCount::register));
         Box::pin(async move {
             Ok(Metered { io: dial.await?, meter: Meter::default(), rest: None, _counted: counted })
         })
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -6,7 +6,7 @@
 use super::dial::Meter;
 use super::expiry::{self, header_length, request_line_length, Expiry, EXPIRES_IN};
 use super::permission::SendPermission;
-use super::{load, lock, Worker};
+use super::{load_report, lock, Worker};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -61,7 +61,7 @@
 
     /// The load report in its head.
     pub(super) fn load(&self) -> Option<&[u8]> {
-        self.headers.get(load::HEADER).map(|value| value.as_bytes())
+        self.headers.get(load_report::LOAD_REPORT_HEADER).map(|value| value.as_bytes())
     }
 
     /// The body once it is whole; empty if it was too long, `None` if it broke off.
--- /dev/null
+++ b/crates/vetchbridge/src/workers/load_report.rs
@@ -0,0 +1,120 @@
+//! Load reports of workers: parsing, and which reports count under the settings in force.
+//!
+//! A report is advisory: one that can't be parsed is logged and ignored.
+
+use serde_json::value::RawValue;
+use std::collections::BTreeMap;
+use tracing::debug;
+use vetchbridge_scheduling::interface::{LoadReport, LoadReportSource};
+
+/// The response header that carries a load report.
+pub const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
+
+/// The optional prefixes that name a report's format.
+const FORMAT_PREFIXES: [&str; 2] = ["TEXT", "JSON"];
+/// The longest part of a malformed report that is logged, in bytes.
+const MAX_LOGGED_BYTES: usize = 80;
+
+/// Which of the two fields whose meaning a deployment defines reports a worker's free slots.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum FreeSlotsField {
+    /// `x0`.
+    #[default]
+    X0,
+    /// `x1`.
+    X1,
+    /// Neither.
+    Unreported,
+}
+
+impl FreeSlotsField {
+    /// Chooses the field from the deployment's descriptions of `x0` and `x1`; an undescribed `x0` reports free slots.
+    pub fn from_descriptions(x0: Option<&str>, x1: Option<&str>) -> FreeSlotsField {
+        let means_free_slots = |description: &str| description.trim().eq_ignore_ascii_case("free slots");
+        match (x0.is_none_or(means_free_slots), x1.is_some_and(means_free_slots)) {
+            (true, _) => FreeSlotsField::X0,
+            (false, true) => FreeSlotsField::X1,
+            (false, false) => FreeSlotsField::Unreported,
+        }
+    }
+}
+
+/// Which load reports count, and how their fields are interpreted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LoadReportSettings {
+    /// Where reports are taken from.
+    pub source: LoadReportSource,
+    /// The field that reports free slots.
+    pub free_slots: FreeSlotsField,
+}
+
+impl Default for LoadReportSettings {
+    fn default() -> LoadReportSettings {
+        LoadReportSettings { source: LoadReportSource::Never, free_slots: FreeSlotsField::default() }
+    }
+}
+
+impl LoadReportSettings {
+    /// The report on the response or callback that ended an attempt, if such reports count.
+    pub fn from_response(&self, text: Option<&[u8]>) -> Option<LoadReport> {
+        self.parse_or_log(text.filter(|_| self.source == LoadReportSource::Responses))
+    }
+
+    /// The report on the response to a probe, if reports count at all.
+    pub fn from_probe(&self, text: Option<&[u8]>) -> Option<LoadReport> {
+        self.parse_or_log(text.filter(|_| self.source != LoadReportSource::Never))
+    }
+
+    fn parse_or_log(&self, text: Option<&[u8]>) -> Option<LoadReport> {
+        let text = text.filter(|text| !text.is_empty())?;
+        let report = std::str::from_utf8(text).ok().and_then(|text| parse(text, self.free_slots));
+        if report.is_none() {
+            let start = String::from_utf8_lossy(&text[..text.len().min(MAX_LOGGED_BYTES)]);
+            debug!(?start, "load_report.malformed");
+        }
+        report
+    }
+}
+
+/// Parses a report: a JSON object, or `name=value, name=value`, optionally prefixed with its format.
+///
+/// Values that are not finite numbers from 0 up are ignored; `None` if no known field is left.
+pub fn parse(text: &str, free_slots: FreeSlotsField) -> Option<LoadReport> {
+    let text = strip_format_prefixes(text);
+    let mut report = LoadReport::default();
+    let mut set_field = |name: &str, value: &str| {
+        let field = match name {
+            "inflight" | "busy_reqs" => &mut report.in_flight,
+            "queue" | "pending" => &mut report.queued,
+            "util" | "cpu_share" => &mut report.utilisation,
+            "latency_ms" | "svc_ms" => &mut report.service_ms,
+            "x0" if free_slots == FreeSlotsField::X0 => &mut report.free_slots,
+            "x1" if free_slots == FreeSlotsField::X1 => &mut report.free_slots,
+            _ => return,
+        };
+        *field = value.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0);
+    };
+    if text.starts_with('{') {
+        // Raw values: one that is out of range must not invalidate the others.
+        let object: BTreeMap<String, &RawValue> = serde_json::from_str(text).ok()?;
+        object.iter().for_each(|(name, value)| set_field(name, value.get()));
+    } else {
+        let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
+        pairs.for_each(|(name, value)| set_field(name.trim(), value.trim()));
+    }
+    (report != LoadReport::default()).then_some(report)
+}
+
+/// The report without the names of its format; a name counts only if white space follows it.
+fn strip_format_prefixes(text: &str) -> &str {
+    let mut text = text.trim();
+    for prefix in FORMAT_PREFIXES {
+        let matches = text.get(..prefix.len()).is_some_and(|start| start.eq_ignore_ascii_case(prefix));
+        let rest = matches.then(|| &text[prefix.len()..]);
+        text = rest.filter(|rest| rest.starts_with([' ', '\t'])).map_or(text, str::trim_start);
+    }
+    text
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/vetchbridge/src/workers/mod.rs
+++ b/crates/vetchbridge/src/workers/mod.rs
@@ -8,24 +8,27 @@
 
 mod callbacks;
 mod client;
+mod connection_count;
 mod dial;
 mod exchange;
 mod expiry;
-pub mod load;
+mod identifiers;
+pub mod load_report;
 mod permission;
 
 pub use callbacks::{Callback, CallbackState};
-pub use dial::{Count, Counted};
+pub use connection_count::{ConnectionCount, ConnectionGuard};
 pub use exchange::Payload;
+pub use identifiers::{name_hash, parse_request_id, worker_id};
 
 use bytes::Bytes;
-use callbacks::Callbacks;
+use callbacks::CallbackRouter;
 use client::WorkerClient;
 use dial::REST;
 use exchange::{Broken, Exchange};
 use hyper::http::uri::{Authority, PathAndQuery};
 use hyper::{Method, StatusCode};
-use load::Reports;
+use load_report::LoadReportSettings;
 use permission::SendPermission;
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -72,23 +75,6 @@
     }
 }
 
-/// A hash of a name that is the same in every process (FNV-1a).
-pub fn name_hash(name: &str) -> u64 {
-    let hash = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, hash)
-}
-
-/// The number by which the module knows a worker: a hash of its name alone, so that all schedulers agree.
-pub fn worker_id(name: &str) -> WorkerId {
-    WorkerId(name_hash(name))
-}
-
-/// Reads a request id: exactly 16 hex digits.
-pub fn request_id(text: &str) -> Option<RequestId> {
-    let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    hex.then(|| u64::from_str_radix(text, 16).ok().map(RequestId)).flatten()
-}
-
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -150,12 +136,12 @@
 /// See the head of this file.
 pub struct UpstreamGroup {
     workers: Mutex<HashMap<WorkerId, Arc<Worker>>>,
-    callbacks: Callbacks,
+    callbacks: CallbackRouter,
     times: Mutex<Times>,
-    reports: Mutex<Reports>,
+    reports: Mutex<LoadReportSettings>,
     /// Probes that may still go out: each may hold a descriptor.
     probes: Semaphore,
-    connections: Count,
+    connections: ConnectionCount,
     /// With more connections than this, idle ones are closed.
     most_connections: AtomicUsize,
 }
@@ -188,22 +174,22 @@
         let probes = Semaphore::new(probes);
         UpstreamGroup {
             workers: Mutex::default(),
-            callbacks: Callbacks::default(),
+            callbacks: CallbackRouter::default(),
             times,
             reports: Mutex::default(),
             probes,
-            connections: Count::default(),
+            connections: ConnectionCount::default(),
             most_connections: AtomicUsize::new(usize::MAX),
         }
     }
 
     /// Load reports are read like this from now on; by no report until this is called.
-    pub fn read_reports(&self, reports: Reports) {
+    pub fn read_reports(&self, reports: LoadReportSettings) {
         *lock(&self.reports) = reports;
     }
 
     /// How many connections to workers there are, dials included.
-    pub fn connections(&self) -> Count {
+    pub fn connections(&self) -> ConnectionCount {
         self.connections.clone()
     }
 
@@ -310,7 +296,7 @@
 
     /// Passes a callback to the attempt that it is about; false if none such is out here.
     pub fn called_back(&self, callback: &Callback) -> bool {
-        self.callbacks.pass(callback)
+        self.callbacks.dispatch(callback)
     }
 
     fn client(&self) -> WorkerClient {
@@ -369,7 +355,7 @@
         };
         let reports = *lock(&self.reports);
         let body = body.as_deref().filter(|body| !body.is_empty());
-        (status, reports.of_probe(body.or_else(|| reply.load())))
+        (status, reports.from_probe(body.or_else(|| reply.load())))
     }
 
     /// One attempt, from its dial to its outcome, with the load report that came with what ended it; waits no longer
@@ -388,7 +374,7 @@
             return not(Outcome::ConnectFailed);
         };
         // Before the first byte: a callback may overtake the 202.
-        let mut inbox = self.callbacks.listen(id, worker_id);
+        let mut inbox = self.callbacks.subscribe(id, worker_id);
         let SendConditions { wait, begin_within, over } = conditions;
         let begin_by = Instant::now() + begin_within.min(wait);
         let until = tokio::time::sleep(wait);
@@ -422,10 +408,10 @@
                         return not(status);
                     }
                 }
-                Some(call) = inbox.calls.recv() => {
+                Some(call) = inbox.callbacks.recv() => {
                     // Nothing is said of what has not been written whole, and a repeat is about an earlier attempt here. A
                     // result is one of this request, whichever attempt it is from.
-                    let of_earlier = !accepted && (!seen.written() || inbox.repeats(call.state));
+                    let of_earlier = !accepted && (!seen.written() || inbox.ended_earlier_attempt(call.state));
                     if of_earlier && call.state != CallbackState::Done {
                         debug!(request = payload.id, worker = worker.name, state = ?call.state, "callback.of_earlier");
                         continue;
@@ -441,7 +427,7 @@
                             continue;
                         }
                         CallbackState::Running => {
-                            note(JobProgress::Fraction(call.share));
+                            note(JobProgress::Fraction(call.fraction));
                             continue;
                         }
                         CallbackState::Done => AttemptResult::Served(call.result.into()),
@@ -450,10 +436,10 @@
                         CallbackState::Lost => AttemptResult::NotServed(Outcome::Reset),
                     };
                     if call.state != CallbackState::Done {
-                        inbox.ended(call.state);
+                        inbox.record_end(call.state);
                     }
                     let load = call.load.as_ref().map(|load| load.get().as_bytes());
-                    return (ended, lock(&self.reports).of_answer(load));
+                    return (ended, lock(&self.reports).from_response(load));
                 }
                 answered = &mut answer, if !accepted => match answered {
                     // The head says all that there is to know; a worker may never come to the end of the rest.
@@ -468,7 +454,7 @@
                             status if blames_request(status) => Outcome::Invalid,
                             _ => Outcome::Error,
                         };
-                        let load = lock(&self.reports).of_answer(reply.load());
+                        let load = lock(&self.reports).from_response(reply.load());
                         reply.drain();
                         return (AttemptResult::NotServed(status), load);
                     }
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use vetchbridge::discovery::document::{Instance, InstanceState};
 use vetchbridge::upgrade::message::{HandoverMessage, Offer, VERSION};
-use vetchbridge::workers::{request_id, worker_id, Callback, CallbackState};
+use vetchbridge::workers::{parse_request_id, worker_id, Callback, CallbackState};
 
 fn instance() -> Instance {
     Instance {
@@ -29,7 +29,14 @@
 
 fn callback() -> Callback {
     let (id, from) = ("00000000000000ab".to_string(), "s-1".to_string());
-    Callback { id, from, state: CallbackState::Done, share: 0.5, result: "ok".to_string(), load: None }
+    Callback {
+        id,
+        worker: from,
+        state: CallbackState::Done,
+        fraction: 0.5,
+        result: "ok".to_string(),
+        load: None,
+    }
 }
 
 fn written_callback() -> Value {
@@ -105,7 +112,7 @@
 fn names_and_ids_become_the_same_numbers_at_every_version() {
     assert_eq!(worker_id("s-1").0, 0x817c_da19_5c3f_bf24);
     assert_eq!(worker_id("cell-7/worker-12").0, 0x90c1_cae9_1af4_46a8);
-    assert_eq!(request_id("00000000000000ab").map(|id| id.0), Some(0xab));
+    assert_eq!(parse_request_id("00000000000000ab").map(|id| id.0), Some(0xab));
 }
 
 /// The configuration that another version's `config default` printed, and the values that its `check` found in it.
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -8,7 +8,7 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 use vetchbridge::config::{load, read_file, Flags};
-use vetchbridge::workers::load::{FreeSlots, Reports};
+use vetchbridge::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use vetchbridge_scheduling::interface::LoadReportSource;
 
 fn file(name: &str, text: &str) -> PathBuf {
@@ -149,7 +149,10 @@
         &text.replace("probe = false", "probe = true").replace("probe = 0.0", "probe = 0.01"),
     );
     let snapshot = read_file(&path).expect("it reads").config.snapshot;
-    assert_eq!(snapshot.reports, Reports { via: LoadReportSource::Probes, free_slots: FreeSlots::X1 });
+    assert_eq!(
+        snapshot.reports,
+        LoadReportSettings { source: LoadReportSource::Probes, free_slots: FreeSlotsField::X1 }
+    );
     let settings = snapshot.settings;
     assert_eq!((settings.load_report_source, settings.limits.may_probe), (LoadReportSource::Probes, true));
     assert_eq!(settings.cost_weights.probe, 0.01);
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -27,7 +27,7 @@
 use vetchbridge::discovery::document::Instance;
 use vetchbridge::upgrade::message::{in_messages, HandoverMessage, LONGEST};
 use vetchbridge::workers::{
-    request_id, worker_id, AttemptResult, ListedWorker, Payload, SendConditions, UpstreamGroup,
+    parse_request_id, worker_id, AttemptResult, ListedWorker, Payload, SendConditions, UpstreamGroup,
 };
 use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
 use vetchbridge_scheduling::peer_message::PeerMessage;
@@ -399,7 +399,7 @@
     // Worker 0 is used again after each of the others, which are used once.
     for number in (1..=BESIDE).flat_map(|number| [number, 0]) {
         let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
-        let (request, worker) = (request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
+        let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
         let payload = Payload { id, target, idempotency_key: None, body: "work".into() };
         let (_cancel, cancelled) = oneshot::channel();
         let (end, _) =
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -22,7 +22,7 @@
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::snapshot::{CurrentSettings, Snapshot};
 use vetchbridge::upgrade::process_links::ProcessLinks;
-use vetchbridge::workers::{request_id, Callback, Payload, UpstreamGroup};
+use vetchbridge::workers::{parse_request_id, Callback, Payload, UpstreamGroup};
 use vetchbridge_scheduling::interface::*;
 use vetchbridge_scheduling::scheduler::Scheduler;
 use vetchbridge_testbed::wire::Wire;
@@ -130,7 +130,7 @@
     /// Hands in a job of the one class, key `k`.
     fn submit(&self, id: &str, body: Bytes) -> oneshot::Receiver<Answer> {
         let request = Request {
-            id: request_id(id).expect("an id"),
+            id: parse_request_id(id).expect("an id"),
             class: ClassId(0),
             tenant: TenantId(0),
             key: Some("k".to_string()),
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
-use vetchbridge::workers::load::{FreeSlots, Reports};
+use vetchbridge::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use vetchbridge::workers::{
     worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
 };
@@ -37,10 +37,10 @@
 }
 
 impl Stage {
-    async fn set(via: LoadReportSource, probes: usize) -> Stage {
+    async fn set(source: LoadReportSource, probes: usize) -> Stage {
         let worker = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let group = UpstreamGroup::new(MINUTE, MINUTE, probes);
-        group.read_reports(Reports { via, free_slots: FreeSlots::X0 });
+        group.read_reports(LoadReportSettings { source, free_slots: FreeSlotsField::X0 });
         tell(&group, worker.local_addr().expect("bound"), EndpointState::Ready);
         Stage { group, worker, worker_id: worker_id("s-0") }
     }
