--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -6,7 +6,7 @@
 use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
 use crate::discovery::document::{EndpointDocument, EndpointSource};
 use crate::snapshot::{NameTables, Snapshot};
-use crate::workers::load::{FreeSlots, Reports};
+use crate::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use crate::workers::name_hash;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -124,7 +124,7 @@
     settings: Settings,
     names: NameTables,
     conn_idle: Duration,
-    free_slots: FreeSlots,
+    free_slots: FreeSlotsField,
 }
 
 impl Document<'_> {
@@ -163,7 +163,7 @@
             tenants: self.names_of(json, "accounts"),
         };
         let meaning = |field| json.get("specifics")?.get(field)?.as_str();
-        let free_slots = FreeSlots::of(meaning("report_x0"), meaning("report_x1"));
+        let free_slots = FreeSlotsField::from_descriptions(meaning("report_x0"), meaning("report_x1"));
         self.check_positive(json);
         let settings = vetchbridge_settings::from_value(json)
             .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.reason))
@@ -178,7 +178,8 @@
 
 impl SettingsKeys {
     fn snapshot(self) -> Snapshot {
-        let reports = Reports { via: self.settings.load_report_source, free_slots: self.free_slots };
+        let reports =
+            LoadReportSettings { source: self.settings.load_report_source, free_slots: self.free_slots };
         Snapshot::new(self.settings, self.names, self.conn_idle, reports)
     }
 }
