--- a/crates/vetchbridge/src/admin.rs
+++ b/crates/vetchbridge/src/admin.rs
@@ -5,7 +5,7 @@
 //! lifecycle, and never let a caller hold another up.
 
 use crate::lifecycle::clock::Lifecycle;
-use crate::lifecycle::state::Refusal;
+use crate::lifecycle::state::Unavailable;
 use crate::net::RetryingStream;
 use crate::upgrade::process_links::ProcessLinks;
 use std::collections::VecDeque;
@@ -51,7 +51,7 @@
         return "fail handed over; ask the successor".to_string();
     }
     let done = match call {
-        Some("health") => lifecycle.state().can_serve(),
+        Some("health") => lifecycle.state().ensure_can_serve(),
         Some("quiesce") => {
             lifecycle.quiesce();
             Ok(())
@@ -62,8 +62,8 @@
     };
     match done {
         Ok(()) => format!("ok {}", lifecycle.state().name()),
-        Err(Refusal::Starting) => "fail starting, it can't serve yet".to_string(),
-        Err(Refusal::Ending) => "fail ending".to_string(),
+        Err(Unavailable::Starting) => "fail starting, it can't serve yet".to_string(),
+        Err(Unavailable::ShuttingDown) => "fail ending".to_string(),
     }
 }
 
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -204,9 +204,9 @@
         // One that has never been answered may have its request on the way: the answer will close it.
         let drained = async {
             loop {
-                drop(state.wait_for(|state| state.closes_idle()).await);
+                drop(state.wait_for(|state| state.closes_idle_connections()).await);
                 connection.idles().await;
-                if self.lifecycle.state().closes_idle() {
+                if self.lifecycle.state().closes_idle_connections() {
                     return;
                 }
             }
@@ -276,7 +276,7 @@
             router.call(request.map(Body::new)).await?
         };
         connection.answered();
-        let stays = self.process_links.has_successor() || !self.lifecycle.state().hangs_up();
+        let stays = self.process_links.has_successor() || !self.lifecycle.state().closes_after_response();
         if !stays || connection.last() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -300,8 +300,8 @@
 
 async fn ready(State(client_server): State<Arc<ClientServer>>) -> StatusCode {
     // With a successor the scheduler goes on, whatever becomes of this process; operators may have drained it.
-    let succeeded = client_server.process_links.has_successor() && !client_server.lifecycle.quiesced();
-    if succeeded || client_server.lifecycle.state().ready() {
+    let succeeded = client_server.process_links.has_successor() && !client_server.lifecycle.is_quiesced();
+    if succeeded || client_server.lifecycle.state().is_ready() {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
@@ -355,7 +355,7 @@
         Ok(read) => read,
         Err(refused) => return refused.into_response(),
     };
-    if !client_server.lifecycle.state().takes() {
+    if !client_server.lifecycle.state().accepts_requests() {
         debug!(reason = "ending", "request.refused");
         return (StatusCode::SERVICE_UNAVAILABLE, "ending\n").into_response();
     }
--- a/crates/vetchbridge/src/lifecycle/clock.rs
+++ b/crates/vetchbridge/src/lifecycle/clock.rs
@@ -1,97 +1,99 @@
-//! The lifecycle at work: its clock, and everyone who has to know of a change.
+//! Runs the lifecycle's state machine in real time and publishes its state.
 //!
-//! Owns the one [`LifecycleMachine`] of this process. Calls go in, the state comes out on a watch; time is told by
-//! [`Lifecycle::keep_time`]. It must never decide what a state means.
+//! [`Lifecycle`] owns the one [`LifecycleMachine`] of this process. It must never decide what a state means; that is
+//! [`state`](crate::lifecycle::state)'s.
 
-use crate::lifecycle::state::{LifecycleMachine, Refusal, State};
+use crate::lifecycle::state::{LifecycleMachine, LifecycleState, Unavailable};
 use std::sync::{Mutex, PoisonError};
+use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-/// See the head of this file.
+/// The lifecycle of this process: calls go in, the state comes out on a watch channel.
 pub struct Lifecycle {
-    began: Instant,
+    started_at: Instant,
     machine: Mutex<LifecycleMachine>,
-    state: watch::Sender<State>,
+    state: watch::Sender<LifecycleState>,
 }
 
 impl Lifecycle {
-    /// The life of a process that has just started.
-    pub fn begin(quiesced: bool) -> Lifecycle {
+    /// The lifecycle of a process that has just been started; `quiesced`: it starts with its clients drained.
+    pub fn new(quiesced: bool) -> Lifecycle {
         let machine = LifecycleMachine::new(quiesced);
         let state = watch::Sender::new(machine.state());
-        Lifecycle { began: Instant::now(), machine: Mutex::new(machine), state }
+        Lifecycle { started_at: Instant::now(), machine: Mutex::new(machine), state }
     }
 
-    /// The state.
-    pub fn state(&self) -> State {
+    /// The current state.
+    pub fn state(&self) -> LifecycleState {
         *self.state.borrow()
     }
 
-    /// Whether operators want its clients sent away.
-    pub fn quiesced(&self) -> bool {
-        self.call(|lifecycle, _| lifecycle.quiesced())
+    /// Whether operators have quiesced this scheduler.
+    pub fn is_quiesced(&self) -> bool {
+        self.with_machine(|machine, _| machine.is_quiesced())
     }
 
-    /// Follows the state.
-    pub fn subscribe(&self) -> watch::Receiver<State> {
+    /// A receiver of each change of the state.
+    pub fn subscribe(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
 
-    /// It can serve from now on.
-    pub fn started(&self) {
-        self.call(|lifecycle, now| lifecycle.started(now));
+    /// Ends the start: the process can serve from now on.
+    pub fn start_serving(&self) {
+        self.with_machine(|machine, now| machine.start_serving(now));
     }
 
-    /// Operators: send clients away.
+    /// Starts to drain clients, at an operator's command.
     pub fn quiesce(&self) {
-        self.call(|lifecycle, now| lifecycle.quiesce(now));
+        self.with_machine(|machine, now| machine.quiesce(now));
     }
 
-    /// Operators: take clients again.
-    pub fn resume(&self) -> Result<(), Refusal> {
-        self.call(|lifecycle, _| lifecycle.resume())
+    /// Accepts clients again, at an operator's command.
+    pub fn resume(&self) -> Result<(), Unavailable> {
+        self.with_machine(|machine, _| machine.resume())
     }
 
-    /// It is to end; its clients wait no longer than `deadline`.
-    pub fn terminate(&self, deadline: std::time::Duration) {
-        self.call(|lifecycle, now| lifecycle.terminate(now, deadline));
+    /// Starts the graceful shutdown; no client waits longer than `longest_deadline`.
+    pub fn begin_shutdown(&self, longest_deadline: Duration) {
+        self.with_machine(|machine, now| machine.begin_shutdown(now, longest_deadline));
     }
 
-    fn call<T>(&self, call: impl FnOnce(&mut LifecycleMachine, std::time::Duration) -> T) -> T {
+    /// Calls the state machine, brought up to the present, and publishes the state that it has afterwards.
+    fn with_machine<T>(&self, call: impl FnOnce(&mut LifecycleMachine, Duration) -> T) -> T {
         let machine = &mut *self.machine.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = self.began.elapsed();
+        let now = self.started_at.elapsed();
         machine.advance(now);
-        let answer = call(machine, now);
+        let result = call(machine, now);
         let state = machine.state();
-        self.state.send_if_modified(|told| {
-            let changed = *told != state;
-            *told = state;
+        self.state.send_if_modified(|published| {
+            let changed = *published != state;
+            *published = state;
             changed
         });
-        answer
+        result
     }
 
-    /// Takes the steps that time alone brings, for as long as the process lives.
-    pub async fn keep_time(&self) {
+    /// Makes the transitions that time alone brings, and logs every one, for as long as the process lives.
+    pub async fn run_transitions(&self) {
         let mut changes = self.subscribe();
         let mut logged = "";
         loop {
-            let wakes = self.call(|lifecycle, _| lifecycle.wakes());
+            let next_transition = self.with_machine(|machine, _| machine.next_transition_at());
             let name = changes.borrow_and_update().name();
             if name != logged {
-                info!(state = name, "daemon.state");
+                info!(state = name, "daemon.state_changed");
                 logged = name;
             }
-            let due = async {
-                match wakes {
-                    Some(at) => sleep_until(self.began + at).await,
+            let timer = async {
+                match next_transition {
+                    Some(at) => sleep_until(self.started_at + at).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                () = due => {}
+                () = timer => {}
                 changed = changes.changed() => if changed.is_err() { return },
             }
         }
--- a/crates/vetchbridge/src/lifecycle/state.rs
+++ b/crates/vetchbridge/src/lifecycle/state.rs
@@ -1,192 +1,215 @@
-//! How far this process is: starting, serving, draining, drained or ending. Pure: no clock, no socket.
+//! The state machine of the process's lifecycle: starting, serving, draining, drained, shutting down. Pure: no clock, no
+//! socket.
 //!
-//! Owns the one answer to each question that hangs on it: whether the process can serve, whether it is ready for new
-//! clients, whether an answer ends its connection, whether idle connections are closed, whether anything is taken.
-//! Times are spans from the start, passed in. It must never act: whoever asks, acts.
+//! [`LifecycleState`] answers each question that depends on the state: whether the process can serve, whether it is ready
+//! for new clients, whether a response closes its connection, whether idle connections are closed, whether requests are
+//! accepted. Times are spans from the process's start, passed in. It must never act on a state; its callers do.
 
 use std::time::Duration;
 
-/// Once clients are sent away, idle connections are left to them for this long: the front may still deal them out.
-pub const LET_IDLE: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, which counts as no more than this, and 0.7 s more.
+/// Time between the start of a drain and the closing of idle connections: a load balancer that has not seen yet that
+/// this scheduler is not ready may still send requests on them.
+pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
+/// Upper limit on the longest deadline that counts: SIGKILL comes no sooner after SIGTERM than that deadline and 0.7 s.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// Time after that deadline at which open requests get their final answer, since SIGKILL would lose them.
-const FINAL_ANSWER_DELAY: Duration = Duration::from_millis(300);
-/// Time before the final answers at which connections stop being kept; what was taken by then has the rest.
+/// Time after that deadline at which open requests get their final response, since SIGKILL would lose them.
+const FINAL_RESPONSE_DELAY: Duration = Duration::from_millis(300);
+/// Time before the final responses at which connections stop being reused; requests accepted by then have it left.
 const CONNECTION_CLOSE_LEAD: Duration = Duration::from_secs(1);
 
-/// How far a process is.
+/// How far a process is in its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum LifecycleState {
     /// It can't serve yet.
     Starting,
-    /// It takes clients.
+    /// It accepts clients.
     Serving,
-    /// Told to send clients away: not ready, each answer closes its connection. What arrives is still taken.
+    /// Operators are draining it: it is not ready, and each response closes its connection. Requests that arrive are
+    /// still accepted.
     Draining,
-    /// Idle connections are closed as well; it stays so until it is told to take clients again.
+    /// Idle connections are closed as well; it stays so until operators resume it.
     Drained,
-    /// Told to end.
-    Ending(End),
+    /// It is in its graceful shutdown.
+    ShuttingDown(ShutdownPhase),
 }
 
-/// How far a process is on its way out.
+/// How far a process is in its graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Not ready for new clients; those that have a connection are served on, since they use it for as long as it
-    /// stays open, and another scheduler may be restarting too.
+pub enum ShutdownPhase {
+    /// Not ready for new clients; those that have a connection are still served on it, since they use it for as long as
+    /// it stays open, and another scheduler may be restarting too.
     Draining,
-    /// As [`State::Drained`].
+    /// As [`LifecycleState::Drained`].
     Drained,
-    /// Nothing more is taken, and what is open is given its final answer.
-    Leaving,
+    /// No request is accepted any more, and those that are open get their final response.
+    Terminating,
 }
 
-/// Why something asked can't be.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// Not before it can serve.
+/// Why the process can't serve.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Unavailable {
+    /// Not yet.
+    #[error("starting, it can't serve yet")]
     Starting,
     /// Not any more.
-    Ending,
+    #[error("ending")]
+    ShuttingDown,
 }
 
-impl State {
-    /// Whether this process can serve what reaches it.
-    pub fn can_serve(self) -> Result<(), Refusal> {
+impl LifecycleState {
+    /// Fails unless this process can serve the requests that reach it.
+    pub fn ensure_can_serve(self) -> Result<(), Unavailable> {
         match self {
-            State::Starting => Err(Refusal::Starting),
-            State::Serving | State::Draining | State::Drained => Ok(()),
-            State::Ending(_) => Err(Refusal::Ending),
+            LifecycleState::Starting => Err(Unavailable::Starting),
+            LifecycleState::Serving | LifecycleState::Draining | LifecycleState::Drained => Ok(()),
+            LifecycleState::ShuttingDown(_) => Err(Unavailable::ShuttingDown),
         }
     }
 
     /// Whether new clients may be sent here.
-    pub fn ready(self) -> bool {
-        self == State::Serving
+    pub fn is_ready(self) -> bool {
+        self == LifecycleState::Serving
     }
 
-    /// Whether an answer ends its connection.
-    pub fn hangs_up(self) -> bool {
-        !matches!(self, State::Starting | State::Serving | State::Ending(End::Draining))
+    /// Whether a response closes its connection.
+    pub fn closes_after_response(self) -> bool {
+        !matches!(
+            self,
+            LifecycleState::Starting
+                | LifecycleState::Serving
+                | LifecycleState::ShuttingDown(ShutdownPhase::Draining)
+        )
     }
 
     /// Whether idle connections are closed.
-    pub fn closes_idle(self) -> bool {
-        matches!(self, State::Drained | State::Ending(End::Drained | End::Leaving))
+    pub fn closes_idle_connections(self) -> bool {
+        matches!(
+            self,
+            LifecycleState::Drained
+                | LifecycleState::ShuttingDown(ShutdownPhase::Drained | ShutdownPhase::Terminating)
+        )
     }
 
-    /// Whether a request that arrives is taken.
-    pub fn takes(self) -> bool {
-        self != State::Ending(End::Leaving)
+    /// Whether a request that arrives is accepted.
+    pub fn accepts_requests(self) -> bool {
+        self != LifecycleState::ShuttingDown(ShutdownPhase::Terminating)
     }
 
-    /// Its name, for operators.
+    /// The state's name in the log and in the admin interface's responses.
     pub fn name(self) -> &'static str {
         match self {
-            State::Starting => "starting",
-            State::Serving => "serving",
-            State::Draining => "draining",
-            State::Drained => "drained",
-            State::Ending(_) => "ending",
+            LifecycleState::Starting => "starting",
+            LifecycleState::Serving => "serving",
+            LifecycleState::Draining => "draining",
+            LifecycleState::Drained => "drained",
+            LifecycleState::ShuttingDown(_) => "ending",
         }
     }
 }
 
-/// The state and what leads on from it.
+/// The state and everything that its next transition depends on.
 #[derive(Debug)]
 pub struct LifecycleMachine {
-    state: State,
-    /// When it was told to drain or to end.
-    since: Duration,
-    /// Operators want clients sent away, from before it can serve on.
+    state: LifecycleState,
+    /// When the drain or the shutdown started.
+    phase_started_at: Duration,
+    /// Operators have quiesced this scheduler, perhaps before it could serve.
     quiesced: bool,
-    /// From being told to end to the final answer of what is still open.
-    final_answers_after: Duration,
+    /// Time from the start of the shutdown to the final response to what is still open.
+    final_responses_after: Duration,
 }
 
 impl LifecycleMachine {
-    /// A process that has just started; `quiesced`: it begins with its clients sent away.
+    /// A process that has just been started; `quiesced`: it starts with its clients drained.
     pub fn new(quiesced: bool) -> LifecycleMachine {
         LifecycleMachine {
-            state: State::Starting,
-            since: Duration::ZERO,
+            state: LifecycleState::Starting,
+            phase_started_at: Duration::ZERO,
             quiesced,
-            final_answers_after: Duration::ZERO,
+            final_responses_after: Duration::ZERO,
         }
     }
 
-    /// The state.
-    pub fn state(&self) -> State {
+    /// The current state.
+    pub fn state(&self) -> LifecycleState {
         self.state
     }
 
-    /// Whether operators want clients sent away.
-    pub fn quiesced(&self) -> bool {
+    /// Whether operators have quiesced this scheduler.
+    pub fn is_quiesced(&self) -> bool {
         self.quiesced
     }
 
-    /// It can serve from now on.
-    pub fn started(&mut self, now: Duration) {
-        if self.state == State::Starting {
-            self.state = State::Serving;
+    /// Ends the start: the process can serve from now on.
+    pub fn start_serving(&mut self, now: Duration) {
+        if self.state == LifecycleState::Starting {
+            self.state = LifecycleState::Serving;
             if self.quiesced {
-                self.drain(now);
+                self.begin_draining(now);
             }
         }
     }
 
-    /// Operators: send clients away. True of a process that ends, too.
+    /// Starts to drain clients, at an operator's command. It is remembered while the process starts or shuts down.
     pub fn quiesce(&mut self, now: Duration) {
         self.quiesced = true;
-        if self.state == State::Serving {
-            self.drain(now);
+        if self.state == LifecycleState::Serving {
+            self.begin_draining(now);
         }
     }
 
-    /// Operators: take clients again.
-    pub fn resume(&mut self) -> Result<(), Refusal> {
-        if let State::Ending(_) = self.state {
-            return Err(Refusal::Ending);
+    /// Accepts clients again, at an operator's command.
+    pub fn resume(&mut self) -> Result<(), Unavailable> {
+        if let LifecycleState::ShuttingDown(_) = self.state {
+            return Err(Unavailable::ShuttingDown);
         }
         self.quiesced = false;
-        if self.state != State::Starting {
-            self.state = State::Serving;
+        if self.state != LifecycleState::Starting {
+            self.state = LifecycleState::Serving;
         }
         Ok(())
     }
 
-    /// It is to end; its clients wait no longer than `deadline`. Told twice, it ends as it does already.
-    pub fn terminate(&mut self, now: Duration, deadline: Duration) {
-        if !matches!(self.state, State::Ending(_)) {
-            (self.state, self.since) = (State::Ending(End::Draining), now);
-            self.final_answers_after = deadline.min(MAX_DEADLINE) + FINAL_ANSWER_DELAY;
+    /// Starts the graceful shutdown; no client waits longer than `longest_deadline`. A second call changes nothing.
+    pub fn begin_shutdown(&mut self, now: Duration, longest_deadline: Duration) {
+        if !matches!(self.state, LifecycleState::ShuttingDown(_)) {
+            self.state = LifecycleState::ShuttingDown(ShutdownPhase::Draining);
+            self.phase_started_at = now;
+            self.final_responses_after = longest_deadline.min(MAX_DEADLINE) + FINAL_RESPONSE_DELAY;
         }
     }
 
-    fn drain(&mut self, now: Duration) {
-        (self.state, self.since) = (State::Draining, now);
+    fn begin_draining(&mut self, now: Duration) {
+        self.state = LifecycleState::Draining;
+        self.phase_started_at = now;
     }
 
-    /// When time alone leads on.
-    pub fn wakes(&self) -> Option<Duration> {
+    /// When time alone brings the next transition, if it ever does.
+    pub fn next_transition_at(&self) -> Option<Duration> {
         match self.state {
-            State::Draining => Some(self.since + LET_IDLE),
-            State::Ending(End::Draining) => {
-                Some(self.since + self.final_answers_after.saturating_sub(CONNECTION_CLOSE_LEAD))
+            LifecycleState::Draining => Some(self.phase_started_at + IDLE_CLOSE_DELAY),
+            LifecycleState::ShuttingDown(ShutdownPhase::Draining) => {
+                Some(self.phase_started_at + self.final_responses_after.saturating_sub(CONNECTION_CLOSE_LEAD))
+            }
+            LifecycleState::ShuttingDown(ShutdownPhase::Drained) => {
+                Some(self.phase_started_at + self.final_responses_after)
             }
-            State::Ending(End::Drained) => Some(self.since + self.final_answers_after),
-            State::Starting | State::Serving | State::Drained | State::Ending(End::Leaving) => None,
+            LifecycleState::Starting
+            | LifecycleState::Serving
+            | LifecycleState::Drained
+            | LifecycleState::ShuttingDown(ShutdownPhase::Terminating) => None,
         }
     }
 
-    /// Takes every step that is due by now.
+    /// Makes every transition whose time has come by `now`.
     pub fn advance(&mut self, now: Duration) {
-        while self.wakes().is_some_and(|at| at <= now) {
+        while self.next_transition_at().is_some_and(|at| at <= now) {
             self.state = match self.state {
-                State::Draining => State::Drained,
-                State::Ending(End::Draining) => State::Ending(End::Drained),
-                _ => State::Ending(End::Leaving),
+                LifecycleState::Draining => LifecycleState::Drained,
+                LifecycleState::ShuttingDown(ShutdownPhase::Draining) => {
+                    LifecycleState::ShuttingDown(ShutdownPhase::Drained)
+                }
+                _ => LifecycleState::ShuttingDown(ShutdownPhase::Terminating),
             };
         }
     }
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -69,7 +69,7 @@
         }
     };
     let process_links = Arc::new(ProcessLinks::default());
-    let lifecycle = Arc::new(Lifecycle::begin(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
+    let lifecycle = Arc::new(Lifecycle::new(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
     if let Some(address) = config.admin {
         let door = claim(address, || listen(address, false)).await?;
         info!(address = %door.local_addr()?, "admin.listens");
@@ -81,24 +81,24 @@
         ));
     }
     let keeper = lifecycle.clone();
-    tokio::spawn(async move { keeper.keep_time().await });
+    tokio::spawn(async move { keeper.run_transitions().await });
     let handover_server = start(config, inheritance, hangup, flags, logs, (lifecycle, process_links)).await?;
 
     terminate.notified().await;
-    handover_server.lifecycle.terminate(handover_server.client_server.longest_deadline());
+    handover_server.lifecycle.begin_shutdown(handover_server.client_server.longest_deadline());
     sleep(LISTEN_ON).await;
     let mut quiet_since = Instant::now();
     let mut leaving = false;
     let lingers = |quiet: Duration| handover_server.client_server.lingers() && quiet < QUIET + LAST_WORDS;
     while quiet_since.elapsed() < QUIET || lingers(quiet_since.elapsed()) {
         sleep(QUIET / 10).await;
-        if !leaving && !handover_server.lifecycle.state().takes() {
+        if !leaving && !handover_server.lifecycle.state().accepts_requests() {
             leaving = true;
             handover_server.engine.handle(Event::ShuttingDown);
         }
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
         let serves_on = handover_server.client_server.connections() > 0
-            && !handover_server.lifecycle.state().closes_idle();
+            && !handover_server.lifecycle.state().closes_idle_connections();
         if handover_server.client_server.owes() || handover_server.process_links.behind() || serves_on {
             quiet_since = Instant::now();
         }
@@ -295,14 +295,14 @@
     };
     let handover_server = Arc::new(handover_server);
     if *confirmed.borrow() {
-        handover_server.lifecycle.started();
+        handover_server.lifecycle.start_serving();
     } else {
         let lifecycle = handover_server.lifecycle.clone();
         tokio::spawn(async move {
             // If no answer comes, the module sends by the saved list from then on: there is no better one.
             let wait = Duration::from_micros(CONFIRM_WITHIN);
             let _ = timeout(wait, confirmed.wait_for(|confirmed| *confirmed)).await;
-            lifecycle.started();
+            lifecycle.start_serving();
         });
     }
     if let Some((wire, connections)) = rest {
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -16,7 +16,7 @@
 use crate::discovery::document::{EndpointDocument, EndpointList};
 use crate::engine::Engine;
 use crate::lifecycle::clock::Lifecycle;
-use crate::lifecycle::state::State;
+use crate::lifecycle::state::LifecycleState;
 use crate::upgrade::process_links::{Forwarded, Link, Message, ProcessLinks};
 use crate::workers::UpstreamGroup;
 use message::{in_messages, HandoverMessage, Offer, LONGEST, VERSION};
@@ -225,10 +225,10 @@
             // A successor that can't be given all of the list asks for it as a whole.
             let whole = messages.iter().map(Vec::len).sum::<usize>() == listed;
             let offer = HandoverMessage::Offer(Offer {
-                quiesced: self.lifecycle.quiesced(),
+                quiesced: self.lifecycle.is_quiesced(),
                 source,
                 generation: generation.filter(|_| whole),
-                confirmed: self.lifecycle.state() != State::Starting,
+                confirmed: self.lifecycle.state() != LifecycleState::Starting,
                 connections: self.client_server.connections(),
             });
             let mut descriptors = vec![self.listener.as_fd()];
--- a/crates/vetchbridge/tests/admin.rs
+++ b/crates/vetchbridge/tests/admin.rs
@@ -30,10 +30,10 @@
 /// Every kind of line has a stated answer, and what it says is true.
 #[tokio::test]
 async fn each_call_has_its_answer() {
-    let lifecycle = Arc::new(Lifecycle::begin(false));
+    let lifecycle = Arc::new(Lifecycle::new(false));
     let address = door(&lifecycle, 4).await;
     assert_eq!(call(address, b"health\n").await, "fail starting, it can't serve yet\n");
-    lifecycle.started();
+    lifecycle.start_serving();
     let long = [b"health".as_slice(), &[b' '; LINE_LIMIT], b"\n"].concat();
     let cases: [(&[u8], &str, bool); 15] = [
         (b"health\n", "ok serving\n", true),
@@ -54,9 +54,9 @@
     ];
     for (line, expected, ready) in cases {
         assert_eq!(call(address, line).await, expected, "{}", line.escape_ascii());
-        assert_eq!(lifecycle.state().ready(), ready, "after {}", line.escape_ascii());
+        assert_eq!(lifecycle.state().is_ready(), ready, "after {}", line.escape_ascii());
     }
-    lifecycle.terminate(Duration::from_secs(5));
+    lifecycle.begin_shutdown(Duration::from_secs(5));
     assert_eq!(call(address, b"health\n").await, "fail ending\n");
     assert_eq!(call(address, b"resume\n").await, "fail ending\n");
     assert_eq!(call(address, b"quiesce\n").await, "ok ending\n");
@@ -65,8 +65,8 @@
 /// Whoever holds a connection without a word, or with half a call, keeps nobody out.
 #[tokio::test]
 async fn silent_callers_make_room_for_one_that_speaks() {
-    let lifecycle = Arc::new(Lifecycle::begin(false));
-    lifecycle.started();
+    let lifecycle = Arc::new(Lifecycle::new(false));
+    lifecycle.start_serving();
     let address = door(&lifecycle, 4).await;
     let mut half = TcpStream::connect(address).await.expect("the door is there");
     half.write_all(b"hea").await.expect("written");
--- a/crates/vetchbridge/tests/lifecycle.rs
+++ b/crates/vetchbridge/tests/lifecycle.rs
@@ -1,75 +1,95 @@
-//! The lifecycle of the process by itself: what leads from one state to the next, and what each state allows.
+//! The lifecycle's state machine: its transitions, and what each state allows.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::time::Duration;
-use vetchbridge::lifecycle::state::{End, LifecycleMachine, Refusal, State};
+use vetchbridge::lifecycle::state::{LifecycleMachine, LifecycleState, ShutdownPhase, Unavailable};
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// The whole way there and back: nothing is ready before it can serve, while clients are sent away, or at the end.
+/// From start to shutdown: a process is ready neither before it can serve, nor while it drains, nor while it shuts down.
 #[test]
-fn a_drain_ends_with_resume_and_an_end_with_nothing() {
-    let mut life = LifecycleMachine::new(false);
-    assert!(!life.state().ready() && life.state().can_serve() == Err(Refusal::Starting));
-    life.started(at(10));
-    assert!(life.state().ready() && !life.state().hangs_up());
-    life.quiesce(at(100));
-    assert!(!life.state().ready() && life.state().hangs_up() && !life.state().closes_idle());
-    assert_eq!(life.state().can_serve(), Ok(()));
-    life.quiesce(at(500));
-    life.advance(at(600));
-    assert_eq!(life.state(), State::Drained, "a second call does not put the end of a drain off");
-    assert_eq!((life.wakes(), life.resume(), life.state()), (None, Ok(()), State::Serving));
-    life.quiesce(at(700));
-    life.terminate(at(800), at(60_000));
-    assert_eq!(life.resume(), Err(Refusal::Ending));
-    life.advance(at(800 + 3_300));
-    assert!(!life.state().takes() && life.state().closes_idle());
+fn a_drain_can_be_resumed_and_a_shutdown_cannot() {
+    let mut machine = LifecycleMachine::new(false);
+    assert!(!machine.state().is_ready() && machine.state().ensure_can_serve() == Err(Unavailable::Starting));
+    machine.start_serving(at(10));
+    assert!(machine.state().is_ready() && !machine.state().closes_after_response());
+    machine.quiesce(at(100));
+    assert!(
+        !machine.state().is_ready()
+            && machine.state().closes_after_response()
+            && !machine.state().closes_idle_connections()
+    );
+    assert_eq!(machine.state().ensure_can_serve(), Ok(()));
+    machine.quiesce(at(500));
+    machine.advance(at(600));
+    assert_eq!(machine.state(), LifecycleState::Drained, "a second quiesce does not extend the drain");
+    assert_eq!(
+        (machine.next_transition_at(), machine.resume(), machine.state()),
+        (None, Ok(()), LifecycleState::Serving)
+    );
+    machine.quiesce(at(700));
+    machine.begin_shutdown(at(800), at(60_000));
+    assert_eq!(machine.resume(), Err(Unavailable::ShuttingDown));
+    machine.advance(at(800 + 3_300));
+    assert!(!machine.state().accepts_requests() && machine.state().closes_idle_connections());
 }
 
-/// What is asked before the process can serve holds once it can.
+/// Commands given before the process can serve take effect once it can.
 #[test]
-fn quiesced_before_its_start_it_begins_drained() {
+fn a_process_quiesced_while_it_starts_drains_as_soon_as_it_serves() {
     for (calls, ready) in [("q", false), ("qr", true), ("rq", false), ("", true)] {
-        let mut life = LifecycleMachine::new(false);
+        let mut machine = LifecycleMachine::new(false);
         for call in calls.chars() {
             match call {
-                'q' => life.quiesce(at(1)),
-                _ => life.resume().expect("nothing ends"),
+                'q' => machine.quiesce(at(1)),
+                _ => machine.resume().expect("it is not shutting down"),
             }
         }
-        life.started(at(2));
-        assert_eq!(life.state().ready(), ready, "{calls}");
+        machine.start_serving(at(2));
+        assert_eq!(machine.state().is_ready(), ready, "{calls}");
     }
     let mut successor = LifecycleMachine::new(true);
-    successor.started(at(2));
-    assert_eq!(successor.state(), State::Draining);
+    successor.start_serving(at(2));
+    assert_eq!(successor.state(), LifecycleState::Draining);
 }
 
-/// SIGKILL comes 0.7 s after the longest deadline, or after 3 s; clients use what stays open until shortly before.
+/// SIGKILL comes 0.7 s after the longest deadline, or after 3 s; clients use open connections until shortly before.
 #[test]
-fn told_to_end_it_serves_on_and_is_done_before_it_is_killed() {
-    for (deadline, hangs_up, leaves) in
+fn a_shutdown_serves_open_connections_and_is_complete_before_sigkill() {
+    for (deadline, closes_connections, terminates) in
         [(60_000, 2_300, 3_300), (3_000, 2_300, 3_300), (1_500, 800, 1_800), (200, 0, 500)]
     {
-        let mut life = LifecycleMachine::new(false);
-        life.started(at(10));
-        life.terminate(at(20), at(deadline));
+        let mut machine = LifecycleMachine::new(false);
+        machine.start_serving(at(10));
+        machine.begin_shutdown(at(20), at(deadline));
         let mut state = |ms: u64| {
-            life.advance(at(20 + ms));
-            life.state()
+            machine.advance(at(20 + ms));
+            machine.state()
         };
-        if hangs_up > 0 {
-            let serving = state(hangs_up - 1);
-            assert!(!serving.ready() && serving.takes() && !serving.hangs_up() && !serving.closes_idle());
+        if closes_connections > 0 {
+            let serving = state(closes_connections - 1);
+            assert!(
+                !serving.is_ready()
+                    && serving.accepts_requests()
+                    && !serving.closes_after_response()
+                    && !serving.closes_idle_connections()
+            );
         }
-        let ending = state(hangs_up);
-        assert!(ending.takes() && ending.hangs_up() && ending.closes_idle(), "{deadline}");
-        assert!(state(leaves - 1).takes() && !state(leaves).takes(), "{deadline}");
+        let closing = state(closes_connections);
+        assert!(
+            closing.accepts_requests()
+                && closing.closes_after_response()
+                && closing.closes_idle_connections(),
+            "{deadline}"
+        );
+        assert!(
+            state(terminates - 1).accepts_requests() && !state(terminates).accepts_requests(),
+            "{deadline}"
+        );
     }
 }
 
@@ -80,34 +100,34 @@
         ..Config::default()
     })]
 
-    /// Whatever is called in whatever order: an end is final and goes forward alone, a process is ready exactly
-    /// when it can serve and its clients are wanted, and time leads to rest.
+    /// Whatever is called in whatever order: a shutdown is final and only advances, a process is ready exactly
+    /// when it can serve and is not quiesced, and time leads to a state that lasts.
     #[test]
-    fn no_order_of_calls_confuses_it(calls in prop::collection::vec((0..5u8, 0..900u64), 1..40)) {
-        let mut life = LifecycleMachine::new(false);
-        let (mut now, mut started, mut wanted, mut ended) = (0, false, true, false);
-        let rank = |state: State| match state {
-            State::Ending(End::Draining) => 1,
-            State::Ending(End::Drained) => 2,
-            State::Ending(End::Leaving) => 3,
+    fn no_order_of_calls_breaks_the_lifecycle(calls in prop::collection::vec((0..5u8, 0..900u64), 1..40)) {
+        let mut machine = LifecycleMachine::new(false);
+        let (mut now, mut started, mut resumed, mut shutting_down) = (0, false, true, false);
+        let shutdown_rank = |state: LifecycleState| match state {
+            LifecycleState::ShuttingDown(ShutdownPhase::Draining) => 1,
+            LifecycleState::ShuttingDown(ShutdownPhase::Drained) => 2,
+            LifecycleState::ShuttingDown(ShutdownPhase::Terminating) => 3,
             _ => 0,
         };
         for (call, pause) in calls {
-            let before = rank(life.state());
+            let before = shutdown_rank(machine.state());
             now += pause;
-            life.advance(at(now));
+            machine.advance(at(now));
             match call {
-                0 => { life.started(at(now)); started = true }
-                1 => { life.quiesce(at(now)); wanted = false }
-                2 => wanted |= life.resume().is_ok(),
-                3 => { life.terminate(at(now), at(5_000)); ended = true }
+                0 => { machine.start_serving(at(now)); started = true }
+                1 => { machine.quiesce(at(now)); resumed = false }
+                2 => resumed |= machine.resume().is_ok(),
+                3 => { machine.begin_shutdown(at(now), at(5_000)); shutting_down = true }
                 _ => {}
             }
-            prop_assert!(rank(life.state()) >= before);
-            prop_assert_eq!(life.state().ready(), started && wanted && !ended);
-            prop_assert_eq!(life.state().can_serve().is_ok(), started && !ended);
+            prop_assert!(shutdown_rank(machine.state()) >= before);
+            prop_assert_eq!(machine.state().is_ready(), started && resumed && !shutting_down);
+            prop_assert_eq!(machine.state().ensure_can_serve().is_ok(), started && !shutting_down);
         }
-        life.advance(at(now + 3_300));
-        prop_assert_eq!(life.wakes(), None);
+        machine.advance(at(now + 3_300));
+        prop_assert_eq!(machine.next_transition_at(), None);
     }
 }
