--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -258,7 +258,9 @@
     fn pass(&self, stream: RetryingStream, kept: bool) {
         let (successor, descriptor) = (self.process_links.successor().borrow().clone(), stream.into_std());
         let passed = descriptor.map(|stream| {
-            successor.is_some_and(|to| to.say(HandoverMessage::Connection { kept }, vec![stream.into()]))
+            successor.is_some_and(|to| {
+                to.send(HandoverMessage::ClientConnection { reused: kept }, vec![stream.into()])
+            })
         });
         debug!(?passed, "connection.passed");
     }
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -73,12 +73,12 @@
     let (reply, answer) = oneshot::channel();
     let Job { request, payload, settings, room } = job;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
-    let open_elsewhere = process_links.holds(id);
+    let open_elsewhere = process_links.has_open_request(id);
     let Some(steps) = (!open_elsewhere).then(|| engine.open(request)).flatten() else {
         let _ = reply.send(Answer::Duplicate);
         return answer;
     };
-    process_links.tell(|| HandoverMessage::Opened(id.0));
+    process_links.broadcast(|| HandoverMessage::RequestOpened(id.0));
     let context = RequestContext {
         engine,
         process_links,
@@ -145,7 +145,7 @@
             self.engine.handle(Event::ClientDisconnected(self.id));
         }
         self.engine.close(self.id);
-        self.process_links.tell(|| HandoverMessage::Closed(self.id.0));
+        self.process_links.broadcast(|| HandoverMessage::RequestClosed(self.id.0));
     }
 }
 
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::snapshot::CurrentSettings;
 use crate::upgrade::process_links::ProcessLinks;
 use crate::upgrade::socket::HandoverListener;
-use crate::upgrade::{self, Found, HandoverServer, Inheritance};
+use crate::upgrade::{self, HandoverServer, InheritedState, TakeoverOutcome};
 use crate::workers::UpstreamGroup;
 use serde_json::Value;
 use std::error::Error;
@@ -57,12 +57,12 @@
     let SignalNotices { hangup, terminate } = signals.watch()?;
     let found = match &config.handover {
         Some(path) => upgrade::take_over(path, &config.name, config.listen).await,
-        None => Found::Nobody,
+        None => TakeoverOutcome::NoPredecessor,
     };
     let inheritance = match found {
-        Found::Predecessor(inheritance) => Some(*inheritance),
-        Found::Nobody => None,
-        Found::Stranger => {
+        TakeoverOutcome::Inherited(inheritance) => Some(*inheritance),
+        TakeoverOutcome::NoPredecessor => None,
+        TakeoverOutcome::Rejected => {
             // Its place is left to it; this process can't be taken over from.
             config.handover = None;
             None
@@ -99,7 +99,7 @@
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
         let serves_on = handover_server.client_server.connections() > 0
             && !handover_server.lifecycle.state().closes_idle_connections();
-        if handover_server.client_server.owes() || handover_server.process_links.behind() || serves_on {
+        if handover_server.client_server.owes() || handover_server.process_links.has_queued() || serves_on {
             quiet_since = Instant::now();
         }
     }
@@ -180,7 +180,7 @@
 /// Puts everything to work, on what a predecessor handed over where there is one.
 async fn start(
     config: Config,
-    inheritance: Option<Inheritance>,
+    inheritance: Option<InheritedState>,
     hangup: Arc<Notify>,
     flags: Flags,
     logs: Logs,
@@ -197,7 +197,9 @@
     let shared = config.handover.is_some() && door.is_none();
     let (mut from, mut socket, mut rest) = (None, None, None);
     let mut initial = InitialList { listing: config.known, versioned: true, inherited: false };
-    if let Some(Inheritance { listener, peers, offer, listing, wire }) = inheritance {
+    if let Some(InheritedState { listener, peer_socket: peers, offer, endpoints: listing, socket: wire }) =
+        inheritance
+    {
         listener.set_nonblocking(true)?;
         (from, socket) = (Some(TcpListener::from_std(listener)?), peers);
         let same = matches!(config.source, Source::Service(address) if Some(address) == offer.source);
@@ -285,7 +287,7 @@
         name,
         listen,
         listener: spare,
-        peers,
+        peer_socket: peers,
         endpoint_list,
         lifecycle,
         engine,
@@ -306,10 +308,10 @@
         });
     }
     if let Some((wire, connections)) = rest {
-        handover_server.taken(wire, connections);
+        handover_server.announce_takeover(wire, connections);
     }
     if let (Some(door), Some(path)) = (door, config.handover) {
-        tokio::spawn(handover_server.clone().receive(path, door));
+        tokio::spawn(handover_server.clone().run(path, door));
     }
     Ok(handover_server)
 }
--- /dev/null
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -0,0 +1,131 @@
+//! The exchange of messages between two linked processes, the same in both directions, until either of them ends.
+
+use super::message::{Envelope, HandoverMessage};
+use super::predecessor::HandoverServer;
+use super::process_links::{Forwarded, Link};
+use super::reader::{MessageReader, ReceiveError};
+use super::socket::HandoverSocket;
+use crate::workers::Callback;
+use std::os::fd::AsFd;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc::Receiver;
+use tokio::time::sleep;
+use tracing::{debug, info, warn};
+
+/// Interval at which a change of the number of client connections is sent.
+const CONNECTION_COUNT_INTERVAL: Duration = Duration::from_millis(100);
+
+impl HandoverServer {
+    /// Announces to the predecessor at the other end, which had this many client connections, that this process serves
+    /// from now on, and keeps the link to it.
+    pub fn announce_takeover(self: &Arc<Self>, socket: HandoverSocket, predecessor_connections: usize) {
+        let (link, outgoing) = Link::new();
+        link.record(&HandoverMessage::ConnectionCount(predecessor_connections));
+        self.register(&link);
+        link.send(HandoverMessage::TookOver, Vec::new());
+        let server = self.clone();
+        tokio::spawn(async move { server.run_link(socket, link, outgoing).await });
+    }
+
+    /// Adds a link. The process there is sent the ids of the requests that are open, and later each change.
+    pub(super) fn register(&self, link: &Arc<Link>) {
+        self.process_links.add(link.clone());
+        for id in self.engine.open_requests() {
+            link.send(HandoverMessage::RequestOpened(id.0), Vec::new());
+        }
+    }
+
+    /// Carries messages both ways until one side ends, and removes the link then.
+    pub(super) async fn run_link(
+        &self,
+        socket: HandoverSocket,
+        link: Arc<Link>,
+        mut outgoing: Receiver<Envelope>,
+    ) {
+        tokio::select! {
+            () = self.receive_messages(&socket, &link) => {}
+            () = send_messages(&socket, &mut outgoing) => {}
+            () = self.send_connection_counts(&link) => {}
+        }
+        self.process_links.remove(&link);
+        info!("upgrade.link_closed");
+    }
+
+    async fn receive_messages(&self, socket: &HandoverSocket, link: &Arc<Link>) {
+        let mut reader = MessageReader::new(socket);
+        loop {
+            match reader.next().await {
+                Ok(Some(envelope)) => self.handle_message(link, envelope),
+                Ok(None) => return,
+                Err(ReceiveError::Decode(error)) => {
+                    return warn!(reason = %error, "upgrade.message_invalid");
+                }
+                Err(ReceiveError::Io(error)) => return debug!(%error, "upgrade.link_failed"),
+            }
+        }
+    }
+
+    async fn send_connection_counts(&self, link: &Link) {
+        let mut sent = 0;
+        loop {
+            let connections = self.client_server.connections();
+            if connections != sent {
+                sent = connections;
+                link.send(HandoverMessage::ConnectionCount(connections), Vec::new());
+            }
+            sleep(CONNECTION_COUNT_INTERVAL).await;
+        }
+    }
+
+    fn handle_message(&self, link: &Arc<Link>, envelope: Envelope) {
+        link.record(&envelope.message);
+        match envelope.message {
+            HandoverMessage::TookOver => {
+                info!(
+                    connections = self.client_server.connections(),
+                    requests = self.engine.requests(),
+                    "upgrade.taken_over"
+                );
+                self.process_links.set_successor(link.clone());
+                // From now on the successor opens its own connections to workers.
+                self.upstream.close_all_idle();
+            }
+            HandoverMessage::ClientConnection { reused } => {
+                for connection in envelope.descriptors {
+                    self.client_server.adopt(connection, reused);
+                }
+            }
+            HandoverMessage::ForwardedCallback { number, callback } => {
+                self.handle_callback(link.clone(), number, callback);
+            }
+            _ => {}
+        }
+    }
+
+    /// Passes a forwarded callback to its attempt, here or in a third process, and replies.
+    fn handle_callback(&self, link: Arc<Link>, number: u64, callback: Callback) {
+        let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
+        tokio::spawn(async move {
+            let forwarded = if upstream.called_back(&callback) {
+                Forwarded::Known
+            } else {
+                process_links.forward(&callback, Some(&link)).await
+            };
+            // No reply is sent where none came: the sender's own time limit makes it unanswered there as well.
+            if forwarded != Forwarded::Unanswered {
+                let known = forwarded == Forwarded::Known;
+                link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
+            }
+        });
+    }
+}
+
+async fn send_messages(socket: &HandoverSocket, outgoing: &mut Receiver<Envelope>) {
+    while let Some(Envelope { message, descriptors }) = outgoing.recv().await {
+        let descriptors: Vec<_> = descriptors.iter().map(AsFd::as_fd).collect();
+        if let Err(error) = socket.send(&message.encode(), &descriptors).await {
+            return debug!(%error, "upgrade.link_failed");
+        }
+    }
+}
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -1,24 +1,26 @@
-//! What two processes of one scheduler say to one another, and how it is written.
+//! The messages between two processes of one scheduler, and their encoding.
 //!
-//! Owns the words and their form: one JSON object a message, with descriptors beside it where a word brings some. It
-//! must never hold a socket. A word that can't be read ends the link, as another version's would.
+//! Owns the messages and their form: one JSON object a message, with descriptors beside it where a message brings some.
+//! The JSON names are those of version 1 of the hand-over and stay as they are; the Rust names are mapped to them here.
+//! A message that can't be decoded ends the link, as another version's would.
 
 use crate::discovery::document::Instance;
 use crate::workers::Callback;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
 
-/// The version of these words; processes of different versions don't take over from one another.
+/// The version of these messages; processes of different versions don't take over from one another.
 pub const VERSION: u32 = 1;
-/// The longest message; a callback's body of 64 KiB fits, written as JSON.
-pub const LONGEST: usize = 160 * 1024;
-/// Entries of the list share a message up to this length; a longer entry has one of its own.
-const SHARED: usize = 32 * 1024;
+/// Maximum length of a message in bytes; a callback's body of 64 KiB fits, encoded as JSON.
+pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
+/// Endpoints share a message up to this length in bytes; a longer one has a message of its own.
+const MAX_BATCH_BYTES: usize = 32 * 1024;
 
-/// One word.
+/// A message from one process of a scheduler to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// A successor: hand over what this scheduler has at this address.
+    /// From the successor: it wants to take over from the scheduler of this name and address.
     Hello {
         /// [`VERSION`].
         version: u32,
@@ -27,139 +29,117 @@
         /// Where its clients connect.
         listen: SocketAddr,
     },
-    /// The predecessor: here it is. Brings the clients' listener and, if there is one, the peers' socket.
+    /// From the predecessor: its state. Brings the clients' listener and, if there is one, the peers' socket.
     Offer(Offer),
-    /// The predecessor: so much of its list; the last message has none.
-    Entries(Vec<Instance>),
-    /// The predecessor: it won't.
-    Refused(String),
-    /// The successor: it serves from now on.
-    Taken,
+    /// From the predecessor: a part of its endpoint list; the last message has none.
+    #[serde(rename = "Entries")]
+    Endpoints(Vec<Instance>),
+    /// From the predecessor: it does not hand over, for this reason.
+    #[serde(rename = "Refused")]
+    Rejected(String),
+    /// From the successor: it serves from now on.
+    #[serde(rename = "Taken")]
+    TookOver,
     /// A client connection between two requests, whose descriptor comes along.
-    Connection {
-        /// It has had an answer already.
-        kept: bool,
+    #[serde(rename = "Connection")]
+    ClientConnection {
+        /// It has carried a response already.
+        #[serde(rename = "kept")]
+        reused: bool,
     },
-    /// How many client connections the sender holds.
-    Holds(usize),
-    /// A request is open at the sender.
-    Opened(u64),
-    /// It is not any more.
-    Closed(u64),
-    /// A callback that the sender knows no attempt for.
-    Callback {
-        /// Comes back with [`HandoverMessage::Heard`].
+    /// How many client connections the sender has.
+    #[serde(rename = "Holds")]
+    ConnectionCount(usize),
+    /// The request of this id is open at the sender.
+    #[serde(rename = "Opened")]
+    RequestOpened(u64),
+    /// It is not open any more.
+    #[serde(rename = "Closed")]
+    RequestClosed(u64),
+    /// A callback for which the sender has no attempt.
+    #[serde(rename = "Callback")]
+    ForwardedCallback {
+        /// Comes back in [`HandoverMessage::CallbackReply`].
         number: u64,
         /// The callback.
         callback: Callback,
     },
-    /// What became of a callback.
-    Heard {
+    /// What became of a forwarded callback.
+    #[serde(rename = "Heard")]
+    CallbackReply {
         /// Its number.
         number: u64,
-        /// Whether an attempt was there for it.
+        /// Whether an attempt was found for it.
         known: bool,
     },
 }
 
-/// What a successor begins with.
+/// The state that a successor starts with.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Offer {
-    /// Operators have sent the clients away.
+    /// Operators have quiesced the scheduler.
     pub quiesced: bool,
-    /// The discovery service that the list is from.
+    /// The discovery service that the endpoint list is from.
     pub source: Option<SocketAddr>,
     /// The list's version there, if it has one.
     pub generation: Option<u64>,
     /// Discovery has confirmed the list to the sender, or the sender serves without that.
-    #[serde(default = "yes")]
+    #[serde(default = "confirmed_by_default")]
     pub confirmed: bool,
-    /// How many client connections there are.
+    /// How many client connections the sender has.
     pub connections: usize,
 }
 
-/// What an offer that says nothing of it means: a process of before then served from its first moment.
-fn yes() -> bool {
+/// The value in an offer that lacks it: processes of before that field served from their first moment.
+fn confirmed_by_default() -> bool {
     true
 }
 
-impl HandoverMessage {
+/// A message and the descriptors that accompany it.
+#[derive(Debug)]
+pub struct Envelope {
     /// The message.
-    pub fn write(&self) -> Vec<u8> {
-        // No map with other keys than text and no failing type is in it.
+    pub message: HandoverMessage,
+    /// Its descriptors.
+    pub descriptors: Vec<OwnedFd>,
+}
+
+impl HandoverMessage {
+    /// Encodes the message.
+    pub fn encode(&self) -> Vec<u8> {
+        // It has neither a map with keys other than strings nor a type that can fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a message.
-    pub fn read(message: &[u8]) -> Result<HandoverMessage, String> {
-        serde_json::from_slice(message).map_err(|error| error.to_string())
+    /// Decodes a message.
+    pub fn decode(bytes: &[u8]) -> Result<HandoverMessage, serde_json::Error> {
+        serde_json::from_slice(bytes)
     }
 }
 
-/// Splits a list into what one [`HandoverMessage::Entries`] each brings. An entry that no message can hold is left out.
-pub fn in_messages(instances: Vec<Instance>) -> Vec<Vec<Instance>> {
-    let frame = HandoverMessage::Entries(Vec::new()).write().len();
-    let mut messages: Vec<Vec<Instance>> = Vec::new();
-    let mut room = 0;
+/// Splits an endpoint list into the parts for one [`HandoverMessage::Endpoints`] each. An entry that is too long for
+/// any message is left out.
+pub fn batch_endpoints(instances: Vec<Instance>) -> Vec<Vec<Instance>> {
+    let overhead = HandoverMessage::Endpoints(Vec::new()).encode().len();
+    let mut batches: Vec<Vec<Instance>> = Vec::new();
+    let mut bytes_left = 0;
     for instance in instances {
         // With the comma before the next one.
-        let length = serde_json::to_vec(&instance).map_or(LONGEST, |entry| entry.len()) + 1;
-        if frame + length > LONGEST {
+        let length = serde_json::to_vec(&instance).map_or(MAX_MESSAGE_BYTES, |entry| entry.len()) + 1;
+        if overhead + length > MAX_MESSAGE_BYTES {
             continue;
         }
-        match messages.last_mut() {
-            Some(message) if length <= room => message.push(instance),
+        match batches.last_mut() {
+            Some(batch) if length <= bytes_left => batch.push(instance),
             _ => {
-                messages.push(vec![instance]);
-                room = SHARED - frame;
+                batches.push(vec![instance]);
+                bytes_left = MAX_BATCH_BYTES - overhead;
             }
         }
-        room = room.saturating_sub(length);
+        bytes_left = bytes_left.saturating_sub(length);
     }
-    messages
+    batches
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// The longest callback that may arrive still fits into one message.
-    #[test]
-    fn the_longest_callback_fits() {
-        let result = "\\".repeat(64 * 1024 - 130);
-        let text = format!(
-            "{{\"id\":\"00000000000000ab\",\"from\":\"s\",\"state\":\"done\",\"load\":{{\"queue\":1e999}},\"result\":{result:?}}}"
-        );
-        let callback: Callback = serde_json::from_str(&text).expect("a callback");
-        let word = HandoverMessage::Callback { number: u64::MAX, callback }.write();
-        assert!(word.len() <= LONGEST, "{}", word.len());
-        assert!(
-            matches!(HandoverMessage::read(&word), Ok(HandoverMessage::Callback { callback, .. }) if callback.result == result && callback.load.is_some())
-        );
-    }
-
-    /// A word reads back as it was written, and no part of one passes for a word.
-    #[test]
-    fn a_word_is_read_whole_or_not_at_all() {
-        let offer =
-            Offer { quiesced: true, source: None, generation: Some(7), confirmed: false, connections: 3 };
-        let words = [
-            HandoverMessage::Offer(offer),
-            HandoverMessage::Entries(Vec::new()),
-            HandoverMessage::Refused("no".to_string()),
-            HandoverMessage::Connection { kept: true },
-            HandoverMessage::Opened(u64::MAX),
-        ];
-        for word in words {
-            let written = word.write();
-            assert_eq!(HandoverMessage::read(&written).expect("a word").write(), written, "{word:?}");
-            for end in 0..written.len() {
-                assert!(HandoverMessage::read(&written[..end]).is_err(), "{word:?} cut at {end}");
-            }
-        }
-        assert!(
-            HandoverMessage::read(b"\"Unheard\"").is_err()
-                && HandoverMessage::read(b"{\"Holds\":-1}").is_err()
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -0,0 +1,167 @@
+//! The predecessor's side of an upgrade: a process at work hands over to its successor.
+//!
+//! Owns the hand-over listener. A successor that fails leaves this process as it was.
+
+use super::message::{batch_endpoints, HandoverMessage, Offer, VERSION};
+use super::process_links::{Link, ProcessLinks};
+use super::reader::{MessageReader, ReceiveError};
+use super::socket::{HandoverListener, HandoverSocket};
+use super::OFFER_TIMEOUT;
+use crate::clients::server::ClientServer;
+use crate::discovery::document::EndpointList;
+use crate::engine::Engine;
+use crate::lifecycle::clock::Lifecycle;
+use crate::lifecycle::state::LifecycleState;
+use crate::workers::UpstreamGroup;
+use std::io;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::os::fd::AsFd;
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+use tracing::{info, warn};
+
+/// Time limit for the first message of a process that connects, and for sending it a rejection.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Why a process that has connected is no successor. The text is sent to it.
+#[derive(Debug, thiserror::Error)]
+enum Rejection {
+    #[error("it has handed over already")]
+    AlreadyHandedOver,
+    #[error("this is {name} at {listen}")]
+    OtherScheduler { name: String, listen: SocketAddr },
+    #[error("hand-over messages of version {0} are not understood, only {VERSION}")]
+    UnsupportedVersion(u32),
+    #[error("unexpected message {0:?}")]
+    UnexpectedMessage(Box<HandoverMessage>),
+    #[error("no message came in time")]
+    NoHello,
+    #[error(transparent)]
+    Receive(#[from] ReceiveError),
+}
+
+/// A process at work, with everything that a successor takes over from it.
+pub struct HandoverServer {
+    /// The scheduler's name.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// The clients' listener.
+    pub listener: TcpListener,
+    /// The peers' socket.
+    pub peer_socket: Option<UdpSocket>,
+    /// The endpoint list.
+    pub endpoint_list: Arc<Mutex<EndpointList>>,
+    /// The lifecycle.
+    pub lifecycle: Arc<Lifecycle>,
+    /// The decision module at work.
+    pub engine: Arc<Engine>,
+    /// The upstream group.
+    pub upstream: Arc<UpstreamGroup>,
+    /// The server of client connections.
+    pub client_server: Arc<ClientServer>,
+    /// The links to other processes of this scheduler.
+    pub process_links: Arc<ProcessLinks>,
+}
+
+impl HandoverServer {
+    /// Hands over to each successor that connects to the listener, published at `path`, for as long as the process
+    /// lives.
+    pub async fn run(self: Arc<Self>, path: PathBuf, mut listener: HandoverListener) {
+        loop {
+            tokio::select! {
+                accepted = listener.accept() => match accepted {
+                    Ok(socket) => drop(tokio::spawn(self.clone().hand_over(socket))),
+                    Err(error) => {
+                        warn!(%error, "upgrade.successor_rejected");
+                        sleep(ACCEPT_RETRY_DELAY).await;
+                    }
+                },
+                // A successor may have published its own listener at the path before it ended.
+                () = self.process_links.link_closed() => if !self.process_links.has_successor() {
+                    match publish_listener(&path) {
+                        Ok(published) => listener = published,
+                        Err(error) => warn!(path = %path.display(), %error, "upgrade.unavailable"),
+                    }
+                },
+            }
+        }
+    }
+
+    /// Hands over to the process at the other end, if it is this scheduler's successor, and keeps the link to it.
+    async fn hand_over(self: Arc<Self>, socket: HandoverSocket) {
+        match self.receive_hello(&socket).await {
+            Ok(true) => {}
+            Ok(false) => return,
+            Err(rejection) => {
+                let reason = rejection.to_string();
+                warn!(reason, "upgrade.successor_rejected");
+                let rejected = HandoverMessage::Rejected(reason).encode();
+                let _ = timeout(HELLO_TIMEOUT, socket.send(&rejected, &[])).await;
+                return;
+            }
+        }
+        let (link, outgoing) = Link::new();
+        if !matches!(timeout(OFFER_TIMEOUT, self.send_offer(&socket)).await, Ok(Ok(()))) {
+            return warn!("upgrade.offer_failed");
+        }
+        info!("upgrade.offer_sent");
+        self.register(&link);
+        self.run_link(socket, link, outgoing).await;
+    }
+
+    /// Whether the process at the other end is a successor; `false` if it has closed the connection.
+    async fn receive_hello(&self, socket: &HandoverSocket) -> Result<bool, Rejection> {
+        let received = timeout(HELLO_TIMEOUT, MessageReader::new(socket).next()).await;
+        let Some(envelope) = received.map_err(|_| Rejection::NoHello)?? else { return Ok(false) };
+        match envelope.message {
+            HandoverMessage::Hello { version: VERSION, name, listen } => {
+                if self.process_links.has_successor() {
+                    return Err(Rejection::AlreadyHandedOver);
+                }
+                if name != self.name || listen != self.listen {
+                    return Err(Rejection::OtherScheduler { name: self.name.clone(), listen: self.listen });
+                }
+                Ok(true)
+            }
+            HandoverMessage::Hello { version, .. } => Err(Rejection::UnsupportedVersion(version)),
+            other => Err(Rejection::UnexpectedMessage(Box::new(other))),
+        }
+    }
+
+    /// Sends the offer with the sockets, then the endpoint list and the empty message that ends it.
+    async fn send_offer(&self, socket: &HandoverSocket) -> io::Result<()> {
+        let ((instances, generation), source) = {
+            let endpoint_list = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner);
+            (endpoint_list.whole(), endpoint_list.source())
+        };
+        let total = instances.len();
+        let batches = batch_endpoints(instances);
+        // A successor that can't be given all of the list fetches it as a whole.
+        let complete = batches.iter().map(Vec::len).sum::<usize>() == total;
+        let offer = HandoverMessage::Offer(Offer {
+            quiesced: self.lifecycle.is_quiesced(),
+            source,
+            generation: generation.filter(|_| complete),
+            confirmed: self.lifecycle.state() != LifecycleState::Starting,
+            connections: self.client_server.connections(),
+        });
+        let mut descriptors = vec![self.listener.as_fd()];
+        descriptors.extend(self.peer_socket.as_ref().map(AsFd::as_fd));
+        socket.send(&offer.encode(), &descriptors).await?;
+        for batch in batches.into_iter().chain([Vec::new()]) {
+            socket.send(&HandoverMessage::Endpoints(batch).encode(), &[]).await?;
+        }
+        Ok(())
+    }
+}
+
+fn publish_listener(path: &Path) -> io::Result<HandoverListener> {
+    let mut listener = HandoverListener::open(path)?;
+    listener.publish(path)?;
+    Ok(listener)
+}
--- /dev/null
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -0,0 +1,83 @@
+//! What is known of other processes, and the forwarding of callbacks to them.
+
+use super::*;
+use crate::workers::CallbackState;
+
+fn callback() -> Callback {
+    let (id, from) = ("00000000000000ab".to_string(), "s-0".to_string());
+    Callback { id, from, state: CallbackState::Started, share: 0.0, result: String::new(), load: None }
+}
+
+/// What is known of another process is dropped with its link, and without its successor this process serves alone.
+#[test]
+fn a_process_that_has_ended_has_no_requests_and_no_connections() {
+    let process_links = ProcessLinks::default();
+    let ((old, _old_queue), (new, _new_queue)) = (Link::new(), Link::new());
+    process_links.add(old.clone());
+    process_links.add(new.clone());
+    process_links.set_successor(new.clone());
+    for (link, message) in [
+        (&old, HandoverMessage::RequestOpened(1)),
+        (&old, HandoverMessage::RequestOpened(2)),
+        (&old, HandoverMessage::RequestClosed(1)),
+        (&old, HandoverMessage::ConnectionCount(5)),
+        (&old, HandoverMessage::ClientConnection { reused: true }),
+        (&new, HandoverMessage::ConnectionCount(3)),
+    ] {
+        link.record(&message);
+    }
+    assert_eq!(
+        (
+            process_links.has_open_request(RequestId(1)),
+            process_links.has_open_request(RequestId(2)),
+            process_links.connections()
+        ),
+        (false, true, 7)
+    );
+    process_links.remove(&old);
+    assert_eq!(
+        (
+            process_links.has_open_request(RequestId(2)),
+            process_links.connections(),
+            process_links.has_successor()
+        ),
+        (false, 3, true)
+    );
+    process_links.remove(&new);
+    assert_eq!((process_links.connections(), process_links.has_successor()), (0, false));
+}
+
+/// A callback is forwarded to each process but the one that it came from; a process that hangs or has ended delays it no
+/// longer than the time limit.
+#[tokio::test(start_paused = true)]
+async fn a_callback_is_forwarded_to_each_process_in_turn() {
+    let process_links = ProcessLinks::default();
+    assert_eq!(
+        process_links.forward(&callback(), None).await,
+        Forwarded::Unknown,
+        "there is no other process"
+    );
+    let links: Vec<_> = (0..4).map(|_| Link::new()).collect();
+    let mut queues = Vec::new();
+    for (link, queue) in links {
+        process_links.add(link.clone());
+        queues.push((link, Some(queue)));
+    }
+    // The first has ended, the second hangs, from the third it came, the fourth has the attempt.
+    queues[0].1 = None;
+    let (with_attempt, mut forwarded) = (queues[3].0.clone(), queues[3].1.take().expect("a queue"));
+    let replying = async {
+        while let Some(envelope) = forwarded.recv().await {
+            if let HandoverMessage::ForwardedCallback { number, .. } = envelope.message {
+                return with_attempt.record(&HandoverMessage::CallbackReply { number, known: true });
+            }
+        }
+    };
+    let callback = callback();
+    let (known, ()) = tokio::join!(process_links.forward(&callback, Some(&queues[2].0)), replying);
+    assert_eq!(known, Forwarded::Known);
+    assert!(queues[2].1.as_mut().expect("a queue").try_recv().is_err(), "it came from there");
+    // From the fourth it came this time; the second may have it, and does not reply.
+    let unanswered = process_links.forward(&callback, Some(&queues[3].0)).await;
+    assert_eq!(unanswered, Forwarded::Unanswered, "the worker is to retry");
+}
--- /dev/null
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -0,0 +1,127 @@
+//! The successor's side of an upgrade: a process that starts takes over from the one that serves.
+//!
+//! Owns the connection to the predecessor until everything has been inherited. Whatever goes wrong, the start goes on
+//! without a predecessor.
+
+use super::message::{Envelope, HandoverMessage, Offer, VERSION};
+use super::reader::{MessageReader, ReceiveError};
+use super::socket::HandoverSocket;
+use super::OFFER_TIMEOUT;
+use crate::discovery::document::EndpointDocument;
+use std::io;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::path::Path;
+use tokio::time::timeout;
+use tracing::{info, warn};
+
+/// What a predecessor hands over.
+pub struct InheritedState {
+    /// The clients' listener.
+    pub listener: TcpListener,
+    /// The peers' socket.
+    pub peer_socket: Option<UdpSocket>,
+    /// The predecessor's state.
+    pub offer: Offer,
+    /// The endpoint list.
+    pub endpoints: EndpointDocument,
+    /// The connection to the predecessor.
+    pub socket: HandoverSocket,
+}
+
+/// What an attempt to take over came to.
+pub enum TakeoverOutcome {
+    /// A process of this scheduler has handed over.
+    Inherited(Box<InheritedState>),
+    /// No process listens at the path, or the one that does failed or did not respond in time.
+    NoPredecessor,
+    /// The process at the path runs and has rejected this one as its successor.
+    Rejected,
+}
+
+/// Why nothing could be inherited from the process at the path.
+#[derive(Debug, thiserror::Error)]
+enum TakeoverError {
+    #[error("{0}")]
+    Rejected(String),
+    #[error("the other process closed the connection")]
+    Closed,
+    #[error("unexpected message {0:?}")]
+    UnexpectedMessage(Box<HandoverMessage>),
+    #[error("the offer came without a listener")]
+    MissingListener,
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Receive(#[from] ReceiveError),
+}
+
+/// Takes over from the process that listens at `path`, if it serves as the scheduler `name` at `listen`.
+pub async fn take_over(path: &Path, name: &str, listen: SocketAddr) -> TakeoverOutcome {
+    let socket = match HandoverSocket::connect(path) {
+        Ok(socket) => socket,
+        Err(error) => {
+            // A file that a crash or anyone else left behind is logged; that there is none is the usual case.
+            if error.kind() != io::ErrorKind::NotFound {
+                info!(path = %path.display(), %error, "upgrade.no_predecessor");
+            }
+            return TakeoverOutcome::NoPredecessor;
+        }
+    };
+    match timeout(OFFER_TIMEOUT, inherit(socket, name, listen)).await {
+        Ok(Ok(inherited)) => TakeoverOutcome::Inherited(Box::new(inherited)),
+        Ok(Err(TakeoverError::Rejected(reason))) => {
+            warn!(path = %path.display(), reason, "upgrade.takeover_rejected");
+            TakeoverOutcome::Rejected
+        }
+        // The process there may have died meanwhile; its place is free then.
+        Ok(Err(error)) => {
+            warn!(path = %path.display(), reason = %error, "upgrade.takeover_failed");
+            TakeoverOutcome::NoPredecessor
+        }
+        Err(_) => {
+            warn!(path = %path.display(), "upgrade.takeover_timed_out");
+            TakeoverOutcome::NoPredecessor
+        }
+    }
+}
+
+/// Introduces this process and receives everything that the other one hands over.
+async fn inherit(
+    socket: HandoverSocket,
+    name: &str,
+    listen: SocketAddr,
+) -> Result<InheritedState, TakeoverError> {
+    let hello = HandoverMessage::Hello { version: VERSION, name: name.to_string(), listen };
+    socket.send(&hello.encode(), &[]).await?;
+    let mut reader = MessageReader::new(&socket);
+    let Envelope { message, descriptors } = next_message(&mut reader).await?;
+    let offer = match message {
+        HandoverMessage::Offer(offer) => offer,
+        HandoverMessage::Rejected(reason) => return Err(TakeoverError::Rejected(reason)),
+        other => return Err(TakeoverError::UnexpectedMessage(Box::new(other))),
+    };
+    let mut descriptors = descriptors.into_iter();
+    let listener = TcpListener::from(descriptors.next().ok_or(TakeoverError::MissingListener)?);
+    let peer_socket = descriptors.next().map(UdpSocket::from);
+    let endpoints = receive_endpoints(&mut reader, offer.generation.unwrap_or(0)).await?;
+    Ok(InheritedState { listener, peer_socket, offer, endpoints, socket })
+}
+
+/// Receives the endpoint list, up to the empty message that ends it.
+async fn receive_endpoints(
+    reader: &mut MessageReader<'_>,
+    generation: u64,
+) -> Result<EndpointDocument, TakeoverError> {
+    let mut document = EndpointDocument { generation, reset: true, instances: Vec::new() };
+    loop {
+        match next_message(reader).await?.message {
+            HandoverMessage::Endpoints(entries) if entries.is_empty() => return Ok(document),
+            HandoverMessage::Endpoints(entries) => document.instances.extend(entries),
+            other => return Err(TakeoverError::UnexpectedMessage(Box::new(other))),
+        }
+    }
+}
+
+async fn next_message(reader: &mut MessageReader<'_>) -> Result<Envelope, TakeoverError> {
+    reader.next().await?.ok_or(TakeoverError::Closed)
+}
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -56,23 +56,26 @@
     let messages = [
         (hello, json!({"Hello": {"version": 1, "name": "n-0", "listen": "127.0.0.1:8080"}})),
         (HandoverMessage::Offer(offer), json!({"Offer": offered})),
-        (HandoverMessage::Entries(vec![instance()]), json!({"Entries": [entry()]})),
-        (HandoverMessage::Refused("no".to_string()), json!({"Refused": "no"})),
-        (HandoverMessage::Taken, json!("Taken")),
-        (HandoverMessage::Connection { kept: true }, json!({"Connection": {"kept": true}})),
-        (HandoverMessage::Holds(9), json!({"Holds": 9})),
-        (HandoverMessage::Opened(11), json!({"Opened": 11})),
-        (HandoverMessage::Closed(12), json!({"Closed": 12})),
+        (HandoverMessage::Endpoints(vec![instance()]), json!({"Entries": [entry()]})),
+        (HandoverMessage::Rejected("no".to_string()), json!({"Refused": "no"})),
+        (HandoverMessage::TookOver, json!("Taken")),
+        (HandoverMessage::ClientConnection { reused: true }, json!({"Connection": {"kept": true}})),
+        (HandoverMessage::ConnectionCount(9), json!({"Holds": 9})),
+        (HandoverMessage::RequestOpened(11), json!({"Opened": 11})),
+        (HandoverMessage::RequestClosed(12), json!({"Closed": 12})),
         (
-            HandoverMessage::Callback { number: 4, callback: callback() },
+            HandoverMessage::ForwardedCallback { number: 4, callback: callback() },
             json!({"Callback": {"number": 4, "callback": written_callback()}}),
         ),
-        (HandoverMessage::Heard { number: 4, known: true }, json!({"Heard": {"number": 4, "known": true}})),
+        (
+            HandoverMessage::CallbackReply { number: 4, known: true },
+            json!({"Heard": {"number": 4, "known": true}}),
+        ),
     ];
     for (message, literal) in messages {
-        let written: Value = serde_json::from_slice(&message.write()).expect("JSON");
+        let written: Value = serde_json::from_slice(&message.encode()).expect("JSON");
         assert_eq!(written, literal);
-        let read = HandoverMessage::read(literal.to_string().as_bytes())
+        let read = HandoverMessage::decode(literal.to_string().as_bytes())
             .expect("it reads what the other version writes");
         assert_eq!(format!("{read:?}"), format!("{message:?}"));
     }
@@ -81,7 +84,7 @@
 #[test]
 fn an_offer_of_a_process_that_says_nothing_of_confirmation_counts_as_confirmed() {
     let literal = br#"{"Offer":{"quiesced":false,"source":null,"generation":null,"connections":0}}"#;
-    let Ok(HandoverMessage::Offer(offer)) = HandoverMessage::read(literal) else { panic!("an offer") };
+    let Ok(HandoverMessage::Offer(offer)) = HandoverMessage::decode(literal) else { panic!("an offer") };
     assert!(offer.confirmed);
 }
 
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -25,7 +25,7 @@
 use tokio::time::sleep;
 use vetchbridge::config::read_text;
 use vetchbridge::discovery::document::Instance;
-use vetchbridge::upgrade::message::{in_messages, HandoverMessage, LONGEST};
+use vetchbridge::upgrade::message::{batch_endpoints, HandoverMessage, MAX_MESSAGE_BYTES};
 use vetchbridge::workers::{
     request_id, worker_id, AttemptResult, ListedWorker, Payload, SendConditions, UpstreamGroup,
 };
@@ -446,7 +446,7 @@
 async fn a_list_that_can_not_be_handed_over_is_asked_for() {
     let mut fleet = Fleet::set(8, Form::Compact).await;
     let mut known = fleet.list.clone();
-    known["instances"][0]["zone"] = "z".repeat(LONGEST).into();
+    known["instances"][0]["zone"] = "z".repeat(MAX_MESSAGE_BYTES).into();
     let first = fleet.start(&known);
     until_ready(&first).await;
     while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
@@ -468,19 +468,20 @@
     };
     // Quotes are written as two characters each.
     let lengths =
-        (0..WORKERS).map(|number| if number % 100 == 0 { LONGEST / 2 - 200 } else { number % 97 * 11 });
+        (0..WORKERS)
+            .map(|number| if number % 100 == 0 { MAX_MESSAGE_BYTES / 2 - 200 } else { number % 97 * 11 });
     let entries: Vec<Instance> = lengths.map(entry).collect();
     let names =
         |entries: &[Instance]| entries.iter().map(|entry| entry.instance_id.clone()).collect::<Vec<_>>();
-    let messages = in_messages(entries.clone());
+    let messages = batch_endpoints(entries.clone());
     assert_eq!(names(&messages.concat()), names(&entries));
     for message in messages {
         assert!(!message.is_empty(), "an empty one ends the list");
-        let length = HandoverMessage::Entries(message).write().len();
-        assert!(length <= LONGEST, "{length}");
+        let length = HandoverMessage::Endpoints(message).encode().len();
+        assert!(length <= MAX_MESSAGE_BYTES, "{length}");
     }
     assert_eq!(
-        names(&in_messages(vec![entry(1), entry(LONGEST / 2), entry(2)]).concat()),
+        names(&batch_endpoints(vec![entry(1), entry(MAX_MESSAGE_BYTES / 2), entry(2)]).concat()),
         names(&[entry(1), entry(2)])
     );
 }
--- a/crates/vetchbridge/tests/node.rs
+++ b/crates/vetchbridge/tests/node.rs
@@ -601,7 +601,7 @@
     // The old process has heard of it before this answer.
     assert_eq!(stage.daemon.operate("quiesce").await, "fail handed over; ask the successor\n");
     successor.child.kill().expect("killed");
-    stage.daemon.logs("upgrade.successor.gone").await;
+    stage.daemon.logs("upgrade.successor_lost").await;
     stage.call_back(&id, number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", None));
@@ -693,11 +693,11 @@
     let stage = Stage::set(0).await;
     let says = String::from_utf8(says).expect("text").replace("LISTEN", &stage.daemon.address.to_string());
     let wire =
-        upgrade::socket::HandoverSocket::dial(&stage.folder.path().join(HANDOVER)).expect("it listens");
+        upgrade::socket::HandoverSocket::connect(&stage.folder.path().join(HANDOVER)).expect("it listens");
     wire.send(says.as_bytes(), &[]).await.expect("sent");
     let mut buffer = vec![0; 65536];
-    let (length, _) = wire.receive(&mut buffer).await.expect("an answer").expect("it does not hang up first");
-    let heard = String::from_utf8_lossy(&buffer[..length]).into_owned();
+    let received = wire.receive(&mut buffer).await.expect("an answer").expect("it does not hang up first");
+    let heard = String::from_utf8_lossy(&buffer[..received.length]).into_owned();
     assert!(heard.starts_with(&format!("{{\"{hears}\"")), "{heard}");
     assert_eq!(stage.readiness().await.status(), "200");
     assert_eq!(stage.successor().operate("health").await, "ok serving\n");
