--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -17,7 +17,7 @@
 use crate::snapshot::CurrentSettings;
 use crate::upgrade::process_links::ProcessLinks;
 use crate::upgrade::socket::HandoverListener;
-use crate::upgrade::{self, Found, HandoverServer, Inheritance};
+use crate::upgrade::{self, HandoverServer, InheritedState, TakeoverOutcome};
 use crate::workers::UpstreamGroup;
 use serde_json::Value;
 use std::error::Error;
@@ -58,19 +58,19 @@
     let SignalNotices { hangup, terminate } = signals.watch()?;
     let found = match &config.handover {
         Some(path) => upgrade::take_over(path, &config.name, config.listen).await,
-        None => Found::Nobody,
+        None => TakeoverOutcome::NoPredecessor,
     };
     let inheritance = match found {
-        Found::Predecessor(inheritance) => Some(*inheritance),
-        Found::Nobody => None,
-        Found::Stranger => {
+        TakeoverOutcome::Inherited(inheritance) => Some(*inheritance),
+        TakeoverOutcome::NoPredecessor => None,
+        TakeoverOutcome::Rejected => {
             // Its place is left to it; this process can't be taken over from.
             config.handover = None;
             None
         }
     };
     let process_links = Arc::new(ProcessLinks::default());
-    let lifecycle = Arc::new(Lifecycle::begin(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
+    let lifecycle = Arc::new(Lifecycle::new(inheritance.as_ref().is_some_and(|it| it.offer.quiesced)));
     if let Some(address) = config.admin {
         let door = claim(address, || listen(address, false)).await?;
         info!(address = %door.local_addr()?, "admin.listens");
@@ -82,25 +82,25 @@
         ));
     }
     let keeper = lifecycle.clone();
-    tokio::spawn(async move { keeper.keep_time().await });
+    tokio::spawn(async move { keeper.run_transitions().await });
     let handover_server = start(config, inheritance, hangup, flags, logs, (lifecycle, process_links)).await?;
 
     terminate.notified().await;
-    handover_server.lifecycle.terminate(handover_server.client_server.longest_deadline());
+    handover_server.lifecycle.begin_shutdown(handover_server.client_server.longest_deadline());
     sleep(LISTEN_ON).await;
     let mut quiet_since = Instant::now();
     let mut leaving = false;
     let lingers = |quiet: Duration| handover_server.client_server.lingers() && quiet < QUIET + LAST_WORDS;
     while quiet_since.elapsed() < QUIET || lingers(quiet_since.elapsed()) {
         sleep(QUIET / 10).await;
-        if !leaving && !handover_server.lifecycle.state().takes() {
+        if !leaving && !handover_server.lifecycle.state().accepts_requests() {
             leaving = true;
             handover_server.engine.handle(Event::ShuttingDown);
         }
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
         let serves_on = handover_server.client_server.connections() > 0
-            && !handover_server.lifecycle.state().closes_idle();
-        if handover_server.client_server.owes() || handover_server.process_links.behind() || serves_on {
+            && !handover_server.lifecycle.state().closes_idle_connections();
+        if handover_server.client_server.owes() || handover_server.process_links.has_queued() || serves_on {
             quiet_since = Instant::now();
         }
     }
@@ -181,7 +181,7 @@
 /// Puts everything to work, on what a predecessor handed over where there is one.
 async fn start(
     config: Config,
-    inheritance: Option<Inheritance>,
+    inheritance: Option<InheritedState>,
     hangup: Arc<Notify>,
     flags: Flags,
     logs: Logs,
@@ -198,7 +198,9 @@
     let shared = config.handover.is_some() && door.is_none();
     let (mut from, mut socket, mut rest) = (None, None, None);
     let mut initial = InitialEndpoints { document: config.known, generation_valid: true, handed_over: false };
-    if let Some(Inheritance { listener, peers, offer, listing, wire }) = inheritance {
+    if let Some(InheritedState { listener, peer_socket: peers, offer, endpoints: listing, socket: wire }) =
+        inheritance
+    {
         listener.set_nonblocking(true)?;
         (from, socket) = (Some(TcpListener::from_std(listener)?), peers);
         let same = matches!(config.source, EndpointSource::Service(address) if Some(address) == offer.source);
@@ -286,7 +288,7 @@
         name,
         listen,
         listener: spare,
-        peers,
+        peer_socket: peers,
         endpoint_list,
         lifecycle,
         engine,
@@ -296,21 +298,21 @@
     };
     let handover_server = Arc::new(handover_server);
     if *confirmed.borrow() {
-        handover_server.lifecycle.started();
+        handover_server.lifecycle.start_serving();
     } else {
         let lifecycle = handover_server.lifecycle.clone();
         tokio::spawn(async move {
             // If no answer comes, the module sends by the saved list from then on: there is no better one.
             let wait = Duration::from_micros(CONFIRM_WITHIN);
             let _ = timeout(wait, confirmed.wait_for(|confirmed| *confirmed)).await;
-            lifecycle.started();
+            lifecycle.start_serving();
         });
     }
     if let Some((wire, connections)) = rest {
-        handover_server.taken(wire, connections);
+        handover_server.announce_takeover(wire, connections);
     }
     if let (Some(door), Some(path)) = (door, config.handover) {
-        tokio::spawn(handover_server.clone().receive(path, door));
+        tokio::spawn(handover_server.clone().run(path, door));
     }
     Ok(handover_server)
 }
