--- a/crates/vetchbridge/src/clients/body.rs
+++ b/crates/vetchbridge/src/clients/body.rs
@@ -1,55 +1,106 @@
-//! Bodies of requests and callbacks: how long they may be, how late, and the memory that they take.
+//! Reads the bodies of jobs and callbacks: their maximum length, their time limit and the memory that they take.
 //!
-//! Owns those bounds and the words of whoever breaks one. It must never wait for memory, nor look into a body.
+//! Memory is reserved before a body is read, never waited for.
 
 use super::connection::ClientConnection;
 use axum::body::{to_bytes, Body, HttpBody};
-use axum::http::header::{HeaderName, CONNECTION};
+use axum::http::header::CONNECTION;
 use axum::http::StatusCode;
+use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
+use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
-use tracing::debug;
-
-/// The longest body of a request or callback.
-const BODY_LIMIT: usize = 64 * 1024;
-/// A body that is late is rejected this long before its connection would be ended without a word.
-const BODY_MARGIN: Duration = Duration::from_millis(200);
-/// Memory for bodies is handed out in pieces of this size.
-const PIECE: usize = 1024;
-/// Memory for bodies of one kind, of a process that may take `memory` bytes in all.
-pub(super) fn room(memory: usize) -> Arc<Semaphore> {
-    Arc::new(Semaphore::new((memory / 8).clamp(BODY_LIMIT, usize::MAX >> 4) / PIECE))
+
+/// Maximum length of a body in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// A late body is rejected this long before its connection would be closed without a response.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
+/// Granularity of memory reservations in bytes.
+const BLOCK_BYTES: usize = 1024;
+/// Share of the process's memory that the bodies of one kind may take, as a divisor.
+const MEMORY_DIVISOR: usize = 8;
+
+/// Memory for the bodies of one kind.
+pub(super) struct BodyMemory {
+    blocks: Arc<Semaphore>,
+}
+
+impl BodyMemory {
+    /// The memory for bodies in a process that may take `process_bytes` in all; at least one body fits.
+    pub(super) fn new(process_bytes: usize) -> BodyMemory {
+        let bytes = (process_bytes / MEMORY_DIVISOR).clamp(MAX_BODY_BYTES, usize::MAX >> 4);
+        BodyMemory { blocks: Arc::new(Semaphore::new(bytes / BLOCK_BYTES)) }
+    }
+
+    /// Reserves memory for a body; it is released when the permit is dropped.
+    fn reserve(&self, bytes: usize) -> Result<OwnedSemaphorePermit, BodyError> {
+        let blocks = bytes.div_ceil(BLOCK_BYTES) as u32;
+        self.blocks.clone().try_acquire_many_owned(blocks).map_err(|_| BodyError::NoMemory)
+    }
+}
+
+/// Why a body was not read. The connection closes after the response, since the rest of the body may still arrive.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum BodyError {
+    /// It exceeds [`MAX_BODY_BYTES`].
+    TooLong,
+    /// The memory for bodies is used up.
+    NoMemory,
+    /// It did not arrive in time.
+    Timeout,
+}
+
+impl BodyError {
+    fn status(self) -> StatusCode {
+        match self {
+            BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            BodyError::NoMemory => StatusCode::SERVICE_UNAVAILABLE,
+            BodyError::Timeout => StatusCode::REQUEST_TIMEOUT,
+        }
+    }
+
+    /// The text of the response.
+    fn text(self) -> &'static str {
+        match self {
+            BodyError::TooLong => "a body holds no more than 64 KiB\n",
+            BodyError::NoMemory => "no memory for the body\n",
+            BodyError::Timeout => "the body did not arrive\n",
+        }
+    }
 }
 
-/// What a client hears whose body can't be read.
-pub(super) type Refused = (StatusCode, [(HeaderName, &'static str); 1], &'static str);
+impl fmt::Display for BodyError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.text().trim_end())
+    }
+}
 
-/// Reads a body whole; from then on its answer is owed. What can't be read ends its connection.
+impl IntoResponse for BodyError {
+    fn into_response(self) -> Response {
+        (self.status(), [(CONNECTION, "close")], self.text()).into_response()
+    }
+}
+
+/// Reads a whole body, with the memory reserved for it. From then on the connection awaits a response.
 pub(super) async fn read(
     body: Body,
     connection: &ClientConnection,
-    room: &Arc<Semaphore>,
-) -> Result<(Bytes, OwnedSemaphorePermit), Refused> {
-    let refused = |status, reason: &'static str| {
-        debug!(reason = reason.trim_end(), "request.refused");
-        Err((status, [(CONNECTION, "close")], reason))
-    };
+    memory: &BodyMemory,
+) -> Result<(Bytes, OwnedSemaphorePermit), BodyError> {
     let expected = body.size_hint();
-    if expected.lower() > BODY_LIMIT as u64 {
-        return refused(StatusCode::PAYLOAD_TOO_LARGE, "a body holds no more than 64 KiB\n");
-    }
-    let pieces = expected.exact().map_or(BODY_LIMIT, |bytes| bytes as usize).div_ceil(PIECE);
-    let Ok(room) = room.clone().try_acquire_many_owned(pieces as u32) else {
-        return refused(StatusCode::SERVICE_UNAVAILABLE, "no memory for the body\n");
-    };
-    match tokio::time::timeout_at(connection.due() - BODY_MARGIN, to_bytes(body, BODY_LIMIT)).await {
+    if expected.lower() > MAX_BODY_BYTES as u64 {
+        return Err(BodyError::TooLong);
+    }
+    let permit = memory.reserve(expected.exact().map_or(MAX_BODY_BYTES, |bytes| bytes as usize))?;
+    let deadline = connection.due() - TIMEOUT_MARGIN;
+    match tokio::time::timeout_at(deadline, to_bytes(body, MAX_BODY_BYTES)).await {
         Ok(Ok(body)) => {
             connection.owe();
-            Ok((body, room))
+            Ok((body, permit))
         }
-        Ok(Err(_)) => refused(StatusCode::PAYLOAD_TOO_LARGE, "a body holds no more than 64 KiB\n"),
-        Err(_) => refused(StatusCode::REQUEST_TIMEOUT, "the body did not arrive\n"),
+        Ok(Err(_)) => Err(BodyError::TooLong),
+        Err(_) => Err(BodyError::Timeout),
     }
 }
--- a/crates/vetchbridge/src/clients/connection.rs
+++ b/crates/vetchbridge/src/clients/connection.rs
@@ -5,7 +5,7 @@
 //! one as spare that owes an answer or brings a callback, nor one that has just been made.
 
 use super::eviction::{Group, SpareOrder, Standing, YOUNG};
-use super::framing::{Watch, HEAD_LIMIT};
+use super::framing::{RequestFraming, MAX_HEAD_BYTES};
 use super::lock;
 use crate::net::RetryingStream;
 use std::io;
@@ -54,7 +54,7 @@
     answered: u32,
     /// What it was doing when it was chosen to make room, if it was.
     chosen: Option<Stage>,
-    watch: Watch,
+    watch: RequestFraming,
     /// The request in hand has been read to its last byte.
     whole: bool,
     /// What the client wrote after that, for the time when it has been answered.
@@ -70,8 +70,8 @@
             _ if self.chosen.is_some() => return None,
             Stage::Lingering => Group::Lingering,
             Stage::Silent => Group::Silent,
-            Stage::Arriving if !self.watch.callback => Group::Arriving,
-            Stage::Idle if self.watch.callback => Group::IdleCallback,
+            Stage::Arriving if !self.watch.is_callback => Group::Arriving,
+            Stage::Idle if self.watch.is_callback => Group::IdleCallback,
             Stage::Idle if self.answered <= 1 => Group::IdleOnce,
             Stage::Idle => Group::IdleKept,
             Stage::Arriving | Stage::Owing | Stage::Answering => return None,
@@ -80,8 +80,8 @@
     }
 
     fn see(&mut self, bytes: &[u8]) -> usize {
-        let own = self.watch.see(bytes);
-        self.whole = own > 0 && self.watch.whole();
+        let own = self.watch.advance(bytes);
+        self.whole = own > 0 && self.watch.is_request_complete();
         match self.stage {
             // The time counts from connecting.
             Stage::Silent => self.stage = Stage::Arriving,
@@ -104,7 +104,7 @@
 impl ClientConnection {
     /// One that has just been made; its number is its own in the order.
     pub(super) fn new(number: u64, order: Arc<Mutex<SpareOrder>>) -> ClientConnection {
-        let (stage, since, watch) = (Stage::Silent, Instant::now(), Watch::new());
+        let (stage, since, watch) = (Stage::Silent, Instant::now(), RequestFraming::new());
         let (ahead, whole, overrun) = (Vec::new(), false, false);
         let state = State { stage, since, answered: 0, chosen: None, watch, whole, ahead, overrun };
         lock(&order).move_to(number, None, state.standing());
@@ -178,13 +178,13 @@
 
     /// Whether another request may hide in the body of one that came here.
     pub fn ambiguous(&self) -> bool {
-        lock(&self.state).watch.ambiguous
+        lock(&self.state).watch.is_ambiguous
     }
 
     /// Whether the answer in hand is its last: its next request could not be watched or kept, or it makes room.
     pub fn last(&self) -> bool {
         let state = lock(&self.state);
-        state.watch.last() || state.overrun || state.chosen.is_some()
+        state.watch.is_last_request() || state.overrun || state.chosen.is_some()
     }
 
     /// Our side is closed. It holds its descriptor again until it has gone, also where it was chosen to make room.
@@ -254,13 +254,13 @@
     fn reads_ahead(&self) -> bool {
         let state = lock(&self.state);
         // The head of the last answer is written by then, and could not say that it is the last.
-        state.stage != Stage::Answering || state.ahead.len() < HEAD_LIMIT
+        state.stage != Stage::Answering || state.ahead.len() < MAX_HEAD_BYTES
     }
 
     /// Keeps what came while a request was in hand.
     fn keep_ahead(&self, bytes: &[u8]) {
         let state = &mut *lock(&self.state);
-        state.overrun |= state.stage != Stage::Answering && state.ahead.len() + bytes.len() > HEAD_LIMIT;
+        state.overrun |= state.stage != Stage::Answering && state.ahead.len() + bytes.len() > MAX_HEAD_BYTES;
         if state.overrun {
             state.ahead = Vec::new();
         } else {
@@ -276,7 +276,7 @@
             }
             let ahead = !state.ahead.is_empty();
             state.stage =
-                if state.watch.between_requests() && !ahead { Stage::Idle } else { Stage::Arriving };
+                if state.watch.is_between_requests() && !ahead { Stage::Idle } else { Stage::Arriving };
             (state.since, state.whole) = (Instant::now(), false);
             Some((ahead, state.chosen.is_some()))
         });
@@ -366,7 +366,7 @@
         connection.linger();
         let dropping = async {
             stream.shutdown().await?;
-            let (mut bytes, mut left) = (vec![0; HEAD_LIMIT], DROPPED);
+            let (mut bytes, mut left) = (vec![0; MAX_HEAD_BYTES], DROPPED);
             while left > 0 {
                 match stream.read(&mut bytes).await? {
                     0 => break,
--- a/crates/vetchbridge/src/clients/framing.rs
+++ b/crates/vetchbridge/src/clients/framing.rs
@@ -1,184 +1,183 @@
-//! A watch on how a client's requests are framed, of which hyper leaves no trace.
+//! Follows the requests of one connection: where one ends and the next one begins, which hyper does not report.
 //!
-//! Owns where in a connection's bytes one request ends and the next begins, as far as that can be followed. It must never
-//! read what a request says but its path, its length and its encoding, nor see other heads than hyper does.
+//! Heads are parsed with the parser and the limits of hyper, so that both see the same requests. Of a request only the
+//! path, the length and the transfer encoding are read.
 
-use super::chunks::{Chunks, Progress};
+use super::chunked_body::{ChunkedBody, Progress};
+use super::protocol::{CALLBACK_PATH, CALLBACK_REQUEST_LINE};
 
-/// The longest head; also hyper's read buffer, which bounds the memory that a connection takes.
-pub const HEAD_LIMIT: usize = 8 * 1024;
-/// The most header lines, as hyper has it.
+/// Maximum length of a head in bytes; also the size of hyper's read buffer, which bounds the memory of a connection.
+pub(super) const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum number of header lines, hyper's default.
 const MAX_HEADERS: usize = 100;
 
-/// Where in a client's bytes the watch stands.
+/// Position within the bytes that a client sends.
 #[derive(Debug, PartialEq, Eq)]
-enum Framing {
-    /// In a head, with what has come of it.
+enum Position {
+    /// In a head, of which these bytes have arrived.
     Head(Vec<u8>),
-    /// In a body, with this many bytes to come.
-    Body(u64),
+    /// In a body of known length, of which this many bytes are still to come.
+    Body { remaining: u64 },
     /// In a chunked body.
-    Chunked(Chunks),
-    /// After a chunked body: what follows is handed to nobody, since the connection ends with the answer that is due.
+    Chunked(ChunkedBody),
+    /// After a chunked body. The connection closes after the pending response, so nothing that follows is read.
     Ended,
-    /// Past what the watch can follow; the connection ends with the answer that is due.
-    Unwatched,
+    /// Beyond what can be followed; the connection closes after the pending response.
+    Untracked,
 }
 
-/// What the framing told of a connection's requests.
+/// What the framing of a connection's requests shows.
 #[derive(Debug)]
-pub(super) struct Watch {
-    framing: Framing,
-    /// A request had both a `Content-Length` and a `Transfer-Encoding`: another may hide in its body.
-    pub(super) ambiguous: bool,
-    /// The request in hand is a callback.
-    pub(super) callback: bool,
+pub(super) struct RequestFraming {
+    position: Position,
+    /// A request had both a `Content-Length` and a `Transfer-Encoding`: its body may conceal another request.
+    pub(super) is_ambiguous: bool,
+    /// The current request is a callback.
+    pub(super) is_callback: bool,
 }
 
-impl Watch {
-    /// A watch on a connection from its first byte on.
-    pub(super) fn new() -> Watch {
-        Watch { framing: Framing::Head(Vec::new()), ambiguous: false, callback: false }
+impl RequestFraming {
+    /// The framing of a connection at its first byte.
+    pub(super) fn new() -> RequestFraming {
+        RequestFraming { position: Position::Head(Vec::new()), is_ambiguous: false, is_callback: false }
     }
 
-    /// Whether the request in hand has come to its last byte.
-    pub(super) fn whole(&self) -> bool {
-        self.framing == Framing::Ended || self.between_requests()
+    /// Whether the current request has arrived to its last byte.
+    pub(super) fn is_request_complete(&self) -> bool {
+        self.position == Position::Ended || self.is_between_requests()
     }
 
-    /// Whether no other request can follow the one in hand.
-    pub(super) fn last(&self) -> bool {
-        matches!(self.framing, Framing::Chunked(_) | Framing::Ended | Framing::Unwatched)
+    /// Whether no further request can be followed after the current one.
+    pub(super) fn is_last_request(&self) -> bool {
+        matches!(self.position, Position::Chunked(_) | Position::Ended | Position::Untracked)
     }
 
-    /// Whether no byte of the next request has come.
-    pub(super) fn between_requests(&self) -> bool {
-        matches!(&self.framing, Framing::Head(head) if head.is_empty())
+    /// Whether no byte of the next request has arrived.
+    pub(super) fn is_between_requests(&self) -> bool {
+        matches!(&self.position, Position::Head(head) if head.is_empty())
     }
 
-    /// Reads on to the end of a request at most, with the parser that hyper uses, so that both see the same heads. How
-    /// many bytes that took: what follows is another request.
-    pub(super) fn see(&mut self, all: &[u8]) -> usize {
-        let mut bytes = all;
-        while !bytes.is_empty() {
-            match &mut self.framing {
-                Framing::Unwatched => return all.len(),
-                Framing::Ended => break,
-                Framing::Chunked(chunks) => match chunks.see(bytes) {
-                    Progress::Within => return all.len(),
-                    Progress::Ended(length) => {
-                        bytes = &bytes[length..];
-                        self.framing = Framing::Ended;
-                    }
-                    // hyper finds the same fault, answers and closes.
-                    Progress::Malformed => self.framing = Framing::Unwatched,
-                },
-                Framing::Body(left) => {
-                    let here = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                    *left -= here as u64;
-                    bytes = &bytes[here..];
-                    if *left == 0 {
-                        self.framing = Framing::Head(Vec::new());
-                        break;
-                    }
-                }
-                Framing::Head(head) => {
-                    let before = head.len();
-                    head.extend_from_slice(bytes);
-                    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-                    let mut request = httparse::Request::new(&mut headers);
-                    let next = match request.parse(head) {
-                        Ok(httparse::Status::Partial) if head.len() <= HEAD_LIMIT => {
-                            self.callback = head.starts_with(b"POST /callback");
-                            return all.len();
-                        }
-                        Ok(httparse::Status::Complete(length)) => {
-                            let named = |name: &str| {
-                                let mut lines = request.headers.iter();
-                                lines.find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
-                            };
-                            self.callback = request.path == Some("/callback");
-                            let size = named("content-length");
-                            if named("transfer-encoding").is_some() {
-                                self.ambiguous |= size.is_some();
-                                (Framing::Chunked(Chunks::new()), length)
-                            } else {
-                                let size = size.and_then(|value| std::str::from_utf8(value).ok());
-                                match size.map_or(Ok(0), |value| value.trim().parse()) {
-                                    Ok(0) => (Framing::Head(Vec::new()), length),
-                                    Ok(size) => (Framing::Body(size), length),
-                                    Err(_) => (Framing::Unwatched, length),
-                                }
-                            }
-                        }
-                        // Too long, or no head at all: hyper answers that itself and closes.
-                        Ok(httparse::Status::Partial) | Err(_) => (Framing::Unwatched, head.len()),
-                    };
-                    bytes = &bytes[next.1 - before..];
-                    self.framing = next.0;
-                    if self.between_requests() {
-                        break;
-                    }
-                }
+    /// Advances over received bytes, at most to the end of one request. Returns how many bytes belong to it; what
+    /// follows is another request.
+    pub(super) fn advance(&mut self, received: &[u8]) -> usize {
+        let mut consumed = 0;
+        while consumed < received.len() {
+            consumed += self.advance_position(&received[consumed..]);
+            if self.is_request_complete() {
+                break;
             }
         }
-        all.len() - bytes.len()
+        consumed
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn watched(parts: &[&str]) -> Watch {
-        let mut watch = Watch::new();
-        for part in parts {
-            let mut bytes = part.as_bytes();
-            while !bytes.is_empty() {
-                bytes = &bytes[watch.see(bytes)..];
+    /// Advances within the current part of the request, at most to its end.
+    fn advance_position(&mut self, bytes: &[u8]) -> usize {
+        match &mut self.position {
+            Position::Head(_) => self.advance_head(bytes),
+            Position::Body { remaining } => {
+                let consumed = bytes.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+                *remaining -= consumed as u64;
+                if *remaining == 0 {
+                    self.position = Position::Head(Vec::new());
+                }
+                consumed
             }
+            Position::Chunked(body) => match body.advance(bytes) {
+                Progress::Incomplete => bytes.len(),
+                Progress::Complete { length } => {
+                    self.position = Position::Ended;
+                    length
+                }
+                // hyper finds the same fault, responds and closes.
+                Progress::Malformed => {
+                    self.position = Position::Untracked;
+                    bytes.len()
+                }
+            },
+            Position::Ended => 0,
+            Position::Untracked => bytes.len(),
         }
-        watch
     }
 
-    /// hyper drops the length where both stand; whoever believes it would see another request in the body.
-    #[test]
-    fn a_length_beside_a_transfer_encoding_is_seen_wherever_it_stands() {
-        let (length, chunked) = ("Content-Length: 4\r\n", "transfer-encoding: chunked\r\n");
-        for (headers, ambiguous) in [
-            (format!("{length}{chunked}"), true),
-            (format!("{chunked}{length}"), true),
-            (length.to_string(), false),
-            (chunked.to_string(), false),
-        ] {
-            let before = "POST /a/b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc";
-            let whole = format!("{before}POST /a/b HTTP/1.1\r\n{headers}\r\n");
-            for cut in 0..whole.len() {
-                let watch = watched(&[&whole[..cut], &whole[cut..]]);
-                assert_eq!(watch.ambiguous, ambiguous, "{whole} cut at {cut}");
+    /// Advances within a head, at most to its end.
+    fn advance_head(&mut self, bytes: &[u8]) -> usize {
+        let Position::Head(head) = &mut self.position else { return 0 };
+        let already_received = head.len();
+        head.extend_from_slice(bytes);
+        match parse_head(head) {
+            ParsedHead::Incomplete => {
+                self.is_callback = head.starts_with(CALLBACK_REQUEST_LINE.trim_ascii_end());
+                bytes.len()
+            }
+            ParsedHead::Complete { length, is_callback, is_ambiguous, next } => {
+                self.is_callback = is_callback;
+                self.is_ambiguous |= is_ambiguous;
+                self.position = next;
+                length - already_received
+            }
+            // hyper responds to that itself and closes.
+            ParsedHead::Invalid => {
+                self.position = Position::Untracked;
+                bytes.len()
             }
         }
-        assert!(watched(&["GET /health/ready HTTP/1.1\r\n\r\n"]).between_requests());
-        assert!(!watched(&["POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nx"]).between_requests());
-        assert_eq!(watched(&["POST / HTTP/1.1\r\n", &"a: b\r\n".repeat(3000)]).framing, Framing::Unwatched);
     }
+}
 
-    /// What is told apart here is handed on one by one.
-    #[test]
-    fn a_request_ends_where_the_next_one_begins() {
-        let requests =
-            ["GET /a HTTP/1.1\r\n\r\n", "POST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", "GET /"];
-        let all = requests.concat();
-        for cut in 0..=all.len() {
-            let (mut watch, mut at, mut ends) = (Watch::new(), 0, Vec::new());
-            while at < all.len() {
-                let end = if at < cut { cut } else { all.len() };
-                at += watch.see(&all.as_bytes()[at..end]);
-                if watch.between_requests() {
-                    ends.push(at);
-                }
-            }
-            assert_eq!(ends, [requests[0].len(), requests[0].len() + requests[1].len()], "cut at {cut}");
+/// The result of parsing what has arrived of a head.
+enum ParsedHead {
+    /// More of it is to come.
+    Incomplete,
+    /// A whole head.
+    Complete {
+        /// Its length in bytes.
+        length: usize,
+        /// It begins a callback.
+        is_callback: bool,
+        /// It has both a `Content-Length` and a `Transfer-Encoding`.
+        is_ambiguous: bool,
+        /// The position after it.
+        next: Position,
+    },
+    /// Too long, or not a head.
+    Invalid,
+}
+
+fn parse_head(head: &[u8]) -> ParsedHead {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    match request.parse(head) {
+        Ok(httparse::Status::Partial) if head.len() <= MAX_HEAD_BYTES => ParsedHead::Incomplete,
+        Ok(httparse::Status::Complete(length)) => {
+            let is_callback = request.path == Some(CALLBACK_PATH);
+            let content_length = header(request.headers, "content-length");
+            let is_chunked = header(request.headers, "transfer-encoding").is_some();
+            let is_ambiguous = is_chunked && content_length.is_some();
+            let next = if is_chunked {
+                Position::Chunked(ChunkedBody::new())
+            } else {
+                position_after_head(content_length)
+            };
+            ParsedHead::Complete { length, is_callback, is_ambiguous, next }
         }
+        Ok(httparse::Status::Partial) | Err(_) => ParsedHead::Invalid,
+    }
+}
+
+/// The first header of a name.
+fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
+    headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
+}
+
+/// The position after a head without a `Transfer-Encoding`.
+fn position_after_head(content_length: Option<&[u8]>) -> Position {
+    let content_length = content_length.and_then(|value| std::str::from_utf8(value).ok());
+    match content_length.map_or(Ok(0), |value| value.trim().parse()) {
+        Ok(0) => Position::Head(Vec::new()),
+        Ok(remaining) => Position::Body { remaining },
+        Err(_) => Position::Untracked,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/vetchbridge/src/clients/mod.rs
+++ b/crates/vetchbridge/src/clients/mod.rs
@@ -3,12 +3,13 @@
 //! This room owns what a client or a callback can see of the daemon. It must never choose a worker or speak to one.
 
 mod body;
-mod chunks;
+mod chunked_body;
 mod connection;
 mod connections;
 mod eviction;
 mod framing;
 mod job;
+mod protocol;
 pub mod server;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -4,9 +4,11 @@
 //! hears of it. It must never hold a request back, answer for the module, or pass on a request whose framing or meaning
 //! is in doubt.
 
+use super::body::{BodyError, BodyMemory};
 use super::connection::{ClientConnection, Watched};
 use super::connections::{ClientConnections, ConnectionSlot, Elsewhere};
-use super::framing::HEAD_LIMIT;
+use super::framing::MAX_HEAD_BYTES;
+use super::protocol::{CALLBACK_PATH, CALLBACK_REQUEST_LINE, READINESS_PATH};
 use super::{body, job};
 use crate::admin;
 use crate::engine::Engine;
@@ -37,7 +39,6 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
-use tokio::sync::Semaphore;
 use tokio::time::{sleep_until, timeout, Instant};
 use tower_service::Service;
 use tracing::{debug, warn};
@@ -51,8 +52,6 @@
 const CALLBACK_ARRIVAL: Duration = Duration::from_millis(250);
 /// ... and has this long for it, the question to another process included.
 const CALLBACK_WITHIN: Duration = Duration::from_millis(2500);
-/// How a callback begins.
-const CALLBACK_HEAD: &[u8] = b"POST /callback ";
 /// Between two looks at a head that has come in part.
 const CALLBACK_LOOK: Duration = Duration::from_millis(5);
 
@@ -71,8 +70,8 @@
     connections: ClientConnections,
     /// Memory for the bodies of jobs, from their arrival to their end, and of callbacks; apart, so that jobs
     /// can't keep callbacks out.
-    job_room: Arc<Semaphore>,
-    callback_room: Arc<Semaphore>,
+    job_memory: BodyMemory,
+    callback_memory: BodyMemory,
 }
 
 impl ClientServer {
@@ -96,8 +95,8 @@
             process_links,
             adopted: (adopted, Mutex::new(Some(adoptions))),
             connections,
-            job_room: body::room(memory),
-            callback_room: body::room(memory),
+            job_memory: BodyMemory::new(memory),
+            callback_memory: BodyMemory::new(memory),
         })
     }
 
@@ -134,8 +133,8 @@
     /// Accepts connections until the program ends, but for the time that a successor does.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let router = Router::new()
-            .route("/health/ready", get(ready))
-            .route("/callback", post(callback))
+            .route(READINESS_PATH, get(ready))
+            .route(CALLBACK_PATH, post(callback))
             .fallback(take)
             .with_state(self.clone());
         let adoptions = self.adopted.1.lock().unwrap_or_else(PoisonError::into_inner).take();
@@ -188,7 +187,7 @@
         let service = service_fn(|request| self.respond(request, connection, router.clone()));
         let stream = RetryingStream::new(stream);
         let io = TokioIo::new(Watched { stream, connection: connection.clone() });
-        let mut serving = http1::Builder::new().max_buf_size(HEAD_LIMIT).serve_connection(io, service);
+        let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let mut state = self.lifecycle.subscribe();
         let mut successor = self.process_links.successor();
         let succeeded = async {
@@ -247,7 +246,7 @@
         let service = service_fn(|request| self.respond(request, &connection, router.clone()));
         let stream = RetryingStream::new(stream);
         let io = TokioIo::new(Watched { stream, connection: connection.clone() });
-        let mut serving = http1::Builder::new().max_buf_size(HEAD_LIMIT).serve_connection(io, service);
+        let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let served = timeout(CALLBACK_WITHIN, Pin::new(&mut serving)).await;
         // Not waited for the other side: a worker says nothing more before it has read this, and its place is needed.
         debug!(?served, "callback.without.place");
@@ -286,12 +285,12 @@
 
 /// Whether what comes on a connection begins as a callback does; nothing of it is taken.
 async fn brings_callback(stream: &TcpStream) -> bool {
-    let mut head = [0; CALLBACK_HEAD.len()];
+    let mut head = [0; CALLBACK_REQUEST_LINE.len()];
     loop {
         match stream.peek(&mut head).await {
             Ok(0) => return false,
-            Ok(seen) if !CALLBACK_HEAD.starts_with(&head[..seen]) => return false,
-            Ok(seen) if seen == CALLBACK_HEAD.len() => return true,
+            Ok(seen) if !CALLBACK_REQUEST_LINE.starts_with(&head[..seen]) => return false,
+            Ok(seen) if seen == CALLBACK_REQUEST_LINE.len() => return true,
             Err(error) if error.kind() != io::ErrorKind::Interrupted => return false,
             Ok(_) | Err(_) => tokio::time::sleep(CALLBACK_LOOK).await,
         }
@@ -313,11 +312,11 @@
     Extension(connection): Extension<Arc<ClientConnection>>,
     request: HttpRequest,
 ) -> Response {
-    let (body, _room) = match body::read(request.into_body(), &connection, &client_server.callback_room).await
-    {
-        Ok(read) => read,
-        Err(refused) => return refused.into_response(),
-    };
+    let (body, _room) =
+        match body::read(request.into_body(), &connection, &client_server.callback_memory).await {
+            Ok(read) => read,
+            Err(error) => return reject(error),
+        };
     match serde_json::from_slice::<Callback>(&body) {
         Ok(callback) => {
             if client_server.upstream.called_back(&callback) {
@@ -342,6 +341,12 @@
     }
 }
 
+/// The response to a request whose body was not read.
+fn reject(error: BodyError) -> Response {
+    debug!(reason = %error, "request.refused");
+    error.into_response()
+}
+
 async fn take(
     State(client_server): State<Arc<ClientServer>>,
     Extension(connection): Extension<Arc<ClientConnection>>,
@@ -351,9 +356,9 @@
         return (StatusCode::METHOD_NOT_ALLOWED, "jobs arrive by POST\n").into_response();
     }
     let (parts, body) = request.into_parts();
-    let (body, room) = match body::read(body, &connection, &client_server.job_room).await {
+    let (body, room) = match body::read(body, &connection, &client_server.job_memory).await {
         Ok(read) => read,
-        Err(refused) => return refused.into_response(),
+        Err(error) => return reject(error),
     };
     if !client_server.lifecycle.state().takes() {
         debug!(reason = "ending", "request.refused");
@@ -362,9 +367,9 @@
     let job =
         match job::read(&parts, body, room, client_server.current.get(), client_server.engine.clock.now()) {
             Ok(job) => job,
-            Err(reason) => {
-                debug!(reason, "request.malformed");
-                return (StatusCode::BAD_REQUEST, format!("{reason}\n")).into_response();
+            Err(error) => {
+                debug!(reason = %error, "request.malformed");
+                return (StatusCode::BAD_REQUEST, format!("{error}\n")).into_response();
             }
         };
     // Dropped by hyper when the client closes its connection, and the receiver with it.
