--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -4,9 +4,9 @@
 
 use super::precedence::{self, Environment, Overrides};
 use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
-use crate::discovery::document::{EndpointDocument, Names, Source};
-use crate::snapshot::Snapshot;
-use crate::workers::load::{FreeSlots, Reports};
+use crate::discovery::document::{EndpointDocument, EndpointSource};
+use crate::snapshot::{NameTables, Snapshot};
+use crate::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use crate::workers::name_hash;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -122,9 +122,9 @@
 /// The document's settings and what the daemon alone needs of them.
 struct SettingsKeys {
     settings: Settings,
-    names: Names,
+    names: NameTables,
     conn_idle: Duration,
-    free_slots: FreeSlots,
+    free_slots: FreeSlotsField,
 }
 
 impl Document<'_> {
@@ -156,14 +156,14 @@
     fn settings(&mut self, json: &Value) -> Option<SettingsKeys> {
         let limits = json.get("limits");
         let conn_idle = self.optional(limits, "conn_idle", "settings.limits.conn_idle");
-        let names = Names {
+        let names = NameTables {
             zones: self.optional(Some(json), "areas", "settings.areas").unwrap_or_default(),
             kinds: self.optional(Some(json), "kinds", "settings.kinds").unwrap_or_default(),
             classes: self.names_of(json, "services"),
             tenants: self.names_of(json, "accounts"),
         };
         let meaning = |field| json.get("specifics")?.get(field)?.as_str();
-        let free_slots = FreeSlots::of(meaning("report_x0"), meaning("report_x1"));
+        let free_slots = FreeSlotsField::from_descriptions(meaning("report_x0"), meaning("report_x1"));
         self.check_positive(json);
         let settings = vetchbridge_settings::from_value(json)
             .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.reason))
@@ -178,7 +178,8 @@
 
 impl SettingsKeys {
     fn snapshot(self) -> Snapshot {
-        let reports = Reports { via: self.settings.load_report_source, free_slots: self.free_slots };
+        let reports =
+            LoadReportSettings { source: self.settings.load_report_source, free_slots: self.free_slots };
         Snapshot::new(self.settings, self.names, self.conn_idle, reports)
     }
 }
@@ -238,7 +239,7 @@
         name: own.name,
         listen: own.listen,
         admin: own.admin,
-        source: Source::Service(own.discovery),
+        source: EndpointSource::Service(own.discovery),
         sockets: own.sockets,
         memory: own.memory_mb.saturating_mul(1 << 20),
         known: own.known,
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -8,9 +8,9 @@
 use super::platform::DEFAULT_CONN_IDLE;
 use super::text::Text;
 use super::{Config, ConfigError, Fault, Peers};
-use crate::discovery::document::{EndpointDocument, Instance, InstanceState, Names, Source};
-use crate::snapshot::Snapshot;
-use crate::workers::load::{self, Reports};
+use crate::discovery::document::{EndpointDocument, EndpointSource, Instance, InstanceState};
+use crate::snapshot::{NameTables, Snapshot};
+use crate::workers::load_report::{self, LoadReportSettings};
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::interface::{
     self, Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings,
@@ -80,8 +80,8 @@
         }
         let listing = EndpointDocument { generation: 0, reset: true, instances };
         let (source, known) = match file.discovery {
-            Some(address) => (Source::Service(address.0), listing),
-            None => (Source::Fixed(listing), EndpointDocument::default()),
+            Some(address) => (EndpointSource::Service(address.0), listing),
+            None => (EndpointSource::Fixed(listing), EndpointDocument::default()),
         };
         Ok(Config {
             name: file.name.clone(),
@@ -244,15 +244,15 @@
 }
 
 fn snapshot(file: &File, settings: Settings) -> Snapshot {
-    let reports = Reports {
-        via: settings.load_report_source,
+    let reports = LoadReportSettings {
+        source: settings.load_report_source,
         free_slots: match file.fleet.free_slots {
-            FreeSlots::X0 => load::FreeSlots::X0,
-            FreeSlots::X1 => load::FreeSlots::X1,
-            FreeSlots::Untold => load::FreeSlots::Untold,
+            FreeSlots::X0 => load_report::FreeSlotsField::X0,
+            FreeSlots::X1 => load_report::FreeSlotsField::X1,
+            FreeSlots::Untold => load_report::FreeSlotsField::Unreported,
         },
     };
-    let names = Names {
+    let names = NameTables {
         zones: file.fleet.zones.clone(),
         kinds: file.fleet.kinds.clone(),
         classes: file.class.iter().map(|class| class.name.clone()).collect(),
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use vetchbridge::discovery::document::{Instance, InstanceState};
 use vetchbridge::upgrade::message::{HandoverMessage, Offer, VERSION};
-use vetchbridge::workers::{request_id, worker_id, Callback, CallbackState};
+use vetchbridge::workers::{parse_request_id, worker_id, Callback, CallbackState};
 
 fn instance() -> Instance {
     Instance {
@@ -29,7 +29,14 @@
 
 fn callback() -> Callback {
     let (id, from) = ("00000000000000ab".to_string(), "s-1".to_string());
-    Callback { id, from, state: CallbackState::Done, share: 0.5, result: "ok".to_string(), load: None }
+    Callback {
+        id,
+        worker: from,
+        state: CallbackState::Done,
+        fraction: 0.5,
+        result: "ok".to_string(),
+        load: None,
+    }
 }
 
 fn written_callback() -> Value {
@@ -56,23 +63,26 @@
     let messages = [
         (hello, json!({"Hello": {"version": 1, "name": "n-0", "listen": "127.0.0.1:8080"}})),
         (HandoverMessage::Offer(offer), json!({"Offer": offered})),
-        (HandoverMessage::Entries(vec![instance()]), json!({"Entries": [entry()]})),
-        (HandoverMessage::Refused("no".to_string()), json!({"Refused": "no"})),
-        (HandoverMessage::Taken, json!("Taken")),
-        (HandoverMessage::Connection { kept: true }, json!({"Connection": {"kept": true}})),
-        (HandoverMessage::Holds(9), json!({"Holds": 9})),
-        (HandoverMessage::Opened(11), json!({"Opened": 11})),
-        (HandoverMessage::Closed(12), json!({"Closed": 12})),
+        (HandoverMessage::Endpoints(vec![instance()]), json!({"Entries": [entry()]})),
+        (HandoverMessage::Rejected("no".to_string()), json!({"Refused": "no"})),
+        (HandoverMessage::TookOver, json!("Taken")),
+        (HandoverMessage::ClientConnection { reused: true }, json!({"Connection": {"kept": true}})),
+        (HandoverMessage::ConnectionCount(9), json!({"Holds": 9})),
+        (HandoverMessage::RequestOpened(11), json!({"Opened": 11})),
+        (HandoverMessage::RequestClosed(12), json!({"Closed": 12})),
         (
-            HandoverMessage::Callback { number: 4, callback: callback() },
+            HandoverMessage::ForwardedCallback { number: 4, callback: callback() },
             json!({"Callback": {"number": 4, "callback": written_callback()}}),
         ),
-        (HandoverMessage::Heard { number: 4, known: true }, json!({"Heard": {"number": 4, "known": true}})),
+        (
+            HandoverMessage::CallbackReply { number: 4, known: true },
+            json!({"Heard": {"number": 4, "known": true}}),
+        ),
     ];
     for (message, literal) in messages {
-        let written: Value = serde_json::from_slice(&message.write()).expect("JSON");
+        let written: Value = serde_json::from_slice(&message.encode()).expect("JSON");
         assert_eq!(written, literal);
-        let read = HandoverMessage::read(literal.to_string().as_bytes())
+        let read = HandoverMessage::decode(literal.to_string().as_bytes())
             .expect("it reads what the other version writes");
         assert_eq!(format!("{read:?}"), format!("{message:?}"));
     }
@@ -81,7 +91,7 @@
 #[test]
 fn an_offer_of_a_process_that_says_nothing_of_confirmation_counts_as_confirmed() {
     let literal = br#"{"Offer":{"quiesced":false,"source":null,"generation":null,"connections":0}}"#;
-    let Ok(HandoverMessage::Offer(offer)) = HandoverMessage::read(literal) else { panic!("an offer") };
+    let Ok(HandoverMessage::Offer(offer)) = HandoverMessage::decode(literal) else { panic!("an offer") };
     assert!(offer.confirmed);
 }
 
@@ -105,7 +115,7 @@
 fn names_and_ids_become_the_same_numbers_at_every_version() {
     assert_eq!(worker_id("s-1").0, 0x817c_da19_5c3f_bf24);
     assert_eq!(worker_id("cell-7/worker-12").0, 0x90c1_cae9_1af4_46a8);
-    assert_eq!(request_id("00000000000000ab").map(|id| id.0), Some(0xab));
+    assert_eq!(parse_request_id("00000000000000ab").map(|id| id.0), Some(0xab));
 }
 
 /// The configuration that another version's `config default` printed, and the values that its `check` found in it.
