--- a/crates/testbed/src/stats/tests.rs
+++ b/crates/testbed/src/stats/tests.rs
@@ -15,7 +15,7 @@
     ledger.note(Duration::from_millis(30), load(3));
     let told = |ledger: &Ledger, at| ledger.told(Duration::from_millis(at)).inflight;
     assert_eq!([19, 20, 39, 40].map(|at| told(&ledger, at)), [0, 1, 1, 3]);
-    ledger.late(Duration::from_millis(1_000));
+    ledger.late(Duration::from_secs(1));
     assert_eq!([999, 1_019, 1_020, 1_040].map(|at| told(&ledger, at)), [0, 0, 1, 3]);
     // What is older than any report may be is forgotten, but for what still stands.
     ledger.note(Duration::from_secs(200), load(2));
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -148,7 +148,9 @@
             let _ = end.await;
         }
         if told {
-            open.into_iter().for_each(|id| self.report_lost(id));
+            for id in open {
+                self.report_lost(id);
+            }
         }
     }
 
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -213,7 +213,9 @@
     /// Cancels every job of a request.
     pub(super) fn cancel(&self, id: u64) {
         if let Some(cancellations) = self.lock().cancellations.get(&id) {
-            cancellations.iter().for_each(|cancel| _ = cancel.send_replace(true));
+            for cancel in cancellations {
+                cancel.send_replace(true);
+            }
         }
     }
 
--- a/crates/testbed/tests/stories.rs
+++ b/crates/testbed/tests/stories.rs
@@ -325,9 +325,9 @@
     assert!(client.read().await.is_none(), "nobody is left to deal to");
 }
 
-fn stats(in_answers: bool) -> Option<StatsSpec> {
+fn stats(in_answers: bool) -> StatsSpec {
     let fields = vec![Field::Inflight, Field::Queue, Field::X0];
-    Some(StatsSpec { fields, every: Duration::ZERO, late: Duration::ZERO, in_answers })
+    StatsSpec { fields, every: Duration::ZERO, late: Duration::ZERO, in_answers }
 }
 
 async fn get(wire: &mut Wire, target: &str) -> Option<Message> {
@@ -343,7 +343,7 @@
 #[tokio::test]
 async fn a_worker_that_may_be_probed_tells_its_load_and_another_knows_no_such_call() {
     let probes = Some(ProbeSpec { deep: false, work: Duration::ZERO });
-    let spec = WorkerSpec { slots: 1, stats: stats(false), probes, ..WorkerSpec::new("s-0") };
+    let spec = WorkerSpec { slots: 1, stats: Some(stats(false)), probes, ..WorkerSpec::new("s-0") };
     let stage = Stage::set(spec).await;
     let mut wire = stage.send(1, "", LONG).await;
     wire.read().await.expect("an answer");
@@ -358,7 +358,7 @@
     assert_eq!((live.status(), &*live.text()), ("200", ""));
     assert_eq!((stage.runs.probes(), stage.runs.counts().0), (2, 2));
 
-    let stage = Stage::set(WorkerSpec { stats: stats(true), ..WorkerSpec::new("s-0") }).await;
+    let stage = Stage::set(WorkerSpec { stats: Some(stats(true)), ..WorkerSpec::new("s-0") }).await;
     stage.worker.next([Act::Mute]);
     let mut wire = Wire::dial(stage.address()).await.expect("it listens");
     for target in ["/stats", "/health/live", "/jobs/1"] {
@@ -373,7 +373,7 @@
 #[tokio::test]
 async fn a_deep_probe_waits_its_turn_and_is_turned_away_where_a_request_would_be() {
     let probes = Some(ProbeSpec { deep: true, work: Duration::from_millis(2) });
-    let spec = WorkerSpec { slots: 1, queue: 1, stats: stats(false), probes, ..WorkerSpec::new("s-0") };
+    let spec = WorkerSpec { slots: 1, queue: 1, stats: Some(stats(false)), probes, ..WorkerSpec::new("s-0") };
     let stage = Stage::set(spec).await;
     let mut running = stage.send(1, "", LONG).await;
     running.read().await.expect("an answer");
@@ -417,8 +417,13 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn what_ends_an_attempt_carries_the_load_where_workers_tell_it_so() {
-    let spec =
-        WorkerSpec { slots: 1, queue: 0, tells_start: false, stats: stats(true), ..WorkerSpec::new("s-0") };
+    let spec = WorkerSpec {
+        slots: 1,
+        queue: 0,
+        tells_start: false,
+        stats: Some(stats(true)),
+        ..WorkerSpec::new("s-0")
+    };
     let stage = Stage::set(spec).await;
     stage.send(1, "", "").await.read().await.expect("an answer");
     let done: serde_json::Value = serde_json::from_slice(&stage.told().await.body).expect("JSON");
@@ -426,7 +431,7 @@
     stage.worker.refuse(true);
     let away = stage.send(2, "", "").await.read().await.expect("an answer");
     assert_eq!(away.header("endpoint-load-metrics"), Some("TEXT inflight=0, queue=0, x0=1"));
-    let quiet = Stage::set(WorkerSpec { stats: stats(false), ..WorkerSpec::new("s-0") }).await;
+    let quiet = Stage::set(WorkerSpec { stats: Some(stats(false)), ..WorkerSpec::new("s-0") }).await;
     quiet.worker.refuse(true);
     let away = quiet.send(2, "", "").await.read().await.expect("an answer");
     assert_eq!(away.header("endpoint-load-metrics"), None);
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -178,7 +178,7 @@
     let (began, before) = (Instant::now(), cpu_time(contender.pid).ok_or_else(gone)?);
     let record =
         clients.closed(connections, turn).await.map_err(|error| Failure::BadInput(error.to_string()))?;
-    let (took, used) = (began.elapsed(), cpu_time(contender.pid).ok_or_else(gone)? - before);
+    let (took, used) = (began.elapsed(), cpu_time(contender.pid).ok_or_else(gone)?.saturating_sub(before));
     let served = record.jobs.iter().filter(|job| job.served()).count();
     if served * 100 < record.jobs.len() * 99 {
         let other =
--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -49,7 +49,7 @@
     /// Keep the schedulers' configurations and logs in this folder
     #[arg(long, value_name = "FOLDER")]
     logs: Option<PathBuf>,
-    /// What the schedulers log, as in RUST_LOG
+    /// What the schedulers log, as in `RUST_LOG`
     #[arg(long, value_name = "FILTER")]
     log_filter: Option<String>,
 }
@@ -353,14 +353,14 @@
             _ = every.tick() => stage.all_live()?,
         }
     }
-    ended_well(stage.end().await)
+    ended_well(&stage.end().await)
 }
 
-fn ended_well(bad: Vec<String>) -> Result<(), Failure> {
-    if bad.is_empty() {
+fn ended_well(failures: &[String]) -> Result<(), Failure> {
+    if failures.is_empty() {
         return Ok(());
     }
-    Err(Failure::Missed(bad.join("\n")))
+    Err(Failure::Missed(failures.join("\n")))
 }
 
 /// Descriptors of a soak test: listeners of each worker for each scheduler, crowds, the load and what is in flight.
@@ -399,7 +399,7 @@
     };
     let record = record.map_err(|error| Failure::BadInput(error.to_string()))?;
     let report = Report::of(&plan.load_spec(), &record, None, &[]);
-    finish(&report, json, Vec::new())
+    finish(&report, json, &[])
 }
 
 async fn demo(plan: &Plan, troubles: &[Trouble], json: bool, staging: &Staging) -> Result<(), Failure> {
@@ -419,12 +419,12 @@
         counts: stage.runs.counts(),
         probes: plan.probes.as_ref().map(|_| stage.runs.probes()),
     };
-    let bad = stage.end().await;
+    let failures = stage.end().await;
     let report = Report::of(&plan.load_spec(), &record, Some(&workers), &outages);
-    finish(&report, json, bad)
+    finish(&report, json, &failures)
 }
 
-fn finish(report: &Report, json: bool, bad: Vec<String>) -> Result<(), Failure> {
+fn finish(report: &Report, json: bool, failures: &[String]) -> Result<(), Failure> {
     print(&if json { to_json(report)? } else { report.text() })?;
     if !report.violations.is_empty() {
         return Err(Failure::Missed(format!("{} rules were broken", report.violations.len())));
@@ -435,5 +435,5 @@
     if let Some(fault) = report.machine_fault() {
         return Err(Failure::Machine(fault));
     }
-    ended_well(bad)
+    ended_well(failures)
 }
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -14,7 +14,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Load {
     /// Jobs a second.
-    #[schemars(range(min = 0.001, max = 1000000.0))]
+    #[schemars(range(min = 0.001, max = 1_000_000.0))]
     pub rate: f64,
     /// For how long.
     pub duration: Span,
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -157,7 +157,9 @@
         match (trouble.what.health(), trouble.what) {
             (Some(health), _) => discovery.out_for(health, lasts).await,
             (None, plan::TroubleKind::StatsLate) => {
-                workers.iter().for_each(|worker| worker.tell_late(trouble.late.duration()));
+                for worker in workers {
+                    worker.tell_late(trouble.late.duration());
+                }
                 sleep(lasts).await;
                 for worker in workers {
                     worker.tell_late(worker.spec().stats.as_ref().map_or(Duration::ZERO, |stats| stats.late));
--- a/crates/testkit/src/scheduler.rs
+++ b/crates/testkit/src/scheduler.rs
@@ -82,13 +82,11 @@
         if let Some(pid) = self.child.id().and_then(|id| Pid::from_raw(id as i32)) {
             let _ = kill_process(pid, Signal::TERM);
         }
-        match timeout(END_WITHIN, self.child.wait()).await {
-            Ok(status) => status.ok(),
-            Err(_) => {
-                let _ = self.child.kill().await;
-                Some(ExitStatus::from_raw(9))
-            }
+        if let Ok(status) = timeout(END_WITHIN, self.child.wait()).await {
+            return status.ok();
         }
+        let _ = self.child.kill().await;
+        Some(ExitStatus::from_raw(9))
     }
 }
 
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -104,7 +104,7 @@
             arrival.worker == drain.whom && (from..drain.until).contains(&arrival.at)
         };
         broken.extend(evidence.arrivals.iter().filter(late).map(|arrival| {
-            let after = arrival.at - drain.from;
+            let after = arrival.at.saturating_sub(drain.from);
             Broken::Drained(format!(
                 "{:016x} came to {} {after:?} after it began to drain",
                 arrival.id, arrival.worker
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! The soak test: a few dozen real schedulers under load, with troubles that overlap in time and system calls that fail, all
+//! The soak test: a few dozen real schedulers under load, with faults that overlap in time and system calls that fail, all
 //! drawn from one seed, judged by invariants.
 //!
-//! [`troubles`] happen to the platform, [`clients`] misbehave, [`faults`] are made in the schedulers' own processes, and
-//! [`checks`] hold what was seen against the promises. It must never excuse what a promise does not.
+//! `troubles` happen to the platform, `clients` misbehave, `faults` are injected into the schedulers' own processes, and
+//! [`checks`] compare what was seen with the promises. Nothing here excuses what a promise does not.
 
 pub mod checks;
 mod clients;
--- a/crates/testkit/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -153,10 +153,10 @@
 
     /// `make test` while the named tests fail.
     fn test(&self, failing: &str) -> Run {
-        self.run(self.command("make", &["test"]).env("FAILING", failing))
+        Self::run(self.command("make", &["test"]).env("FAILING", failing))
     }
 
-    fn run(&self, command: &mut Command) -> Run {
+    fn run(command: &mut Command) -> Run {
         let output = command.output().expect("it runs");
         let text = |bytes| String::from_utf8(bytes).expect("text");
         Run { success: output.status.success(), stdout: text(output.stdout), stderr: text(output.stderr) }
@@ -239,7 +239,7 @@
     workspace.list("first::stories fails | the cause | issue 7\n");
     let start = Instant::now();
     let mut command = workspace.command("make", &["test"]);
-    let run = workspace.run(command.env("HANGING", "first::stories fails").env("KNOWN_RED_LIMIT", "1"));
+    let run = Workspace::run(command.env("HANGING", "first::stories fails").env("KNOWN_RED_LIMIT", "1"));
     run.is(true)
         .prints("known red: first::stories fails: timed out after 1 s, failed as known (the cause; issue 7)");
     assert_eq!(run.counts(), [7, 0, 1], "{}", run.stdout);
@@ -286,10 +286,10 @@
         ));
         assert_eq!(run.counts(), [0; 3], "{}", run.stdout);
     }
-    let run = workspace.run(&mut workspace.command(".ci/test", &["--list"]));
+    let run = Workspace::run(&mut workspace.command(".ci/test", &["--list"]));
     run.is(true).prints("first::stories fails").prints("two::stories fails").prints("two::bin/two starts");
     assert_eq!(run.stdout.lines().count(), 7, "{}", run.stdout);
-    workspace.run(&mut workspace.command(".ci/test", &["fails"])).is(false);
+    Workspace::run(&mut workspace.command(".ci/test", &["fails"])).is(false);
 }
 
 #[test]
@@ -317,7 +317,7 @@
     workspace.takes(&[".ci/run"]);
     let makefile = format!("lint demo soak:\n\t@echo step $@\ntest:\n\t@echo step $@\n\t@{result}\n");
     fs::write(workspace.path().join("Makefile"), makefile).expect("it is written");
-    let run = workspace.run(&mut workspace.command(".ci/run", &[]));
+    let run = Workspace::run(&mut workspace.command(".ci/run", &[]));
     let run_steps: Vec<_> =
         run.is(success).stdout.lines().filter_map(|it| it.strip_prefix("step ")).collect();
     assert_eq!(run_steps, steps);
--- a/crates/vetchbridge/src/config/file/mod.rs
+++ b/crates/vetchbridge/src/config/file/mod.rs
@@ -4,6 +4,9 @@
 //! their fields have the names of its keys, which `translate` maps to the decision module's terms. Nothing here reads a file
 //! or the environment, or repeats a rule of the decision module.
 
+// The comments on keys are printed as plain text into the default file.
+#![allow(clippy::doc_markdown)]
+
 mod classes;
 mod fleet;
 
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -1,10 +1,10 @@
 //! The daemon's configuration: the one place where it is read, checked and given defaults.
 //!
 //! Flags win over the environment, that over the file, that over the defaults. The environment may name the
-//! platform's document (`BALANCER_CONFIG`, [`platform`]); ours is TOML ([`file`]). Either becomes a [`Config`], or
+//! platform's document (`BALANCER_CONFIG`, `platform`); ours is TOML ([`file`]). Either becomes a [`Config`], or
 //! all of its [`Fault`]s at once. This module opens no socket and gives the decision module no event.
 //!
-//! A file goes through [`text`] (keys and their places), [`schema`] (its shape), [`precedence`] (what wins over it) and
+//! A file goes through [`text`] (keys and their places), [`schema`] (its shape), `precedence` (what wins over it) and
 //! `translate` (the decision module's and the daemon's terms, with the faults that no schema can find).
 
 mod fault;
@@ -82,7 +82,7 @@
 impl std::error::Error for ConfigError {}
 
 impl ConfigError {
-    fn one(source: &str, key: &str, what: impl ToString, remedy: &str) -> ConfigError {
+    fn one(source: &str, key: &str, what: &impl ToString, remedy: &str) -> ConfigError {
         let (source, key) = (source.to_string(), key.to_string());
         let (what, remedy) = (what.to_string(), remedy.to_string());
         ConfigError(vec![Fault { source, at: None, key, what, remedy }])
@@ -127,7 +127,7 @@
     let config = read_sources(flags, ReadReason::Reload)?;
     match (in_force, &config.document) {
         (Some(old), Some(new)) => platform::check_no_key_removed(old, new).map(|()| config),
-        (Some(_), None) => Err(ConfigError::one("configuration", "", "not a JSON object any more", "")),
+        (Some(_), None) => Err(ConfigError::one("configuration", "", &"not a JSON object any more", "")),
         (None, _) => Ok(config),
     }
 }
@@ -142,14 +142,14 @@
         let Some((path, text)) = ours else {
             let remedy =
                 "give --config FILE or set BALANCER_CONFIG; `vetchbridge config default` prints a file";
-            return Err(ConfigError::one("vetchbridge", "", "no configuration", remedy));
+            return Err(ConfigError::one("vetchbridge", "", &"no configuration", remedy));
         };
         return read(&path.to_string_lossy(), &text, flags, &env).map(|read| read.config);
     };
     // The platform's document wins over our file, which is read for the sections that it does not know.
     let path = Path::new(&platform);
     let text = std::fs::read_to_string(path).map_err(|error| {
-        ConfigError::one("configuration", "BALANCER_CONFIG", format!("{platform}: {error}"), "")
+        ConfigError::one("configuration", "BALANCER_CONFIG", &format!("{platform}: {error}"), "")
     })?;
     let mut config = read(&platform, &text, flags, &env)?.config;
     if let Some((path, text)) = ours {
@@ -162,7 +162,7 @@
 
 fn read_to_string(path: &Path) -> Result<String, ConfigError> {
     let source = path.to_string_lossy();
-    std::fs::read_to_string(path).map_err(|error| ConfigError::one(&source, "", error, ""))
+    std::fs::read_to_string(path).map_err(|error| ConfigError::one(&source, "", &error, ""))
 }
 
 /// Reads a file of either format on its own, as `check` does; the environment does not count.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -44,15 +44,15 @@
 }
 
 impl Document<'_> {
-    fn bad(&mut self, key: &str, what: impl ToString) {
+    fn bad(&mut self, key: &str, what: impl Into<String>) {
         let (source, key) = (self.source.to_string(), key.to_string());
-        self.faults.push(Fault { source, at: None, key, what: what.to_string(), remedy: String::new() });
+        self.faults.push(Fault { source, at: None, key, what: what.into(), remedy: String::new() });
     }
 
     fn optional<T: DeserializeOwned>(&mut self, object: Option<&Value>, key: &str, path: &str) -> Option<T> {
         match object?.get(key)? {
             Value::Null => None,
-            value => T::deserialize(value).map_err(|error| self.bad(path, error)).ok(),
+            value => T::deserialize(value).map_err(|error| self.bad(path, error.to_string())).ok(),
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// As [`Document::bad`], unless the key, with or without its place in a list, was named already.
-    fn bad_once(&mut self, key: &str, what: impl ToString) {
+    fn bad_once(&mut self, key: &str, what: impl Into<String>) {
         let without_place = |known: &str| {
             let parts = known.split('[').map(|part| part.split_once(']').map_or(part, |(_, rest)| rest));
             parts.collect::<Vec<_>>().join("[]")
@@ -149,7 +149,7 @@
 
     fn seed(&mut self, root: &Value) -> Option<u64> {
         let digits: String = self.required(root, "seed")?;
-        u64::from_str_radix(&digits, 16).map_err(|error| self.bad("seed", error)).ok()
+        u64::from_str_radix(&digits, 16).map_err(|error| self.bad("seed", error.to_string())).ok()
     }
 
     /// Reads the settings; `None` if they can't be read at all.
--- a/crates/vetchbridge/src/config/precedence.rs
+++ b/crates/vetchbridge/src/config/precedence.rs
@@ -108,7 +108,7 @@
         return Ok(Some(Address(address)));
     }
     let Some(text) = env(variable) else { return Ok(None) };
-    let fault = |error: UnitError| ConfigError::one("environment", variable, error, Address::EXAMPLE);
+    let fault = |error: UnitError| ConfigError::one("environment", variable, &error, Address::EXAMPLE);
     text.parse().map(Some).map_err(fault)
 }
 
--- a/crates/vetchbridge/src/config/text.rs
+++ b/crates/vetchbridge/src/config/text.rs
@@ -7,7 +7,7 @@
 /// A file's text with the places of its keys.
 pub struct Text<'t> {
     source: &'t str,
-    text: &'t str,
+    content: &'t str,
     /// Where each line begins, by its offset.
     line_starts: Vec<usize>,
     root: Spanned<DeTable<'t>>,
@@ -29,7 +29,7 @@
         let (root, errors) = DeTable::parse_recoverable(text);
         let line_starts =
             std::iter::once(0).chain(text.match_indices('\n').map(|(end, _)| end + 1)).collect();
-        let parsed = Text { source, text, line_starts, root };
+        let parsed = Text { source, content: text, line_starts, root };
         let faults = errors
             .iter()
             .map(|error| Fault {
@@ -45,9 +45,9 @@
 
     /// Line and column, from 1, of an offset into the text.
     pub(super) fn place(&self, offset: usize) -> (usize, usize) {
-        let offset = offset.min(self.text.len());
+        let offset = offset.min(self.content.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
-        let before = &self.text.as_bytes()[self.line_starts[line - 1]..offset];
+        let before = &self.content.as_bytes()[self.line_starts[line - 1]..offset];
         (line, String::from_utf8_lossy(before).chars().count() + 1)
     }
 
