--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -60,14 +60,21 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+mod actions;
+mod events;
 mod hash;
+mod ids;
 pub mod interface;
 pub mod peer_message;
 mod request;
 mod retry;
 pub mod scheduler;
+mod settings;
 mod slow_start;
 mod worker;
 
-pub use interface::*;
+pub use actions::*;
+pub use events::*;
+pub use ids::*;
 pub use scheduler::{Scheduler, CONFIRM_WITHIN};
+pub use settings::*;
