--- /dev/null
+++ b/crates/scheduling/src/fleet.rs
@@ -0,0 +1,156 @@
+//! All workers that a scheduler knows, and their ring; follows the endpoint list.
+
+use crate::events::{Endpoint, EndpointState, EndpointUpdate};
+use crate::ids::{Micros, WorkerId};
+use crate::ring::Ring;
+use crate::settings::Weights;
+use crate::slow_start::StartBounds;
+use crate::worker::Worker;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::{Index, IndexMut};
+
+/// Removed workers are kept while all workers are fewer than twice the ready ones and this many.
+const MAX_REMOVED_WORKERS: usize = 64;
+/// A weight that changes by a smaller fraction than this is left as it was.
+const MIN_WEIGHT_CHANGE: f64 = 0.01;
+
+/// The workers in the order in which they were first listed.
+#[derive(Default)]
+pub(crate) struct Fleet {
+    workers: Vec<Worker>,
+    index: BTreeMap<WorkerId, usize>,
+    ring: Ring,
+    ready_count: usize,
+    starts: StartBounds,
+}
+
+impl Fleet {
+    /// Applies an update of the endpoint list.
+    pub(crate) fn update(
+        &mut self,
+        now: Micros,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+        weights: Weights,
+    ) {
+        if update.is_complete() {
+            self.remove_unlisted(&endpoints);
+        }
+        let mut changed = Vec::new();
+        for endpoint in endpoints {
+            changed.extend(self.apply(now, endpoint, weights));
+        }
+        if update.is_response() || update == EndpointUpdate::HandedOver {
+            self.starts.record_response(now);
+        }
+        self.ring.place(&mut self.workers, changed);
+        self.ready_count = self.workers.iter().filter(|worker| worker.is_ready).count();
+        self.forget_removed();
+    }
+
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
+        for worker in &mut self.workers {
+            worker.is_ready &= listed.contains(&worker.endpoint.worker);
+        }
+    }
+
+    /// Applies one entry; returns the worker's index if its points have to be placed.
+    fn apply(&mut self, now: Micros, endpoint: Endpoint, weights: Weights) -> Option<usize> {
+        let weight = listed_weight(&endpoint, weights);
+        let is_ready = endpoint.state == EndpointState::Ready;
+        let started_at = self.starts.started_at(now, endpoint.started_at);
+        let Some(index) = self.index_of(endpoint.worker) else {
+            return is_ready.then(|| self.add(Worker::new(endpoint, weight, started_at)));
+        };
+        let worker = &mut self.workers[index];
+        worker.is_ready = is_ready;
+        if endpoint.state == EndpointState::Removed {
+            return None;
+        }
+        let (zone, kind, cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
+        // Starts are compared for equality alone, since a clock may be stepped. A worker that takes no jobs may be
+        // listed with an older start.
+        if is_ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
+            worker.restart(endpoint, weight, started_at);
+        }
+        (worker.endpoint.zone, worker.endpoint.kind, worker.endpoint.cell) = (zone, kind, cell);
+        if (weight / worker.weight - 1.0).abs() <= MIN_WEIGHT_CHANGE {
+            return None;
+        }
+        worker.weight = weight;
+        Some(index)
+    }
+
+    fn add(&mut self, worker: Worker) -> usize {
+        let index = self.workers.len();
+        self.index.insert(worker.endpoint.worker, index);
+        self.workers.push(worker);
+        index
+    }
+
+    /// Forgets removed workers once there are many, so that machines that come and go don't fill the memory.
+    fn forget_removed(&mut self) {
+        if self.workers.len() < 2 * self.ready_count + MAX_REMOVED_WORKERS {
+            return;
+        }
+        self.workers.retain(|worker| worker.is_ready || !worker.in_flight.is_empty());
+        let ids = self.workers.iter().map(|worker| worker.endpoint.worker);
+        self.index = ids.zip(0..).collect();
+        self.ring.rebuild(&mut self.workers);
+    }
+
+    pub(crate) fn ring(&self) -> &Ring {
+        &self.ring
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.workers.len()
+    }
+
+    pub(crate) fn ready_count(&self) -> usize {
+        self.ready_count
+    }
+
+    pub(crate) fn ready(&self) -> impl Iterator<Item = &Worker> {
+        self.workers.iter().filter(|worker| worker.is_ready)
+    }
+
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
+        self.workers.iter_mut()
+    }
+
+    pub(crate) fn index_of(&self, worker: WorkerId) -> Option<usize> {
+        self.index.get(&worker).copied()
+    }
+
+    pub(crate) fn get(&self, worker: WorkerId) -> Option<&Worker> {
+        self.index_of(worker).map(|index| &self.workers[index])
+    }
+}
+
+impl Index<usize> for Fleet {
+    type Output = Worker;
+
+    fn index(&self, index: usize) -> &Worker {
+        &self.workers[index]
+    }
+}
+
+impl IndexMut<usize> for Fleet {
+    fn index_mut(&mut self, index: usize) -> &mut Worker {
+        &mut self.workers[index]
+    }
+}
+
+fn listed_weight(endpoint: &Endpoint, weights: Weights) -> f64 {
+    let is_valid = weights == Weights::Size && endpoint.weight.is_finite() && endpoint.weight > 0.0;
+    if is_valid {
+        endpoint.weight
+    } else {
+        1.0
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduling/src/hash.rs
+++ b/crates/scheduling/src/hash.rs
@@ -1,6 +1,11 @@
-//! The hashes by which all schedulers agree without a word: the same on every machine and in every port.
+//! The hashes by which all schedulers agree without a message: the same on every machine and in every version.
 
-/// Stable 64-bit finaliser (splitmix64).
+/// Offset basis of 64-bit FNV-1a.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of 64-bit FNV-1a.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// The finaliser of splitmix64.
 pub(crate) fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -10,5 +15,9 @@
 
 /// Place of a key on the ring: FNV-1a over its bytes, then mixed.
 pub(crate) fn hash_key(key: &str) -> u64 {
-    mix(key.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)))
+    let fold_byte = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    mix(key.bytes().fold(FNV_OFFSET_BASIS, fold_byte))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,7 +1,16 @@
-//! vetchbridge_scheduling decides, for a scheduler that pushes jobs to workers, where each job goes.
+//! vetchbridge-scheduling decides, for a scheduler that pushes jobs to workers, where each job goes.
 //!
-//! The decisions are in [`scheduler`], its interface in [`interface`]. A scheduler gives the policy one event
-//! at a time with its clock, and carries out the actions that come back, in order:
+//! [`Scheduler`] is a state machine: the embedding program gives it one [`Event`] at a time with its clock, and
+//! carries out the [`Action`]s that come back, in order. It does no I/O and reads no clock; its randomness comes
+//! from a seed. Equal events give equal actions.
+//!
+//! # The ordinary path
+//!
+//! A request's key is hashed onto a consistent ring on which every worker holds virtual points in proportion to its
+//! weight. The first worker clockwise takes the job; if it has no capacity, the next worker on the ring does. All else
+//! is a rule with a file of its own.
+//!
+//! # Example
 //!
 //! ```
 //! use vetchbridge_scheduling::*;
@@ -30,7 +39,7 @@
 //! let mut scheduler = Scheduler::new(settings(), 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list of workers, from discovery.
+//! // The endpoint list, from discovery.
 //! let endpoint = |n| Endpoint {
 //!     worker: WorkerId(n), zone: ZoneId(0), kind: KindId(0), cell: CellId(0),
 //!     state: EndpointState::Ready, weight: 1.0, started_at: 0,
@@ -38,7 +47,7 @@
 //! let list = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: vec![endpoint(7), endpoint(8), endpoint(9)] };
 //! scheduler.handle(1_000, list, &mut actions);
 //!
-//! // A client's request: the policy answers with an attempt for the scheduler to send.
+//! // A client's request is to be sent to a worker.
 //! let request = Request {
 //!     id: RequestId(1), class: ClassId(0), tenant: TenantId(0), key: Some("timetable".into()),
 //!     deadline: 5_002_000, expected_work: None, slots: 1.0, retry: false,
@@ -47,34 +56,64 @@
 //! let worker = actions.iter().find_map(|action| match action {
 //!     Action::Send { worker, .. } => Some(*worker),
 //!     _ => None,
-//! }).expect("a fresh worker takes it");
+//! }).expect("an idle worker takes it");
 //!
-//! // It was turned away unseen: the policy walks on along the ring.
+//! // The worker rejects it: the next worker on the ring gets it.
 //! actions.clear();
-//! let refused = Event::AttemptFinished {
+//! let rejected = Event::AttemptFinished {
 //!     request: RequestId(1), attempt: AttemptNo(0), worker, outcome: Outcome::Rejected,
 //!     latency: 900, closed: false, load: None,
 //! };
-//! scheduler.handle(3_000, refused, &mut actions);
+//! scheduler.handle(3_000, rejected, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: next, .. } if *next != worker)));
 //! # Ok::<(), SettingsError>(())
 //! ```
+//!
+//! # Files
+//!
+//! | concern | files |
+//! | --- | --- |
+//! | interface | `ids.rs`, `settings.rs`, `events.rs`, `actions.rs` |
+//! | state and dispatch of events | `scheduler.rs` |
+//! | workers | `fleet.rs` (all of them), `worker.rs` (one), `ring.rs`, `candidates.rs`, `hot_keys.rs` |
+//! | load and health of a worker | `admission.rs`, `concurrency_limit.rs`, `slow_start.rs`, `outlier.rs` |
+//! | a request's way | `request.rs`, `placement.rs`, `migration.rs`, `completion.rs`, `retry.rs` |
+//! | other schedulers | `coordination.rs`, `peer_message.rs` |
+//! | discovery | `endpoint_refresh.rs` |
+//! | tools | `timer.rs`, `hash.rs`, `random.rs` |
 
 mod actions;
+mod admission;
+mod candidates;
+mod completion;
+mod concurrency_limit;
+mod coordination;
+mod endpoint_refresh;
 mod events;
+mod fleet;
 mod hash;
+mod hot_keys;
 mod ids;
 pub mod interface;
+mod migration;
+mod outlier;
 pub mod peer_message;
+mod placement;
+mod random;
 mod request;
 mod retry;
+mod ring;
 pub mod scheduler;
 mod settings;
 mod slow_start;
+#[cfg(test)]
+mod test_support;
+mod timer;
 mod worker;
 
 pub use actions::*;
+pub use endpoint_refresh::CONFIRM_WITHIN;
 pub use events::*;
 pub use ids::*;
-pub use scheduler::{Scheduler, CONFIRM_WITHIN};
+pub use scheduler::Scheduler;
 pub use settings::*;
--- a/crates/scheduling/src/peer_message.rs
+++ b/crates/scheduling/src/peer_message.rs
@@ -1,89 +1,102 @@
-//! The words that schedulers say to one another, and their bytes.
+//! Messages between schedulers and their encoding.
 //!
-//! Owns the form alone: 16 bytes, little-endian: word, detail, sixteenths of slots (2), microseconds (4), worker (8).
-//! Whom to tell what, and what to make of it, is the policy's. A word that can't be read is no word; reading must
-//! never panic.
+//! A message takes 16 bytes, little-endian: kind (1), flags (1), sixteenths of slots (2), microseconds (4), worker (8).
+//! Data from a peer is not trusted: what can't be decoded is no message.
 
-use crate::interface::{Micros, WorkerId};
+use crate::ids::{Micros, WorkerId};
 
-/// What schedulers say to one another of a worker: how full it is, and what they send there.
+const KIND_OCCUPANCY_QUERY: u8 = 0;
+const KIND_OCCUPANCY_REPLY: u8 = 1;
+const KIND_ATTEMPT_STARTED: u8 = 2;
+const KIND_ATTEMPT_FINISHED: u8 = 3;
+
+/// Flag of a reply: the worker is listed.
+const FLAG_LISTED: u8 = 1;
+/// Flags of a finished attempt.
+const FLAG_SERVED: u8 = 1;
+const FLAG_CONNECTION_FAILED: u8 = 1 << 1;
+
+/// Slots are sent in fractions of this size: one slot is so many.
+const SLOT_UNITS: f64 = 16.0;
+
+/// How full a worker is, by its coordinator.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Occupancy {
+    /// Slots in flight there.
+    pub slots: f64,
+    /// How long it is still ejected; 0 if it isn't.
+    pub ejected_for: Micros,
+}
+
+/// A message about one worker to or from its coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// To its keeper: how much does it have in hand? I have a job of so much work.
-    OccupancyQuery(Micros),
-    /// From its keeper: slots in hand, and for how long it is passed over; `None`: it is not on my list.
-    OccupancyReply(Option<(f64, Micros)>),
-    /// To its keeper: an attempt of so many slots and so much work was sent there.
-    AttemptStarted(f64, Micros),
-    /// To its keeper: an attempt ended there; whether it was served, or broke.
+    /// To the coordinator: asks for the worker's occupancy.
+    OccupancyQuery {
+        /// Work of the job that is to be sent there, microseconds.
+        work: Micros,
+    },
+    /// From the coordinator; `None` if it doesn't list the worker.
+    OccupancyReply(Option<Occupancy>),
+    /// To the coordinator: an attempt was sent to the worker.
+    AttemptStarted {
+        /// Slots that it takes.
+        slots: f64,
+        /// Its work, microseconds.
+        work: Micros,
+    },
+    /// To the coordinator: an attempt ended there.
     AttemptFinished {
         /// It was served.
         served: bool,
-        /// Its connection broke, never came up or stayed silent.
-        broke: bool,
+        /// Its connection broke, was never made or gave no response.
+        connection_failed: bool,
     },
 }
 
 impl PeerMessage {
-    /// The bytes of this word about a worker.
-    pub fn write(self, worker: WorkerId) -> Vec<u8> {
-        let (word, detail, slots, time) = match self {
-            PeerMessage::OccupancyQuery(work) => (0, 0, 0.0, work),
-            PeerMessage::OccupancyReply(None) => (1, 0, 0.0, 0),
-            PeerMessage::OccupancyReply(Some((slots, time))) => (1, 1, slots, time),
-            PeerMessage::AttemptStarted(slots, work) => (2, 0, slots, work),
-            PeerMessage::AttemptFinished { served, broke } => {
-                (3, u8::from(served) | u8::from(broke) << 1, 0.0, 0)
+    /// The bytes of this message about a worker. A figure that is too large for its field is sent as the largest.
+    pub fn encode(self, worker: WorkerId) -> Vec<u8> {
+        let (kind, flags, slots, time) = match self {
+            PeerMessage::OccupancyQuery { work } => (KIND_OCCUPANCY_QUERY, 0, 0.0, work),
+            PeerMessage::OccupancyReply(None) => (KIND_OCCUPANCY_REPLY, 0, 0.0, 0),
+            PeerMessage::OccupancyReply(Some(occupancy)) => {
+                (KIND_OCCUPANCY_REPLY, FLAG_LISTED, occupancy.slots, occupancy.ejected_for)
+            }
+            PeerMessage::AttemptStarted { slots, work } => (KIND_ATTEMPT_STARTED, 0, slots, work),
+            PeerMessage::AttemptFinished { served, connection_failed } => {
+                let served = if served { FLAG_SERVED } else { 0 };
+                let connection_failed = if connection_failed { FLAG_CONNECTION_FAILED } else { 0 };
+                (KIND_ATTEMPT_FINISHED, served | connection_failed, 0.0, 0)
             }
         };
-        let (slots, time) = ((slots * 16.0) as u16, u32::try_from(time).unwrap_or(u32::MAX));
-        [&[word, detail][..], &slots.to_le_bytes(), &time.to_le_bytes(), &worker.0.to_le_bytes()].concat()
+        let slots = (slots * SLOT_UNITS) as u16;
+        let time = u32::try_from(time).unwrap_or(u32::MAX);
+        [&[kind, flags][..], &slots.to_le_bytes(), &time.to_le_bytes(), &worker.0.to_le_bytes()].concat()
     }
 
-    /// Reads a datagram; `None` if it is no word.
-    pub fn read(data: &[u8]) -> Option<(PeerMessage, WorkerId)> {
-        let [word, detail, s0, s1, t0, t1, t2, t3, worker @ ..] = data else { return None };
-        let slots = f64::from(u16::from_le_bytes([*s0, *s1])) / 16.0;
+    /// Decodes a datagram into a message and the worker that it is about; `None` if it is no message.
+    pub fn decode(data: &[u8]) -> Option<(PeerMessage, WorkerId)> {
+        let [kind, flags, s0, s1, t0, t1, t2, t3, worker @ ..] = data else { return None };
+        let worker = WorkerId(u64::from_le_bytes(worker.try_into().ok()?));
+        let slots = f64::from(u16::from_le_bytes([*s0, *s1])) / SLOT_UNITS;
         let time = Micros::from(u32::from_le_bytes([*t0, *t1, *t2, *t3]));
-        let word = match word {
-            0 => PeerMessage::OccupancyQuery(time),
-            1 => PeerMessage::OccupancyReply((*detail == 1).then_some((slots, time))),
-            2 => PeerMessage::AttemptStarted(slots, time),
-            3 => PeerMessage::AttemptFinished { served: detail & 1 != 0, broke: detail & 2 != 0 },
+        let message = match *kind {
+            KIND_OCCUPANCY_QUERY => PeerMessage::OccupancyQuery { work: time },
+            KIND_OCCUPANCY_REPLY => {
+                let is_listed = *flags == FLAG_LISTED;
+                PeerMessage::OccupancyReply(is_listed.then_some(Occupancy { slots, ejected_for: time }))
+            }
+            KIND_ATTEMPT_STARTED => PeerMessage::AttemptStarted { slots, work: time },
+            KIND_ATTEMPT_FINISHED => PeerMessage::AttemptFinished {
+                served: flags & FLAG_SERVED != 0,
+                connection_failed: flags & FLAG_CONNECTION_FAILED != 0,
+            },
             _ => return None,
         };
-        Some((word, WorkerId(u64::from_le_bytes(worker.try_into().ok()?))))
+        Some((message, worker))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_word_comes_back_as_it_was_said_and_takes_sixteen_bytes() {
-        let peer_message = [
-            PeerMessage::OccupancyQuery(250_000),
-            PeerMessage::OccupancyReply(None),
-            PeerMessage::OccupancyReply(Some((3.25, 8_000_000))),
-            PeerMessage::AttemptStarted(2.0, 250_000),
-            PeerMessage::AttemptFinished { served: true, broke: false },
-            PeerMessage::AttemptFinished { served: false, broke: true },
-        ];
-        for word in peer_message {
-            let data = word.write(WorkerId(0x0123_4567_89ab_cdef));
-            assert_eq!(data.len(), 16);
-            assert_eq!(PeerMessage::read(&data), Some((word, WorkerId(0x0123_4567_89ab_cdef))));
-        }
-    }
-
-    #[test]
-    fn what_is_no_word_is_not_read() {
-        let sound = PeerMessage::OccupancyQuery(0).write(WorkerId(1));
-        for length in 0..sound.len() {
-            assert_eq!(PeerMessage::read(&sound[..length]), None, "cut to {length} bytes");
-        }
-        assert_eq!(PeerMessage::read(&[sound.clone(), vec![0]].concat()), None, "a byte too many");
-        assert_eq!(PeerMessage::read(&[&[4][..], &sound[1..]].concat()), None, "an unknown word");
-    }
-}
+mod tests;
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -1,63 +1,166 @@
-//! A request that is owed its final answer, and its attempts.
+//! Requests that need their final answer, and their attempts.
 
-use crate::interface::*;
-use crate::retry::Repeats;
+use crate::ids::{Micros, RequestId, WorkerId};
+use crate::retry::RetrySafety;
+use crate::settings::Class;
+use crate::timer::SequenceNumber;
+use std::collections::BTreeMap;
 
-/// Late answers with a smaller share of their worth are worth nothing: the peer is to work on others.
-const WORTHLESS: f64 = 0.01;
+/// Late answers that keep a smaller fraction of their weight than this are not worth a worker's time.
+const MIN_LATE_WEIGHT: f64 = 0.01;
 
-/// An attempt of an open request.
+/// Whether an attempt is out and, once it has ended, whether it may have run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AttemptState {
+    InFlight,
+    NeverRan,
+    MayHaveRun,
+}
+
+/// An attempt of a pending request.
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
-    /// Slots in hand there per unit of size, its own included, if that was known.
-    pub(crate) crowd: Option<f64>,
-    /// `None` while out; else whether it may have run.
-    pub(crate) may_have_run: Option<bool>,
-    pub(crate) sent: Micros,
+    /// Slots in flight there for each unit of weight, its own included, if that was known.
+    pub(crate) occupancy_at_send: Option<f64>,
+    pub(crate) state: AttemptState,
+    pub(crate) sent_at: Micros,
 }
 
-/// A request that is owed its final answer.
+impl Attempt {
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.state == AttemptState::InFlight
+    }
+
+    /// Whether it runs or may have run.
+    pub(crate) fn may_have_run(&self) -> bool {
+        self.state != AttemptState::NeverRan
+    }
+}
+
+/// A request that needs its final answer.
 #[derive(Default)]
-pub(crate) struct Open {
-    /// As it was when the request came; newer settings don't touch it.
+pub(crate) struct PendingRequest {
+    /// As it was when the request came; newer settings don't change it.
     pub(crate) class: Class,
-    /// Attempts allowed, by the settings then and by any since.
-    pub(crate) most: u32,
-    pub(crate) key: u64,
+    /// Attempts allowed: the smallest number of all settings since the request came.
+    pub(crate) max_attempts: u32,
+    /// Place of its key on the ring.
+    pub(crate) key_hash: u64,
     pub(crate) slots: f64,
-    /// Expected work; 0 without a hint.
-    pub(crate) work: Micros,
-    pub(crate) arrived: Micros,
+    /// Expected work, microseconds; 0 without a hint.
+    pub(crate) expected_work: Micros,
+    pub(crate) arrived_at: Micros,
     pub(crate) deadline: Micros,
-    pub(crate) sequence: u64,
+    pub(crate) sequence: SequenceNumber,
     /// Over how many workers its key is spread.
-    pub(crate) width: usize,
+    pub(crate) spread: usize,
     pub(crate) attempts: Vec<Attempt>,
-    /// Waiting for keepers' reports until this time.
-    pub(crate) asking_until: Option<Micros>,
-    pub(crate) holding: bool,
+    /// It waits for coordinators' replies until this time.
+    pub(crate) awaits_occupancy_until: Option<Micros>,
+    pub(crate) is_queued: bool,
 }
 
-impl Open {
-    /// From when on it can't be in time any more with so many times its hinted work still to do.
-    pub(crate) fn late_from(&self, rest: f64) -> Micros {
-        self.arrived
+impl PendingRequest {
+    /// From when on it misses its latency objective with `remaining` times its expected work still to be done.
+    pub(crate) fn late_from(&self, remaining: f64) -> Micros {
+        let work_allowance = (self.class.objective_per_work - remaining).max(0.0);
+        self.arrived_at
             + self.class.latency_objective
-            + ((self.class.objective_per_work - rest).max(0.0) * self.work as f64) as Micros
+            + (work_allowance * self.expected_work as f64) as Micros
+    }
+
+    /// Whether a late answer is worth nothing, and it is known when the answer is late.
+    pub(crate) fn is_worthless_when_late(&self) -> bool {
+        let objective_is_known = self.expected_work > 0 || self.class.objective_per_work == 0.0;
+        self.class.late_weight < MIN_LATE_WEIGHT && objective_is_known
     }
 
-    /// Whether a late answer is worth nothing, and its work is known so far as that says when it is late.
-    pub(crate) fn all_or_nothing(&self) -> bool {
-        self.class.late_weight < WORTHLESS && (self.work > 0 || self.class.objective_per_work == 0.0)
+    /// The first attempt that runs or may have run.
+    pub(crate) fn first_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    pub(crate) fn retry(&self) -> Repeats {
-        let first = self.attempts.iter().find(|attempt| attempt.may_have_run != Some(false));
-        Repeats { idempotency: self.class.idempotency, first: first.map(|attempt| attempt.sent) }
+    pub(crate) fn retry_safety(&self) -> RetrySafety {
+        let first_run_at = self.first_run().map(|attempt| attempt.sent_at);
+        RetrySafety { idempotency: self.class.idempotency, first_run_at }
     }
 
-    /// Its work as hinted; without a hint, its class is made for jobs of about its aim.
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_in_flight)
+    }
+
+    /// Whether its attempts and its idempotency allow a further attempt that begins by then.
+    pub(crate) fn allows_attempt_by(&self, by: Micros) -> bool {
+        self.attempts.len() < self.max_attempts as usize && self.retry_safety().allows_attempt_by(by)
+    }
+
+    /// Its expected work; without a hint, its class is made for jobs of about its latency objective.
     pub(crate) fn likely_work(&self) -> Micros {
-        Some(self.work).filter(|work| *work > 0).unwrap_or(self.class.latency_objective)
+        if self.expected_work > 0 {
+            self.expected_work
+        } else {
+            self.class.latency_objective
+        }
+    }
+}
+
+/// All pending requests, by id and by the sequence number that their timers carry.
+#[derive(Default)]
+pub(crate) struct PendingRequests {
+    by_id: BTreeMap<RequestId, PendingRequest>,
+    by_sequence: BTreeMap<SequenceNumber, RequestId>,
+    next_sequence: SequenceNumber,
+}
+
+impl PendingRequests {
+    /// Adds a request and returns the sequence number that it was given.
+    pub(crate) fn insert(&mut self, id: RequestId, request: PendingRequest) -> SequenceNumber {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.by_sequence.insert(sequence, id);
+        self.by_id.insert(id, PendingRequest { sequence, ..request });
+        sequence
+    }
+
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let request = self.by_id.remove(&id)?;
+        self.by_sequence.remove(&request.sequence);
+        Some(request)
+    }
+
+    pub(crate) fn contains(&self, id: RequestId) -> bool {
+        self.by_id.contains_key(&id)
+    }
+
+    pub(crate) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.by_id.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// The request with this sequence number.
+    pub(crate) fn find(&self, sequence: SequenceNumber) -> Option<(RequestId, &PendingRequest)> {
+        let id = *self.by_sequence.get(&sequence)?;
+        self.by_id.get(&id).map(|request| (id, request))
+    }
+
+    pub(crate) fn ids(&self) -> Vec<RequestId> {
+        self.by_id.keys().copied().collect()
+    }
+
+    pub(crate) fn queued_ids(&self) -> Vec<RequestId> {
+        self.by_id.iter().filter(|(_, request)| request.is_queued).map(|(id, _)| *id).collect()
+    }
+
+    /// New settings: pending requests get no more attempts than these allow.
+    pub(crate) fn limit_attempts(&mut self, max_attempts: u32) {
+        for request in self.by_id.values_mut() {
+            request.max_attempts = request.max_attempts.min(max_attempts);
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduling/src/request/tests.rs
@@ -0,0 +1,82 @@
+use super::*;
+use crate::settings::Idempotency;
+
+const MS: Micros = 1_000;
+
+fn request() -> PendingRequest {
+    let class = Class {
+        latency_objective: 500 * MS,
+        objective_per_work: 2.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        ..Class::default()
+    };
+    PendingRequest { class, max_attempts: 2, arrived_at: 100 * MS, ..PendingRequest::default() }
+}
+
+fn attempt(state: AttemptState, sent_at: Micros) -> Attempt {
+    Attempt { worker: WorkerId(1), occupancy_at_send: None, state, sent_at }
+}
+
+#[test]
+fn a_request_is_late_when_its_objective_leaves_no_time_for_the_remaining_work() {
+    let hinted = PendingRequest { expected_work: 300 * MS, ..request() };
+    assert_eq!(hinted.late_from(0.0), 1_200 * MS);
+    assert_eq!(hinted.late_from(1.0), 900 * MS);
+    assert_eq!(hinted.late_from(5.0), 600 * MS);
+    assert_eq!(request().late_from(0.0), 600 * MS);
+}
+
+#[test]
+fn a_late_answer_is_worthless_only_where_it_is_known_when_it_is_late() {
+    assert!(!request().is_worthless_when_late(), "the objective grows with work that is not known");
+    let mut hinted = PendingRequest { expected_work: 1, ..request() };
+    assert!(hinted.is_worthless_when_late());
+    hinted.class.late_weight = 0.3;
+    assert!(!hinted.is_worthless_when_late());
+    let mut fixed = request();
+    fixed.class.objective_per_work = 0.0;
+    assert!(fixed.is_worthless_when_late());
+}
+
+#[test]
+fn the_first_attempt_that_may_have_run_counts_for_retries() {
+    let mut pending = request();
+    assert_eq!(pending.retry_safety().first_run_at, None);
+    pending.attempts = vec![attempt(AttemptState::NeverRan, 1), attempt(AttemptState::InFlight, 2)];
+    assert_eq!(pending.retry_safety().first_run_at, Some(2));
+    assert!(pending.has_attempt_in_flight());
+    assert!(!pending.allows_attempt_by(3), "both of its attempts are used");
+    pending.attempts.pop();
+    assert!(!pending.has_attempt_in_flight() && pending.allows_attempt_by(3));
+}
+
+#[test]
+fn likely_work_is_the_hint_or_the_latency_objective() {
+    assert_eq!(request().likely_work(), 500 * MS);
+    assert_eq!(PendingRequest { expected_work: 7, ..request() }.likely_work(), 7);
+}
+
+#[test]
+fn a_request_is_found_by_id_and_by_sequence_number_until_it_is_removed() {
+    let mut requests = PendingRequests::default();
+    let first = requests.insert(RequestId(9), request());
+    let second = requests.insert(RequestId(4), PendingRequest { is_queued: true, ..request() });
+    assert_eq!((first, second), (0, 1));
+    assert_eq!(requests.find(first).map(|(id, _)| id), Some(RequestId(9)));
+    assert_eq!(requests.ids(), [RequestId(4), RequestId(9)]);
+    assert_eq!(requests.queued_ids(), [RequestId(4)]);
+    assert!(requests.remove(RequestId(9)).is_some());
+    assert!(requests.find(first).is_none() && !requests.contains(RequestId(9)));
+    assert!(requests.remove(RequestId(9)).is_none());
+}
+
+#[test]
+fn new_settings_lower_the_attempts_of_pending_requests_and_never_raise_them() {
+    let mut requests = PendingRequests::default();
+    requests.insert(RequestId(1), request());
+    for (limit, left) in [(5, 2), (1, 1), (3, 1)] {
+        requests.limit_attempts(limit);
+        assert_eq!(requests.get(RequestId(1)).map(|request| request.max_attempts), Some(left));
+    }
+}
--- /dev/null
+++ b/crates/scheduling/src/retry/tests.rs
@@ -0,0 +1,68 @@
+use super::*;
+use crate::ids::{CellId, ZoneId};
+
+const SECOND: Micros = 1_000_000;
+
+fn keyed(group: DeduplicationScope) -> Idempotency {
+    Idempotency::Keyed { group, window: 2 * SECOND }
+}
+
+#[test]
+fn a_job_that_has_not_run_may_be_tried_again_at_any_time() {
+    for idempotency in [Idempotency::Idempotent, keyed(DeduplicationScope::Cell), Idempotency::NonIdempotent]
+    {
+        let safety = RetrySafety { idempotency, first_run_at: None };
+        assert!(safety.allows_attempt_by(Micros::MAX), "{idempotency:?}");
+        assert!(safety.allows_client_retry(SECOND, SECOND), "{idempotency:?}");
+    }
+}
+
+#[test]
+fn a_job_that_may_have_run_is_tried_again_as_its_idempotency_allows() {
+    let allows =
+        |idempotency, by| RetrySafety { idempotency, first_run_at: Some(SECOND) }.allows_attempt_by(by);
+    assert!(allows(Idempotency::Idempotent, 60 * SECOND));
+    assert!(!allows(Idempotency::NonIdempotent, SECOND));
+    assert!(allows(keyed(DeduplicationScope::Zone), 3 * SECOND - 1));
+    assert!(!allows(keyed(DeduplicationScope::Zone), 3 * SECOND));
+}
+
+#[test]
+fn a_client_s_retry_is_harmless_only_where_every_worker_drops_it_when_it_arrives() {
+    let allows = |scope, retry_after| {
+        RetrySafety { idempotency: keyed(scope), first_run_at: Some(0) }.allows_client_retry(0, retry_after)
+    };
+    assert!(allows(DeduplicationScope::All, SECOND));
+    assert!(!allows(DeduplicationScope::All, 2 * SECOND - MAX_CLIENT_DELAY));
+    assert!(!allows(DeduplicationScope::Zone, 0));
+    assert!(!allows(DeduplicationScope::Cell, 0));
+}
+
+#[test]
+fn a_repeat_is_dropped_within_the_scope_of_the_worker_that_may_have_run_it() {
+    let endpoint = |zone, cell| Endpoint { zone: ZoneId(zone), cell: CellId(cell), ..Endpoint::default() };
+    let first = endpoint(1, 1);
+    for (scope, other, dropped) in [
+        (DeduplicationScope::All, endpoint(2, 2), true),
+        (DeduplicationScope::Zone, endpoint(1, 2), true),
+        (DeduplicationScope::Zone, endpoint(2, 1), false),
+        (DeduplicationScope::Cell, endpoint(2, 1), true),
+        (DeduplicationScope::Cell, endpoint(1, 2), false),
+    ] {
+        assert_eq!(drops_repeat(scope, Some(&first), &other), dropped, "{scope:?}");
+    }
+    assert!(!drops_repeat(DeduplicationScope::Zone, None, &first));
+}
+
+#[test]
+fn the_budget_starts_full_is_spent_and_grows_with_each_success_up_to_its_maximum() {
+    let mut budget = RetryBudget::default();
+    assert!(budget.allows_migration());
+    let spent = (0..100).take_while(|_| budget.try_withdraw()).count();
+    assert_eq!(spent, MAX_RETRIES as usize);
+    assert!(!budget.allows_migration());
+    budget.deposit();
+    assert!(budget.try_withdraw() && !budget.try_withdraw());
+    (0..100).for_each(|_| budget.deposit());
+    assert_eq!((0..100).take_while(|_| budget.try_withdraw()).count(), MAX_RETRIES as usize);
+}
--- /dev/null
+++ b/crates/scheduling/src/worker/tests.rs
@@ -0,0 +1,74 @@
+use super::*;
+use crate::test_support::NOW;
+
+fn worker() -> Worker {
+    Worker::new(Endpoint::default(), 2.0, None)
+}
+
+fn id(request: u64) -> AttemptId {
+    AttemptId { request: RequestId(request), number: AttemptNo(0) }
+}
+
+fn sent(request: u64, sent_at: Micros, slots: f64) -> InFlightAttempt {
+    InFlightAttempt { id: id(request), sent_at, slots }
+}
+
+#[test]
+fn occupancy_is_the_latest_report_and_what_was_sent_since_until_the_report_is_too_old() {
+    let mut worker = worker();
+    assert_eq!(worker.occupancy(NOW), None);
+    worker.in_flight = vec![sent(1, NOW - 2, 1.0), sent(2, NOW, 2.0)];
+    worker.report = Some(OccupancyReport { slots: Some(3.0), queried_at: NOW - 1 });
+    assert_eq!(worker.occupancy(NOW), Some(5.0));
+    assert_eq!(worker.occupancy_per_unit(NOW), Some(2.5));
+    assert_eq!(worker.occupancy(NOW - 1 + MAX_REPORT_AGE), None);
+    worker.report = Some(OccupancyReport { slots: None, queried_at: NOW });
+    assert_eq!(worker.occupancy(NOW), None, "the coordinator doesn't list it");
+    assert!(worker.has_fresh_report(NOW));
+    assert_eq!(worker.load(NOW), 1.5, "own slots, where nothing else is known");
+}
+
+#[test]
+fn a_worker_is_busy_when_its_occupancy_reaches_its_slots_but_takes_one_large_job_when_idle() {
+    let mut worker = worker();
+    let mut is_busy_at = |occupancy, slots| {
+        worker.report = Some(OccupancyReport { slots: Some(occupancy), queried_at: NOW });
+        worker.is_busy(NOW, slots, 1.0)
+    };
+    assert!(!is_busy_at(1.0, 1.0));
+    assert!(is_busy_at(2.0, 1.0));
+    assert!(!is_busy_at(0.0, 8.0));
+}
+
+#[test]
+fn a_job_that_is_not_reported_as_started_in_time_counts_as_a_delayed_start() {
+    let mut worker = worker();
+    worker.in_flight = vec![sent(1, NOW, 1.0)];
+    assert!(!worker.has_delayed_start(NOW + MAX_START_DELAY));
+    assert!(worker.has_delayed_start(NOW + MAX_START_DELAY + 1));
+    worker.started =
+        vec![StartedAttempt { id: id(1), started_at: NOW, last_progress_at: NOW, fraction_done: 0.0 }];
+    assert!(!worker.has_delayed_start(NOW + MAX_START_DELAY + 1));
+}
+
+#[test]
+fn a_restarted_worker_keeps_its_attempts_and_points_and_nothing_that_was_learned() {
+    let mut worker = worker();
+    worker.in_flight = vec![sent(1, NOW, 1.0)];
+    worker.points = 7;
+    (0..3).for_each(|_| worker.record_result(NOW, Outcome::Error, false));
+    assert!(worker.outlier.is_ejected(NOW));
+    worker.restart(Endpoint::default(), 3.0, Some(NOW));
+    assert!(!worker.outlier.is_ejected(NOW));
+    assert_eq!((worker.own_slots(), worker.points, worker.weight), (1.0, 7, 3.0));
+    assert_eq!(worker.started_at, Some(NOW));
+}
+
+#[test]
+fn an_attempt_is_removed_once() {
+    let mut worker = worker();
+    worker.in_flight = vec![sent(1, NOW, 1.0), sent(2, NOW, 2.0)];
+    assert!(worker.remove_attempt(id(1)));
+    assert!(!worker.remove_attempt(id(1)));
+    assert_eq!(worker.own_slots(), 2.0);
+}
--- a/crates/scheduling/tests/keepers.rs
+++ b/crates/scheduling/tests/keepers.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::*;
 use std::collections::BTreeMap;
-use vetchbridge_scheduling::peer_message::PeerMessage;
+use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
 use vetchbridge_scheduling::*;
 
 fn talking(scheduler_index: u32, scheduler_count: u32) -> Settings {
@@ -136,12 +136,12 @@
 #[test]
 fn words_out_of_place_change_nothing() {
     let mut d = Driver::with_fleet(talking(0, 3), 12);
-    let full = PeerMessage::OccupancyReply(Some((900.0, 8 * S)));
+    let full = PeerMessage::OccupancyReply(Some(Occupancy { slots: 900.0, ejected_for: 8 * S }));
     for worker in (1..=13).map(WorkerId) {
-        d.event(Event::PeerMessage { from: 1, data: full.write(worker) });
+        d.event(Event::PeerMessage { from: 1, data: full.encode(worker) });
         d.event(Event::PeerMessage {
             from: 1,
-            data: PeerMessage::AttemptFinished { served: false, broke: false }.write(worker),
+            data: PeerMessage::AttemptFinished { served: false, connection_failed: false }.encode(worker),
         });
     }
     d.event(Event::PeerMessage { from: 1, data: vec![1; 300] });
@@ -150,13 +150,15 @@
         let key = format!("key-{id}");
         assert_eq!(d.request(id, SAFE, &key), fresh.request(id, SAFE, &key));
     }
-    let answer =
-        d.event(Event::PeerMessage { from: 2, data: PeerMessage::OccupancyQuery(0).write(WorkerId(13)) });
+    let answer = d.event(Event::PeerMessage {
+        from: 2,
+        data: PeerMessage::OccupancyQuery { work: 0 }.encode(WorkerId(13)),
+    });
     assert_eq!(
         answer,
         [Action::SendPeerMessage {
             to: Recipient::One(2),
-            data: PeerMessage::OccupancyReply(None).write(WorkerId(13))
+            data: PeerMessage::OccupancyReply(None).encode(WorkerId(13))
         }]
     );
 }
@@ -165,7 +167,7 @@
 fn fill(fleet: &mut Fleet, workers: u64, each: f64) {
     for at in 0..fleet.all.len() as u32 {
         for worker in (1..=workers).map(WorkerId) {
-            let data = PeerMessage::AttemptStarted(each, 0).write(worker);
+            let data = PeerMessage::AttemptStarted { slots: each, work: 0 }.encode(worker);
             fleet.all[at as usize].event(Event::PeerMessage { from: (at + 1) % 10, data });
         }
     }
@@ -224,12 +226,14 @@
             for from in 1..10 {
                 let done = d.event(Event::PeerMessage {
                     from,
-                    data: PeerMessage::OccupancyQuery(work).write(WorkerId(1)),
+                    data: PeerMessage::OccupancyQuery { work }.encode(WorkerId(1)),
                 });
                 let [Action::SendPeerMessage { to: Recipient::One(to), data }] = &done[..] else {
                     panic!("{done:?}")
                 };
-                let Some((PeerMessage::OccupancyReply(Some((held, 0))), _)) = PeerMessage::read(data) else {
+                let Some((PeerMessage::OccupancyReply(Some(Occupancy { slots: held, ejected_for: 0 })), _)) =
+                    PeerMessage::decode(data)
+                else {
                     panic!("{data:?}")
                 };
                 assert_eq!(*to, from);
@@ -237,7 +241,7 @@
                     let_in += 1;
                     d.event(Event::PeerMessage {
                         from,
-                        data: PeerMessage::AttemptStarted(1.0, work).write(WorkerId(1)),
+                        data: PeerMessage::AttemptStarted { slots: 1.0, work }.encode(WorkerId(1)),
                     });
                 }
                 assert!(round == 0 || held > 4.0, "nothing has ended, {held} in hand");
@@ -255,7 +259,8 @@
         let mut d = Driver::with_fleet(talking(0, 10), 12);
         for worker in (1..=12).filter(|n| n % 3 < zones).map(WorkerId) {
             for from in [1, 2] {
-                let data = PeerMessage::AttemptFinished { served: false, broke: true }.write(worker);
+                let data =
+                    PeerMessage::AttemptFinished { served: false, connection_failed: true }.encode(worker);
                 d.event(Event::PeerMessage { from, data });
             }
         }
@@ -275,7 +280,7 @@
         assert_eq!(
             to_dead == 0,
             passed_over,
-            "{zones} zones of three broke: {to_dead} of 60 jobs went there"
+            "{zones} zones of three connection_failed: {to_dead} of 60 jobs went there"
         );
     }
 }
@@ -285,14 +290,15 @@
 fn a_lost_end_is_forgotten_with_its_job_and_takes_no_other_s_place() {
     let mut d = Driver::with_fleet(talking(0, 10), 12);
     let tell = |d: &mut Driver, word: PeerMessage| {
-        let data = word.write(WorkerId(1));
+        let data = word.encode(WorkerId(1));
         d.event(Event::PeerMessage { from: 1, data })
     };
-    tell(&mut d, PeerMessage::AttemptStarted(1.0, S));
+    tell(&mut d, PeerMessage::AttemptStarted { slots: 1.0, work: S });
     d.now += 5 * S;
-    tell(&mut d, PeerMessage::AttemptStarted(1.0, S));
-    tell(&mut d, PeerMessage::AttemptFinished { served: true, broke: false });
-    let answer = tell(&mut d, PeerMessage::OccupancyQuery(S));
-    let empty = PeerMessage::OccupancyReply(Some((0.0, 0))).write(WorkerId(1));
+    tell(&mut d, PeerMessage::AttemptStarted { slots: 1.0, work: S });
+    tell(&mut d, PeerMessage::AttemptFinished { served: true, connection_failed: false });
+    let answer = tell(&mut d, PeerMessage::OccupancyQuery { work: S });
+    let empty =
+        PeerMessage::OccupancyReply(Some(Occupancy { slots: 0.0, ejected_for: 0 })).encode(WorkerId(1));
     assert_eq!(answer, [Action::SendPeerMessage { to: Recipient::One(1), data: empty }]);
 }
--- a/crates/scheduling/tests/peer_messages.rs
+++ b/crates/scheduling/tests/peer_messages.rs
@@ -1,6 +1,6 @@
 //! The 16 bytes that schedulers send one another, as literals: schedulers of two versions share a tier.
 
-use vetchbridge_scheduling::peer_message::PeerMessage;
+use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
 use vetchbridge_scheduling::WorkerId;
 
 const WORKER: WorkerId = WorkerId(0x0123_4567_89ab_cdef);
@@ -9,22 +9,25 @@
 #[test]
 fn every_message_has_the_bytes_of_the_first_version() {
     let messages: [(PeerMessage, [u8; 8]); 6] = [
-        (PeerMessage::OccupancyQuery(250_000), [0, 0, 0, 0, 0x90, 0xd0, 0x03, 0]),
+        (PeerMessage::OccupancyQuery { work: 250_000 }, [0, 0, 0, 0, 0x90, 0xd0, 0x03, 0]),
         (PeerMessage::OccupancyReply(None), [1, 0, 0, 0, 0, 0, 0, 0]),
-        (PeerMessage::OccupancyReply(Some((3.25, 8_000_000))), [1, 1, 52, 0, 0x00, 0x12, 0x7a, 0]),
-        (PeerMessage::AttemptStarted(2.0, 250_000), [2, 0, 32, 0, 0x90, 0xd0, 0x03, 0]),
-        (PeerMessage::AttemptFinished { served: true, broke: false }, [3, 1, 0, 0, 0, 0, 0, 0]),
-        (PeerMessage::AttemptFinished { served: false, broke: true }, [3, 2, 0, 0, 0, 0, 0, 0]),
+        (
+            PeerMessage::OccupancyReply(Some(Occupancy { slots: 3.25, ejected_for: 8_000_000 })),
+            [1, 1, 52, 0, 0x00, 0x12, 0x7a, 0],
+        ),
+        (PeerMessage::AttemptStarted { slots: 2.0, work: 250_000 }, [2, 0, 32, 0, 0x90, 0xd0, 0x03, 0]),
+        (PeerMessage::AttemptFinished { served: true, connection_failed: false }, [3, 1, 0, 0, 0, 0, 0, 0]),
+        (PeerMessage::AttemptFinished { served: false, connection_failed: true }, [3, 2, 0, 0, 0, 0, 0, 0]),
     ];
     for (message, head) in messages {
         let literal = [head, WORKER_BYTES].concat();
-        assert_eq!(message.write(WORKER), literal, "{message:?}");
-        assert_eq!(PeerMessage::read(&literal), Some((message, WORKER)));
+        assert_eq!(message.encode(WORKER), literal, "{message:?}");
+        assert_eq!(PeerMessage::decode(&literal), Some((message, WORKER)));
     }
 }
 
 #[test]
 fn figures_too_large_for_their_field_are_written_as_its_largest() {
-    let written = PeerMessage::AttemptStarted(1e9, u64::MAX).write(WORKER);
+    let written = PeerMessage::AttemptStarted { slots: 1e9, work: u64::MAX }.encode(WORKER);
     assert_eq!(written[..8], [2, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]);
 }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use vetchbridge_scheduling::peer_message::PeerMessage;
+use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
 use vetchbridge_scheduling::*;
 
 /// One request as the rules see it.
@@ -95,8 +95,8 @@
                 Action::SendPeerMessage { to, data } => {
                     let Recipient::One(keeper) = to else { panic!("{action:?}") };
                     assert!(*keeper != 0 && data.len() <= 256);
-                    if PeerMessage::read(data)
-                        .is_some_and(|(word, _)| matches!(word, PeerMessage::OccupancyQuery(_)))
+                    if PeerMessage::decode(data)
+                        .is_some_and(|(word, _)| matches!(word, PeerMessage::OccupancyQuery { .. }))
                     {
                         self.asked.push((*keeper, data.clone()));
                     }
@@ -189,20 +189,21 @@
             6 if b % 4 == 0 => {
                 // A peer says something of its own accord, or what no peer would say.
                 let peer_message = [
-                    PeerMessage::OccupancyQuery(S),
-                    PeerMessage::AttemptStarted(1.0, S),
-                    PeerMessage::AttemptFinished { served: a % 3 == 0, broke: a % 3 == 1 },
+                    PeerMessage::OccupancyQuery { work: S },
+                    PeerMessage::AttemptStarted { slots: 1.0, work: S },
+                    PeerMessage::AttemptFinished { served: a % 3 == 0, connection_failed: a % 3 == 1 },
                 ];
                 let mut data =
-                    peer_message[b as usize / 4 % 3].write(WorkerId(1 + u64::from(a) % (NODES + 1)));
+                    peer_message[b as usize / 4 % 3].encode(WorkerId(1 + u64::from(a) % (NODES + 1)));
                 data.truncate(if b > 240 { a as usize % 20 } else { 16 });
                 self.event(Event::PeerMessage { from: u32::from(a) % 5, data });
             }
             6 if !self.asked.is_empty() => {
                 let (from, data) = self.asked.swap_remove(a as usize % self.asked.len());
-                let (_, worker) = PeerMessage::read(&data).expect("a word");
-                let known = (b % 5 > 0).then_some((f64::from(b % 9), u64::from(b / 200) * S));
-                let data = PeerMessage::OccupancyReply(known).write(worker);
+                let (_, worker) = PeerMessage::decode(&data).expect("a word");
+                let known = (b % 5 > 0)
+                    .then_some(Occupancy { slots: f64::from(b % 9), ejected_for: u64::from(b / 200) * S });
+                let data = PeerMessage::OccupancyReply(known).encode(worker);
                 self.event(Event::PeerMessage { from, data });
             }
             7 => {
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -30,7 +30,7 @@
     request_id, worker_id, AttemptResult, ListedWorker, Payload, SendConditions, UpstreamGroup,
 };
 use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
-use vetchbridge_scheduling::peer_message::PeerMessage;
+use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
 use vetchbridge_testbed::wire::Wire;
 
 const WORKERS: usize = 1200;
@@ -145,8 +145,9 @@
         let (length, sender) = socket.recv_from(&mut buffer).await.expect("a datagram");
         // Nobody listens any more once the story has heard what it needs.
         let _ = heard.send(number);
-        if let Some((PeerMessage::OccupancyQuery(_), worker)) = PeerMessage::read(&buffer[..length]) {
-            let report = PeerMessage::OccupancyReply(Some((0.0, 0))).write(worker);
+        if let Some((PeerMessage::OccupancyQuery { .. }, worker)) = PeerMessage::decode(&buffer[..length]) {
+            let report =
+                PeerMessage::OccupancyReply(Some(Occupancy { slots: 0.0, ejected_for: 0 })).encode(worker);
             socket.send_to(&report, sender).await.expect("sent");
         }
     }
