--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: whether a worker has capacity for a job, by what is known of its load, and whether a job may join its
-//! queue.
+//! Admission: whether a worker has capacity for a job, by what is known of its load, and whether a job may
+//! join its queue.
 
 use crate::coordination;
 use crate::fleet::Fleet;
@@ -32,8 +32,8 @@
         self.0
     }
 
-    /// A job has started that was sent at this occupancy for each unit of weight. One that started promptly above
-    /// the estimate, or waited below it, corrects the estimate.
+    /// A job has started that was sent at this occupancy for each unit of weight. One that started promptly
+    /// above the estimate, or waited below it, corrects the estimate.
     pub(crate) fn record_start(&mut self, occupancy_at_send: f64, started_promptly: bool) {
         if started_promptly == (occupancy_at_send > self.0) {
             self.0 += SLOTS_LEARNING_RATE * (occupancy_at_send - self.0);
@@ -90,8 +90,8 @@
             && !self.is_busy(worker, slots)
     }
 
-    /// Whether a worker may be sent anything, as far as it warms up: it must be known to have capacity, unless it is
-    /// the request's home, and some of its admission budget must be left.
+    /// Whether a worker may be sent anything, as far as it warms up: it must be known to have capacity,
+    /// unless it is the request's home, and some of its admission budget must be left.
     fn is_within_slow_start(&self, index: usize, preference: Preference) -> bool {
         let worker = &self.fleet[index];
         if self.warm_up_fraction(worker) >= 1.0 {
@@ -113,8 +113,8 @@
         waits || worker.is_busy(self.now, slots, usable_slots)
     }
 
-    /// Own slots in flight at which a worker is busy where its load is unknown: its share of all of them, by what the
-    /// workers can do now. `None` where its load is known.
+    /// Own slots in flight at which a worker is busy where its load is unknown: its share of all of them, by
+    /// what the workers can do now. `None` where its load is known.
     pub(crate) fn fair_share(&self, index: usize) -> Option<f64> {
         let worker = &self.fleet[index];
         if self.settings.reports_start || worker.occupancy(self.now).is_some() {
@@ -130,8 +130,8 @@
         Some(MAX_FAIR_SHARE_FACTOR * total_slots * capacity(worker) / total_capacity)
     }
 
-    /// The least loaded worker whose queue may be joined. A worker that warms up has no queue: it would grow, and
-    /// overload the worker.
+    /// The least loaded worker whose queue may be joined. A worker that warms up has no queue: it would grow,
+    /// and overload the worker.
     pub(crate) fn least_loaded(&self, candidates: &[usize], slots: f64) -> Option<usize> {
         let load = |index: &usize| self.fleet[*index].load(self.now);
         let choices = candidates.iter().copied().filter(|index| self.may_join_queue(*index, slots));
--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -87,8 +87,8 @@
         attempts.any(|attempt| attempt.worker == worker.endpoint.worker && attempt.may_have_run())
     }
 
-    /// A hot key is spread over its first workers: each scheduler starts at one of its own zone where there is one,
-    /// fixed by its index, and goes on clockwise from there.
+    /// A hot key is spread over its first workers: each scheduler starts at one of its own zone where there
+    /// is one, fixed by its index, and goes on clockwise from there.
     fn rotate_to_start(&self, found: &mut [usize]) {
         let spread = self.request.spread.min(found.len());
         if spread <= 1 {
--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -86,7 +86,8 @@
             if result.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
     }
 
-    /// The request's time is over. An attempt in flight ends by its own timeout; this only guards against its absence.
+    /// The request's time is over. An attempt in flight ends by its own timeout; this only guards against its
+    /// absence.
     pub(crate) fn on_deadline_timer(
         &mut self,
         now: Micros,
@@ -121,8 +122,8 @@
         self.close(id, actions);
     }
 
-    /// The Retry-After of a rejected client: when the first worker for its class is expected to take jobs again, but no
-    /// sooner than a queued request would try again. 0, for none, where clients are given none.
+    /// The Retry-After of a rejected client: when the first worker for its class is expected to take jobs
+    /// again, but no sooner than a queued request would try again. 0, for none, where clients are given none.
     fn retry_after(&self, now: Micros, kind: Option<KindId>) -> Micros {
         let limits = &self.settings.limits;
         if !limits.retry_after {
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -1,9 +1,9 @@
-//! Coordination between schedulers: each worker has one coordinator among them, which accounts for what all of them
-//! have in flight there.
+//! Coordination between schedulers: each worker has one coordinator among them, which accounts for what all
+//! of them have in flight there.
 //!
-//! Schedulers notify the coordinator of each attempt's start and end, and query the worker's occupancy before they
-//! send. All agree on the coordinator without a message, by rendezvous hashing; one that doesn't answer is passed
-//! over for a while.
+//! Schedulers notify the coordinator of each attempt's start and end, and query the worker's occupancy before
+//! they send. All agree on the coordinator without a message, by rendezvous hashing; one that doesn't answer
+//! is passed over for a while.
 
 use crate::actions::{Action, Recipient};
 use crate::events::Outcome;
@@ -56,8 +56,8 @@
 }
 
 impl Coordinators {
-    /// The worker's coordinator: the first by rendezvous hashing that is not unresponsive; `None` if schedulers don't
-    /// coordinate.
+    /// The worker's coordinator: the first by rendezvous hashing that is not unresponsive; `None` if
+    /// schedulers don't coordinate.
     fn coordinator_of(
         &mut self,
         now: Micros,
@@ -78,8 +78,8 @@
         self.unresponsive_peers.insert(peer, now + UNRESPONSIVE_TIME);
     }
 
-    /// This scheduler's part of the work that a worker bears while it warms up: an equal share, or as coordinator the
-    /// shares of all peers that are not unresponsive.
+    /// This scheduler's part of the work that a worker bears while it warms up: an equal share, or as
+    /// coordinator the shares of all peers that are not unresponsive.
     pub(crate) fn budget_share(&self, settings: &Settings) -> f64 {
         let schedulers = f64::from(settings.scheduler_count);
         if is_enabled(settings) {
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Reserves capacity for one job of a peer. Returns the slots in flight and reserved before it, or `None` if the
-    /// worker can't take it.
+    /// Reserves capacity for one job of a peer. Returns the slots in flight and reserved before it, or `None`
+    /// if the worker can't take it.
     fn reserve(
         &mut self,
         now: Micros,
@@ -167,8 +167,8 @@
 }
 
 impl Scheduler {
-    /// Sends a message about a worker to its coordinator. Where this scheduler is the coordinator or there is none, it
-    /// keeps the account itself.
+    /// Sends a message about a worker to its coordinator. Where this scheduler is the coordinator or there is
+    /// none, it keeps the account itself.
     pub(crate) fn notify_coordinator(
         &mut self,
         now: Micros,
@@ -192,8 +192,9 @@
         self.fleet[index].admitted_work.charge(now, overload_rate, work);
     }
 
-    /// As its coordinator: a worker's occupancy, for a scheduler that has a job of so much work. A worker that warms
-    /// up and was sent nearly what it bears is fully occupied; otherwise its capacity is reserved for the asker.
+    /// As its coordinator: a worker's occupancy, for a scheduler that has a job of so much work. A worker
+    /// that warms up and was sent nearly what it bears is fully occupied; otherwise its capacity is reserved
+    /// for the asker.
     fn occupancy_for(&mut self, now: Micros, index: usize, peer: SchedulerIndex, work: Micros) -> f64 {
         self.charge_admitted_work(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
@@ -208,8 +209,8 @@
         worker.peers.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
     }
 
-    /// Queries a worker's occupancy from its coordinator, unless a fresh report is at hand. Returns whether a reply
-    /// is to be awaited.
+    /// Queries a worker's occupancy from its coordinator, unless a fresh report is at hand. Returns whether a
+    /// reply is to be awaited.
     pub(crate) fn query_occupancy(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -1,5 +1,5 @@
-//! Refresh of the endpoint list: when discovery is polled, backoff after failures, and the confirmation of a restored
-//! list.
+//! Refresh of the endpoint list: when discovery is polled, backoff after failures, and the confirmation of a
+//! restored list.
 
 use crate::actions::Action;
 use crate::events::{Endpoint, EndpointUpdate};
@@ -8,8 +8,8 @@
 use crate::settings::EndpointDelivery;
 use crate::timer::Timer;
 
-/// A restored list may name workers that were removed: nothing is sent until discovery answers, or for so long at
-/// most, microseconds.
+/// A restored list may name workers that were removed: nothing is sent until discovery answers, or for so
+/// long at most, microseconds.
 pub const CONFIRM_WITHIN: Micros = 5_000_000;
 /// First pause before discovery is polled again, microseconds; each further failure doubles it.
 const BASE_BACKOFF: Micros = 100_000;
@@ -19,7 +19,8 @@
 const MAX_DOUBLINGS: u32 = 8;
 /// Mean pause after a poll that took long to fail, microseconds.
 const PAUSE_AFTER_SLOW_FAILURE: Micros = 500_000;
-/// All schedulers share one discovery: their polls are spread over this for each other scheduler, microseconds.
+/// All schedulers share one discovery: their polls are spread over this for each other scheduler,
+/// microseconds.
 const SPREAD_PER_PEER: Micros = 30_000;
 /// The longest time over which first polls are spread, microseconds.
 const MAX_FIRST_SPREAD: Micros = 2_000_000;
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -213,8 +213,8 @@
         /// The worker's load report, if one came along.
         load: Option<LoadReport>,
     },
-    /// New settings, in effect from now on. Pending requests keep their class, which may be missing from the new
-    /// settings or have another number there. They have passed [`Settings::check`].
+    /// New settings, in effect from now on. Pending requests keep their class, which may be missing from the
+    /// new settings or have another number there. They have passed [`Settings::check`].
     Settings(Box<Settings>),
     /// A message from another scheduler.
     PeerMessage {
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -69,8 +69,8 @@
             return None;
         }
         let (zone, kind, cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
-        // Starts are compared for equality alone, since a clock may be stepped. A worker that takes no jobs may be
-        // listed with an older start.
+        // Starts are compared for equality alone, since a clock may be stepped. A worker that takes no jobs
+        // may be listed with an older start.
         if is_ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
             worker.restart(endpoint, weight, started_at);
         }
--- a/crates/scheduling/src/hash.rs
+++ b/crates/scheduling/src/hash.rs
@@ -1,4 +1,5 @@
-//! The hashes by which all schedulers agree without a message: the same on every machine and in every version.
+//! The hashes by which all schedulers agree without a message: the same on every machine and in every
+//! version.
 
 /// Offset basis of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/scheduling/src/ids.rs
+++ b/crates/scheduling/src/ids.rs
@@ -31,7 +31,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// Number of an attempt of one request: 0, 1, 2 ... in the order of its [`Action::Send`](crate::Action::Send)s.
+/// Number of an attempt of one request: 0, 1, 2 ... in the order of its
+/// [`Action::Send`](crate::Action::Send)s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,14 +1,14 @@
 //! vetchbridge-scheduling decides, for a scheduler that pushes jobs to workers, where each job goes.
 //!
-//! [`Scheduler`] is a state machine: the embedding program gives it one [`Event`] at a time with its clock, and
-//! carries out the [`Action`]s that come back, in order. It does no I/O and reads no clock; its randomness comes
-//! from a seed. Equal events give equal actions.
+//! [`Scheduler`] is a state machine: the embedding program gives it one [`Event`] at a time with its clock,
+//! and carries out the [`Action`]s that come back, in order. It does no I/O and reads no clock; its randomness
+//! comes from a seed. Equal events give equal actions.
 //!
 //! # The ordinary path
 //!
-//! A request's key is hashed onto a consistent ring on which every worker holds virtual points in proportion to its
-//! weight. The first worker clockwise takes the job; if it has no capacity, the next worker on the ring does. All else
-//! is a rule with a file of its own.
+//! A request's key is hashed onto a consistent ring on which every worker holds virtual points in proportion
+//! to its weight. The first worker clockwise takes the job; if it has no capacity, the next worker on the ring
+//! does. All else is a rule with a file of its own.
 //!
 //! # Example
 //!
@@ -19,15 +19,16 @@
 //! #     Settings {
 //! #         scheduler_index: 0, scheduler_count: 1, zone: ZoneId(0),
 //! #         classes: vec![Class {
-//! #             latency_objective: 500_000, objective_per_work: 2.0, deadline: 5_000_000, priority_weight: 1.0, late_weight: 0.0,
-//! #             idempotency: Idempotency::NonIdempotent, kind: None, priority: 0, stream: false,
+//! #             latency_objective: 500_000, objective_per_work: 2.0, deadline: 5_000_000,
+//! #             priority_weight: 1.0, ..Class::default()
 //! #         }],
 //! #         tenants: vec![], over_quota_weight: 1.0, weight_by_work: false,
-//! #         endpoint_delivery: EndpointDelivery::Push, load_report_source: LoadReportSource::Responses, weights: Weights::Fixed,
+//! #         endpoint_delivery: EndpointDelivery::Push,
+//! #         load_report_source: LoadReportSource::Responses, weights: Weights::Fixed,
 //! #         queue_order: QueueOrder::Fifo, reports_start: false, progress_interval: 0,
 //! #         limits: Limits {
-//! #             max_attempts: 4, dial_timeout: 250_000, hedging: false, may_probe: false, may_cancel: true,
-//! #             retry_after: true, max_retry_after: 2_000_000, may_message_peers: false,
+//! #             max_attempts: 4, dial_timeout: 250_000, hedging: false, may_probe: false,
+//! #             may_cancel: true, retry_after: true, max_retry_after: 2_000_000, may_message_peers: false,
 //! #         },
 //! #         rules: Rules {
 //! #             answer_slack: 8_000, drain_grace: 500_000, poll_within: None, slow_start_floor: 0.3,
@@ -36,36 +37,35 @@
 //! #         cost_weights: CostWeights::default(), tick: 2_000,
 //! #     }
 //! # }
+//! # fn request(id: u64) -> Request {
+//! #     Request {
+//! #         id: RequestId(id), class: ClassId(0), tenant: TenantId(0), key: Some("timetable".into()),
+//! #         deadline: 5_002_000, expected_work: None, slots: 1.0, retry: false,
+//! #     }
+//! # }
+//! # fn rejection(worker: WorkerId) -> Event {
+//! #     Event::AttemptFinished {
+//! #         request: RequestId(1), attempt: AttemptNo(0), worker, outcome: Outcome::Rejected,
+//! #         latency: 900, closed: false, load: None,
+//! #     }
+//! # }
 //! let mut scheduler = Scheduler::new(settings(), 42)?;
 //! let mut actions = Vec::new();
 //!
 //! // The endpoint list, from discovery.
-//! let endpoint = |n| Endpoint {
-//!     worker: WorkerId(n), zone: ZoneId(0), kind: KindId(0), cell: CellId(0),
-//!     state: EndpointState::Ready, weight: 1.0, started_at: 0,
-//! };
-//! let list = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: vec![endpoint(7), endpoint(8), endpoint(9)] };
+//! let endpoints = [7, 8, 9].map(|n| Endpoint { worker: WorkerId(n), ..Endpoint::default() }).to_vec();
+//! let list = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints };
 //! scheduler.handle(1_000, list, &mut actions);
 //!
 //! // A client's request is to be sent to a worker.
-//! let request = Request {
-//!     id: RequestId(1), class: ClassId(0), tenant: TenantId(0), key: Some("timetable".into()),
-//!     deadline: 5_002_000, expected_work: None, slots: 1.0, retry: false,
-//! };
-//! scheduler.handle(2_000, Event::Request(request), &mut actions);
-//! let worker = actions.iter().find_map(|action| match action {
-//!     Action::Send { worker, .. } => Some(*worker),
-//!     _ => None,
-//! }).expect("an idle worker takes it");
+//! scheduler.handle(2_000, Event::Request(request(1)), &mut actions);
+//! let sent_to = |action: &Action| if let Action::Send { worker, .. } = action { Some(*worker) } else { None };
+//! let worker = actions.iter().find_map(sent_to).expect("an idle worker takes it");
 //!
 //! // The worker rejects it: the next worker on the ring gets it.
 //! actions.clear();
-//! let rejected = Event::AttemptFinished {
-//!     request: RequestId(1), attempt: AttemptNo(0), worker, outcome: Outcome::Rejected,
-//!     latency: 900, closed: false, load: None,
-//! };
-//! scheduler.handle(3_000, rejected, &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: next, .. } if *next != worker)));
+//! scheduler.handle(3_000, rejection(worker), &mut actions);
+//! assert!(actions.iter().any(|action| sent_to(action).is_some_and(|next| next != worker)));
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
--- a/crates/scheduling/src/peer_message.rs
+++ b/crates/scheduling/src/peer_message.rs
@@ -1,7 +1,7 @@
 //! Messages between schedulers and their encoding.
 //!
-//! A message takes 16 bytes, little-endian: kind (1), flags (1), sixteenths of slots (2), microseconds (4), worker (8).
-//! Data from a peer is not trusted: what can't be decoded is no message.
+//! A message takes 16 bytes, little-endian: kind (1), flags (1), sixteenths of slots (2), microseconds (4),
+//! worker (8). Data from a peer is not trusted: what can't be decoded is no message.
 
 use crate::ids::{Micros, WorkerId};
 
@@ -55,7 +55,8 @@
 }
 
 impl PeerMessage {
-    /// The bytes of this message about a worker. A figure that is too large for its field is sent as the largest.
+    /// The bytes of this message about a worker. A figure that is too large for its field is sent as the
+    /// largest.
     pub fn encode(self, worker: WorkerId) -> Vec<u8> {
         let (kind, flags, slots, time) = match self {
             PeerMessage::OccupancyQuery { work } => (KIND_OCCUPANCY_QUERY, 0, 0.0, work),
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    /// The first candidate with capacity. Where schedulers coordinate, the home's occupancy is queried first, as it
-    /// mostly has capacity; then that of the other workers together; then that of those that warm up.
+    /// The first candidate with capacity. Where schedulers coordinate, the home's occupancy is queried first,
+    /// as it mostly has capacity; then that of the other workers together; then that of those that warm up.
     fn select(
         &mut self,
         now: Micros,
@@ -171,8 +171,8 @@
         }
     }
 
-    /// What a candidate is to the request. Of a hot key, a worker that warms up is the home only as often as it is
-    /// warm.
+    /// What a candidate is to the request. Of a hot key, a worker that warms up is the home only as often as
+    /// it is warm.
     fn preference(&mut self, now: Micros, placement: &Placement, rank: usize, index: usize) -> Preference {
         let is_home = !placement.is_spread
             || self.random.next_fraction() < self.fleet[index].warm_up_fraction(now, &self.settings.rules);
@@ -184,9 +184,9 @@
         }
     }
 
-    /// The worker whose queue the request joins. Past its latency objective it joins none, or queues would stay long
-    /// and make all that follows late. Where load is known, a rejected one waits here: at other workers its key's
-    /// data is not cached.
+    /// The worker whose queue the request joins. Past its latency objective it joins none, or queues would
+    /// stay long and make all that follows late. Where load is known, a rejected one waits here: at other
+    /// workers its key's data is not cached.
     fn select_queue(&self, now: Micros, placement: &Placement, candidates: &[usize]) -> Option<usize> {
         let admission = self.admission(now);
         let index = admission.least_loaded(candidates, placement.slots)?;
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Queues the request: it looks for a worker again after a pause that grows with its age, and when the endpoint
-    /// list changes.
+    /// Queues the request: it looks for a worker again after a pause that grows with its age, and when the
+    /// endpoint list changes.
     fn queue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let jitter = 0.5 + self.random.next_fraction();
         let Some(request) = self.requests.get_mut(id) else { return };
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -61,7 +61,8 @@
 }
 
 impl PendingRequest {
-    /// From when on it misses its latency objective with `remaining` times its expected work still to be done.
+    /// From when on it misses its latency objective with `remaining` times its expected work still to be
+    /// done.
     pub(crate) fn late_from(&self, remaining: f64) -> Micros {
         let work_allowance = (self.class.objective_per_work - remaining).max(0.0);
         self.arrived_at
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Whether the client may be promised that a retry is harmless, that long from now. It may come back to any
-    /// scheduler, and its request may go to any worker.
+    /// Whether the client may be promised that a retry is harmless, that long from now. It may come back to
+    /// any scheduler, and its request may go to any worker.
     pub(crate) fn allows_client_retry(self, now: Micros, retry_after: Micros) -> bool {
         let at_any_worker =
             !matches!(self.idempotency, Idempotency::Keyed { group, .. } if group != DeduplicationScope::All);
@@ -43,8 +43,8 @@
     }
 }
 
-/// Whether a worker drops the repeat of a keyed job that may have run at `first`; `None`: at a worker that is no
-/// longer known.
+/// Whether a worker drops the repeat of a keyed job that may have run at `first`; `None`: at a worker that is
+/// no longer known.
 pub(crate) fn drops_repeat(
     scope: DeduplicationScope,
     first: Option<&Endpoint>,
--- a/crates/scheduling/src/ring.rs
+++ b/crates/scheduling/src/ring.rs
@@ -31,8 +31,8 @@
         self.worker as usize
     }
 
-    /// Whether it counts at this warm-up fraction of its worker, which has so many points. All schedulers agree on
-    /// that without a message.
+    /// Whether it counts at this warm-up fraction of its worker, which has so many points. All schedulers
+    /// agree on that without a message.
     pub(crate) fn is_active(self, warm_up_fraction: f64, worker_points: u32) -> bool {
         warm_up_fraction >= 1.0 || f64::from(self.number) < warm_up_fraction * f64::from(worker_points)
     }
@@ -42,13 +42,14 @@
 #[derive(Default)]
 pub(crate) struct Ring {
     points: Vec<Point>,
-    /// Weight that gets [`POINTS_PER_MEAN_WEIGHT`] points, a power of two so that schedulers agree on it; 0 at first.
+    /// Weight that gets [`POINTS_PER_MEAN_WEIGHT`] points, a power of two so that schedulers agree on it; 0
+    /// at first.
     weight_scale: f64,
 }
 
 impl Ring {
-    /// Places the points of new or resized workers, given by index; all others keep theirs, unless the mean weight
-    /// has changed much.
+    /// Places the points of new or resized workers, given by index; all others keep theirs, unless the mean
+    /// weight has changed much.
     pub(crate) fn place(&mut self, workers: &mut [Worker], mut changed: Vec<usize>) {
         if changed.is_empty() {
             return;
--- a/crates/scheduling/src/slow_start.rs
+++ b/crates/scheduling/src/slow_start.rs
@@ -1,12 +1,12 @@
-//! Slow start: when a worker's process started, which fraction of its capacity it has by now, and how much work it
-//! may be sent meanwhile.
+//! Slow start: when a worker's process started, which fraction of its capacity it has by now, and how much
+//! work it may be sent meanwhile.
 //!
-//! The endpoint list dates a start by another machine's wall clock, which may have been stepped, forward or back.
-//! This process's own clock is monotonic, so that the start is bounded by what was observed here: the response that
-//! is the first to name a start was given after it, and the response before that did not know of it. The date counts
-//! within these bounds alone. A process that has had no response yet has nothing but the wall clock to go by: a
-//! worker that was restarted before, by a clock that differs from this machine's at its own start, is taken for older
-//! or younger by that difference, for as long as it warms up.
+//! The endpoint list dates a start by another machine's wall clock, which may have been stepped, forward or
+//! back. This process's own clock is monotonic, so that the start is bounded by what was observed here: the
+//! response that is the first to name a start was given after it, and the response before that did not know
+//! of it. The date counts within these bounds alone. A process that has had no response yet has nothing but
+//! the wall clock to go by: a worker that was restarted before, by a clock that differs from this machine's
+//! at its own start, is taken for older or younger by that difference, for as long as it warms up.
 
 use crate::ids::Micros;
 use crate::settings::Rules;
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -12,7 +12,8 @@
 pub(crate) const MAX_START_DELAY: Micros = 60_000;
 /// An occupancy report that is older than this no longer counts, microseconds.
 const MAX_REPORT_AGE: Micros = 1_000_000;
-/// An occupancy report that is younger than this is not asked for again, microseconds: a round trip and a tick.
+/// An occupancy report that is younger than this is not asked for again, microseconds: a round trip and a
+/// tick.
 const FRESH_REPORT_AGE: Micros = 20_000;
 /// The smallest weight that a load is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
