--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -103,7 +103,7 @@
 
     /// Whether any call is still owed its answer. One that has not fully arrived is not.
     pub fn owes(&self) -> bool {
-        self.connections.owe() || self.engine.requests() > 0
+        self.connections.owe() || self.engine.open_request_count() > 0
     }
 
     /// Whether an answer has been sent whose client may not have taken it in.
--- /dev/null
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -0,0 +1,50 @@
+//! The engine among an upstream group and a scripted worker; what it does with an action is private to it.
+
+use super::*;
+use crate::config::{file, read_text};
+use crate::workers::{worker_id, ListedWorker};
+use std::time::Duration;
+use tokio::net::TcpListener;
+use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
+use vetchbridge_testbed::wire::Wire;
+
+const MINUTE: Duration = Duration::from_secs(60);
+
+/// The probe that the scheduler asked for reaches the worker, and the event that comes of it names the worker and the
+/// outcome.
+#[tokio::test]
+async fn a_probe_is_sent_to_its_worker_and_its_outcome_returned() {
+    let text = toml::to_string(&file::example()).expect("TOML");
+    let settings = read_text("test", &text).expect("a configuration").config.snapshot.settings;
+    let scheduler = Scheduler::new(settings, 1).expect("valid settings");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
+    let worker_id = worker_id("s-0");
+    let address = listener.local_addr().expect("bound").to_string();
+    let entry =
+        ListedWorker { worker_id, name: "s-0", address: &address, state: EndpointState::Ready, started: 0 };
+    upstream.apply(EndpointUpdate::Changes, [entry].into_iter());
+    let engine = Engine::new(scheduler, upstream, unbounded_channel().0, unbounded_channel().0);
+
+    engine.execute(&mut engine.lock_state(), Action::Probe(worker_id));
+    let mut worker = Wire::new(listener.accept().await.expect("a connection").0);
+    assert_eq!(worker.read().await.expect("a probe").line, "GET /stats HTTP/1.1");
+
+    // The only permit for probes is taken until that one has ended.
+    let event = engine.probe(worker_id).await;
+    let Event::Probed { worker, outcome, load, .. } = event else { panic!("{event:?}") };
+    assert_eq!((worker, outcome, load), (worker_id, Outcome::NotSent, None));
+}
+
+/// Timers fire in the order of their times, those of one time in the order of their tokens, whatever the order in which
+/// they were set.
+#[test]
+fn timers_fire_in_the_order_of_their_times() {
+    let mut timers = TimerQueue::default();
+    let set = [(30, 1), (10, 9), (20, 2), (10, 3)];
+    let became_first = set.map(|(at, token)| timers.add(at, TimerToken(token)));
+    assert_eq!(became_first, [true, true, false, false]);
+    assert_eq!(timers.next_at(), Some(10));
+    let fired: Vec<u64> = std::iter::from_fn(|| timers.pop()).map(|token| token.0).collect();
+    assert_eq!(fired, [3, 9, 2, 1]);
+}
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -1,70 +1,103 @@
-//! Datagrams between the schedulers of one tier. Owns the UDP socket at work; carries the module's messages as they
-//! are, drops what is too long or comes from a stranger, and must never answer or repeat anything itself.
+//! Datagrams between the schedulers of one tier.
+//!
+//! Owns the UDP socket at work. It carries the scheduler's messages as they are, drops those that are too long or come
+//! from an unknown address, and never answers or repeats one itself.
 
 use crate::config::Peers;
 use crate::engine::Engine;
 use crate::upgrade::process_links::ProcessLinks;
 use std::future::Future;
 use std::io;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{debug, warn};
 use vetchbridge_scheduling::interface::{Event, Recipient};
 
-/// The longest datagram allowed; a longer one voids the run.
-const LONGEST: usize = 256;
+/// The longest datagram that may be sent between schedulers.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// One byte more than the longest datagram, so that a longer one shows.
+const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
-/// Carries messages both ways for as long as the engine lives; a successor hears in this process's place.
+/// A message that the scheduler sends to its peers.
+#[derive(Debug)]
+pub struct OutgoingMessage {
+    /// Whom it is for.
+    pub to: Recipient,
+    /// The message, encoded.
+    pub data: Vec<u8>,
+}
+
+/// Carries messages both ways until the engine is gone. While there is a successor, this process receives none: the
+/// successor does.
 pub fn run(
     config: Peers,
     socket: std::net::UdpSocket,
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
-    outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
+    outgoing: UnboundedReceiver<OutgoingMessage>,
 ) -> io::Result<impl Future<Output = ()>> {
     socket.set_nonblocking(true)?;
-    Ok(carry(config, UdpSocket::from_std(socket)?, engine, process_links, outgoing))
+    let socket = UdpSocket::from_std(socket)?;
+    Ok(PeerSocket { config, socket, engine }.carry_messages(process_links, outgoing))
 }
 
-async fn carry(
+struct PeerSocket {
     config: Peers,
     socket: UdpSocket,
     engine: Arc<Engine>,
-    process_links: Arc<ProcessLinks>,
-    mut outgoing: UnboundedReceiver<(Recipient, Vec<u8>)>,
-) {
-    let mut successor = process_links.successor();
-    let mut buffer = [0; LONGEST + 1];
-    loop {
-        let alone = successor.borrow_and_update().is_none();
-        tokio::select! {
-            message = outgoing.recv() => {
-                let Some((to, data)) = message else { return };
-                let address = match to {
-                    Recipient::One(number) => config.each.get(number as usize),
-                    Recipient::All => config.all.as_ref(),
-                };
-                match address {
-                    Some(address) if data.len() <= LONGEST => {
-                        if let Err(error) = socket.send_to(&data, address).await {
-                            debug!(to = %address, %error, "message.unsent");
-                        }
-                    }
-                    _ => warn!(bytes = data.len(), ?to, "message.dropped"),
-                }
-            }
-            _ = successor.changed() => {}
-            received = socket.recv_from(&mut buffer), if alone => match received {
-                Ok((length, sender)) => match config.each.iter().position(|known| *known == sender) {
-                    Some(from) if length <= LONGEST => {
-                        let data = buffer[..length].to_vec();
-                        engine.handle(Event::PeerMessage { from: from as u32, data });
-                    }
-                    _ => warn!(bytes = length, from = %sender, "datagram.dropped"),
+}
+
+impl PeerSocket {
+    async fn carry_messages(
+        self,
+        process_links: Arc<ProcessLinks>,
+        mut outgoing: UnboundedReceiver<OutgoingMessage>,
+    ) {
+        let mut successor = process_links.successor();
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        loop {
+            let receives = successor.borrow_and_update().is_none();
+            tokio::select! {
+                message = outgoing.recv() => match message {
+                    Some(message) => self.send(message).await,
+                    None => return,
+                },
+                _ = successor.changed() => {}
+                received = self.socket.recv_from(&mut buffer), if receives => match received {
+                    Ok((length, sender)) => self.handle_datagram(&buffer[..length], sender),
+                    Err(error) => debug!(%error, "peer_datagram.receive_failed"),
                 },
-                Err(error) => debug!(%error, "datagram.lost"),
-            },
+            }
+        }
+    }
+
+    async fn send(&self, OutgoingMessage { to, data }: OutgoingMessage) {
+        let Some(address) = self.address_of(to).filter(|_| data.len() <= MAX_DATAGRAM_BYTES) else {
+            warn!(bytes = data.len(), ?to, "peer_message.dropped");
+            return;
+        };
+        if let Err(error) = self.socket.send_to(&data, address).await {
+            debug!(to = %address, %error, "peer_message.send_failed");
+        }
+    }
+
+    fn address_of(&self, recipient: Recipient) -> Option<SocketAddr> {
+        match recipient {
+            Recipient::One(index) => self.config.each.get(index as usize).copied(),
+            Recipient::All => self.config.all,
+        }
+    }
+
+    fn handle_datagram(&self, datagram: &[u8], sender: SocketAddr) {
+        let peer = self.config.each.iter().position(|known| *known == sender);
+        match peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
+            Some(index) => {
+                let data = datagram.to_vec();
+                self.engine.handle(Event::PeerMessage { from: index as u32, data });
+            }
+            None => warn!(bytes = datagram.len(), from = %sender, "peer_datagram.dropped"),
         }
     }
 }
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -74,7 +74,7 @@
     let Job { request, payload, settings, room } = job;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
     let open_elsewhere = process_links.holds(id);
-    let Some(steps) = (!open_elsewhere).then(|| engine.open(request)).flatten() else {
+    let Some(steps) = (!open_elsewhere).then(|| engine.open_request(request)).flatten() else {
         let _ = reply.send(Answer::Duplicate);
         return answer;
     };
@@ -144,7 +144,7 @@
             }
             self.engine.handle(Event::ClientDisconnected(self.id));
         }
-        self.engine.close(self.id);
+        self.engine.close_request(self.id);
         self.process_links.tell(|| HandoverMessage::Closed(self.id.0));
     }
 }
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -251,7 +251,7 @@
     /// Another process is there: it hears of what is open, and of all changes after it.
     fn enter(&self, link: &Arc<Link>) {
         self.process_links.add(link.clone());
-        for id in self.engine.open_requests() {
+        for id in self.engine.open_request_ids() {
             link.say(HandoverMessage::Opened(id.0), Vec::new());
         }
     }
@@ -305,7 +305,7 @@
             HandoverMessage::Taken => {
                 info!(
                     connections = self.client_server.connections(),
-                    requests = self.engine.requests(),
+                    requests = self.engine.open_request_count(),
                     "upgrade.taken"
                 );
                 self.process_links.succeeded(link.clone());
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -247,7 +247,7 @@
             answer = &mut answer => assert_eq!(answer.expect("an answer"), Answer::Failed),
         }
         // Its life has ended: there is nobody left to send it.
-        while parts.engine.requests() > 0 {
+        while parts.engine.open_request_count() > 0 {
             tokio::task::yield_now().await;
         }
     }
