--- a/crates/testkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -96,6 +96,6 @@
 
     assert!(judged(&[], &[], &[], &[], "INFO daemon.ended violations=0").is_empty());
     let log =
-        "ERROR invariant.violated invariant=UnsafeJobOnce request=1\nthread 'main' panicked at src/x.rs";
+        "ERROR invariant.violated invariant=NonIdempotentJobSentOnce request=1\nthread 'main' panicked at src/x.rs";
     assert!(matches!(judged(&[], &[], &[], &[], log)[..], [Broken::Log(_), Broken::Log(_)]));
 }
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -10,7 +10,7 @@
 use super::{body, job};
 use crate::admin;
 use crate::engine::Engine;
-use crate::invariants::{violated, Invariant};
+use crate::invariants::{record_violation, Invariant};
 use crate::lifecycle::clock::Lifecycle;
 use crate::net::RetryingStream;
 use crate::request::{submit, Answer};
@@ -228,7 +228,7 @@
             () = drained => debug!("connection.drained"),
         }
         if connection.must_answer() {
-            violated(Invariant::OwedAnswerKeepsItsConnection, None, "closed by this side");
+            record_violation(Invariant::UnansweredConnectionStaysOpen, None, "closed by this side");
         }
         serving.into_parts().io.into_inner().close().await;
     }
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -5,7 +5,7 @@
 //! answer itself; it asks the module, through the engine, at each point of choice.
 
 use crate::engine::{Engine, RequestCommand};
-use crate::invariants::{violated, Invariant};
+use crate::invariants::{record_violation, Invariant};
 use crate::logs::Id;
 use crate::snapshot::Snapshot;
 use crate::upgrade::message::HandoverMessage;
@@ -140,7 +140,11 @@
         // A life cut short must not leave the module waiting for a request that nobody carries any more.
         if let Some(reply) = self.reply.take() {
             if !reply.is_closed() {
-                violated(Invariant::TakenRequestIsAnswered, Some(self.id), "its life was cut short");
+                record_violation(
+                    Invariant::AcceptedRequestIsAnswered,
+                    Some(self.id),
+                    "its life was cut short",
+                );
             }
             self.engine.handle(Event::ClientDisconnected(self.id));
         }
@@ -181,7 +185,7 @@
                         (Idempotency::Idempotent, _) | (_, None) => until,
                         (Idempotency::Keyed { window, .. }, Some(first)) => until.min(first.saturating_add(window)),
                         (Idempotency::NonIdempotent, Some(_)) => {
-                            violated(Invariant::UnsafeJobOnce, Some(id), "an attempt before may have run");
+                            record_violation(Invariant::NonIdempotentJobSentOnce, Some(id), "an attempt before may have run");
                             sent
                         }
                     };
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::discovery::request::DiscoveryRequest;
 use crate::discovery::watcher::{EndpointWatcher, InitialEndpoints};
 use crate::engine::Engine;
-use crate::invariants::violations;
+use crate::invariants::violation_count;
 use crate::lifecycle::clock::Lifecycle;
 use crate::logs::Logs;
 use crate::net::retry_for;
@@ -104,7 +104,7 @@
             quiet_since = Instant::now();
         }
     }
-    info!(violations = violations(), "daemon.ended");
+    info!(violations = violation_count(), "daemon.ended");
     Ok(())
 }
 
@@ -157,7 +157,7 @@
         }
         let settings = config.snapshot.settings.clone();
         let dial_timeout = Duration::from_micros(settings.limits.dial_timeout);
-        self.upstream.retime(dial_timeout, config.snapshot.conn_idle);
+        self.upstream.retime(dial_timeout, config.snapshot.worker_idle_timeout);
         self.upstream.read_reports(config.snapshot.reports);
         let names = config.snapshot.names.clone();
         let old = self.current.swap(config.snapshot);
@@ -238,7 +238,7 @@
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
     let dial_timeout = Duration::from_micros(config.snapshot.settings.limits.dial_timeout);
     let probes = (config.sockets / PROBES).max(1);
-    let upstream = Arc::new(UpstreamGroup::new(dial_timeout, config.snapshot.conn_idle, probes));
+    let upstream = Arc::new(UpstreamGroup::new(dial_timeout, config.snapshot.worker_idle_timeout, probes));
     upstream.read_reports(config.snapshot.reports);
     let engine = Engine::new(scheduler, upstream.clone(), asks.clone(), messages);
     let current = Arc::new(CurrentSettings::new(config.snapshot));
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! The settings in force, as the sockets need them: one snapshot, never changed, replaced whole.
+//! The settings in force: one immutable snapshot, replaced as a whole by a reload.
 //!
-//! Owns which snapshot is current. Whoever works on a request keeps the one that the request was taken under. It must
-//! never check a value: what is swapped in has been checked.
+//! Owns which snapshot is current. A request keeps the snapshot that it was accepted under to its end. Nothing here
+//! checks a value: a snapshot has been checked before it is put in force.
 
 use crate::workers::load::Reports;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,61 +21,68 @@
     pub tenants: Vec<String>,
 }
 
-/// Settings, whole.
+/// One version of the settings.
 pub struct Snapshot {
-    /// What the module is told.
+    /// The scheduler's settings.
     pub settings: Settings,
-    /// What the settings' indices are called on the sockets.
+    /// The names behind the settings' indices.
     pub names: NameTables,
-    /// A worker closes a connection that has been idle for this long.
-    pub conn_idle: Duration,
+    /// How long a connection may be idle before its worker closes it.
+    pub worker_idle_timeout: Duration,
     /// Which load reports of workers count.
     pub reports: Reports,
 }
 
 impl Snapshot {
-    /// Settings as they were read. Where they name tenants, one more is added, without a share and without a name: whose
-    /// request names none of them must not use up what is another's.
-    pub fn new(mut settings: Settings, names: NameTables, conn_idle: Duration, reports: Reports) -> Snapshot {
+    /// A snapshot of settings as they were read. Where they list tenants, one more is added that has neither a quota nor
+    /// a name: a request of no listed tenant must not use up another one's quota.
+    pub fn new(
+        mut settings: Settings,
+        names: NameTables,
+        worker_idle_timeout: Duration,
+        reports: Reports,
+    ) -> Snapshot {
         if !settings.tenants.is_empty() {
             settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
-        Snapshot { settings, names, conn_idle, reports }
+        Snapshot { settings, names, worker_idle_timeout, reports }
     }
 
-    /// The tenant of a name; the one without a share if there is no such name, 0 if there are no tenants.
+    /// The tenant of this name; the one without a quota if there is none, 0 if no tenants are listed.
     pub fn tenant(&self, name: Option<&[u8]>) -> TenantId {
-        let number = self.names.tenants.iter().position(|known| Some(known.as_bytes()) == name);
-        TenantId(number.unwrap_or(self.settings.tenants.len().saturating_sub(1)) as u32)
+        let listed = self.names.tenants.iter().position(|known| Some(known.as_bytes()) == name);
+        let unlisted = self.settings.tenants.len().saturating_sub(1);
+        TenantId(listed.unwrap_or(unlisted) as u32)
     }
 
-    /// The longest time that a client waits, of all classes.
-    pub fn longest_deadline(&self) -> Duration {
-        Duration::from_micros(self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
+    /// The class of this name, and its index.
+    pub fn class(&self, name: &str) -> Option<(u32, &Class)> {
+        let index = self.names.classes.iter().position(|known| known == name)?;
+        Some((index as u32, self.settings.classes.get(index)?))
     }
 
-    /// The class of a name, and its number.
-    pub fn class(&self, name: &str) -> Option<(u32, &Class)> {
-        let number = self.names.classes.iter().position(|known| known == name)?;
-        Some((number as u32, self.settings.classes.get(number)?))
+    /// The longest deadline of all classes.
+    pub fn longest_deadline(&self) -> Duration {
+        let longest = self.settings.classes.iter().map(|class| class.deadline).max();
+        Duration::from_micros(longest.unwrap_or(0))
     }
 }
 
-/// The snapshot in force.
+/// Holds the snapshot in force.
 pub struct CurrentSettings(Mutex<Arc<Snapshot>>);
 
 impl CurrentSettings {
-    /// Begins with this one.
+    /// Puts a first snapshot in force.
     pub fn new(snapshot: Snapshot) -> CurrentSettings {
         CurrentSettings(Mutex::new(Arc::new(snapshot)))
     }
 
-    /// The one in force now.
+    /// The snapshot in force now.
     pub fn get(&self) -> Arc<Snapshot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts another one in its place, whole; returns the one before.
+    /// Puts another snapshot in force; returns the one before.
     pub fn swap(&self, snapshot: Snapshot) -> Arc<Snapshot> {
         let mut current = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut *current, Arc::new(snapshot))
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -5,7 +5,7 @@
 //! attempt here waits for.
 
 use super::{lock, request_id, worker_id};
-use crate::invariants::{violated, Invariant};
+use crate::invariants::{record_violation, Invariant};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::{HashMap, VecDeque};
@@ -104,7 +104,11 @@
         let ((sender, calls), key) = (unbounded_channel(), (id, worker_id));
         let table = &mut *lock(&self.0);
         if table.waiting.insert(key, sender).is_some() {
-            violated(Invariant::OneAttemptAtAWorker, Some(id), "an earlier attempt there still waits");
+            record_violation(
+                Invariant::OneAttemptPerWorker,
+                Some(id),
+                "an earlier attempt there still waits",
+            );
         }
         while table.ended.front().is_some_and(|(at, ..)| at.elapsed() >= REPEATS) {
             table.ended.pop_front();
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The checks of what must never happen: each finds what is planted for it. One test, since the count is the process's.
+//! The checks of invariants: each finds the violation that is planted for it. One test, since the count is the process's.
 #![allow(missing_docs)]
 
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use vetchbridge::config::read_text;
 use vetchbridge::engine::Engine;
-use vetchbridge::invariants::violations;
+use vetchbridge::invariants::violation_count;
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{worker_id, ListedWorker, Payload, SendConditions, UpstreamGroup};
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn what_must_never_happen_is_counted_where_it_does() {
-    runtime().block_on(a_second_attempt_at_a_worker_that_still_has_one());
-    let waits = a_request_whose_life_is_cut_short(true);
-    assert_eq!(violations(), 2, "its client waits");
-    drop(waits);
-    a_request_whose_life_is_cut_short(false);
-    assert_eq!(violations(), 2, "its client had gone");
+fn a_violated_invariant_is_counted() {
+    runtime().block_on(start_a_second_attempt_at_a_worker_that_still_has_one());
+    let waiting_client = abort_an_accepted_request(true);
+    assert_eq!(violation_count(), 2, "its client is waiting");
+    drop(waiting_client);
+    abort_an_accepted_request(false);
+    assert_eq!(violation_count(), 2, "its client had disconnected");
 }
 
-async fn a_second_attempt_at_a_worker_that_still_has_one() {
+async fn start_a_second_attempt_at_a_worker_that_still_has_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let group = UpstreamGroup::new(MINUTE, MINUTE, 1);
@@ -66,22 +66,22 @@
     assert!(
         futures_util::poll!(&mut first).is_pending() && futures_util::poll!(&mut of_another).is_pending()
     );
-    assert_eq!(violations(), 0, "each request has one there");
+    assert_eq!(violation_count(), 0, "each request has one attempt there");
     let mut second = attempt(0xab, second);
     assert!(futures_util::poll!(&mut second).is_pending());
-    assert_eq!(violations(), 1);
+    assert_eq!(violation_count(), 1);
 }
 
-/// Takes a request for which there is no worker, and ends the runtime that carries it.
-fn a_request_whose_life_is_cut_short(client_waits: bool) -> Option<oneshot::Receiver<Answer>> {
+/// Accepts a request for which there is no worker, and shuts the runtime that carries it down.
+fn abort_an_accepted_request(client_waits: bool) -> Option<oneshot::Receiver<Answer>> {
     let class = json!({"name": "safe", "repeat": "safe", "aim": 500_000, "deadline": 60_000_000});
     let document = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "discovery": "127.0.0.1:1",
         "settings": {"me": 0, "balancers": 1, "areas": ["a"], "kinds": ["m"], "zone": 0, "tick": 4000,
             "discovery": "ask", "services": [class], "limits": {"max_attempts": 2},
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
-    let config = read_text("invariants", &document.to_string()).expect("it reads").config;
-    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
+    let config = read_text("invariants", &document.to_string()).expect("a configuration").config;
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("valid settings");
     let runtime = runtime();
     let answer = runtime.block_on(async {
         let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -96,8 +96,8 @@
     /// Puts other settings in force.
     fn adopt(&self, settings: Settings) {
         let old = self.current.get();
-        let (names, conn_idle, reports) = (old.names.clone(), old.conn_idle, old.reports);
-        self.current.swap(Snapshot { settings, names, conn_idle, reports });
+        let (names, worker_idle_timeout, reports) = (old.names.clone(), old.worker_idle_timeout, old.reports);
+        self.current.swap(Snapshot { settings, names, worker_idle_timeout, reports });
     }
 
     /// What a reload does that names the same discovery and lists that are asked for (`ask`) or pushed (`push`).
