--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -12,7 +12,7 @@
 use super::{body, job};
 use crate::admin;
 use crate::engine::Engine;
-use crate::invariants::{violated, Invariant};
+use crate::invariants::{record_violation, Invariant};
 use crate::lifecycle::clock::Lifecycle;
 use crate::net::RetryingStream;
 use crate::request::{submit, Answer};
@@ -102,7 +102,7 @@
 
     /// Whether any call is still owed its answer. One that has not fully arrived is not.
     pub fn owes(&self) -> bool {
-        self.connections.owe() || self.engine.requests() > 0
+        self.connections.owe() || self.engine.open_request_count() > 0
     }
 
     /// Whether an answer has been sent whose client may not have taken it in.
@@ -227,7 +227,7 @@
             () = drained => debug!("connection.drained"),
         }
         if connection.must_answer() {
-            violated(Invariant::OwedAnswerKeepsItsConnection, None, "closed by this side");
+            record_violation(Invariant::UnansweredConnectionStaysOpen, None, "closed by this side");
         }
         serving.into_parts().io.into_inner().close().await;
     }
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -31,7 +31,7 @@
     /// Adds a link. The process there is sent the ids of the requests that are open, and later each change.
     pub(super) fn register(&self, link: &Arc<Link>) {
         self.process_links.add(link.clone());
-        for id in self.engine.open_requests() {
+        for id in self.engine.open_request_ids() {
             link.send(HandoverMessage::RequestOpened(id.0), Vec::new());
         }
     }
@@ -84,7 +84,7 @@
             HandoverMessage::TookOver => {
                 info!(
                     connections = self.client_server.connections(),
-                    requests = self.engine.requests(),
+                    requests = self.engine.open_request_count(),
                     "upgrade.taken_over"
                 );
                 self.process_links.set_successor(link.clone());
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -96,8 +96,8 @@
     /// Puts other settings in force.
     fn adopt(&self, settings: Settings) {
         let old = self.current.get();
-        let (names, conn_idle, reports) = (old.names.clone(), old.conn_idle, old.reports);
-        self.current.swap(Snapshot { settings, names, conn_idle, reports });
+        let (names, worker_idle_timeout, reports) = (old.names.clone(), old.worker_idle_timeout, old.reports);
+        self.current.swap(Snapshot { settings, names, worker_idle_timeout, reports });
     }
 
     /// What a reload does that names the same discovery and lists that are asked for (`ask`) or pushed (`push`).
@@ -247,7 +247,7 @@
             answer = &mut answer => assert_eq!(answer.expect("an answer"), Answer::Failed),
         }
         // Its life has ended: there is nobody left to send it.
-        while parts.engine.requests() > 0 {
+        while parts.engine.open_request_count() > 0 {
             tokio::task::yield_now().await;
         }
     }
