--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -154,7 +154,7 @@
                 }
                 _ = sweep.tick() => {
                     self.connections.sweep(self.elsewhere());
-                    self.upstream.limit_connections(self.connections.left_to_workers(self.elsewhere()));
+                    self.upstream.set_max_connections(self.connections.left_to_workers(self.elsewhere()));
                     continue;
                 }
                 _ = successor.changed() => continue,
@@ -320,7 +320,7 @@
     };
     match serde_json::from_slice::<Callback>(&body) {
         Ok(callback) => {
-            if client_server.upstream.called_back(&callback) {
+            if client_server.upstream.dispatch_callback(&callback) {
                 return StatusCode::OK.into_response();
             }
             match client_server.process_links.forward(&callback, None).await {
--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -11,7 +11,7 @@
 use crate::engine::Engine;
 use crate::net::Connector;
 use crate::snapshot::CurrentSettings;
-use crate::workers::{ListedWorker, UpstreamGroup};
+use crate::workers::{UpstreamGroup, WorkerEndpoint};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
@@ -370,14 +370,14 @@
         let names = &self.current.get().names;
         let members: Vec<Endpoint> = instances.iter().map(|i| i.endpoint(names)).collect();
         let entries = instances.iter().zip(&members);
-        let entries = entries.map(|(i, m)| ListedWorker {
+        let entries = entries.map(|(i, m)| WorkerEndpoint {
             worker_id: m.worker,
             name: &i.instance_id,
             address: &i.host_port,
             state: m.state,
-            started: m.started_at,
+            started_at: m.started_at,
         });
-        self.upstream.apply(kind, entries);
+        self.upstream.apply_endpoints(kind, entries);
         self.engine.handle(Event::Endpoints { update: kind, endpoints: members });
     }
 }
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -168,7 +168,7 @@
                 }
                 return;
             }
-            Action::CloseIdle(worker) => return self.upstream.close_idle(worker),
+            Action::CloseIdle(worker) => return self.upstream.close_idle_connections(worker),
             Action::Probe(worker) => {
                 if let Some(engine) = self.me.upgrade() {
                     drop(tokio::spawn(async move { engine.handle(engine.probed(worker).await) }));
@@ -187,7 +187,7 @@
         let sent = self.clock.now();
         let (status, load) = self.upstream.probe(worker).await;
         let latency = self.clock.now().saturating_sub(sent);
-        debug!(worker = self.upstream.name(worker), ?status, us = latency, ?load, "probe.ended");
+        debug!(worker = self.upstream.worker_name(worker), ?status, us = latency, ?load, "probe.finished");
         Event::Probed { worker, outcome: status, latency, load }
     }
 
@@ -222,7 +222,7 @@
 mod tests {
     use super::*;
     use crate::config::{file, read_text};
-    use crate::workers::{worker_id, ListedWorker};
+    use crate::workers::{worker_id, WorkerEndpoint};
     use tokio::net::TcpListener;
     use vetchbridge_testbed::wire::Wire;
 
@@ -237,8 +237,8 @@
         let upstream = Arc::new(UpstreamGroup::new(minute, minute, 1));
         let (worker_id, address) = (worker_id("s-0"), listener.local_addr().expect("bound").to_string());
         let (name, state) = ("s-0", EndpointState::Ready);
-        let entry = ListedWorker { worker_id, name, address: &address, state, started: 0 };
-        upstream.apply(EndpointUpdate::Changes, [entry].into_iter());
+        let entry = WorkerEndpoint { worker_id, name, address: &address, state, started_at: 0 };
+        upstream.apply_endpoints(EndpointUpdate::Changes, [entry].into_iter());
         let engine = Engine::new(scheduler, upstream, unbounded_channel().0, unbounded_channel().0);
         engine.carry(&mut engine.core(), Action::Probe(worker_id));
         let mut worker = Wire::new(listener.accept().await.expect("a connection").0);
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -192,7 +192,7 @@
                     attempts.push(async move {
                         let note = |note| {
                             let after = engine.clock.now().saturating_sub(sent);
-                            debug!(request = %Id(id), attempt = attempt.0, worker = upstream.name(worker), ?note, us = after, "attempt.note");
+                            debug!(request = %Id(id), attempt = attempt.0, worker = upstream.worker_name(worker), ?note, us = after, "attempt.note");
                             engine.handle(Event::JobProgress { request: id, attempt, progress: note });
                         };
                         let ended = if moot {
@@ -201,7 +201,7 @@
                             let (wait, begin_within) = (until - sent, begin_by - sent);
                             let (wait, begin_within) =
                                 (Duration::from_micros(wait), Duration::from_micros(begin_within));
-                            let conditions = SendConditions { wait, begin_within, over };
+                            let conditions = SendConditions { timeout: wait, first_byte_timeout: begin_within, concluded: over };
                             upstream.attempt(id, worker, payload, conditions, cancelled, note).await
                         };
                         (attempt, worker, sent, ended)
@@ -235,7 +235,7 @@
                     may_have_run[attempt.0 as usize] = None;
                 }
                 let latency = engine.clock.now().saturating_sub(sent);
-                debug!(request = %Id(id), attempt = attempt.0, worker = upstream.name(worker), ?status, us = latency, "attempt.ended");
+                debug!(request = %Id(id), attempt = attempt.0, worker = upstream.worker_name(worker), ?status, us = latency, "attempt.ended");
                 let closed = context.reply.is_none();
                 engine.handle(Event::AttemptFinished { request: id, attempt, worker, outcome: status, latency, closed, load });
             }
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -156,8 +156,8 @@
         }
         let settings = config.snapshot.settings.clone();
         let dial_timeout = Duration::from_micros(settings.limits.dial_timeout);
-        self.upstream.retime(dial_timeout, config.snapshot.conn_idle);
-        self.upstream.read_reports(config.snapshot.reports);
+        self.upstream.set_timeouts(dial_timeout, config.snapshot.conn_idle);
+        self.upstream.set_load_reports(config.snapshot.reports);
         let names = config.snapshot.names.clone();
         let old = self.current.swap(config.snapshot);
         if old.settings != settings {
@@ -238,7 +238,7 @@
     let dial_timeout = Duration::from_micros(config.snapshot.settings.limits.dial_timeout);
     let probes = (config.sockets / PROBES).max(1);
     let upstream = Arc::new(UpstreamGroup::new(dial_timeout, config.snapshot.conn_idle, probes));
-    upstream.read_reports(config.snapshot.reports);
+    upstream.set_load_reports(config.snapshot.reports);
     let engine = Engine::new(scheduler, upstream.clone(), asks.clone(), messages);
     let current = Arc::new(CurrentSettings::new(config.snapshot));
     let tuned = Tuned {
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -309,7 +309,7 @@
                 );
                 self.process_links.succeeded(link.clone());
                 // Idle connections to workers are the successor's to have.
-                self.upstream.close_all_idle();
+                self.upstream.close_all_idle_connections();
             }
             HandoverMessage::Connection { kept } => {
                 descriptors.into_iter().for_each(|it| self.client_server.adopt(it, kept))
@@ -318,7 +318,7 @@
                 let (link, upstream, process_links) =
                     (link.clone(), self.upstream.clone(), self.process_links.clone());
                 tokio::spawn(async move {
-                    let forwarded = if upstream.called_back(&callback) {
+                    let forwarded = if upstream.dispatch_callback(&callback) {
                         Forwarded::Known
                     } else {
                         process_links.forward(&callback, Some(&link)).await
--- a/crates/vetchbridge/src/workers/client.rs
+++ b/crates/vetchbridge/src/workers/client.rs
@@ -1,12 +1,10 @@
-//! The HTTP client of one worker: the connections that it keeps for the next request, how many there are, and when they were
-//! last used.
+//! The HTTP client of one worker, with its pool of connections.
 //!
-//! Owns how a worker's connections are made and kept. It must never choose whose connections are closed: the upstream group
-//! does.
+//! Which workers' idle connections are closed is chosen by the upstream group.
 
 use super::connection_count::ConnectionCount;
 use super::dial::Dialer;
-use super::Times;
+use super::group::Timeouts;
 use crate::net::Connector;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,13 +12,13 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::Instant;
 
-/// Idle connections kept for one worker; a job holds one only until its 202.
-const IDLE_PER_WORKER: usize = 8;
+/// The most idle connections kept for one worker; a job occupies one only until its 202.
+const MAX_IDLE_PER_WORKER: usize = 8;
 
-/// A client that counts its connections.
+/// An HTTP client whose connections are counted.
 pub(super) type HttpClient = Client<Dialer, Full<Bytes>>;
 
-/// See the head of this file. Dropping it closes the idle connections.
+/// The HTTP client of one worker. Dropping it closes the pool's idle connections.
 pub(super) struct WorkerClient {
     http: HttpClient,
     connections: ConnectionCount,
@@ -28,32 +26,32 @@
 }
 
 impl WorkerClient {
-    /// A client without connections; each that it makes is counted among `all` too.
-    pub(super) fn new(times: Times, all: ConnectionCount) -> WorkerClient {
-        let tcp = Connector::new(Some(times.dial).filter(|t| !t.is_zero()));
+    /// A client without connections; those that it opens are registered with `all_connections` too.
+    pub(super) fn new(timeouts: Timeouts, all_connections: ConnectionCount) -> WorkerClient {
+        let connector = Connector::new(Some(timeouts.dial).filter(|timeout| !timeout.is_zero()));
         let connections = ConnectionCount::default();
         let http = Client::builder(TokioExecutor::new())
-            // A resend that the module does not know of would be a second attempt.
+            // A request repeated by the client would be an attempt that the decision module does not know of.
             .retry_canceled_requests(false)
-            .pool_idle_timeout(times.idle)
-            .pool_max_idle_per_host(IDLE_PER_WORKER)
+            .pool_idle_timeout(timeouts.idle)
+            .pool_max_idle_per_host(MAX_IDLE_PER_WORKER)
             .pool_timer(TokioTimer::new())
-            .build(Dialer::new(tcp, [all, connections.clone()]));
+            .build(Dialer::new(connector, [all_connections, connections.clone()]));
         WorkerClient { http, connections, last_used: Instant::now() }
     }
 
-    /// The client, for one request now.
+    /// The client for one request that is sent now.
     pub(super) fn for_request(&mut self) -> HttpClient {
         self.last_used = Instant::now();
         self.http.clone()
     }
 
-    /// How many connections it has, dials and those in use included.
-    pub(super) fn connections(&self) -> usize {
+    /// The number of its connections, including dials and those in use.
+    pub(super) fn connection_count(&self) -> usize {
         self.connections.get()
     }
 
-    /// When it was last used for a request, or made.
+    /// When it last served a request, or was created.
     pub(super) fn last_used(&self) -> Instant {
         self.last_used
     }
--- /dev/null
+++ b/crates/vetchbridge/src/workers/connection.rs
@@ -0,0 +1,208 @@
+//! A connection to a worker, and the meter of what is written to it.
+//!
+//! The meter tells a request that was written completely, and may have run, from one that was not. The connection checks the
+//! send permission before the first byte of each request, and is not reused before [`REUSE_DELAY`] has passed.
+
+use super::connection_count::ConnectionGuard;
+use super::expiry::ExpiryHeader;
+use super::lock;
+use super::permission::SendPermission;
+use crate::net::RetryingStream;
+use hyper::rt::{Read, ReadBufCursor, Write};
+use hyper_util::client::legacy::connect::{Connected, Connection};
+use hyper_util::rt::TokioIo;
+use rustix::io::{retry_on_intr, Errno};
+use rustix::net::{recv, RecvFlags};
+use std::future::Future;
+use std::io::{self, IoSlice};
+use std::pin::Pin;
+use std::sync::{Arc, Mutex};
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant, Sleep};
+use tracing::debug;
+
+/// How long a connection is not reused after a response. A worker that responds twice is detected by then; its second
+/// response would otherwise be taken for that of the next request.
+pub(super) const REUSE_DELAY: Duration = Duration::from_millis(20);
+
+/// Counts the bytes written to a connection, and holds what the current exchange needs before its first byte.
+#[derive(Clone, Default)]
+pub(super) struct WriteMeter(Arc<Mutex<MeterState>>);
+
+#[derive(Default)]
+struct MeterState {
+    bytes_written: u64,
+    /// The part of `bytes_written` that belongs to earlier exchanges.
+    bytes_before_exchange: u64,
+    /// Present until the first byte of the current exchange is written.
+    permission: Option<SendPermission>,
+    expiry: Option<ExpiryHeader>,
+    /// No further byte may be written.
+    closed: bool,
+    last_read: Option<Instant>,
+}
+
+impl WriteMeter {
+    /// Starts an exchange whose request has been handed to this connection, and is not written yet.
+    ///
+    /// Both happen on one thread, and the writing in the connection's own task.
+    pub(super) fn begin_exchange(&self, permission: SendPermission, expiry: Option<ExpiryHeader>) {
+        let state = &mut *lock(&self.0);
+        state.bytes_before_exchange = state.bytes_written;
+        state.permission = Some(permission);
+        state.expiry = expiry;
+    }
+
+    /// The bytes written for the current exchange.
+    pub(super) fn exchange_bytes(&self) -> u64 {
+        lock(&self.0).exchange_bytes()
+    }
+
+    /// Prevents any further write, which ends the connection.
+    pub(super) fn close(&self) {
+        lock(&self.0).closed = true;
+    }
+
+    /// A copy of these bytes of the current request with its expiry brought up to date, if they hold it.
+    fn replace_expiry<'a>(&self, pieces: impl Iterator<Item = &'a [u8]>) -> Option<Vec<u8>> {
+        let state = &mut *lock(&self.0);
+        let position = state.exchange_bytes();
+        state.expiry.as_mut()?.replace_value(position as usize, pieces)
+    }
+
+    fn record_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = &result {
+            let state = &mut *lock(&self.0);
+            state.bytes_written += *bytes as u64;
+            state.permission = state.permission.take().filter(|_| *bytes == 0);
+        }
+        result
+    }
+}
+
+impl MeterState {
+    fn exchange_bytes(&self) -> u64 {
+        self.bytes_written - self.bytes_before_exchange
+    }
+}
+
+/// A connection to a worker that carries a [`WriteMeter`].
+pub(super) struct WorkerConnection {
+    io: TokioIo<RetryingStream>,
+    meter: WriteMeter,
+    reuse_delay: Option<Pin<Box<Sleep>>>,
+    _guards: [ConnectionGuard; 2],
+}
+
+impl WorkerConnection {
+    /// A connection that is counted by these guards.
+    pub(super) fn new(io: TokioIo<RetryingStream>, guards: [ConnectionGuard; 2]) -> WorkerConnection {
+        WorkerConnection { io, meter: WriteMeter::default(), reuse_delay: None, _guards: guards }
+    }
+
+    /// Resolves once bytes may be written; an error before a request's first byte means that none was written.
+    fn poll_may_write(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let reusable_at = {
+            let state = lock(&self.meter.0);
+            match (state.closed, &state.permission) {
+                (true, _) => return Poll::Ready(Err(aborted())),
+                (false, None) => return Poll::Ready(Ok(())),
+                (false, Some(_)) => state.last_read.map(|last_read| last_read + REUSE_DELAY),
+            }
+        };
+        ready!(self.poll_reuse_delay(reusable_at, cx));
+        Poll::Ready(self.check_first_byte())
+    }
+
+    fn poll_reuse_delay(&mut self, reusable_at: Option<Instant>, cx: &mut Context<'_>) -> Poll<()> {
+        let pending = |at: &Instant| self.reuse_delay.is_none() && Instant::now() < *at;
+        if let Some(reusable_at) = reusable_at.filter(pending) {
+            self.reuse_delay = Some(Box::pin(sleep_until(reusable_at)));
+        }
+        if let Some(delay) = &mut self.reuse_delay {
+            ready!(delay.as_mut().poll(cx));
+            self.reuse_delay = None;
+        }
+        Poll::Ready(())
+    }
+
+    /// Checks that nothing, not even its end, waits to be read from the connection, and that the request may be sent.
+    fn check_first_byte(&self) -> io::Result<()> {
+        // Read from the kernel: the runtime's view of a socket is as old as its last poll of all of them.
+        let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
+        let received = retry_on_intr(|| recv(self.io.inner(), &mut [0; 1], flags));
+        let is_quiet = received == Err(Errno::AGAIN);
+        let denied = lock(&self.meter.0).permission.as_ref().and_then(|permission| permission.check().err());
+        if is_quiet && denied.is_none() {
+            return Ok(());
+        }
+        debug!(?denied, is_quiet, "exchange.send_denied");
+        self.meter.close();
+        Err(aborted())
+    }
+}
+
+fn aborted() -> io::Error {
+    io::ErrorKind::ConnectionAborted.into()
+}
+
+impl Connection for WorkerConnection {
+    fn connected(&self) -> Connected {
+        self.io.connected().extra(self.meter.clone())
+    }
+}
+
+impl Read for WorkerConnection {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: ReadBufCursor<'_>,
+    ) -> Poll<io::Result<()>> {
+        let read = Pin::new(&mut self.io).poll_read(cx, buffer);
+        if read.is_ready() {
+            let state = &mut *lock(&self.meter.0);
+            if state.permission.is_some() {
+                // Bytes or an end before the request is written: they must not be taken for its response.
+                state.closed = true;
+                return Poll::Ready(Err(aborted()));
+            }
+            state.last_read = Some(Instant::now());
+        }
+        read
+    }
+}
+
+impl Write for WorkerConnection {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        ready!(self.poll_may_write(cx))?;
+        let replaced = self.meter.replace_expiry(std::iter::once(data));
+        let result = Pin::new(&mut self.io).poll_write(cx, replaced.as_deref().unwrap_or(data));
+        self.meter.record_write(result)
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        data: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        ready!(self.poll_may_write(cx))?;
+        let result = match self.meter.replace_expiry(data.iter().map(|piece| &**piece)) {
+            Some(replaced) => Pin::new(&mut self.io).poll_write(cx, &replaced),
+            None => Pin::new(&mut self.io).poll_write_vectored(cx, data),
+        };
+        self.meter.record_write(result)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.io.is_write_vectored()
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_shutdown(cx)
+    }
+}
--- a/crates/vetchbridge/src/workers/expiry/tests.rs
+++ b/crates/vetchbridge/src/workers/expiry/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 /// A request as hyper writes it.
-fn request(wait: Duration) -> (Request<()>, Vec<u8>) {
+fn request(timeout: Duration) -> (Request<()>, Vec<u8>) {
     let mut request = Request::post("/safe/k?x=1").body(()).expect("a request");
     for (name, text) in [
         ("host", "127.0.0.1:80".to_string()),
-        (EXPIRES_IN, value(wait)),
+        (EXPIRES_IN_HEADER, header_value(timeout)),
         ("idempotency-key", "5c0f".to_string()),
     ] {
         request.headers_mut().insert(name, text.parse().expect("a value"));
@@ -16,36 +16,37 @@
     (request, bytes)
 }
 
-/// However the bytes are cut, over pieces and over writes, one value goes out, at its place, and all else as it was.
+/// However the bytes are split over pieces and writes, the same value is written in its place, and all other bytes are unchanged.
 #[tokio::test(start_paused = true)]
-async fn the_time_left_at_the_first_byte_stands_in_its_place_however_the_request_is_cut() {
-    let wait = Duration::from_micros(5_000_000);
-    let (request, bytes) = request(wait);
-    for cut in 0..bytes.len() {
-        let mut expiry = Expiry::of(&request, Instant::now() + wait).expect("the header");
+async fn the_time_remaining_at_the_first_byte_is_written_however_the_request_is_split() {
+    let timeout = Duration::from_micros(5_000_000);
+    let (request, bytes) = request(timeout);
+    for split in 0..bytes.len() {
+        let mut expiry = ExpiryHeader::locate(&request, Instant::now() + timeout).expect("the header");
         tokio::time::advance(Duration::from_micros(4_100_000)).await;
-        let first =
-            expiry.stamp(0, [&bytes[..cut / 2], &bytes[cut / 2..]].into_iter()).expect("it stands there");
-        // The kernel took the bytes up to the cut; the rest follows later.
+        let first = expiry
+            .replace_value(0, [&bytes[..split / 2], &bytes[split / 2..]].into_iter())
+            .expect("the value is ahead");
+        // The kernel accepted the bytes up to the split; the others follow later.
         tokio::time::advance(Duration::from_micros(300_000)).await;
-        let rest = if cut == 0 {
+        let rest = if split == 0 {
             first.clone()
         } else {
-            expiry.stamp(cut, [&bytes[cut..]].into_iter()).unwrap_or(bytes[cut..].to_vec())
+            expiry.replace_value(split, [&bytes[split..]].into_iter()).unwrap_or(bytes[split..].to_vec())
         };
-        let written = [&first[..cut], &rest].concat();
+        let written = [&first[..split], &rest].concat();
         let expected = String::from_utf8_lossy(&bytes).replace("5000000u", "0900000u");
-        assert_eq!(String::from_utf8_lossy(&written), expected, "cut at {cut}");
+        assert_eq!(String::from_utf8_lossy(&written), expected, "split at {split}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_without_the_header_and_bytes_past_it_are_left_alone() {
-    let wait = Duration::from_secs(5);
-    let (mut request, bytes) = request(wait);
-    let mut expiry = Expiry::of(&request, Instant::now() + wait).expect("the header");
-    assert!(expiry.stamp(0, [&bytes[..]].into_iter()).is_some());
-    assert!(expiry.stamp(bytes.len() - 4, [&b"work"[..]].into_iter()).is_none());
-    request.headers_mut().remove(EXPIRES_IN);
-    assert!(Expiry::of(&request, Instant::now() + wait).is_none());
+async fn a_request_without_the_header_and_bytes_past_it_are_unchanged() {
+    let timeout = Duration::from_secs(5);
+    let (mut request, bytes) = request(timeout);
+    let mut expiry = ExpiryHeader::locate(&request, Instant::now() + timeout).expect("the header");
+    assert!(expiry.replace_value(0, [&bytes[..]].into_iter()).is_some());
+    assert!(expiry.replace_value(bytes.len() - 4, [&b"work"[..]].into_iter()).is_none());
+    request.headers_mut().remove(EXPIRES_IN_HEADER);
+    assert!(ExpiryHeader::locate(&request, Instant::now() + timeout).is_none());
 }
--- /dev/null
+++ b/crates/vetchbridge/src/workers/message.rs
@@ -0,0 +1,148 @@
+//! The requests that workers get, and their responses.
+
+use super::expiry::{self, header_length, request_line_length, EXPIRES_IN_HEADER};
+use super::load_report::LOAD_REPORT_HEADER;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONTENT_LENGTH, HOST};
+use hyper::http::uri::{Authority, PathAndQuery, Scheme};
+use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// How long the rest of a response is read that nobody waits for.
+pub(super) const BACKGROUND_READ_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The longest response body that is read, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The header that carries the id of a request.
+const REQUEST_ID_HEADER: &str = "x-trace-id";
+/// The header that carries the key by which workers deduplicate retries.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// The response header by which a worker declares that it has not started the job.
+const NEVER_RAN_HEADER: &str = "x-never-ran";
+/// The path of a worker's health and load.
+const STATS_PATH: &str = "/stats";
+
+/// The part of a client's request that is forwarded to a worker unchanged.
+pub struct Payload {
+    /// The request's id as the client wrote it.
+    pub id: String,
+    /// Path and query.
+    pub target: PathAndQuery,
+    /// The key by which workers deduplicate retries.
+    pub idempotency_key: Option<String>,
+    /// The body.
+    pub body: Bytes,
+}
+
+/// A request to a worker.
+pub(super) enum WorkerRequest<'a> {
+    /// Run a job.
+    Job {
+        /// What the client sent.
+        payload: &'a Payload,
+        /// How long the result is waited for.
+        timeout: Duration,
+    },
+    /// Report health and load.
+    Probe,
+    /// Cancel an accepted job.
+    CancelJob {
+        /// The path of the job.
+        path: PathAndQuery,
+    },
+}
+
+impl WorkerRequest<'_> {
+    /// How long the result is waited for, where the worker is informed of that.
+    pub(super) fn timeout(&self) -> Option<Duration> {
+        match self {
+            WorkerRequest::Job { timeout, .. } => Some(*timeout),
+            WorkerRequest::Probe | WorkerRequest::CancelJob { .. } => None,
+        }
+    }
+
+    /// The request as it is written to the worker at this address. Every header is set here; hyper adds none.
+    pub(super) fn to_http(&self, address: &Authority) -> Request<Full<Bytes>> {
+        let (method, target, body) = match self {
+            WorkerRequest::Job { payload, .. } => {
+                (Method::POST, payload.target.clone(), payload.body.clone())
+            }
+            WorkerRequest::Probe => (Method::GET, PathAndQuery::from_static(STATS_PATH), Bytes::new()),
+            WorkerRequest::CancelJob { path } => (Method::DELETE, path.clone(), Bytes::new()),
+        };
+        let mut request = Request::new(Full::new(body));
+        *request.method_mut() = method;
+        let uri = Uri::builder().scheme(Scheme::HTTP).authority(address.clone()).path_and_query(target);
+        // With all three parts given and checked, building can't fail.
+        *request.uri_mut() = uri.build().unwrap_or_default();
+        let headers = request.headers_mut();
+        set_header(headers, HOST.as_str(), address.as_str());
+        if let WorkerRequest::Job { payload, timeout } = self {
+            set_header(headers, CONTENT_LENGTH.as_str(), &payload.body.len().to_string());
+            set_header(headers, REQUEST_ID_HEADER, &payload.id);
+            set_header(headers, EXPIRES_IN_HEADER, &expiry::header_value(*timeout));
+            if let Some(key) = &payload.idempotency_key {
+                set_header(headers, IDEMPOTENCY_KEY_HEADER, key);
+            }
+        }
+        request
+    }
+}
+
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
+    if let Ok(value) = value.parse() {
+        headers.insert(name, value);
+    }
+}
+
+/// The number of bytes that a request takes on a connection.
+pub(super) fn request_length(request: &Request<Full<Bytes>>) -> u64 {
+    let line = request_line_length(request);
+    let headers: usize = request.headers().iter().map(|(name, value)| header_length(name, value.len())).sum();
+    let body = Body::size_hint(request.body()).exact().unwrap_or(0);
+    (line + headers + "\r\n".len()) as u64 + body
+}
+
+/// A worker's response, of which the head has been read.
+pub(super) struct WorkerResponse {
+    pub(super) status: StatusCode,
+    headers: HeaderMap,
+    body: Incoming,
+}
+
+impl From<Response<Incoming>> for WorkerResponse {
+    fn from(response: Response<Incoming>) -> WorkerResponse {
+        let (head, body) = response.into_parts();
+        WorkerResponse { status: head.status, headers: head.headers, body }
+    }
+}
+
+impl WorkerResponse {
+    /// Whether the worker declares that it has not started the job.
+    pub(super) fn job_never_ran(&self) -> bool {
+        self.headers.get(NEVER_RAN_HEADER).is_some_and(|value| value == "1")
+    }
+
+    /// The load report in the head.
+    pub(super) fn load_report(&self) -> Option<&[u8]> {
+        self.headers.get(LOAD_REPORT_HEADER).map(|value| value.as_bytes())
+    }
+
+    /// Reads the complete body; empty if it is too long, `None` if the connection failed.
+    pub(super) async fn read_body(&mut self) -> Option<Bytes> {
+        match Limited::new(&mut self.body, MAX_BODY_BYTES).collect().await {
+            Ok(body) => Some(body.to_bytes()),
+            Err(error) => error.is::<LengthLimitError>().then(Bytes::new),
+        }
+    }
+
+    /// Reads and discards the body in the background; the connection can be reused only after that.
+    pub(super) fn drain_body(mut self) {
+        if !self.body.is_end_stream() {
+            tokio::spawn(timeout(BACKGROUND_READ_TIMEOUT, async move { drop(self.read_body().await) }));
+        }
+    }
+}
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -1,72 +1,75 @@
-//! Whether a request may still be written to its worker: the one place that is asked at its first byte.
+//! Whether a request may still be written to its worker, checked just before its first byte.
 //!
-//! The decision was made earlier, and a connection may have taken long to come up since.
+//! The decision to send was made earlier, and the connection may have taken long to come up since.
 
-use super::Availability;
+use super::endpoint::Availability;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
+use thiserror::Error;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
 /// Why a request may not be written any more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NotSent {
-    /// The worker drains or has gone.
-    WorkerLeaving,
-    /// Another process goes by the worker's name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum SendDenied {
+    /// The worker is draining or was removed.
+    #[error("the worker is draining or was removed")]
+    WorkerDraining,
+    /// Another process has taken over the worker's name.
+    #[error("the worker was replaced by another process")]
     WorkerReplaced,
-    /// Nobody waits for the request any more.
-    RequestOver,
-    /// The request's time, or the window in which it may be repeated, is over.
-    TimeOver,
+    /// The request has been answered, or its client has disconnected.
+    #[error("the request is concluded")]
+    RequestConcluded,
+    /// The request's deadline has passed, or the window in which it may be retried.
+    #[error("the deadline for the first byte has passed")]
+    DeadlinePassed,
 }
 
-/// What a request is written under.
+/// The conditions under which a request may be written.
 #[derive(Clone)]
 pub(super) struct SendPermission {
-    /// Whether the worker may be written to; absent where that does not matter.
+    /// The worker's availability; `None` where it does not matter.
     availability: Option<watch::Receiver<Availability>>,
     /// Set once nobody waits for the request any more.
-    over: Arc<AtomicBool>,
-    /// The first byte must be written by then.
-    begin_by: Option<Instant>,
+    concluded: Arc<AtomicBool>,
+    first_byte_deadline: Option<Instant>,
 }
 
 impl SendPermission {
-    /// For a call that may always be written, such as one that gives an attempt up.
+    /// For a request that may always be written, such as the cancellation of a job.
     pub(super) fn always() -> SendPermission {
-        SendPermission { availability: None, over: Arc::default(), begin_by: None }
+        SendPermission { availability: None, concluded: Arc::default(), first_byte_deadline: None }
     }
 
-    /// For as long as the worker may be written to.
+    /// For as long as the worker is available.
     pub(super) fn while_available(availability: watch::Receiver<Availability>) -> SendPermission {
         SendPermission { availability: Some(availability), ..SendPermission::always() }
     }
 
-    /// Also no later than this, and only while somebody waits.
-    pub(super) fn until(self, begin_by: Instant, over: Arc<AtomicBool>) -> SendPermission {
-        SendPermission { over, begin_by: Some(begin_by), ..self }
+    /// Limits the permission to the time before `first_byte_deadline`, and before `concluded` is set.
+    pub(super) fn until(self, first_byte_deadline: Instant, concluded: Arc<AtomicBool>) -> SendPermission {
+        SendPermission { concluded, first_byte_deadline: Some(first_byte_deadline), ..self }
     }
 
-    /// Whether the request itself is still wanted, whatever has become of the worker.
-    pub(super) fn wanted(&self) -> bool {
-        !matches!(self.request_withheld(), Some(NotSent::RequestOver | NotSent::TimeOver))
-    }
-
-    /// Why the first byte may not be written now, if it may not.
-    pub(super) fn withheld(&self) -> Option<NotSent> {
+    /// Checks whether the first byte may be written now.
+    pub(super) fn check(&self) -> Result<(), SendDenied> {
         let availability = self.availability.as_ref().map(|availability| *availability.borrow());
         match availability {
-            Some(Availability::Leaving) => Some(NotSent::WorkerLeaving),
-            Some(Availability::Replaced) => Some(NotSent::WorkerReplaced),
-            Some(Availability::Ready) | None => self.request_withheld(),
+            Some(Availability::Draining) => Err(SendDenied::WorkerDraining),
+            Some(Availability::Replaced) => Err(SendDenied::WorkerReplaced),
+            Some(Availability::Ready) | None => self.check_request(),
         }
     }
 
-    fn request_withheld(&self) -> Option<NotSent> {
-        if self.over.load(Ordering::Relaxed) {
-            return Some(NotSent::RequestOver);
+    /// Checks whether somebody still waits for the request, whatever has become of the worker.
+    pub(super) fn check_request(&self) -> Result<(), SendDenied> {
+        if self.concluded.load(Ordering::Relaxed) {
+            return Err(SendDenied::RequestConcluded);
+        }
+        match self.first_byte_deadline {
+            Some(deadline) if Instant::now() >= deadline => Err(SendDenied::DeadlinePassed),
+            _ => Ok(()),
         }
-        self.begin_by.is_some_and(|begin_by| Instant::now() >= begin_by).then_some(NotSent::TimeOver)
     }
 }
--- /dev/null
+++ b/crates/vetchbridge/src/workers/probe.rs
@@ -0,0 +1,91 @@
+//! Health checks of workers: one probe, from its dial to its outcome.
+
+use super::endpoint::{wait_until_unavailable, Availability};
+use super::exchange::{Exchange, ExchangeError};
+use super::group::UpstreamGroup;
+use super::message::{WorkerRequest, WorkerResponse};
+use super::permission::SendPermission;
+use bytes::Bytes;
+use hyper::StatusCode;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::Instant;
+use vetchbridge_scheduling::interface::{LoadReport, Outcome, WorkerId};
+
+/// How long a probe may take, including its dial. A worker rejects a probe that has been queued for 500 ms; its response is
+/// still read, so that the connection can be reused.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// A response to a probe, and its complete body; `None` if the connection failed before its end.
+type ProbeResponse = (WorkerResponse, Option<Bytes>);
+
+impl UpstreamGroup {
+    /// Probes a worker over the connections of its attempts; the outcome, and the load report that came with it.
+    ///
+    /// Ends within [`PROBE_TIMEOUT`]. A worker that is draining is not probed.
+    pub async fn probe(&self, worker_id: WorkerId) -> (Outcome, Option<LoadReport>) {
+        let Ok(_permit) = self.probe_permits.try_acquire() else { return (Outcome::NotSent, None) };
+        let Some(worker) = self.worker(worker_id) else { return (Outcome::ConnectFailed, None) };
+        let mut availability = worker.availability.subscribe();
+        if let Some(outcome) = availability.borrow_and_update().outcome_if_unwritten() {
+            return (outcome, None);
+        }
+        let deadline = Instant::now() + PROBE_TIMEOUT;
+        let permission = SendPermission::while_available(availability.clone());
+        let exchange = worker.exchange(&WorkerRequest::Probe, permission);
+        self.evict_idle_connections();
+        match read_response(exchange, availability, deadline).await {
+            Ok(response) => self.probe_result(response),
+            Err(outcome) => (outcome, None),
+        }
+    }
+
+    /// What a response says about the worker.
+    fn probe_result(&self, (response, body): ProbeResponse) -> (Outcome, Option<LoadReport>) {
+        let Some(body) = body else { return (Outcome::Reset, None) };
+        let outcome = match response.status {
+            StatusCode::OK => Outcome::Ok,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Rejected,
+            _ => return (Outcome::Error, None),
+        };
+        let body = Some(&*body).filter(|body| !body.is_empty());
+        (outcome, self.load_reports().from_probe(body.or_else(|| response.load_report())))
+    }
+}
+
+/// Reads the response to a probe; the probe's outcome if there is none.
+async fn read_response(
+    exchange: Exchange,
+    mut availability: watch::Receiver<Availability>,
+    deadline: Instant,
+) -> Result<ProbeResponse, Outcome> {
+    let Exchange { progress, response } = exchange;
+    let timeout = tokio::time::sleep_until(deadline);
+    let response = async {
+        let mut response = response.await?;
+        let body = response.read_body().await;
+        Ok((response, body))
+    };
+    tokio::pin!(timeout, response);
+    let mut unwritten = true;
+    loop {
+        tokio::select! {
+            biased;
+            outcome = wait_until_unavailable(&mut availability), if unwritten => {
+                unwritten = false;
+                if !progress.has_begun() {
+                    return Err(outcome);
+                }
+            }
+            response = &mut response => {
+                return response.map_err(|error| match error {
+                    ExchangeError::RequestIncomplete => Outcome::ConnectFailed,
+                    ExchangeError::ResponseMissing => Outcome::Reset,
+                });
+            }
+            () = &mut timeout => {
+                return Err(if progress.is_connected() { Outcome::Timeout } else { Outcome::ConnectFailed });
+            }
+        }
+    }
+}
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_blocking;
 use vetchbridge::workers::{
-    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+    worker_id, AttemptResult, Callback, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
 use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome, RequestId, WorkerId};
 
@@ -71,8 +71,8 @@
         let group = UpstreamGroup::new(dial, MINUTE, 1);
         let address = listener.local_addr().expect("bound").to_string();
         let (name, state) = ("s-0", EndpointState::Ready);
-        let entry = ListedWorker { worker_id: worker, name, address: &address, state, started: 0 };
-        group.apply(EndpointUpdate::Changes, [entry].into_iter());
+        let entry = WorkerEndpoint { worker_id: worker, name, address: &address, state, started_at: 0 };
+        group.apply_endpoints(EndpointUpdate::Changes, [entry].into_iter());
         Stage { group, listener, worker }
     }
 
@@ -88,11 +88,11 @@
     fn calls_back(&self, state: &str) {
         let words = json!({"id": ID, "from": "s-0", "state": state, "result": "made"});
         let callback: Callback = serde_json::from_value(words).expect("a callback");
-        assert!(self.group.called_back(&callback));
+        assert!(self.group.dispatch_callback(&callback));
     }
 
     async fn attempt_of(&self, payload: Payload, cancelled: oneshot::Receiver<()>) -> AttemptResult {
-        let conditions = SendConditions::within(MINUTE);
+        let conditions = SendConditions::with_timeout(MINUTE);
         self.group.attempt(RequestId(0xab), self.worker, &payload, conditions, cancelled, |_| {}).await.0
     }
 
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -15,7 +15,7 @@
 use vetchbridge::invariants::violations;
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::process_links::ProcessLinks;
-use vetchbridge::workers::{worker_id, ListedWorker, Payload, SendConditions, UpstreamGroup};
+use vetchbridge::workers::{worker_id, Payload, SendConditions, UpstreamGroup, WorkerEndpoint};
 use vetchbridge_scheduling::interface::{
     ClassId, EndpointState, EndpointUpdate, Request, RequestId, TenantId,
 };
@@ -47,15 +47,15 @@
     let address = listener.local_addr().expect("bound").to_string();
     let group = UpstreamGroup::new(MINUTE, MINUTE, 1);
     let (worker, name, state) = (worker_id("s-0"), "s-0", EndpointState::Ready);
-    let entry = ListedWorker { worker_id: worker, name, address: &address, state, started: 0 };
-    group.apply(EndpointUpdate::Changes, [entry].into_iter());
+    let entry = WorkerEndpoint { worker_id: worker, name, address: &address, state, started_at: 0 };
+    group.apply_endpoints(EndpointUpdate::Changes, [entry].into_iter());
     let payload = payload();
     let attempt = |number: u64, cancelled| {
         Box::pin(group.attempt(
             RequestId(number),
             worker,
             &payload,
-            SendConditions::within(MINUTE),
+            SendConditions::with_timeout(MINUTE),
             cancelled,
             |_| {},
         ))
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -27,7 +27,7 @@
 use vetchbridge::discovery::document::Instance;
 use vetchbridge::upgrade::message::{in_messages, HandoverMessage, LONGEST};
 use vetchbridge::workers::{
-    parse_request_id, worker_id, AttemptResult, ListedWorker, Payload, SendConditions, UpstreamGroup,
+    parse_request_id, worker_id, AttemptResult, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
 use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
 use vetchbridge_scheduling::peer_message::PeerMessage;
@@ -386,14 +386,15 @@
     const BESIDE: usize = 12;
     // None of them expires within the story.
     let group = UpstreamGroup::new(HANG, 10 * HANG, 1);
-    group.limit_connections(MOST);
+    group.set_max_connections(MOST);
     let (heard, mut ended) = unbounded_channel();
     for number in 0..=BESIDE {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (name, address) = (worker_name(number, 0), listener.local_addr().expect("bound").to_string());
         let (worker, state) = (worker_id(&name), EndpointState::Ready);
-        let listed = ListedWorker { worker_id: worker, name: &name, address: &address, state, started: 0 };
-        group.apply(EndpointUpdate::Changes, std::iter::once(listed));
+        let listed =
+            WorkerEndpoint { worker_id: worker, name: &name, address: &address, state, started_at: 0 };
+        group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(listed));
         tokio::spawn(turn_away(number, listener, heard.clone()));
     }
     // Worker 0 is used again after each of the others, which are used once.
@@ -402,8 +403,9 @@
         let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
         let payload = Payload { id, target, idempotency_key: None, body: "work".into() };
         let (_cancel, cancelled) = oneshot::channel();
-        let (end, _) =
-            group.attempt(request, worker, &payload, SendConditions::within(HANG), cancelled, |_| {}).await;
+        let (end, _) = group
+            .attempt(request, worker, &payload, SendConditions::with_timeout(HANG), cancelled, |_| {})
+            .await;
         assert_eq!(end, AttemptResult::NotServed(Outcome::Rejected));
     }
     let mut closed = BTreeSet::new();
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -22,7 +22,7 @@
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{
-    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+    worker_id, AttemptResult, Callback, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
 use vetchbridge_scheduling::interface::*;
 use vetchbridge_scheduling::scheduler::Scheduler;
@@ -55,11 +55,11 @@
     }
 }
 
-fn tell(group: &UpstreamGroup, narrow: &Narrow, state: EndpointState, started: Micros) {
+fn tell(group: &UpstreamGroup, narrow: &Narrow, state: EndpointState, started_at: Micros) {
     let (worker, name, address) = (worker_id("s-0"), "s-0", &*narrow.address.to_string());
-    group.apply(
+    group.apply_endpoints(
         EndpointUpdate::Changes,
-        [ListedWorker { worker_id: worker, name, address, state, started }].into_iter(),
+        [WorkerEndpoint { worker_id: worker, name, address, state, started_at }].into_iter(),
     );
 }
 
@@ -110,12 +110,13 @@
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     tell(&group, &narrow, EndpointState::Ready, STARTED);
     let _filler = narrow.fill().await;
-    let mut conditions = SendConditions::within(MINUTE);
+    let mut conditions = SendConditions::with_timeout(MINUTE);
     if change == Change::TimeUp {
         // Over before the kernel calls again.
-        conditions.begin_within = Duration::from_micros(1);
+        conditions.first_byte_timeout = Duration::from_micros(1);
     }
-    let (over, payload, (_cancel, cancelled)) = (conditions.over.clone(), payload(ID), oneshot::channel());
+    let (over, payload, (_cancel, cancelled)) =
+        (conditions.concluded.clone(), payload(ID), oneshot::channel());
     let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
@@ -127,8 +128,8 @@
         Change::StartsAnewAfterItsClockWasSteppedBack => {
             tell(&group, &narrow, EndpointState::Ready, STARTED - 1);
         }
-        Change::ReturnedBefore => assert!(group.called_back(&callback(ID, "returned"))),
-        Change::DoneBefore => assert!(group.called_back(&callback(ID, "done"))),
+        Change::ReturnedBefore => assert!(group.dispatch_callback(&callback(ID, "returned"))),
+        Change::DoneBefore => assert!(group.dispatch_callback(&callback(ID, "done"))),
     }
     let worker = async {
         narrow.accept().await.closed_by_the_story();
@@ -136,7 +137,7 @@
         if let Some(job) = worker.read().await {
             assert_eq!(job.header("x-trace-id"), Some(ID));
             worker.answer(202, "", "").await.expect("it is read");
-            assert!(group.called_back(&callback(ID, "done")));
+            assert!(group.dispatch_callback(&callback(ID, "done")));
             return true;
         }
         false
@@ -186,8 +187,14 @@
     let (payload, (_cancel, cancelled)) = (payload("00000000000000ab"), oneshot::channel());
     let decided = std::time::Instant::now();
     let worker = worker_id("s-0");
-    let attempt =
-        group.attempt(RequestId(0xab), worker, &payload, SendConditions::within(WAIT), cancelled, |_| {});
+    let attempt = group.attempt(
+        RequestId(0xab),
+        worker,
+        &payload,
+        SendConditions::with_timeout(WAIT),
+        cancelled,
+        |_| {},
+    );
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
     let worker = async {
@@ -196,7 +203,7 @@
         let job = worker.read().await.expect("the job");
         let read = decided.elapsed();
         worker.answer(202, "", "").await.expect("it is read");
-        assert!(group.called_back(&callback("00000000000000ab", "done")));
+        assert!(group.dispatch_callback(&callback("00000000000000ab", "done")));
         let told = job.header("x-expires-in").expect("a span");
         let micros = told.strip_suffix('u').and_then(|digits| digits.parse().ok()).expect("microseconds");
         (Duration::from_micros(micros), read)
@@ -218,9 +225,16 @@
     let (first, second) = (payload("00000000000000ab"), payload("00000000000000cd"));
     let ((cancel, cancelled), (_keep, kept)) = (oneshot::channel(), oneshot::channel());
     let worker = worker_id("s-0");
-    let gone =
-        group.attempt(RequestId(0xab), worker, &first, SendConditions::within(MINUTE), cancelled, |_| {});
-    let stays = group.attempt(RequestId(0xcd), worker, &second, SendConditions::within(MINUTE), kept, |_| {});
+    let gone = group.attempt(
+        RequestId(0xab),
+        worker,
+        &first,
+        SendConditions::with_timeout(MINUTE),
+        cancelled,
+        |_| {},
+    );
+    let stays =
+        group.attempt(RequestId(0xcd), worker, &second, SendConditions::with_timeout(MINUTE), kept, |_| {});
     tokio::pin!(gone, stays);
     assert!(
         futures_util::poll!(gone.as_mut()).is_pending() && futures_util::poll!(stays.as_mut()).is_pending()
@@ -233,7 +247,7 @@
         let job = worker.read().await.expect("the job that is wanted");
         assert_eq!(job.header("x-trace-id"), Some("00000000000000cd"));
         worker.answer(202, "", "").await.expect("it is read");
-        assert!(group.called_back(&callback("00000000000000cd", "done")));
+        assert!(group.dispatch_callback(&callback("00000000000000cd", "done")));
     };
     let ((ended, _), ()) = tokio::join!(stays, worker);
     assert_eq!(ended, AttemptResult::Served("made".into()));
@@ -262,9 +276,9 @@
     let addresses = workers.each_ref().map(|worker| worker.address.to_string());
     let entries = names.iter().zip(&addresses).map(|(name, address)| {
         let worker = worker_id(name);
-        ListedWorker { worker_id: worker, name, address, state: ready, started: 0 }
+        WorkerEndpoint { worker_id: worker, name, address, state: ready, started_at: 0 }
     });
-    upstream.apply(EndpointUpdate::Snapshot, entries);
+    upstream.apply_endpoints(EndpointUpdate::Snapshot, entries);
     let endpoint = |name| Endpoint {
         worker: worker_id(name),
         zone: ZoneId(0),
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -237,7 +237,9 @@
         take(&mut stream, length).await;
         Wire::new(stream).answer(202, "", "").await.expect("it is read");
         let done = json!({"id": id, "from": second, "state": "done", "result": "made"}).to_string();
-        assert!(parts.upstream.called_back(&serde_json::from_str::<Callback>(&done).expect("a callback")));
+        assert!(parts
+            .upstream
+            .dispatch_callback(&serde_json::from_str::<Callback>(&done).expect("a callback")));
         assert_eq!(answer.await.expect("an answer"), Answer::Served("made".into()));
     } else {
         tokio::select! {
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use vetchbridge::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use vetchbridge::workers::{
-    worker_id, AttemptResult, Callback, ListedWorker, Payload, SendConditions, UpstreamGroup,
+    worker_id, AttemptResult, Callback, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
 use vetchbridge_scheduling::interface::{
     EndpointState, EndpointUpdate, LoadReport, LoadReportSource, Outcome, RequestId, WorkerId,
@@ -32,15 +32,15 @@
 
 fn tell(group: &UpstreamGroup, address: SocketAddr, state: EndpointState) {
     let (worker_id, name, address) = (worker_id("s-0"), "s-0", &*address.to_string());
-    let entry = ListedWorker { worker_id, name, address, state, started: 0 };
-    group.apply(EndpointUpdate::Changes, [entry].into_iter());
+    let entry = WorkerEndpoint { worker_id, name, address, state, started_at: 0 };
+    group.apply_endpoints(EndpointUpdate::Changes, [entry].into_iter());
 }
 
 impl Stage {
     async fn set(source: LoadReportSource, probes: usize) -> Stage {
         let worker = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let group = UpstreamGroup::new(MINUTE, MINUTE, probes);
-        group.read_reports(LoadReportSettings { source, free_slots: FreeSlotsField::X0 });
+        group.set_load_reports(LoadReportSettings { source, free_slots: FreeSlotsField::X0 });
         tell(&group, worker.local_addr().expect("bound"), EndpointState::Ready);
         Stage { group, worker, worker_id: worker_id("s-0") }
     }
@@ -73,7 +73,7 @@
             RequestId(0xab),
             self.worker_id,
             &payload,
-            SendConditions::within(MINUTE),
+            SendConditions::with_timeout(MINUTE),
             cancelled,
             |_| {},
         );
@@ -83,7 +83,7 @@
             wire.answer(answer.0, answer.1, "").await.expect("it is read");
             if let Some(callback) = callback {
                 let callback: Callback = serde_json::from_str(callback).expect("a callback");
-                assert!(self.group.called_back(&callback));
+                assert!(self.group.dispatch_callback(&callback));
             }
             wire
         };
