--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -68,7 +68,7 @@
         retry: text("x-second-try")? == Some("1"),
     };
     let payload = Payload { id: id_text.to_string(), target: target.clone(), idempotency_key, body };
-    Ok(Job { request, payload, settings, room: Some(room) })
+    Ok(Job { request, payload, settings, body_permit: Some(room) })
 }
 
 /// A header's only value. Two of them are two clients' words in one request, and neither can be believed.
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -381,8 +381,8 @@
 fn render(answer: Answer) -> Response {
     match answer {
         Answer::Served(result) => (StatusCode::OK, result).into_response(),
-        Answer::Reject { retry_after: 0 } => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Answer::Reject { retry_after } => {
+        Answer::Rejected { retry_after: 0 } => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Answer::Rejected { retry_after } => {
             let seconds = format!("{:.3}", retry_after as f64 / 1e6);
             (StatusCode::SERVICE_UNAVAILABLE, [(RETRY_AFTER, seconds)]).into_response()
         }
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -187,7 +187,7 @@
         let sent = self.clock.now();
         let (status, load) = self.upstream.probe(worker).await;
         let latency = self.clock.now().saturating_sub(sent);
-        debug!(worker = self.upstream.worker_name(worker), ?status, us = latency, ?load, "probe.finished");
+        debug!(worker = self.upstream.worker_name(worker), outcome = ?status, latency_us = latency, ?load, "probe.finished");
         Event::Probed { worker, outcome: status, latency, load }
     }
 
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -1,8 +1,8 @@
-//! The request context and its life, from taken to exactly one answer.
+//! The life of one request, from its submission to exactly one answer.
 //!
-//! [`run`] owns the context: the module's steps, the attempts out, and the right to answer. It knows no
-//! protocol: front makes a [`Job`] and renders an [`Answer`]. It must never choose a worker, a pause or an
-//! answer itself; it asks the module, through the engine, at each point of choice.
+//! [`run`] carries out the decision module's commands for the request, with the attempts in flight and the right to answer. It
+//! knows no protocol: the client server makes a [`Job`] and renders an [`Answer`]. It never chooses a worker, a pause or an
+//! answer by itself; it reports every event to the module through the engine.
 
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{violated, Invariant};
@@ -21,49 +21,50 @@
 use tracing::debug;
 use vetchbridge_scheduling::interface::*;
 
-/// A request as it was taken from a client, in no protocol's terms.
+/// A request as it was read from a client, independent of the protocol.
 pub struct Job {
-    /// What the module is told.
+    /// What the decision module gets.
     pub request: Request,
-    /// What a worker is given, unopened.
+    /// What a worker gets, unparsed.
     pub payload: Payload,
-    /// The settings that it was read under; they hold to its end.
+    /// The settings that it was read under; they apply to its end.
     pub settings: Arc<Snapshot>,
-    /// Its share of the memory for bodies, given back with the job.
-    pub room: Option<OwnedSemaphorePermit>,
+    /// Its part of the memory for bodies, released with the job.
+    pub body_permit: Option<OwnedSemaphorePermit>,
 }
 
-/// The one final answer.
+/// The one final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
     /// A worker's result.
     Served(Bytes),
-    /// Refused: trying again is harmless, after this long.
-    Reject {
-        /// 0 for no advice.
+    /// Rejected: it has not run, and a retry is harmless.
+    Rejected {
+        /// When a retry is advised, in microseconds from now; 0 for no advice.
         retry_after: Micros,
     },
-    /// Failed.
+    /// Failed: it may have run.
     Failed,
     /// The id belongs to a request that is still open.
     Duplicate,
 }
 
 impl Answer {
-    /// What the answer is called in the log.
+    /// The name of the answer in the log.
     fn name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
-            Answer::Reject { .. } => "rejected",
+            Answer::Rejected { .. } => "rejected",
             Answer::Failed => "failed",
             Answer::Duplicate => "duplicate",
         }
     }
 }
 
-/// Takes the request on: the module hears of it, and owes one final answer from here on. No other settings can come
-/// between its reading and this. Its life goes on in a task of its own, since attempts may outlive the client;
-/// dropping the receiver says that the client has gone.
+/// Submits a request to the decision module, and returns the receiver of its one final answer.
+///
+/// No other settings may come into force between the reading of the request and this call. The request lives in a task of its
+/// own, since attempts may outlive the client; dropping the receiver means that the client has disconnected.
 pub fn submit(
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
@@ -71,10 +72,10 @@
     job: Job,
 ) -> oneshot::Receiver<Answer> {
     let (reply, answer) = oneshot::channel();
-    let Job { request, payload, settings, room } = job;
+    let Job { request, payload, settings, body_permit } = job;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
     let open_elsewhere = process_links.holds(id);
-    let Some(steps) = (!open_elsewhere).then(|| engine.open(request)).flatten() else {
+    let Some(commands) = (!open_elsewhere).then(|| engine.open(request)).flatten() else {
         let _ = reply.send(Answer::Duplicate);
         return answer;
     };
@@ -85,59 +86,217 @@
         settings,
         id,
         class,
-        steps,
+        deadline,
+        attempts: Vec::new(),
+        commands,
         reply: Some(reply),
-        over: Arc::default(),
-        _room: room,
+        concluded: Arc::default(),
+        _body_permit: body_permit,
     };
-    tokio::spawn(run(context, upstream, payload, deadline));
+    tokio::spawn(run(context, upstream, payload));
     answer
 }
 
-/// Holds a request's place with the engine; given back here and nowhere else.
+/// One request's life, until it is answered and each of its attempts has ended.
+async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, payload: Payload) {
+    let engine = context.engine.clone();
+    let mut in_flight = FuturesUnordered::new();
+    while context.reply.is_some() || !in_flight.is_empty() {
+        tokio::select! {
+            biased;
+            // Before any command: what the module sends in the same moment is no longer wanted.
+            () = client_disconnected(&mut context.reply) => context.on_client_disconnected(),
+            command = context.commands.recv() => match command {
+                Some(RequestCommand::Send { worker, timeout }) => {
+                    let attempt = context.start_attempt(worker, timeout);
+                    in_flight.push(attempt.run(&engine, &upstream, &payload));
+                }
+                Some(RequestCommand::Cancel(attempt)) => context.cancel_attempt(attempt),
+                Some(RequestCommand::Reject { retry_after }) => {
+                    context.conclude_unserved(Answer::Rejected { retry_after });
+                }
+                Some(RequestCommand::Fail) => context.conclude_unserved(Answer::Failed),
+                // The engine never drops a sender before `close`.
+                None => return,
+            },
+            Some(finished) = in_flight.next() => context.finish_attempt(finished, &upstream),
+        }
+    }
+}
+
+/// Resolves when the client of an unanswered request disconnects.
+async fn client_disconnected(reply: &mut Option<oneshot::Sender<Answer>>) {
+    match reply {
+        Some(reply) => reply.closed().await,
+        None => std::future::pending().await,
+    }
+}
+
+/// The state of one open request. It is registered with the engine until this is dropped.
 struct RequestContext {
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
     settings: Arc<Snapshot>,
     id: RequestId,
     class: ClassId,
-    steps: UnboundedReceiver<RequestCommand>,
+    deadline: Micros,
+    /// All attempts so far, by their number.
+    attempts: Vec<AttemptRecord>,
+    commands: UnboundedReceiver<RequestCommand>,
+    /// Present until the request is answered or its client disconnects.
     reply: Option<oneshot::Sender<Answer>>,
     /// Set once nobody waits for the answer any more.
-    over: Arc<AtomicBool>,
-    _room: Option<OwnedSemaphorePermit>,
+    concluded: Arc<AtomicBool>,
+    _body_permit: Option<OwnedSemaphorePermit>,
+}
+
+/// What the request remembers of an attempt.
+struct AttemptRecord {
+    /// Present until the attempt is cancelled.
+    cancel: Option<oneshot::Sender<()>>,
+    /// When it was sent; `None` once it is known that it never ran.
+    may_have_run_since: Option<Micros>,
+}
+
+/// An attempt that is about to start.
+struct NewAttempt {
+    request: RequestId,
+    number: AttemptNo,
+    worker: WorkerId,
+    sent_at: Micros,
+    /// `None` if it must not be sent any more.
+    conditions: Option<SendConditions>,
+    cancelled: oneshot::Receiver<()>,
+}
+
+/// An attempt that has ended.
+struct FinishedAttempt {
+    number: AttemptNo,
+    worker: WorkerId,
+    sent_at: Micros,
+    result: AttemptResult,
+    load: Option<LoadReport>,
+}
+
+impl NewAttempt {
+    /// Runs the attempt to its end, and reports the job's progress to the decision module.
+    async fn run(self, engine: &Engine, upstream: &UpstreamGroup, payload: &Payload) -> FinishedAttempt {
+        let NewAttempt { request, number, worker, sent_at, conditions, cancelled } = self;
+        let on_progress = |progress| {
+            let elapsed = engine.clock.now().saturating_sub(sent_at);
+            debug!(request = %Id(request), attempt = number.0, worker = upstream.worker_name(worker), ?progress, elapsed_us = elapsed, "attempt.progress");
+            engine.handle(Event::JobProgress { request, attempt: number, progress });
+        };
+        let (result, load) = match conditions {
+            Some(conditions) => {
+                upstream.attempt(request, worker, payload, conditions, cancelled, on_progress).await
+            }
+            None => (AttemptResult::NotServed(Outcome::NotSent), None),
+        };
+        FinishedAttempt { number, worker, sent_at, result, load }
+    }
 }
 
 impl RequestContext {
-    fn answer(&mut self, answer: Answer) {
-        if let Some(reply) = self.reply.take() {
-            self.over.store(true, Ordering::Relaxed);
-            let class = self.settings.names.classes.get(self.class.0 as usize).map_or("", String::as_str);
-            debug!(request = %Id(self.id), class, status = answer.name(), "request.answered");
-            // Failure means that the client left in this instant; nobody is owed anything then.
-            let _ = reply.send(answer);
+    /// Registers an attempt that the decision module has commanded, and sets the conditions under which it is sent.
+    fn start_attempt(&mut self, worker: WorkerId, timeout: Option<Micros>) -> NewAttempt {
+        let number = AttemptNo(self.attempts.len() as u32);
+        let sent_at = self.engine.clock.now();
+        let deadline =
+            timeout.map_or(self.deadline, |timeout| self.deadline.min(sent_at.saturating_add(timeout)));
+        let first_byte_deadline = self.first_byte_deadline(sent_at, deadline);
+        let (cancel, cancelled) = oneshot::channel();
+        self.attempts.push(AttemptRecord { cancel: Some(cancel), may_have_run_since: Some(sent_at) });
+        let is_wanted = self.reply.is_some() && first_byte_deadline > sent_at;
+        let conditions = is_wanted.then(|| SendConditions {
+            timeout: Duration::from_micros(deadline - sent_at),
+            first_byte_timeout: Duration::from_micros(first_byte_deadline - sent_at),
+            concluded: self.concluded.clone(),
+        });
+        NewAttempt { request: self.id, number, worker, sent_at, conditions, cancelled }
+    }
+
+    /// Until when the first byte of an attempt may be written. The decision module sent it within these bounds; they must
+    /// still hold at its first byte.
+    fn first_byte_deadline(&self, sent_at: Micros, deadline: Micros) -> Micros {
+        let class = self.settings.settings.classes.get(self.class.0 as usize);
+        let idempotency = class.map(|class| class.idempotency).unwrap_or_default();
+        let first_sent_at = self.attempts.iter().find_map(|attempt| attempt.may_have_run_since);
+        match (idempotency, first_sent_at) {
+            (Idempotency::Idempotent, _) | (_, None) => deadline,
+            (Idempotency::Keyed { window, .. }, Some(first)) => deadline.min(first.saturating_add(window)),
+            (Idempotency::NonIdempotent, Some(_)) => {
+                violated(Invariant::UnsafeJobOnce, Some(self.id), "an attempt before may have run");
+                sent_at
+            }
+        }
+    }
+
+    fn cancel_attempt(&mut self, number: AttemptNo) {
+        let attempt = self.attempts.get_mut(number.0 as usize);
+        if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
+            // Sending fails if the attempt has ended.
+            let _ = cancel.send(());
+        }
+    }
+
+    /// Answers with an attempt's result where it has one, and reports its outcome to the decision module.
+    fn finish_attempt(&mut self, finished: FinishedAttempt, upstream: &UpstreamGroup) {
+        let FinishedAttempt { number, worker, sent_at, result, load } = finished;
+        let outcome = match result {
+            AttemptResult::Served(result) => {
+                self.answer(Answer::Served(result));
+                Outcome::Ok
+            }
+            AttemptResult::NotServed(outcome) => outcome,
+        };
+        if outcome.never_ran() {
+            self.attempts[number.0 as usize].may_have_run_since = None;
         }
+        let (request, latency) = (self.id, self.engine.clock.now().saturating_sub(sent_at));
+        debug!(request = %Id(request), attempt = number.0, worker = upstream.worker_name(worker), ?outcome, latency_us = latency, "attempt.finished");
+        let closed = self.reply.is_none();
+        self.engine.handle(Event::AttemptFinished {
+            request,
+            attempt: number,
+            worker,
+            outcome,
+            latency,
+            closed,
+            load,
+        });
     }
 
-    /// What a refusal or failure by the module can be told from: the attempts, and the time that was left.
-    fn log_unserved(&self, may_have_run: &[Option<Micros>], deadline: Micros) {
-        let ran = may_have_run.iter().flatten().count();
-        let left = deadline.saturating_sub(self.engine.clock.now());
-        debug!(request = %Id(self.id), attempts = may_have_run.len(), may_have_run = ran, left_us = left, "request.unserved");
+    fn on_client_disconnected(&mut self) {
+        self.reply = None;
+        self.concluded.store(true, Ordering::Relaxed);
+        self.engine.handle(Event::ClientDisconnected(self.id));
     }
 
-    /// Resolves when the client leaves an unanswered request.
-    async fn client_left(reply: &mut Option<oneshot::Sender<Answer>>) {
-        match reply {
-            Some(reply) => reply.closed().await,
-            None => std::future::pending().await,
+    /// Answers without a worker's result, and logs what explains that: the attempts, and the time that remained.
+    fn conclude_unserved(&mut self, answer: Answer) {
+        let may_have_run =
+            self.attempts.iter().filter(|attempt| attempt.may_have_run_since.is_some()).count();
+        let remaining = self.deadline.saturating_sub(self.engine.clock.now());
+        let attempts = self.attempts.len();
+        debug!(request = %Id(self.id), attempts, may_have_run, remaining_us = remaining, "request.not_served");
+        self.answer(answer);
+    }
+
+    fn answer(&mut self, answer: Answer) {
+        if let Some(reply) = self.reply.take() {
+            self.concluded.store(true, Ordering::Relaxed);
+            let class = self.settings.names.classes.get(self.class.0 as usize).map_or("", String::as_str);
+            debug!(request = %Id(self.id), class, answer = answer.name(), "request.answered");
+            // Sending fails if the client has disconnected in this instant; it is owed no answer then.
+            let _ = reply.send(answer);
         }
     }
 }
 
 impl Drop for RequestContext {
     fn drop(&mut self) {
-        // A life cut short must not leave the module waiting for a request that nobody carries any more.
+        // If the task is cancelled, the decision module must not wait for a request that nobody carries any more.
         if let Some(reply) = self.reply.take() {
             if !reply.is_closed() {
                 violated(Invariant::TakenRequestIsAnswered, Some(self.id), "its life was cut short");
@@ -148,97 +307,3 @@
         self.process_links.tell(|| HandoverMessage::Closed(self.id.0));
     }
 }
-
-/// One request's life, from taken on.
-async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, payload: Payload, deadline: Micros) {
-    let (engine, id) = (context.engine.clone(), context.id);
-    let mut attempts = FuturesUnordered::new();
-    let mut cancels: Vec<Option<oneshot::Sender<()>>> = Vec::new();
-    // When each attempt was sent, but those that surely never ran.
-    let mut may_have_run: Vec<Option<Micros>> = Vec::new();
-    let effect =
-        context.settings.settings.classes.get(context.class.0 as usize).map(|class| class.idempotency);
-
-    // Alive until it is answered and each attempt has had its outcome.
-    while context.reply.is_some() || !attempts.is_empty() {
-        tokio::select! {
-            biased;
-            // Before any step: a send that the module chose in the same moment has become moot.
-            () = RequestContext::client_left(&mut context.reply) => {
-                context.reply = None;
-                context.over.store(true, Ordering::Relaxed);
-                engine.handle(Event::ClientDisconnected(id));
-            }
-            step = context.steps.recv() => match step {
-                Some(RequestCommand::Send { worker, timeout }) => {
-                    let attempt = AttemptNo(cancels.len() as u32);
-                    let sent = engine.clock.now();
-                    let until = timeout.map_or(deadline, |t| deadline.min(sent.saturating_add(t)));
-                    let (cancel, cancelled) = oneshot::channel();
-                    cancels.push(Some(cancel));
-                    // The module sent it within these bounds; they must still hold at its first byte.
-                    let begin_by = match (effect.unwrap_or_default(), may_have_run.iter().flatten().next()) {
-                        (Idempotency::Idempotent, _) | (_, None) => until,
-                        (Idempotency::Keyed { window, .. }, Some(first)) => until.min(first.saturating_add(window)),
-                        (Idempotency::NonIdempotent, Some(_)) => {
-                            violated(Invariant::UnsafeJobOnce, Some(id), "an attempt before may have run");
-                            sent
-                        }
-                    };
-                    may_have_run.push(Some(sent));
-                    let (engine, upstream, payload) = (&engine, &upstream, &payload);
-                    let moot = context.reply.is_none() || begin_by <= sent;
-                    let over = context.over.clone();
-                    attempts.push(async move {
-                        let note = |note| {
-                            let after = engine.clock.now().saturating_sub(sent);
-                            debug!(request = %Id(id), attempt = attempt.0, worker = upstream.worker_name(worker), ?note, us = after, "attempt.note");
-                            engine.handle(Event::JobProgress { request: id, attempt, progress: note });
-                        };
-                        let ended = if moot {
-                            (AttemptResult::NotServed(Outcome::NotSent), None)
-                        } else {
-                            let (wait, begin_within) = (until - sent, begin_by - sent);
-                            let (wait, begin_within) =
-                                (Duration::from_micros(wait), Duration::from_micros(begin_within));
-                            let conditions = SendConditions { timeout: wait, first_byte_timeout: begin_within, concluded: over };
-                            upstream.attempt(id, worker, payload, conditions, cancelled, note).await
-                        };
-                        (attempt, worker, sent, ended)
-                    });
-                }
-                Some(RequestCommand::Cancel(attempt)) => {
-                    if let Some(cancel) = cancels.get_mut(attempt.0 as usize).and_then(Option::take) {
-                        let _ = cancel.send(());
-                    }
-                }
-                Some(RequestCommand::Reject { retry_after }) => {
-                    context.log_unserved(&may_have_run, deadline);
-                    context.answer(Answer::Reject { retry_after });
-                }
-                Some(RequestCommand::Fail) => {
-                    context.log_unserved(&may_have_run, deadline);
-                    context.answer(Answer::Failed);
-                }
-                // The engine never drops a sender before `close`.
-                None => return,
-            },
-            Some((attempt, worker, sent, (ended, load))) = attempts.next() => {
-                let status = match ended {
-                    AttemptResult::Served(result) => {
-                        context.answer(Answer::Served(result));
-                        Outcome::Ok
-                    }
-                    AttemptResult::NotServed(status) => status,
-                };
-                if status.never_ran() {
-                    may_have_run[attempt.0 as usize] = None;
-                }
-                let latency = engine.clock.now().saturating_sub(sent);
-                debug!(request = %Id(id), attempt = attempt.0, worker = upstream.worker_name(worker), ?status, us = latency, "attempt.ended");
-                let closed = context.reply.is_none();
-                engine.handle(Event::AttemptFinished { request: id, attempt, worker, outcome: status, latency, closed, load });
-            }
-        }
-    }
-}
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -90,7 +90,7 @@
         let deadline = engine.clock.now() + 60_000_000;
         let request =
             Request { id, class, tenant, key: None, deadline, expected_work: None, slots: 1.0, retry: false };
-        let job = Job { request, payload: payload(), settings: Arc::new(config.snapshot), room: None };
+        let job = Job { request, payload: payload(), settings: Arc::new(config.snapshot), body_permit: None };
         let answer = submit(engine, upstream, Arc::new(ProcessLinks::default()), job);
         tokio::task::yield_now().await;
         Some(answer)
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -306,7 +306,7 @@
         request,
         payload: payload("00000000000000ab"),
         settings: Arc::new(config.snapshot),
-        room: None,
+        body_permit: None,
     };
     let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), job);
     let (mut first, other) = tokio::select! {
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -141,7 +141,7 @@
         };
         let target = PathAndQuery::from_static("/receipt/k");
         let payload = Payload { id: id.to_string(), target, idempotency_key: None, body };
-        let job = Job { request, payload, settings: self.current.get(), room: None };
+        let job = Job { request, payload, settings: self.current.get(), body_permit: None };
         submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
     }
 
