--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The checks of what must never happen: each finds what is planted for it. One test, since the count is the process's.
+//! Violations of invariants are counted. One test, since the count is that of the process.
 #![allow(missing_docs)]
 
 use bytes::Bytes;
@@ -33,22 +33,22 @@
 }
 
 #[test]
-fn what_must_never_happen_is_counted_where_it_does() {
-    runtime().block_on(a_second_attempt_at_a_worker_that_still_has_one());
-    let waits = a_request_whose_life_is_cut_short(true);
+fn violations_of_invariants_are_counted() {
+    runtime().block_on(start_a_second_attempt_at_the_same_worker());
+    let answer = abort_an_open_request(true);
     assert_eq!(violations(), 2, "its client waits");
-    drop(waits);
-    a_request_whose_life_is_cut_short(false);
-    assert_eq!(violations(), 2, "its client had gone");
+    drop(answer);
+    abort_an_open_request(false);
+    assert_eq!(violations(), 2, "its client has disconnected");
 }
 
-async fn a_second_attempt_at_a_worker_that_still_has_one() {
+async fn start_a_second_attempt_at_the_same_worker() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let group = UpstreamGroup::new(MINUTE, MINUTE, 1);
     let (worker, name, state) = (worker_id("s-0"), "s-0", EndpointState::Ready);
-    let entry = WorkerEndpoint { worker_id: worker, name, address: &address, state, started_at: 0 };
-    group.apply_endpoints(EndpointUpdate::Changes, [entry].into_iter());
+    let endpoint = WorkerEndpoint { worker_id: worker, name, address: &address, state, started_at: 0 };
+    group.apply_endpoints(EndpointUpdate::Changes, [endpoint].into_iter());
     let payload = payload();
     let attempt = |number: u64, cancelled| {
         Box::pin(group.attempt(
@@ -61,19 +61,20 @@
         ))
     };
     let cancels: [_; 3] = std::array::from_fn(|_| oneshot::channel::<()>());
-    let [(_a, first), (_b, of_another), (_c, second)] = cancels;
-    let (mut first, mut of_another) = (attempt(0xab, first), attempt(0xcd, of_another));
+    let [(_a, first), (_b, of_another_request), (_c, second)] = cancels;
+    let (mut first, mut of_another_request) = (attempt(0xab, first), attempt(0xcd, of_another_request));
     assert!(
-        futures_util::poll!(&mut first).is_pending() && futures_util::poll!(&mut of_another).is_pending()
+        futures_util::poll!(&mut first).is_pending()
+            && futures_util::poll!(&mut of_another_request).is_pending()
     );
-    assert_eq!(violations(), 0, "each request has one there");
+    assert_eq!(violations(), 0, "each request has one attempt there");
     let mut second = attempt(0xab, second);
     assert!(futures_util::poll!(&mut second).is_pending());
     assert_eq!(violations(), 1);
 }
 
-/// Takes a request for which there is no worker, and ends the runtime that carries it.
-fn a_request_whose_life_is_cut_short(client_waits: bool) -> Option<oneshot::Receiver<Answer>> {
+/// Submits a request for which there is no worker, and ends the runtime that carries it.
+fn abort_an_open_request(client_waits: bool) -> Option<oneshot::Receiver<Answer>> {
     let class = json!({"name": "safe", "repeat": "safe", "aim": 500_000, "deadline": 60_000_000});
     let document = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "discovery": "127.0.0.1:1",
         "settings": {"me": 0, "balancers": 1, "areas": ["a"], "kinds": ["m"], "zone": 0, "tick": 4000,
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -1,8 +1,8 @@
 //! A scheduler of a large deployment: 1,200 workers in its list and 1,200 schedulers beside it. It starts, serves, is
 //! handed over and restarts with all of them, also with fewer descriptors than workers.
 //!
-//! Each worker has a loopback address of its own (127.1.0.0 and on) behind one listener, which tells the workers apart by
-//! the address that was dialled.
+//! Each worker has a loopback address of its own (from 127.1.0.0) behind one listener, which distinguishes the workers by the
+//! address that was dialled.
 #![allow(missing_docs)]
 
 mod common;
@@ -35,20 +35,20 @@
 
 const WORKERS: usize = 1200;
 const SCHEDULERS: usize = 1200;
-/// The peers share so many sockets.
+/// The number of sockets that the peers share.
 const PEER_SOCKETS: usize = 12;
-/// The version of the list.
+/// The version of the endpoint list.
 const GENERATION: u32 = 70;
-/// A name as long as this makes a hundred entries longer than one message of the hand-over.
-const LONG_NAME: usize = 2000;
-/// So much of a list is written at once where it comes in pieces.
-const PIECE: usize = 1024;
+/// The length of names of which a hundred entries are longer than one handover message, in bytes.
+const LONG_NAME_BYTES: usize = 2000;
+/// The length of one piece of an endpoint list that is written in pieces, in bytes.
+const PIECE_BYTES: usize = 1024;
 
-/// Where the scheduler under test listens now; a restart changes it.
-type Target = Arc<Mutex<Option<SocketAddr>>>;
+/// Where the scheduler under test listens; a restart changes it.
+type SchedulerAddress = Arc<Mutex<Option<SocketAddr>>>;
 
-fn scheduler(target: &Target) -> SocketAddr {
-    target.lock().unwrap_or_else(PoisonError::into_inner).expect("a scheduler runs")
+fn current_address(scheduler: &SchedulerAddress) -> SocketAddr {
+    scheduler.lock().unwrap_or_else(PoisonError::into_inner).expect("a scheduler runs")
 }
 
 /// A worker's name; the numbers of two workers sort as their names do.
@@ -62,19 +62,19 @@
 }
 
 fn worker_number(address: SocketAddr) -> usize {
-    let IpAddr::V4(address) = address.ip() else { panic!("{address} is none of the workers'") };
+    let IpAddr::V4(address) = address.ip() else { panic!("{address} is not a worker's") };
     (address.to_bits() - Ipv4Addr::new(127, 1, 0, 0).to_bits()) as usize
 }
 
-/// All workers: each takes every job at once and keeps the connection. The result of a job is its worker's number.
-async fn run_workers(listener: TcpListener, name_length: usize, target: Target) {
+/// All workers: each accepts every job at once and keeps the connection open. The result of a job is its worker's number.
+async fn run_workers(listener: TcpListener, name_length: usize, scheduler: SchedulerAddress) {
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
-        tokio::spawn(run_worker(stream, name_length, target.clone()));
+        tokio::spawn(run_worker(stream, name_length, scheduler.clone()));
     }
 }
 
-async fn run_worker(stream: TcpStream, name_length: usize, target: Target) {
+async fn run_worker(stream: TcpStream, name_length: usize, scheduler: SchedulerAddress) {
     let number = worker_number(stream.local_addr().expect("connected"));
     let mut wire = Wire::new(stream);
     while let Some(job) = wire.read().await {
@@ -82,44 +82,49 @@
         wire.send(ACCEPTED).await;
         let callback = json!({"id": id, "from": worker_name(number, name_length), "state": "done",
                               "result": number.to_string()});
-        let mut back = dial(scheduler(&target)).await;
-        back.hand_in("/callback", "", &callback.to_string()).await;
-        assert_eq!(status(&back.read().await), "200");
+        let mut connection = dial(current_address(&scheduler)).await;
+        connection.hand_in("/callback", "", &callback.to_string()).await;
+        assert_eq!(status(&connection.read().await), "200");
     }
 }
 
-/// How discovery writes its list.
+/// How discovery writes the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Form {
+enum ListFormat {
     Compact,
     IndentedInPieces,
 }
 
-/// Discovery: answers a call for the whole list with `list`, and a watch, after its wait, with no changes. Each call's target is
-/// passed on.
-async fn run_discovery(listener: TcpListener, list: Value, form: Form, calls: UnboundedSender<String>) {
+/// Discovery: answers a request for the complete list with `list`, and a watch, after its wait, with no changes. The target of
+/// each request is sent to `calls`.
+async fn run_discovery(
+    listener: TcpListener,
+    list: Value,
+    format: ListFormat,
+    calls: UnboundedSender<String>,
+) {
     let list = Arc::new(list);
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
-        tokio::spawn(answer_calls(Wire::new(stream), list.clone(), form, calls.clone()));
+        tokio::spawn(answer_calls(Wire::new(stream), list.clone(), format, calls.clone()));
     }
 }
 
-async fn answer_calls(mut wire: Wire, list: Arc<Value>, form: Form, calls: UnboundedSender<String>) {
+async fn answer_calls(mut wire: Wire, list: Arc<Value>, format: ListFormat, calls: UnboundedSender<String>) {
     while let Some(call) = wire.read().await {
         let target = call.target().to_string();
         let wait = target.split("wait=").nth(1).map_or(0, |wait| wait.parse().expect("milliseconds"));
-        let watches = target.contains(&format!("index={GENERATION}&"));
-        // Nobody listens any more once the story has heard what it needs.
+        let is_watch = target.contains(&format!("index={GENERATION}&"));
+        // The receiver is closed once the test has what it needs.
         let _ = calls.send(target);
-        if watches {
+        if is_watch {
             sleep(Duration::from_millis(wait)).await;
         }
         let no_changes = json!({"generation": GENERATION, "reset": false, "instances": []});
-        let answer = if watches { &no_changes } else { &*list };
-        let written = match form {
-            Form::Compact => wire.answer(200, "", &answer.to_string()).await,
-            Form::IndentedInPieces => write_in_pieces(&mut wire, &format!("{answer:#}")).await,
+        let answer = if is_watch { &no_changes } else { &*list };
+        let written = match format {
+            ListFormat::Compact => wire.answer(200, "", &answer.to_string()).await,
+            ListFormat::IndentedInPieces => write_in_pieces(&mut wire, &format!("{answer:#}")).await,
         };
         if written.is_err() {
             return;
@@ -129,25 +134,25 @@
 
 async fn write_in_pieces(wire: &mut Wire, body: &str) -> std::io::Result<()> {
     wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
-    for piece in body.as_bytes().chunks(PIECE) {
+    for piece in body.as_bytes().chunks(PIECE_BYTES) {
         wire.write(std::str::from_utf8(piece).expect("ASCII")).await?;
-        // The daemon is to have the chance to read it alone.
+        // The daemon gets the chance to read this piece alone.
         tokio::task::yield_now().await;
     }
     Ok(())
 }
 
-/// The peers behind one socket: whoever is asked for a worker's load says that it has none. Each datagram is told by the
-/// number of its socket.
-async fn run_peers(number: usize, socket: UdpSocket, heard: UnboundedSender<usize>) {
+/// The peers behind one socket: each answers an occupancy query with no occupancy. The socket's number is sent to `datagrams`
+/// for each datagram.
+async fn run_peers(number: usize, socket: UdpSocket, datagrams: UnboundedSender<usize>) {
     let mut buffer = [0; 256];
     loop {
         let (length, sender) = socket.recv_from(&mut buffer).await.expect("a datagram");
-        // Nobody listens any more once the story has heard what it needs.
-        let _ = heard.send(number);
+        // The receiver is closed once the test has what it needs.
+        let _ = datagrams.send(number);
         if let Some((PeerMessage::OccupancyQuery(_), worker)) = PeerMessage::read(&buffer[..length]) {
-            let report = PeerMessage::OccupancyReply(Some((0.0, 0))).write(worker);
-            socket.send_to(&report, sender).await.expect("sent");
+            let reply = PeerMessage::OccupancyReply(Some((0.0, 0))).write(worker);
+            socket.send_to(&reply, sender).await.expect("sent");
         }
     }
 }
@@ -155,21 +160,21 @@
 /// The workers, the peers and discovery around one scheduler.
 struct Fleet {
     folder: tempfile::TempDir,
-    /// The scheduler's configuration, without a list of workers.
+    /// The scheduler's configuration, without an endpoint list.
     config: Value,
-    /// The whole list.
+    /// The complete endpoint list.
     list: Value,
-    target: Target,
-    /// The targets of the calls that discovery got.
+    scheduler: SchedulerAddress,
+    /// The targets of the requests that discovery received.
     calls: UnboundedReceiver<String>,
-    /// The numbers of the sockets that peers got datagrams at.
+    /// The numbers of the sockets at which peers received datagrams.
     datagrams: UnboundedReceiver<usize>,
     jobs: u64,
 }
 
 impl Fleet {
-    /// Names of workers are longer than this; discovery writes its list so.
-    async fn set(name_length: usize, form: Form) -> Fleet {
+    /// A fleet whose workers' names are longer than `name_length`, and whose discovery writes its list in this format.
+    async fn new(name_length: usize, format: ListFormat) -> Fleet {
         let workers = TcpListener::bind("0.0.0.0:0").await.expect("a port");
         let port = workers.local_addr().expect("bound").port();
         let instances: Vec<Value> = (0..WORKERS)
@@ -181,65 +186,63 @@
             .collect();
         let list = json!({"generation": GENERATION, "reset": true, "instances": instances});
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (heard, datagrams) = unbounded_channel();
+        let (datagram_sender, datagrams) = unbounded_channel();
         let mut peers = Vec::new();
         for number in 0..PEER_SOCKETS {
             let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
             peers.push(socket.local_addr().expect("bound"));
-            tokio::spawn(run_peers(number, socket, heard.clone()));
+            tokio::spawn(run_peers(number, socket, datagram_sender.clone()));
         }
         let config = large_config(discovery.local_addr().expect("bound"), &peers);
-        let (target, (called, calls)) = (Target::default(), unbounded_channel());
-        tokio::spawn(run_workers(workers, name_length, target.clone()));
-        tokio::spawn(run_discovery(discovery, list.clone(), form, called));
-        let folder = tempfile::tempdir().expect("a folder");
-        Fleet { folder, config, list, target, calls, datagrams, jobs: 0 }
+        let (scheduler, (call_sender, calls)) = (SchedulerAddress::default(), unbounded_channel());
+        tokio::spawn(run_workers(workers, name_length, scheduler.clone()));
+        tokio::spawn(run_discovery(discovery, list.clone(), format, call_sender));
+        let folder = tempfile::tempdir().expect("a directory");
+        Fleet { folder, config, list, scheduler, calls, datagrams, jobs: 0 }
     }
 
-    /// Starts the scheduler with this list of workers as last held.
+    /// Starts the scheduler with this endpoint list cached from an earlier run.
     fn start(&mut self, known: &Value) -> Process {
         let mut config = self.config.clone();
         config["known"] = known.clone();
         let process = Process::start(&config, self.folder.path());
         self.config["listen"] = process.address.to_string().into();
-        *self.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(process.address);
+        *self.scheduler.lock().unwrap_or_else(PoisonError::into_inner) = Some(process.address);
         process
     }
 
-    /// Starts it with the whole list.
+    /// Starts it with the complete list.
     fn start_with_list(&mut self) -> Process {
         self.start(&self.list.clone())
     }
 
-    /// Starts it without a list.
+    /// Starts it with an empty list.
     fn start_without_list(&mut self) -> Process {
         self.start(&json!({"generation": 1, "reset": true, "instances": []}))
     }
 
-    /// Hands in so many jobs of different keys, one after the other on one connection, and has each of them served; the workers
-    /// that did.
+    /// Submits jobs of different keys, one after the other on one connection; the workers that served them.
     async fn serve(&mut self, jobs: u64) -> BTreeSet<usize> {
         let first = self.jobs + 1;
         self.jobs += jobs;
-        serve_jobs(scheduler(&self.target), first..=self.jobs).await
+        serve_jobs(current_address(&self.scheduler), first..=self.jobs).await
     }
 
-    /// Serves jobs, and shows that the scheduler has the whole list, its end included.
-    async fn serve_at_the_whole_list(&mut self) {
+    /// Submits jobs, and checks that the scheduler uses the list from its start to its end.
+    async fn serve_from_the_complete_list(&mut self) {
         let workers = self.serve(100).await;
         assert!(workers.len() > 80, "100 keys are spread over the list: {workers:?}");
         assert!(workers.first() < Some(&(WORKERS / 12)), "its start is reached: {workers:?}");
         assert!(workers.last() >= Some(&(WORKERS - WORKERS / 12)), "its end is reached: {workers:?}");
     }
 
-    /// The next call that discovery gets.
+    /// The target of the next request that discovery receives.
     async fn next_call(&mut self) -> String {
         self.calls.recv().await.expect("discovery runs")
     }
 }
 
-/// Hands in the jobs of these numbers to a scheduler, one after the other on one connection, and has each of them served; the
-/// workers that did.
+/// Submits the jobs of these numbers to a scheduler, one after the other on one connection; the workers that served them.
 async fn serve_jobs(scheduler: SocketAddr, jobs: RangeInclusive<u64>) -> BTreeSet<usize> {
     let mut client = dial(scheduler).await;
     let mut workers = BTreeSet::new();
@@ -253,7 +256,7 @@
     workers
 }
 
-/// The last of 1,200 schedulers, which may send one another datagrams; `peers` are the others' sockets.
+/// The configuration of the last of 1,200 schedulers that exchange datagrams; `peers` are the others' sockets.
 fn large_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let own = reserved.local_addr().expect("bound");
@@ -270,7 +273,7 @@
     config
 }
 
-/// Waits until clients are sent to the scheduler.
+/// Waits until the scheduler is ready.
 async fn until_ready(process: &Process) {
     loop {
         let mut front = dial(process.address).await;
@@ -281,19 +284,19 @@
     }
 }
 
-/// It starts with the list as last held, serves, hands all of it over to a successor, which goes on with its version, and starts
-/// again.
+/// It starts with a cached list, serves, hands the complete list over to a successor, which resumes from its version, and
+/// restarts.
 #[rstest]
 #[case::names_of_usual_length(8)]
-#[case::long_names(LONG_NAME)]
+#[case::long_names(LONG_NAME_BYTES)]
 #[timeout(HANG)]
 #[tokio::test]
-async fn it_starts_serves_is_handed_over_and_restarts(#[case] name_length: usize) {
-    let mut fleet = Fleet::set(name_length, Form::Compact).await;
+async fn a_scheduler_starts_serves_is_handed_over_and_restarts(#[case] name_length: usize) {
+    let mut fleet = Fleet::new(name_length, ListFormat::Compact).await;
     let mut first = fleet.start_with_list();
     until_ready(&first).await;
-    fleet.serve_at_the_whole_list().await;
-    // The list's version is handed over once it has been heard from discovery itself.
+    fleet.serve_from_the_complete_list().await;
+    // The list's version is handed over once discovery itself has confirmed it.
     while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
 
     let mut successor = fleet.start_without_list();
@@ -301,12 +304,12 @@
     first.signal("-TERM");
     assert!(first.child.wait().expect("it ends").success());
     until_ready(&successor).await;
-    fleet.serve_at_the_whole_list().await;
+    fleet.serve_from_the_complete_list().await;
     fleet.calls.close();
     while let Some(call) = fleet.calls.recv().await {
         assert!(
             call.contains(&format!("index={GENERATION}&")),
-            "nobody asks for the whole list again: {call}"
+            "the complete list is not requested again: {call}"
         );
     }
 
@@ -314,42 +317,42 @@
     assert!(successor.child.wait().expect("it ends").success());
     let restarted = fleet.start_with_list();
     until_ready(&restarted).await;
-    fleet.serve_at_the_whole_list().await;
+    fleet.serve_from_the_complete_list().await;
     fleet.datagrams.close();
-    let mut asked = BTreeSet::new();
+    let mut queried = BTreeSet::new();
     while let Some(socket) = fleet.datagrams.recv().await {
-        asked.insert(socket);
+        queried.insert(socket);
     }
-    assert_eq!(asked.len(), PEER_SOCKETS, "schedulers of all numbers keep account of some worker: {asked:?}");
+    assert_eq!(queried.len(), PEER_SOCKETS, "schedulers of all numbers coordinate some worker: {queried:?}");
 }
 
-/// A list of 1,200 workers is heard from discovery, however it is written.
+/// A list of 1,200 workers is read from discovery, however it is written.
 #[rstest]
-#[case::indented_in_pieces(8, Form::IndentedInPieces)]
-#[case::long_names(LONG_NAME, Form::Compact)]
+#[case::indented_in_pieces(8, ListFormat::IndentedInPieces)]
+#[case::long_names(LONG_NAME_BYTES, ListFormat::Compact)]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_large_list_is_heard_from_discovery(#[case] name_length: usize, #[case] form: Form) {
-    let mut fleet = Fleet::set(name_length, form).await;
-    // Alone it calls at once; of many schedulers each waits for its turn.
+async fn a_large_list_is_read_from_discovery(#[case] name_length: usize, #[case] format: ListFormat) {
+    let mut fleet = Fleet::new(name_length, format).await;
+    // A single scheduler polls at once; each of many waits for its turn.
     fleet.config["settings"]["me"] = 0.into();
     fleet.config["settings"]["balancers"] = 1.into();
     let process = fleet.start_without_list();
     until_ready(&process).await;
-    fleet.serve_at_the_whole_list().await;
+    fleet.serve_from_the_complete_list().await;
 }
 
-/// Connections to workers are kept for the next job, but fewer than there are descriptors: a dial to one worker more never fails
-/// for want of one, nor does a callback or a client.
+/// Connections to workers are pooled, but fewer than there are descriptors: neither a dial to another worker nor a callback nor
+/// a client fails for want of one.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn fewer_descriptors_than_workers_serve_them_all() {
+async fn fewer_descriptors_than_workers_suffice_to_use_all_workers() {
     const CLIENTS: u64 = 60;
     const JOBS_EACH: u64 = 8;
-    let mut fleet = Fleet::set(8, Form::Compact).await;
+    let mut fleet = Fleet::new(8, ListFormat::Compact).await;
     fleet.config["limits"]["sockets"] = 256.into();
-    // A job whose dial fails is not mended by another attempt, nor by a wait until kept connections have expired.
+    // A failed dial is concealed neither by a retry nor by waiting until idle connections have expired.
     fleet.config["settings"]["services"][0]["deadline"] = 5_000_000.into();
     fleet.config["settings"]["limits"]["max_attempts"] = 1.into();
     let process = fleet.start_with_list();
@@ -364,15 +367,17 @@
     assert_eq!(join_all(clients).await.len() as u64, CLIENTS);
 }
 
-/// A worker that turns every job away and keeps the connection; tells its number for each connection that the other side ends.
-async fn turn_away(number: usize, listener: TcpListener, ended: UnboundedSender<usize>) {
+/// A worker that rejects every job and keeps the connection open; sends its number to `closed` for each connection that the
+/// other side closes.
+async fn reject_jobs(number: usize, listener: TcpListener, closed: UnboundedSender<usize>) {
     loop {
-        let (mut wire, ended) = (Wire::new(listener.accept().await.expect("a connection").0), ended.clone());
+        let (mut wire, closed) =
+            (Wire::new(listener.accept().await.expect("a connection").0), closed.clone());
         tokio::spawn(async move {
             while wire.read().await.is_some() {
                 wire.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
             }
-            ended.send(number).expect("the story goes on");
+            closed.send(number).expect("the test runs");
         });
     }
 }
@@ -381,46 +386,46 @@
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn idle_connections_of_the_least_recently_used_workers_make_room() {
-    const MOST: usize = 8;
-    const BESIDE: usize = 12;
-    // None of them expires within the story.
+async fn idle_connections_of_the_least_recently_used_workers_are_evicted() {
+    const MAX_CONNECTIONS: usize = 8;
+    const OTHER_WORKERS: usize = 12;
+    // No connection expires within the test.
     let group = UpstreamGroup::new(HANG, 10 * HANG, 1);
-    group.set_max_connections(MOST);
-    let (heard, mut ended) = unbounded_channel();
-    for number in 0..=BESIDE {
+    group.set_max_connections(MAX_CONNECTIONS);
+    let (closed_sender, mut closed_connections) = unbounded_channel();
+    for number in 0..=OTHER_WORKERS {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (name, address) = (worker_name(number, 0), listener.local_addr().expect("bound").to_string());
         let (worker, state) = (worker_id(&name), EndpointState::Ready);
-        let listed =
+        let endpoint =
             WorkerEndpoint { worker_id: worker, name: &name, address: &address, state, started_at: 0 };
-        group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(listed));
-        tokio::spawn(turn_away(number, listener, heard.clone()));
+        group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(endpoint));
+        tokio::spawn(reject_jobs(number, listener, closed_sender.clone()));
     }
     // Worker 0 is used again after each of the others, which are used once.
-    for number in (1..=BESIDE).flat_map(|number| [number, 0]) {
+    for number in (1..=OTHER_WORKERS).flat_map(|number| [number, 0]) {
         let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
         let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
         let payload = Payload { id, target, idempotency_key: None, body: "work".into() };
         let (_cancel, cancelled) = oneshot::channel();
-        let (end, _) = group
+        let (result, _) = group
             .attempt(request, worker, &payload, SendConditions::with_timeout(HANG), cancelled, |_| {})
             .await;
-        assert_eq!(end, AttemptResult::NotServed(Outcome::Rejected));
+        assert_eq!(result, AttemptResult::NotServed(Outcome::Rejected));
     }
     let mut closed = BTreeSet::new();
-    for _ in 0..BESIDE + 1 - MOST {
-        closed.insert(ended.recv().await.expect("the workers run"));
+    for _ in 0..OTHER_WORKERS + 1 - MAX_CONNECTIONS {
+        closed.insert(closed_connections.recv().await.expect("the workers run"));
     }
-    assert_eq!(closed, (1..=BESIDE + 1 - MOST).collect());
+    assert_eq!(closed, (1..=OTHER_WORKERS + 1 - MAX_CONNECTIONS).collect());
 }
 
-/// Many schedulers may share a folder. Each is found by its own successor and by nobody else's, also where long names begin alike.
+/// Many schedulers may share a directory. Each is found by its own successor only, even where long names begin alike.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn schedulers_whose_long_names_begin_alike_are_handed_over_each_to_its_own() {
-    let mut fleet = Fleet::set(8, Form::Compact).await;
+async fn schedulers_whose_long_names_begin_alike_are_each_handed_over_to_their_own_successor() {
+    let mut fleet = Fleet::new(8, ListFormat::Compact).await;
     let mut started = Vec::new();
     for number in [SCHEDULERS - 2, SCHEDULERS - 1] {
         fleet.config["name"] = format!("scheduler-of-the-first-deployment-zone-a-{number}").into();
@@ -441,12 +446,12 @@
     }
 }
 
-/// An entry that no message of the hand-over can hold costs the successor no worker: it asks for the whole list.
+/// An entry that is too long for a handover message costs the successor no worker: it requests the complete list.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_list_that_can_not_be_handed_over_is_asked_for() {
-    let mut fleet = Fleet::set(8, Form::Compact).await;
+async fn a_list_that_can_not_be_handed_over_is_requested_from_discovery() {
+    let mut fleet = Fleet::new(8, ListFormat::Compact).await;
     let mut known = fleet.list.clone();
     known["instances"][0]["zone"] = "z".repeat(LONGEST).into();
     let first = fleet.start(&known);
@@ -455,10 +460,10 @@
     let successor = fleet.start_without_list();
     assert_eq!(successor.operate("health").await, "ok serving\n");
     while fleet.next_call().await != "/registry/instances" {}
-    fleet.serve_at_the_whole_list().await;
+    fleet.serve_from_the_complete_list().await;
 }
 
-/// Entries of all lengths share messages of the hand-over; none is longer than a message may be, and none is lost.
+/// Entries of all lengths are divided into handover messages; no message is longer than allowed, and no entry is lost.
 #[rstest]
 #[timeout(HANG)]
 #[test]
@@ -477,7 +482,7 @@
     let messages = in_messages(entries.clone());
     assert_eq!(names(&messages.concat()), names(&entries));
     for message in messages {
-        assert!(!message.is_empty(), "an empty one ends the list");
+        assert!(!message.is_empty(), "an empty message would end the list");
         let length = HandoverMessage::Entries(message).write().len();
         assert!(length <= LONGEST, "{length}");
     }
@@ -487,7 +492,7 @@
     );
 }
 
-fn check(name: &str, text: &str) {
+fn run_check(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_vetchbridge"));
@@ -498,24 +503,24 @@
     };
     let checked = started.and_then(Child::wait_with_output).expect("it runs");
     assert!(checked.status.success(), "{}", String::from_utf8_lossy(&checked.stderr));
-    let said = String::from_utf8(checked.stdout).expect("text");
-    assert!(said.contains(&worker_name(WORKERS - 1, 8)), "the last worker is named");
+    let output = String::from_utf8(checked.stdout).expect("text");
+    assert!(output.contains(&worker_name(WORKERS - 1, 8)), "the last worker is named");
 }
 
-/// `vetchbridge check` accepts both forms of a configuration of this size.
+/// `vetchbridge check` accepts both formats of a configuration of this size.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn its_configuration_is_accepted() {
-    let fleet = Fleet::set(8, Form::Compact).await;
+async fn its_configuration_is_valid() {
+    let fleet = Fleet::new(8, ListFormat::Compact).await;
     let mut document = fleet.config.clone();
     document["known"] = fleet.list.clone();
-    check("large.json", &document.to_string());
+    run_check("large.json", &document.to_string());
 
-    check("large.toml", &configuration_file(WORKERS));
+    run_check("large.toml", &configuration_file(WORKERS));
 }
 
-/// Our own form of a configuration with so many workers and as many schedulers.
+/// A TOML configuration with this many workers and schedulers.
 fn configuration_file(size: usize) -> String {
     let each: Vec<String> = (0..size).map(|n| worker_address(n, 7000).to_string()).collect();
     let mut file = format!(
@@ -531,22 +536,23 @@
     file
 }
 
-/// The processor time that reading a configuration of this size takes; the least of three.
-fn reading_takes(size: usize) -> Duration {
+/// The processor time of reading a configuration of this size; the least of three measurements.
+fn read_time(size: usize) -> Duration {
     let now = || Duration::try_from(clock_gettime(ClockId::ThreadCPUTime)).expect("it counts from 0");
     let file = configuration_file(size);
     let reading = || {
-        let began = now();
+        let started_at = now();
         let read = read_text("large.toml", &file).expect("it is accepted");
         assert_eq!(read.config.peers.map(|peers| peers.each.len()), Some(size));
-        now() - began
+        now() - started_at
     };
     (0..3).map(|_| reading()).min().expect("three")
 }
 
-/// Reading a configuration takes time by its length: four times as many workers and schedulers take no sixteen times as long.
+/// The time to read a configuration grows with its length, not its square: four times as many workers and schedulers do not take
+/// sixteen times as long.
 #[test]
-fn reading_a_large_configuration_takes_no_time_by_its_square() {
-    let (quarter, whole) = (reading_takes(WORKERS / 4), reading_takes(WORKERS));
-    assert!(whole < 8 * quarter, "{quarter:?} for a quarter of it, {whole:?} for all");
+fn the_time_to_read_a_configuration_does_not_grow_with_its_square() {
+    let (quarter, whole) = (read_time(WORKERS / 4), read_time(WORKERS));
+    assert!(whole < 8 * quarter, "{quarter:?} for a quarter, {whole:?} for the whole");
 }
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -1,6 +1,6 @@
-//! Connections to workers that come up late, and what was decided long before: one story for each thing that may no longer hold
-//! at the first byte. The kernel drops the first call of a dial while a listener's queue is full, and repeats it after a
-//! second; nothing here waits for that time to pass but by waiting for the connection.
+//! Connections to workers that come up late, long after the decision to send: one test for each condition that may no longer
+//! hold at the first byte. The kernel drops the SYN of a dial while a listener's queue is full, and retransmits it after a
+//! second; no test waits for that time except by waiting for the connection.
 #![allow(missing_docs)]
 
 mod common;
@@ -30,24 +30,24 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// A listener whose queue has room for one connection.
-struct Narrow {
+/// A listener whose accept queue holds one connection.
+struct FullQueueListener {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-impl Narrow {
-    fn open() -> Narrow {
+impl FullQueueListener {
+    fn open() -> FullQueueListener {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
         let listener = socket.listen(0).expect("it listens");
         let address = listener.local_addr().expect("bound");
-        Narrow { listener, address }
+        FullQueueListener { listener, address }
     }
 
-    /// Takes the room: until this is accepted, no other connection comes up.
+    /// Fills the queue: until this connection is accepted, no other comes up.
     async fn fill(&self) -> TcpStream {
-        TcpStream::connect(self.address).await.expect("there is room for one")
+        TcpStream::connect(self.address).await.expect("the queue is empty")
     }
 
     async fn accept(&self) -> Wire {
@@ -55,8 +55,13 @@
     }
 }
 
-fn tell(group: &UpstreamGroup, narrow: &Narrow, state: EndpointState, started_at: Micros) {
-    let (worker, name, address) = (worker_id("s-0"), "s-0", &*narrow.address.to_string());
+fn update_endpoint(
+    group: &UpstreamGroup,
+    listener: &FullQueueListener,
+    state: EndpointState,
+    started_at: Micros,
+) {
+    let (worker, name, address) = (worker_id("s-0"), "s-0", &*listener.address.to_string());
     group.apply_endpoints(
         EndpointUpdate::Changes,
         [WorkerEndpoint { worker_id: worker, name, address, state, started_at }].into_iter(),
@@ -69,75 +74,75 @@
 }
 
 fn callback(id: &str, state: &str) -> Callback {
-    let words = json!({"id": id, "from": "s-0", "state": state, "result": "made"});
-    serde_json::from_value(words).expect("a callback")
+    let body = json!({"id": id, "from": "s-0", "state": state, "result": "made"});
+    serde_json::from_value(body).expect("a callback")
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Change {
     Nothing,
-    RequestOver,
-    TimeUp,
-    Drains,
-    StartsAnew,
-    StartsAnewAfterItsClockWasSteppedBack,
-    ReturnedBefore,
-    DoneBefore,
+    RequestConcluded,
+    DeadlinePassed,
+    WorkerDraining,
+    WorkerRestarted,
+    WorkerRestartedWithItsClockSteppedBack,
+    EarlierAttemptReturned,
+    EarlierAttemptDone,
 }
 
-/// A connection comes up long after its dial began. What the attempt was sent under must still hold at its first byte; if it
-/// does not, no byte is written, and the attempt never ran. A callback that comes meanwhile is about an earlier attempt.
+/// A connection comes up long after its dial began. The conditions of the attempt must still hold at its first byte; if they do
+/// not, no byte is written, and the attempt never ran. A callback that arrives meanwhile is about an earlier attempt.
 #[rstest]
-#[case::all_holds(Change::Nothing, AttemptResult::Served("made".into()))]
-#[case::nobody_waits_any_more(Change::RequestOver, AttemptResult::NotServed(Outcome::NotSent))]
-#[case::the_time_is_up(Change::TimeUp, AttemptResult::NotServed(Outcome::NotSent))]
-#[case::the_worker_drains(Change::Drains, AttemptResult::NotServed(Outcome::ConnectFailed))]
-#[case::the_worker_starts_anew(Change::StartsAnew, AttemptResult::NotServed(Outcome::NotSent))]
-#[case::the_worker_starts_anew_by_a_clock_that_was_stepped_back(
-    Change::StartsAnewAfterItsClockWasSteppedBack,
+#[case::nothing_changes(Change::Nothing, AttemptResult::Served("made".into()))]
+#[case::the_request_is_concluded(Change::RequestConcluded, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_deadline_passes(Change::DeadlinePassed, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_worker_drains(Change::WorkerDraining, AttemptResult::NotServed(Outcome::ConnectFailed))]
+#[case::the_worker_restarts(Change::WorkerRestarted, AttemptResult::NotServed(Outcome::NotSent))]
+#[case::the_worker_restarts_with_its_clock_stepped_back(
+    Change::WorkerRestartedWithItsClockSteppedBack,
     AttemptResult::NotServed(Outcome::NotSent)
 )]
-#[case::an_earlier_attempt_is_handed_back(Change::ReturnedBefore, AttemptResult::Served("made".into()))]
-#[case::an_earlier_attempt_is_done(Change::DoneBefore, AttemptResult::Served("made".into()))]
+#[case::an_earlier_attempt_is_returned(Change::EarlierAttemptReturned, AttemptResult::Served("made".into()))]
+#[case::an_earlier_attempt_is_done(Change::EarlierAttemptDone, AttemptResult::Served("made".into()))]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_late_connection_carries_only_what_still_holds(
+async fn a_late_connection_carries_a_request_only_while_its_conditions_hold(
     #[case] change: Change,
     #[case] expected: AttemptResult,
 ) {
-    const ID: &str = "00000000000000ab";
-    const STARTED: Micros = 7;
-    let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, EndpointState::Ready, STARTED);
-    let _filler = narrow.fill().await;
+    const REQUEST_ID: &str = "00000000000000ab";
+    const STARTED_AT: Micros = 7;
+    let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
+    update_endpoint(&group, &listener, EndpointState::Ready, STARTED_AT);
+    let _filler = listener.fill().await;
     let mut conditions = SendConditions::with_timeout(MINUTE);
-    if change == Change::TimeUp {
-        // Over before the kernel calls again.
+    if change == Change::DeadlinePassed {
+        // Passed before the kernel retransmits.
         conditions.first_byte_timeout = Duration::from_micros(1);
     }
-    let (over, payload, (_cancel, cancelled)) =
-        (conditions.concluded.clone(), payload(ID), oneshot::channel());
+    let (concluded, payload, (_cancel, cancelled)) =
+        (conditions.concluded.clone(), payload(REQUEST_ID), oneshot::channel());
     let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
     match change {
-        Change::Nothing | Change::TimeUp => {}
-        Change::RequestOver => over.store(true, Ordering::Relaxed),
-        Change::Drains => tell(&group, &narrow, EndpointState::Draining, STARTED),
-        Change::StartsAnew => tell(&group, &narrow, EndpointState::Ready, STARTED + 1),
-        Change::StartsAnewAfterItsClockWasSteppedBack => {
-            tell(&group, &narrow, EndpointState::Ready, STARTED - 1);
+        Change::Nothing | Change::DeadlinePassed => {}
+        Change::RequestConcluded => concluded.store(true, Ordering::Relaxed),
+        Change::WorkerDraining => update_endpoint(&group, &listener, EndpointState::Draining, STARTED_AT),
+        Change::WorkerRestarted => update_endpoint(&group, &listener, EndpointState::Ready, STARTED_AT + 1),
+        Change::WorkerRestartedWithItsClockSteppedBack => {
+            update_endpoint(&group, &listener, EndpointState::Ready, STARTED_AT - 1);
         }
-        Change::ReturnedBefore => assert!(group.dispatch_callback(&callback(ID, "returned"))),
-        Change::DoneBefore => assert!(group.dispatch_callback(&callback(ID, "done"))),
+        Change::EarlierAttemptReturned => assert!(group.dispatch_callback(&callback(REQUEST_ID, "returned"))),
+        Change::EarlierAttemptDone => assert!(group.dispatch_callback(&callback(REQUEST_ID, "done"))),
     }
     let worker = async {
-        narrow.accept().await.closed_by_the_story();
-        let mut worker = narrow.accept().await;
+        listener.accept().await.close();
+        let mut worker = listener.accept().await;
         if let Some(job) = worker.read().await {
-            assert_eq!(job.header("x-trace-id"), Some(ID));
-            worker.answer(202, "", "").await.expect("it is read");
-            assert!(group.dispatch_callback(&callback(ID, "done")));
+            assert_eq!(job.header("x-trace-id"), Some(REQUEST_ID));
+            worker.answer(202, "", "").await.expect("the group reads it");
+            assert!(group.dispatch_callback(&callback(REQUEST_ID, "done")));
             return true;
         }
         false
@@ -145,45 +150,45 @@
     tokio::pin!(worker);
     match change {
         // The dial goes with the attempt: there is no connection to wait for.
-        Change::Drains
-        | Change::StartsAnew
-        | Change::StartsAnewAfterItsClockWasSteppedBack
-        | Change::DoneBefore => {
+        Change::WorkerDraining
+        | Change::WorkerRestarted
+        | Change::WorkerRestartedWithItsClockSteppedBack
+        | Change::EarlierAttemptDone => {
             tokio::select! {
                 biased;
-                (ended, _) = attempt => assert_eq!(ended, expected),
-                written = &mut worker => panic!("a connection came, written to: {written}"),
+                (result, _) = attempt => assert_eq!(result, expected),
+                written = &mut worker => panic!("a connection came up, written to: {written}"),
             }
         }
         _ => {
-            let ((ended, _), written) = tokio::join!(attempt, worker);
-            let holds = matches!(change, Change::Nothing | Change::ReturnedBefore);
-            assert_eq!((ended, written), (expected, holds));
+            let ((result, _), written) = tokio::join!(attempt, worker);
+            let is_written = matches!(change, Change::Nothing | Change::EarlierAttemptReturned);
+            assert_eq!((result, written), (expected, is_written));
         }
     }
 }
 
-/// Says what dropping a connection is for.
-trait Closed {
-    fn closed_by_the_story(self);
+/// Makes the closing of a connection explicit.
+trait Close {
+    fn close(self);
 }
 
-impl Closed for Wire {
-    fn closed_by_the_story(self) {}
+impl Close for Wire {
+    fn close(self) {}
 }
 
-/// A worker is told how long its answer is waited for. That counts from the first byte, and not from the decision: the client
-/// has not one second more because the connection took one.
+/// A worker learns how long its response is waited for. That counts from the first byte, not from the decision: the client
+/// waits no longer because the connection came up late.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_late_connection_tells_the_time_that_is_left_then() {
-    const WAIT: Duration = Duration::from_secs(5);
-    /// Between the first byte and its reading here; less than the second for which the kernel pauses.
-    const READ_WITHIN: Duration = Duration::from_millis(500);
-    let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, EndpointState::Ready, 0);
-    let _filler = narrow.fill().await;
+async fn a_late_connection_carries_the_time_that_remains_at_its_first_byte() {
+    const TIMEOUT: Duration = Duration::from_secs(5);
+    /// From the first byte to its reading here; less than the second before the kernel retransmits.
+    const READ_DELAY: Duration = Duration::from_millis(500);
+    let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
+    update_endpoint(&group, &listener, EndpointState::Ready, 0);
+    let _filler = listener.fill().await;
     let (payload, (_cancel, cancelled)) = (payload("00000000000000ab"), oneshot::channel());
     let decided = std::time::Instant::now();
     let worker = worker_id("s-0");
@@ -191,41 +196,44 @@
         RequestId(0xab),
         worker,
         &payload,
-        SendConditions::with_timeout(WAIT),
+        SendConditions::with_timeout(TIMEOUT),
         cancelled,
         |_| {},
     );
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
     let worker = async {
-        narrow.accept().await.closed_by_the_story();
-        let mut worker = narrow.accept().await;
+        listener.accept().await.close();
+        let mut worker = listener.accept().await;
         let job = worker.read().await.expect("the job");
-        let read = decided.elapsed();
-        worker.answer(202, "", "").await.expect("it is read");
+        let elapsed = decided.elapsed();
+        worker.answer(202, "", "").await.expect("the group reads it");
         assert!(group.dispatch_callback(&callback("00000000000000ab", "done")));
-        let told = job.header("x-expires-in").expect("a span");
-        let micros = told.strip_suffix('u').and_then(|digits| digits.parse().ok()).expect("microseconds");
-        (Duration::from_micros(micros), read)
+        let value = job.header("x-expires-in").expect("a span");
+        let micros = value.strip_suffix('u').and_then(|digits| digits.parse().ok()).expect("microseconds");
+        (Duration::from_micros(micros), elapsed)
     };
-    let ((ended, _), (told, read)) = tokio::join!(attempt, worker);
-    assert_eq!(ended, AttemptResult::Served("made".into()));
-    assert!(told + read <= WAIT + READ_WITHIN, "told {told:?} when {read:?} of {WAIT:?} were over");
-    assert!(told + read >= WAIT, "told {told:?} when {read:?} of {WAIT:?} were over");
+    let ((result, _), (remaining, elapsed)) = tokio::join!(attempt, worker);
+    assert_eq!(result, AttemptResult::Served("made".into()));
+    assert!(
+        remaining + elapsed <= TIMEOUT + READ_DELAY,
+        "{remaining:?} when {elapsed:?} of {TIMEOUT:?} had passed"
+    );
+    assert!(remaining + elapsed >= TIMEOUT, "{remaining:?} when {elapsed:?} of {TIMEOUT:?} had passed");
 }
 
-/// Two requests wait for one worker, and the first is called off. Connections that come up afterwards carry the second alone.
+/// Two requests wait for one worker, and the first is cancelled. Connections that come up afterwards carry only the second.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_late_connection_is_not_written_to_for_a_request_that_is_gone() {
-    let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
-    tell(&group, &narrow, EndpointState::Ready, 0);
-    let _filler = narrow.fill().await;
+async fn a_late_connection_does_not_carry_a_cancelled_request() {
+    let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
+    update_endpoint(&group, &listener, EndpointState::Ready, 0);
+    let _filler = listener.fill().await;
     let (first, second) = (payload("00000000000000ab"), payload("00000000000000cd"));
-    let ((cancel, cancelled), (_keep, kept)) = (oneshot::channel(), oneshot::channel());
+    let ((cancel, cancelled), (_cancel, not_cancelled)) = (oneshot::channel(), oneshot::channel());
     let worker = worker_id("s-0");
-    let gone = group.attempt(
+    let first_attempt = group.attempt(
         RequestId(0xab),
         worker,
         &first,
@@ -233,32 +241,39 @@
         cancelled,
         |_| {},
     );
-    let stays =
-        group.attempt(RequestId(0xcd), worker, &second, SendConditions::with_timeout(MINUTE), kept, |_| {});
-    tokio::pin!(gone, stays);
+    let second_attempt = group.attempt(
+        RequestId(0xcd),
+        worker,
+        &second,
+        SendConditions::with_timeout(MINUTE),
+        not_cancelled,
+        |_| {},
+    );
+    tokio::pin!(first_attempt, second_attempt);
     assert!(
-        futures_util::poll!(gone.as_mut()).is_pending() && futures_util::poll!(stays.as_mut()).is_pending()
+        futures_util::poll!(first_attempt.as_mut()).is_pending()
+            && futures_util::poll!(second_attempt.as_mut()).is_pending()
     );
-    cancel.send(()).expect("it waits");
-    assert_eq!(gone.await.0, AttemptResult::NotServed(Outcome::NotSent), "it never ran");
+    cancel.send(()).expect("the attempt is in flight");
+    assert_eq!(first_attempt.await.0, AttemptResult::NotServed(Outcome::NotSent), "it never ran");
     let worker = async {
-        narrow.accept().await.closed_by_the_story();
-        let mut worker = narrow.accept().await;
-        let job = worker.read().await.expect("the job that is wanted");
+        listener.accept().await.close();
+        let mut worker = listener.accept().await;
+        let job = worker.read().await.expect("the second job");
         assert_eq!(job.header("x-trace-id"), Some("00000000000000cd"));
-        worker.answer(202, "", "").await.expect("it is read");
+        worker.answer(202, "", "").await.expect("the group reads it");
         assert!(group.dispatch_callback(&callback("00000000000000cd", "done")));
     };
-    let ((ended, _), ()) = tokio::join!(stays, worker);
-    assert_eq!(ended, AttemptResult::Served("made".into()));
+    let ((result, _), ()) = tokio::join!(second_attempt, worker);
+    assert_eq!(result, AttemptResult::Served("made".into()));
 }
 
-/// A keyed job may have run at its first worker. The second one's connection comes up when workers drop its repeat no longer: it
-/// is not written, and the client has an answer at once.
+/// A keyed job may have run at its first worker. The connection to the second comes up after the deduplication window: the retry
+/// is not written, and the client gets its answer at once.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_keyed_job_is_not_repeated_on_a_connection_that_comes_after_its_window() {
+async fn a_keyed_job_is_not_retried_on_a_connection_that_comes_up_after_its_deduplication_window() {
     let class = json!({"name": "pay", "repeat": "keyed", "group": "all", "window": 500_000, "aim": 500_000,
                        "deadline": 60_000_000, "late_share": 0.5});
     let document = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "discovery": "127.0.0.1:1",
@@ -271,14 +286,14 @@
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
     let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
     tokio::spawn(engine.clone().run_timers());
-    let workers = [Narrow::open(), Narrow::open()];
+    let workers = [FullQueueListener::open(), FullQueueListener::open()];
     let (names, ready) = (["s-0", "s-1"], EndpointState::Ready);
     let addresses = workers.each_ref().map(|worker| worker.address.to_string());
-    let entries = names.iter().zip(&addresses).map(|(name, address)| {
+    let endpoints = names.iter().zip(&addresses).map(|(name, address)| {
         let worker = worker_id(name);
         WorkerEndpoint { worker_id: worker, name, address, state: ready, started_at: 0 }
     });
-    upstream.apply_endpoints(EndpointUpdate::Snapshot, entries);
+    upstream.apply_endpoints(EndpointUpdate::Snapshot, endpoints);
     let endpoint = |name| Endpoint {
         worker: worker_id(name),
         zone: ZoneId(0),
@@ -315,17 +330,17 @@
     };
     first.read().await.expect("the job");
     let _filler = other.fill().await;
-    first.answer(500, "", "").await.expect("it is read");
+    first.answer(500, "", "").await.expect("the group reads it");
     let late = async {
         while upstream.connections().get() < 2 {
             tokio::task::yield_now().await;
         }
-        // Once this connection is accepted, the kernel's next call has room; that is a second after the first.
-        other.accept().await.closed_by_the_story();
+        // Once this connection is accepted, the kernel's next SYN is queued; that is a second after the first.
+        other.accept().await.close();
         other.accept().await.read().await
     };
     let (written, answer) = tokio::join!(late, answer);
-    assert_eq!(written, None, "the window was over");
-    // A refusal would promise that trying again is harmless, and workers drop a repeat no longer.
+    assert_eq!(written, None, "the window has passed");
+    // A rejection would promise that a retry is harmless, and workers no longer deduplicate it.
     assert_eq!(answer.expect("an answer"), Answer::Failed);
 }
