--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Stories of connections that the daemon ends: the last answer arrives whole, and what comes after it goes nowhere.
+//! Client connections that the daemon closes: the last response arrives complete, and nothing after it is forwarded.
 #![allow(missing_docs)]
 
 mod common;
@@ -9,26 +9,27 @@
 use tokio::io::AsyncReadExt;
 use vetchbridge_testbed::wire::Wire;
 
-/// A connection of which the other side alone has closed, in the kernel's words.
+/// The kernel's code for a connection that only the other side has closed.
 const CLOSE_WAIT: &str = "08";
-const READY: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
-/// A worker's answer that ends its connection, so that each job is seen to be dialled for.
-const ACCEPTED_LAST: &str = "HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
+/// A worker's response that closes its connection, so that each job is dialled for.
+const ACCEPTED_AND_CLOSE: &str = "HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-fn post(id: &str, length: usize) -> String {
+fn job_request(id: &str, length: usize) -> String {
     format!(
         "POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: {id}\r\ncontent-length: {length}\r\n\r\n{}",
         "x".repeat(length)
     )
 }
 
-/// The daemon closes its side, and then the client's kernel knows of no break, which would take back what is on its way.
-/// `daemon`: it goes on, and has answered another call after that; had it dropped the connection, that would be past.
-async fn ends_cleanly(client: &mut Wire, daemon: Option<&Stage>) {
-    let mut rest = Vec::new();
+/// Checks that the daemon closes its side without a reset, which would discard what is still in transit.
+///
+/// `daemon`: it keeps running, and has answered another request after that; a reset would have arrived by then.
+async fn closes_without_reset(client: &mut Wire, daemon: Option<&Stage>) {
+    let mut unread = Vec::new();
     let (here, there) = ends(client);
-    client.socket().read_to_end(&mut rest).await.expect("no reset");
-    assert!(rest.is_empty(), "{}", rest.escape_ascii());
+    client.socket().read_to_end(&mut unread).await.expect("no reset");
+    assert!(unread.is_empty(), "{}", unread.escape_ascii());
     if let Some(stage) = daemon {
         stage.readiness().await;
     }
@@ -36,15 +37,18 @@
     assert_eq!(state.as_deref(), Some(CLOSE_WAIT), "only the other side has closed");
 }
 
-/// An answer that ends its connection is not taken back because of what the daemon has not read.
+/// A response that closes its connection is not lost because of input that the daemon has not read.
 #[rstest]
 #[case::too_large("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n", "413")]
-#[case::unreadable("POST /safe/k HTTP/1.1\r\nno header\r\n\r\n", "400")]
+#[case::malformed("POST /safe/k HTTP/1.1\r\nno header\r\n\r\n", "400")]
 #[case::no_such_method("PUT /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 60000\r\n\r\n", "405")]
-#[case::last_by_wish("GET /health/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n", "200")]
+#[case::closed_at_the_clients_request(
+    "GET /health/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n",
+    "200"
+)]
 #[timeout(HANG)]
 #[tokio::test]
-async fn an_answer_outlives_what_is_unread(#[case] head: &str, #[case] expected: &str) {
+async fn a_response_is_not_lost_because_of_unread_input(#[case] head: &str, #[case] expected: &str) {
     let stage = Stage::set(1).await;
     let mut client = dial(stage.daemon.address).await;
     stage.daemon.freeze().await;
@@ -52,125 +56,125 @@
     delivered(&mut client).await;
     stage.daemon.thaw();
     assert_eq!(status(&client.read().await), expected);
-    ends_cleanly(&mut client, Some(&stage)).await;
+    closes_without_reset(&mut client, Some(&stage)).await;
     assert_eq!(stage.readiness().await.status(), "200");
 }
 
-/// What comes after a request whose answer ends the connection reaches no worker, whether it was read before or after.
+/// Nothing after a request whose response closes the connection reaches a worker, whether it was read before or after.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn nothing_is_sent_on_of_what_follows_the_last_answer(#[values(100, 20_000)] length: usize) {
+async fn nothing_after_the_last_response_is_forwarded(#[values(100, 20_000)] length: usize) {
     let mut stage = Stage::set(1).await;
     stage.daemon.operate("quiesce").await;
     let mut client = dial(stage.daemon.address).await;
-    client.send(&post("00000000000000a1", 4)).await;
+    client.send(&job_request("00000000000000a1", 4)).await;
     let (number, mut worker) = stage.worker().await;
     worker.read().await.expect("the job");
-    client.send(&post("00000000000000a2", length)).await;
-    worker.send(ACCEPTED_LAST).await;
+    client.send(&job_request("00000000000000a2", length)).await;
+    worker.send(ACCEPTED_AND_CLOSE).await;
     stage.call_back("00000000000000a1", number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
-    client.send(&post("00000000000000a3", length)).await;
-    ends_cleanly(&mut client, Some(&stage)).await;
+    client.send(&job_request("00000000000000a3", length)).await;
+    closes_without_reset(&mut client, Some(&stage)).await;
     assert_eq!(stage.only_one_more_arrives().await, 0);
 }
 
-/// A chunked job is its connection's last: however it came, what follows it reaches no worker.
+/// A chunked job is the last of its connection: however it arrived, nothing after it reaches a worker.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn nothing_is_sent_on_of_what_follows_a_chunked_job(#[values(true, false)] at_once: bool) {
+async fn nothing_after_a_chunked_job_is_forwarded(#[values(true, false)] at_once: bool) {
     let mut stage = Stage::set(1).await;
     let mut client = dial(stage.daemon.address).await;
     let head = "POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000a1\r\ntransfer-encoding: chunked\r\n\r\n";
-    let all = format!("{head}4\r\nwork\r\n0\r\n\r\n{}", post("00000000000000a2", 4));
+    let requests = format!("{head}4\r\nwork\r\n0\r\n\r\n{}", job_request("00000000000000a2", 4));
     if at_once {
-        client.send(&all).await;
+        client.send(&requests).await;
     } else {
-        client.write_in_pieces(&all).await.expect("the daemon reads");
+        client.write_in_pieces(&requests).await.expect("the daemon reads");
     }
     let (number, mut worker) = stage.worker().await;
     assert_eq!(worker.read().await.expect("the job").text(), "work");
-    worker.send(ACCEPTED_LAST).await;
+    worker.send(ACCEPTED_AND_CLOSE).await;
     stage.call_back("00000000000000a1", number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
-    ends_cleanly(&mut client, Some(&stage)).await;
+    closes_without_reset(&mut client, Some(&stage)).await;
     assert_eq!(stage.only_one_more_arrives().await, 0);
 }
 
-/// Idle connections are closed while the next request is on the way: what has been read of it is read on and answered.
+/// Idle connections are closed while a request is arriving: the rest of that request is read, and it is answered.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn half_a_request_is_no_idle_connection(#[values(1, 30, 120)] cut: usize) {
+async fn a_connection_with_a_partial_request_is_not_idle(#[values(1, 30, 120)] received: usize) {
     let stage = Stage::set(1).await;
     let (mut client, mut idle) = (dial(stage.daemon.address).await, dial(stage.daemon.address).await);
-    for kept in [&mut client, &mut idle] {
-        kept.send(READY).await;
-        assert_eq!(status(&kept.read().await), "200");
+    for connection in [&mut client, &mut idle] {
+        connection.send(READINESS_REQUEST).await;
+        assert_eq!(status(&connection.read().await), "200");
     }
-    let job = post("00000000000000a1", 60);
-    client.send(&job[..cut]).await;
+    let job = job_request("00000000000000a1", 60);
+    client.send(&job[..received]).await;
     delivered(&mut client).await;
     stage.daemon.operate("quiesce").await;
-    // Closed half a second later, and the other one with it.
-    ends_cleanly(&mut idle, Some(&stage)).await;
-    client.send(&job[cut..]).await;
+    // Closed half a second later, as the other one would be if it counted as idle.
+    closes_without_reset(&mut idle, Some(&stage)).await;
+    client.send(&job[received..]).await;
     let (number, mut worker) = tokio::select! {
-        asked = stage.worker() => asked,
-        ended = client.read() => panic!("it was ended with {ended:?}"),
+        dialled = stage.worker() => dialled,
+        response = client.read() => panic!("it was closed after {response:?}"),
     };
     worker.read().await.expect("the job");
-    worker.send(ACCEPTED_LAST).await;
+    worker.send(ACCEPTED_AND_CLOSE).await;
     stage.call_back("00000000000000a1", number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
-    ends_cleanly(&mut client, Some(&stage)).await;
+    closes_without_reset(&mut client, Some(&stage)).await;
 }
 
-/// A request and the moment in which its idle connection is closed, found by the daemon together: it is answered whole,
-/// or the connection ends with nothing sent on.
+/// The daemon finds a request at the moment when it closes the idle connection: the request is answered completely, or the
+/// connection is closed and nothing is forwarded.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_request_that_meets_the_idle_close_is_answered_or_goes_nowhere() {
+async fn a_request_that_coincides_with_the_idle_timeout_is_answered_or_not_forwarded() {
     let mut stage = Stage::set(1).await;
     let mut client = dial(stage.daemon.address).await;
-    client.send(READY).await;
+    client.send(READINESS_REQUEST).await;
     assert_eq!(status(&client.read().await), "200");
     stage.daemon.operate("quiesce").await;
     stage.daemon.freeze().await;
-    // Its clock goes on, and passes the moment for certain.
+    // Its clock goes on, past the idle timeout.
     tokio::time::sleep(Duration::from_millis(600)).await;
-    client.send(&post("00000000000000a1", 4)).await;
+    client.send(&job_request("00000000000000a1", 4)).await;
     delivered(&mut client).await;
     stage.daemon.thaw();
     let served = async {
         let (number, mut worker) = stage.worker().await;
         worker.read().await.expect("the job");
-        worker.send(ACCEPTED_LAST).await;
+        worker.send(ACCEPTED_AND_CLOSE).await;
         stage.call_back("00000000000000a1", number, "done").await;
     };
     let answer = tokio::select! {
-        // Either the worker is asked, and then the client has its answer, or the connection ends.
+        // Either the worker gets the job, and the client its response, or the connection is closed.
         () = served => Some(client.read().await.expect("an answer")),
-        ended = client.read() => ended,
+        response = client.read() => response,
     };
     if let Some(answer) = answer {
         assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
     }
-    ends_cleanly(&mut client, Some(&stage)).await;
+    closes_without_reset(&mut client, Some(&stage)).await;
     assert_eq!(stage.only_one_more_arrives().await, 0);
 }
 
-/// The last answers of a process that ends are whole, whether the client goes on writing before or after them.
+/// The last responses of a process that shuts down are complete, whether the client writes more before or after them.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn the_end_of_the_process_takes_no_answer_back() {
+async fn no_response_is_lost_when_the_process_ends() {
     let mut stage = Stage::set(1).await;
     let (mut before, _) = stage.job("safe", "k").await;
     let (mut after, _) = stage.job("safe", "k").await;
@@ -178,34 +182,36 @@
         let (_, mut worker) = stage.worker().await;
         worker.read().await.expect("the job");
     }
-    before.send(&post("00000000000000a2", 20_000)).await;
+    before.send(&job_request("00000000000000a2", 20_000)).await;
     stage.daemon.signal("-TERM");
     assert_eq!(status(&after.read().await), "503");
-    after.send(&post("00000000000000a3", 20_000)).await;
+    after.send(&job_request("00000000000000a3", 20_000)).await;
     assert!(stage.daemon.child.wait().expect("it ends").success());
     assert_eq!(status(&before.read().await), "503");
-    ends_cleanly(&mut before, None).await;
-    ends_cleanly(&mut after, None).await;
+    closes_without_reset(&mut before, None).await;
+    closes_without_reset(&mut after, None).await;
 }
 
-/// A request that the daemon finds together with its last call, on a connection kept or new, is answered whole or its
-/// connection ends with nothing sent on.
+/// A request that coincides with the end of the drain, on an open or a new connection, is answered completely, or its connection
+/// is closed and nothing is forwarded.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn a_request_that_meets_the_last_call_is_answered_or_goes_nowhere(#[values(true, false)] kept: bool) {
+async fn a_request_that_coincides_with_the_end_of_the_drain_is_answered_or_not_forwarded(
+    #[values(true, false)] open: bool,
+) {
     let mut stage = Stage::set(1).await;
     let mut client = dial(stage.daemon.address).await;
-    if kept {
-        client.send(READY).await;
+    if open {
+        client.send(READINESS_REQUEST).await;
         assert_eq!(status(&client.read().await), "200");
     }
     stage.daemon.signal("-TERM");
     stage.daemon.logs("state=\"ending\"").await;
     stage.daemon.freeze().await;
-    // Its clock goes on, and passes the last call for certain.
+    // Its clock goes on, past the end of the drain.
     tokio::time::sleep(Duration::from_millis(3400)).await;
-    client.send(&post("00000000000000a1", 4)).await;
+    client.send(&job_request("00000000000000a1", 4)).await;
     delivered(&mut client).await;
     stage.daemon.thaw();
     let answer = client.read().await;
@@ -213,27 +219,27 @@
     if let Some(answer) = answer {
         assert_eq!((answer.status(), answer.header("connection")), ("503", Some("close")));
     } else {
-        // Whoever was dialled for it came before this.
+        // A connection dialled for the request would come before this one.
         let mut marker = dial(stage.workers[0].local_addr().expect("bound")).await;
         let (_, mut first) = stage.worker().await;
-        assert_eq!(ends(&mut first).1, ends(&mut marker).0, "nothing was sent on");
+        assert_eq!(ends(&mut first).1, ends(&mut marker).0, "nothing was forwarded");
     }
 }
 
-/// Who makes room is told so by an end of stream, and those who are slow to go keep no newcomer out.
+/// An evicted connection ends without a reset, and one whose client is slow to close does not keep new clients out.
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn who_makes_room_is_not_reset_and_keeps_nobody_out() {
+async fn an_evicted_connection_is_not_reset_and_keeps_no_new_client_out() {
     let mut stage = Stage::set(1).await;
-    let mut crowd = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..4 * SOCKETS {
-        let mut kept = dial(stage.daemon.address).await;
-        kept.send(READY).await;
-        assert_eq!(status(&kept.read().await), "200");
-        crowd.push(kept);
+        let mut client = dial(stage.daemon.address).await;
+        client.send(READINESS_REQUEST).await;
+        assert_eq!(status(&client.read().await), "200");
+        clients.push(client);
     }
-    // The first to come was the first to go.
-    ends_cleanly(&mut crowd[0], Some(&stage)).await;
+    // The oldest connection is evicted first.
+    closes_without_reset(&mut clients[0], Some(&stage)).await;
     assert_eq!(stage.only_one_more_arrives().await, 0);
 }
--- /dev/null
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -0,0 +1,71 @@
+//! The limit on connections to workers.
+#![allow(missing_docs)]
+
+mod common;
+mod fleet;
+
+use common::*;
+use fleet::worker_name;
+use rstest::rstest;
+use std::collections::BTreeSet;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
+use tokio::sync::oneshot;
+use vetchbridge::workers::{
+    parse_request_id, worker_id, AttemptResult, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
+};
+use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
+use vetchbridge_testbed::wire::Wire;
+
+/// A worker that rejects every job and keeps the connection open; sends its number to `closed` for each connection that the
+/// other side closes.
+async fn reject_jobs(number: usize, listener: TcpListener, closed: UnboundedSender<usize>) {
+    loop {
+        let (mut wire, closed) =
+            (Wire::new(listener.accept().await.expect("a connection").0), closed.clone());
+        tokio::spawn(async move {
+            while wire.read().await.is_some() {
+                wire.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
+            }
+            closed.send(number).expect("the test runs");
+        });
+    }
+}
+
+/// Beyond the limit, idle connections to the least recently used workers are closed, and those of the others are kept.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn idle_connections_of_the_least_recently_used_workers_are_evicted() {
+    const MAX_CONNECTIONS: usize = 8;
+    const OTHER_WORKERS: usize = 12;
+    // No connection expires within the test.
+    let group = UpstreamGroup::new(HANG, 10 * HANG, 1);
+    group.set_max_connections(MAX_CONNECTIONS);
+    let (closed_sender, mut closed_connections) = unbounded_channel();
+    for number in 0..=OTHER_WORKERS {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let (name, address) = (worker_name(number, 0), listener.local_addr().expect("bound").to_string());
+        let (worker, state) = (worker_id(&name), EndpointState::Ready);
+        let endpoint =
+            WorkerEndpoint { worker_id: worker, name: &name, address: &address, state, started_at: 0 };
+        group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(endpoint));
+        tokio::spawn(reject_jobs(number, listener, closed_sender.clone()));
+    }
+    // Worker 0 is used again after each of the others, which are used once.
+    for number in (1..=OTHER_WORKERS).flat_map(|number| [number, 0]) {
+        let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
+        let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
+        let payload = Payload { id, target, idempotency_key: None, body: "work".into() };
+        let (_cancel, cancelled) = oneshot::channel();
+        let (result, _) = group
+            .attempt(request, worker, &payload, SendConditions::with_timeout(HANG), cancelled, |_| {})
+            .await;
+        assert_eq!(result, AttemptResult::NotServed(Outcome::Rejected));
+    }
+    let mut closed = BTreeSet::new();
+    for _ in 0..OTHER_WORKERS + 1 - MAX_CONNECTIONS {
+        closed.insert(closed_connections.recv().await.expect("the workers run"));
+    }
+    assert_eq!(closed, (1..=OTHER_WORKERS + 1 - MAX_CONNECTIONS).collect());
+}
--- /dev/null
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -0,0 +1,274 @@
+//! The workers, peers and discovery of a large deployment around one scheduler: 1,200 workers and 1,200 schedulers.
+//!
+//! Each worker has a loopback address of its own (from 127.1.0.0) behind one listener, which distinguishes the workers by the
+//! address that was dialled.
+#![allow(dead_code, missing_docs)]
+
+use crate::common::*;
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::ops::RangeInclusive;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream, UdpSocket};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::time::sleep;
+use vetchbridge_scheduling::peer_message::PeerMessage;
+use vetchbridge_testbed::wire::Wire;
+
+pub const WORKERS: usize = 1200;
+pub const SCHEDULERS: usize = 1200;
+/// The number of sockets that the peers share.
+pub const PEER_SOCKETS: usize = 12;
+/// The version of the endpoint list.
+pub const GENERATION: u32 = 70;
+/// The length of names of which a hundred entries are longer than one handover message, in bytes.
+pub const LONG_NAME_BYTES: usize = 2000;
+/// The length of one piece of an endpoint list that is written in pieces, in bytes.
+pub const PIECE_BYTES: usize = 1024;
+
+/// Where the scheduler under test listens; a restart changes it.
+pub type SchedulerAddress = Arc<Mutex<Option<SocketAddr>>>;
+
+pub fn current_address(scheduler: &SchedulerAddress) -> SocketAddr {
+    scheduler.lock().unwrap_or_else(PoisonError::into_inner).expect("a scheduler runs")
+}
+
+/// A worker's name; the numbers of two workers sort as their names do.
+pub fn worker_name(number: usize, length: usize) -> String {
+    format!("w-{number:04}-{}", "x".repeat(length))
+}
+
+pub fn worker_address(number: usize, port: u16) -> SocketAddr {
+    let address = Ipv4Addr::from_bits(Ipv4Addr::new(127, 1, 0, 0).to_bits() + number as u32);
+    SocketAddr::new(IpAddr::V4(address), port)
+}
+
+pub fn worker_number(address: SocketAddr) -> usize {
+    let IpAddr::V4(address) = address.ip() else { panic!("{address} is not a worker's") };
+    (address.to_bits() - Ipv4Addr::new(127, 1, 0, 0).to_bits()) as usize
+}
+
+/// All workers: each accepts every job at once and keeps the connection open. The result of a job is its worker's number.
+pub async fn run_workers(listener: TcpListener, name_length: usize, scheduler: SchedulerAddress) {
+    loop {
+        let (stream, _) = listener.accept().await.expect("a connection");
+        tokio::spawn(run_worker(stream, name_length, scheduler.clone()));
+    }
+}
+
+pub async fn run_worker(stream: TcpStream, name_length: usize, scheduler: SchedulerAddress) {
+    let number = worker_number(stream.local_addr().expect("connected"));
+    let mut wire = Wire::new(stream);
+    while let Some(job) = wire.read().await {
+        let id = job.header("x-trace-id").expect("a job has an id").to_string();
+        wire.send(ACCEPTED).await;
+        let callback = json!({"id": id, "from": worker_name(number, name_length), "state": "done",
+                              "result": number.to_string()});
+        let mut connection = dial(current_address(&scheduler)).await;
+        connection.hand_in("/callback", "", &callback.to_string()).await;
+        assert_eq!(status(&connection.read().await), "200");
+    }
+}
+
+/// How discovery writes the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListFormat {
+    Compact,
+    IndentedInPieces,
+}
+
+/// Discovery: answers a request for the complete list with `list`, and a watch, after its wait, with no changes. The target of
+/// each request is sent to `calls`.
+pub async fn run_discovery(
+    listener: TcpListener,
+    list: Value,
+    format: ListFormat,
+    calls: UnboundedSender<String>,
+) {
+    let list = Arc::new(list);
+    loop {
+        let (stream, _) = listener.accept().await.expect("a connection");
+        tokio::spawn(answer_calls(Wire::new(stream), list.clone(), format, calls.clone()));
+    }
+}
+
+pub async fn answer_calls(
+    mut wire: Wire,
+    list: Arc<Value>,
+    format: ListFormat,
+    calls: UnboundedSender<String>,
+) {
+    while let Some(call) = wire.read().await {
+        let target = call.target().to_string();
+        let wait = target.split("wait=").nth(1).map_or(0, |wait| wait.parse().expect("milliseconds"));
+        let is_watch = target.contains(&format!("index={GENERATION}&"));
+        // The receiver is closed once the test has what it needs.
+        let _ = calls.send(target);
+        if is_watch {
+            sleep(Duration::from_millis(wait)).await;
+        }
+        let no_changes = json!({"generation": GENERATION, "reset": false, "instances": []});
+        let answer = if is_watch { &no_changes } else { &*list };
+        let written = match format {
+            ListFormat::Compact => wire.answer(200, "", &answer.to_string()).await,
+            ListFormat::IndentedInPieces => write_in_pieces(&mut wire, &format!("{answer:#}")).await,
+        };
+        if written.is_err() {
+            return;
+        }
+    }
+}
+
+pub async fn write_in_pieces(wire: &mut Wire, body: &str) -> std::io::Result<()> {
+    wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
+    for piece in body.as_bytes().chunks(PIECE_BYTES) {
+        wire.write(std::str::from_utf8(piece).expect("ASCII")).await?;
+        // The daemon gets the chance to read this piece alone.
+        tokio::task::yield_now().await;
+    }
+    Ok(())
+}
+
+/// The peers behind one socket: each answers an occupancy query with no occupancy. The socket's number is sent to `datagrams`
+/// for each datagram.
+pub async fn run_peers(number: usize, socket: UdpSocket, datagrams: UnboundedSender<usize>) {
+    let mut buffer = [0; 256];
+    loop {
+        let (length, sender) = socket.recv_from(&mut buffer).await.expect("a datagram");
+        // The receiver is closed once the test has what it needs.
+        let _ = datagrams.send(number);
+        if let Some((PeerMessage::OccupancyQuery(_), worker)) = PeerMessage::read(&buffer[..length]) {
+            let reply = PeerMessage::OccupancyReply(Some((0.0, 0))).write(worker);
+            socket.send_to(&reply, sender).await.expect("sent");
+        }
+    }
+}
+
+/// The workers, the peers and discovery around one scheduler.
+pub struct Fleet {
+    pub folder: tempfile::TempDir,
+    /// The scheduler's configuration, without an endpoint list.
+    pub config: Value,
+    /// The complete endpoint list.
+    pub list: Value,
+    pub scheduler: SchedulerAddress,
+    /// The targets of the requests that discovery received.
+    pub calls: UnboundedReceiver<String>,
+    /// The numbers of the sockets at which peers received datagrams.
+    pub datagrams: UnboundedReceiver<usize>,
+    pub jobs: u64,
+}
+
+impl Fleet {
+    /// A fleet whose workers' names are longer than `name_length`, and whose discovery writes its list in this format.
+    pub async fn new(name_length: usize, format: ListFormat) -> Fleet {
+        let workers = TcpListener::bind("0.0.0.0:0").await.expect("a port");
+        let port = workers.local_addr().expect("bound").port();
+        let instances: Vec<Value> = (0..WORKERS)
+            .map(|number| {
+                let mut entry = instance(number, worker_address(number, port), "up");
+                entry["instanceId"] = worker_name(number, name_length).into();
+                entry
+            })
+            .collect();
+        let list = json!({"generation": GENERATION, "reset": true, "instances": instances});
+        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let (datagram_sender, datagrams) = unbounded_channel();
+        let mut peers = Vec::new();
+        for number in 0..PEER_SOCKETS {
+            let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
+            peers.push(socket.local_addr().expect("bound"));
+            tokio::spawn(run_peers(number, socket, datagram_sender.clone()));
+        }
+        let config = large_config(discovery.local_addr().expect("bound"), &peers);
+        let (scheduler, (call_sender, calls)) = (SchedulerAddress::default(), unbounded_channel());
+        tokio::spawn(run_workers(workers, name_length, scheduler.clone()));
+        tokio::spawn(run_discovery(discovery, list.clone(), format, call_sender));
+        let folder = tempfile::tempdir().expect("a directory");
+        Fleet { folder, config, list, scheduler, calls, datagrams, jobs: 0 }
+    }
+
+    /// Starts the scheduler with this endpoint list cached from an earlier run.
+    pub fn start(&mut self, known: &Value) -> Process {
+        let mut config = self.config.clone();
+        config["known"] = known.clone();
+        let process = Process::start(&config, self.folder.path());
+        self.config["listen"] = process.address.to_string().into();
+        *self.scheduler.lock().unwrap_or_else(PoisonError::into_inner) = Some(process.address);
+        process
+    }
+
+    /// Starts it with the complete list.
+    pub fn start_with_list(&mut self) -> Process {
+        self.start(&self.list.clone())
+    }
+
+    /// Starts it with an empty list.
+    pub fn start_without_list(&mut self) -> Process {
+        self.start(&json!({"generation": 1, "reset": true, "instances": []}))
+    }
+
+    /// Submits jobs of different keys, one after the other on one connection; the workers that served them.
+    pub async fn serve(&mut self, jobs: u64) -> BTreeSet<usize> {
+        let first = self.jobs + 1;
+        self.jobs += jobs;
+        serve_jobs(current_address(&self.scheduler), first..=self.jobs).await
+    }
+
+    /// Submits jobs, and checks that the scheduler uses the list from its start to its end.
+    pub async fn serve_from_the_complete_list(&mut self) {
+        let workers = self.serve(100).await;
+        assert!(workers.len() > 80, "100 keys are spread over the list: {workers:?}");
+        assert!(workers.first() < Some(&(WORKERS / 12)), "its start is reached: {workers:?}");
+        assert!(workers.last() >= Some(&(WORKERS - WORKERS / 12)), "its end is reached: {workers:?}");
+    }
+
+    /// The target of the next request that discovery receives.
+    pub async fn next_call(&mut self) -> String {
+        self.calls.recv().await.expect("discovery runs")
+    }
+}
+
+/// Submits the jobs of these numbers to a scheduler, one after the other on one connection; the workers that served them.
+pub async fn serve_jobs(scheduler: SocketAddr, jobs: RangeInclusive<u64>) -> BTreeSet<usize> {
+    let mut client = dial(scheduler).await;
+    let mut workers = BTreeSet::new();
+    for job in jobs {
+        let headers = format!("X-Trace-Id: {job:016x}\r\nX-Qos: safe\r\n");
+        client.hand_in(&format!("/safe/key-{job}"), &headers, "work").await;
+        let answer = client.read().await.expect("an answer");
+        assert_eq!(answer.status(), "200", "job {job} after {} workers", workers.len());
+        workers.insert(answer.text().parse().expect("a worker's number"));
+    }
+    workers
+}
+
+/// The configuration of the last of 1,200 schedulers that exchange datagrams; `peers` are the others' sockets.
+pub fn large_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
+    let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let own = reserved.local_addr().expect("bound");
+    let per_socket = SCHEDULERS / peers.len();
+    let mut each: Vec<String> = (0..SCHEDULERS).map(|n| peers[n / per_socket].to_string()).collect();
+    each[SCHEDULERS - 1] = own.to_string();
+    let mut config = config(discovery, json!([]));
+    config["limits"]["sockets"] = 1024.into();
+    config["peer_listen"] = own.to_string().into();
+    config["peers"] = json!(each);
+    config["settings"]["me"] = (SCHEDULERS - 1).into();
+    config["settings"]["balancers"] = SCHEDULERS.into();
+    config["settings"]["limits"]["peers"] = true.into();
+    config
+}
+
+/// Waits until the scheduler is ready.
+pub async fn until_ready(process: &Process) {
+    loop {
+        let mut client = dial(process.address).await;
+        client.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
+        if status(&client.read().await) == "200" {
+            return;
+        }
+    }
+}
