--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -153,7 +153,7 @@
                 }
                 _ = sweep.tick() => {
                     self.connections.sweep(self.elsewhere());
-                    self.upstream.limit_connections(self.connections.left_to_workers(self.elsewhere()));
+                    self.upstream.set_max_connections(self.connections.left_to_workers(self.elsewhere()));
                     continue;
                 }
                 _ = successor.changed() => continue,
@@ -321,7 +321,7 @@
         };
     match serde_json::from_slice::<Callback>(&body) {
         Ok(callback) => {
-            if client_server.upstream.called_back(&callback) {
+            if client_server.upstream.dispatch_callback(&callback) {
                 return StatusCode::OK.into_response();
             }
             match client_server.process_links.forward(&callback, None).await {
@@ -388,8 +388,8 @@
 fn render(answer: Answer) -> Response {
     match answer {
         Answer::Served(result) => (StatusCode::OK, result).into_response(),
-        Answer::Reject { retry_after: 0 } => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Answer::Reject { retry_after } => {
+        Answer::Rejected { retry_after: 0 } => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Answer::Rejected { retry_after } => {
             let seconds = format!("{:.3}", retry_after as f64 / 1e6);
             (StatusCode::SERVICE_UNAVAILABLE, [(RETRY_AFTER, seconds)]).into_response()
         }
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -16,7 +16,7 @@
 use crate::discovery::schedule::{CallOutcome, DiscoverySchedule, RESPONSE_TIMEOUT};
 use crate::engine::Engine;
 use crate::snapshot::CurrentSettings;
-use crate::workers::{ListedWorker, UpstreamGroup};
+use crate::workers::{UpstreamGroup, WorkerEndpoint};
 use std::future::{pending, ready, Future};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -307,14 +307,14 @@
         self.endpoint_list().apply(update, generation, instances);
         let names = &self.settings.get().names;
         let endpoints: Vec<Endpoint> = instances.iter().map(|instance| instance.to_endpoint(names)).collect();
-        let workers = instances.iter().zip(&endpoints).map(|(instance, endpoint)| ListedWorker {
+        let workers = instances.iter().zip(&endpoints).map(|(instance, endpoint)| WorkerEndpoint {
             worker_id: endpoint.worker,
             name: &instance.instance_id,
             address: &instance.host_port,
             state: endpoint.state,
-            started: endpoint.started_at,
+            started_at: endpoint.started_at,
         });
-        self.upstream.apply(update, workers);
+        self.upstream.apply_endpoints(update, workers);
         self.engine.handle(Event::Endpoints { update, endpoints });
     }
 
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -156,7 +156,7 @@
             Action::Subscribe(false) => self.request_endpoints(DiscoveryRequest::Unsubscribe),
             Action::FetchEndpoints => self.request_endpoints(DiscoveryRequest::Fetch),
             Action::SendPeerMessage { to, data } => self.send_peer_message(OutgoingMessage { to, data }),
-            Action::CloseIdle(worker) => self.upstream.close_idle(worker),
+            Action::CloseIdle(worker) => self.upstream.close_idle_connections(worker),
             Action::Probe(worker) => self.spawn_probe(worker),
             Action::Log(text) => info!(text, "scheduler.logged"),
         }
@@ -191,7 +191,7 @@
         let sent_at = self.clock.now();
         let (outcome, load) = self.upstream.probe(worker).await;
         let latency = self.clock.now().saturating_sub(sent_at);
-        let name = self.upstream.name(worker);
+        let name = self.upstream.worker_name(worker);
         debug!(worker = name, ?outcome, latency_us = latency, ?load, "probe.finished");
         Event::Probed { worker, outcome, latency, load }
     }
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::{file, read_text};
-use crate::workers::{worker_id, ListedWorker};
+use crate::workers::{worker_id, WorkerEndpoint};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
@@ -21,9 +21,14 @@
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
     let worker_id = worker_id("s-0");
     let address = listener.local_addr().expect("bound").to_string();
-    let entry =
-        ListedWorker { worker_id, name: "s-0", address: &address, state: EndpointState::Ready, started: 0 };
-    upstream.apply(EndpointUpdate::Changes, [entry].into_iter());
+    let entry = WorkerEndpoint {
+        worker_id,
+        name: "s-0",
+        address: &address,
+        state: EndpointState::Ready,
+        started_at: 0,
+    };
+    upstream.apply_endpoints(EndpointUpdate::Changes, [entry].into_iter());
     let engine = Engine::new(scheduler, upstream, unbounded_channel().0, unbounded_channel().0);
 
     engine.execute(&mut engine.lock_state(), Action::Probe(worker_id));
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -89,7 +89,7 @@
                 );
                 self.process_links.set_successor(link.clone());
                 // From now on the successor opens its own connections to workers.
-                self.upstream.close_all_idle();
+                self.upstream.close_all_idle_connections();
             }
             HandoverMessage::ClientConnection { reused } => {
                 for connection in envelope.descriptors {
@@ -107,7 +107,7 @@
     fn handle_callback(&self, link: Arc<Link>, number: u64, callback: Callback) {
         let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
         tokio::spawn(async move {
-            let forwarded = if upstream.called_back(&callback) {
+            let forwarded = if upstream.dispatch_callback(&callback) {
                 Forwarded::Known
             } else {
                 process_links.forward(&callback, Some(&link)).await
--- a/crates/vetchbridge/tests/parts.rs
+++ b/crates/vetchbridge/tests/parts.rs
@@ -142,7 +142,7 @@
         };
         let target = PathAndQuery::from_static("/receipt/k");
         let payload = Payload { id: id.to_string(), target, idempotency_key: None, body };
-        let job = Job { request, payload, settings: self.current.get(), room: None };
+        let job = Job { request, payload, settings: self.current.get(), body_permit: None };
         submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
     }
 
@@ -238,7 +238,9 @@
         take(&mut stream, length).await;
         Wire::new(stream).answer(202, "", "").await.expect("it is read");
         let done = json!({"id": id, "from": second, "state": "done", "result": "made"}).to_string();
-        assert!(parts.upstream.called_back(&serde_json::from_str::<Callback>(&done).expect("a callback")));
+        assert!(parts
+            .upstream
+            .dispatch_callback(&serde_json::from_str::<Callback>(&done).expect("a callback")));
         assert_eq!(answer.await.expect("an answer"), Answer::Served("made".into()));
     } else {
         tokio::select! {
