--- a/crates/testkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -94,7 +94,7 @@
     assert!(matches!(judged(&[], &[], &[], &stayed(Some(3.5)), "")[..], [Broken::Stopped(_)]));
     assert!(matches!(judged(&[], &[], &[], &stayed(None), "")[..], [Broken::Stopped(_)]));
 
-    assert!(judged(&[], &[], &[], &[], "INFO daemon.ended violations=0").is_empty());
+    assert!(judged(&[], &[], &[], &[], "INFO daemon.stopped violations=0").is_empty());
     let log =
         "ERROR invariant.violated invariant=UnsafeJobOnce request=1\nthread 'main' panicked at src/x.rs";
     assert!(matches!(judged(&[], &[], &[], &[], log)[..], [Broken::Log(_), Broken::Log(_)]));
--- /dev/null
+++ b/crates/vetchbridge/src/admin/mod.rs
@@ -0,0 +1,135 @@
+//! The admin interface: a listener of its own, on which each connection carries one command line and one response line.
+//!
+//! Owns the listener and its connections. They are few, each has a time limit and a limit on bytes, and when there are as
+//! many as allowed, one on which nothing has arrived is closed for the next. A command only calls the lifecycle, and no
+//! connection delays another.
+
+mod command;
+
+use crate::lifecycle::clock::Lifecycle;
+use crate::net::RetryingStream;
+use crate::upgrade::process_links::ProcessLinks;
+use command::{failure, respond, CommandError};
+use std::collections::VecDeque;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::task::AbortHandle;
+use tokio::time::timeout;
+use tracing::{debug, info, warn};
+
+/// Maximum length of a command line in bytes, with its line feed.
+pub const LINE_LIMIT: usize = 256;
+/// Time limit for reading a command and for writing its response. Some clients hold a connection for 4 s before they
+/// have sent a complete line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long input is read and dropped after the response; closing with unread input would reset the connection and lose
+/// the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Upper limit on the number of connections.
+const MAX_CONNECTIONS: usize = 16;
+/// Descriptors of the process for each connection that is allowed.
+const DESCRIPTORS_PER_CONNECTION: usize = 16;
+
+/// The number of connections that are allowed at once in a process that may have this many descriptors.
+pub fn max_connections(descriptors: usize) -> usize {
+    (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(2, MAX_CONNECTIONS)
+}
+
+/// A connection that may still be open.
+struct OpenConnection {
+    /// Anything has arrived on it.
+    has_input: Arc<AtomicBool>,
+    task: AbortHandle,
+}
+
+/// Serves the admin interface until the program ends.
+pub async fn serve(
+    listener: TcpListener,
+    lifecycle: Arc<Lifecycle>,
+    process_links: Arc<ProcessLinks>,
+    max_connections: usize,
+) {
+    let mut connections: VecDeque<OpenConnection> = VecDeque::new();
+    loop {
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => RetryingStream::new(stream),
+            Err(error) => {
+                warn!(%error, "admin.accept_failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+                continue;
+            }
+        };
+        connections.retain(|connection| !connection.task.is_finished());
+        if connections.len() >= max_connections {
+            evict_one(&mut connections);
+        }
+        let has_input = Arc::new(AtomicBool::new(false));
+        let connection =
+            serve_connection(stream, lifecycle.clone(), process_links.clone(), has_input.clone());
+        let task = tokio::spawn(connection).abort_handle();
+        connections.push_back(OpenConnection { has_input, task });
+    }
+}
+
+/// Closes the oldest connection without input, or the oldest of all.
+fn evict_one(connections: &mut VecDeque<OpenConnection>) {
+    let without_input =
+        connections.iter().position(|connection| !connection.has_input.load(Ordering::Relaxed));
+    if let Some(evicted) = connections.remove(without_input.unwrap_or(0)) {
+        evicted.task.abort();
+        debug!("admin.connection_evicted");
+    }
+}
+
+async fn serve_connection(
+    mut stream: RetryingStream,
+    lifecycle: Arc<Lifecycle>,
+    process_links: Arc<ProcessLinks>,
+    has_input: Arc<AtomicBool>,
+) {
+    let response = match timeout(LINE_TIMEOUT, read_line(&mut stream, &has_input)).await {
+        Ok(Ok(line)) => {
+            let response = respond(&line, &lifecycle, &process_links);
+            let command = String::from_utf8_lossy(&line);
+            info!(command = %command.trim_end(), response, "admin.command_handled");
+            response
+        }
+        Ok(Err(error)) => failure(error),
+        Err(_) => failure(CommandError::TimedOut),
+    };
+    let written = timeout(LINE_TIMEOUT, async {
+        stream.write_all(format!("{response}\n").as_bytes()).await?;
+        stream.shutdown().await
+    });
+    if !matches!(written.await, Ok(Ok(()))) {
+        return debug!(response, "admin.response_failed");
+    }
+    let rest = async { while stream.read(&mut [0; LINE_LIMIT]).await.is_ok_and(|read| read > 0) {} };
+    let _ = timeout(LINGER_TIMEOUT, rest).await;
+}
+
+/// Reads a command line, up to its line feed or the end of the input.
+async fn read_line(stream: &mut RetryingStream, has_input: &AtomicBool) -> Result<Vec<u8>, CommandError> {
+    let mut line = Vec::new();
+    let mut buffer = [0; LINE_LIMIT];
+    loop {
+        let read = stream.read(&mut buffer).await.map_err(|_| CommandError::ConnectionFailed)?;
+        has_input.store(true, Ordering::Relaxed);
+        line.extend_from_slice(&buffer[..read]);
+        if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
+            line.truncate(end);
+            return if end < LINE_LIMIT { Ok(line) } else { Err(CommandError::LineTooLong) };
+        }
+        if line.len() >= LINE_LIMIT {
+            return Err(CommandError::LineTooLong);
+        }
+        if read == 0 {
+            return Ok(line);
+        }
+    }
+}
--- a/crates/vetchbridge/src/cli.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -1,12 +1,17 @@
-//! The daemon's command line. Owns its words, its exit codes and what it prints; everything it does is done elsewhere.
+//! The daemon's command line: its subcommands and flags, its exit codes and what it prints. Everything that it starts is
+//! done elsewhere.
+
+mod default_file;
 
 use crate::config::{self, file, Config, Effective, Flags};
 use crate::logs::{LogFormat, Logs};
 use crate::net::retry_blocking;
 use crate::serve;
-use crate::signals::CaughtSignals;
+use crate::signals::SignalHandlers;
 use clap::{Args, CommandFactory, Parser, Subcommand};
+use default_file::default_file;
 use serde_json::Value;
+use std::fmt::Display;
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -56,7 +61,7 @@
     /// Print what configurations look like
     Config {
         #[command(subcommand)]
-        what: What,
+        subject: ConfigCommand,
     },
     /// Print completions for a shell
     #[command(after_help = "Example:\n  vetchbridge completions bash > /etc/bash_completion.d/vetchbridge")]
@@ -67,7 +72,7 @@
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
+enum ConfigCommand {
     /// A file with every key, its meaning and its default
     Default,
     /// The JSON Schema of the format, for editors
@@ -96,20 +101,20 @@
     log_filter: Option<String>,
 }
 
-/// Bad input; nothing was started.
-const BAD_INPUT: u8 = 2;
-/// The machine could not do it.
-const MACHINE: u8 = 3;
+/// Exit code where the input is invalid and nothing was started.
+const EXIT_BAD_INPUT: u8 = 2;
+/// Exit code where the system lacks something, such as a free address.
+const EXIT_SYSTEM: u8 = 3;
 
-/// The whole program.
+/// Runs the program.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.command {
         None => start(cli.serve),
         Some(Command::Serve(serve)) => start(serve),
         Some(Command::Check { json, files }) => check(&files, json),
-        Some(Command::Config { what: What::Default }) => print(&default_file()),
-        Some(Command::Config { what: What::Schema }) => print(&format!("{:#}\n", file::schema())),
+        Some(Command::Config { subject: ConfigCommand::Default }) => print(&default_file()),
+        Some(Command::Config { subject: ConfigCommand::Schema }) => print(&format!("{:#}\n", file::schema())),
         Some(Command::Completions { shell }) => {
             let mut text = Vec::new();
             clap_complete::generate(shell, &mut Cli::command(), "vetchbridge", &mut text);
@@ -118,10 +123,10 @@
     }
 }
 
-/// Prints to standard output; a reader that has gone is no fault.
+/// Prints to standard output; that its reader has closed it is no error.
 fn print(text: &str) -> ExitCode {
     match io::stdout().write_all(text.as_bytes()) {
-        Err(error) if error.kind() != io::ErrorKind::BrokenPipe => ExitCode::from(MACHINE),
+        Err(error) if error.kind() != io::ErrorKind::BrokenPipe => ExitCode::from(EXIT_SYSTEM),
         _ => ExitCode::SUCCESS,
     }
 }
@@ -130,8 +135,8 @@
     let Serve { config, name, listen, discovery, log_format, log_filter } = serve;
     let flags = Flags { config, name, listen, discovery, log_format, log_filter };
     let prepared = prepare_runtime();
-    let read = config::load(&flags);
-    let (format, filter) = match &read {
+    let loaded = config::load(&flags);
+    let (format, filter) = match &loaded {
         Ok(Config { log, .. }) => (log.format, log.filter.to_string()),
         Err(_) => (log_format.unwrap_or_default(), crate::logs::DEFAULT_FILTER.to_string()),
     };
@@ -139,40 +144,44 @@
         Ok(logs) => logs,
         Err(error) => {
             eprintln!("vetchbridge: log filter: {error}");
-            return ExitCode::from(BAD_INPUT);
+            return ExitCode::from(EXIT_BAD_INPUT);
         }
     };
-    let config = match read {
+    let config = match loaded {
         Ok(config) => config,
         Err(error) => {
             error.0.iter().for_each(|fault| tracing::error!("configuration: {fault}"));
-            return ExitCode::from(BAD_INPUT);
+            return ExitCode::from(EXIT_BAD_INPUT);
         }
     };
-    let ended = match prepared {
-        Ok((runtime, signals)) => runtime.block_on(serve::run(config, flags, logs, signals)),
-        Err(error) => Err(error.into()),
+    let (runtime, signals) = match prepared {
+        Ok(prepared) => prepared,
+        Err(error) => return failed(&error),
     };
-    match ended {
+    match runtime.block_on(serve::run(config, flags, logs, signals)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            tracing::error!(%error, "daemon.failed");
-            ExitCode::from(MACHINE)
-        }
+        Err(error) => failed(&error),
     }
 }
 
-/// The runtime, with the signals caught before it. Uncaught, one that comes while the configuration is read would end the
-/// process.
-fn prepare_runtime() -> io::Result<(Runtime, CaughtSignals)> {
-    let signals = retry_blocking("signals", CaughtSignals::catch)?;
-    // One core is all there is: one thread, and no locks ever waited for.
+fn failed(error: &dyn Display) -> ExitCode {
+    tracing::error!(%error, "daemon.failed");
+    ExitCode::from(EXIT_SYSTEM)
+}
+
+/// The runtime, with the signal handlers installed before it. Without them, a signal that arrives while the configuration
+/// is read would end the process.
+fn prepare_runtime() -> io::Result<(Runtime, SignalHandlers)> {
+    let signals = retry_blocking("signals", SignalHandlers::install)?;
+    // The daemon has one core: with one thread no lock is ever contended.
     let runtime = retry_blocking("runtime", || runtime::Builder::new_current_thread().enable_all().build())?;
     Ok((runtime, signals))
 }
 
+/// Prints the values of each file, or everything that is wrong with it.
 fn check(files: &[PathBuf], json: bool) -> ExitCode {
-    let (mut code, mut reports) = (ExitCode::SUCCESS, Vec::new());
+    let mut code = ExitCode::SUCCESS;
+    let mut reports = Vec::new();
     for path in files {
         let read = config::read_file(path);
         match (&read, json) {
@@ -180,11 +189,11 @@
                 reports.push(serde_json::json!({"file": path, "faults": [], "values": read.effective}));
             }
             (Err(error), true) => reports.push(serde_json::json!({"file": path, "faults": error.0})),
-            (Ok(read), false) => drop(print(&table(&path.to_string_lossy(), &read.effective))),
+            (Ok(read), false) => drop(print(&values_table(&path.to_string_lossy(), &read.effective))),
             (Err(error), false) => eprintln!("{error}"),
         }
         if read.is_err() {
-            code = ExitCode::from(BAD_INPUT);
+            code = ExitCode::from(EXIT_BAD_INPUT);
         }
     }
     if json {
@@ -193,54 +202,10 @@
     code
 }
 
-fn table(file: &str, values: &[Effective]) -> String {
+/// The values in force as lines of text, each with its origin.
+fn values_table(file: &str, values: &[Effective]) -> String {
     let text = |value: &Effective| format!("{} = {}", value.key, value.value);
     let width = values.iter().map(|value| text(value).chars().count()).max().unwrap_or(0).min(60);
     let lines = values.iter().map(|value| format!("{:width$}  # {}\n", text(value), value.from));
     format!("# {file} holds\n{}", lines.collect::<String>())
 }
-
-/// Every key with its meaning, in a comment above it. Keys without a default are commented out.
-fn default_file() -> String {
-    let schema = file::schema();
-    let values = serde_json::to_value(file::example()).unwrap_or_default();
-    let mut text = format!("# {}\n", schema["description"].as_str().unwrap_or_default());
-    let mut tables = String::new();
-    let empty = serde_json::Map::new();
-    let comment =
-        |schema: &Value| schema["description"].as_str().map(|d| d.replace('\n', " ")).unwrap_or_default();
-    let line = |name: &str, schema: &Value, value: Option<&Value>| {
-        let example = match schema["format"].as_str() {
-            Some("span") => "\"1s\"",
-            Some("address") => "\"127.0.0.1:8500\"",
-            Some("seed") => "\"8c1f30d27a5be964\"",
-            _ => match schema["type"].as_str() {
-                Some("string") => "\"\"",
-                Some("integer" | "number") => "0",
-                Some("boolean") => "false",
-                Some("array") => "[]",
-                _ => "\"\"",
-            },
-        };
-        match value {
-            Some(value) => format!("# {}\n{name} = {value}\n", comment(schema)),
-            None => format!("# {}\n#{name} = {example}\n", comment(schema)),
-        }
-    };
-    for (name, schema) in schema["properties"].as_object().unwrap_or(&empty) {
-        let entry = &schema["items"];
-        if let Some(keys) = entry["properties"].as_object() {
-            let example = values[name].get(0);
-            // A list without an entry of its own is shown, but commented out.
-            let (hash, example) = (if example.is_some() { "" } else { "#" }, example.unwrap_or(&Value::Null));
-            tables.push_str(&format!("\n# {}\n{hash}[[{name}]]\n", comment(schema)));
-            keys.iter().for_each(|(key, schema)| tables.push_str(&line(key, schema, example.get(key))));
-        } else if let Some(keys) = schema["properties"].as_object() {
-            tables.push_str(&format!("\n# {}\n[{name}]\n", comment(schema)));
-            keys.iter().for_each(|(key, schema)| tables.push_str(&line(key, schema, values[name].get(key))));
-        } else {
-            text.push_str(&format!("\n{}", line(name, schema, values.get(name))));
-        }
-    }
-    text + &tables
-}
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -87,7 +87,8 @@
         process_links: Arc<ProcessLinks>,
     ) -> Arc<ClientServer> {
         let (adopted, adoptions) = unbounded_channel();
-        let connections = ClientConnections::new(sockets, admin::callers(sockets), upstream.connections());
+        let connections =
+            ClientConnections::new(sockets, admin::max_connections(sockets), upstream.connections());
         Arc::new(ClientServer {
             engine,
             upstream,
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -172,7 +172,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Filter, String> {
-        crate::logs::parse(text).map(|_| Filter(text.to_string()))
+        crate::logs::parse_filter(text).map(|_| Filter(text.to_string())).map_err(|error| error.to_string())
     }
 }
 
--- a/crates/vetchbridge/src/lib.rs
+++ b/crates/vetchbridge/src/lib.rs
@@ -14,7 +14,6 @@
 pub mod engine;
 pub mod invariants;
 pub mod lifecycle;
-mod log_writer;
 pub mod logs;
 mod net;
 pub mod peers;
--- a/crates/vetchbridge/src/log_writer.rs
+++ b/crates/vetchbridge/src/logs/writer.rs
@@ -1,7 +1,6 @@
 //! The writer of the log: it never blocks the one thread of the daemon. A line is written only where it fits at once;
 //! otherwise it is dropped and counted, and the count is written once a line fits again.
 
-use crate::logs::LogFormat;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
 use std::os::fd::{AsFd, BorrowedFd};
@@ -11,71 +10,64 @@
 
 /// Maximum length of a line in bytes: a pipe that polls as writable takes this much without blocking (`PIPE_BUF`,
 /// pipe(7)).
-const MAX_LINE: usize = 4096;
+const MAX_LINE_BYTES: usize = 4096;
+
+/// Makes the line that says how many lines were dropped.
+pub(super) type DroppedLinesNotice = fn(u64) -> String;
 
 /// A writer that drops lines rather than block. Clones share the count of dropped lines.
-pub(crate) struct LossyWriter<W> {
-    to: Arc<W>,
+pub(super) struct LossyWriter<W> {
+    output: Arc<W>,
     dropped: Arc<AtomicU64>,
-    format: LogFormat,
+    notice: DroppedLinesNotice,
 }
 
 impl<W> LossyWriter<W> {
-    /// A writer to `to` that tells of dropped lines in this format.
-    pub(crate) fn new(to: W, format: LogFormat) -> LossyWriter<W> {
-        LossyWriter { to: Arc::new(to), dropped: Arc::default(), format }
-    }
-
-    /// The line that tells of dropped lines.
-    fn notice(&self, dropped: u64) -> String {
-        match self.format {
-            LogFormat::Text => format!("WARN log.dropped lines={dropped}\n"),
-            LogFormat::Json => {
-                format!("{{\"level\":\"WARN\",\"message\":\"log.dropped\",\"lines\":{dropped}}}\n")
-            }
-        }
+    /// A writer to `output` that reports dropped lines by `notice`.
+    pub(super) fn new(output: W, notice: DroppedLinesNotice) -> LossyWriter<W> {
+        LossyWriter { output: Arc::new(output), dropped: Arc::default(), notice }
     }
 }
 
 impl<W> Clone for LossyWriter<W> {
     fn clone(&self) -> Self {
-        LossyWriter { to: self.to.clone(), dropped: self.dropped.clone(), format: self.format }
+        LossyWriter { output: self.output.clone(), dropped: self.dropped.clone(), notice: self.notice }
     }
 }
 
-/// Whether a write of up to [`MAX_LINE`] bytes does not block.
-fn fits(fd: BorrowedFd<'_>) -> bool {
+/// Whether a write of up to [`MAX_LINE_BYTES`] does not block.
+fn is_writable(fd: BorrowedFd<'_>) -> bool {
     let mut fds = [PollFd::from_borrowed_fd(fd, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // A reader that has gone is writable too; the write fails at once.
-    poll(&mut fds, Some(&at_once)).is_ok_and(|ready| ready > 0)
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    // An output whose reader has closed is writable too; the write fails at once.
+    poll(&mut fds, Some(&no_wait)).is_ok_and(|ready| ready > 0)
 }
 
 impl<W: AsFd> Write for LossyWriter<W>
 where
     for<'a> &'a W: Write,
 {
-    /// Takes one whole line.
+    /// Writes one complete line, or drops it.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut to = &*self.to;
-        if !fits(to.as_fd()) {
+        let mut output = &*self.output;
+        if !is_writable(output.as_fd()) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            to.write_all(self.notice(dropped).as_bytes())?;
-            if !fits(to.as_fd()) {
+            output.write_all((self.notice)(dropped).as_bytes())?;
+            if !is_writable(output.as_fd()) {
                 self.dropped.fetch_add(1, Ordering::Relaxed);
                 return Ok(line.len());
             }
         }
-        if line.len() <= MAX_LINE {
-            to.write_all(line)?;
+        if line.len() <= MAX_LINE_BYTES {
+            output.write_all(line)?;
         } else {
-            let cut =
-                (0..MAX_LINE - 1).rev().find(|at| std::str::from_utf8(&line[..*at]).is_ok()).unwrap_or(0);
-            to.write_all(&[&line[..cut], b"\n"].concat())?;
+            let is_text = |end: &usize| std::str::from_utf8(&line[..*end]).is_ok();
+            let end = (0..MAX_LINE_BYTES - 1).rev().find(is_text).unwrap_or(0);
+            output.write_all(&[&line[..end], b"\n"].concat())?;
         }
         Ok(line.len())
     }
--- a/crates/vetchbridge/src/net/retry.rs
+++ b/crates/vetchbridge/src/net/retry.rs
@@ -1,17 +1,18 @@
-//! Calls that make something at the start: which of their failures may be over in the next moment, and how long is tried.
+//! Retries of the calls that create something at the start of the process: which of their failures may be over in the
+//! next moment, and how long they are retried.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// How long a start tries for each thing that it needs. An address may still be held by the process before this one, and
-/// descriptors or memory of the kernel may be short for a moment.
-const START_WAIT: Duration = Duration::from_secs(5);
-/// Pause between two tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long a start retries each call. An address may still be in use by the process before this one, and descriptors or
+/// memory of the kernel may be short for a moment.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether a call that failed like this may succeed in the next moment.
+/// Whether a call that failed with this error may succeed in the next moment.
 fn is_transient(error: &io::Error) -> bool {
     let transient = [
         Errno::ADDRINUSE,
@@ -27,53 +28,59 @@
     Errno::from_io_error(error).is_some_and(|errno| transient.contains(&errno))
 }
 
-/// One series of tries.
-struct Tries<'a> {
-    what: &'a str,
-    until: Instant,
-    told: bool,
+/// The attempts at one call.
+struct Attempts<'a> {
+    /// What the call creates, for the log.
+    subject: &'a str,
+    deadline: Instant,
+    logged: bool,
 }
 
-impl Tries<'_> {
-    fn new(what: &str) -> Tries<'_> {
-        Tries { what, until: Instant::now() + START_WAIT, told: false }
+impl Attempts<'_> {
+    fn new(subject: &str) -> Attempts<'_> {
+        Attempts { subject, deadline: Instant::now() + RETRY_TIMEOUT, logged: false }
     }
 
-    /// The result, if it is the last; the first failure that is tried again is logged.
-    fn last<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
+    /// The result, if it is final; `None` if the call is to be retried. The first retry is logged.
+    fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
         match result {
-            Err(error) if is_transient(&error) && Instant::now() < self.until => {
-                let told = std::mem::replace(&mut self.told, true);
-                if !told && error.kind() == io::ErrorKind::AddrInUse {
-                    warn!(address = self.what, wait = ?START_WAIT, "address.taken");
-                } else if !told {
-                    warn!(what = self.what, %error, wait = ?START_WAIT, "start.waits");
+            Err(error) if is_transient(&error) && Instant::now() < self.deadline => {
+                if !std::mem::replace(&mut self.logged, true) {
+                    self.log_retry(&error);
                 }
                 None
             }
             result => Some(result),
         }
     }
+
+    fn log_retry(&self, error: &io::Error) {
+        if error.kind() == io::ErrorKind::AddrInUse {
+            warn!(address = self.subject, timeout = ?RETRY_TIMEOUT, "address.in_use");
+        } else {
+            warn!(subject = self.subject, %error, timeout = ?RETRY_TIMEOUT, "start.retried");
+        }
+    }
 }
 
-/// Tries until it succeeds, fails for good, or [`START_WAIT`] is over.
-pub(crate) async fn retry_for<T>(what: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
-    let mut tries = Tries::new(what);
+/// Calls until it succeeds, fails for good, or [`RETRY_TIMEOUT`] is over.
+pub(crate) async fn retry<T>(subject: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
+    let mut attempts = Attempts::new(subject);
     loop {
-        if let Some(result) = tries.last(call()) {
+        if let Some(result) = attempts.final_result(call()) {
             return result;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// The same before there is a runtime.
-pub(crate) fn retry_blocking<T>(what: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
-    let mut tries = Tries::new(what);
+/// The same where there is no runtime yet.
+pub(crate) fn retry_blocking<T>(subject: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
+    let mut attempts = Attempts::new(subject);
     loop {
-        if let Some(result) = tries.last(call()) {
+        if let Some(result) = attempts.final_result(call()) {
             return result;
         }
-        std::thread::sleep(RETRY_PAUSE);
+        std::thread::sleep(RETRY_DELAY);
     }
 }
--- /dev/null
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -0,0 +1,70 @@
+//! Configuration changes in a running daemon: each SIGHUP reads the configuration again.
+//!
+//! [`Reloader`] owns the platform's document in force, against which a new one is checked. A configuration that can't be
+//! used changes nothing at all.
+
+use super::startup::Core;
+use crate::config::{self, Config, Flags};
+use crate::discovery::request::DiscoveryRequest;
+use crate::logs::Logs;
+use serde_json::Value;
+use std::sync::{Arc, PoisonError};
+use std::time::Duration;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::Notify;
+use tracing::{error, info, warn};
+use vetchbridge_scheduling::interface::{EndpointUpdate, Event};
+
+/// Applies new configurations to the parts of the daemon that can take them at work.
+pub(super) struct Reloader {
+    pub flags: Flags,
+    pub logs: Logs,
+    /// The platform's document in force, where the configuration is one.
+    pub document: Option<Value>,
+    pub discovery_requests: UnboundedSender<DiscoveryRequest>,
+    pub core: Core,
+}
+
+impl Reloader {
+    /// Reads the configuration again at each SIGHUP until the process ends: while it drains, the scheduler still places
+    /// jobs and needs the endpoint list.
+    pub async fn run(mut self, hangup: Arc<Notify>) {
+        loop {
+            hangup.notified().await;
+            match config::reload(&self.flags, self.document.as_ref()) {
+                Ok(config) => self.apply(config),
+                Err(error) => {
+                    error.0.iter().for_each(|fault| error!(%fault, "configuration.invalid"));
+                    warn!(faults = error.0.len(), "configuration.unchanged");
+                }
+            }
+        }
+    }
+
+    /// Changes the settings, discovery and the log's filter in one step; all else takes effect at the next start.
+    fn apply(&mut self, config: Config) {
+        let Core { engine, upstream, current, endpoint_list } = &self.core;
+        if let Err(error) = self.logs.set_filter(&config.log.filter.0) {
+            error!(%error, "log.filter_invalid");
+        }
+        let settings = config.snapshot.settings.clone();
+        let dial_timeout = Duration::from_micros(settings.limits.dial_timeout);
+        upstream.retime(dial_timeout, config.snapshot.conn_idle);
+        upstream.read_reports(config.snapshot.reports);
+        let names = config.snapshot.names.clone();
+        let old = current.swap(config.snapshot);
+        if old.settings != settings {
+            engine.handle(Event::Settings(Box::new(settings)));
+        }
+        self.document = config.document;
+        if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
+            // The endpoints were announced under other indices; until they are announced anew, none may be placed on.
+            let endpoints = endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
+            engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
+        }
+        if self.discovery_requests.send(DiscoveryRequest::Move(config.source)).is_err() {
+            error!("discovery.absent");
+        }
+        info!(classes = names.classes.join(","), "configuration.applied");
+    }
+}
--- /dev/null
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -0,0 +1,215 @@
+//! Wires the parts of the daemon together, on top of what a predecessor has handed over, and starts their tasks.
+
+use super::reload::Reloader;
+use super::sockets::{InheritedSockets, Sockets};
+use super::ServeError;
+use crate::clients::server::ClientServer;
+use crate::config::{Config, Flags, Peers};
+use crate::discovery::client::{Discovery, InitialList};
+use crate::discovery::document::{EndpointDocument, EndpointList, Source};
+use crate::discovery::request::DiscoveryRequest;
+use crate::engine::Engine;
+use crate::lifecycle::clock::Lifecycle;
+use crate::logs::Logs;
+use crate::peers;
+use crate::snapshot::{CurrentSettings, Snapshot};
+use crate::upgrade::process_links::ProcessLinks;
+use crate::upgrade::socket::HandoverSocket;
+use crate::upgrade::{HandoverServer, InheritedState};
+use crate::workers::UpstreamGroup;
+use std::net::UdpSocket;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::sync::{watch, Notify};
+use tokio::time::timeout;
+use tracing::{error, info};
+use vetchbridge_scheduling::interface::Recipient;
+use vetchbridge_scheduling::scheduler::{Scheduler, CONFIRM_WITHIN};
+
+/// At most one descriptor in this many is used for a health check: a quarter of those that are not for client
+/// connections.
+const DESCRIPTORS_PER_PROBE: usize = 8;
+
+/// What a start begins with.
+pub(super) struct Startup {
+    pub config: Config,
+    pub flags: Flags,
+    pub logs: Logs,
+    /// Notified at each SIGHUP.
+    pub hangup: Arc<Notify>,
+    /// What a predecessor has handed over.
+    pub inherited: Option<InheritedState>,
+    pub lifecycle: Arc<Lifecycle>,
+    pub process_links: Arc<ProcessLinks>,
+}
+
+/// The predecessor, once its sockets and its endpoint list are in use here.
+struct Predecessor {
+    socket: HandoverSocket,
+    /// How many client connections it had.
+    connections: usize,
+}
+
+/// What a process starts on: sockets and an endpoint list, of its predecessor if there is one.
+struct Foundation {
+    sockets: InheritedSockets,
+    initial_list: InitialList,
+    predecessor: Option<Predecessor>,
+}
+
+/// The decision module and the state that it works on.
+#[derive(Clone)]
+pub(super) struct Core {
+    pub engine: Arc<Engine>,
+    pub upstream: Arc<UpstreamGroup>,
+    pub current: Arc<CurrentSettings>,
+    pub endpoint_list: Arc<Mutex<EndpointList>>,
+}
+
+/// A datagram to other schedulers.
+type PeerDatagram = (Recipient, Vec<u8>);
+
+/// Opens the sockets, wires all parts together and starts their tasks.
+pub(super) async fn start(startup: Startup) -> Result<Arc<HandoverServer>, ServeError> {
+    let Startup { mut config, flags, logs, hangup, inherited, lifecycle, process_links } = startup;
+    let known = std::mem::take(&mut config.known);
+    let Foundation { sockets, initial_list, predecessor } = foundation(inherited, known, &config.source);
+    let Sockets { client_listener, listener_duplicate, handover_listener, peer_socket } =
+        Sockets::open(&config, sockets).await?;
+    let listen = listener_duplicate.local_addr().map_err(ServeError::ClientListener)?;
+    info!(name = config.name, inherited = predecessor.is_some(), address = %listen, "daemon.listening");
+
+    let (discovery_requests, discovery_queue) = unbounded_channel();
+    let (datagrams, datagram_queue) = unbounded_channel();
+    let (max_sockets, memory) = (config.sockets, config.memory);
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
+    let core = Core::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
+    let reloader =
+        Reloader { flags, logs, document: config.document, discovery_requests, core: core.clone() };
+    tokio::spawn(reloader.run(hangup));
+    tokio::spawn(core.engine.clone().run_timers());
+    let peer_socket = config.peers.zip(peer_socket).and_then(|(peers, socket)| {
+        let started = start_peer_messages(peers, socket, &core, &process_links, datagram_queue);
+        started.map_err(|error| error!(%error, "peer_socket.failed")).ok()
+    });
+    let list_confirmed = start_discovery(config.source, initial_list, &core, discovery_queue);
+    let client_server = ClientServer::new(
+        core.engine.clone(),
+        core.upstream.clone(),
+        core.current.clone(),
+        max_sockets,
+        memory,
+        lifecycle.clone(),
+        process_links.clone(),
+    );
+    tokio::spawn(client_server.clone().serve(client_listener));
+    let handover_server = Arc::new(HandoverServer {
+        name: config.name,
+        listen,
+        listener: listener_duplicate,
+        peer_socket,
+        endpoint_list: core.endpoint_list,
+        lifecycle,
+        engine: core.engine,
+        upstream: core.upstream,
+        client_server,
+        process_links,
+    });
+    start_serving(&handover_server.lifecycle, list_confirmed);
+    if let Some(Predecessor { socket, connections }) = predecessor {
+        handover_server.announce_takeover(socket, connections);
+    }
+    if let (Some(listener), Some(path)) = (handover_listener, config.handover) {
+        tokio::spawn(handover_server.clone().run(path, listener));
+    }
+    Ok(handover_server)
+}
+
+/// Takes apart what a predecessor has handed over; without one the list is the one that was saved.
+fn foundation(inherited: Option<InheritedState>, known: EndpointDocument, source: &Source) -> Foundation {
+    let Some(InheritedState { listener, peer_socket, offer, endpoints, socket }) = inherited else {
+        return Foundation {
+            sockets: InheritedSockets::default(),
+            initial_list: InitialList { listing: known, versioned: true, inherited: false },
+            predecessor: None,
+        };
+    };
+    let same_source = matches!(source, Source::Service(address) if Some(*address) == offer.source);
+    Foundation {
+        sockets: InheritedSockets { client_listener: Some(listener), peer_socket },
+        initial_list: InitialList {
+            listing: endpoints,
+            versioned: same_source && offer.generation.is_some(),
+            inherited: offer.confirmed,
+        },
+        predecessor: Some(Predecessor { socket, connections: offer.connections }),
+    }
+}
+
+impl Core {
+    fn new(
+        scheduler: Scheduler,
+        snapshot: Snapshot,
+        max_sockets: usize,
+        discovery_requests: UnboundedSender<DiscoveryRequest>,
+        datagrams: UnboundedSender<PeerDatagram>,
+    ) -> Core {
+        let dial_timeout = Duration::from_micros(snapshot.settings.limits.dial_timeout);
+        let max_probes = (max_sockets / DESCRIPTORS_PER_PROBE).max(1);
+        let upstream = Arc::new(UpstreamGroup::new(dial_timeout, snapshot.conn_idle, max_probes));
+        upstream.read_reports(snapshot.reports);
+        let engine = Engine::new(scheduler, upstream.clone(), discovery_requests, datagrams);
+        let current = Arc::new(CurrentSettings::new(snapshot));
+        Core { engine, upstream, current, endpoint_list: Arc::default() }
+    }
+}
+
+/// Starts the exchange of datagrams with other schedulers; returns a duplicate of its socket, for a successor.
+fn start_peer_messages(
+    peers: Peers,
+    socket: Result<UdpSocket, ServeError>,
+    core: &Core,
+    process_links: &Arc<ProcessLinks>,
+    datagrams: UnboundedReceiver<PeerDatagram>,
+) -> Result<UdpSocket, ServeError> {
+    let socket = socket?;
+    let duplicate = socket.try_clone().map_err(ServeError::PeerSocket)?;
+    let messages = peers::run(peers, socket, core.engine.clone(), process_links.clone(), datagrams);
+    tokio::spawn(messages.map_err(ServeError::PeerSocket)?);
+    Ok(duplicate)
+}
+
+/// Starts discovery on a list; the receiver is notified once that list is confirmed.
+fn start_discovery(
+    source: Source,
+    initial_list: InitialList,
+    core: &Core,
+    requests: UnboundedReceiver<DiscoveryRequest>,
+) -> watch::Receiver<bool> {
+    let discovery = Discovery::start(
+        source,
+        core.current.clone(),
+        initial_list,
+        core.engine.clone(),
+        core.upstream.clone(),
+        core.endpoint_list.clone(),
+    );
+    let confirmed = discovery.confirmed();
+    tokio::spawn(discovery.run(requests));
+    confirmed
+}
+
+/// Lets the process serve once its endpoint list is confirmed, or after the time limit for that.
+fn start_serving(lifecycle: &Arc<Lifecycle>, mut list_confirmed: watch::Receiver<bool>) {
+    if *list_confirmed.borrow() {
+        return lifecycle.start_serving();
+    }
+    let lifecycle = lifecycle.clone();
+    tokio::spawn(async move {
+        // Without a response the decision module uses the saved list from then on: there is no better one.
+        let time_limit = Duration::from_micros(CONFIRM_WITHIN);
+        let _ = timeout(time_limit, list_confirmed.wait_for(|confirmed| *confirmed)).await;
+        lifecycle.start_serving();
+    });
+}
--- a/crates/vetchbridge/src/signals.rs
+++ b/crates/vetchbridge/src/signals.rs
@@ -1,11 +1,13 @@
-//! Signals to this process: SIGHUP asks for a new reading of the configuration, SIGTERM and SIGINT for the end.
+//! Signals to this process: SIGHUP reloads the configuration, SIGTERM and SIGINT start the shutdown.
 //!
-//! The runtime's own driver of signals ends the process when a read of its pipe is interrupted, so that signals are kept
-//! here: the handler sets a flag and wakes the reader by a pipe. A wake that is lost shows at the next regular look.
+//! The runtime's own signal driver ends the process when a read of its pipe is interrupted, so signals are handled here:
+//! the handler sets a flag and wakes the reader by a socket pair. A wake that is lost is made up for by the next regular
+//! check of the flags.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
 use std::io::{self, ErrorKind};
+use std::os::unix::net::UnixStream as StdUnixStream;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,64 +15,66 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// How often the flags are looked at without a wake.
-const REGULAR_LOOK: Duration = Duration::from_millis(100);
+/// How often the flags are checked without a wake.
+const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Signals that are caught from now on, and kept until [`CaughtSignals::watch`] tells of them.
-pub struct CaughtSignals {
+/// Installed signal handlers. Signals are remembered until [`SignalHandlers::watch`] notifies of them.
+pub struct SignalHandlers {
     hangup: Arc<AtomicBool>,
     terminate: Arc<AtomicBool>,
-    wake: std::os::unix::net::UnixStream,
+    wake: StdUnixStream,
 }
 
-/// Who is told of signals. A signal that comes while nobody waits is told to the next who does.
+/// Notifications of signals. A signal that arrives while no task waits is delivered to the next one that does.
 #[derive(Clone, Default)]
-pub struct SignalNotices {
+pub struct SignalNotifications {
     /// The configuration is to be read again.
     pub hangup: Arc<Notify>,
-    /// The process is to end.
+    /// The process is to shut down.
     pub terminate: Arc<Notify>,
 }
 
-impl CaughtSignals {
-    /// Catches the signals.
-    pub fn catch() -> io::Result<CaughtSignals> {
-        let (wake, waker) = std::os::unix::net::UnixStream::pair()?;
+impl SignalHandlers {
+    /// Installs the handlers. No runtime is needed.
+    pub fn install() -> io::Result<SignalHandlers> {
+        let (wake, waker) = StdUnixStream::pair()?;
         wake.set_nonblocking(true)?;
-        let (hangup, terminate) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        for (signal, asked) in [(SIGHUP, &hangup), (SIGTERM, &terminate), (SIGINT, &terminate)] {
-            flag::register(signal, asked.clone())?;
+        let hangup = Arc::<AtomicBool>::default();
+        let terminate = Arc::<AtomicBool>::default();
+        for (signal, received) in [(SIGHUP, &hangup), (SIGTERM, &terminate), (SIGINT, &terminate)] {
+            flag::register(signal, received.clone())?;
             // After the flag: actions run in the order of their registration.
             pipe::register(signal, waker.try_clone()?)?;
         }
-        Ok(CaughtSignals { hangup, terminate, wake })
+        Ok(SignalHandlers { hangup, terminate, wake })
     }
 
-    /// Tells of signals for as long as the runtime lives.
-    pub fn watch(self) -> io::Result<SignalNotices> {
-        let (notices, wake) = (SignalNotices::default(), UnixStream::from_std(self.wake)?);
-        let (hangup, terminate, told) = (self.hangup, self.terminate, notices.clone());
+    /// Notifies of signals for as long as the runtime lives.
+    pub fn watch(self) -> io::Result<SignalNotifications> {
+        let notifications = SignalNotifications::default();
+        let wake = UnixStream::from_std(self.wake)?;
+        let SignalNotifications { hangup, terminate } = notifications.clone();
         tokio::spawn(async move {
-            let mut regular = interval(REGULAR_LOOK);
+            let mut regular = interval(FLAG_CHECK_INTERVAL);
             regular.set_missed_tick_behavior(MissedTickBehavior::Delay);
             loop {
                 tokio::select! {
                     _ = regular.tick() => {}
                     () = woken(&wake) => {}
                 }
-                if hangup.swap(false, Ordering::Relaxed) {
-                    told.hangup.notify_one();
+                if self.hangup.swap(false, Ordering::Relaxed) {
+                    hangup.notify_one();
                 }
-                if terminate.swap(false, Ordering::Relaxed) {
-                    told.terminate.notify_one();
+                if self.terminate.swap(false, Ordering::Relaxed) {
+                    terminate.notify_one();
                 }
             }
         });
-        Ok(notices)
+        Ok(notifications)
     }
 }
 
-/// Resolves once the handler has written, with the pipe emptied.
+/// Resolves once a handler has written to the socket pair, with what it wrote read.
 async fn woken(wake: &UnixStream) {
     let mut bytes = [0_u8; 64];
     loop {
@@ -81,7 +85,7 @@
                 Ok(()) => {}
                 Err(_) => return std::future::pending().await,
             },
-            // The other end lives as long as the handler; the regular look goes on in any case.
+            // The other end lives as long as the handlers; the regular check goes on in any case.
             _ => return std::future::pending().await,
         }
     }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -196,7 +196,7 @@
             let line = { line }.find(|line| line.contains(event)).unwrap_or_else(|| panic!("{seen:?}"));
             line.rsplit("address=").next().expect("an address").parse().expect("an address")
         };
-        let (admin, address) = (listens("admin.listens"), listens("daemon.listens"));
+        let (admin, address) = (listens("admin.listening"), listens("daemon.listening"));
         let (lines, heard) = unbounded_channel();
         std::thread::spawn(move || log.map_while(Result::ok).for_each(|line| drop(lines.send(line))));
         Process { child, config: path, address, admin, log: heard }
--- a/crates/vetchbridge/tests/node.rs
+++ b/crates/vetchbridge/tests/node.rs
@@ -354,7 +354,7 @@
     services[0]["repeat"] = "safe".into();
     std::fs::write(&stage.daemon.config, other.to_string()).expect("written");
     stage.daemon.signal("-HUP");
-    assert!(stage.daemon.logs("configuration.read").await.contains("keyed,fresh,safe"));
+    assert!(stage.daemon.logs("configuration.applied").await.contains("keyed,fresh,safe"));
 
     let mut gone = dial(stage.daemon.address).await;
     gone.hand_in("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
@@ -431,8 +431,8 @@
         std::fs::write(&stage.daemon.config, &faulty).expect("written");
         stage.daemon.signal("-HUP");
         let mut said = stage.daemon.logs("configuration.").await;
-        while !said.contains("configuration.kept") {
-            assert!(!said.contains("configuration.read"), "{key}: {faulty}");
+        while !said.contains("configuration.unchanged") {
+            assert!(!said.contains("configuration.applied"), "{key}: {faulty}");
             said += &stage.daemon.logs("configuration.").await;
         }
         assert!(said.contains(key), "{key} in {said} for {faulty}");
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -112,15 +112,15 @@
         }
         Moment::WaitsForItsAddress => {
             let mut process = Starting::spawn(&mut command);
-            process.logs("address.taken").await;
+            process.logs("address.in_use").await;
             replace(&path, &text(&after));
             run("kill", &["-HUP", &process.child.id().to_string()]);
             process
         }
     };
     drop(held);
-    process.logs("daemon.listens").await;
-    process.logs("configuration.read").await;
+    process.logs("daemon.listening").await;
+    process.logs("configuration.applied").await;
     let mut wire = Wire::new(after.accept().await.expect("a call").0);
     assert_eq!(wire.asked().await, "/registry/instances", "it follows the discovery that is named now");
 }
@@ -169,6 +169,6 @@
         }
         replace(&daemon.config, &config.to_string());
         daemon.signal("-HUP");
-        daemon.logs("configuration.read").await;
+        daemon.logs("configuration.applied").await;
     }
 }
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -27,10 +27,10 @@
     let log = BufReader::new(child.stderr.take().expect("piped")).lines();
     let listens = tokio::task::spawn_blocking(move || {
         let mut log = log.map_while(Result::ok);
-        let taken = log.by_ref().any(|line| line.contains("address.taken"));
+        let taken = log.by_ref().any(|line| line.contains("address.in_use"));
         // Not before the daemon has met it.
         drop(held);
-        taken && log.any(|line| line.contains("daemon.listens"))
+        taken && log.any(|line| line.contains("daemon.listening"))
     });
     let listens = listens.await.expect("it is read");
     child.kill().expect("it runs");
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -67,10 +67,10 @@
     let mut stage = Stage::with_faults(1, "seed=3,recv.interrupted=0.5").await;
     for _ in 0..20 {
         stage.daemon.signal("-HUP");
-        stage.daemon.logs("configuration.read").await;
+        stage.daemon.logs("configuration.applied").await;
     }
     stage.daemon.signal("-TERM");
-    stage.daemon.logs("daemon.ended").await;
+    stage.daemon.logs("daemon.stopped").await;
     assert!(stage.daemon.child.wait().expect("it ends").success());
 }
 
