--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -206,9 +206,9 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Filter, UnitError> {
-        match crate::logs::parse(text) {
+        match crate::logs::parse_filter(text) {
             Ok(_) => Ok(Filter(text.to_string())),
-            Err(reason) => Err(UnitError::NoFilter(reason.to_string())),
+            Err(error) => Err(UnitError::NoFilter(error.to_string())),
         }
     }
 }
