--- a/crates/vetchbridge/src/admin.rs
+++ b/crates/vetchbridge/src/admin.rs
@@ -107,7 +107,7 @@
         stream.shutdown().await
     });
     if !matches!(said.await, Ok(Ok(()))) {
-        return debug!(words, "admin.unheard");
+        return debug!(words, "admin.answer_failed");
     }
     let rest = async { while stream.read(&mut [0; LINE_LIMIT]).await.is_ok_and(|read| read > 0) {} };
     let _ = timeout(LINGER_TIMEOUT, rest).await;
@@ -125,7 +125,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => RetryingStream::new(stream),
             Err(error) => {
-                warn!(%error, "admin.accept.failed");
+                warn!(%error, "admin.accept_failed");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -136,7 +136,7 @@
             let silent = callers.iter().position(|(spoke, _)| !spoke.load(Ordering::Relaxed));
             if let Some((_, displaced)) = callers.remove(silent.unwrap_or(0)) {
                 displaced.abort();
-                debug!("admin.displaced");
+                debug!("admin.caller_evicted");
             }
         }
         let spoke = Arc::new(AtomicBool::new(false));
--- a/crates/vetchbridge/src/clients/body.rs
+++ b/crates/vetchbridge/src/clients/body.rs
@@ -94,10 +94,10 @@
         return Err(BodyError::TooLong);
     }
     let permit = memory.reserve(expected.exact().map_or(MAX_BODY_BYTES, |bytes| bytes as usize))?;
-    let deadline = connection.due() - TIMEOUT_MARGIN;
+    let deadline = connection.request_arrival_deadline() - TIMEOUT_MARGIN;
     match tokio::time::timeout_at(deadline, to_bytes(body, MAX_BODY_BYTES)).await {
         Ok(Ok(body)) => {
-            connection.owe();
+            connection.mark_awaiting_response();
             Ok((body, permit))
         }
         Ok(Err(_)) => Err(BodyError::TooLong),
--- /dev/null
+++ b/crates/vetchbridge/src/clients/connection/lingering_close.rs
@@ -0,0 +1,36 @@
+//! Closes a connection without losing its last response.
+
+use super::super::framing::MAX_HEAD_BYTES;
+use super::time_limits::LINGER_TIMEOUT;
+use super::RequestStream;
+use crate::net::RetryingStream;
+use std::io;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::timeout;
+
+/// Maximum number of bytes that are read and dropped.
+const MAX_DROPPED_BYTES: usize = 1 << 20;
+
+/// Closes this side, then reads and drops what the client still sends until it closes its side too, the time limit has
+/// passed, or another connection needs the descriptor.
+pub(crate) async fn lingering_close(stream: RequestStream) {
+    let RequestStream { mut socket, connection } = stream;
+    connection.start_lingering();
+    tokio::select! {
+        // Neither result changes anything: there is no more to send.
+        _ = timeout(LINGER_TIMEOUT, shut_down_and_drop_input(&mut socket)) => {}
+        () = connection.must_close() => {}
+    }
+}
+
+async fn shut_down_and_drop_input(socket: &mut RetryingStream) -> io::Result<()> {
+    socket.shutdown().await?;
+    let (mut buffer, mut remaining) = (vec![0; MAX_HEAD_BYTES], MAX_DROPPED_BYTES);
+    while remaining > 0 {
+        match socket.read(&mut buffer).await? {
+            0 => break,
+            read => remaining = remaining.saturating_sub(read),
+        }
+    }
+    Ok(())
+}
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -1,161 +1,127 @@
-//! Client connections, all of them: the accepted sockets, those of the workers' callbacks included.
+//! All client connections of the process, those of workers' callbacks included.
 //!
-//! Owns the budget of descriptors for them (what the limit leaves beside the program and the workers), and who makes room
-//! when it is used up. It must never end a connection that says of itself that it can't be spared.
+//! Admits new connections within the descriptor budget, evicts others for them, and closes those that exceed their time
+//! limits. A connection that may not be evicted is never closed for another one.
 
+use super::budget::{DescriptorBudget, OtherProcesses};
 use super::connection::ClientConnection;
-use super::eviction::{Newcomers, SpareOrder};
+use super::eviction::{ConnectionId, EvictionOrder, NewConnections};
 use super::lock;
 use crate::workers::{Count, Counted};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
 
-/// Descriptors that a process needs for itself: standard streams, runtime, listeners, signals, peers, discovery and
-/// a hand-over. One at rest holds 14.
-const PROGRAM: usize = 24;
-/// This share of the limit is left free for connections to workers that are still to be made.
-const SPARE: usize = 8;
-/// Clients have this share of the limit whatever the workers hold.
-const AT_LEAST: usize = 4;
-/// Callbacks for which nobody can be spared have this share of the limit, of what is left free.
-const CALLBACKS: usize = 32;
-/// Idle connections to workers are kept up to this share of the limit whatever the clients hold.
-const WORKERS_AT_LEAST: usize = 4;
-
-/// What other processes of this scheduler hold of the same budget.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Elsewhere {
-    /// How many there are.
-    pub processes: usize,
-    /// Their client connections.
-    pub connections: usize,
-}
-
 #[derive(Default)]
-struct Table {
-    open: BTreeMap<u64, Arc<ClientConnection>>,
-    next: u64,
-    order: Arc<Mutex<SpareOrder>>,
+struct ConnectionTable {
+    open: BTreeMap<ConnectionId, Arc<ClientConnection>>,
+    last_id: ConnectionId,
+    eviction_order: Arc<Mutex<EvictionOrder>>,
 }
 
-impl Table {
-    /// How many there are beside those that have been chosen to make room.
-    fn staying(&self) -> usize {
-        self.open.len().saturating_sub(lock(&self.order).leaving)
+impl ConnectionTable {
+    /// Number of connections without those that have been chosen for eviction.
+    fn remaining(&self) -> usize {
+        self.open.len().saturating_sub(lock(&self.eviction_order).evicting)
     }
 
-    /// Sends away the connection that can best be spared; false if there is none.
-    fn make_room(&self, newcomers: Newcomers, now: Instant) -> bool {
-        let best = lock(&self.order).best(newcomers, now);
-        let best = best.and_then(|number| self.open.get(&number));
-        best.into_iter().for_each(|connection| connection.choose());
-        best.is_some()
+    /// Evicts the next connection of the eviction order; false if there is none.
+    fn evict_next(&self, new_connections: NewConnections, now: Instant) -> bool {
+        let next = lock(&self.eviction_order).next(new_connections, now);
+        let next = next.and_then(|id| self.open.get(&id));
+        next.into_iter().for_each(|connection| connection.evict());
+        next.is_some()
     }
 }
 
-/// See the head of this file.
-pub struct ClientConnections {
-    /// The most descriptors that the process may hold, and how many are set aside.
-    limit: usize,
-    aside: usize,
-    /// Connections to workers.
-    workers: Count,
-    table: Mutex<Table>,
-    callbacks: Count,
+/// The client connections of the process.
+pub(super) struct ClientConnections {
+    budget: DescriptorBudget,
+    table: Mutex<ConnectionTable>,
+    extra_callbacks: Count,
 }
 
-/// A connection's place in the budget.
-pub struct ConnectionSlot<'a> {
-    owner: &'a ClientConnections,
-    number: u64,
-    /// The connection that holds it.
-    pub connection: Arc<ClientConnection>,
+/// A connection's slot in the budget, released when it is dropped.
+pub(super) struct ConnectionSlot<'a> {
+    connections: &'a ClientConnections,
+    id: ConnectionId,
+    /// The connection that takes the slot.
+    pub(super) connection: Arc<ClientConnection>,
 }
 
 impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
-        lock(&self.owner.table).open.remove(&self.number);
+        lock(&self.connections.table).open.remove(&self.id);
     }
 }
 
 impl ClientConnections {
-    /// Connections of a process that may hold `limit` descriptors, of which so many are set `aside` beside
-    /// [`PROGRAM`]; the connections to `workers` share the rest with them.
-    pub fn new(limit: usize, aside: usize, workers: Count) -> ClientConnections {
-        ClientConnections { limit, aside, workers, table: Mutex::default(), callbacks: Count::default() }
+    /// The connections of a process with this budget.
+    pub(super) fn new(budget: DescriptorBudget) -> ClientConnections {
+        ClientConnections { budget, table: Mutex::default(), extra_callbacks: Count::default() }
     }
 
-    /// How many there are.
-    pub fn count(&self) -> usize {
+    /// Number of connections.
+    pub(super) fn count(&self) -> usize {
         lock(&self.table).open.len()
     }
 
-    /// How many there may be here.
-    fn budget(&self, elsewhere: Elsewhere) -> usize {
-        let taken =
-            self.aside + PROGRAM * (1 + elsewhere.processes) + self.workers.get() + self.limit / SPARE;
-        let clients = self.limit.saturating_sub(taken).max(self.limit / AT_LEAST);
-        clients.saturating_sub(elsewhere.connections)
-    }
-
-    /// How many connections to workers there may be before idle ones are closed: what the clients leave that are here, an
-    /// eighth of the limit more of them, and a quarter of it in any case.
-    pub fn left_to_workers(&self, elsewhere: Elsewhere) -> usize {
-        let growing = self.count() + elsewhere.connections + self.limit / SPARE;
-        let clients = growing.max(self.limit / AT_LEAST);
-        let taken = self.aside + PROGRAM * (1 + elsewhere.processes) + self.limit / SPARE + clients;
-        self.limit.saturating_sub(taken).max(self.limit / WORKERS_AT_LEAST)
+    /// Maximum number of connections to workers beyond which idle ones are closed.
+    pub(super) fn max_worker_connections(&self, others: OtherProcesses) -> usize {
+        self.budget.max_worker_connections(self.count(), others)
     }
 
-    /// When a new connection can have the place of one that is too young to go now, if there is no other place.
-    pub fn relief(&self, elsewhere: Elsewhere) -> Option<Instant> {
+    /// When a connection that is too new to be evicted can be, if a new connection has to wait for that.
+    pub(super) fn next_eviction_at(&self, others: OtherProcesses) -> Option<Instant> {
         let (now, table) = (Instant::now(), lock(&self.table));
-        let over = (table.staying() + 1).saturating_sub(self.budget(elsewhere));
-        let order = lock(&table.order);
-        order.next_newcomer(now).filter(|_| !order.has(over, now))
+        let excess = (table.remaining() + 1).saturating_sub(self.budget.max_client_connections(others));
+        let order = lock(&table.eviction_order);
+        order.next_new_connection_at(now).filter(|_| !order.can_evict(excess, now))
     }
 
-    /// A place for a new connection, if need be that of one that can be spared; `None` if there is none.
-    pub fn place(&self, elsewhere: Elsewhere) -> Option<ConnectionSlot<'_>> {
+    /// Admits a new connection, evicting others if need be; `None` if too few can be evicted.
+    pub(super) fn admit(&self, others: OtherProcesses) -> Option<ConnectionSlot<'_>> {
         let table = &mut *lock(&self.table);
-        // Those that made room for others before and have not gone yet hold descriptors as well.
-        while table.staying() >= self.budget(elsewhere) {
-            if !table.make_room(Newcomers::MayGo, Instant::now()) {
+        // Connections that were evicted before and have not closed yet take descriptors as well.
+        while table.remaining() >= self.budget.max_client_connections(others) {
+            if !table.evict_next(NewConnections::Evictable, Instant::now()) {
                 return None;
             }
         }
-        table.next += 1;
-        let (number, connection) =
-            (table.next, Arc::new(ClientConnection::new(table.next, table.order.clone())));
-        table.open.insert(number, connection.clone());
-        Some(ConnectionSlot { owner: self, number, connection })
+        table.last_id += 1;
+        let id = table.last_id;
+        let connection = Arc::new(ClientConnection::new(id, table.eviction_order.clone()));
+        table.open.insert(id, connection.clone());
+        Some(ConnectionSlot { connections: self, id, connection })
     }
 
-    /// A place beside the budget, for a callback; `None` if there is none. Where every client connection is owed an answer, a
-    /// callback is what they wait for.
-    pub fn place_for_callback(&self) -> Option<Counted> {
-        let most = (self.limit / CALLBACKS).max(2);
-        (self.callbacks.get() < most).then(|| self.callbacks.one())
+    /// Admits a connection beyond the clients' share for one callback, which pending requests may be waiting for; `None`
+    /// if there are too many already.
+    pub(super) fn admit_extra_callback(&self) -> Option<Counted> {
+        (self.extra_callbacks.get() < self.budget.max_extra_callbacks()).then(|| self.extra_callbacks.one())
     }
 
-    /// Whether any connection owes an answer, or may still be sending one.
-    pub fn owe(&self) -> bool {
+    /// Whether any connection awaits a response or may still be sending one.
+    pub(super) fn has_pending_response(&self) -> bool {
         let now = Instant::now();
-        lock(&self.table).open.values().any(|c| c.owes(now))
+        lock(&self.table).open.values().any(|connection| connection.has_pending_response(now))
     }
 
-    /// Whether any is closed on our side and may still take its last answer in.
-    pub fn linger(&self) -> bool {
-        lock(&self.table).open.values().any(|c| c.lingers())
+    /// Whether any connection is closed on this side, and its client may not have read the last response.
+    pub(super) fn has_lingering(&self) -> bool {
+        lock(&self.table).open.values().any(|connection| connection.is_lingering())
     }
 
-    /// Ends the connections that have used up their time, and those that the workers' connections need the room of.
-    pub fn sweep(&self, elsewhere: Elsewhere) {
+    /// Closes the connections that exceed a time limit, and evicts those whose descriptors the workers need.
+    pub(super) fn enforce_limits(&self, others: OtherProcesses) {
         let (now, table) = (Instant::now(), lock(&self.table));
-        table.open.values().filter(|c| c.overdue(now)).for_each(|c| c.end());
-        let over = table.staying().saturating_sub(self.budget(elsewhere));
-        _ = (0..over).all(|_| table.make_room(Newcomers::Stay, now));
+        table
+            .open
+            .values()
+            .filter(|connection| connection.has_timed_out(now))
+            .for_each(|connection| connection.check_close());
+        let excess = table.remaining().saturating_sub(self.budget.max_client_connections(others));
+        let _ = (0..excess).all(|_| table.evict_next(NewConnections::Protected, now));
     }
 }
 
--- a/crates/vetchbridge/src/clients/connections/tests.rs
+++ b/crates/vetchbridge/src/clients/connections/tests.rs
@@ -1,165 +1,175 @@
-//! The budget of client connections: who makes room, and what is left to the workers.
+//! Admission and eviction of client connections, and the share that is left to connections to workers.
 
 use super::*;
-use crate::clients::eviction::YOUNG;
+use crate::clients::budget::PROCESS_DESCRIPTORS;
+use crate::clients::eviction::MIN_AGE;
 use std::time::Duration;
 
-/// Room is made by who has said nothing, then by who stopped half-way, then by who only stays.
+/// New connections are evicted first, then those with part of a request, then idle ones.
 #[tokio::test(start_paused = true)]
-async fn the_silent_go_first_and_who_is_owed_an_answer_never() {
-    let connections = of_six();
-    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
-    let [owed, callback, kept, once, half, silent] = &places[..] else { panic!("six places") };
-    owed.connection.owe();
-    callback.connection.seen(b"POST /callback HTTP/1.1\r\n");
-    half.connection.seen(b"POST /a");
-    for (place, times) in [(kept, 2), (once, 1)] {
+async fn new_connections_are_evicted_first_and_those_that_await_a_response_never() {
+    let connections = six_connections();
+    let slots: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.admit(ALONE)).collect();
+    let [awaiting, callback, kept_alive, once, partial, new] = &slots[..] else { panic!("six slots") };
+    awaiting.connection.mark_awaiting_response();
+    callback.connection.record_received(b"POST /callback HTTP/1.1\r\n");
+    partial.connection.record_received(b"POST /a");
+    for (slot, times) in [(kept_alive, 2), (once, 1)] {
         for _ in 0..times {
-            place.connection.seen(b"GET / HTTP/1.1\r\n\r\n");
-            place.connection.answered();
-            place.connection.flushed();
+            slot.connection.record_received(b"GET / HTTP/1.1\r\n\r\n");
+            slot.connection.mark_sending_response();
+            slot.connection.record_flush();
         }
     }
-    tokio::time::advance(YOUNG).await;
-    let mut newcomers = Vec::new();
-    for leaves in [silent, half, once, kept] {
-        newcomers.push(connections.place(ALONE).expect("room"));
-        newcomers.last().unwrap().connection.owe();
-        // A permit is there at once for the one that was chosen, and for no other.
-        leaves.connection.ended().await;
+    tokio::time::advance(MIN_AGE).await;
+    let mut admitted = Vec::new();
+    for evicted in [new, partial, once, kept_alive] {
+        admitted.push(connections.admit(ALONE).expect("an eviction"));
+        admitted.last().unwrap().connection.mark_awaiting_response();
+        // Resolves at once for the one that was chosen, and for no other.
+        evicted.connection.must_close().await;
     }
-    assert!(connections.place(ALONE).is_none(), "nobody may be sent away for another");
-    drop(newcomers.pop());
-    assert!(connections.place(ALONE).is_some(), "a place is given back");
+    assert!(connections.admit(ALONE).is_none(), "no other may be evicted");
+    drop(admitted.pop());
+    assert!(connections.admit(ALONE).is_some(), "a slot is released");
 }
 
-/// Clients have what the program and the workers leave, not a fixed half; what the workers come to need is given up.
+/// The clients' share is what the process and the workers leave, not a fixed half.
 #[tokio::test(start_paused = true)]
-async fn clients_have_what_the_workers_leave_and_make_room_for_them() {
+async fn clients_get_what_workers_leave_and_are_evicted_when_workers_need_more() {
     let workers = Count::default();
-    let connections = ClientConnections::new(384, 16, workers.clone());
-    let held: Vec<Counted> = (0..46).map(|_| workers.one()).collect();
-    let crowd: Vec<ConnectionSlot<'_>> = (0..400).map_while(|_| connections.place(ALONE)).collect();
-    assert_eq!(crowd.len(), 384 - 16 - PROGRAM - 46 - 48);
-    for place in &crowd {
-        place.connection.keep();
+    let connections = connections_within(384, 16, workers.clone());
+    let in_use: Vec<Counted> = (0..46).map(|_| workers.one()).collect();
+    let admitted: Vec<ConnectionSlot<'_>> = (0..400).map_while(|_| connections.admit(ALONE)).collect();
+    assert_eq!(admitted.len(), 384 - 16 - PROCESS_DESCRIPTORS - 46 - 48);
+    for slot in &admitted {
+        slot.connection.mark_kept_alive();
     }
-    assert!(connections.place(ALONE).is_some(), "they can be spared");
+    assert!(connections.admit(ALONE).is_some(), "idle ones can be evicted");
     let more: Vec<Counted> = (0..100).map(|_| workers.one()).collect();
-    connections.sweep(ALONE);
-    assert_eq!(lock(&connections.table).staying(), crowd.len() - 100);
-    drop((held, more));
-    let budget = |processes| connections.budget(Elsewhere { processes, connections: 100 });
-    assert_eq!(budget(0) - budget(1), PROGRAM);
+    connections.enforce_limits(ALONE);
+    assert_eq!(lock(&connections.table).remaining(), admitted.len() - 100);
+    drop((in_use, more));
+    let max_clients =
+        |count| connections.budget.max_client_connections(OtherProcesses { count, connections: 100 });
+    assert_eq!(max_clients(0) - max_clients(1), PROCESS_DESCRIPTORS);
 }
 
-/// In a burst, one newcomer does not take the place of another that has not had the time to speak.
+/// In a burst, one new connection does not evict another that had no time to send anything.
 #[tokio::test(start_paused = true)]
-async fn a_connection_just_made_is_left_the_time_to_send_its_request() {
-    let connections = of_six();
-    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
-    assert!(connections.place(ALONE).is_none());
-    let relief = connections.relief(ALONE).expect("they grow older");
-    tokio::time::advance(relief - Instant::now()).await;
-    assert_eq!(connections.relief(ALONE), None);
-    places[0].connection.seen(b"POST /a");
-    let _newcomer = connections.place(ALONE).expect("one that still says nothing makes room");
-    places[1].connection.ended().await;
+async fn a_new_connection_has_time_to_send_its_request_before_it_is_evicted() {
+    let connections = six_connections();
+    let slots: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.admit(ALONE)).collect();
+    assert!(connections.admit(ALONE).is_none());
+    let eviction_at = connections.next_eviction_at(ALONE).expect("they grow old enough");
+    tokio::time::advance(eviction_at - Instant::now()).await;
+    assert_eq!(connections.next_eviction_at(ALONE), None);
+    slots[0].connection.record_received(b"POST /a");
+    let _admitted = connections.admit(ALONE).expect("one that has sent nothing is evicted");
+    slots[1].connection.must_close().await;
 }
 
-/// A client's next request may cross the choice of its connection to make room: it is answered, and no other.
+/// A client's next request may arrive while its connection is chosen for eviction: it gets its response, and no other.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_crosses_the_choice_is_answered_first() {
-    let connections = of_six();
-    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
-    places[0].connection.keep();
-    let _newcomer = connections.place(ALONE).expect("the idle one makes room");
-    let chosen = &places[0].connection;
-    chosen.seen(b"POST /a HTTP/1.1\r\n\r\n");
-    chosen.owe();
-    let ended = chosen.ended();
-    tokio::pin!(ended);
-    assert!(futures_util::poll!(ended.as_mut()).is_pending() && chosen.last());
-    chosen.answered();
-    chosen.flushed();
-    ended.await;
+async fn a_request_that_arrives_during_the_eviction_gets_its_response_first() {
+    let connections = six_connections();
+    let slots: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.admit(ALONE)).collect();
+    slots[0].connection.mark_kept_alive();
+    let _admitted = connections.admit(ALONE).expect("the idle one is evicted");
+    let evicted = &slots[0].connection;
+    evicted.record_received(b"POST /a HTTP/1.1\r\n\r\n");
+    evicted.mark_awaiting_response();
+    let must_close = evicted.must_close();
+    tokio::pin!(must_close);
+    assert!(futures_util::poll!(must_close.as_mut()).is_pending() && evicted.closes_after_response());
+    evicted.mark_sending_response();
+    evicted.record_flush();
+    must_close.await;
 }
 
-/// Who made room and has not gone yet is counted until it has, and goes at once when another needs its descriptor.
+/// An evicted connection counts until it has closed, and closes at once when another needs its descriptor.
 #[tokio::test(start_paused = true)]
-async fn who_lingers_is_counted_and_goes_first() {
-    let connections = of_six();
-    let places: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.place(ALONE)).collect();
-    places[0].connection.keep();
-    let _newcomer = connections.place(ALONE).expect("the idle one makes room");
-    places[0].connection.ended().await;
-    places[0].connection.end();
-    places[0].connection.linger();
+async fn lingering_connections_count_and_are_evicted_first() {
+    let connections = six_connections();
+    let slots: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.admit(ALONE)).collect();
+    slots[0].connection.mark_kept_alive();
+    let _admitted = connections.admit(ALONE).expect("the idle one is evicted");
+    slots[0].connection.must_close().await;
+    slots[0].connection.check_close();
+    slots[0].connection.start_lingering();
     {
-        let ended = places[0].connection.ended();
-        tokio::pin!(ended);
-        assert!(futures_util::poll!(ended).is_pending(), "what it was told before is past");
+        let must_close = slots[0].connection.must_close();
+        tokio::pin!(must_close);
+        assert!(futures_util::poll!(must_close).is_pending(), "an earlier notification no longer counts");
     }
-    assert!(connections.linger() && lock(&connections.table).staying() == 7);
-    let relief = connections.relief(ALONE).expect("its going alone makes no room");
-    tokio::time::advance(relief - Instant::now()).await;
-    let _next = connections.place(ALONE).expect("two make room");
-    places[0].connection.ended().await;
-    assert_eq!(lock(&connections.table).staying(), 6);
+    assert!(connections.has_lingering() && lock(&connections.table).remaining() == 7);
+    let eviction_at = connections.next_eviction_at(ALONE).expect("its closing alone is not enough");
+    tokio::time::advance(eviction_at - Instant::now()).await;
+    let _next = connections.admit(ALONE).expect("two are evicted");
+    slots[0].connection.must_close().await;
+    assert_eq!(lock(&connections.table).remaining(), 6);
 }
 
-const ALONE: Elsewhere = Elsewhere { processes: 0, connections: 0 };
+const ALONE: OtherProcesses = OtherProcesses { count: 0, connections: 0 };
 
-/// The least of limits: a quarter of it is the clients'.
-fn of_six() -> ClientConnections {
-    ClientConnections::new(24, 0, Count::default())
+fn connections_within(limit: usize, reserved: usize, workers: Count) -> ClientConnections {
+    ClientConnections::new(DescriptorBudget::new(limit, reserved, workers))
 }
 
-/// Idle connections to workers have what the clients leave: clients find room as they come, and workers never lose all of theirs.
+/// Connections of which there may be six, a quarter of the limit.
+fn six_connections() -> ClientConnections {
+    connections_within(24, 0, Count::default())
+}
+
+/// New clients are admitted at any time, and workers never lose all of their idle connections.
 #[tokio::test]
-async fn workers_have_what_the_clients_leave() {
+async fn workers_get_what_clients_leave() {
     for limit in [64, 256, 512, 1024] {
-        let connections = ClientConnections::new(limit, 4, Count::default());
-        let mut places = Vec::new();
+        let connections = connections_within(limit, 4, Count::default());
+        let mut slots = Vec::new();
         let mut before = usize::MAX;
-        while let Some(place) = connections.place(ALONE).filter(|_| places.len() < limit / 2) {
-            place.connection.owe();
-            places.push(place);
-            let left = connections.left_to_workers(ALONE);
-            assert!(left <= before && left >= limit / 4, "{left} beside {} of {limit}", places.len());
-            let in_use = left + places.len() + 4 + PROGRAM;
-            assert!(left == limit / 4 || in_use < limit, "{in_use} of {limit}");
-            before = left;
+        while let Some(slot) = connections.admit(ALONE).filter(|_| slots.len() < limit / 2) {
+            slot.connection.mark_awaiting_response();
+            slots.push(slot);
+            let max_workers = connections.max_worker_connections(ALONE);
+            assert!(
+                max_workers <= before && max_workers >= limit / 4,
+                "{max_workers} beside {} of {limit}",
+                slots.len()
+            );
+            let in_use = max_workers + slots.len() + 4 + PROCESS_DESCRIPTORS;
+            assert!(max_workers == limit / 4 || in_use < limit, "{in_use} of {limit}");
+            before = max_workers;
         }
     }
 }
 
-/// What a newcomer costs follows what changes, not how many connections there are.
+/// The cost follows what changes.
 #[test]
-fn a_newcomer_costs_the_same_however_many_connections_there_are() {
-    const NEWCOMERS: usize = 500;
+fn the_cost_of_a_new_connection_does_not_grow_with_the_number_of_connections() {
+    const NEW_CONNECTIONS: usize = 500;
     const ROUNDS: usize = 8;
     let full = |limit| {
-        let connections = ClientConnections::new(limit, 0, Count::default());
-        (0..limit).map_while(|_| connections.place(ALONE)).for_each(|place| {
-            place.connection.keep();
-            std::mem::forget(place);
+        let connections = connections_within(limit, 0, Count::default());
+        (0..limit).map_while(|_| connections.admit(ALONE)).for_each(|slot| {
+            slot.connection.mark_kept_alive();
+            std::mem::forget(slot);
         });
         connections
     };
     let costs = |connections: &ClientConnections| {
-        let began = std::time::Instant::now();
-        for _ in 0..NEWCOMERS {
-            assert_eq!(connections.relief(ALONE), None);
-            let newcomer = connections.place(ALONE).expect("an idle one makes room");
-            newcomer.connection.keep();
-            std::mem::forget(newcomer);
+        let start = std::time::Instant::now();
+        for _ in 0..NEW_CONNECTIONS {
+            assert_eq!(connections.next_eviction_at(ALONE), None);
+            let admitted = connections.admit(ALONE).expect("an idle one is evicted");
+            admitted.connection.mark_kept_alive();
+            std::mem::forget(admitted);
         }
-        began.elapsed()
+        start.elapsed()
     };
     let mut spent = [Duration::ZERO; 2];
     for _ in 0..ROUNDS {
-        // Each round its own tables: those that made room stay in them here, since nobody closes them.
+        // New tables each round: evicted connections stay in them here, since nothing closes them.
         for (spent, limit) in spent.iter_mut().zip([1_000, 16_000]) {
             *spent += costs(&full(limit));
         }
--- /dev/null
+++ b/crates/vetchbridge/src/clients/handler.rs
@@ -0,0 +1,153 @@
+//! The HTTP of clients and callbacks: from a request to a [`Job`](crate::request::Job), and from an [`Answer`] to a
+//! response.
+//!
+//! A malformed request is rejected before the decision module knows of it.
+
+use super::body::{self, BodyError};
+use super::connection::ClientConnection;
+use super::job::{self, MalformedRequest};
+use super::protocol::{CALLBACK_PATH, READINESS_PATH};
+use super::server::ClientServer;
+use crate::request::{submit, Answer};
+use crate::upgrade::process_links::Forwarded;
+use crate::workers::Callback;
+use axum::body::Body;
+use axum::extract::{Extension, Request as HttpRequest, State};
+use axum::http::header::{CONNECTION, RETRY_AFTER};
+use axum::http::{HeaderValue, Method, StatusCode};
+use axum::response::{IntoResponse, Response};
+use axum::routing::{get, post};
+use axum::Router;
+use hyper::body::Incoming;
+use std::convert::Infallible;
+use std::sync::Arc;
+use tower_service::Service;
+use tracing::{debug, warn};
+
+/// The routes of a server.
+pub(super) fn router(server: Arc<ClientServer>) -> Router {
+    Router::new()
+        .route(READINESS_PATH, get(readiness))
+        .route(CALLBACK_PATH, post(callback))
+        .fallback(submit_job)
+        .with_state(server)
+}
+
+impl ClientServer {
+    /// Makes the response to a request, with `Connection: close` where it is the last.
+    pub(super) async fn respond(
+        &self,
+        mut request: hyper::Request<Incoming>,
+        connection: &Arc<ClientConnection>,
+        mut router: Router,
+    ) -> Result<Response, Infallible> {
+        let mut response = if connection.has_ambiguous_framing() {
+            (StatusCode::BAD_REQUEST, "content-length beside transfer-encoding\n").into_response()
+        } else {
+            request.extensions_mut().insert(connection.clone());
+            router.call(request.map(Body::new)).await?
+        };
+        connection.mark_sending_response();
+        let keeps_alive = self.process_links.has_successor() || !self.lifecycle.state().hangs_up();
+        if !keeps_alive || connection.closes_after_response() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        Ok(response)
+    }
+}
+
+async fn readiness(State(server): State<Arc<ClientServer>>) -> StatusCode {
+    // A successor serves on whatever happens to this process, unless operators have quiesced the scheduler.
+    let successor_serves = server.process_links.has_successor() && !server.lifecycle.quiesced();
+    if successor_serves || server.lifecycle.state().ready() {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    }
+}
+
+async fn callback(
+    State(server): State<Arc<ClientServer>>,
+    Extension(connection): Extension<Arc<ClientConnection>>,
+    request: HttpRequest,
+) -> Response {
+    let (body, _memory) = match body::read(request.into_body(), &connection, &server.callback_memory).await {
+        Ok(read) => read,
+        Err(error) => return reject_body(error),
+    };
+    match serde_json::from_slice::<Callback>(&body) {
+        Ok(callback) => deliver_callback(&server, &callback).await,
+        Err(error) => {
+            warn!(%error, "callback.malformed");
+            (StatusCode::BAD_REQUEST, "unreadable callback\n").into_response()
+        }
+    }
+}
+
+/// Passes a callback to its attempt, in this process or in another one of this scheduler.
+async fn deliver_callback(server: &ClientServer, callback: &Callback) -> Response {
+    if server.upstream.called_back(callback) {
+        return StatusCode::OK.into_response();
+    }
+    match server.process_links.forward(callback, None).await {
+        Forwarded::Known => StatusCode::OK.into_response(),
+        Forwarded::Unknown => {
+            debug!(request = callback.id, worker = callback.from, "callback.unmatched");
+            StatusCode::OK.into_response()
+        }
+        Forwarded::Unanswered => {
+            warn!(request = callback.id, worker = callback.from, "callback.forward_failed");
+            (StatusCode::SERVICE_UNAVAILABLE, "say it again\n").into_response()
+        }
+    }
+}
+
+async fn submit_job(
+    State(server): State<Arc<ClientServer>>,
+    Extension(connection): Extension<Arc<ClientConnection>>,
+    request: HttpRequest,
+) -> Response {
+    if request.method() != Method::POST {
+        return (StatusCode::METHOD_NOT_ALLOWED, "jobs arrive by POST\n").into_response();
+    }
+    let (parts, body) = request.into_parts();
+    let (body, memory) = match body::read(body, &connection, &server.job_memory).await {
+        Ok(read) => read,
+        Err(error) => return reject_body(error),
+    };
+    if !server.lifecycle.state().takes() {
+        debug!(reason = "ending", "request.rejected");
+        return (StatusCode::SERVICE_UNAVAILABLE, "ending\n").into_response();
+    }
+    let now = server.engine.clock.now();
+    let job = match job::read(&parts, body, memory, server.settings.get(), now) {
+        Ok(job) => job,
+        Err(error) => return reject_malformed(&error),
+    };
+    let answer = submit(server.engine.clone(), server.upstream.clone(), server.process_links.clone(), job);
+    // hyper drops this future when the client disconnects, and the receiver with it.
+    render(answer.await.unwrap_or(Answer::Failed))
+}
+
+fn reject_body(error: BodyError) -> Response {
+    debug!(reason = %error, "request.rejected");
+    error.into_response()
+}
+
+fn reject_malformed(error: &MalformedRequest) -> Response {
+    debug!(reason = %error, "request.malformed");
+    (StatusCode::BAD_REQUEST, format!("{error}\n")).into_response()
+}
+
+fn render(answer: Answer) -> Response {
+    match answer {
+        Answer::Served(result) => (StatusCode::OK, result).into_response(),
+        Answer::Reject { retry_after: 0 } => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Answer::Reject { retry_after } => {
+            let seconds = format!("{:.3}", retry_after as f64 / 1e6);
+            (StatusCode::SERVICE_UNAVAILABLE, [(RETRY_AFTER, seconds)]).into_response()
+        }
+        Answer::Failed => StatusCode::BAD_GATEWAY.into_response(),
+        Answer::Duplicate => StatusCode::CONFLICT.into_response(),
+    }
+}
--- a/crates/vetchbridge/src/clients/mod.rs
+++ b/crates/vetchbridge/src/clients/mod.rs
@@ -1,16 +1,19 @@
-//! Everything on the clients' side: the listener, the connections it accepts, and the HTTP on them.
+//! The clients' side: the listener, the connections that it accepts, and the HTTP on them.
 //!
-//! This room owns what a client or a callback can see of the daemon. It must never choose a worker or speak to one.
+//! Everything that a client or a worker's callback can see of the daemon is here. No worker is chosen or contacted.
 
 mod body;
+mod budget;
 mod chunked_body;
 mod connection;
 mod connections;
 mod eviction;
 mod framing;
+mod handler;
 mod job;
 mod protocol;
 pub mod server;
+mod session;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/vetchbridge/src/serve.rs
+++ b/crates/vetchbridge/src/serve.rs
@@ -89,7 +89,9 @@
     sleep(LISTEN_ON).await;
     let mut quiet_since = Instant::now();
     let mut leaving = false;
-    let lingers = |quiet: Duration| handover_server.client_server.lingers() && quiet < QUIET + LAST_WORDS;
+    let lingers = |quiet: Duration| {
+        handover_server.client_server.has_lingering_connections() && quiet < QUIET + LAST_WORDS
+    };
     while quiet_since.elapsed() < QUIET || lingers(quiet_since.elapsed()) {
         sleep(QUIET / 10).await;
         if !leaving && !handover_server.lifecycle.state().takes() {
@@ -97,9 +99,12 @@
             handover_server.engine.handle(Event::ShuttingDown);
         }
         // Clients use a connection for as long as it stays open; who has none is dealt to another scheduler.
-        let serves_on = handover_server.client_server.connections() > 0
+        let serves_on = handover_server.client_server.connection_count() > 0
             && !handover_server.lifecycle.state().closes_idle();
-        if handover_server.client_server.owes() || handover_server.process_links.behind() || serves_on {
+        if handover_server.client_server.has_pending_responses()
+            || handover_server.process_links.behind()
+            || serves_on
+        {
             quiet_since = Instant::now();
         }
     }
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -229,7 +229,7 @@
                 source,
                 generation: generation.filter(|_| whole),
                 confirmed: self.lifecycle.state() != State::Starting,
-                connections: self.client_server.connections(),
+                connections: self.client_server.connection_count(),
             });
             let mut descriptors = vec![self.listener.as_fd()];
             descriptors.extend(self.peers.as_ref().map(AsFd::as_fd));
@@ -281,7 +281,7 @@
         let counting = async {
             let mut told = 0;
             loop {
-                let held = self.client_server.connections();
+                let held = self.client_server.connection_count();
                 if held != told {
                     told = held;
                     link.say(HandoverMessage::Holds(held), Vec::new());
@@ -303,7 +303,7 @@
         match word {
             HandoverMessage::Taken => {
                 info!(
-                    connections = self.client_server.connections(),
+                    connections = self.client_server.connection_count(),
                     requests = self.engine.requests(),
                     "upgrade.taken"
                 );
@@ -312,7 +312,7 @@
                 self.upstream.close_all_idle();
             }
             HandoverMessage::Connection { kept } => {
-                descriptors.into_iter().for_each(|it| self.client_server.adopt(it, kept))
+                descriptors.into_iter().for_each(|it| self.client_server.take_over_connection(it, kept))
             }
             HandoverMessage::Callback { number, callback } => {
                 let (link, upstream, process_links) =
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -116,7 +116,7 @@
     /// Passes a callback to the attempt that it is about; false if none such is out here.
     pub(super) fn pass(&self, callback: &Callback) -> bool {
         let Some(id) = request_id(&callback.id) else {
-            warn!(worker = callback.from, "callback.unreadable");
+            warn!(worker = callback.from, "callback.malformed");
             return true;
         };
         let table = lock(&self.0);
