--- /dev/null
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -0,0 +1,214 @@
+//! The limits on connections: idle clients take no descriptor from a callback, a readiness check or a job.
+#![allow(missing_docs)]
+
+mod common;
+
+use common::*;
+use rstest::rstest;
+use rustix::process::{prlimit, Pid, Resource, Rlimit};
+use serde_json::json;
+use std::time::{Duration, Instant};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+use vetchbridge_testbed::wire::Wire;
+
+const READY: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
+
+impl Stage {
+    /// Limits the daemon's descriptors from now on, whatever its configuration says.
+    fn limit_descriptors(&self, max: u64) {
+        let pid = Pid::from_raw(self.daemon.child.id() as i32).expect("a process");
+        let limit = Rlimit { current: Some(max), maximum: Some(1024) };
+        prlimit(Some(pid), Resource::Nofile, limit).expect("the limit is set");
+    }
+
+    /// Takes the last descriptor of the daemon; a connection waits that could not be accepted.
+    async fn use_up_descriptors(&mut self) -> Vec<Wire> {
+        const DESCRIPTORS: u64 = 40;
+        self.limit_descriptors(DESCRIPTORS);
+        let mut clients = Vec::new();
+        for _ in 0..=DESCRIPTORS {
+            let mut client = dial(self.daemon.address).await;
+            // A client with a response may stay idle; one that sends nothing times out.
+            client.send(READY).await;
+            clients.push(client);
+        }
+        self.daemon.logs("accept.failed").await;
+        clients
+    }
+
+    /// Sends the endpoint list once and stops discovery: no call to it takes a descriptor from then on.
+    async fn stop_discovery(&mut self) {
+        let mut watch = Wire::new(self.discovery.accept().await.expect("the watch").0);
+        watch.asked().await;
+        watch.list(5, json!(self.known)).await;
+        watch.asked().await;
+        drop(std::mem::replace(&mut self.discovery, TcpListener::bind("127.0.0.1:0").await.expect("a port")));
+        drop(watch);
+        self.daemon.logs("discovery.failed").await;
+    }
+}
+
+/// Idle connections of clients and callbacks fill the budget, discovery is down and no connection to a worker is left: a
+/// job still gets its dial, its callback and its response, and the readiness check its answer.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn idle_connections_block_no_job_while_discovery_is_down() {
+    let mut stage = Stage::set(1).await;
+    drop(std::mem::replace(&mut stage.discovery, TcpListener::bind("127.0.0.1:0").await.expect("a port")));
+    let (mut first, id) = stage.job("safe", "k").await;
+    stage.serve_next(&id).await;
+    assert_eq!(status(&first.read().await), "200");
+    let mut clients = vec![first];
+    for number in 0..4 * SOCKETS {
+        let mut client = dial(stage.daemon.address).await;
+        if number % 2 == 0 {
+            client.send(READY).await;
+        } else {
+            let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
+            client.hand_in("/callback", "", &body).await;
+        }
+        assert_eq!(status(&client.read().await), "200");
+        clients.push(client);
+    }
+    for _ in 0..SOCKETS {
+        assert_eq!(stage.only_one_more_arrives().await, 0);
+        assert_eq!(stage.readiness().await.status(), "200");
+    }
+}
+
+/// With fewer descriptors than configured, accepting pauses and resumes once there are some again.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn accepting_resumes_after_the_last_descriptor_was_taken() {
+    const FAILURES: u32 = 10;
+    let mut stage = Stage::limited(0, &[], 1024).await;
+    stage.limit_descriptors(40);
+    let start = Instant::now();
+    let mut clients: Vec<Wire> = Vec::new();
+    for _ in 0..100 {
+        clients.push(dial(stage.daemon.address).await);
+    }
+    for _ in 0..FAILURES {
+        stage.daemon.logs("accept.failed").await;
+    }
+    assert!(start.elapsed() >= (FAILURES - 1) * Duration::from_millis(20), "it pauses after each");
+    drop(clients);
+    assert_eq!(stage.readiness().await.status(), "200");
+}
+
+/// An attempt without a descriptor for its dial never ran, and its worker is not at fault: even a non-idempotent job is
+/// rejected at once with a short Retry-After, which does not grow with repetition, and succeeds once there are descriptors
+/// again.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_dial_without_a_descriptor_is_no_failure_of_its_worker() {
+    const REPETITIONS: usize = 2;
+    // An ejected worker is used if there is no other, and Retry-After shows for how long it would be ejected.
+    let mut stage = Stage::limited(1, &[], 1024).await;
+    stage.stop_discovery().await;
+    let mut client = dial(stage.daemon.address).await;
+    client.send(READY).await;
+    assert_eq!(status(&client.read().await), "200");
+    let clients = stage.use_up_descriptors().await;
+    for id in 0..REPETITIONS {
+        client.hand_in("/unsafe/k", &format!("X-Trace-Id: {id:016x}\r\n"), "work").await;
+        let answer = client.read().await.expect("an answer");
+        assert_eq!(answer.status(), "503", "it never ran: {answer:?}");
+        let retry_after: f64 = answer.header("retry-after").expect("a Retry-After").parse().expect("seconds");
+        assert!(retry_after <= 0.6, "{retry_after} after {id} of them");
+    }
+    stage.limit_descriptors(1024);
+    client.hand_in("/unsafe/k", "X-Trace-Id: 00000000000000ab\r\n", "work").await;
+    stage.serve_next("00000000000000ab").await;
+    assert_eq!(status(&client.read().await), "200");
+    drop(clients);
+}
+
+/// Submits jobs for the one worker until a new connection is rejected: the connections of all others, which await their
+/// responses, and their ids.
+async fn fill_budget_with_pending_requests(stage: &mut Stage) -> Vec<(Wire, String)> {
+    let mut pending = Vec::new();
+    loop {
+        let (mut client, id) = stage.job("safe", "k").await;
+        tokio::select! {
+            closed = client.read() => {
+                assert_eq!(closed, None, "no response");
+                assert!(pending.len() >= SOCKETS as usize / 4, "{} connections", pending.len());
+                return pending;
+            }
+            (_, mut worker) = stage.worker() => {
+                let job = worker.read().await.expect("the job");
+                assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "and not one that was rejected");
+                worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+                worker.closed().await;
+                pending.push((client, id));
+            }
+        }
+    }
+}
+
+/// If every connection awaits a response, none is evicted: a new one is closed at once and unread, and the others are not
+/// affected.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_new_connection_is_closed_unread_if_no_other_can_be_evicted() {
+    let mut stage = Stage::set(1).await;
+    let mut pending = fill_budget_with_pending_requests(&mut stage).await;
+    for (client, _) in &mut pending {
+        assert!(futures_util::poll!(std::pin::pin!(client.read())).is_pending(), "it still waits");
+    }
+}
+
+/// A callback is served where no other new connection is, since pending requests may wait for it.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_callback_is_served_even_if_every_connection_awaits_a_response() {
+    let mut stage = Stage::set(1).await;
+    let pending = fill_budget_with_pending_requests(&mut stage).await;
+    let mut callbacks = Vec::new();
+    for (_, id) in &pending {
+        // A worker that keeps its connection open must not block the next callback.
+        let mut callback = dial(stage.daemon.address).await;
+        let body = json!({"id": id, "from": "s-0", "state": "started"}).to_string();
+        callback.hand_in("/callback", "", &body).await;
+        assert_eq!(status(&callback.read().await), "200");
+        callbacks.push(callback);
+    }
+    for (mut client, id) in pending {
+        stage.call_back(&id, 0, "done").await;
+        assert_eq!(status(&client.read().await), "200");
+    }
+}
+
+/// However many requests are pipelined on one connection, those of others are served; if their client disconnects, none
+/// of them is sent to a worker.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn many_pipelined_requests_on_one_connection_affect_no_other_connection() {
+    let mut stage = Stage::set(1).await;
+    let requests: String = (1..=200)
+        .map(|id| format!("POST /safe/k HTTP/1.1\r\nx-trace-id: {id:016x}\r\ncontent-length: 4\r\n\r\nwork"))
+        .collect();
+    let mut clients = Vec::new();
+    for _ in 0..20 {
+        let mut client = dial(stage.daemon.address).await;
+        stage.daemon.freeze().await;
+        client.send(&requests).await;
+        client.socket().shutdown().await.expect("the client closes its side");
+        delivered(&mut client).await;
+        stage.daemon.thaw();
+        clients.push(client);
+        // Its first job may have caused a dial if the disconnect was noticed a moment later; nothing is written.
+        stage.only_one_more_arrives().await;
+    }
+    for client in &mut clients {
+        assert!(client.read().await.is_none(), "its connection is closed without a response");
+    }
+}
