--- /dev/null
+++ b/crates/settings/src/classes.rs
@@ -0,0 +1,59 @@
+//! `services`: the classes of requests.
+
+use crate::error::{Expected, SettingsFormatError};
+use crate::json_object::JsonObject;
+use crate::specifics::Specifics;
+use vetchbridge_scheduling::interface::{Class, DeduplicationScope, Idempotency};
+
+const REPEAT_VALUES: &[&str] = &["safe", "keyed", "unsafe"];
+const GROUP_VALUES: &[&str] = &["all", "zone", "cell"];
+
+pub(crate) fn read(
+    root: &JsonObject<'_>,
+    specifics: &Specifics<'_>,
+) -> Result<Vec<Class>, SettingsFormatError> {
+    root.objects("services", "services[].")?
+        .enumerate()
+        .map(|(index, entry)| class(&entry?, index, specifics))
+        .collect()
+}
+
+fn class(
+    entry: &JsonObject<'_>,
+    index: usize,
+    specifics: &Specifics<'_>,
+) -> Result<Class, SettingsFormatError> {
+    let idempotency = idempotency(entry)?;
+    let latency_objective = entry.integer("aim")?;
+    let objective_per_work = entry.number_or("aim_stretch", 0.0)?;
+    Ok(Class {
+        latency_objective,
+        objective_per_work: specifics.objective_per_work(index).unwrap_or(objective_per_work),
+        deadline: entry.integer("deadline")?,
+        priority_weight: entry.number_or("importance", 1.0)?,
+        late_weight: entry.number_or("late_share", 0.0)?,
+        idempotency,
+        kind: specifics.kind(index),
+        priority: specifics.priority(index),
+        stream: entry.flag_or("stream", false)?,
+    })
+}
+
+fn idempotency(entry: &JsonObject<'_>) -> Result<Idempotency, SettingsFormatError> {
+    let group = deduplication_scope(entry)?;
+    match entry.text("repeat")? {
+        "safe" => Ok(Idempotency::Idempotent),
+        "keyed" => Ok(Idempotency::Keyed { group, window: entry.integer("window")? }),
+        "unsafe" => Ok(Idempotency::NonIdempotent),
+        _ => Err(entry.unreadable("repeat", Expected::OneOf(REPEAT_VALUES))),
+    }
+}
+
+fn deduplication_scope(entry: &JsonObject<'_>) -> Result<DeduplicationScope, SettingsFormatError> {
+    match entry.optional_text("group") {
+        None | Some("all") => Ok(DeduplicationScope::All),
+        Some("zone") => Ok(DeduplicationScope::Zone),
+        Some("cell") => Ok(DeduplicationScope::Cell),
+        Some(_) => Err(entry.unreadable("group", Expected::OneOf(GROUP_VALUES))),
+    }
+}
--- /dev/null
+++ b/crates/settings/src/json_object.rs
@@ -0,0 +1,107 @@
+//! A JSON object whose values are read by the form that they must have.
+
+use crate::error::{Expected, Problem, SettingsFormatError};
+use serde_json::{Map, Value};
+
+/// A JSON object with the path that led to it, for error messages.
+pub(crate) struct JsonObject<'a> {
+    /// `None` reads as an empty object.
+    map: Option<&'a Map<String, Value>>,
+    /// The prefix of its keys' paths.
+    path: &'a str,
+}
+
+impl<'a> JsonObject<'a> {
+    pub(crate) fn new(map: &'a Map<String, Value>, path: &'a str) -> JsonObject<'a> {
+        JsonObject { map: Some(map), path }
+    }
+
+    /// The error for a value of another form.
+    pub(crate) fn unreadable(&self, key: &str, expected: Expected) -> SettingsFormatError {
+        SettingsFormatError::new(format!("{}{key}", self.path), Problem::Unreadable(expected))
+    }
+
+    pub(crate) fn get(&self, key: &str) -> Option<&'a Value> {
+        self.map?.get(key)
+    }
+
+    /// Reads a required value; `read` is `None` if it has another form.
+    fn require<T>(
+        &self,
+        key: &str,
+        expected: Expected,
+        read: impl FnOnce(&'a Value) -> Option<T>,
+    ) -> Result<T, SettingsFormatError> {
+        let missing = || SettingsFormatError::new(format!("{}{key}", self.path), Problem::Missing(expected));
+        let value = self.get(key).ok_or_else(missing)?;
+        read(value).ok_or_else(|| self.unreadable(key, expected))
+    }
+
+    pub(crate) fn object(&self, key: &str, path: &'a str) -> Result<JsonObject<'a>, SettingsFormatError> {
+        let map = self.require(key, Expected::Object, Value::as_object)?;
+        Ok(JsonObject::new(map, path))
+    }
+
+    /// An object that may be absent; a value of another form counts as absent.
+    pub(crate) fn optional_object(&self, key: &str, path: &'a str) -> JsonObject<'a> {
+        JsonObject { map: self.get(key).and_then(Value::as_object), path }
+    }
+
+    /// The entries of a list of objects; `path` is that of the entries' keys.
+    pub(crate) fn objects<'b>(
+        &'b self,
+        key: &'b str,
+        path: &'a str,
+    ) -> Result<impl Iterator<Item = Result<JsonObject<'a>, SettingsFormatError>> + 'b, SettingsFormatError>
+    {
+        let entries = self.require(key, Expected::List, Value::as_array)?;
+        Ok(entries.iter().map(move |entry| {
+            let map = entry.as_object().ok_or_else(|| self.unreadable(key, Expected::Objects))?;
+            Ok(JsonObject::new(map, path))
+        }))
+    }
+
+    pub(crate) fn number(&self, key: &str) -> Result<f64, SettingsFormatError> {
+        self.require(key, Expected::Number, Value::as_f64)
+    }
+
+    pub(crate) fn number_or(&self, key: &str, default: f64) -> Result<f64, SettingsFormatError> {
+        self.get(key).map_or(Ok(default), |_| self.number(key))
+    }
+
+    /// An integer; a fraction is dropped.
+    pub(crate) fn integer(&self, key: &str) -> Result<u64, SettingsFormatError> {
+        self.require(key, Expected::Integer, integer)
+    }
+
+    pub(crate) fn integer_or(&self, key: &str, default: u64) -> Result<u64, SettingsFormatError> {
+        self.get(key).map_or(Ok(default), |_| self.integer(key))
+    }
+
+    pub(crate) fn optional_integer(&self, key: &str) -> Result<Option<u64>, SettingsFormatError> {
+        self.get(key).map(|_| self.integer(key)).transpose()
+    }
+
+    pub(crate) fn small_integer(&self, key: &str) -> Result<u32, SettingsFormatError> {
+        let small = |value| integer(value).and_then(|integer| u32::try_from(integer).ok());
+        self.require(key, Expected::SmallInteger, small)
+    }
+
+    pub(crate) fn flag_or(&self, key: &str, default: bool) -> Result<bool, SettingsFormatError> {
+        self.get(key).map_or(Ok(default), |_| self.require(key, Expected::Flag, Value::as_bool))
+    }
+
+    pub(crate) fn text(&self, key: &str) -> Result<&'a str, SettingsFormatError> {
+        self.require(key, Expected::Text, Value::as_str)
+    }
+
+    /// A text that may be absent; a value of another form counts as absent.
+    pub(crate) fn optional_text(&self, key: &str) -> Option<&'a str> {
+        self.get(key).and_then(Value::as_str)
+    }
+}
+
+fn integer(value: &Value) -> Option<u64> {
+    let fraction = || value.as_f64().filter(|number| *number >= 0.0).map(|number| number as u64);
+    value.as_u64().or_else(fraction)
+}
--- /dev/null
+++ b/crates/settings/src/specifics.rs
@@ -0,0 +1,56 @@
+//! `specifics`: what only some sites have.
+
+use crate::error::SettingsFormatError;
+use crate::json_object::JsonObject;
+use serde_json::Value;
+use vetchbridge_scheduling::interface::{KindId, Micros, QueueOrder};
+
+/// The site's specifics; all of them may be absent.
+pub(crate) struct Specifics<'a> {
+    object: JsonObject<'a>,
+}
+
+impl<'a> Specifics<'a> {
+    pub(crate) fn new(object: JsonObject<'a>) -> Specifics<'a> {
+        Specifics { object }
+    }
+
+    /// The number for a class in a list with one entry for each class.
+    fn class_number(&self, key: &str, class: usize) -> Option<f64> {
+        self.object
+            .get(key)
+            .and_then(Value::as_array)
+            .and_then(|list| list.get(class))
+            .and_then(Value::as_f64)
+    }
+
+    pub(crate) fn objective_per_work(&self, class: usize) -> Option<f64> {
+        self.class_number("class_stretch", class)
+    }
+
+    /// The only kind of machine that runs a class; a negative number stands for any.
+    pub(crate) fn kind(&self, class: usize) -> Option<KindId> {
+        self.class_number("class_kind", class).filter(|kind| *kind >= 0.0).map(|kind| KindId(kind as u32))
+    }
+
+    pub(crate) fn priority(&self, class: usize) -> i64 {
+        self.class_number("class_priority", class).map_or(0, |priority| priority as i64)
+    }
+
+    pub(crate) fn queue_order(&self) -> QueueOrder {
+        match self.object.optional_text("queue_order") {
+            Some("backfill") => QueueOrder::Backfill,
+            Some("priority") => QueueOrder::Priority,
+            _ => QueueOrder::Fifo,
+        }
+    }
+
+    pub(crate) fn reports_start(&self) -> Result<bool, SettingsFormatError> {
+        self.object.flag_or("tells_start", false)
+    }
+
+    /// Interval of progress reports; 0 for none.
+    pub(crate) fn progress_interval(&self) -> Result<Micros, SettingsFormatError> {
+        self.object.integer_or("progress", 0)
+    }
+}
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -231,7 +231,7 @@
             let seed = Fields(head.trim_end()).number("nonce64")?;
             let settings = match vetchbridge_settings::from_json(json) {
                 Ok(settings) => Box::new(settings),
-                Err(error) => return fault(&error.key_under("setup"), error.reason),
+                Err(error) => return fault(&error.key_under("setup"), error.problem.to_string()),
             };
             return Ok(Parsed::Message(Message::Open { seed, settings }));
         }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -167,7 +167,7 @@
         let free_slots = FreeSlots::of(meaning("report_x0"), meaning("report_x1"));
         self.counts(json);
         let settings = vetchbridge_settings::from_value(json)
-            .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.reason))
+            .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.problem))
             .ok()?;
         if let Err(error) = settings.check() {
             self.bad_once(&format!("settings.{}", error.field), error.reason);
