--- a/crates/vetchbridge/src/serve/shutdown.rs
+++ b/crates/vetchbridge/src/serve/shutdown.rs
@@ -21,7 +21,9 @@
     sleep(MIN_LISTEN_TIME).await;
     let mut quiet_since = Instant::now();
     let mut engine_notified = false;
-    let lingers = |quiet: Duration| server.client_server.lingers() && quiet < QUIET_TIME + LINGER_TIME;
+    let lingers = |quiet: Duration| {
+        server.client_server.has_lingering_connections() && quiet < QUIET_TIME + LINGER_TIME
+    };
     while quiet_since.elapsed() < QUIET_TIME || lingers(quiet_since.elapsed()) {
         sleep(CHECK_INTERVAL).await;
         if !engine_notified && !server.lifecycle.state().accepts_requests() {
@@ -38,6 +40,6 @@
 fn has_pending_work(server: &HandoverServer) -> bool {
     // Clients use a connection for as long as it stays open; a client without one is sent to another scheduler.
     let serves_connections =
-        server.client_server.connections() > 0 && !server.lifecycle.state().closes_idle_connections();
-    server.client_server.owes() || server.process_links.has_queued() || serves_connections
+        server.client_server.connection_count() > 0 && !server.lifecycle.state().closes_idle_connections();
+    server.client_server.has_pending_responses() || server.process_links.has_queued() || serves_connections
 }
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -69,7 +69,7 @@
     async fn send_connection_counts(&self, link: &Link) {
         let mut sent = 0;
         loop {
-            let connections = self.client_server.connections();
+            let connections = self.client_server.connection_count();
             if connections != sent {
                 sent = connections;
                 link.send(HandoverMessage::ConnectionCount(connections), Vec::new());
@@ -83,7 +83,7 @@
         match envelope.message {
             HandoverMessage::TookOver => {
                 info!(
-                    connections = self.client_server.connections(),
+                    connections = self.client_server.connection_count(),
                     requests = self.engine.open_request_count(),
                     "upgrade.taken_over"
                 );
@@ -93,7 +93,7 @@
             }
             HandoverMessage::ClientConnection { reused } => {
                 for connection in envelope.descriptors {
-                    self.client_server.adopt(connection, reused);
+                    self.client_server.take_over_connection(connection, reused);
                 }
             }
             HandoverMessage::ForwardedCallback { number, callback } => {
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -148,7 +148,7 @@
             source,
             generation: generation.filter(|_| complete),
             confirmed: self.lifecycle.state() != LifecycleState::Starting,
-            connections: self.client_server.connections(),
+            connections: self.client_server.connection_count(),
         });
         let mut descriptors = vec![self.listener.as_fd()];
         descriptors.extend(self.peer_socket.as_ref().map(AsFd::as_fd));
