--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -86,7 +86,7 @@
         retry: single_header(headers, RETRY)? == Some("1"),
     };
     let payload = Payload { id: id_text.to_string(), target: target.clone(), idempotency_key, body };
-    Ok(Job { request, payload, settings, room: Some(memory) })
+    Ok(Job { request, payload, settings, body_permit: Some(memory) })
 }
 
 /// The value of a header that may stand once; `None` if it is absent.
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -31,7 +31,7 @@
     /// Adds a link. The process there is sent the ids of the requests that are open, and later each change.
     pub(super) fn register(&self, link: &Arc<Link>) {
         self.process_links.add(link.clone());
-        for id in self.engine.open_requests() {
+        for id in self.engine.open_request_ids() {
             link.send(HandoverMessage::RequestOpened(id.0), Vec::new());
         }
     }
@@ -69,7 +69,7 @@
     async fn send_connection_counts(&self, link: &Link) {
         let mut sent = 0;
         loop {
-            let connections = self.client_server.connections();
+            let connections = self.client_server.connection_count();
             if connections != sent {
                 sent = connections;
                 link.send(HandoverMessage::ConnectionCount(connections), Vec::new());
@@ -83,17 +83,17 @@
         match envelope.message {
             HandoverMessage::TookOver => {
                 info!(
-                    connections = self.client_server.connections(),
-                    requests = self.engine.requests(),
+                    connections = self.client_server.connection_count(),
+                    requests = self.engine.open_request_count(),
                     "upgrade.taken_over"
                 );
                 self.process_links.set_successor(link.clone());
                 // From now on the successor opens its own connections to workers.
-                self.upstream.close_all_idle();
+                self.upstream.close_all_idle_connections();
             }
             HandoverMessage::ClientConnection { reused } => {
                 for connection in envelope.descriptors {
-                    self.client_server.adopt(connection, reused);
+                    self.client_server.take_over_connection(connection, reused);
                 }
             }
             HandoverMessage::ForwardedCallback { number, callback } => {
@@ -107,7 +107,7 @@
     fn handle_callback(&self, link: Arc<Link>, number: u64, callback: Callback) {
         let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
         tokio::spawn(async move {
-            let forwarded = if upstream.called_back(&callback) {
+            let forwarded = if upstream.dispatch_callback(&callback) {
                 Forwarded::Known
             } else {
                 process_links.forward(&callback, Some(&link)).await
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -4,7 +4,7 @@
 //! stored; the router only remembers for [`CALLBACK_RETRY_WINDOW`] which callbacks ended an attempt without a result.
 
 use super::{lock, parse_request_id, worker_id};
-use crate::invariants::{violated, Invariant};
+use crate::invariants::{record_violation, Invariant};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::{HashMap, VecDeque};
@@ -118,7 +118,11 @@
         let (sender, callbacks) = unbounded_channel();
         let state = &mut *lock(&self.0);
         if state.subscribers.insert(key, sender).is_some() {
-            violated(Invariant::OneAttemptAtAWorker, Some(request), "an earlier attempt there still waits");
+            record_violation(
+                Invariant::OneAttemptPerWorker,
+                Some(request),
+                "an earlier attempt there still waits",
+            );
         }
         while state.ended.front().is_some_and(|ended| ended.ended_at.elapsed() >= CALLBACK_RETRY_WINDOW) {
             state.ended.pop_front();
