--- /dev/null
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -0,0 +1,236 @@
+//! A scheduler without its process: engine, upstream group and endpoint watcher, with a scripted discovery service.
+//!
+//! For what can't be shown with the daemon as a process: because time would have to pass, which a paused clock spares, or
+//! because the kernel would take a body whole. Each test file uses the part of it that it needs.
+#![allow(dead_code, missing_docs)]
+
+use bytes::Bytes;
+use hyper::http::uri::PathAndQuery;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::sync::oneshot;
+use vetchbridge::config::read_text;
+use vetchbridge::discovery::document::{EndpointSource, InstanceState};
+use vetchbridge::discovery::endpoint_list::EndpointList;
+use vetchbridge::discovery::request::DiscoveryRequest;
+use vetchbridge::discovery::watcher::{EndpointWatcher, InitialEndpoints};
+use vetchbridge::engine::Engine;
+use vetchbridge::request::{submit, Answer, Job};
+use vetchbridge::snapshot::{CurrentSettings, Snapshot};
+use vetchbridge::upgrade::process_links::ProcessLinks;
+use vetchbridge::workers::{request_id, Payload, UpstreamGroup};
+use vetchbridge_scheduling::interface::{ClassId, EndpointDelivery, Event, Request, Settings, TenantId};
+use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_testbed::wire::Wire;
+
+/// A test that makes no progress fails after this time.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// The deadline of the one class, in microseconds.
+const DEADLINE_US: u64 = 60_000_000;
+
+/// What differs between the schedulers of the tests.
+pub struct Setup {
+    pub scheduler_index: u32,
+    pub scheduler_count: u32,
+    pub delivery: EndpointDelivery,
+    /// The seed of the scheduler's random numbers.
+    pub seed: u64,
+}
+
+impl Default for Setup {
+    fn default() -> Setup {
+        Setup { scheduler_index: 0, scheduler_count: 1, delivery: EndpointDelivery::Poll, seed: 0x5eed }
+    }
+}
+
+/// A scheduler and its scripted discovery service.
+pub struct TestScheduler {
+    pub engine: Arc<Engine>,
+    pub upstream: Arc<UpstreamGroup>,
+    pub settings: Arc<CurrentSettings>,
+    pub discovery: TcpListener,
+    pub discovery_requests: UnboundedSender<DiscoveryRequest>,
+    received_requests: Option<UnboundedReceiver<DiscoveryRequest>>,
+    endpoint_list: Arc<Mutex<EndpointList>>,
+}
+
+impl TestScheduler {
+    /// One of so many schedulers; it polls its list.
+    pub async fn in_tier_of(scheduler_count: u32) -> TestScheduler {
+        TestScheduler::new(Setup { scheduler_count, ..Setup::default() }).await
+    }
+
+    pub async fn new(setup: Setup) -> TestScheduler {
+        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let document = configuration(&setup, discovery.local_addr().expect("bound"));
+        let config = read_text("test", &document.to_string()).expect("a configuration").config;
+        let scheduler = Scheduler::new(config.snapshot.settings.clone(), setup.seed).expect("valid settings");
+        let upstream = Arc::new(UpstreamGroup::new(TEST_TIMEOUT, TEST_TIMEOUT, 1));
+        let (discovery_requests, received_requests) = unbounded_channel();
+        let engine =
+            Engine::new(scheduler, upstream.clone(), discovery_requests.clone(), unbounded_channel().0);
+        tokio::spawn(engine.clone().run_timers());
+        TestScheduler {
+            engine,
+            upstream,
+            settings: Arc::new(CurrentSettings::new(config.snapshot)),
+            discovery,
+            discovery_requests,
+            received_requests: Some(received_requests),
+            endpoint_list: Arc::default(),
+        }
+    }
+
+    /// Starts the endpoint watcher with this saved list, of generation 1.
+    pub fn watch_endpoints(&mut self, instances: Value) {
+        let saved = json!({"generation": 1, "reset": true, "instances": instances});
+        let document = serde_json::from_value(saved).expect("a document");
+        let initial = InitialEndpoints { document, generation_valid: true, handed_over: false };
+        let watcher = EndpointWatcher::start(
+            self.discovery_source(),
+            self.settings.clone(),
+            initial,
+            self.engine.clone(),
+            self.upstream.clone(),
+            self.endpoint_list.clone(),
+        );
+        tokio::spawn(watcher.run(self.received_requests.take().expect("started once")));
+    }
+
+    /// The next connection to the discovery service, and the target of the call on it.
+    pub async fn next_call(&self) -> (Wire, String) {
+        let mut wire = Wire::new(self.discovery.accept().await.expect("a call").0);
+        let target = wire.read().await.expect("a call").target().to_string();
+        (wire, target)
+    }
+
+    /// Answers the first call: the saved list is current. Returns the connection with the watch that follows.
+    pub async fn confirm_saved_list(&self) -> Wire {
+        let (mut wire, _) = self.next_call().await;
+        answer_changes(&mut wire, 1, json!([])).await;
+        wire.read().await.expect("the watch continues");
+        wire
+    }
+
+    /// Sends a request to the endpoint watcher.
+    pub fn request(&self, request: DiscoveryRequest) {
+        self.discovery_requests.send(request).expect("the watcher runs");
+    }
+
+    /// Name and state of each worker as last published.
+    pub fn listed_workers(&self) -> Vec<(String, InstanceState)> {
+        let (instances, _) = self.endpoint_list.lock().expect("no panic").snapshot();
+        instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
+    }
+
+    /// Puts other settings in force, without an event to the scheduler.
+    pub fn replace_settings(&self, settings: Settings) {
+        let old = self.settings.get();
+        self.settings.swap(Snapshot {
+            settings,
+            names: old.names.clone(),
+            worker_idle_timeout: old.worker_idle_timeout,
+            reports: old.reports,
+        });
+    }
+
+    /// What a reload does that names the same discovery service and this delivery.
+    pub fn reload(&self, delivery: EndpointDelivery) {
+        let mut settings = self.settings.get().settings.clone();
+        settings.endpoint_delivery = delivery;
+        self.replace_settings(settings.clone());
+        self.engine.handle(Event::Settings(Box::new(settings)));
+        self.request(DiscoveryRequest::Move(self.discovery_source()));
+    }
+
+    /// Submits a job of the one class, with key `k`.
+    pub fn submit(&self, id: &str, body: Bytes) -> oneshot::Receiver<Answer> {
+        let request = Request {
+            id: request_id(id).expect("an id"),
+            class: ClassId(0),
+            tenant: TenantId(0),
+            key: Some("k".to_string()),
+            deadline: self.engine.clock.now() + DEADLINE_US,
+            expected_work: None,
+            slots: 1.0,
+            retry: false,
+        };
+        let target = PathAndQuery::from_static("/receipt/k");
+        let payload = Payload { id: id.to_string(), target, idempotency_key: None, body };
+        let job = Job { request, payload, settings: self.settings.get(), room: None };
+        submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
+    }
+
+    fn discovery_source(&self) -> EndpointSource {
+        EndpointSource::Service(self.discovery.local_addr().expect("bound"))
+    }
+}
+
+/// A configuration with one class, which is not idempotent.
+fn configuration(setup: &Setup, discovery: SocketAddr) -> Value {
+    let delivery = match setup.delivery {
+        EndpointDelivery::Push => "push",
+        EndpointDelivery::Poll => "ask",
+    };
+    let class = json!({"name": "receipt", "repeat": "unsafe", "aim": 500_000, "deadline": DEADLINE_US});
+    json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "discovery": discovery.to_string(),
+        "settings": {"me": setup.scheduler_index, "balancers": setup.scheduler_count, "areas": ["a"], "kinds": ["m"],
+            "zone": 0, "tick": 4000, "discovery": delivery, "services": [class],
+            "limits": {"max_attempts": 4, "may_cancel": true},
+            "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
+                      "tip_multiple": 2.5, "fall": 2_000_000}}})
+}
+
+/// A worker that is up, as the discovery service lists it.
+pub fn instance(name: &str, address: SocketAddr) -> Value {
+    json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "lifecycle": "up"})
+}
+
+/// The same worker while it is draining.
+pub fn draining(mut instance: Value) -> Value {
+    instance["lifecycle"] = "draining".into();
+    instance
+}
+
+/// An address that no test connects to.
+pub fn unused_address() -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 9))
+}
+
+/// Answers a call with changes.
+pub async fn answer_changes(wire: &mut Wire, generation: u32, instances: Value) {
+    let document = json!({"generation": generation, "reset": false, "instances": instances});
+    wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
+}
+
+/// Answers a call with a complete list.
+pub async fn answer_complete_list(wire: &mut Wire, generation: u32, instances: Value) {
+    let document = json!({"generation": generation, "reset": true, "instances": instances});
+    wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
+}
+
+/// Refuses a call, as a service with too many callers does.
+pub async fn refuse(wire: &mut Wire) {
+    wire.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
+}
+
+/// Answers a call with the part of a document before `cut`; the caller decides what becomes of the connection.
+pub async fn answer_part(wire: &mut Wire, document: &str, cut: &str) {
+    let (part, _) = document.split_once(cut).expect("the document holds it");
+    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{part}", document.len());
+    wire.write(&answer).await.expect("the scheduler reads");
+}
+
+/// Answers a call with the part of a document before `cut`, and closes the connection.
+pub async fn break_off(mut wire: Wire, document: &str, cut: &str) {
+    answer_part(&mut wire, document, cut).await;
+}
+
+/// Resolves once everything has been read and acted on: a paused clock moves only when nothing is left to do.
+pub async fn settle() {
+    tokio::time::sleep(Duration::from_millis(1)).await;
+}
