--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -147,7 +147,9 @@
     const SYN_SENT: &str = "02";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of connections");
     let port = format!(":{:04X}", address.port());
-    let entries = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+    // Few lines have the port; the table may be long, and is read at each step.
+    let entries = table.lines().filter(|line| line.contains(&port));
+    let entries = entries.map(|line| line.split_whitespace().collect::<Vec<_>>());
     let dials = entries.filter(|entry| entry.len() > 3 && entry[2].ends_with(&port) && entry[3] == SYN_SENT);
     dials.map(|entry| entry[1].to_string()).collect()
 }
