--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -21,15 +21,15 @@
 
 /// How long a connection may take to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the body may take once the head of a response is here. What the service has written counts as notified, so
-/// that a body that stalls must not delay what it already holds.
+/// How long the body may take once the head of a response has arrived. What the service has written counts as notified,
+/// so that a body that stalls must not delay the entries that have arrived.
 const BODY_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle connections are closed after this time.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// The longest document that is read.
 const MAX_DOCUMENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a call asks the service for.
+/// What a call requests of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Query {
     /// The complete list.
@@ -73,7 +73,7 @@
     /// The service refused the call.
     #[error("{0}")]
     Status(StatusCode),
-    /// The response broke off, stalled or holds no document.
+    /// The response broke off, stalled or is no document.
     #[error("{cause}")]
     Body {
         /// What was wrong with it.
@@ -103,7 +103,7 @@
         matches!(self, CallError::ConnectTimeout | CallError::ResponseTimeout(_))
     }
 
-    /// Whether a part of the document can be read.
+    /// Whether any entry of the document can be read.
     pub(super) fn has_instances(&self) -> bool {
         matches!(self, CallError::Body { partial, .. } if !partial.instances.is_empty())
     }
@@ -159,7 +159,7 @@
     }
 }
 
-/// Reads the document that a response holds, or what there is of it.
+/// Reads the document in a response, or what there is of it.
 async fn read_document(response: Response<Incoming>) -> Result<EndpointDocument, CallError> {
     let mut text = Vec::new();
     let read = read_body(response.into_body(), &mut text).await;
--- a/crates/vetchbridge/src/discovery/endpoint_list.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list as last published, in the discovery service's form.
 //!
 //! The [watcher](super::watcher) writes it. An upgrade hands it to the successor process, and a reload that renumbers
-//! zones or kinds translates it anew.
+//! zones or kinds translates it again.
 
 use crate::discovery::document::{EndpointSource, Instance, InstanceState};
 use crate::snapshot::NameTables;
@@ -59,3 +59,6 @@
         self.source
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/vetchbridge/src/discovery/mod.rs
+++ b/crates/vetchbridge/src/discovery/mod.rs
@@ -6,9 +6,9 @@
 //! - `schedule` decides when a call is made and how long it may take; it is pure.
 //! - [`watcher`] follows the service and publishes what it learns.
 //! - [`endpoint_list`] is the list as last published, which a successor process starts from.
-//! - [`request`] is what the rest of the daemon may ask of the watcher.
+//! - [`request`] is what the rest of the daemon may request of the watcher.
 //!
-//! Nothing here judges a worker or talks to one.
+//! Nothing in this module decides about a worker or connects to one.
 
 mod client;
 pub mod document;
--- a/crates/vetchbridge/src/discovery/partial.rs
+++ b/crates/vetchbridge/src/discovery/partial.rs
@@ -1,7 +1,7 @@
 //! What can be read of an endpoint document that breaks off.
 //!
 //! A response may end within the document: the service crashed, the connection was reset, or the rest never came. The
-//! entries that arrived complete are still valid news, above all of workers that are leaving.
+//! entries that arrived complete are still valid, above all those of workers that are leaving.
 
 use crate::discovery::document::Instance;
 use serde_json::Deserializer;
--- a/crates/vetchbridge/src/discovery/partial/tests.rs
+++ b/crates/vetchbridge/src/discovery/partial/tests.rs
@@ -11,7 +11,7 @@
     partial.instances.iter().map(|instance| instance.instance_id.as_str()).collect()
 }
 
-/// Whatever the length to which a document was cut: what is read is a prefix of it, never a value that it does not hold.
+/// Whatever the length to which a document was cut: what is read is a prefix of it, never a value that is not in it.
 #[test]
 fn every_prefix_of_a_document_yields_its_complete_parts_alone() {
     let document =
--- a/crates/vetchbridge/src/discovery/request.rs
+++ b/crates/vetchbridge/src/discovery/request.rs
@@ -1,7 +1,7 @@
-//! What the rest of the daemon may ask of the endpoint watcher.
+//! Requests to the endpoint watcher from the rest of the daemon.
 //!
 //! A module of its own, so that the engine, which passes on the scheduler's requests, and the watcher, which gives the
-//! engine its events, need not know each other. It holds no state.
+//! engine its events, need not know each other. It has no state.
 
 use crate::discovery::document::EndpointSource;
 
--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -1,10 +1,11 @@
 //! When the discovery service is called, and how long each call may take.
 //!
-//! Pure: the time is passed in, and nothing here makes a call. How long to pause after failed calls is not decided
-//! here: the scheduler's endpoint refresh does that, and subscribes again when its backoff has passed.
+//! Pure: the time is passed in, and no call is made. How long to pause after failed calls is the scheduler's decision: its
+//! endpoint refresh subscribes again when its backoff has passed.
 
 use std::time::Duration;
 use tokio::time::Instant;
+use vetchbridge_scheduling::interface::EndpointDelivery;
 
 /// The longest time that a watch waits at the service for a change. A silent connection is noticed only when this is
 /// over.
@@ -53,9 +54,9 @@
     last_outcome: CallOutcome,
     /// Calls that waited for a change so far.
     waiting_calls: u32,
-    /// When a watch that has ended may be opened again here.
+    /// When the watcher may reopen a watch that has ended.
     reopen_at: Instant,
-    /// Whether a watch that has ended is to be opened again here, not by the scheduler.
+    /// Whether the watcher reopens a watch that has ended, not the scheduler by a subscription.
     reopens: bool,
 }
 
@@ -80,16 +81,16 @@
         self.reopen_at = now + PUSH_REOPEN_DELAY;
     }
 
-    /// Takes note of whether a watch is open and whether lists are pushed now.
+    /// Takes note of whether a watch is open, and how lists are delivered now.
     ///
-    /// Where lists are pushed, the scheduler never subscribes, and the watch is opened here whenever there is none. A
-    /// watch that ended while lists were pushed is opened here even if they are polled since: the scheduler learned of
+    /// Where lists are pushed, the scheduler never subscribes, and the watcher opens a watch whenever there is none. It
+    /// also reopens one that ended while lists were pushed, though they are polled since: the scheduler learned of
     /// its end at a time when it had nothing to subscribe to.
-    pub(super) fn update_reopening(&mut self, watch_is_open: bool, lists_are_pushed: bool) {
-        self.reopens = !watch_is_open && (self.reopens || lists_are_pushed);
+    pub(super) fn update_reopening(&mut self, watch_is_open: bool, delivery: EndpointDelivery) {
+        self.reopens = !watch_is_open && (self.reopens || delivery == EndpointDelivery::Push);
     }
 
-    /// When a watch is to be opened here; `None` while one is open or the scheduler is to subscribe.
+    /// When the watcher is to open a watch; `None` while one is open or the scheduler is to subscribe.
     pub(super) fn reopen_at(&self) -> Option<Instant> {
         self.reopens.then_some(self.reopen_at)
     }
--- a/crates/vetchbridge/src/discovery/schedule/tests.rs
+++ b/crates/vetchbridge/src/discovery/schedule/tests.rs
@@ -69,20 +69,20 @@
 fn a_pushed_list_is_watched_at_once_and_again_soon_after_each_end() {
     let start = Instant::now();
     let mut schedule = DiscoverySchedule::new(start);
-    schedule.update_reopening(false, true);
+    schedule.update_reopening(false, EndpointDelivery::Push);
     assert_eq!(schedule.reopen_at(), Some(start));
-    schedule.update_reopening(true, true);
+    schedule.update_reopening(true, EndpointDelivery::Push);
     assert_eq!(schedule.reopen_at(), None, "it is open");
     let end = start + Duration::from_secs(3);
     schedule.record_watch_end(end);
-    schedule.update_reopening(false, true);
+    schedule.update_reopening(false, EndpointDelivery::Push);
     assert_eq!(schedule.reopen_at(), Some(end + Duration::from_millis(100)));
 }
 
 #[test]
 fn a_polled_list_is_watched_when_the_scheduler_subscribes() {
     let mut schedule = DiscoverySchedule::new(Instant::now());
-    schedule.update_reopening(false, false);
+    schedule.update_reopening(false, EndpointDelivery::Poll);
     assert_eq!(schedule.reopen_at(), None);
 }
 
@@ -90,10 +90,10 @@
 fn a_watch_that_ended_while_lists_were_pushed_is_opened_again_though_they_are_polled_since() {
     let start = Instant::now();
     let mut schedule = DiscoverySchedule::new(start);
-    schedule.update_reopening(false, true);
-    schedule.update_reopening(false, false);
+    schedule.update_reopening(false, EndpointDelivery::Push);
+    schedule.update_reopening(false, EndpointDelivery::Poll);
     assert_eq!(schedule.reopen_at(), Some(start));
-    schedule.update_reopening(true, false);
-    schedule.update_reopening(false, false);
+    schedule.update_reopening(true, EndpointDelivery::Poll);
+    schedule.update_reopening(false, EndpointDelivery::Poll);
     assert_eq!(schedule.reopen_at(), None, "its next end is the scheduler's to act on");
 }
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -25,7 +25,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
-use vetchbridge_scheduling::interface::{Endpoint, EndpointDelivery, EndpointState, EndpointUpdate, Event};
+use vetchbridge_scheduling::interface::{Endpoint, EndpointState, EndpointUpdate, Event};
 
 /// The list that a process starts from.
 pub struct InitialEndpoints {
@@ -63,7 +63,7 @@
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     endpoint_list: Arc<Mutex<EndpointList>>,
-    /// The generation last seen at this source; `None` before its first complete list.
+    /// The generation last published from this source; `None` before its first complete list.
     generation: Option<u64>,
     /// Whether the list is known to be no older than this process.
     confirmed: watch::Sender<bool>,
@@ -121,8 +121,8 @@
     /// Serves requests and follows the source until the senders of requests are gone.
     pub async fn run(mut self, mut requests: UnboundedReceiver<DiscoveryRequest>) {
         loop {
-            let lists_are_pushed = self.settings.get().settings.endpoint_delivery == EndpointDelivery::Push;
-            self.schedule.update_reopening(self.watch.is_some(), lists_are_pushed);
+            let delivery = self.settings.get().settings.endpoint_delivery;
+            self.schedule.update_reopening(self.watch.is_some(), delivery);
             let hedge_at = self.watch.as_ref().and_then(|watch| watch.hedge_at);
             tokio::select! {
                 () = reached(self.schedule.reopen_at()) => self.open_watch(),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Follows another source. Calls to the one before are dropped; its list stands until the new one's is here.
+    /// Follows another source. Calls to the old one are dropped; its list stands until the new one has answered.
     fn change_source(&mut self, source: EndpointSource) {
         if self.follows(&source) {
             return;
@@ -161,7 +161,7 @@
         self.open_watch();
     }
 
-    /// Whether this is the service that is followed already. A fixed list is always taken anew.
+    /// Whether this is the service that is followed already. A fixed list is always published again.
     fn follows(&self, source: &EndpointSource) -> bool {
         use EndpointSource::Service;
         matches!((&self.source, source), (Service(current), Service(new)) if current == new)
@@ -187,7 +187,7 @@
         self.watch = Some(Call { hedge_at, ..call });
     }
 
-    /// Makes a second call while the watch's may have been lost; it asks the same, and waits for no change.
+    /// Makes a second call while the watch's may have been lost; it is the same but waits for no change.
     fn open_hedge(&mut self) {
         if let Some(watch) = &mut self.watch {
             watch.hedge_at = None;
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -52,7 +52,7 @@
     scheduler: Scheduler,
     timers: TimerQueue,
     requests: HashMap<RequestId, UnboundedSender<RequestCommand>>,
-    /// The actions of the current event; kept for its allocation.
+    /// The actions of the current event; reused for its allocation.
     actions: Vec<Action>,
 }
 
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -10,7 +10,7 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// The probe that the scheduler asked for reaches the worker, and the event that comes of it names the worker and the
+/// A probe that the scheduler decided on reaches the worker, and the event that results names the worker and the
 /// outcome.
 #[tokio::test]
 async fn a_probe_is_sent_to_its_worker_and_its_outcome_returned() {
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -1,7 +1,7 @@
 //! Datagrams between the schedulers of one tier.
 //!
-//! Owns the UDP socket at work. It carries the scheduler's messages as they are, drops those that are too long or come
-//! from an unknown address, and never answers or repeats one itself.
+//! Owns the UDP socket while the daemon runs. It passes the scheduler's messages on unchanged, drops those that are too
+//! long or come from an unknown address, and never answers or repeats one itself.
 
 use crate::config::Peers;
 use crate::engine::Engine;
@@ -29,7 +29,7 @@
     pub data: Vec<u8>,
 }
 
-/// Carries messages both ways until the engine is gone. While there is a successor, this process receives none: the
+/// Sends and receives messages until the engine is gone. While there is a successor, this process receives none: the
 /// successor does.
 pub fn run(
     config: Peers,
@@ -40,7 +40,7 @@
 ) -> io::Result<impl Future<Output = ()>> {
     socket.set_nonblocking(true)?;
     let socket = UdpSocket::from_std(socket)?;
-    Ok(PeerSocket { config, socket, engine }.carry_messages(process_links, outgoing))
+    Ok(PeerSocket { config, socket, engine }.exchange_messages(process_links, outgoing))
 }
 
 struct PeerSocket {
@@ -50,7 +50,7 @@
 }
 
 impl PeerSocket {
-    async fn carry_messages(
+    async fn exchange_messages(
         self,
         process_links: Arc<ProcessLinks>,
         mut outgoing: UnboundedReceiver<OutgoingMessage>,
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! The settings in force: one immutable snapshot, replaced as a whole by a reload.
 //!
-//! Owns which snapshot is current. A request keeps the snapshot that it was accepted under to its end. Nothing here
-//! checks a value: a snapshot has been checked before it is put in force.
+//! Owns which snapshot is current. A request keeps the snapshot that it was accepted under to its end. No value is
+//! checked in this module: a snapshot has been checked before it is put in force.
 
 use crate::workers::load::Reports;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -68,7 +68,7 @@
     }
 }
 
-/// Holds the snapshot in force.
+/// The place of the snapshot in force.
 pub struct CurrentSettings(Mutex<Arc<Snapshot>>);
 
 impl CurrentSettings {
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -1,7 +1,7 @@
 //! A scheduler without its process: engine, upstream group and endpoint watcher, with a scripted discovery service.
 //!
 //! For what can't be shown with the daemon as a process: because time would have to pass, which a paused clock spares, or
-//! because the kernel would take a body whole. Each test file uses the part of it that it needs.
+//! because the kernel would buffer a complete body. Each test file uses the part of it that it needs.
 #![allow(dead_code, missing_docs)]
 
 use bytes::Bytes;
@@ -220,7 +220,7 @@
 
 /// Answers a call with the part of a document before `cut`; the caller decides what becomes of the connection.
 pub async fn answer_part(wire: &mut Wire, document: &str, cut: &str) {
-    let (part, _) = document.split_once(cut).expect("the document holds it");
+    let (part, _) = document.split_once(cut).expect("it is in the document");
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{part}", document.len());
     wire.write(&answer).await.expect("the scheduler reads");
 }
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -184,7 +184,7 @@
 }
 
 /// After a call that failed, the next one must not wait for a change: that it is answered shows that the service is back.
-/// A subscription that meets an open watch does not open it anew.
+/// A subscription while a watch is open does not open another.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -204,7 +204,7 @@
     assert!(target.contains("index=2&wait=") && !target.ends_with("wait=0"), "{target}");
 }
 
-/// What a document holds before it breaks off is no answer: where every document breaks off, hundreds of schedulers that
+/// The part of a document before it breaks off is no answer: where every document breaks off, hundreds of schedulers that
 /// called again at once each time would keep the service from recovering.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -142,11 +142,11 @@
 }
 
 /// A worker restarts under its name and address while a job waits for a connection to it. The new process is warming up,
-/// so that the job, which no worker has had yet, is placed anew at once, where there is capacity.
+/// so that the job, which no worker has had yet, is placed again at once, where there is capacity.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_job_waiting_for_a_connection_is_placed_anew_when_its_worker_restarts() {
+async fn a_job_waiting_for_a_connection_is_placed_again_when_its_worker_restarts() {
     let mut scheduler = TestScheduler::in_tier_of(1).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
