--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -1,8 +1,8 @@
 //! The life of one request, from its submission to exactly one answer.
 //!
-//! [`run`] carries out the decision module's commands for the request, with the attempts in flight and the right to answer. It
-//! knows no protocol: the client server makes a [`Job`] and renders an [`Answer`]. It never chooses a worker, a pause or an
-//! answer by itself; it reports every event to the module through the engine.
+//! Each request has a task that executes the decision module's commands for it and owns its attempts and its right to an answer.
+//! The task knows no protocol: the client server makes a [`Job`] and renders an [`Answer`]. It never chooses a worker, a delay
+//! or an answer by itself, and reports every event to the module through the engine.
 
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{violated, Invariant};
@@ -19,7 +19,9 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 use tracing::debug;
-use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::interface::{
+    AttemptNo, ClassId, Event, Idempotency, LoadReport, Micros, Outcome, Request, RequestId, WorkerId,
+};
 
 /// A request as it was read from a client, independent of the protocol.
 pub struct Job {
@@ -216,8 +218,8 @@
         NewAttempt { request: self.id, number, worker, sent_at, conditions, cancelled }
     }
 
-    /// Until when the first byte of an attempt may be written. The decision module sent it within these bounds; they must
-    /// still hold at its first byte.
+    /// Until when the first byte of an attempt may be written. The decision module sent it within these bounds, and a
+    /// connection may take long to come up.
     fn first_byte_deadline(&self, sent_at: Micros, deadline: Micros) -> Micros {
         let class = self.settings.settings.classes.get(self.class.0 as usize);
         let idempotency = class.map(|class| class.idempotency).unwrap_or_default();
@@ -288,7 +290,7 @@
             self.concluded.store(true, Ordering::Relaxed);
             let class = self.settings.names.classes.get(self.class.0 as usize).map_or("", String::as_str);
             debug!(request = %Id(self.id), class, answer = answer.name(), "request.answered");
-            // Sending fails if the client has disconnected in this instant; it is owed no answer then.
+            // Sending fails if the client has disconnected in this instant; the answer is dropped then.
             let _ = reply.send(answer);
         }
     }
@@ -296,7 +298,7 @@
 
 impl Drop for RequestContext {
     fn drop(&mut self) {
-        // If the task is cancelled, the decision module must not wait for a request that nobody carries any more.
+        // If the task is cancelled, the decision module must not wait for a request that has no task any more.
         if let Some(reply) = self.reply.take() {
             if !reply.is_closed() {
                 violated(Invariant::TakenRequestIsAnswered, Some(self.id), "its life was cut short");
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -1,6 +1,6 @@
 //! Callbacks of workers, and their dispatch to the attempts that wait for them.
 //!
-//! Each attempt owns a [`CallbackSubscription`] and gives it back when it is dropped. A callback without a subscriber is not
+//! Each attempt owns a [`CallbackSubscription`], which ends when it is dropped. A callback without a subscriber is not
 //! stored; the router only remembers for [`CALLBACK_RETRY_WINDOW`] which callbacks ended an attempt without a result.
 
 use super::{lock, parse_request_id, worker_id};
--- a/crates/vetchbridge/src/workers/connection.rs
+++ b/crates/vetchbridge/src/workers/connection.rs
@@ -26,7 +26,7 @@
 /// response would otherwise be taken for that of the next request.
 pub(super) const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Counts the bytes written to a connection, and holds what the current exchange needs before its first byte.
+/// Counts the bytes written to a connection, and stores what the current exchange needs before its first byte.
 #[derive(Clone, Default)]
 pub(super) struct WriteMeter(Arc<Mutex<MeterState>>);
 
@@ -64,7 +64,7 @@
         lock(&self.0).closed = true;
     }
 
-    /// A copy of these bytes of the current request with its expiry brought up to date, if they hold it.
+    /// A copy of these bytes of the current request with its expiry brought up to date, if they include it.
     fn replace_expiry<'a>(&self, pieces: impl Iterator<Item = &'a [u8]>) -> Option<Vec<u8>> {
         let state = &mut *lock(&self.0);
         let position = state.exchange_bytes();
--- a/crates/vetchbridge/src/workers/endpoint.rs
+++ b/crates/vetchbridge/src/workers/endpoint.rs
@@ -62,7 +62,7 @@
     Ready,
     /// It is draining or was removed.
     Draining,
-    /// Another process has taken over its name, so that decisions made for this one no longer hold.
+    /// Another process has taken over its name, so that decisions made for this one are void.
     Replaced,
 }
 
--- a/crates/vetchbridge/src/workers/expiry.rs
+++ b/crates/vetchbridge/src/workers/expiry.rs
@@ -1,8 +1,8 @@
-//! The header that tells a worker how long its response is waited for.
+//! The header that informs a worker how long its response is waited for.
 //!
 //! The header is set when the request is built, but a connection may take long to come up: its value is replaced by the time
-//! that remains when the first byte is written. The length of the request stays the same, so that the count of its bytes
-//! holds.
+//! that remains when the first byte is written. The length of the request does not change, so that the count of its bytes
+//! remains valid.
 
 use hyper::header::HeaderName;
 use hyper::Request;
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -87,7 +87,7 @@
         self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
-    /// Sets new time limits for every worker; attempts in flight keep theirs.
+    /// Sets new time limits for every worker; they do not apply to attempts in flight.
     pub fn set_timeouts(&self, dial_timeout: Duration, worker_idle_timeout: Duration) {
         let timeouts = Timeouts::new(dial_timeout, worker_idle_timeout);
         if std::mem::replace(&mut *lock(&self.timeouts), timeouts) != timeouts {
--- a/crates/vetchbridge/src/workers/probe.rs
+++ b/crates/vetchbridge/src/workers/probe.rs
@@ -22,7 +22,7 @@
 impl UpstreamGroup {
     /// Probes a worker over the connections of its attempts; the outcome, and the load report that came with it.
     ///
-    /// Ends within [`PROBE_TIMEOUT`]. A worker that is draining is not probed.
+    /// Ends within `PROBE_TIMEOUT`. A worker that is draining is not probed.
     pub async fn probe(&self, worker_id: WorkerId) -> (Outcome, Option<LoadReport>) {
         let Ok(_permit) = self.probe_permits.try_acquire() else { return (Outcome::NotSent, None) };
         let Some(worker) = self.worker(worker_id) else { return (Outcome::ConnectFailed, None) };
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What a response says about the worker.
+    /// The result of a probe that the worker responded to.
     fn probe_result(&self, (response, body): ProbeResponse) -> (Outcome, Option<LoadReport>) {
         let Some(body) = body else { return (Outcome::Reset, None) };
         let outcome = match response.status {
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -11,13 +11,13 @@
 use rstest::rstest;
 use serde_json::json;
 use std::net::SocketAddr;
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
-use vetchbridge::config::read_text;
+use vetchbridge::config::{read_text, Config};
 use vetchbridge::engine::Engine;
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::process_links::ProcessLinks;
@@ -29,6 +29,9 @@
 use vetchbridge_testbed::wire::Wire;
 
 const MINUTE: Duration = Duration::from_secs(60);
+const REQUEST_ID: &str = "00000000000000ab";
+/// When the worker's process started.
+const STARTED_AT: Micros = 7;
 
 /// A listener whose accept queue holds one connection.
 struct FullQueueListener {
@@ -90,6 +93,25 @@
     EarlierAttemptDone,
 }
 
+impl Change {
+    /// Makes the change while the attempt waits for its connection.
+    fn apply(self, group: &UpstreamGroup, listener: &FullQueueListener, concluded: &AtomicBool) {
+        match self {
+            Change::Nothing | Change::DeadlinePassed => {}
+            Change::RequestConcluded => concluded.store(true, Ordering::Relaxed),
+            Change::WorkerDraining => update_endpoint(group, listener, EndpointState::Draining, STARTED_AT),
+            Change::WorkerRestarted => update_endpoint(group, listener, EndpointState::Ready, STARTED_AT + 1),
+            Change::WorkerRestartedWithItsClockSteppedBack => {
+                update_endpoint(group, listener, EndpointState::Ready, STARTED_AT - 1);
+            }
+            Change::EarlierAttemptReturned => {
+                assert!(group.dispatch_callback(&callback(REQUEST_ID, "returned")));
+            }
+            Change::EarlierAttemptDone => assert!(group.dispatch_callback(&callback(REQUEST_ID, "done"))),
+        }
+    }
+}
+
 /// A connection comes up long after its dial began. The conditions of the attempt must still hold at its first byte; if they do
 /// not, no byte is written, and the attempt never ran. A callback that arrives meanwhile is about an earlier attempt.
 #[rstest]
@@ -110,8 +132,6 @@
     #[case] change: Change,
     #[case] expected: AttemptResult,
 ) {
-    const REQUEST_ID: &str = "00000000000000ab";
-    const STARTED_AT: Micros = 7;
     let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     update_endpoint(&group, &listener, EndpointState::Ready, STARTED_AT);
     let _filler = listener.fill().await;
@@ -125,19 +145,9 @@
     let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
-    match change {
-        Change::Nothing | Change::DeadlinePassed => {}
-        Change::RequestConcluded => concluded.store(true, Ordering::Relaxed),
-        Change::WorkerDraining => update_endpoint(&group, &listener, EndpointState::Draining, STARTED_AT),
-        Change::WorkerRestarted => update_endpoint(&group, &listener, EndpointState::Ready, STARTED_AT + 1),
-        Change::WorkerRestartedWithItsClockSteppedBack => {
-            update_endpoint(&group, &listener, EndpointState::Ready, STARTED_AT - 1);
-        }
-        Change::EarlierAttemptReturned => assert!(group.dispatch_callback(&callback(REQUEST_ID, "returned"))),
-        Change::EarlierAttemptDone => assert!(group.dispatch_callback(&callback(REQUEST_ID, "done"))),
-    }
+    change.apply(&group, &listener, &concluded);
     let worker = async {
-        listener.accept().await.close();
+        drop(listener.accept().await);
         let mut worker = listener.accept().await;
         if let Some(job) = worker.read().await {
             assert_eq!(job.header("x-trace-id"), Some(REQUEST_ID));
@@ -168,15 +178,6 @@
     }
 }
 
-/// Makes the closing of a connection explicit.
-trait Close {
-    fn close(self);
-}
-
-impl Close for Wire {
-    fn close(self) {}
-}
-
 /// A worker learns how long its response is waited for. That counts from the first byte, not from the decision: the client
 /// waits no longer because the connection came up late.
 #[rstest]
@@ -189,7 +190,7 @@
     let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     update_endpoint(&group, &listener, EndpointState::Ready, 0);
     let _filler = listener.fill().await;
-    let (payload, (_cancel, cancelled)) = (payload("00000000000000ab"), oneshot::channel());
+    let (payload, (_cancel, cancelled)) = (payload(REQUEST_ID), oneshot::channel());
     let decided = std::time::Instant::now();
     let worker = worker_id("s-0");
     let attempt = group.attempt(
@@ -203,12 +204,12 @@
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
     let worker = async {
-        listener.accept().await.close();
+        drop(listener.accept().await);
         let mut worker = listener.accept().await;
         let job = worker.read().await.expect("the job");
         let elapsed = decided.elapsed();
         worker.answer(202, "", "").await.expect("the group reads it");
-        assert!(group.dispatch_callback(&callback("00000000000000ab", "done")));
+        assert!(group.dispatch_callback(&callback(REQUEST_ID, "done")));
         let value = job.header("x-expires-in").expect("a span");
         let micros = value.strip_suffix('u').and_then(|digits| digits.parse().ok()).expect("microseconds");
         (Duration::from_micros(micros), elapsed)
@@ -230,7 +231,7 @@
     let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     update_endpoint(&group, &listener, EndpointState::Ready, 0);
     let _filler = listener.fill().await;
-    let (first, second) = (payload("00000000000000ab"), payload("00000000000000cd"));
+    let (first, second) = (payload(REQUEST_ID), payload("00000000000000cd"));
     let ((cancel, cancelled), (_cancel, not_cancelled)) = (oneshot::channel(), oneshot::channel());
     let worker = worker_id("s-0");
     let first_attempt = group.attempt(
@@ -257,7 +258,7 @@
     cancel.send(()).expect("the attempt is in flight");
     assert_eq!(first_attempt.await.0, AttemptResult::NotServed(Outcome::NotSent), "it never ran");
     let worker = async {
-        listener.accept().await.close();
+        drop(listener.accept().await);
         let mut worker = listener.accept().await;
         let job = worker.read().await.expect("the second job");
         assert_eq!(job.header("x-trace-id"), Some("00000000000000cd"));
@@ -268,12 +269,8 @@
     assert_eq!(result, AttemptResult::Served("made".into()));
 }
 
-/// A keyed job may have run at its first worker. The connection to the second comes up after the deduplication window: the retry
-/// is not written, and the client gets its answer at once.
-#[rstest]
-#[timeout(HANG)]
-#[tokio::test]
-async fn a_keyed_job_is_not_retried_on_a_connection_that_comes_up_after_its_deduplication_window() {
+/// The configuration of one class of keyed jobs, whose deduplication window is shorter than the kernel's retransmission delay.
+fn keyed_config() -> Config {
     let class = json!({"name": "pay", "repeat": "keyed", "group": "all", "window": 500_000, "aim": 500_000,
                        "deadline": 60_000_000, "late_share": 0.5});
     let document = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "discovery": "127.0.0.1:1",
@@ -281,12 +278,24 @@
             "discovery": "ask", "services": [class], "limits": {"max_attempts": 4, "may_cancel": true},
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
-    let config = read_text("late", &document.to_string()).expect("it reads").config;
-    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
-    let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
-    let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
-    tokio::spawn(engine.clone().run_timers());
-    let workers = [FullQueueListener::open(), FullQueueListener::open()];
+    read_text("late", &document.to_string()).expect("it reads").config
+}
+
+fn keyed_request(deadline: Micros) -> Request {
+    Request {
+        id: RequestId(0xab),
+        class: ClassId(0),
+        tenant: TenantId(0),
+        key: Some("k".to_string()),
+        deadline,
+        expected_work: None,
+        slots: 1.0,
+        retry: false,
+    }
+}
+
+/// Adds two workers at these listeners to the group and to the decision module.
+fn add_workers(upstream: &UpstreamGroup, engine: &Engine, workers: &[FullQueueListener; 2]) {
     let (names, ready) = (["s-0", "s-1"], EndpointState::Ready);
     let addresses = workers.each_ref().map(|worker| worker.address.to_string());
     let endpoints = names.iter().zip(&addresses).map(|(name, address)| {
@@ -307,22 +316,24 @@
         update: EndpointUpdate::Snapshot,
         endpoints: names.map(endpoint).to_vec(),
     });
-    let request = Request {
-        id: RequestId(0xab),
-        class: ClassId(0),
-        tenant: TenantId(0),
-        key: Some("k".to_string()),
-        deadline: engine.clock.now() + 60_000_000,
-        expected_work: None,
-        slots: 1.0,
-        retry: false,
-    };
-    let job = Job {
-        request,
-        payload: payload("00000000000000ab"),
-        settings: Arc::new(config.snapshot),
-        body_permit: None,
-    };
+}
+
+/// A keyed job may have run at its first worker. The connection to the second comes up after the deduplication window: the retry
+/// is not written, and the client gets its answer at once.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_keyed_job_is_not_retried_on_a_connection_that_comes_up_after_its_deduplication_window() {
+    let config = keyed_config();
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
+    let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
+    let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
+    tokio::spawn(engine.clone().run_timers());
+    let workers = [FullQueueListener::open(), FullQueueListener::open()];
+    add_workers(&upstream, &engine, &workers);
+    let request = keyed_request(engine.clock.now() + 60_000_000);
+    let job =
+        Job { request, payload: payload(REQUEST_ID), settings: Arc::new(config.snapshot), body_permit: None };
     let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), job);
     let (mut first, other) = tokio::select! {
         worker = workers[0].accept() => (worker, &workers[1]),
@@ -336,7 +347,7 @@
             tokio::task::yield_now().await;
         }
         // Once this connection is accepted, the kernel's next SYN is queued; that is a second after the first.
-        other.accept().await.close();
+        drop(other.accept().await);
         other.accept().await.read().await
     };
     let (written, answer) = tokio::join!(late, answer);
