--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -183,15 +183,15 @@
 impl NewAttempt {
     /// Runs the attempt to its end, and reports the job's progress to the decision module.
     async fn run(self, engine: &Engine, upstream: &UpstreamGroup, payload: &Payload) -> FinishedAttempt {
-        let NewAttempt { request, number, worker, sent_at, conditions, cancelled } = self;
+        let NewAttempt { request, number, worker, sent_at, .. } = self;
         let on_progress = |progress| {
             let elapsed = engine.clock.now().saturating_sub(sent_at);
             debug!(request = %Id(request), attempt = number.0, worker = upstream.worker_name(worker), ?progress, elapsed_us = elapsed, "attempt.progress");
             engine.handle(Event::JobProgress { request, attempt: number, progress });
         };
-        let (result, load) = match conditions {
+        let (result, load) = match self.conditions {
             Some(conditions) => {
-                upstream.attempt(request, worker, payload, conditions, cancelled, on_progress).await
+                upstream.attempt(request, worker, payload, conditions, self.cancelled, on_progress).await
             }
             None => (AttemptResult::NotServed(Outcome::NotSent), None),
         };
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -100,44 +100,45 @@
 
 impl Sender {
     /// Writes the request, if it is still permitted once there is a connection, and reads the head of the response.
-    async fn send(self, request: Request<Full<Bytes>>) -> Result<WorkerResponse, ExchangeError> {
-        let Sender { client, connection, permission, mut expiry, request_length, worker_name } = self;
-        let (mut in_use, mut permission) = (AbortOnDrop(None), Some(permission));
-        let mut response = client.request(request);
-        let response = poll_fn(|cx| {
-            let polled = Pin::new(&mut response).poll(cx);
-            if in_use.0.is_none() {
-                in_use.0 = write_meter(&connection);
-                if let Some(meter) = &in_use.0 {
-                    if let Some(permission) = permission.take() {
-                        meter.begin_exchange(permission, expiry.take());
+    fn send(mut self, request: Request<Full<Bytes>>) -> ResponseFuture {
+        Box::pin(async move {
+            let (mut in_use, mut permission) = (AbortOnDrop(None), Some(self.permission));
+            let mut response = self.client.request(request);
+            let response = poll_fn(|cx| {
+                let polled = Pin::new(&mut response).poll(cx);
+                if in_use.0.is_none() {
+                    in_use.0 = write_meter(&self.connection);
+                    if let Some(meter) = &in_use.0 {
+                        if let Some(permission) = permission.take() {
+                            meter.begin_exchange(permission, self.expiry.take());
+                        }
                     }
                 }
+                polled
+            })
+            .await;
+            let bytes_written = in_use.0.as_ref().map_or(0, WriteMeter::exchange_bytes);
+            let request_incomplete = bytes_written < self.request_length;
+            match response {
+                Ok(response) if bytes_written > 0 => {
+                    in_use.0 = None;
+                    Ok(WorkerResponse::from(response))
+                }
+                Ok(_) => {
+                    // It is not the response to this request, of which nothing was written.
+                    debug!(worker = self.worker_name, "exchange.unsolicited_response");
+                    Err(ExchangeError::RequestIncomplete)
+                }
+                Err(error) if error.is_connect() || request_incomplete => {
+                    debug!(worker = self.worker_name, ?error, request_incomplete = true, "exchange.failed");
+                    Err(ExchangeError::RequestIncomplete)
+                }
+                Err(error) => {
+                    debug!(worker = self.worker_name, ?error, request_incomplete = false, "exchange.failed");
+                    Err(ExchangeError::ResponseMissing)
+                }
             }
-            polled
         })
-        .await;
-        let bytes_written = in_use.0.as_ref().map_or(0, WriteMeter::exchange_bytes);
-        match response {
-            Ok(response) if bytes_written > 0 => {
-                in_use.0 = None;
-                Ok(WorkerResponse::from(response))
-            }
-            Ok(_) => {
-                // It is not the response to this request, of which nothing was written.
-                debug!(worker = worker_name, "exchange.unsolicited_response");
-                Err(ExchangeError::RequestIncomplete)
-            }
-            Err(error) => {
-                let request_incomplete = error.is_connect() || bytes_written < request_length;
-                debug!(worker = worker_name, ?error, request_incomplete, "exchange.failed");
-                Err(if request_incomplete {
-                    ExchangeError::RequestIncomplete
-                } else {
-                    ExchangeError::ResponseMissing
-                })
-            }
-        }
     }
 }
 
@@ -153,7 +154,7 @@
         let progress = ExchangeProgress { connection: connection.clone(), request_length };
         let worker_name = self.name.clone();
         let sender = Sender { client, connection, permission, expiry, request_length, worker_name };
-        Exchange { progress, response: Box::pin(sender.send(http_request)) }
+        Exchange { progress, response: sender.send(http_request) }
     }
 
     /// Cancels a job that the worker has accepted. An attempt before that is cancelled by dropping its exchange.
