--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -186,7 +186,14 @@
         let NewAttempt { request, number, worker, sent_at, .. } = self;
         let on_progress = |progress| {
             let elapsed = engine.clock.now().saturating_sub(sent_at);
-            debug!(request = %Id(request), attempt = number.0, worker = upstream.worker_name(worker), ?progress, elapsed_us = elapsed, "attempt.progress");
+            debug!(
+                request = %Id(request),
+                attempt = number.0,
+                worker = upstream.worker_name(worker),
+                ?progress,
+                elapsed_us = elapsed,
+                "attempt.progress"
+            );
             engine.handle(Event::JobProgress { request, attempt: number, progress });
         };
         let (result, load) = match self.conditions {
@@ -256,7 +263,14 @@
             self.attempts[number.0 as usize].may_have_run_since = None;
         }
         let (request, latency) = (self.id, self.engine.clock.now().saturating_sub(sent_at));
-        debug!(request = %Id(request), attempt = number.0, worker = upstream.worker_name(worker), ?outcome, latency_us = latency, "attempt.finished");
+        debug!(
+            request = %Id(request),
+            attempt = number.0,
+            worker = upstream.worker_name(worker),
+            ?outcome,
+            latency_us = latency,
+            "attempt.finished"
+        );
         let closed = self.reply.is_none();
         self.engine.handle(Event::AttemptFinished {
             request,
@@ -281,7 +295,13 @@
             self.attempts.iter().filter(|attempt| attempt.may_have_run_since.is_some()).count();
         let remaining = self.deadline.saturating_sub(self.engine.clock.now());
         let attempts = self.attempts.len();
-        debug!(request = %Id(self.id), attempts, may_have_run, remaining_us = remaining, "request.not_served");
+        debug!(
+            request = %Id(self.id),
+            attempts,
+            may_have_run,
+            remaining_us = remaining,
+            "request.not_served"
+        );
         self.answer(answer);
     }
 
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -141,3 +141,6 @@
         true
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -73,3 +73,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
