--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -89,7 +89,7 @@
         Wire::new(stream).answer(202, "", "").await.expect("the scheduler reads");
         let done = json!({"id": REQUEST_ID, "from": second, "state": "done", "result": "made"}).to_string();
         let callback: Callback = serde_json::from_str(&done).expect("a callback");
-        assert!(scheduler.upstream.called_back(&callback));
+        assert!(scheduler.upstream.dispatch_callback(&callback));
         assert_eq!(answer.await.expect("an answer"), Answer::Served("made".into()));
     } else {
         tokio::select! {
