--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -55,7 +55,7 @@
         self.place(now, id, actions);
     }
 
-    /// Takes over what a result tells about its worker, and notifies the worker's coordinator.
+    /// Applies a result to its worker, and notifies the worker's coordinator.
     fn record_worker_result(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -27,7 +27,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Takes the outcome of an attempt; `in_flight` are the own slots that are still out there.
+    /// Takes the outcome of an attempt; `in_flight` are the own slots that are still in flight there.
     pub(crate) fn record_result(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Capacity of a worker that warms up, kept for a moment for the peer that was told of it.
+/// Capacity of a worker that warms up, reserved for a moment for the peer that queried it.
 struct Reservation {
     peer: SchedulerIndex,
     made_at: Micros,
@@ -168,7 +168,7 @@
 
 impl Scheduler {
     /// Sends a message about a worker to its coordinator. Where this scheduler is the coordinator or there is
-    /// none, it keeps the account itself.
+    /// none, it does the accounting itself.
     pub(crate) fn notify_coordinator(
         &mut self,
         now: Micros,
@@ -194,7 +194,7 @@
 
     /// As its coordinator: a worker's occupancy, for a scheduler that has a job of so much work. A worker
     /// that warms up and was sent nearly what it bears is fully occupied; otherwise its capacity is reserved
-    /// for the asker.
+    /// for the querying peer.
     fn occupancy_for(&mut self, now: Micros, index: usize, peer: SchedulerIndex, work: Micros) -> f64 {
         self.charge_admitted_work(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -36,7 +36,7 @@
     pub started_at: Micros,
 }
 
-/// What an update of the endpoint list holds.
+/// What the entries of an endpoint list event are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Only the changes.
--- a/crates/scheduling/src/hot_keys.rs
+++ b/crates/scheduling/src/hot_keys.rs
@@ -35,7 +35,7 @@
 pub(crate) struct FleetView {
     pub(crate) ready_workers: usize,
     pub(crate) schedulers: u32,
-    /// Reports of load or of starts tell how full workers are.
+    /// Reports of load or of starts show how full workers are.
     pub(crate) load_is_known: bool,
 }
 
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! # The ordinary path
 //!
-//! A request's key is hashed onto a consistent ring on which every worker holds virtual points in proportion
+//! A request's key is hashed onto a consistent ring on which every worker has virtual points in proportion
 //! to its weight. The first worker clockwise takes the job; if it has no capacity, the next worker on the ring
 //! does. All else is a rule with a file of its own.
 //!
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -26,7 +26,7 @@
 
 impl OutlierDetector {
     /// Takes the outcome of an attempt. `refused_at_once`: its connection was refused without delay, which a
-    /// full connection table does as well as a dead worker.
+    /// full connection table does as well as a failed worker.
     pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_at_once: bool) {
         match outcome {
             Outcome::Ok => self.recover(),
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -9,7 +9,7 @@
 /// Late answers that keep a smaller fraction of their weight than this are not worth a worker's time.
 const MIN_LATE_WEIGHT: f64 = 0.01;
 
-/// Whether an attempt is out and, once it has ended, whether it may have run.
+/// Whether an attempt is in flight and, once it has ended, whether it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
     InFlight,
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -9,7 +9,7 @@
 const MAX_CLIENT_DELAY: Micros = 500_000;
 /// Retries that each served attempt adds to the budget.
 const RETRIES_PER_SUCCESS: f64 = 1.0;
-/// Retries that the budget holds at most, and at the start.
+/// Retries in the budget at most, and at the start.
 const MAX_RETRIES: f64 = 10.0;
 /// Retries in the budget from which on attempts may migrate: where much fails, retries go first.
 const MIN_RETRIES_TO_MIGRATE: f64 = 0.9 * MAX_RETRIES;
--- a/crates/scheduling/src/ring.rs
+++ b/crates/scheduling/src/ring.rs
@@ -1,4 +1,4 @@
-//! The consistent ring: every worker holds virtual points in proportion to its weight.
+//! The consistent ring: every worker has virtual points in proportion to its weight.
 
 use crate::hash::mix;
 use crate::worker::Worker;
@@ -7,7 +7,8 @@
 
 /// Virtual points of a worker of mean weight: keeps arcs within about a tenth of their fair share.
 const POINTS_PER_MEAN_WEIGHT: f64 = 96.0;
-/// A worker holds at most this many times the mean's points, so that one absurd weight cannot own the ring.
+/// A worker has at most this many times the mean's points, so that one absurd weight can't take over the
+/// ring.
 const MAX_POINTS_FACTOR: f64 = 8.0;
 /// The scale stays as long as the mean weight is within these factors of it.
 const SCALE_TOLERANCE: RangeInclusive<f64> = 0.5..=2.0;
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -108,7 +108,7 @@
 pub struct Limits {
     /// Attempts allowed for one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub hedging: bool,
     /// A connection not made within this time has failed.
     pub dial_timeout: Micros,
--- a/crates/scheduling/src/timer.rs
+++ b/crates/scheduling/src/timer.rs
@@ -1,6 +1,6 @@
-//! What a timer is for, and its token.
+//! Timers: what is to be done when one expires, and its token.
 //!
-//! A token holds the kind in its top byte and the request's sequence number in the others.
+//! A token contains the kind in its top byte and the request's sequence number in the others.
 
 use crate::ids::TimerToken;
 
@@ -9,7 +9,7 @@
 
 /// Position of the kind in a token.
 const KIND_SHIFT: u32 = 56;
-/// The bits of a token that hold the sequence number.
+/// The bits of a token that contain the sequence number.
 const SEQUENCE_MASK: u64 = (1 << KIND_SHIFT) - 1;
 
 const KIND_DEADLINE: u64 = 0;
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -12,8 +12,7 @@
 pub(crate) const MAX_START_DELAY: Micros = 60_000;
 /// An occupancy report that is older than this no longer counts, microseconds.
 const MAX_REPORT_AGE: Micros = 1_000_000;
-/// An occupancy report that is younger than this is not asked for again, microseconds: a round trip and a
-/// tick.
+/// An occupancy report that is younger than this is not queried again, microseconds: a round trip and a tick.
 const FRESH_REPORT_AGE: Micros = 20_000;
 /// The smallest weight that a load is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
@@ -25,7 +24,7 @@
     pub(crate) number: AttemptNo,
 }
 
-/// An attempt of this scheduler that is out at a worker.
+/// An attempt of this scheduler that is in flight at a worker.
 pub(crate) struct InFlightAttempt {
     pub(crate) id: AttemptId,
     pub(crate) sent_at: Micros,
@@ -45,7 +44,7 @@
 pub(crate) struct OccupancyReport {
     /// Slots in flight there; `None` if the coordinator doesn't list the worker.
     pub(crate) slots: Option<f64>,
-    /// When the coordinator was asked.
+    /// When the coordinator was queried.
     pub(crate) queried_at: Micros,
 }
 
@@ -69,7 +68,7 @@
     pub(crate) awaiting_report: Vec<RequestId>,
     pub(crate) concurrency_limit: ConcurrencyLimit,
     pub(crate) outlier: OutlierDetector,
-    /// Own attempts that are out.
+    /// Own attempts that have not ended.
     pub(crate) in_flight: Vec<InFlightAttempt>,
     /// Those of them that have started, where workers report that.
     pub(crate) started: Vec<StartedAttempt>,
@@ -85,7 +84,7 @@
         Worker { endpoint, started_at, is_ready, weight, ..Worker::default() }
     }
 
-    /// Replaces what was learned of the worker's earlier process; attempts that are out there still end.
+    /// Replaces what was learned of the worker's earlier process; attempts in flight there still end.
     pub(crate) fn restart(&mut self, endpoint: Endpoint, weight: f64, started_at: Option<Micros>) {
         let (in_flight, points) = (std::mem::take(&mut self.in_flight), self.points);
         *self = Worker { in_flight, points, ..Worker::new(endpoint, weight, started_at) };
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -1,8 +1,10 @@
-//! What the tests share: settings, workers, requests, and a driver that keeps score of the rules.
+//! What the tests share: settings, workers, requests, and a driver of one scheduler.
 #![allow(dead_code, missing_docs)]
 
 use vetchbridge_scheduling::*;
 
+pub mod simulation;
+
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
@@ -20,17 +22,17 @@
     }
 }
 
-pub const SAFE: u32 = 0;
+pub const IDEMPOTENT: u32 = 0;
 pub const KEYED_ALL: u32 = 1;
 pub const KEYED_CELL: u32 = 2;
-pub const UNSAFE: u32 = 3;
-pub const BOUND: u32 = 4;
+pub const NON_IDEMPOTENT: u32 = 3;
+pub const MACHINE_BOUND: u32 = 4;
 
-/// One class for each effect, and a safe one bound to machine kind 1.
+/// One class for each idempotency, and an idempotent one that is bound to machine type 1.
 pub fn settings() -> Settings {
     let window = 2 * S;
-    let mut bound = class(Idempotency::Idempotent);
-    bound.kind = Some(KindId(1));
+    let mut machine_bound = class(Idempotency::Idempotent);
+    machine_bound.kind = Some(KindId(1));
     Settings {
         scheduler_index: 0,
         scheduler_count: 1,
@@ -40,7 +42,7 @@
             class(Idempotency::Keyed { group: DeduplicationScope::All, window }),
             class(Idempotency::Keyed { group: DeduplicationScope::Cell, window }),
             class(Idempotency::NonIdempotent),
-            bound,
+            machine_bound,
         ],
         tenants: vec![],
         over_quota_weight: 0.1,
@@ -167,7 +169,7 @@
     all[0]
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
--- a/crates/scheduling/tests/limits.rs
+++ b/crates/scheduling/tests/limits.rs
@@ -9,7 +9,8 @@
 /// Characters in one line, at most.
 const MAX_COLUMNS: usize = 110;
 
-/// Each file that decides something. A rule that no longer fits into one gets a file of its own, with a name of its own.
+/// Each file that decides something. A rule that no longer fits into one gets a file of its own, with a name
+/// of its own.
 const DECISIONS: [(&str, &str); 20] = [
     ("admission.rs", include_str!("../src/admission.rs")),
     ("candidates.rs", include_str!("../src/candidates.rs")),
