--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -218,13 +218,10 @@
         id: RequestId,
         actions: &mut Vec<Action>,
     ) -> bool {
-        if self.fleet[index].has_fresh_report(now) {
-            return false;
-        }
         let worker = self.fleet[index].endpoint.worker;
-        let Some(coordinator) = self.coordinators.coordinator_of(now, worker, &self.settings) else {
-            return false;
-        };
+        let coordinator = self.coordinators.coordinator_of(now, worker, &self.settings);
+        let needs_report = !self.fleet[index].has_fresh_report(now);
+        let Some(coordinator) = coordinator.filter(|_| needs_report) else { return false };
         let work = self.requests.get(id).map_or(0, PendingRequest::likely_work);
         if coordinator == self.settings.scheduler_index {
             let slots = Some(self.occupancy_for(now, index, coordinator, work));
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -55,16 +55,19 @@
 
 impl EndpointUpdate {
     /// Whether a worker that is not among the entries was removed.
+    #[must_use]
     pub fn is_complete(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Restored | EndpointUpdate::HandedOver)
     }
 
     /// Whether discovery is to be polled after this update.
+    #[must_use]
     pub fn needs_poll(self) -> bool {
         matches!(self, EndpointUpdate::Restored | EndpointUpdate::HandedOver | EndpointUpdate::Failed)
     }
 
     /// Whether discovery has answered a call with it, or pushed it.
+    #[must_use]
     pub fn is_response(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Changes)
     }
@@ -133,11 +136,16 @@
 
 impl Outcome {
     /// Whether this outcome proves that the job never ran.
+    #[must_use]
     pub fn never_ran(self) -> bool {
         match self {
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::Invalid | Outcome::NotSent => true,
-            Outcome::Ok | Outcome::Error | Outcome::Timeout => false,
-            Outcome::Reset | Outcome::NoResponse | Outcome::Cancelled => false,
+            Outcome::Ok
+            | Outcome::Error
+            | Outcome::Timeout
+            | Outcome::Reset
+            | Outcome::NoResponse
+            | Outcome::Cancelled => false,
         }
     }
 }
--- a/crates/scheduling/src/peer_message.rs
+++ b/crates/scheduling/src/peer_message.rs
@@ -57,6 +57,7 @@
 impl PeerMessage {
     /// The bytes of this message about a worker. A figure that is too large for its field is sent as the
     /// largest.
+    #[must_use]
     pub fn encode(self, worker: WorkerId) -> Vec<u8> {
         let (kind, flags, slots, time) = match self {
             PeerMessage::OccupancyQuery { work } => (KIND_OCCUPANCY_QUERY, 0, 0.0, work),
@@ -77,6 +78,7 @@
     }
 
     /// Decodes a datagram into a message and the worker that it is about; `None` if it is no message.
+    #[must_use]
     pub fn decode(data: &[u8]) -> Option<(PeerMessage, WorkerId)> {
         let [kind, flags, s0, s1, t0, t1, t2, t3, worker @ ..] = data else { return None };
         let worker = WorkerId(u64::from_le_bytes(worker.try_into().ok()?));
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -61,7 +61,7 @@
 
 impl Scheduler {
     /// Takes a client's request.
-    pub(crate) fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+    pub(crate) fn on_request(&mut self, now: Micros, request: &Request, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
             return;
         }
--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -56,7 +56,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Endpoints { update, endpoints } => self.on_endpoints(now, update, endpoints, actions),
-            Event::Request(request) => self.on_request(now, request, actions),
+            Event::Request(request) => self.on_request(now, &request, actions),
             Event::AttemptFinished { request, attempt, worker, outcome, latency, closed, load: _ } => {
                 let id = AttemptId { request, number: attempt };
                 let result = AttemptResult { id, worker, outcome, latency, closed };
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -87,7 +87,7 @@
     /// Replaces what was learned of the worker's earlier process; attempts in flight there still end.
     pub(crate) fn restart(&mut self, endpoint: Endpoint, weight: f64, started_at: Option<Micros>) {
         let (in_flight, points) = (std::mem::take(&mut self.in_flight), self.points);
-        *self = Worker { in_flight, points, ..Worker::new(endpoint, weight, started_at) };
+        *self = Worker { points, in_flight, ..Worker::new(endpoint, weight, started_at) };
     }
 
     pub(crate) fn warm_up_fraction(&self, now: Micros, rules: &Rules) -> f64 {
