--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -73,13 +73,13 @@
 
     /// Whether the worker would drop a repeat of a keyed job that may have run.
     fn drops_repeat_at(&self, worker: &Worker) -> bool {
-        let (Some(first), Idempotency::Keyed { group, .. }) =
+        let (Some(first), Idempotency::Keyed { scope, .. }) =
             (self.request.first_run(), self.request.class.idempotency)
         else {
             return true;
         };
         let first = self.fleet.get(first.worker).map(|first| &first.endpoint);
-        drops_repeat(group, first, &worker.endpoint)
+        drops_repeat(scope, first, &worker.endpoint)
     }
 
     fn may_have_run_at(&self, worker: &Worker) -> bool {
--- a/crates/scheduling/src/candidates/tests.rs
+++ b/crates/scheduling/src/candidates/tests.rs
@@ -51,7 +51,8 @@
 fn a_keyed_job_that_may_have_run_stays_where_its_repeat_is_dropped() {
     let in_cells = |n: u64| Endpoint { cell: CellId((n / 4) as u32), ..endpoint(n) };
     let fleet = fleet_of((0..12).map(in_cells));
-    let mut request = request(Idempotency::Keyed { group: DeduplicationScope::Cell, window: 1 });
+    let mut request =
+        request(Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window: 1 });
     request.attempts.push(attempt(WorkerId(5), AttemptState::MayHaveRun));
     let mut candidates = search(&settings(), &fleet, &request);
     candidates.sort();
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -28,7 +28,7 @@
         let Some(first_run_at) = self.first_run_at else { return true };
         match self.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::Keyed { window, .. } => by < first_run_at + window,
+            Idempotency::Keyed { deduplication_window, .. } => by < first_run_at + deduplication_window,
             Idempotency::NonIdempotent => false,
         }
     }
@@ -37,7 +37,7 @@
     /// any scheduler, and its request may go to any worker.
     pub(crate) fn allows_client_retry(self, now: Micros, retry_after: Micros) -> bool {
         let at_any_worker =
-            !matches!(self.idempotency, Idempotency::Keyed { group, .. } if group != DeduplicationScope::All);
+            !matches!(self.idempotency, Idempotency::Keyed { scope, .. } if scope != DeduplicationScope::All);
         (at_any_worker || self.first_run_at.is_none())
             && self.allows_attempt_by(now + retry_after + MAX_CLIENT_DELAY)
     }
--- a/crates/scheduling/src/retry/tests.rs
+++ b/crates/scheduling/src/retry/tests.rs
@@ -3,8 +3,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn keyed(group: DeduplicationScope) -> Idempotency {
-    Idempotency::Keyed { group, window: 2 * SECOND }
+fn keyed(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::Keyed { scope, deduplication_window: 2 * SECOND }
 }
 
 #[test]
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -10,9 +10,9 @@
     /// Workers of one scope drop a repeat within a window.
     Keyed {
         /// Which workers recognise a repeat.
-        group: DeduplicationScope,
+        scope: DeduplicationScope,
         /// How long a repeat is dropped, counted from the first attempt that may have run.
-        window: Micros,
+        deduplication_window: Micros,
     },
     /// Must not run twice.
     #[default]
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -30,7 +30,7 @@
 
 /// One class for each idempotency, and an idempotent one that is bound to machine type 1.
 pub fn settings() -> Settings {
-    let window = 2 * S;
+    let deduplication_window = 2 * S;
     let mut machine_bound = class(Idempotency::Idempotent);
     machine_bound.kind = Some(KindId(1));
     Settings {
@@ -39,8 +39,8 @@
         zone: ZoneId(0),
         classes: vec![
             class(Idempotency::Idempotent),
-            class(Idempotency::Keyed { group: DeduplicationScope::All, window }),
-            class(Idempotency::Keyed { group: DeduplicationScope::Cell, window }),
+            class(Idempotency::Keyed { scope: DeduplicationScope::All, deduplication_window }),
+            class(Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window }),
             class(Idempotency::NonIdempotent),
             machine_bound,
         ],
--- a/crates/scheduling/tests/retry.rs
+++ b/crates/scheduling/tests/retry.rs
@@ -70,10 +70,12 @@
         [("within its window", S, true), ("as it ends", 2 * S - 300 * MS, false), ("after it", 3 * S, false)]
     {
         let mut driver = Driver::with_fleet(settings(), 6);
-        let Idempotency::Keyed { window, .. } = settings().classes[KEYED_ALL as usize].idempotency else {
+        let Idempotency::Keyed { deduplication_window, .. } =
+            settings().classes[KEYED_ALL as usize].idempotency
+        else {
             panic!("keyed")
         };
-        assert_eq!(window, 2 * S);
+        assert_eq!(deduplication_window, 2 * S);
         sent(&driver.request(1, KEYED_ALL, "k"));
         driver.now += age;
         let ending = driver.event(Event::ShuttingDown);
--- a/crates/scheduling/tests/settings_changes.rs
+++ b/crates/scheduling/tests/settings_changes.rs
@@ -11,7 +11,7 @@
         (Idempotency::Idempotent, Idempotency::NonIdempotent, true),
         (Idempotency::NonIdempotent, Idempotency::Idempotent, false),
         (
-            Idempotency::Keyed { group: DeduplicationScope::Cell, window: 2 * S },
+            Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window: 2 * S },
             Idempotency::NonIdempotent,
             true,
         ),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -145,7 +145,7 @@
         };
         let idempotency = match class.word("repeat")? {
             "safe" => Idempotency::Idempotent,
-            "keyed" => Idempotency::Keyed { group, window: class.int("window")? },
+            "keyed" => Idempotency::Keyed { scope: group, deduplication_window: class.int("window")? },
             "unsafe" => Idempotency::NonIdempotent,
             _ => return class.bad("repeat"),
         };
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -153,7 +153,9 @@
         match (class.repeat, class.window) {
             (Repeat::Safe, _) => Idempotency::Idempotent,
             (Repeat::Unsafe, _) => Idempotency::NonIdempotent,
-            (Repeat::Keyed, Some(window)) => Idempotency::Keyed { group, window: window.0 },
+            (Repeat::Keyed, Some(window)) => {
+                Idempotency::Keyed { scope: group, deduplication_window: window.0 }
+            }
             (Repeat::Keyed, None) => {
                 let remedy = "a keyed class says how long workers drop a repeat, such as window = \"15s\"";
                 self.bad(format!("class[{index}].window"), "missing", remedy);
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -179,7 +179,9 @@
                     // The module sent it within these bounds; they must still hold at its first byte.
                     let begin_by = match (effect.unwrap_or_default(), may_have_run.iter().flatten().next()) {
                         (Idempotency::Idempotent, _) | (_, None) => until,
-                        (Idempotency::Keyed { window, .. }, Some(first)) => until.min(first.saturating_add(window)),
+                        (Idempotency::Keyed { deduplication_window: window, .. }, Some(first)) => {
+                            until.min(first.saturating_add(window))
+                        }
                         (Idempotency::NonIdempotent, Some(_)) => {
                             violated(Invariant::UnsafeJobOnce, Some(id), "an attempt before may have run");
                             sent
