--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -10,9 +10,9 @@
     /// Workers of one scope drop a repeat within a window.
     Keyed {
         /// Which workers recognise a repeat.
-        group: DeduplicationScope,
+        scope: DeduplicationScope,
         /// How long a repeat is dropped, counted from the first attempt that may have run.
-        window: Micros,
+        deduplication_window: Micros,
     },
     /// Must not run twice.
     #[default]
@@ -108,7 +108,7 @@
 pub struct Limits {
     /// Attempts allowed for one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub hedging: bool,
     /// A connection not made within this time has failed.
     pub dial_timeout: Micros,
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -40,10 +40,10 @@
 }
 
 fn idempotency(entry: &JsonObject<'_>) -> Result<Idempotency, SettingsFormatError> {
-    let group = deduplication_scope(entry)?;
+    let scope = deduplication_scope(entry)?;
     match entry.text("repeat")? {
         "safe" => Ok(Idempotency::Idempotent),
-        "keyed" => Ok(Idempotency::Keyed { group, window: entry.integer("window")? }),
+        "keyed" => Ok(Idempotency::Keyed { scope, deduplication_window: entry.integer("window")? }),
         "unsafe" => Ok(Idempotency::NonIdempotent),
         _ => Err(entry.unreadable("repeat", Expected::OneOf(REPEAT_VALUES))),
     }
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -39,7 +39,7 @@
         deadline: 900,
         priority_weight: 2.0,
         late_weight: 0.5,
-        idempotency: Idempotency::Keyed { group: DeduplicationScope::Cell, window: 15 },
+        idempotency: Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window: 15 },
         kind: Some(KindId(4)),
         priority: -7,
         stream: true,
@@ -115,14 +115,14 @@
 
 #[rstest]
 #[case::safe(r#""repeat": "safe""#, Idempotency::Idempotent)]
-#[case::keyed(r#""repeat": "keyed", "window": 9"#, Idempotency::Keyed { group: DeduplicationScope::All, window: 9 })]
+#[case::keyed(r#""repeat": "keyed", "window": 9"#, Idempotency::Keyed { scope: DeduplicationScope::All, deduplication_window: 9 })]
 #[case::keyed_in_all(
     r#""repeat": "keyed", "window": 9, "group": "all""#,
-    Idempotency::Keyed { group: DeduplicationScope::All, window: 9 }
+    Idempotency::Keyed { scope: DeduplicationScope::All, deduplication_window: 9 }
 )]
 #[case::keyed_in_a_zone(
     r#""repeat": "keyed", "window": 9, "group": "zone""#,
-    Idempotency::Keyed { group: DeduplicationScope::Zone, window: 9 }
+    Idempotency::Keyed { scope: DeduplicationScope::Zone, deduplication_window: 9 }
 )]
 #[case::non_idempotent(r#""repeat": "unsafe""#, Idempotency::NonIdempotent)]
 fn a_class_has_the_idempotency_that_it_names(#[case] keys: &str, #[case] expected: Idempotency) {
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -233,7 +233,9 @@
         let first_sent_at = self.attempts.iter().find_map(|attempt| attempt.may_have_run_since);
         match (idempotency, first_sent_at) {
             (Idempotency::Idempotent, _) | (_, None) => deadline,
-            (Idempotency::Keyed { window, .. }, Some(first)) => deadline.min(first.saturating_add(window)),
+            (Idempotency::Keyed { deduplication_window, .. }, Some(first)) => {
+                deadline.min(first.saturating_add(deduplication_window))
+            }
             (Idempotency::NonIdempotent, Some(_)) => {
                 record_violation(
                     Invariant::NonIdempotentJobSentOnce,
