--- a/crates/vetchbridge/tests/client_input.rs
+++ b/crates/vetchbridge/tests/client_input.rs
@@ -8,28 +8,28 @@
 
 /// No input ends the process or reaches a worker half parsed.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn invalid_input_gets_an_error_response() {
-    let mut stage = Stage::set(1).await;
+    let mut harness = Harness::start(1).await;
     for (target, headers, body, expected) in invalid_requests() {
-        let mut client = dial(stage.daemon.address).await;
-        client.hand_in(target, &headers, &body).await;
+        let mut client = dial(harness.daemon.address).await;
+        client.post_request(target, &headers, &body).await;
         assert_eq!(status(&client.read().await), expected, "{target} {headers}");
     }
     // Rejected by its length alone: not one byte of the body is sent here.
-    let mut huge = dial(stage.daemon.address).await;
+    let mut huge = dial(harness.daemon.address).await;
     huge.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n").await;
     assert_eq!(status(&huge.read().await), "413");
-    let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut worker) = stage.worker().await;
+    let (mut client, id) = harness.submit_job("safe", "k").await;
+    let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     // A second request with an id that is still open would get the first one's response.
-    let mut twin = dial(stage.daemon.address).await;
-    twin.hand_in("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
+    let mut twin = dial(harness.daemon.address).await;
+    twin.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
     assert_eq!(status(&twin.read().await), "409");
     worker.send(ACCEPTED).await;
-    stage.call_back(&id, number, "done").await;
+    harness.send_callback(&id, number, "done").await;
     assert_eq!(status(&client.read().await), "200");
 }
 
@@ -69,11 +69,11 @@
 #[case::silent("", None)]
 #[case::half_a_head("POST /safe/k HTTP/1.1\r\nX-Tr", None)]
 #[case::half_a_body("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nwork", Some("408"))]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_incomplete_request_times_out(#[case] sent: &str, #[case] answer: Option<&str>) {
-    let stage = Stage::set(1).await;
-    let mut client = dial(stage.daemon.address).await;
+    let harness = Harness::start(1).await;
+    let mut client = dial(harness.daemon.address).await;
     client.send(sent).await;
     let last = client.read().await;
     assert_eq!(last.is_some().then(|| status(&last)), answer);
@@ -82,45 +82,45 @@
 
 /// Silent connections take a descriptor from no client, no worker and no callback, however many there are.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn silent_connections_keep_out_no_client() {
-    let mut stage = Stage::set(1).await;
+    let mut harness = Harness::start(1).await;
     let mut silent = Vec::new();
-    for _ in 0..2 * SOCKETS {
-        silent.push(dial(stage.daemon.address).await);
+    for _ in 0..2 * DESCRIPTOR_LIMIT {
+        silent.push(dial(harness.daemon.address).await);
     }
-    let (mut client, id) = stage.job("safe", "k").await;
-    stage.serve_next(&id).await;
+    let (mut client, id) = harness.submit_job("safe", "k").await;
+    harness.serve_next_attempt(&id).await;
     assert_eq!(status(&client.read().await), "200");
 }
 
 /// More than half of the descriptors are the clients' when the workers need few: jobs in flight, idle connections and
 /// incomplete requests keep out no further job, however many they are.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn one_more_job_is_accepted_when_all_connections_are_in_use() {
-    let mut stage = Stage::limited(1, &[], 2 * SOCKETS).await;
+    let mut harness = Harness::start_with_limit(1, &[], 2 * DESCRIPTOR_LIMIT).await;
     let (mut in_flight, mut evictable) = (Vec::new(), Vec::new());
     for round in 0..68 {
-        let mut idle = dial(stage.daemon.address).await;
+        let mut idle = dial(harness.daemon.address).await;
         idle.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
         assert_eq!(status(&idle.read().await), "200");
         evictable.push(idle);
         if round % 16 == 0 {
-            let mut half = dial(stage.daemon.address).await;
+            let mut half = dial(harness.daemon.address).await;
             half.send("POST /safe/k HTTP/1.1\r\nX-Tr").await;
             evictable.push(half);
         }
-        in_flight.push(stage.job("safe", "k").await);
-        let (_, mut worker) = stage.worker().await;
+        in_flight.push(harness.submit_job("safe", "k").await);
+        let (_, mut worker) = harness.accept_worker().await;
         worker.read().await.expect("the job");
         // So that the next job needs a new connection.
         worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     }
     for (client, id) in &mut in_flight {
-        stage.call_back(id, 0, "done").await;
+        harness.send_callback(id, 0, "done").await;
         assert_eq!(status(&client.read().await), "200");
     }
 }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! The stage of the socket stories: the daemon as a process, among scripted workers, discovery and clients.
+//! The harness of the tests of the daemon as a process: it runs among scripted workers, discovery and clients.
 //!
-//! Owns the process and the listeners of one story. It must never wait for time to pass, nor judge an answer but where
-//! its own part in the story depends on it. Each story's file uses the part of it that it needs.
+//! Owns the process and the listeners of one test. It never waits for time to pass, and checks a response only where its
+//! own next step depends on it. Each test file uses the part of it that it needs.
 #![allow(dead_code, missing_docs)]
 
 use futures_util::future::select_all;
@@ -19,72 +19,83 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use vetchbridge_testbed::wire::{Message, Wire};
 
-/// A story that stands still fails; none of them measures time.
-pub const HANG: Duration = Duration::from_secs(60);
-/// The limit on descriptors that the daemon is held to.
-pub const SOCKETS: u32 = 64;
-/// Where a process of this scheduler hands over, within its folder.
-pub const HANDOVER: &str = "vetchbridge-n0.handover";
+/// A test that hangs fails after this long; none of them measures time.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// The limit on descriptors that the daemon runs with.
+pub const DESCRIPTOR_LIMIT: u32 = 64;
+/// The hand-over socket of this scheduler, within its folder.
+pub const HANDOVER_SOCKET: &str = "vetchbridge-n0.handover";
+/// A worker's response that accepts a job.
 pub const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
 
-/// Until a child that another story starts has become its program, it holds a copy of every socket here, and one that is
-/// closed meanwhile stays open. Held while a child is started, and while a socket is closed whose end has to be seen
-/// before something else.
-pub fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Between fork and exec a child of another test has a copy of every socket here, and one that is closed meanwhile stays
+/// open. This lock is held while a child is started, and while a socket is closed whose end has to be seen before
+/// something else.
+pub fn spawn_lock() -> MutexGuard<'static, ()> {
+    static SPAWN_LOCK: Mutex<()> = Mutex::new(());
+    SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What a story needs of a connection beyond speaking.
-pub trait Speak {
+/// What the tests write to and read from a connection; whatever fails fails the test.
+pub trait WireExt {
     async fn send(&mut self, text: &str);
-    async fn hand_in(&mut self, target: &str, headers: &str, body: &str);
-    /// A discovery call, by its target.
-    async fn asked(&mut self) -> String;
-    async fn list(&mut self, generation: u32, instances: Value);
+    async fn post_request(&mut self, target: &str, headers: &str, body: &str);
+    /// Reads a call to discovery; its target.
+    async fn read_target(&mut self) -> String;
+    async fn send_endpoints(&mut self, generation: u32, instances: Value);
 }
 
-impl Speak for Wire {
+impl WireExt for Wire {
     async fn send(&mut self, text: &str) {
         self.write(text).await.expect("the other side reads");
     }
 
-    async fn hand_in(&mut self, target: &str, headers: &str, body: &str) {
+    async fn post_request(&mut self, target: &str, headers: &str, body: &str) {
         self.post(target, headers, body).await.expect("the other side reads");
     }
 
-    async fn asked(&mut self) -> String {
+    async fn read_target(&mut self) -> String {
         self.read().await.expect("a call").target().to_string()
     }
 
-    async fn list(&mut self, generation: u32, instances: Value) {
+    async fn send_endpoints(&mut self, generation: u32, instances: Value) {
         let body = json!({"generation": generation, "reset": true, "instances": instances}).to_string();
         self.answer(200, "", &body).await.expect("the other side reads");
     }
 }
 
-/// The kernel's entry of a connection, by the ports of this end and the other: its state and what is written and not
-/// yet acknowledged, all hexadecimal.
-pub fn entry(here: SocketAddr, there: SocketAddr) -> Option<(String, String)> {
+/// The kernel's entry of a connection, in hexadecimal numbers.
+pub struct KernelConnection {
+    pub state: String,
+    /// Bytes that are written and not yet acknowledged.
+    pub unacknowledged: String,
+}
+
+/// The kernel's entry of a connection, by the ports of this end and the other.
+pub fn kernel_connection(here: SocketAddr, there: SocketAddr) -> Option<KernelConnection> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
     let ports = [here, there].map(|end| format!(":{:04X}", end.port()));
     table.lines().find_map(|line| {
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let found = words.get(1)?.ends_with(&ports[0]) && words.get(2)?.ends_with(&ports[1]);
-        found.then(|| (words[3].to_string(), words[4].split(':').next().unwrap_or_default().to_string()))
+        let columns: Vec<&str> = line.split_whitespace().collect();
+        let found = columns.get(1)?.ends_with(&ports[0]) && columns.get(2)?.ends_with(&ports[1]);
+        found.then(|| KernelConnection {
+            state: columns[3].to_string(),
+            unacknowledged: columns[4].split(':').next().unwrap_or_default().to_string(),
+        })
     })
 }
 
-/// Both ends of a connection, this one first.
-pub fn ends(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
+/// The addresses of both ends of a connection, this one first.
+pub fn addresses(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
     let socket = wire.socket();
     (socket.local_addr().expect("bound"), socket.peer_addr().expect("connected"))
 }
 
 /// Waits until the other side's kernel has what was written, whatever its process does.
-pub async fn delivered(wire: &mut Wire) {
-    let (here, there) = ends(wire);
-    while entry(here, there).is_some_and(|(_, unread)| !unread.trim_matches('0').is_empty()) {
+pub async fn wait_until_delivered(wire: &mut Wire) {
+    let (here, there) = addresses(wire);
+    let is_pending = |connection: KernelConnection| !connection.unacknowledged.trim_matches('0').is_empty();
+    while kernel_connection(here, there).is_some_and(is_pending) {
         tokio::task::yield_now().await;
     }
 }
@@ -106,19 +117,19 @@
 /// connection of its own.
 pub async fn confirm_list(discovery: &TcpListener) {
     let mut wire = Wire::new(discovery.accept().await.expect("the first call").0);
-    assert_eq!(wire.asked().await, "/registry/instances?index=1&wait=0");
+    assert_eq!(wire.read_target().await, "/registry/instances?index=1&wait=0");
     let unchanged = r#"{"generation":1,"reset":false,"instances":[]}"#;
     wire.answer(200, "connection: close\r\n", unchanged).await.expect("the other side reads");
 }
 
-/// A configuration with two attempts a request and one class of each effect.
+/// A configuration with two attempts for each request and one class of each idempotency.
 pub fn config(discovery: SocketAddr, instances: Value) -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "repeat": repeat, "group": "all", "window": 5_000_000, "aim": 500_000,
                "deadline": 60_000_000, "importance": 1.0, "late_share": 0.5})
     };
     json!({"name": "n0", "listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": SOCKETS}, "known": {"generation": 1, "reset": true, "instances": instances},
+        "limits": {"sockets": DESCRIPTOR_LIMIT}, "known": {"generation": 1, "reset": true, "instances": instances},
         "settings": {"me": 0, "balancers": 1, "areas": ["a"], "kinds": ["m"], "zone": 0, "tick": 4000,
             "discovery": "ask", "services": [class("safe", "safe"), class("unsafe", "unsafe"), class("keyed", "keyed")],
             "limits": {"max_attempts": 2, "may_cancel": true, "dial_timeout": 2_000_000, "retry_after": true,
@@ -127,20 +138,20 @@
                       "tip_multiple": 2.5, "fall": 2_000_000}}})
 }
 
-/// The daemon about to start, and the path of its configuration.
-pub fn daemon(config: &str) -> (Command, PathBuf) {
-    daemon_with_faults(config, "")
+/// A command that starts the daemon, and the path of its configuration.
+pub fn daemon_command(config: &str) -> (Command, PathBuf) {
+    daemon_command_with_faults(config, "")
 }
 
 /// The same with system calls that fail, in the form of `SYSCALL_FAULTS`.
-pub fn daemon_with_faults(config: &str, faults: &str) -> (Command, PathBuf) {
+pub fn daemon_command_with_faults(config: &str, faults: &str) -> (Command, PathBuf) {
     static FILES: AtomicU32 = AtomicU32::new(0);
     let number = FILES.fetch_add(1, Ordering::Relaxed);
     let name = format!("{}-{number}.json", std::process::id());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).expect("written");
-    let told: Value = serde_json::from_str(config).unwrap_or_default();
-    let sockets = told["limits"]["sockets"].as_u64().unwrap_or(SOCKETS.into());
+    let parsed: Value = serde_json::from_str(config).unwrap_or_default();
+    let sockets = parsed["limits"]["sockets"].as_u64().unwrap_or(DESCRIPTOR_LIMIT.into());
     let mut command = Command::new("sh");
     let preload = if faults.is_empty() { String::new() } else { preload(faults) };
     command
@@ -149,7 +160,7 @@
     (command, path)
 }
 
-/// The words before a command whose system calls are to fail.
+/// The prefix of a shell command whose system calls are to fail.
 fn preload(faults: &str) -> String {
     let library = std::env::current_exe().expect("a path").with_file_name("libsyscall_faults.so");
     assert!(library.is_file(), "{}: built with the tests of the workspace", library.display());
@@ -173,56 +184,56 @@
 }
 
 impl Process {
-    /// Starts one and waits until it listens; `folder` is where it finds a predecessor.
+    /// Starts the daemon and waits until it listens; in `folder` it finds a predecessor.
     pub fn start(config: &Value, folder: &Path) -> Process {
         Process::start_with_faults(config, folder, "")
     }
 
     /// The same with system calls that fail, in the form of `SYSCALL_FAULTS`.
     pub fn start_with_faults(config: &Value, folder: &Path, faults: &str) -> Process {
-        let (mut command, path) = daemon_with_faults(&config.to_string(), faults);
-        // As on the platform: the variable is as old as the process, and must not outlive a reload.
-        let told = config["discovery"].as_str().expect("an address");
-        command.env("BALANCER_DISCOVERY", told).env("TMPDIR", folder);
+        let (mut command, path) = daemon_command_with_faults(&config.to_string(), faults);
+        // As on the platform: the variable is as old as the process, and must not take effect at a reload.
+        let discovery = config["discovery"].as_str().expect("an address");
+        command.env("BALANCER_DISCOVERY", discovery).env("TMPDIR", folder);
         let started = {
-            let _alone = alone();
+            let _lock = spawn_lock();
             command.spawn()
         };
         let mut child = started.expect("the daemon starts");
-        let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let mut seen = Vec::new();
-        let mut listens = |event: &str| -> SocketAddr {
-            let line = log.by_ref().map_while(Result::ok).inspect(|line| seen.push(line.clone()));
+        let mut address_in = |event: &str| -> SocketAddr {
+            let line = lines.by_ref().map_while(Result::ok).inspect(|line| seen.push(line.clone()));
             let line = { line }.find(|line| line.contains(event)).unwrap_or_else(|| panic!("{seen:?}"));
             line.rsplit("address=").next().expect("an address").parse().expect("an address")
         };
-        let (admin, address) = (listens("admin.listening"), listens("daemon.listening"));
-        let (lines, heard) = unbounded_channel();
-        std::thread::spawn(move || log.map_while(Result::ok).for_each(|line| drop(lines.send(line))));
-        Process { child, config: path, address, admin, log: heard }
+        let (admin, address) = (address_in("admin.listening"), address_in("daemon.listening"));
+        let (sender, log) = unbounded_channel();
+        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(sender.send(line))));
+        Process { child, config: path, address, admin, log }
     }
 
-    /// Starts one and waits until it serves, its list confirmed by a discovery of its own that says no more after that.
-    pub async fn serving(config: &mut Value, folder: &Path) -> (Process, TcpListener) {
+    /// Starts the daemon and waits until it serves, its list confirmed by a discovery of its own that sends nothing more.
+    pub async fn start_serving(config: &mut Value, folder: &Path) -> (Process, TcpListener) {
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         config["discovery"] = discovery.local_addr().expect("bound").to_string().into();
         let mut process = Process::start(config, folder);
         confirm_list(&discovery).await;
-        process.logs("serving").await;
+        process.wait_for_log("serving").await;
         (process, discovery)
     }
 
-    /// An operators' call and its answer.
-    pub async fn operate(&self, call: &str) -> String {
-        let mut stream = TcpStream::connect(self.admin).await.expect("the door is there");
-        stream.write_all(format!("{call}\n").as_bytes()).await.expect("written");
+    /// Sends a command to the admin interface; its response.
+    pub async fn admin_command(&self, command: &str) -> String {
+        let mut stream = TcpStream::connect(self.admin).await.expect("it listens");
+        stream.write_all(format!("{command}\n").as_bytes()).await.expect("written");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.expect("an answer");
         answer
     }
 
-    /// The next line of the log with this event.
-    pub async fn logs(&mut self, event: &str) -> String {
+    /// Waits for the next line of the log with this event.
+    pub async fn wait_for_log(&mut self, event: &str) -> String {
         loop {
             let line = self.log.recv().await.expect("it runs");
             if line.contains(event) {
@@ -234,32 +245,32 @@
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let started = {
-            let _alone = alone();
+            let _lock = spawn_lock();
             Command::new("kill").args([signal, &pid]).spawn()
         };
         assert!(started.and_then(|mut kill| kill.wait()).expect("kill runs").success());
     }
 
-    /// Stops it where it stands: what happens until [`Process::thaw`] it finds all at once, in the order of its coming.
-    pub async fn freeze(&self) {
+    /// Suspends the process: what happens until [`Process::resume`] it finds all at once, in the order of its arrival.
+    pub async fn suspend(&self) {
         self.signal("-STOP");
         let threads = || {
             let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it lives");
             tasks.map(|task| task.expect("a thread").path().join("stat"))
         };
-        // A thread that has not stopped yet may still take in half of what happens next.
+        // A thread that has not stopped yet may still read a part of what happens next.
         while !threads().all(|stat| std::fs::read_to_string(stat).is_ok_and(|stat| stat.contains(") T "))) {
             tokio::task::yield_now().await;
         }
     }
 
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 }
 
-/// The daemon among scripted workers.
-pub struct Stage {
+/// The daemon among scripted workers and a scripted discovery.
+pub struct Harness {
     pub daemon: Process,
     pub folder: tempfile::TempDir,
     pub known: Vec<Value>,
@@ -268,27 +279,27 @@
     pub next_id: u64,
 }
 
-impl Stage {
-    pub async fn set(workers: usize) -> Stage {
-        Stage::set_with(workers, &[]).await
+impl Harness {
+    pub async fn start(workers: usize) -> Harness {
+        Harness::start_with_listed(workers, &[]).await
     }
 
-    /// `others` are listed after the scripted workers.
-    pub async fn set_with(workers: usize, others: &[SocketAddr]) -> Stage {
-        Stage::limited(workers, others, SOCKETS).await
+    /// The same; `others` are listed after the scripted workers.
+    pub async fn start_with_listed(workers: usize, others: &[SocketAddr]) -> Harness {
+        Harness::start_with_limit(workers, others, DESCRIPTOR_LIMIT).await
     }
 
-    /// The daemon may hold so many descriptors.
-    pub async fn limited(workers: usize, others: &[SocketAddr], sockets: u32) -> Stage {
-        Stage::set_all(workers, others, sockets, "").await
+    /// The same with this limit on descriptors.
+    pub async fn start_with_limit(workers: usize, others: &[SocketAddr], sockets: u32) -> Harness {
+        Harness::start_configured(workers, others, sockets, "").await
     }
 
-    /// System calls of the daemon fail, in the form of `SYSCALL_FAULTS`.
-    pub async fn with_faults(workers: usize, faults: &str) -> Stage {
-        Stage::set_all(workers, &[], SOCKETS, faults).await
+    /// The same with system calls of the daemon that fail, in the form of `SYSCALL_FAULTS`.
+    pub async fn start_with_faults(workers: usize, faults: &str) -> Harness {
+        Harness::start_configured(workers, &[], DESCRIPTOR_LIMIT, faults).await
     }
 
-    async fn set_all(workers: usize, others: &[SocketAddr], sockets: u32, faults: &str) -> Stage {
+    async fn start_configured(workers: usize, others: &[SocketAddr], sockets: u32, faults: &str) -> Harness {
         let listener = || async { TcpListener::bind("127.0.0.1:0").await.expect("a port") };
         let discovery = listener().await;
         let mut listeners = Vec::new();
@@ -303,78 +314,82 @@
         config["limits"]["sockets"] = sockets.into();
         let mut daemon = Process::start_with_faults(&config, folder.path(), faults);
         confirm_list(&discovery).await;
-        daemon.logs("serving").await;
-        Stage { daemon, folder, known, discovery, workers: listeners, next_id: 0xab00 }
+        daemon.wait_for_log("serving").await;
+        Harness { daemon, folder, known, discovery, workers: listeners, next_id: 0xab00 }
     }
 
     /// Starts the next process of the scheduler beside the one that serves. Its own list is empty.
-    pub fn successor(&self) -> Process {
+    pub fn start_successor(&self) -> Process {
         let mut config = config(self.discovery.local_addr().unwrap(), json!([]));
         config["listen"] = self.daemon.address.to_string().into();
         Process::start(&config, self.folder.path())
     }
 
-    /// What `/health/ready` says on a connection of its own.
+    /// The response to `/health/ready` on a connection of its own.
     pub async fn readiness(&self) -> Message {
-        let mut front = dial(self.daemon.address).await;
-        front.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
-        front.read().await.expect("an answer")
+        let mut load_balancer = dial(self.daemon.address).await;
+        load_balancer.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
+        load_balancer.read().await.expect("an answer")
     }
 
-    /// The next connection that any worker gets.
-    pub async fn worker(&self) -> (usize, Wire) {
+    /// Accepts the next connection to any worker.
+    pub async fn accept_worker(&self) -> (usize, Wire) {
         let accepts = self.workers.iter().map(|worker| Box::pin(worker.accept()));
         let (accepted, number, _) = select_all(accepts).await;
         (number, Wire::new(accepted.expect("a connection").0))
     }
 
-    /// A job of a class, its connection and its id.
-    pub async fn job(&mut self, class: &str, key: &str) -> (Wire, String) {
+    /// Sends a job of a class; its connection and its id.
+    pub async fn submit_job(&mut self, class: &str, key: &str) -> (Wire, String) {
         self.next_id += 1;
         let id = format!("{:016x}", self.next_id);
         let mut client = dial(self.daemon.address).await;
         client
-            .hand_in(&format!("/{class}/{key}"), &format!("X-Trace-Id: {id}\r\nX-Qos: {class}\r\n"), "work")
+            .post_request(
+                &format!("/{class}/{key}"),
+                &format!("X-Trace-Id: {id}\r\nX-Qos: {class}\r\n"),
+                "work",
+            )
             .await;
         (client, id)
     }
 
-    /// A worker's word on a job; it must be answered 200 whatever it says.
-    pub async fn call_back(&self, id: &str, worker: usize, state: &str) {
+    /// Sends a worker's callback for a job; it must be acknowledged whatever its state.
+    pub async fn send_callback(&self, id: &str, worker: usize, state: &str) {
         let mut wire = dial(self.daemon.address).await;
         let body =
             json!({"id": id, "from": format!("s-{worker}"), "state": state, "result": "made"}).to_string();
-        wire.hand_in("/callback", "", &body).await;
+        wire.post_request("/callback", "", &body).await;
         assert_eq!(status(&wire.read().await), "200");
     }
 
-    /// Hands in jobs of many keys, and lets worker 0 and no other serve them.
-    pub async fn worker_0_serves(&mut self, class: &str) {
+    /// Sends jobs of many keys, and has worker 0 and no other serve them.
+    pub async fn serve_at_worker_0(&mut self, class: &str) {
         for key in 0..8 {
-            let (mut client, id) = self.job(class, &key.to_string()).await;
-            let mut worker = Wire::new(self.workers[0].accept().await.expect("worker 0 is asked").0);
+            let (mut client, id) = self.submit_job(class, &key.to_string()).await;
+            let mut worker = Wire::new(self.workers[0].accept().await.expect("worker 0 is dialled").0);
             worker.read().await.expect("the job");
-            // Ends the connection after each job, so that the next one is seen to be dialled.
+            // Closes the connection after each job, so that the next one needs a new connection.
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
-            self.call_back(&id, 0, "done").await;
+            self.send_callback(&id, 0, "done").await;
             assert_eq!(status(&client.read().await), "200");
         }
     }
 
-    /// Hands in one more job, and shows that none but this has come to a worker by then. The workers' connections of before
-    /// must have ended, so that each job is seen to be dialled for. How many connections came and ended without one.
-    pub async fn only_one_more_arrives(&mut self) -> usize {
+    /// Sends one more job, and shows that no other has been sent to a worker by then. The workers' earlier connections must
+    /// have ended, so that each job needs a new one. Returns how many connections came and ended without a request.
+    pub async fn assert_only_next_job_arrives(&mut self) -> usize {
         let mut empty = 0;
-        let (mut client, next) = self.job("safe", "k").await;
+        let (mut client, next) = self.submit_job("safe", "k").await;
         let mut calls = FuturesUnordered::new();
         loop {
-            let heard = async |(number, mut wire): (usize, Wire)| (number, wire.read().await, wire);
+            let read_request = async |(number, mut wire): (usize, Wire)| (number, wire.read().await, wire);
             let (number, call, mut wire) = tokio::select! {
-                dialled = self.worker() => {
-                    calls.push(heard(dialled));
+                dialled = self.accept_worker() => {
+                    calls.push(read_request(dialled));
                     continue;
                 }
-                Some(heard) = calls.next() => heard,
+                Some(received) = calls.next() => received,
             };
             let Some(call) = call else {
                 empty += 1;
@@ -382,17 +397,17 @@
             };
             assert_eq!(call.header("x-trace-id"), Some(next.as_str()), "{call:?}");
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
-            self.call_back(&next, number, "done").await;
+            self.send_callback(&next, number, "done").await;
             assert_eq!(status(&client.read().await), "200");
             return empty;
         }
     }
 
-    /// Lets whichever worker is asked next serve the job that is waiting.
-    pub async fn serve_next(&self, id: &str) {
-        let (number, mut worker) = self.worker().await;
+    /// Has whichever worker is dialled next serve the job.
+    pub async fn serve_next_attempt(&self, id: &str) {
+        let (number, mut worker) = self.accept_worker().await;
         worker.read().await.expect("the job");
         worker.send(ACCEPTED).await;
-        self.call_back(id, number, "done").await;
+        self.send_callback(id, number, "done").await;
     }
 }
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{ACCEPTED, HANG};
+use common::{ACCEPTED, TEST_TIMEOUT};
 use hyper::http::uri::PathAndQuery;
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_linger;
@@ -81,7 +81,7 @@
         let accepting = move || listener.accept().expect("a connection").0;
         let line = spawn_blocking(accepting).await.expect("it accepts");
         // A runtime does not end before its blocking calls do.
-        line.set_read_timeout(Some(HANG)).expect("set");
+        line.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Line(line)
     }
 
@@ -145,7 +145,7 @@
 #[case::half_an_answer(Says::Again("HTTP/1.1 2"))]
 #[case::the_end(Says::End)]
 #[case::a_reset(Says::Reset)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn what_waits_on_a_kept_connection_keeps_the_next_request_off_it(
     #[case] says: Says,
@@ -178,7 +178,7 @@
 
 /// A second answer that comes some milliseconds late finds the next request unwritten: it is held back for that long.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_answer_that_comes_twice_is_not_taken_for_that_of_the_next_request() {
     let stage = Stage::set(MINUTE);
@@ -198,7 +198,7 @@
 
 /// A kept connection that says nothing is used again.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_rested_connection_serves_again() {
     let stage = Stage::set(MINUTE);
@@ -214,7 +214,7 @@
 
 /// A request whose connection rests is not written any more once it is called off, and never ran.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_request_called_off_while_its_connection_rests_is_not_written() {
     let stage = Stage::set(MINUTE);
@@ -245,7 +245,7 @@
     "HTTP/1.1 500 No\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
     Outcome::Error
 )]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_answer_that_never_ends_holds_no_attempt(#[case] answer: &str, #[case] expected: Outcome) {
     let stage = Stage::set(Duration::from_millis(500));
@@ -265,7 +265,7 @@
 #[case::ends("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n")]
 #[case::never_ends("HTTP/1.1 202 Accepted\r\ncontent-length: 10\r\n\r\nabc")]
 #[case::chunks_without_end("HTTP/1.1 202 Accepted\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n")]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn the_head_of_a_202_is_enough(#[case] answer: &str, #[values(true, false)] goes_on: bool) {
     let stage = Stage::set(Duration::from_millis(500));
@@ -292,7 +292,7 @@
 
 /// The last byte is the last byte: a break after it may have run, whatever the request is made of.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_break_after_the_last_byte_may_have_run(
     #[values(None, Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"))] key: Option<&str>,
@@ -312,7 +312,7 @@
 /// A worker repeats a word that was not answered. One that has ended an attempt does not end the next one there, which is not
 /// even taken yet; what it says after that one's 202 is about that one.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_repeated_callback_does_not_end_a_later_attempt(
     #[values("returned", "failed", "lost")] state: &str,
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -83,7 +83,7 @@
         let callback = json!({"id": id, "from": worker_name(number, name_length), "state": "done",
                               "result": number.to_string()});
         let mut back = dial(scheduler(&target)).await;
-        back.hand_in("/callback", "", &callback.to_string()).await;
+        back.post_request("/callback", "", &callback.to_string()).await;
         assert_eq!(status(&back.read().await), "200");
     }
 }
@@ -245,7 +245,7 @@
     let mut workers = BTreeSet::new();
     for job in jobs {
         let headers = format!("X-Trace-Id: {job:016x}\r\nX-Qos: safe\r\n");
-        client.hand_in(&format!("/safe/key-{job}"), &headers, "work").await;
+        client.post_request(&format!("/safe/key-{job}"), &headers, "work").await;
         let answer = client.read().await.expect("an answer");
         assert_eq!(answer.status(), "200", "job {job} after {} workers", workers.len());
         workers.insert(answer.text().parse().expect("a worker's number"));
@@ -286,7 +286,7 @@
 #[rstest]
 #[case::names_of_usual_length(8)]
 #[case::long_names(LONG_NAME)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn it_starts_serves_is_handed_over_and_restarts(#[case] name_length: usize) {
     let mut fleet = Fleet::set(name_length, Form::Compact).await;
@@ -297,7 +297,7 @@
     while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
 
     let mut successor = fleet.start_without_list();
-    assert_eq!(successor.operate("health").await, "ok serving\n");
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
     first.signal("-TERM");
     assert!(first.child.wait().expect("it ends").success());
     until_ready(&successor).await;
@@ -327,7 +327,7 @@
 #[rstest]
 #[case::indented_in_pieces(8, Form::IndentedInPieces)]
 #[case::long_names(LONG_NAME, Form::Compact)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_large_list_is_heard_from_discovery(#[case] name_length: usize, #[case] form: Form) {
     let mut fleet = Fleet::set(name_length, form).await;
@@ -342,7 +342,7 @@
 /// Connections to workers are kept for the next job, but fewer than there are descriptors: a dial to one worker more never fails
 /// for want of one, nor does a callback or a client.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn fewer_descriptors_than_workers_serve_them_all() {
     const CLIENTS: u64 = 60;
@@ -379,13 +379,13 @@
 
 /// Beyond the limit, idle connections to the least recently used workers are closed, and those of the others are kept.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn idle_connections_of_the_least_recently_used_workers_make_room() {
     const MOST: usize = 8;
     const BESIDE: usize = 12;
     // None of them expires within the story.
-    let group = UpstreamGroup::new(HANG, 10 * HANG, 1);
+    let group = UpstreamGroup::new(TEST_TIMEOUT, 10 * TEST_TIMEOUT, 1);
     group.limit_connections(MOST);
     let (heard, mut ended) = unbounded_channel();
     for number in 0..=BESIDE {
@@ -402,8 +402,9 @@
         let (request, worker) = (request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
         let payload = Payload { id, target, idempotency_key: None, body: "work".into() };
         let (_cancel, cancelled) = oneshot::channel();
-        let (end, _) =
-            group.attempt(request, worker, &payload, SendConditions::within(HANG), cancelled, |_| {}).await;
+        let (end, _) = group
+            .attempt(request, worker, &payload, SendConditions::within(TEST_TIMEOUT), cancelled, |_| {})
+            .await;
         assert_eq!(end, AttemptResult::NotServed(Outcome::Rejected));
     }
     let mut closed = BTreeSet::new();
@@ -415,7 +416,7 @@
 
 /// Many schedulers may share a folder. Each is found by its own successor and by nobody else's, also where long names begin alike.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn schedulers_whose_long_names_begin_alike_are_handed_over_each_to_its_own() {
     let mut fleet = Fleet::set(8, Form::Compact).await;
@@ -434,14 +435,14 @@
         fleet.config = config;
         let successor = fleet.start_without_list();
         assert_eq!(successor.address, process.address);
-        assert_eq!(successor.operate("health").await, "ok serving\n");
-        assert_eq!(process.operate("quiesce").await, "fail handed over; ask the successor\n");
+        assert_eq!(successor.admin_command("health").await, "ok serving\n");
+        assert_eq!(process.admin_command("quiesce").await, "fail handed over; ask the successor\n");
     }
 }
 
 /// An entry that no message of the hand-over can hold costs the successor no worker: it asks for the whole list.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_list_that_can_not_be_handed_over_is_asked_for() {
     let mut fleet = Fleet::set(8, Form::Compact).await;
@@ -451,14 +452,14 @@
     until_ready(&first).await;
     while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
     let successor = fleet.start_without_list();
-    assert_eq!(successor.operate("health").await, "ok serving\n");
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
     while fleet.next_call().await != "/registry/instances" {}
     fleet.serve_at_the_whole_list().await;
 }
 
 /// Entries of all lengths share messages of the hand-over; none is longer than a message may be, and none is lost.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[test]
 fn every_entry_that_fits_a_message_is_in_one() {
     let entry = |length: usize| -> Instance {
@@ -492,7 +493,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_vetchbridge"));
     command.arg("check").arg(&path).env_clear().stdout(Stdio::piped()).stderr(Stdio::piped());
     let started = {
-        let _alone = alone();
+        let _lock = spawn_lock();
         command.spawn()
     };
     let checked = started.and_then(Child::wait_with_output).expect("it runs");
@@ -503,7 +504,7 @@
 
 /// `vetchbridge check` accepts both forms of a configuration of this size.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn its_configuration_is_accepted() {
     let fleet = Fleet::set(8, Form::Compact).await;
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::HANG;
+use common::TEST_TIMEOUT;
 use hyper::http::uri::PathAndQuery;
 use rstest::rstest;
 use serde_json::json;
@@ -99,7 +99,7 @@
 )]
 #[case::an_earlier_attempt_is_handed_back(Change::ReturnedBefore, AttemptResult::Served("made".into()))]
 #[case::an_earlier_attempt_is_done(Change::DoneBefore, AttemptResult::Served("made".into()))]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_carries_only_what_still_holds(
     #[case] change: Change,
@@ -174,7 +174,7 @@
 /// A worker is told how long its answer is waited for. That counts from the first byte, and not from the decision: the client
 /// has not one second more because the connection took one.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_tells_the_time_that_is_left_then() {
     const WAIT: Duration = Duration::from_secs(5);
@@ -209,7 +209,7 @@
 
 /// Two requests wait for one worker, and the first is called off. Connections that come up afterwards carry the second alone.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_is_not_written_to_for_a_request_that_is_gone() {
     let (narrow, group) = (Narrow::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
@@ -242,7 +242,7 @@
 /// A keyed job may have run at its first worker. The second one's connection comes up when workers drop its repeat no longer: it
 /// is not written, and the client has an answer at once.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_keyed_job_is_not_repeated_on_a_connection_that_comes_after_its_window() {
     let class = json!({"name": "pay", "repeat": "keyed", "group": "all", "window": 500_000, "aim": 500_000,
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -39,7 +39,7 @@
 impl StartingProcess {
     fn spawn(command: &mut Command) -> StartingProcess {
         let mut child = {
-            let _alone = alone();
+            let _lock = spawn_lock();
             command.spawn().expect("it starts")
         };
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
@@ -48,7 +48,7 @@
         StartingProcess { child, log }
     }
 
-    async fn logs(&mut self, event: &str) {
+    async fn wait_for_log(&mut self, event: &str) {
         let mut seen = Vec::new();
         while let Some(line) = self.log.recv().await {
             if line.contains(event) {
@@ -69,7 +69,7 @@
 
 fn run(program: &str, arguments: &[&str]) {
     let started = {
-        let _alone = alone();
+        let _lock = spawn_lock();
         Command::new(program).args(arguments).spawn()
     };
     assert!(started.and_then(|mut child| child.wait()).expect("it runs").success(), "{program}");
@@ -80,7 +80,7 @@
 #[rstest]
 #[case::reading_configuration(Moment::ReadingConfiguration)]
 #[case::waiting_for_address(Moment::WaitingForAddress)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_sighup_during_the_start_takes_effect_once_the_daemon_listens(#[case] moment: Moment) {
     let bind = || async { TcpListener::bind("127.0.0.1:0").await.expect("a port") };
@@ -93,7 +93,7 @@
         config.to_string()
     };
     let folder = tempfile::tempdir().expect("a folder");
-    let (mut command, path) = daemon(&text(&before));
+    let (mut command, path) = daemon_command(&text(&before));
     command.env("BALANCER_DISCOVERY", address(&before).to_string()).env("TMPDIR", folder.path());
     let mut process = match moment {
         Moment::ReadingConfiguration => {
@@ -111,18 +111,18 @@
         }
         Moment::WaitingForAddress => {
             let mut process = StartingProcess::spawn(&mut command);
-            process.logs("address.in_use").await;
+            process.wait_for_log("address.in_use").await;
             replace(&path, &text(&after));
             run("kill", &["-HUP", &process.child.id().to_string()]);
             process
         }
     };
     drop(other);
-    process.logs("daemon.listening").await;
-    process.logs("configuration.applied").await;
+    process.wait_for_log("daemon.listening").await;
+    process.wait_for_log("configuration.applied").await;
     let mut wire = Wire::new(after.accept().await.expect("a call").0);
     assert_eq!(
-        wire.asked().await,
+        wire.read_target().await,
         "/registry/instances",
         "it follows the discovery service that is named now"
     );
@@ -131,7 +131,7 @@
 /// The settings number zones and machine types, and may renumber them. The endpoint list follows in the same step, also while
 /// discovery sends nothing: a job bound to a machine type must not go to the other one.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn renumbered_machine_types_apply_without_an_update_from_discovery() {
     let mut workers = Vec::new();
@@ -148,14 +148,14 @@
     config["settings"]["kinds"] = json!(["small", "large"]);
     config["settings"]["specifics"] = json!({"class_kind": [1, -1, -1]});
     let folder = tempfile::tempdir().expect("a folder");
-    let (mut daemon, _silent) = Process::serving(&mut config, folder.path()).await;
+    let (mut daemon, _silent) = Process::start_serving(&mut config, folder.path()).await;
     config["settings"]["kinds"] = json!(["large", "small"]);
     config["settings"]["specifics"] = json!({"class_kind": [0, -1, -1]});
     for round in 0..2 {
         for number in 0..8 {
             let id = format!("{:016x}", 0xab00 + 16 * round + number);
             let mut client = dial(daemon.address).await;
-            client.hand_in(&format!("/safe/{number}"), &format!("X-Trace-Id: {id}\r\n"), "work").await;
+            client.post_request(&format!("/safe/{number}"), &format!("X-Trace-Id: {id}\r\n"), "work").await;
             let (worker, accepted) = tokio::select! {
                 accepted = workers[0].accept() => (0, accepted),
                 accepted = workers[1].accept() => (1, accepted),
@@ -166,13 +166,13 @@
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             let mut callback = dial(daemon.address).await;
             let body = json!({"id": id, "from": "s-1", "state": "done", "result": "made"}).to_string();
-            callback.hand_in("/callback", "", &body).await;
+            callback.post_request("/callback", "", &body).await;
             assert_eq!(status(&callback.read().await), "200");
             assert_eq!(status(&client.read().await), "200");
         }
         replace(&daemon.config, &config.to_string());
         daemon.signal("-HUP");
-        daemon.logs("configuration.applied").await;
+        daemon.wait_for_log("configuration.applied").await;
     }
 }
 
@@ -180,57 +180,57 @@
 /// services can't be compared: the new one's complete list is fetched first, also under a lower version. A file that can't be
 /// used changes nothing, and a job in flight is not affected.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn sighup_switches_to_the_new_discovery_service() {
-    let mut stage = Stage::set(1).await;
-    let worker_address = stage.workers[0].local_addr().unwrap();
-    let mut watch = Wire::new(stage.discovery.accept().await.expect("the watch").0);
-    assert!(watch.asked().await.contains("index=1&"));
-    watch.list(70, json!([instance(0, worker_address, "up")])).await;
-    assert!(watch.asked().await.contains("index=70&"));
-    let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut worker) = stage.worker().await;
+    let mut harness = Harness::start(1).await;
+    let worker_address = harness.workers[0].local_addr().unwrap();
+    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    assert!(watch.read_target().await.contains("index=1&"));
+    watch.send_endpoints(70, json!([instance(0, worker_address, "up")])).await;
+    assert!(watch.read_target().await.contains("index=70&"));
+    let (mut client, id) = harness.submit_job("safe", "k").await;
+    let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
 
-    std::fs::write(&stage.daemon.config, "{").expect("written");
-    stage.daemon.signal("-HUP");
+    std::fs::write(&harness.daemon.config, "{").expect("written");
+    harness.daemon.signal("-HUP");
     for version in [3, 2] {
         let moved = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = moved.local_addr().unwrap();
         let file = config(address, json!([])).to_string();
-        std::fs::write(&stage.daemon.config, file).expect("written");
-        stage.daemon.signal("-HUP");
+        std::fs::write(&harness.daemon.config, file).expect("written");
+        harness.daemon.signal("-HUP");
         let mut watch = Wire::new(moved.accept().await.expect("the new watch").0);
-        assert_eq!(watch.asked().await, "/registry/instances");
-        watch.list(version, json!([instance(0, worker_address, "up")])).await;
-        assert!(watch.asked().await.contains(&format!("index={version}&")));
+        assert_eq!(watch.read_target().await, "/registry/instances");
+        watch.send_endpoints(version, json!([instance(0, worker_address, "up")])).await;
+        assert!(watch.read_target().await.contains(&format!("index={version}&")));
     }
 
-    stage.daemon.signal("-TERM");
-    stage.daemon.signal("-HUP");
-    stage.call_back(&id, number, "done").await;
+    harness.daemon.signal("-TERM");
+    harness.daemon.signal("-HUP");
+    harness.send_callback(&id, number, "done").await;
     assert_eq!(status(&client.read().await), "200");
-    assert!(stage.daemon.child.wait().expect("it ends").success());
+    assert!(harness.daemon.child.wait().expect("it ends").success());
 }
 
 /// New settings apply at SIGHUP, also where a class has another's number now. An open request keeps the class that it was
 /// accepted under, through its retries, also when there is no such class any more.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn new_settings_apply_and_open_requests_keep_their_class() {
-    let mut stage = Stage::set(2).await;
-    let (mut removed_class, removed_class_id) = stage.job("unsafe", "k").await;
-    let (removed_class_worker, mut wire) = stage.worker().await;
+    let mut harness = Harness::start(2).await;
+    let (mut removed_class, removed_class_id) = harness.submit_job("unsafe", "k").await;
+    let (removed_class_worker, mut wire) = harness.accept_worker().await;
     wire.read().await.expect("the job");
     wire.send(ACCEPTED).await;
-    let (mut once_safe, once_safe_id) = stage.job("safe", "k").await;
-    let (_, mut second) = stage.worker().await;
+    let (mut once_safe, once_safe_id) = harness.submit_job("safe", "k").await;
+    let (_, mut second) = harness.accept_worker().await;
     second.read().await.expect("the job, at the worker that has none yet");
 
-    let mut other = config(stage.discovery.local_addr().unwrap(), json!(stage.known));
+    let mut other = config(harness.discovery.local_addr().unwrap(), json!(harness.known));
     let services = other["settings"]["services"].as_array_mut().expect("classes");
     // safe, unsafe, keyed become keyed, fresh, safe; and safe may not be retried any more.
     services.rotate_right(1);
@@ -240,60 +240,60 @@
     services[2]["repeat"] = "unsafe".into();
     services[0].as_object_mut().expect("a class").remove("window");
     services[0]["repeat"] = "safe".into();
-    std::fs::write(&stage.daemon.config, other.to_string()).expect("written");
-    stage.daemon.signal("-HUP");
-    assert!(stage.daemon.logs("configuration.applied").await.contains("keyed,fresh,safe"));
+    std::fs::write(&harness.daemon.config, other.to_string()).expect("written");
+    harness.daemon.signal("-HUP");
+    assert!(harness.daemon.wait_for_log("configuration.applied").await.contains("keyed,fresh,safe"));
 
-    let mut gone = dial(stage.daemon.address).await;
-    gone.hand_in("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
+    let mut gone = dial(harness.daemon.address).await;
+    gone.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(&gone.read().await), "400", "there is no such class any more");
     // The connection fails before the 202: a job that was accepted as safe is retried, a new one is not.
     drop(second);
     wire.read().await.expect("the job again");
     wire.send(ACCEPTED).await;
-    stage.call_back(&once_safe_id, removed_class_worker, "done").await;
+    harness.send_callback(&once_safe_id, removed_class_worker, "done").await;
     assert_eq!(status(&once_safe.read().await), "200");
-    let (mut now_unsafe, _) = stage.job("safe", "k").await;
-    let (_, mut second) = stage.worker().await;
+    let (mut now_unsafe, _) = harness.submit_job("safe", "k").await;
+    let (_, mut second) = harness.accept_worker().await;
     second.read().await.expect("the job");
     drop(second);
     assert_eq!(status(&now_unsafe.read().await), "502");
-    let (mut fresh, fresh_id) = stage.job("fresh", "k").await;
+    let (mut fresh, fresh_id) = harness.submit_job("fresh", "k").await;
     wire.read().await.expect("the job, where the other worker has broken off twice");
     wire.send(ACCEPTED).await;
-    stage.call_back(&fresh_id, removed_class_worker, "done").await;
+    harness.send_callback(&fresh_id, removed_class_worker, "done").await;
     assert_eq!(status(&fresh.read().await), "200");
-    stage.call_back(&removed_class_id, removed_class_worker, "done").await;
+    harness.send_callback(&removed_class_id, removed_class_worker, "done").await;
     assert_eq!(status(&removed_class.read().await), "200");
 }
 
 /// A file that can't be used is rejected completely, `discovery` and classes included, and each fault is named.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_invalid_configuration_is_rejected_completely() {
-    let mut stage = Stage::set(0).await;
+    let mut harness = Harness::start(0).await;
     let mut other = config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
     other["settings"]["services"][1]["name"] = "fresh".into();
     for (invalid, key) in invalid_configurations(&other) {
-        std::fs::write(&stage.daemon.config, &invalid).expect("written");
-        stage.daemon.signal("-HUP");
-        let mut logged = stage.daemon.logs("configuration.").await;
+        std::fs::write(&harness.daemon.config, &invalid).expect("written");
+        harness.daemon.signal("-HUP");
+        let mut logged = harness.daemon.wait_for_log("configuration.").await;
         while !logged.contains("configuration.unchanged") {
             assert!(!logged.contains("configuration.applied"), "{key}: {invalid}");
-            logged += &stage.daemon.logs("configuration.").await;
+            logged += &harness.daemon.wait_for_log("configuration.").await;
         }
         assert!(logged.contains(key), "{key} in {logged} for {invalid}");
     }
-    let mut client = dial(stage.daemon.address).await;
-    client.hand_in("/fresh/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
+    let mut client = dial(harness.daemon.address).await;
+    client.post_request("/fresh/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(&client.read().await), "400");
     // Two faults, two lines.
     let both = with(&other, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
-    std::fs::write(&stage.daemon.config, both).expect("written");
-    stage.daemon.signal("-HUP");
-    assert!(stage.daemon.logs("services[2].deadline").await.contains("no number above 0"));
-    assert!(stage.daemon.logs("limits.max_attempts").await.contains("no number above 0"));
+    std::fs::write(&harness.daemon.config, both).expect("written");
+    harness.daemon.signal("-HUP");
+    assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("no number above 0"));
+    assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("no number above 0"));
 }
 
 const DEADLINE: &str = "/settings/services/2/deadline";
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -11,47 +11,47 @@
 
 /// A worker gets what the client sent, and callbacks may come early, twice, or for no attempt.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_is_forwarded_unchanged_and_its_callback_may_arrive_before_the_202() {
-    let stage = Stage::set(1).await;
-    let mut client = dial(stage.daemon.address).await;
+    let harness = Harness::start(1).await;
+    let mut client = dial(harness.daemon.address).await;
     let headers =
         "X-Trace-Id: 00000000000000ab\r\nX-Qos: safe\r\nX-Expires-In: 30000m\r\nIdempotency-Key: 5c0f\r\n";
-    client.hand_in("/safe/a%2Fb?q=%20", headers, "some work").await;
-    let (number, mut worker) = stage.worker().await;
+    client.post_request("/safe/a%2Fb?q=%20", headers, "some work").await;
+    let (number, mut worker) = harness.accept_worker().await;
     let job = worker.read().await.expect("the job");
     assert_eq!(job.line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
     assert_eq!(job.header("x-trace-id"), Some("00000000000000ab"));
     assert_eq!(job.header("idempotency-key"), Some("5c0f"));
     assert!(job.header("x-expires-in").is_some_and(|left| left.ends_with('u')), "{job:?}");
     assert_eq!(job.text(), "some work");
-    stage.call_back("00000000000000ab", 7, "done").await;
-    stage.call_back("not an id", number, "done").await;
-    stage.call_back("00000000000000ab", number, "started").await;
-    stage.call_back("00000000000000ab", number, "done").await;
-    stage.call_back("00000000000000ab", number, "done").await;
+    harness.send_callback("00000000000000ab", 7, "done").await;
+    harness.send_callback("not an id", number, "done").await;
+    harness.send_callback("00000000000000ab", number, "started").await;
+    harness.send_callback("00000000000000ab", number, "done").await;
+    harness.send_callback("00000000000000ab", number, "done").await;
     let answer = client.read().await;
     assert_eq!((status(&answer), answer.as_ref().unwrap().text().as_str()), ("200", "made"));
     // The connection is reused: the 202 was still read after the job was done.
     worker.send(ACCEPTED).await;
-    client.hand_in("/safe/c", "X-Trace-Id: 00000000000000ac\r\n", "more").await;
-    assert_eq!(worker.asked().await, "/safe/c");
+    client.post_request("/safe/c", "X-Trace-Id: 00000000000000ac\r\n", "more").await;
+    assert_eq!(worker.read_target().await, "/safe/c");
 }
 
 /// Responses and callbacks arrive in pieces of any size, and are read completely.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_response_and_a_callback_may_arrive_a_byte_at_a_time() {
-    let mut stage = Stage::set(1).await;
-    let (mut client, id) = stage.job("unsafe", "k").await;
-    let (_, mut worker) = stage.worker().await;
+    let mut harness = Harness::start(1).await;
+    let (mut client, id) = harness.submit_job("unsafe", "k").await;
+    let (_, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     worker.write_in_pieces(ACCEPTED).await.expect("the daemon reads");
     let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
     let call = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    let mut caller = dial(stage.daemon.address).await;
+    let mut caller = dial(harness.daemon.address).await;
     caller.write_in_pieces(&call).await.expect("the daemon reads");
     assert_eq!(status(&caller.read().await), "200");
     assert_eq!(client.read().await.expect("an answer").text(), "made");
@@ -59,17 +59,17 @@
 
 /// When a client disconnects its attempt is canceled: by a call after the 202, by closing the connection before it.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_client_that_disconnects_has_its_attempt_canceled(#[values(true, false)] accepted: bool) {
-    let mut stage = Stage::set(1).await;
-    let (client, id) = stage.job("safe", "k").await;
-    let (number, mut worker) = stage.worker().await;
+    let mut harness = Harness::start(1).await;
+    let (client, id) = harness.submit_job("safe", "k").await;
+    let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     if accepted {
         worker.send(ACCEPTED).await;
         // Its answer shows that the daemon is past the 202, which came before.
-        stage.call_back(&id, number, "started").await;
+        harness.send_callback(&id, number, "started").await;
     }
     drop(client);
     let cancellation = worker.read().await.map(|call| call.line);
@@ -78,13 +78,13 @@
 
 /// A request that can't be placed is rejected at once, with the time after which to retry.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_rejected_by_every_worker_is_rejected_with_retry_after() {
-    let mut stage = Stage::set(2).await;
-    let (mut client, _) = stage.job("unsafe", "k").await;
+    let mut harness = Harness::start(2).await;
+    let (mut client, _) = harness.submit_job("unsafe", "k").await;
     for _ in 0..2 {
-        let (_, mut worker) = stage.worker().await;
+        let (_, mut worker) = harness.accept_worker().await;
         worker.read().await.expect("the job");
         worker.send("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
     }
@@ -97,18 +97,18 @@
 
 /// A job that arrives before the first endpoint waits for it; the list may be seconds late at a start.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_without_a_worker_waits_for_the_first_endpoint() {
-    let mut stage = Stage::set(0).await;
-    let (mut client, id) = stage.job("safe", "k").await;
+    let mut harness = Harness::start(0).await;
+    let (mut client, id) = harness.submit_job("safe", "k").await;
     let workers = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let mut watch = Wire::new(stage.discovery.accept().await.expect("the watch").0);
-    watch.asked().await;
-    watch.list(5, json!([instance(0, workers.local_addr().expect("bound"), "up")])).await;
+    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    watch.read_target().await;
+    watch.send_endpoints(5, json!([instance(0, workers.local_addr().expect("bound"), "up")])).await;
     let mut worker = Wire::new(workers.accept().await.expect("the job's connection").0);
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
-    stage.call_back(&id, 0, "done").await;
+    harness.send_callback(&id, 0, "done").await;
     assert_eq!(status(&client.read().await), "200");
 }
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -14,7 +14,7 @@
 
 /// The process before this one may still be ending: binding its address is retried.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_start_waits_for_an_address_in_use() {
     let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -22,7 +22,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut config = config("127.0.0.1:1".parse().expect("an address"), json!([]));
     config["listen"] = address.to_string().into();
-    let (mut command, _) = daemon(&config.to_string());
+    let (mut command, _) = daemon_command(&config.to_string());
     let mut child = command.env("TMPDIR", folder.path()).spawn().expect("it starts");
     let log = BufReader::new(child.stderr.take().expect("piped")).lines();
     let listens = tokio::task::spawn_blocking(move || {
@@ -59,8 +59,8 @@
 async fn accepted_job(daemon: &Process) -> Wire {
     let headers = format!("X-Trace-Id: {JOB}\r\nX-Qos: safe\r\n");
     let (mut one, mut other) = (dial(daemon.address).await, dial(daemon.address).await);
-    one.hand_in("/safe/k", &headers, "work").await;
-    other.hand_in("/safe/k", &headers, "work").await;
+    one.post_request("/safe/k", &headers, "work").await;
+    other.post_request("/safe/k", &headers, "work").await;
     let (answer, open) = tokio::select! {
         answer = one.read() => (answer, other),
         answer = other.read() => (answer, one),
@@ -85,7 +85,7 @@
     connection.send(ACCEPTED).await;
     let done = json!({"id": JOB, "from": format!("s-{number}"), "state": "done", "result": "made"});
     let mut callback = dial(daemon.address).await;
-    callback.hand_in("/callback", "", &done.to_string()).await;
+    callback.post_request("/callback", "", &done.to_string()).await;
     assert_eq!(status(&callback.read().await), "200");
     assert_eq!(status(&client.read().await), "200");
 }
@@ -93,7 +93,7 @@
 /// A worker that was removed while no process of this scheduler ran is still in the saved list. The process is not ready before
 /// discovery has confirmed the list, and a job that arrives all the same is not sent to a removed worker.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_worker_removed_before_the_start_gets_no_job(#[values("push", "ask")] delivery: &str) {
     let ((removed, removed_at), (added, added_at)) = (worker().await, worker().await);
@@ -101,14 +101,14 @@
         start_unconfirmed(delivery, json!([instance(0, removed_at, "up")])).await;
     let mut watch = Wire::new(discovery.accept().await.expect("the first call").0);
     assert_eq!(
-        watch.asked().await,
+        watch.read_target().await,
         "/registry/instances?index=1&wait=0",
         "the first call does not wait for a change"
     );
     let mut client = accepted_job(&daemon).await;
     assert_eq!(readiness(&daemon).await, "503");
-    assert!(daemon.operate("health").await.starts_with("fail"));
-    watch.list(2, json!([instance(1, added_at, "up")])).await;
+    assert!(daemon.admin_command("health").await.starts_with("fail"));
+    watch.send_endpoints(2, json!([instance(1, added_at, "up")])).await;
     serve(&daemon, &added, 1, &mut client).await;
     while readiness(&daemon).await != "200" {}
     assert!(removed.accept().now_or_never().is_none(), "the removed worker was dialled");
@@ -117,7 +117,7 @@
 /// Where discovery can't be reached there is no better list than the saved one: after a while the scheduler is ready, and jobs
 /// that arrived before are placed by that list.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_list_that_is_not_confirmed_prevents_readiness_only_for_a_while(
     #[values("push", "ask")] delivery: &str,
@@ -132,15 +132,15 @@
 
 /// The list that a successor inherits is confirmed only if its predecessor's was.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_successor_of_a_process_with_an_unconfirmed_list_waits_for_confirmation_too() {
     let (discovery, first, folder) = start_unconfirmed("ask", json!([])).await;
     let mut config = config(discovery.local_addr().expect("bound"), json!([]));
     config["listen"] = first.address.to_string().into();
     let successor = Process::start(&config, folder.path());
-    assert!(successor.operate("health").await.starts_with("fail"));
-    while successor.operate("health").await != "ok serving\n" {}
+    assert!(successor.admin_command("health").await.starts_with("fail"));
+    while successor.admin_command("health").await != "ok serving\n" {}
 }
 
 /// An invalid configuration ends the start, and the log names the key.
@@ -160,7 +160,7 @@
         Some(old) => *old = value,
         None => config[&path[1..]] = value,
     }
-    let mut daemon = daemon(&config.to_string()).0.spawn().expect("the daemon starts");
+    let mut daemon = daemon_command(&config.to_string()).0.spawn().expect("the daemon starts");
     assert!(!daemon.wait().expect("it ends").success());
     let mut log = String::new();
     daemon.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -35,27 +35,27 @@
 }
 
 async fn jobs_are_served(faults: &str) {
-    let mut stage = Stage::with_faults(1, &format!("seed=11,{faults}")).await;
-    let mut reused = dial(stage.daemon.address).await;
+    let mut harness = Harness::start_with_faults(1, &format!("seed=11,{faults}")).await;
+    let mut reused = dial(harness.daemon.address).await;
     for number in 0..JOBS {
         let id = format!("{:016x}", 0xfa00 + number);
         let headers = format!("X-Trace-Id: {id}\r\nX-Qos: safe\r\n");
-        reused.hand_in("/safe/k", &headers, &"work ".repeat(300)).await;
+        reused.post_request("/safe/k", &headers, &"work ".repeat(300)).await;
         let job = async {
-            let mut worker = Wire::new(stage.workers[0].accept().await.expect("a connection").0);
+            let mut worker = Wire::new(harness.workers[0].accept().await.expect("a connection").0);
             let request = worker.read().await.expect("the job");
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             request
         };
         let request = job.await;
         assert_eq!((request.header("x-trace-id"), request.body.len()), (Some(id.as_str()), 1500), "{faults}");
-        stage.call_back(&id, 0, "done").await;
+        harness.send_callback(&id, 0, "done").await;
         assert_eq!(status(&reused.read().await), "200", "{faults}: job {number} on a reused connection");
-        let (mut client, id) = stage.job("safe", "k").await;
-        stage.serve_next(&id).await;
+        let (mut client, id) = harness.submit_job("safe", "k").await;
+        harness.serve_next_attempt(&id).await;
         assert_eq!(status(&client.read().await), "200", "{faults}: job {number} on its own");
     }
-    assert_eq!(stage.daemon.operate("health").await, "ok serving\n");
+    assert_eq!(harness.daemon.admin_command("health").await, "ok serving\n");
 }
 
 /// The runtime's own reading of a signal is a call that may be interrupted as any other.
@@ -63,14 +63,14 @@
 #[timeout(STUCK_AFTER)]
 #[tokio::test]
 async fn signals_take_effect_although_reads_are_interrupted() {
-    let mut stage = Stage::with_faults(1, "seed=3,recv.interrupted=0.5").await;
+    let mut harness = Harness::start_with_faults(1, "seed=3,recv.interrupted=0.5").await;
     for _ in 0..20 {
-        stage.daemon.signal("-HUP");
-        stage.daemon.logs("configuration.applied").await;
+        harness.daemon.signal("-HUP");
+        harness.daemon.wait_for_log("configuration.applied").await;
     }
-    stage.daemon.signal("-TERM");
-    stage.daemon.logs("daemon.stopped").await;
-    assert!(stage.daemon.child.wait().expect("it ends").success());
+    harness.daemon.signal("-TERM");
+    harness.daemon.wait_for_log("daemon.stopped").await;
+    assert!(harness.daemon.child.wait().expect("it ends").success());
 }
 
 /// Resources that are short at one moment may be available at the next: a start that has time left retries.
@@ -91,6 +91,6 @@
     let faults = format!("seed={seed},socket.failed=0.5,connect.failed=0.3");
     let mut process = Process::start_with_faults(&config, folder.path(), &faults);
     confirm_list(&discovery).await;
-    process.logs("serving").await;
-    assert_eq!(process.operate("health").await, "ok serving\n");
+    process.wait_for_log("serving").await;
+    assert_eq!(process.admin_command("health").await, "ok serving\n");
 }
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -13,71 +13,71 @@
 /// Two processes work as one scheduler. Connections, jobs in flight and the endpoint list are handed over; no connection is
 /// closed, a callback reaches its attempt, an open id is open in both, and only the old process ends.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_successor_takes_over_without_any_client_noticing() {
-    let mut stage = Stage::set(1).await;
-    let mut watch = Wire::new(stage.discovery.accept().await.expect("the watch").0);
-    watch.asked().await;
-    watch.list(70, json!(stage.known)).await;
-    assert!(watch.asked().await.contains("index=70&"));
-    let mut idle = dial(stage.daemon.address).await;
+    let mut harness = Harness::start(1).await;
+    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    watch.read_target().await;
+    watch.send_endpoints(70, json!(harness.known)).await;
+    assert!(watch.read_target().await.contains("index=70&"));
+    let mut idle = dial(harness.daemon.address).await;
     idle.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert_eq!(status(&idle.read().await), "200");
-    let mut fresh = dial(stage.daemon.address).await;
-    let (mut early, early_id) = stage.job("unsafe", "k").await;
-    let (number, mut old_worker) = stage.worker().await;
+    let mut fresh = dial(harness.daemon.address).await;
+    let (mut early, early_id) = harness.submit_job("unsafe", "k").await;
+    let (number, mut old_worker) = harness.accept_worker().await;
     old_worker.read().await.expect("the job");
     old_worker.send(ACCEPTED).await;
-    stage.call_back(&early_id, number, "started").await;
+    harness.send_callback(&early_id, number, "started").await;
 
-    let successor = stage.successor();
-    assert_eq!(successor.operate("health").await, "ok serving\n");
-    let mut watch = Wire::new(stage.discovery.accept().await.expect("the successor's watch").0);
-    assert!(watch.asked().await.contains("index=70&"), "it goes on from the list that it was given");
+    let successor = harness.start_successor();
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
+    let mut watch = Wire::new(harness.discovery.accept().await.expect("the successor's watch").0);
+    assert!(watch.read_target().await.contains("index=70&"), "it goes on from the list that it was given");
     // The old process knows of its successor once it hands connections over.
-    let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut new_worker) = stage.worker().await;
+    let (mut client, id) = harness.submit_job("safe", "k").await;
+    let (number, mut new_worker) = harness.accept_worker().await;
     assert_eq!(new_worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
     new_worker.send(ACCEPTED).await;
-    let mut twin = dial(stage.daemon.address).await;
-    twin.hand_in("/safe/k", &format!("X-Trace-Id: {early_id}\r\n"), "").await;
+    let mut twin = dial(harness.daemon.address).await;
+    twin.post_request("/safe/k", &format!("X-Trace-Id: {early_id}\r\n"), "").await;
     assert_eq!(status(&twin.read().await), "409", "the old one has it open");
-    stage.call_back(&early_id, number, "done").await;
-    stage.call_back(&id, number, "done").await;
+    harness.send_callback(&early_id, number, "done").await;
+    harness.send_callback(&id, number, "done").await;
     for client in [&mut early, &mut client] {
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), ("200", None));
     }
-    stage.daemon.signal("-TERM");
-    assert!(stage.daemon.child.wait().expect("it ends").success());
+    harness.daemon.signal("-TERM");
+    assert!(harness.daemon.child.wait().expect("it ends").success());
     assert!(old_worker.read().await.is_none(), "its connections have gone with it");
     for (number, kept) in [&mut idle, &mut fresh, &mut early, &mut client].into_iter().enumerate() {
-        kept.hand_in("/safe/k", &format!("X-Trace-Id: 00000000000000a{number}\r\n"), "work").await;
-        assert_eq!(new_worker.asked().await, "/safe/k", "the same connection, another process");
+        kept.post_request("/safe/k", &format!("X-Trace-Id: 00000000000000a{number}\r\n"), "work").await;
+        assert_eq!(new_worker.read_target().await, "/safe/k", "the same connection, another process");
         new_worker.send(ACCEPTED).await;
-        stage.call_back(&format!("00000000000000a{number}"), 0, "done").await;
+        harness.send_callback(&format!("00000000000000a{number}"), 0, "done").await;
         assert_eq!(status(&kept.read().await), "200");
     }
 }
 
 /// A request that was in flight when a successor started and died leaves its connection at the old process.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_connection_stays_if_the_successor_dies_before_it_is_handed_over() {
-    let mut stage = Stage::set(1).await;
-    let (mut client, id) = stage.job("safe", "k").await;
-    let (number, mut worker) = stage.worker().await;
+    let mut harness = Harness::start(1).await;
+    let (mut client, id) = harness.submit_job("safe", "k").await;
+    let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
-    let mut successor = stage.successor();
-    assert_eq!(successor.operate("health").await, "ok serving\n");
+    let mut successor = harness.start_successor();
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
     // The old process knows of its successor before this response.
-    assert_eq!(stage.daemon.operate("quiesce").await, "fail handed over; ask the successor\n");
+    assert_eq!(harness.daemon.admin_command("quiesce").await, "fail handed over; ask the successor\n");
     successor.child.kill().expect("killed");
-    stage.daemon.logs("upgrade.successor_lost").await;
-    stage.call_back(&id, number, "done").await;
+    harness.daemon.wait_for_log("upgrade.successor_lost").await;
+    harness.send_callback(&id, number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", None));
     client.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
@@ -86,54 +86,54 @@
 
 /// The peers' socket is handed over too: two processes can't both bind its address, and it must not be free in between.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn the_peer_socket_stays_bound_through_an_upgrade() {
-    let mut stage = Stage::set(0).await;
+    let mut harness = Harness::start(0).await;
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let peers = reserved.local_addr().expect("bound");
     drop(reserved);
-    let mut config = config(stage.discovery.local_addr().unwrap(), json!([]));
+    let mut config = config(harness.discovery.local_addr().unwrap(), json!([]));
     config["name"] = "n1".into();
     config["peer_listen"] = peers.to_string().into();
     config["peers"] = json!([peers.to_string()]);
     config["settings"]["limits"]["peers"] = true.into();
-    let (daemon, _discovery) = Process::serving(&mut config, stage.folder.path()).await;
-    stage.daemon = daemon;
-    config["listen"] = stage.daemon.address.to_string().into();
-    let successor = Process::start(&config, stage.folder.path());
-    assert_eq!(successor.operate("health").await, "ok serving\n");
-    stage.daemon.child.kill().expect("killed");
-    stage.daemon.child.wait().expect("it ends");
+    let (daemon, _discovery) = Process::start_serving(&mut config, harness.folder.path()).await;
+    harness.daemon = daemon;
+    config["listen"] = harness.daemon.address.to_string().into();
+    let successor = Process::start(&config, harness.folder.path());
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
+    harness.daemon.child.kill().expect("killed");
+    harness.daemon.child.wait().expect("it ends");
     let error = std::net::UdpSocket::bind(peers).expect_err("the successor has it");
     assert_eq!(error.kind(), std::io::ErrorKind::AddrInUse);
 }
 
 /// A successor that dies leaves the old process as it was; the next one may start, also while drained.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn after_a_successor_has_died_the_next_one_takes_over() {
-    let stage = Stage::set(1).await;
+    let harness = Harness::start(1).await;
     for _ in 0..2 {
-        let mut successor = stage.successor();
-        assert_eq!(successor.operate("health").await, "ok serving\n");
+        let mut successor = harness.start_successor();
+        assert_eq!(successor.admin_command("health").await, "ok serving\n");
         successor.child.kill().expect("killed");
         // Connections queue at the listener, which both had, until the old process has noticed.
-        assert_eq!(stage.readiness().await.status(), "200");
+        assert_eq!(harness.readiness().await.status(), "200");
     }
-    stage.daemon.operate("quiesce").await;
-    let second = stage.successor();
-    assert!(second.operate("health").await.starts_with("ok drain"));
-    assert_eq!(stage.readiness().await.status(), "503");
-    second.operate("resume").await;
-    let third = stage.successor();
+    harness.daemon.admin_command("quiesce").await;
+    let second = harness.start_successor();
+    assert!(second.admin_command("health").await.starts_with("ok drain"));
+    assert_eq!(harness.readiness().await.status(), "503");
+    second.admin_command("resume").await;
+    let third = harness.start_successor();
     // Its state would not be the scheduler's any more.
-    assert_eq!(stage.daemon.operate("quiesce").await, "fail handed over; ask the successor\n");
-    assert_eq!(third.operate("health").await, "ok serving\n");
+    assert_eq!(harness.daemon.admin_command("quiesce").await, "fail handed over; ask the successor\n");
+    assert_eq!(third.admin_command("health").await, "ok serving\n");
     second.signal("-TERM");
-    stage.daemon.signal("-TERM");
-    assert_eq!(stage.readiness().await.status(), "200");
+    harness.daemon.signal("-TERM");
+    assert_eq!(harness.readiness().await.status(), "200");
 }
 
 /// Whatever is at the path where a predecessor would listen, a process starts all the same.
@@ -141,19 +141,19 @@
 #[case::nothing(|_: &Path| {})]
 #[case::garbage(|path: &Path| std::fs::write(path, "garbage").expect("written"))]
 #[case::left_by_a_crash(|path: &Path| drop(std::os::unix::net::UnixListener::bind(path).expect("bound")))]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn what_a_crash_left_behind_does_not_prevent_a_start(#[case] leave: fn(&Path)) {
-    let stage = Stage::set(0).await;
+    let harness = Harness::start(0).await;
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
-    leave(&folder.join(HANDOVER));
-    let mut config = config(stage.discovery.local_addr().unwrap(), json!([]));
-    let (first, _discovery) = Process::serving(&mut config, folder).await;
+    leave(&folder.join(HANDOVER_SOCKET));
+    let mut config = config(harness.discovery.local_addr().unwrap(), json!([]));
+    let (first, _discovery) = Process::start_serving(&mut config, folder).await;
     let mut next = config.clone();
     next["listen"] = first.address.to_string().into();
     let next = Process::start(&next, folder);
-    assert_eq!(next.operate("health").await, "ok serving\n");
+    assert_eq!(next.admin_command("health").await, "ok serving\n");
 }
 
 /// A process that connects to the hand-over socket and is no successor, or hangs as one, changes nothing.
@@ -162,13 +162,13 @@
 #[case::another_name(hello(VERSION, "n1"), "Refused")]
 #[case::another_version(hello(VERSION + 1, "n0"), "Refused")]
 #[case::one_that_hangs(hello(VERSION, "n0"), "Offer")]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_process_that_is_no_successor_changes_nothing(#[case] sent: Vec<u8>, #[case] expected: &str) {
-    let stage = Stage::set(0).await;
-    let sent = String::from_utf8(sent).expect("text").replace("LISTEN", &stage.daemon.address.to_string());
-    let socket =
-        upgrade::socket::HandoverSocket::connect(&stage.folder.path().join(HANDOVER)).expect("it listens");
+    let harness = Harness::start(0).await;
+    let sent = String::from_utf8(sent).expect("text").replace("LISTEN", &harness.daemon.address.to_string());
+    let socket = upgrade::socket::HandoverSocket::connect(&harness.folder.path().join(HANDOVER_SOCKET))
+        .expect("it listens");
     socket.send(sent.as_bytes(), &[]).await.expect("sent");
     let mut buffer = vec![0; 65536];
     let received = socket
@@ -178,8 +178,8 @@
         .expect("it does not close the connection first");
     let message = String::from_utf8_lossy(&buffer[..received.length]).into_owned();
     assert!(message.starts_with(&format!("{{\"{expected}\"")), "{message}");
-    assert_eq!(stage.readiness().await.status(), "200");
-    assert_eq!(stage.successor().operate("health").await, "ok serving\n");
+    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.start_successor().admin_command("health").await, "ok serving\n");
 }
 
 fn hello(version: u32, name: &str) -> Vec<u8> {
@@ -188,17 +188,17 @@
 
 /// Where no Unix socket can be created a process starts all the same, and so does the next one beside it.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn without_a_hand_over_socket_two_processes_still_share_the_address() {
-    let mut stage = Stage::set(0).await;
-    let nowhere = stage.folder.path().join("not-there");
-    let mut config = config(stage.discovery.local_addr().unwrap(), json!([]));
-    let (first, _discovery) = Process::serving(&mut config, &nowhere).await;
+    let mut harness = Harness::start(0).await;
+    let nowhere = harness.folder.path().join("not-there");
+    let mut config = config(harness.discovery.local_addr().unwrap(), json!([]));
+    let (first, _discovery) = Process::start_serving(&mut config, &nowhere).await;
     config["listen"] = first.address.to_string().into();
-    let (second, _discovery) = Process::serving(&mut config, &nowhere).await;
-    assert_eq!(second.operate("health").await, "ok serving\n");
+    let (second, _discovery) = Process::start_serving(&mut config, &nowhere).await;
+    assert_eq!(second.admin_command("health").await, "ok serving\n");
     drop(first);
-    stage.daemon = second;
-    assert_eq!(stage.readiness().await.status(), "200");
+    harness.daemon = second;
+    assert_eq!(harness.readiness().await.status(), "200");
 }
--- a/crates/vetchbridge/tests/worker_failures.rs
+++ b/crates/vetchbridge/tests/worker_failures.rs
@@ -19,7 +19,7 @@
 #[case::returned(ACCEPTED, "returned", false)]
 #[case::failed(ACCEPTED, "failed", true)]
 #[case::lost(ACCEPTED, "lost", true)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_that_may_have_run_is_retried_only_if_it_is_idempotent(
     #[case] answer: &str,
@@ -27,19 +27,19 @@
     #[case] may_have_run: bool,
     #[values("safe", "unsafe")] class: &str,
 ) {
-    let mut stage = Stage::set(2).await;
-    let (mut client, id) = stage.job(class, "k").await;
-    let (number, mut worker) = stage.worker().await;
+    let mut harness = Harness::start(2).await;
+    let (mut client, id) = harness.submit_job(class, "k").await;
+    let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     worker.send(answer).await;
     if callback.is_empty() {
         drop(worker);
     } else {
-        stage.call_back(&id, number, callback).await;
+        harness.send_callback(&id, number, callback).await;
     }
     let retried = class == "safe" || !may_have_run;
     if retried {
-        stage.serve_next(&id).await;
+        harness.serve_next_attempt(&id).await;
     }
     assert_eq!(status(&client.read().await), if retried { "200" } else { "502" });
 }
@@ -47,44 +47,44 @@
 /// A callback of an attempt that has ended is acknowledged and otherwise ignored, a result too: the job is in flight at another
 /// worker by then, and the first attempt may have failed on the way to its end.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_callback_of_a_finished_attempt_is_acknowledged_and_ignored(
     #[values("started", "running", "done", "failed", "returned", "lost")] state: &str,
     #[values(ACCEPTED, "HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n")] answer: &str,
 ) {
-    let mut stage = Stage::set(2).await;
-    let (mut client, id) = stage.job("safe", "k").await;
-    let (first, mut worker) = stage.worker().await;
+    let mut harness = Harness::start(2).await;
+    let (mut client, id) = harness.submit_job("safe", "k").await;
+    let (first, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     worker.send(answer).await;
     if answer == ACCEPTED {
-        stage.call_back(&id, first, "failed").await;
+        harness.send_callback(&id, first, "failed").await;
     }
-    let (second, mut worker) = stage.worker().await;
+    let (second, mut worker) = harness.accept_worker().await;
     assert_ne!(first, second);
     worker.read().await.expect("the job again");
     worker.send(ACCEPTED).await;
-    let mut caller = dial(stage.daemon.address).await;
+    let mut caller = dial(harness.daemon.address).await;
     let late = json!({"id": id, "from": format!("s-{first}"), "state": state, "result": "late"}).to_string();
-    caller.hand_in("/callback", "", &late).await;
+    caller.post_request("/callback", "", &late).await;
     assert_eq!(status(&caller.read().await), "200");
-    stage.call_back(&id, second, "done").await;
+    harness.send_callback(&id, second, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), ("200", "made"));
 }
 
 /// A connected worker that does not accept a job loses it, long before the client's deadline.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_attempt_at_an_unresponsive_worker_times_out(#[values("safe", "unsafe")] class: &str) {
-    let mut stage = Stage::set(2).await;
-    let (mut client, id) = stage.job(class, "k").await;
-    let (_, mut mute) = stage.worker().await;
+    let mut harness = Harness::start(2).await;
+    let (mut client, id) = harness.submit_job(class, "k").await;
+    let (_, mut mute) = harness.accept_worker().await;
     mute.read().await.expect("the job");
     if class == "safe" {
-        stage.serve_next(&id).await;
+        harness.serve_next_attempt(&id).await;
     }
     assert_eq!(status(&client.read().await), if class == "safe" { "200" } else { "502" });
     assert!(mute.read().await.is_none(), "closing the connection cancels the attempt");
@@ -92,14 +92,14 @@
 
 /// A request that is invalid at one worker is invalid at all: it is not retried, and does not count against the worker.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_request_that_a_worker_calls_invalid_fails_without_a_retry() {
-    let mut stage = Stage::set(2).await;
+    let mut harness = Harness::start(2).await;
     let mut first = None;
     for _ in 0..3 {
-        let (mut client, _) = stage.job("safe", "k").await;
-        let (number, mut worker) = stage.worker().await;
+        let (mut client, _) = harness.submit_job("safe", "k").await;
+        let (number, mut worker) = harness.accept_worker().await;
         worker.read().await.expect("the job");
         worker.send("HTTP/1.1 400 No\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         assert_eq!(status(&client.read().await), "502");
@@ -109,31 +109,31 @@
 
 /// A worker that refuses connections never ran the job, whatever its class.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_whose_connection_is_refused_is_retried_at_another_worker() {
     // Bound but not listening: refuses for certain, and no other test can be given its port.
     let refusing = TcpSocket::new_v4().expect("a socket");
     refusing.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let mut stage = Stage::set_with(1, &[refusing.local_addr().expect("bound")]).await;
-    stage.worker_0_serves("unsafe").await;
+    let mut harness = Harness::start_with_listed(1, &[refusing.local_addr().expect("bound")]).await;
+    harness.serve_at_worker_0("unsafe").await;
 }
 
 /// A connection that the worker has closed while it was idle is never written to.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_connection_closed_by_the_worker_is_not_reused() {
-    let mut stage = Stage::set(1).await;
-    let (mut client, id) = stage.job("unsafe", "k").await;
-    let (number, mut worker) = stage.worker().await;
+    let mut harness = Harness::start(1).await;
+    let (mut client, id) = harness.submit_job("unsafe", "k").await;
+    let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
-    stage.call_back(&id, number, "done").await;
+    harness.send_callback(&id, number, "done").await;
     assert_eq!(status(&client.read().await), "200");
     worker.socket().shutdown().await.expect("closed");
     assert!(worker.read().await.is_none(), "the daemon closes its side too");
-    let (mut client, id) = stage.job("unsafe", "k").await;
-    stage.serve_next(&id).await;
+    let (mut client, id) = harness.submit_job("unsafe", "k").await;
+    harness.serve_next_attempt(&id).await;
     assert_eq!(status(&client.read().await), "200");
 }
