--- a/crates/vetchbridge/src/admin/mod.rs
+++ b/crates/vetchbridge/src/admin/mod.rs
@@ -22,7 +22,7 @@
 
 /// Maximum length of a command line in bytes, with its line feed.
 pub const LINE_LIMIT: usize = 256;
-/// Time limit for reading a command and for writing its response. Some clients hold a connection for 4 s before they
+/// Time limit for reading a command and for writing its response. Some clients keep a connection for 4 s before they
 /// have sent a complete line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long input is read and dropped after the response; closing with unread input would reset the connection and lose
--- a/crates/vetchbridge/src/lib.rs
+++ b/crates/vetchbridge/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Each party that the daemon talks to has a module: [`clients`], [`workers`], [`discovery`], [`peers`] (the other
 //! schedulers), operators ([`admin`]), and the predecessor or successor of an [`upgrade`]. [`request`] carries one request
-//! from its arrival to its answer, [`engine`] the decision module's events and actions, and [`lifecycle`] tells how far the
-//! process is between its start and its end.
+//! from its arrival to its answer, [`engine`] the decision module's events and actions, and [`lifecycle`] has the states of
+//! the process from its start to its end.
 
 pub mod admin;
 pub mod cli;
--- a/crates/vetchbridge/src/logs/writer.rs
+++ b/crates/vetchbridge/src/logs/writer.rs
@@ -12,7 +12,7 @@
 /// pipe(7)).
 const MAX_LINE_BYTES: usize = 4096;
 
-/// Makes the line that says how many lines were dropped.
+/// Formats the line that reports how many lines were dropped.
 pub(super) type DroppedLinesNotice = fn(u64) -> String;
 
 /// A writer that drops lines rather than block. Clones share the count of dropped lines.
--- a/crates/vetchbridge/src/main.rs
+++ b/crates/vetchbridge/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's program: everything is the library's.
+//! The daemon's binary; everything is in the library.
 
 fn main() -> std::process::ExitCode {
     vetchbridge::cli::main()
--- a/crates/vetchbridge/src/net/connector.rs
+++ b/crates/vetchbridge/src/net/connector.rs
@@ -1,4 +1,4 @@
-//! Connections that the daemon makes: to workers and to discovery.
+//! Connections that the daemon opens: to workers and to discovery.
 
 use super::RetryingStream;
 use hyper::Uri;
@@ -10,12 +10,12 @@
 use std::time::Duration;
 use tower_service::Service;
 
-/// Dials, within a time if there is one; its connections are [`RetryingStream`]s.
+/// Opens connections as [`RetryingStream`]s, with a time limit if one is set.
 #[derive(Clone)]
 pub(crate) struct Connector(HttpConnector);
 
 impl Connector {
-    /// A connector that gives a dial up after this long; `None`: when the kernel does.
+    /// A connector whose dials time out after this long; `None`: after the kernel's own time limit.
     pub(crate) fn new(dial_timeout: Option<Duration>) -> Connector {
         let mut tcp = HttpConnector::new();
         tcp.set_nodelay(true);
--- a/crates/vetchbridge/src/net/stream.rs
+++ b/crates/vetchbridge/src/net/stream.rs
@@ -1,8 +1,9 @@
-//! A TCP connection whose reads and writes depend on nothing but what the kernel says of each call.
+//! A TCP connection whose reads and writes depend on the kernel's result of each call alone.
 //!
-//! The runtime's own stream takes a read or write that moved fewer bytes than asked for as a sign that the socket is
-//! drained or full, and waits for the next edge; a call may be short for other reasons, and then no edge comes. It also
-//! passes EINTR on, which is an end to whoever reads. Here only EAGAIN clears the readiness, and EINTR is tried again.
+//! The runtime's own stream takes a read or write of fewer bytes than requested as a sign that the socket's buffer is
+//! empty or full, and waits for the next edge; a call may be short for other reasons, and then no edge comes. It also
+//! returns EINTR, which its callers take for a failed connection. Here only EAGAIN clears the readiness, and a call that
+//! fails with EINTR is retried.
 
 use hyper_util::client::legacy::connect::{Connected, Connection};
 use std::io::{self, ErrorKind, IoSlice};
@@ -12,17 +13,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// See the head of this file.
+/// A TCP connection that retries interrupted calls and never waits after a short one.
 #[derive(Debug)]
 pub(crate) struct RetryingStream(TcpStream);
 
 impl RetryingStream {
-    /// Goes on with a connection of the runtime's.
+    /// Wraps a connection of the runtime.
     pub(crate) fn new(stream: TcpStream) -> RetryingStream {
         RetryingStream(stream)
     }
 
-    /// The connection as the standard library has it, taken from the runtime.
+    /// Deregisters the connection from the runtime and returns it as the standard library's.
     pub(crate) fn into_std(self) -> io::Result<std::net::TcpStream> {
         self.0.into_std()
     }
@@ -34,8 +35,8 @@
     }
 }
 
-/// Whether a call is to be made again: the runtime has noted an EAGAIN, and its next look waits for the edge.
-fn again<T>(result: &io::Result<T>) -> bool {
+/// Whether a call is to be retried: after EAGAIN the runtime has cleared the readiness, and waits for the next edge.
+fn is_retried<T>(result: &io::Result<T>) -> bool {
     let kind = result.as_ref().err().map(io::Error::kind);
     matches!(kind, Some(ErrorKind::WouldBlock | ErrorKind::Interrupted))
 }
@@ -52,7 +53,7 @@
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             let read = self.0.try_read_buf(buffer);
-            if !again(&read) {
+            if !is_retried(&read) {
                 return Poll::Ready(read.map(drop));
             }
         }
@@ -64,7 +65,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             let written = self.0.try_write(data);
-            if !again(&written) {
+            if !is_retried(&written) {
                 return Poll::Ready(written);
             }
         }
@@ -78,7 +79,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             let written = self.0.try_write_vectored(data);
-            if !again(&written) {
+            if !is_retried(&written) {
                 return Poll::Ready(written);
             }
         }
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -43,7 +43,7 @@
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system call said.
+        /// The error of the system call.
         source: io::Error,
     },
     /// The clients' listener can't be used.
@@ -57,7 +57,7 @@
     PublishHandover {
         /// The path.
         path: PathBuf,
-        /// What the system call said.
+        /// The error of the system call.
         source: io::Error,
     },
     /// The decision module rejects the settings.
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -58,7 +58,7 @@
     predecessor: Option<Predecessor>,
 }
 
-/// The decision module and the state that it works on.
+/// The decision module, and the state that other parts share with it.
 #[derive(Clone)]
 pub(super) struct Core {
     pub engine: Arc<Engine>,
@@ -82,7 +82,7 @@
 
     let (discovery_requests, discovery_queue) = unbounded_channel();
     let (datagrams, datagram_queue) = unbounded_channel();
-    let (max_sockets, memory) = (config.sockets, config.memory);
+    let max_sockets = config.sockets;
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
     let core = Core::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
     let reloader =
@@ -94,15 +94,7 @@
         started.map_err(|error| error!(%error, "peer_socket.failed")).ok()
     });
     let list_confirmed = start_discovery(config.source, initial_list, &core, discovery_queue);
-    let client_server = ClientServer::new(
-        core.engine.clone(),
-        core.upstream.clone(),
-        core.current.clone(),
-        max_sockets,
-        memory,
-        lifecycle.clone(),
-        process_links.clone(),
-    );
+    let client_server = core.client_server(max_sockets, config.memory, &lifecycle, &process_links);
     tokio::spawn(client_server.clone().serve(client_listener));
     let handover_server = Arc::new(HandoverServer {
         name: config.name,
@@ -163,6 +155,24 @@
         let current = Arc::new(CurrentSettings::new(snapshot));
         Core { engine, upstream, current, endpoint_list: Arc::default() }
     }
+
+    fn client_server(
+        &self,
+        max_sockets: usize,
+        max_memory: usize,
+        lifecycle: &Arc<Lifecycle>,
+        process_links: &Arc<ProcessLinks>,
+    ) -> Arc<ClientServer> {
+        ClientServer::new(
+            self.engine.clone(),
+            self.upstream.clone(),
+            self.current.clone(),
+            max_sockets,
+            max_memory,
+            lifecycle.clone(),
+            process_links.clone(),
+        )
+    }
 }
 
 /// Starts the exchange of datagrams with other schedulers; returns a duplicate of its socket, for a successor.
--- a/crates/vetchbridge/src/upgrade/message/tests.rs
+++ b/crates/vetchbridge/src/upgrade/message/tests.rs
@@ -16,7 +16,7 @@
     );
 }
 
-/// A message decodes to what was encoded, and no part of one is taken for a message.
+/// A message decodes to what was encoded, and no part of one decodes.
 #[test]
 fn a_message_is_decoded_completely_or_not_at_all() {
     let offer = Offer { quiesced: true, source: None, generation: Some(7), confirmed: false, connections: 3 };
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -33,5 +33,5 @@
 
 use std::time::Duration;
 
-/// Time limit for sending and for receiving a whole offer. A new process has 6 s for its whole start.
+/// Time limit for sending and for receiving a complete offer. A new process has 6 s for its whole start.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -141,7 +141,7 @@
         };
         let total = instances.len();
         let batches = batch_endpoints(instances);
-        // A successor that can't be given all of the list fetches it as a whole.
+        // A successor that can't be sent all of the list fetches it from discovery.
         let complete = batches.iter().map(Vec::len).sum::<usize>() == total;
         let offer = HandoverMessage::Offer(Offer {
             quiesced: self.lifecycle.is_quiesced(),
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -93,7 +93,7 @@
         forwarded
     }
 
-    /// Records what a message from the other process says of that process.
+    /// Records what a message from the other process states about that process.
     pub fn record(&self, message: &HandoverMessage) {
         let remote = &mut *lock(&self.remote);
         match message {
--- a/crates/vetchbridge/src/upgrade/socket.rs
+++ b/crates/vetchbridge/src/upgrade/socket.rs
@@ -1,4 +1,4 @@
-//! Unix sockets that carry whole messages and descriptors (`SOCK_SEQPACKET`, `SCM_RIGHTS`).
+//! Unix sockets that carry messages, each complete or not at all, and descriptors (`SOCK_SEQPACKET`, `SCM_RIGHTS`).
 //!
 //! Owns the sockets' system calls. The runtime knows no such sockets; they are registered with it as stream sockets,
 //! whose readiness is the same, and are read and written here alone. A descriptor that was received is owned by its
