--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -25,15 +25,15 @@
 /// Checks that the daemon closes its side without a reset, which would discard what is still in transit.
 ///
 /// `daemon`: it keeps running, and has answered another request after that; a reset would have arrived by then.
-async fn closes_without_reset(client: &mut Wire, daemon: Option<&Stage>) {
+async fn closes_without_reset(client: &mut Wire, daemon: Option<&Harness>) {
     let mut unread = Vec::new();
-    let (here, there) = ends(client);
+    let (here, there) = addresses(client);
     client.socket().read_to_end(&mut unread).await.expect("no reset");
     assert!(unread.is_empty(), "{}", unread.escape_ascii());
-    if let Some(stage) = daemon {
-        stage.readiness().await;
+    if let Some(harness) = daemon {
+        harness.readiness().await;
     }
-    let state = entry(here, there).map(|(state, _)| state);
+    let state = kernel_connection(here, there).map(|connection| connection.state);
     assert_eq!(state.as_deref(), Some(CLOSE_WAIT), "only the other side has closed");
 }
 
@@ -46,48 +46,48 @@
     "GET /health/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n",
     "200"
 )]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_response_is_not_lost_because_of_unread_input(#[case] head: &str, #[case] expected: &str) {
-    let stage = Stage::set(1).await;
-    let mut client = dial(stage.daemon.address).await;
-    stage.daemon.freeze().await;
+    let harness = Harness::start(1).await;
+    let mut client = dial(harness.daemon.address).await;
+    harness.daemon.suspend().await;
     client.send(&format!("{head}{}", "x".repeat(40_000))).await;
-    delivered(&mut client).await;
-    stage.daemon.thaw();
+    wait_until_delivered(&mut client).await;
+    harness.daemon.resume();
     assert_eq!(status(&client.read().await), expected);
-    closes_without_reset(&mut client, Some(&stage)).await;
-    assert_eq!(stage.readiness().await.status(), "200");
+    closes_without_reset(&mut client, Some(&harness)).await;
+    assert_eq!(harness.readiness().await.status(), "200");
 }
 
 /// Nothing after a request whose response closes the connection reaches a worker, whether it was read before or after.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn nothing_after_the_last_response_is_forwarded(#[values(100, 20_000)] length: usize) {
-    let mut stage = Stage::set(1).await;
-    stage.daemon.operate("quiesce").await;
-    let mut client = dial(stage.daemon.address).await;
+    let mut harness = Harness::start(1).await;
+    harness.daemon.admin_command("quiesce").await;
+    let mut client = dial(harness.daemon.address).await;
     client.send(&job_request("00000000000000a1", 4)).await;
-    let (number, mut worker) = stage.worker().await;
+    let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     client.send(&job_request("00000000000000a2", length)).await;
     worker.send(ACCEPTED_AND_CLOSE).await;
-    stage.call_back("00000000000000a1", number, "done").await;
+    harness.send_callback("00000000000000a1", number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
     client.send(&job_request("00000000000000a3", length)).await;
-    closes_without_reset(&mut client, Some(&stage)).await;
-    assert_eq!(stage.only_one_more_arrives().await, 0);
+    closes_without_reset(&mut client, Some(&harness)).await;
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
 /// A chunked job is the last of its connection: however it arrived, nothing after it reaches a worker.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn nothing_after_a_chunked_job_is_forwarded(#[values(true, false)] at_once: bool) {
-    let mut stage = Stage::set(1).await;
-    let mut client = dial(stage.daemon.address).await;
+    let mut harness = Harness::start(1).await;
+    let mut client = dial(harness.daemon.address).await;
     let head = "POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000a1\r\ntransfer-encoding: chunked\r\n\r\n";
     let requests = format!("{head}4\r\nwork\r\n0\r\n\r\n{}", job_request("00000000000000a2", 4));
     if at_once {
@@ -95,68 +95,68 @@
     } else {
         client.write_in_pieces(&requests).await.expect("the daemon reads");
     }
-    let (number, mut worker) = stage.worker().await;
+    let (number, mut worker) = harness.accept_worker().await;
     assert_eq!(worker.read().await.expect("the job").text(), "work");
     worker.send(ACCEPTED_AND_CLOSE).await;
-    stage.call_back("00000000000000a1", number, "done").await;
+    harness.send_callback("00000000000000a1", number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
-    closes_without_reset(&mut client, Some(&stage)).await;
-    assert_eq!(stage.only_one_more_arrives().await, 0);
+    closes_without_reset(&mut client, Some(&harness)).await;
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
 /// Idle connections are closed while a request is arriving: the rest of that request is read, and it is answered.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_connection_with_a_partial_request_is_not_idle(#[values(1, 30, 120)] received: usize) {
-    let stage = Stage::set(1).await;
-    let (mut client, mut idle) = (dial(stage.daemon.address).await, dial(stage.daemon.address).await);
+    let harness = Harness::start(1).await;
+    let (mut client, mut idle) = (dial(harness.daemon.address).await, dial(harness.daemon.address).await);
     for connection in [&mut client, &mut idle] {
         connection.send(READINESS_REQUEST).await;
         assert_eq!(status(&connection.read().await), "200");
     }
     let job = job_request("00000000000000a1", 60);
     client.send(&job[..received]).await;
-    delivered(&mut client).await;
-    stage.daemon.operate("quiesce").await;
+    wait_until_delivered(&mut client).await;
+    harness.daemon.admin_command("quiesce").await;
     // Closed half a second later, as the other one would be if it counted as idle.
-    closes_without_reset(&mut idle, Some(&stage)).await;
+    closes_without_reset(&mut idle, Some(&harness)).await;
     client.send(&job[received..]).await;
     let (number, mut worker) = tokio::select! {
-        dialled = stage.worker() => dialled,
+        dialled = harness.accept_worker() => dialled,
         response = client.read() => panic!("it was closed after {response:?}"),
     };
     worker.read().await.expect("the job");
     worker.send(ACCEPTED_AND_CLOSE).await;
-    stage.call_back("00000000000000a1", number, "done").await;
+    harness.send_callback("00000000000000a1", number, "done").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
-    closes_without_reset(&mut client, Some(&stage)).await;
+    closes_without_reset(&mut client, Some(&harness)).await;
 }
 
 /// The daemon finds a request at the moment when it closes the idle connection: the request is answered completely, or the
 /// connection is closed and nothing is forwarded.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_request_that_coincides_with_the_idle_timeout_is_answered_or_not_forwarded() {
-    let mut stage = Stage::set(1).await;
-    let mut client = dial(stage.daemon.address).await;
+    let mut harness = Harness::start(1).await;
+    let mut client = dial(harness.daemon.address).await;
     client.send(READINESS_REQUEST).await;
     assert_eq!(status(&client.read().await), "200");
-    stage.daemon.operate("quiesce").await;
-    stage.daemon.freeze().await;
+    harness.daemon.admin_command("quiesce").await;
+    harness.daemon.suspend().await;
     // Its clock goes on, past the idle timeout.
     tokio::time::sleep(Duration::from_millis(600)).await;
     client.send(&job_request("00000000000000a1", 4)).await;
-    delivered(&mut client).await;
-    stage.daemon.thaw();
+    wait_until_delivered(&mut client).await;
+    harness.daemon.resume();
     let served = async {
-        let (number, mut worker) = stage.worker().await;
+        let (number, mut worker) = harness.accept_worker().await;
         worker.read().await.expect("the job");
         worker.send(ACCEPTED_AND_CLOSE).await;
-        stage.call_back("00000000000000a1", number, "done").await;
+        harness.send_callback("00000000000000a1", number, "done").await;
     };
     let answer = tokio::select! {
         // Either the worker gets the job, and the client its response, or the connection is closed.
@@ -166,27 +166,27 @@
     if let Some(answer) = answer {
         assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
     }
-    closes_without_reset(&mut client, Some(&stage)).await;
-    assert_eq!(stage.only_one_more_arrives().await, 0);
+    closes_without_reset(&mut client, Some(&harness)).await;
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
 /// The last responses of a process that shuts down are complete, whether the client writes more before or after them.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn no_response_is_lost_when_the_process_ends() {
-    let mut stage = Stage::set(1).await;
-    let (mut before, _) = stage.job("safe", "k").await;
-    let (mut after, _) = stage.job("safe", "k").await;
+    let mut harness = Harness::start(1).await;
+    let (mut before, _) = harness.submit_job("safe", "k").await;
+    let (mut after, _) = harness.submit_job("safe", "k").await;
     for _ in 0..2 {
-        let (_, mut worker) = stage.worker().await;
+        let (_, mut worker) = harness.accept_worker().await;
         worker.read().await.expect("the job");
     }
     before.send(&job_request("00000000000000a2", 20_000)).await;
-    stage.daemon.signal("-TERM");
+    harness.daemon.signal("-TERM");
     assert_eq!(status(&after.read().await), "503");
     after.send(&job_request("00000000000000a3", 20_000)).await;
-    assert!(stage.daemon.child.wait().expect("it ends").success());
+    assert!(harness.daemon.child.wait().expect("it ends").success());
     assert_eq!(status(&before.read().await), "503");
     closes_without_reset(&mut before, None).await;
     closes_without_reset(&mut after, None).await;
@@ -195,51 +195,51 @@
 /// A request that coincides with the end of the drain, on an open or a new connection, is answered completely, or its connection
 /// is closed and nothing is forwarded.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_request_that_coincides_with_the_end_of_the_drain_is_answered_or_not_forwarded(
     #[values(true, false)] open: bool,
 ) {
-    let mut stage = Stage::set(1).await;
-    let mut client = dial(stage.daemon.address).await;
+    let mut harness = Harness::start(1).await;
+    let mut client = dial(harness.daemon.address).await;
     if open {
         client.send(READINESS_REQUEST).await;
         assert_eq!(status(&client.read().await), "200");
     }
-    stage.daemon.signal("-TERM");
-    stage.daemon.logs("state=\"ending\"").await;
-    stage.daemon.freeze().await;
+    harness.daemon.signal("-TERM");
+    harness.daemon.wait_for_log("state=\"ending\"").await;
+    harness.daemon.suspend().await;
     // Its clock goes on, past the end of the drain.
     tokio::time::sleep(Duration::from_millis(3400)).await;
     client.send(&job_request("00000000000000a1", 4)).await;
-    delivered(&mut client).await;
-    stage.daemon.thaw();
+    wait_until_delivered(&mut client).await;
+    harness.daemon.resume();
     let answer = client.read().await;
-    assert!(stage.daemon.child.wait().expect("it ends").success());
+    assert!(harness.daemon.child.wait().expect("it ends").success());
     if let Some(answer) = answer {
         assert_eq!((answer.status(), answer.header("connection")), ("503", Some("close")));
     } else {
         // A connection dialled for the request would come before this one.
-        let mut marker = dial(stage.workers[0].local_addr().expect("bound")).await;
-        let (_, mut first) = stage.worker().await;
-        assert_eq!(ends(&mut first).1, ends(&mut marker).0, "nothing was forwarded");
+        let mut marker = dial(harness.workers[0].local_addr().expect("bound")).await;
+        let (_, mut first) = harness.accept_worker().await;
+        assert_eq!(addresses(&mut first).1, addresses(&mut marker).0, "nothing was forwarded");
     }
 }
 
 /// An evicted connection ends without a reset, and one whose client is slow to close does not keep new clients out.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_evicted_connection_is_not_reset_and_keeps_no_new_client_out() {
-    let mut stage = Stage::set(1).await;
+    let mut harness = Harness::start(1).await;
     let mut clients = Vec::new();
-    for _ in 0..4 * SOCKETS {
-        let mut client = dial(stage.daemon.address).await;
+    for _ in 0..4 * DESCRIPTOR_LIMIT {
+        let mut client = dial(harness.daemon.address).await;
         client.send(READINESS_REQUEST).await;
         assert_eq!(status(&client.read().await), "200");
         clients.push(client);
     }
     // The oldest connection is evicted first.
-    closes_without_reset(&mut clients[0], Some(&stage)).await;
-    assert_eq!(stage.only_one_more_arrives().await, 0);
+    closes_without_reset(&mut clients[0], Some(&harness)).await;
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -34,13 +34,13 @@
 
 /// Beyond the limit, idle connections to the least recently used workers are closed, and those of the others are kept.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn idle_connections_of_the_least_recently_used_workers_are_evicted() {
     const MAX_CONNECTIONS: usize = 8;
     const OTHER_WORKERS: usize = 12;
     // No connection expires within the test.
-    let group = UpstreamGroup::new(HANG, 10 * HANG, 1);
+    let group = UpstreamGroup::new(TEST_TIMEOUT, 10 * TEST_TIMEOUT, 1);
     group.set_max_connections(MAX_CONNECTIONS);
     let (closed_sender, mut closed_connections) = unbounded_channel();
     for number in 0..=OTHER_WORKERS {
@@ -59,7 +59,7 @@
         let payload = Payload { id, target, idempotency_key: None, body: "work".into() };
         let (_cancel, cancelled) = oneshot::channel();
         let (result, _) = group
-            .attempt(request, worker, &payload, SendConditions::with_timeout(HANG), cancelled, |_| {})
+            .attempt(request, worker, &payload, SendConditions::with_timeout(TEST_TIMEOUT), cancelled, |_| {})
             .await;
         assert_eq!(result, AttemptResult::NotServed(Outcome::Rejected));
     }
--- a/crates/vetchbridge/tests/large_configuration.rs
+++ b/crates/vetchbridge/tests/large_configuration.rs
@@ -19,7 +19,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_vetchbridge"));
     command.arg("check").arg(&path).env_clear().stdout(Stdio::piped()).stderr(Stdio::piped());
     let started = {
-        let _alone = alone();
+        let _alone = spawn_lock();
         command.spawn()
     };
     let checked = started.and_then(Child::wait_with_output).expect("it runs");
@@ -30,7 +30,7 @@
 
 /// `vetchbridge check` accepts both formats of a configuration of this size.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn its_configuration_is_valid() {
     let fleet = Fleet::new(8, ListFormat::Compact).await;
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::HANG;
+use common::TEST_TIMEOUT;
 use hyper::http::uri::PathAndQuery;
 use rstest::rstest;
 use serde_json::json;
@@ -126,7 +126,7 @@
 )]
 #[case::an_earlier_attempt_is_returned(Change::EarlierAttemptReturned, AttemptResult::Served("made".into()))]
 #[case::an_earlier_attempt_is_done(Change::EarlierAttemptDone, AttemptResult::Served("made".into()))]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_carries_a_request_only_while_its_conditions_hold(
     #[case] change: Change,
@@ -181,7 +181,7 @@
 /// A worker learns how long its response is waited for. That counts from the first byte, not from the decision: the client
 /// waits no longer because the connection came up late.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_carries_the_time_that_remains_at_its_first_byte() {
     const TIMEOUT: Duration = Duration::from_secs(5);
@@ -225,7 +225,7 @@
 
 /// Two requests wait for one worker, and the first is cancelled. Connections that come up afterwards carry only the second.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_does_not_carry_a_cancelled_request() {
     let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
@@ -321,7 +321,7 @@
 /// A keyed job may have run at its first worker. The connection to the second comes up after the deduplication window: the retry
 /// is not written, and the client gets its answer at once.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_keyed_job_is_not_retried_on_a_connection_that_comes_up_after_its_deduplication_window() {
     let config = keyed_config();
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -19,7 +19,7 @@
 use vetchbridge_testbed::{wire::Wire, Port};
 
 /// A test that makes no progress fails; none of them measures time.
-const HANG: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
 
@@ -98,7 +98,7 @@
 
 /// Probes carry no request id and share the pooled connections: a new one would cost the worker work.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn probes_request_stats_over_one_pooled_connection() {
     let fixture = Fixture::new(LoadReportSource::Probes, 4).await;
@@ -128,7 +128,7 @@
 #[case::too_many_requests(429, "", "", Outcome::Rejected, None)]
 #[case::not_found(404, "", "queue=9", Outcome::Error, None)]
 #[case::internal_error(500, "", "", Outcome::Error, None)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn the_status_of_a_response_decides_the_outcome_of_a_probe(
     #[case] status: u16,
@@ -143,7 +143,7 @@
 
 /// A body beyond the limit is read no further, and is not a report.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_oversized_report_is_ignored() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
@@ -161,7 +161,7 @@
 #[case::before_the_response("")]
 #[case::in_the_head("HTTP/1.1 200 O")]
 #[case::in_the_body("HTTP/1.1 200 OK\r\ncontent-length: 40\r\n\r\n{\"queue\":2}")]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_probe_whose_connection_breaks_off_is_reset(#[case] written: &str) {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
@@ -176,7 +176,7 @@
 
 /// A probe without a response ends at its timeout, closes its connection and releases its permit.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_probe_without_a_response_times_out_and_releases_its_permit() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
@@ -194,7 +194,7 @@
 }
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_probe_of_an_unreachable_or_unknown_worker_fails_to_connect() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
@@ -206,7 +206,7 @@
 
 /// No byte is written to a draining worker, whether it drains before the probe or during its dial.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_draining_worker_is_not_probed() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
@@ -231,7 +231,7 @@
 
 /// Each probe may use a descriptor: one beyond the limit is not sent, and ends at once.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn probes_beyond_the_limit_are_not_sent() {
     let fixture = Fixture::new(LoadReportSource::Probes, 2).await;
@@ -250,7 +250,7 @@
 #[case::no_report((202, "Endpoint-Load-Metrics: queue=9\r\n"), Some(r#""state":"lost""#), AttemptResult::NotServed(Outcome::Reset), None)]
 #[case::out_of_range((202, ""), Some(r#""state":"failed","load":{"util":1e999,"queue":2}"#), AttemptResult::NotServed(Outcome::Error), queued(2.0))]
 #[case::not_an_object((202, ""), Some(r#""state":"done","result":"made","load":[{"queue":2}]"#), AttemptResult::Served(Bytes::from_static(b"made")), None)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_attempt_returns_the_report_that_came_with_its_end(
     #[case] response: (u16, &str),
@@ -265,7 +265,7 @@
 
 /// Where the settings take no reports from responses, such a report is a header like any other.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_report_from_a_source_that_is_not_configured_is_ignored() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
