--- /dev/null
+++ b/crates/simulator-adapter/src/host.rs
@@ -0,0 +1,102 @@
+//! The instances of the decision module, and the batch that is being handled. No decision is made here.
+
+use crate::wire::{print_actions, FieldError, FieldProblem, Message};
+use std::collections::BTreeMap;
+use vetchbridge_scheduling::interface::{Action, Event, Micros, Settings};
+use vetchbridge_scheduling::scheduler::Scheduler;
+
+/// A batch that has begun.
+struct Batch {
+    now: Micros,
+    /// The instance that the next messages are for.
+    selected: Option<u32>,
+}
+
+/// Hosts the instances; each of them owns its scheduler and nothing else.
+#[derive(Default)]
+pub(crate) struct Host {
+    instances: BTreeMap<u32, Scheduler>,
+    batch: Option<Batch>,
+    /// The actions of one event, kept to reuse their memory.
+    actions: Vec<Action>,
+    /// The reply to the batch.
+    reply: Vec<u8>,
+}
+
+impl Host {
+    /// Handles a message; returns the reply when it ends a batch.
+    pub(crate) fn handle(&mut self, message: Message) -> Result<Option<&[u8]>, FieldError> {
+        match message {
+            Message::BeginBatch(now) => self.begin_batch(now)?,
+            Message::CommitBatch => return self.commit_batch().map(Some),
+            Message::SelectInstance(instance) => self.batch()?.selected = Some(instance),
+            Message::StartInstance { seed, settings } => self.start_instance(seed, *settings)?,
+            Message::StopInstance => self.stop_instance()?,
+            Message::Event(event) => self.handle_event(event)?,
+        }
+        Ok(None)
+    }
+
+    /// Checks that the input may end here.
+    pub(crate) fn finish(&self) -> Result<(), FieldError> {
+        match self.batch {
+            Some(_) => Err(FieldError::new("commit", FieldProblem::EndsInsideBatch)),
+            None => Ok(()),
+        }
+    }
+
+    fn batch(&mut self) -> Result<&mut Batch, FieldError> {
+        self.batch.as_mut().ok_or_else(|| FieldError::new("begin_batch", FieldProblem::MissingBefore))
+    }
+
+    fn selected(&mut self) -> Result<u32, FieldError> {
+        let selected = self.batch()?.selected;
+        selected.ok_or_else(|| FieldError::new("instance", FieldProblem::MissingBefore))
+    }
+
+    fn begin_batch(&mut self, now: Micros) -> Result<(), FieldError> {
+        if self.batch.is_some() {
+            return Err(FieldError::new("begin_batch", FieldProblem::InsideBatch));
+        }
+        self.batch = Some(Batch { now, selected: None });
+        self.reply.clear();
+        Ok(())
+    }
+
+    fn commit_batch(&mut self) -> Result<&[u8], FieldError> {
+        self.batch()?;
+        self.batch = None;
+        self.reply.extend_from_slice(b"end\n");
+        Ok(&self.reply)
+    }
+
+    fn start_instance(&mut self, seed: u64, settings: Settings) -> Result<(), FieldError> {
+        let instance = self.selected()?;
+        let scheduler =
+            Scheduler::new(settings, seed).map_err(|error| FieldError::new("setup", error.into()))?;
+        self.instances.insert(instance, scheduler);
+        Ok(())
+    }
+
+    fn stop_instance(&mut self) -> Result<(), FieldError> {
+        let instance = self.selected()?;
+        self.instances.remove(&instance).map(drop).ok_or_else(never_opened)
+    }
+
+    fn handle_event(&mut self, event: Event) -> Result<(), FieldError> {
+        let instance = self.selected()?;
+        let now = self.batch()?.now;
+        let scheduler = self.instances.get_mut(&instance).ok_or_else(never_opened)?;
+        self.actions.clear();
+        scheduler.handle(now, event, &mut self.actions);
+        if self.actions.is_empty() {
+            return Ok(());
+        }
+        print_actions(&mut self.reply, instance, &self.actions)
+            .map_err(|error| FieldError::new("reply", error.into()))
+    }
+}
+
+fn never_opened() -> FieldError {
+    FieldError::new("instance", FieldProblem::NeverOpened)
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -0,0 +1,61 @@
+//! The `name=value` fields of a line.
+
+use super::error::{FieldError, FieldProblem};
+use std::str::FromStr;
+
+/// The fields of a line, separated by spaces.
+#[derive(Clone, Copy)]
+pub(super) struct Fields<'a>(pub(super) &'a str);
+
+impl<'a> Fields<'a> {
+    /// The value of a field that may be absent.
+    pub(super) fn optional(&self, name: &str) -> Option<&'a str> {
+        self.0.split(' ').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
+    }
+
+    /// The value of a required field.
+    pub(super) fn required(&self, name: &str) -> Result<&'a str, FieldError> {
+        self.optional(name).ok_or_else(|| FieldError::new(name, FieldProblem::Missing))
+    }
+
+    /// A required field, read by `parse`.
+    pub(super) fn parsed<T>(
+        &self,
+        name: &str,
+        parse: impl FnOnce(&'a str) -> Option<T>,
+    ) -> Result<T, FieldError> {
+        let value = self.required(name)?;
+        parse(value).ok_or_else(|| FieldError::new(name, FieldProblem::Unreadable(value.to_string())))
+    }
+
+    pub(super) fn number<T: FromStr>(&self, name: &str) -> Result<T, FieldError> {
+        self.parsed(name, |value| value.parse().ok())
+    }
+
+    pub(super) fn number_or<T: FromStr>(&self, name: &str, default: T) -> Result<T, FieldError> {
+        self.optional(name).map_or(Ok(default), |_| self.number(name))
+    }
+
+    pub(super) fn optional_number<T: FromStr>(&self, name: &str) -> Result<Option<T>, FieldError> {
+        self.optional(name).map(|_| self.number(name)).transpose()
+    }
+
+    /// A flag, `0` or `1`; false if it is absent.
+    pub(super) fn flag(&self, name: &str) -> Result<bool, FieldError> {
+        match self.optional(name) {
+            None | Some("0") => Ok(false),
+            Some("1") => Ok(true),
+            Some(other) => Err(FieldError::new(name, FieldProblem::Unreadable(other.to_string()))),
+        }
+    }
+
+    /// A required field with one of some known values; `map` is `None` for any other.
+    pub(super) fn known_value<T>(
+        &self,
+        name: &str,
+        map: impl FnOnce(&'a str) -> Option<T>,
+    ) -> Result<T, FieldError> {
+        let value = self.required(name)?;
+        map(value).ok_or_else(|| FieldError::new(name, FieldProblem::UnknownValue(value.to_string())))
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -0,0 +1,77 @@
+//! Reads messages from a stream of lines.
+
+use super::error::{FieldError, FieldProblem, WireError};
+use super::parse::{parse_endpoint, parse_line, Line};
+use super::Message;
+use std::io::BufRead;
+use vetchbridge_scheduling::interface::{EndpointUpdate, Event};
+
+/// Initial capacity of the line buffer in bytes.
+const LINE_CAPACITY: usize = 1 << 16;
+/// Maximum number of list entries that memory is reserved for before they have been read.
+const MAX_RESERVED_ENDPOINTS: usize = 1 << 16;
+
+/// A reader of messages.
+pub(crate) struct Reader<R> {
+    input: R,
+    buffer: Vec<u8>,
+    line: u64,
+}
+
+impl<R: BufRead> Reader<R> {
+    /// A reader at the start of its input.
+    pub(crate) fn new(input: R) -> Reader<R> {
+        Reader { input, buffer: Vec::with_capacity(LINE_CAPACITY), line: 0 }
+    }
+
+    /// Places an error at the line that was read last.
+    pub(crate) fn error(&self, error: FieldError) -> WireError {
+        error.at_line(self.line)
+    }
+
+    /// The next known message; `None` at the end of the input.
+    pub(crate) fn next_message(&mut self) -> Result<Option<Message>, WireError> {
+        self.read_message().map_err(|error| self.error(error))
+    }
+
+    fn read_message(&mut self) -> Result<Option<Message>, FieldError> {
+        while let Some(line) = self.next_line()? {
+            match parse_line(line)? {
+                Line::Message(message) => return Ok(Some(message)),
+                Line::EndpointList { update, count } => {
+                    return self.read_endpoints(update, count).map(Some);
+                }
+                Line::Unknown => {}
+            }
+        }
+        Ok(None)
+    }
+
+    /// Reads the entries that follow the head of an endpoint list.
+    fn read_endpoints(&mut self, update: EndpointUpdate, count: usize) -> Result<Message, FieldError> {
+        let mut endpoints = Vec::with_capacity(count.min(MAX_RESERVED_ENDPOINTS));
+        while endpoints.len() < count {
+            let line = self.next_line()?;
+            let line = line.ok_or_else(|| FieldError::new("row", FieldProblem::EndsInsideList))?;
+            endpoints.push(parse_endpoint(line)?);
+        }
+        Ok(Message::Event(Event::Endpoints { update, endpoints }))
+    }
+
+    /// The next line without its end; `None` at the end of the input.
+    fn next_line(&mut self) -> Result<Option<&str>, FieldError> {
+        self.buffer.clear();
+        self.line += 1;
+        let length = self
+            .input
+            .read_until(b'\n', &mut self.buffer)
+            .map_err(|error| FieldError::new("input", FieldProblem::Io(error)))?;
+        if length == 0 {
+            return Ok(None);
+        }
+        match std::str::from_utf8(&self.buffer) {
+            Ok(line) => Ok(Some(line.trim_end_matches(['\n', '\r']))),
+            Err(_) => Err(FieldError::new("line", FieldProblem::NotUtf8)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/worker_address.rs
@@ -0,0 +1,46 @@
+//! Workers by their address, `a.b.c.d:port`. The number of an address is the same at every scheduler.
+
+use std::fmt;
+use vetchbridge_scheduling::interface::WorkerId;
+
+/// Number of digits of the longest port.
+const MAX_DIGITS: u32 = 5;
+
+/// A worker, displayed as its address.
+pub(super) struct WorkerAddress(pub(super) WorkerId);
+
+impl fmt::Display for WorkerAddress {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let id = self.0 .0;
+        let byte = |shift: u32| (id >> shift) & 0xff;
+        write!(f, "{}.{}.{}.{}:{}", byte(40), byte(32), byte(24), byte(16), id & 0xffff)
+    }
+}
+
+/// Parses an address; only the form that is displayed again without a change.
+pub(super) fn parse(text: &str) -> Option<WorkerId> {
+    let bytes = text.as_bytes();
+    let (mut id, mut part, mut digits, mut separators) = (0u64, 0u64, 0u32, 0u32);
+    for (index, &byte) in bytes.iter().enumerate() {
+        match byte {
+            b'0'..=b'9' if digits < MAX_DIGITS && !(digits == 1 && part == 0) => {
+                part = part * 10 + u64::from(byte - b'0');
+                digits += 1;
+            }
+            b'.' | b':'
+                if digits > 0
+                    && part <= 0xff
+                    && (byte == b':') == (separators == 3)
+                    && index + 1 < bytes.len() =>
+            {
+                id = (id << 8) | part;
+                (part, digits, separators) = (0, 0, separators + 1);
+            }
+            _ => return None,
+        }
+    }
+    (separators == 4 && digits > 0 && part <= 0xffff).then_some(WorkerId((id << 16) | part))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire by transcripts: the adapter's answers, and what it says of malformed input.
+//! Transcripts of the simulator's wire: the adapter's replies, and its errors for malformed input.
 #![allow(missing_docs)]
 
 use std::io::Write;
@@ -18,12 +18,13 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may stop reading at the line it refuses.
+    // The adapter may stop reading at a malformed line.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn opened() -> String {
+/// A batch that starts instance 3 with one worker.
+fn started_instance() -> String {
     format!(
         "begin_batch time=5000000\ninstance who=3\nopen_instance nonce64=7 setup={}\n\
          topology mode=SAVED epoch=1 nodes_list=1\n\
@@ -45,12 +46,12 @@
 }
 
 #[test]
-fn a_request_is_sent_refused_by_the_worker_and_ended() {
+fn a_request_is_sent_once_the_endpoint_list_is_confirmed_and_finishes() {
     let input = format!(
         "{}begin_batch time=5002000\ninstance who=3\nnovelty a=1\n{CONFIRMED}{REQUEST}commit\n\
          begin_batch time=5004000\ninstance who=3\nattempt_end req=00000000000000ab leg=0 runner=10.0.0.1:80 \
          state_code=200 spent=1500 terminal=1 feedback=x0:nonsense,x9:4\ncommit\n",
-        opened()
+        started_instance()
     );
     let output = adapter(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -65,11 +66,11 @@
 }
 
 #[test]
-fn a_request_waits_until_the_saved_list_is_confirmed() {
+fn a_request_is_queued_until_the_restored_endpoint_list_is_confirmed() {
     let input = format!(
         "{}begin_batch time=5002000\ninstance who=3\n{REQUEST}commit\n\
          begin_batch time=5004000\ninstance who=3\n{CONFIRMED}commit\n",
-        opened()
+        started_instance()
     );
     let output = adapter(&input);
     let text = String::from_utf8_lossy(&output.stdout);
@@ -79,8 +80,8 @@
 }
 
 #[test]
-fn malformed_input_is_named_by_line_and_field_and_answered_with_no_decision() {
-    let batch = |lines: &str| format!("{}begin_batch time=5002000\n{lines}", opened());
+fn malformed_input_is_reported_by_line_and_field_and_causes_no_decision() {
+    let batch = |lines: &str| format!("{}begin_batch time=5002000\n{lines}", started_instance());
     let cases = [
         (batch("instance who=3\nreq req=00000000000000ab lane=0\ncommit\n"), 9, "due"),
         (batch("instance who=3\nreq req=zz lane=0 due=9000000\ncommit\n"), 9, "req"),
@@ -115,8 +116,8 @@
 }
 
 #[test]
-fn settings_out_of_range_are_refused_with_the_field() {
-    let output = adapter(&opened().replace("\"balancers\": 1", "\"balancers\": 0"));
+fn settings_out_of_range_are_rejected_with_their_field() {
+    let output = adapter(&started_instance().replace("\"balancers\": 1", "\"balancers\": 0"));
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("setting me:"));
 }
