--- a/crates/vetchbridge/src/clients/chunked_body.rs
+++ b/crates/vetchbridge/src/clients/chunked_body.rs
@@ -109,3 +109,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/vetchbridge/src/clients/chunked_body/tests.rs
@@ -0,0 +1,47 @@
+//! Chunked bodies, whatever pieces they arrive in.
+
+use super::*;
+use rstest::rstest;
+
+/// The result after the bytes before `cut` and then, if more is to come, after the others.
+fn progress(bytes: &[u8], cut: usize) -> Progress {
+    let mut body = ChunkedBody::new();
+    match body.advance(&bytes[..cut]) {
+        Progress::Incomplete => match body.advance(&bytes[cut..]) {
+            Progress::Complete { length } => Progress::Complete { length: cut + length },
+            other => other,
+        },
+        other => other,
+    }
+}
+
+#[rstest]
+#[case::empty("0\r\n\r\n")]
+#[case::one_chunk("3\r\nabc\r\n0\r\n\r\n")]
+#[case::hex_size("0A\r\n0123456789\r\n0\r\n\r\n")]
+#[case::extension("3;name=value\r\nabc\r\n0\r\n\r\n")]
+#[case::trailer("3\r\nabc\r\n0\r\nname: value\r\n\r\n")]
+fn a_body_ends_with_its_last_chunk(#[case] body: &str) {
+    let bytes = format!("{body}GET / HTTP/1.1\r\n");
+    for cut in 0..=bytes.len() {
+        assert_eq!(
+            progress(bytes.as_bytes(), cut),
+            Progress::Complete { length: body.len() },
+            "cut at {cut}"
+        );
+    }
+    assert_eq!(progress(&body.as_bytes()[..body.len() - 1], 0), Progress::Incomplete);
+}
+
+#[rstest]
+#[case::no_size("\r\nabc")]
+#[case::not_hex("x\r\nabc")]
+#[case::size_overflow("11111111111111111\r\n")]
+#[case::line_feed_alone("3\nabc")]
+#[case::line_feed_in_an_extension("3;a\n")]
+#[case::too_much_data("3\r\nabcd\r\n0\r\n\r\n")]
+fn a_malformed_body_is_noticed(#[case] body: &str) {
+    for cut in 0..=body.len() {
+        assert_eq!(progress(body.as_bytes(), cut), Progress::Malformed, "cut at {cut}");
+    }
+}
--- a/crates/vetchbridge/src/clients/connection/mod.rs
+++ b/crates/vetchbridge/src/clients/connection/mod.rs
@@ -155,8 +155,15 @@
         lock(&self.state).is_request_complete
     }
 
+    /// Puts pipelined input into `buffer`, at most to the end of one request; false if there is none.
     fn take_pipelined(&self, buffer: &mut ReadBuf<'_>) -> bool {
-        self.update(|state| state.take_pipelined(buffer, Instant::now()))
+        self.update(|state| {
+            let has_pipelined = state.has_pipelined();
+            if has_pipelined {
+                state.take_pipelined(buffer, Instant::now());
+            }
+            has_pipelined
+        })
     }
 
     fn accepts_pipelined(&self) -> bool {
@@ -169,7 +176,11 @@
 
     /// Records that all output has been flushed; returns whether the next request has begun already.
     pub(super) fn record_flush(&self) -> bool {
-        let Some(sent) = self.update(|state| state.record_flush(Instant::now())) else { return false };
+        let sent = self.update(|state| {
+            let is_response = state.phase == Phase::SendingResponse;
+            is_response.then(|| state.record_response_sent(Instant::now()))
+        });
+        let Some(sent) = sent else { return false };
         self.response_sent.notify_waiters();
         if sent.is_evicted {
             self.check_close();
--- a/crates/vetchbridge/src/clients/connection/state.rs
+++ b/crates/vetchbridge/src/clients/connection/state.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a flush of the output led to.
+/// How a connection stands after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ResponseSent {
     /// Bytes of the next request have been received already.
@@ -130,18 +130,19 @@
         length
     }
 
-    /// Puts pipelined input into `buffer`, at most to the end of one request; false if there is none.
-    pub(super) fn take_pipelined(&mut self, buffer: &mut ReadBuf<'_>, now: Instant) -> bool {
-        if self.pipelined.is_empty() {
-            return false;
-        }
+    /// Whether input of the next request has been kept.
+    pub(super) fn has_pipelined(&self) -> bool {
+        !self.pipelined.is_empty()
+    }
+
+    /// Puts pipelined input into `buffer`, at most to the end of one request.
+    pub(super) fn take_pipelined(&mut self, buffer: &mut ReadBuf<'_>, now: Instant) {
         let mut pipelined = std::mem::take(&mut self.pipelined);
         let available = pipelined.len().min(buffer.remaining());
         let length = self.record_received(&pipelined[..available], now);
         buffer.put_slice(&pipelined[..length]);
         pipelined.drain(..length);
         self.pipelined = pipelined;
-        true
     }
 
     /// Whether further pipelined input can be read.
@@ -161,16 +162,13 @@
         }
     }
 
-    /// Records that all output has been flushed; `None` if it was no response.
-    pub(super) fn record_flush(&mut self, now: Instant) -> Option<ResponseSent> {
-        if self.phase != Phase::SendingResponse {
-            return None;
-        }
-        let has_pipelined_input = !self.pipelined.is_empty();
+    /// Records that the response has been sent.
+    pub(super) fn record_response_sent(&mut self, now: Instant) -> ResponseSent {
+        let has_pipelined_input = self.has_pipelined();
         let is_idle = self.framing.is_between_requests() && !has_pipelined_input;
         self.enter(if is_idle { Phase::Idle } else { Phase::ReceivingRequest }, now);
         self.is_request_complete = false;
-        Some(ResponseSent { has_pipelined_input, is_evicted: self.is_evicted() })
+        ResponseSent { has_pipelined_input, is_evicted: self.is_evicted() }
     }
 
     /// Records that this side has been closed. The connection counts against the budget until the client closes too,
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -143,7 +143,7 @@
         let is_sent = descriptor.map(|stream| {
             successor.is_some_and(|to| to.say(HandoverMessage::Connection { kept }, vec![stream.into()]))
         });
-        debug!(?is_sent, "connection.handed_over");
+        debug!(sent = ?is_sent, "connection.handed_over");
     }
 }
 
