--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -73,6 +73,7 @@
     }
 
     /// The path below `root`, the name that the object has where it was found.
+    #[must_use]
     pub fn key_under(&self, root: &str) -> String {
         if self.path.is_empty() {
             return root.to_string();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -23,13 +23,17 @@
 use json_object::JsonObject;
 use serde_json::Value;
 use specifics::Specifics;
-use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::interface::{EndpointDelivery, LoadReportSource, Settings, Weights, ZoneId};
 
 const DISCOVERY_VALUES: &[&str] = &["push", "ask"];
 const STATS_VIA_VALUES: &[&str] = &["off", "inline", "on_probe"];
 const WEIGHTS_VALUES: &[&str] = &["off", "nominal", "rough", "live"];
 
 /// Reads the settings object from its text.
+///
+/// # Errors
+///
+/// The text is not JSON, or see [`from_value`].
 pub fn from_json(json: &str) -> Result<Settings, SettingsFormatError> {
     match serde_json::from_str(json) {
         Ok(value) => from_value(&value),
@@ -38,6 +42,10 @@
 }
 
 /// Reads the settings object as part of a larger document.
+///
+/// # Errors
+///
+/// The first key that is missing or unreadable.
 pub fn from_value(value: &Value) -> Result<Settings, SettingsFormatError> {
     let Some(map) = value.as_object() else {
         return Err(SettingsFormatError::new("", Problem::NotAnObject));
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,6 +1,6 @@
 //! The simulator's wire: lines of text, mapped to and from the decision module's own terms.
 //!
-//! The wire's names appear in [`parse`] and [`print`] only, and nothing is decided here. Unknown messages, fields and
+//! The wire's names appear in [`mod@parse`] and [`mod@print`] only, and nothing is decided here. Unknown messages, fields and
 //! settings are skipped; a known message that is malformed is a [`WireError`] that names the line and the field.
 
 mod base64;
--- a/crates/simulator-adapter/src/wire/parse.rs
+++ b/crates/simulator-adapter/src/wire/parse.rs
@@ -3,7 +3,10 @@
 use super::error::{FieldError, FieldProblem};
 use super::fields::Fields;
 use super::{base64, worker_address, Message};
-use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::interface::{
+    AttemptNo, CellId, ClassId, Endpoint, EndpointState, EndpointUpdate, Event, JobProgress, KindId,
+    LoadReport, Outcome, Request, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
+};
 
 /// What a line holds.
 pub(super) enum Line {
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -28,9 +28,9 @@
     /// Evicts the next connection of the eviction order; false if there is none.
     fn evict_next(&self, new_connections: NewConnections, now: Instant) -> bool {
         let next = lock(&self.eviction_order).next(new_connections, now);
-        let next = next.and_then(|id| self.open.get(&id));
-        next.into_iter().for_each(|connection| connection.evict());
-        next.is_some()
+        let Some(connection) = next.and_then(|id| self.open.get(&id)) else { return false };
+        connection.evict();
+        true
     }
 }
 
