--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -145,7 +145,7 @@
                 to.send(HandoverMessage::ClientConnection { reused: kept }, vec![stream.into()])
             })
         });
-        debug!(?is_sent, "connection.handed_over");
+        debug!(sent = ?is_sent, "connection.handed_over");
     }
 }
 
