--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -86,7 +86,7 @@
         WorkerConnection(stream)
     }
 
-    fn call_back(&self, state: &str) {
+    fn send_callback(&self, state: &str) {
         let body = json!({"id": REQUEST_ID, "from": "s-0", "state": state, "result": "made"});
         let callback: Callback = serde_json::from_value(body).expect("a callback");
         assert!(self.group.dispatch_callback(&callback));
