--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{ACCEPTED, HANG};
+use common::{ACCEPTED, TEST_TIMEOUT};
 use hyper::http::uri::PathAndQuery;
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_linger;
@@ -82,11 +82,11 @@
         let accepting = move || listener.accept().expect("a connection").0;
         let stream = spawn_blocking(accepting).await.expect("it accepts");
         // A runtime does not end before its blocking calls do.
-        stream.set_read_timeout(Some(HANG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         WorkerConnection(stream)
     }
 
-    fn call_back(&self, state: &str) {
+    fn send_callback(&self, state: &str) {
         let body = json!({"id": REQUEST_ID, "from": "s-0", "state": state, "result": "made"});
         let callback: Callback = serde_json::from_value(body).expect("a callback");
         assert!(self.group.dispatch_callback(&callback));
@@ -151,7 +151,7 @@
 #[case::half_a_response(WorkerAction::RespondAgain("HTTP/1.1 2"))]
 #[case::closed(WorkerAction::Close)]
 #[case::reset(WorkerAction::Reset)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_request_is_not_written_to_an_idle_connection_with_unread_input(
     #[case] action: WorkerAction,
@@ -185,7 +185,7 @@
 
 /// A second response that arrives some milliseconds late finds the next request unwritten: it waits for the reuse delay.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_second_response_is_not_taken_for_that_of_the_next_request() {
     let fixture = Fixture::new(MINUTE);
@@ -206,7 +206,7 @@
 
 /// An idle connection without input is reused.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_connection_is_reused_after_the_reuse_delay() {
     let fixture = Fixture::new(MINUTE);
@@ -222,7 +222,7 @@
 
 /// A request that is cancelled within the reuse delay of its connection is not written, and never ran.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_request_cancelled_within_the_reuse_delay_is_not_written() {
     let fixture = Fixture::new(MINUTE);
@@ -253,7 +253,7 @@
     "HTTP/1.1 500 No\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
     Outcome::Error
 )]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_response_that_never_ends_does_not_block_its_attempt(
     #[case] response: &str,
@@ -276,7 +276,7 @@
 #[case::ends("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n")]
 #[case::never_ends("HTTP/1.1 202 Accepted\r\ncontent-length: 10\r\n\r\nabc")]
 #[case::chunks_without_end("HTTP/1.1 202 Accepted\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n")]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn the_head_of_a_202_accepts_the_job(#[case] response: &str, #[values(true, false)] completes: bool) {
     let fixture = Fixture::new(Duration::from_millis(500));
@@ -288,7 +288,7 @@
         // Longer than the accept timeout.
         tokio::time::sleep(Duration::from_secs(1)).await;
         if completes {
-            fixture.call_back("done");
+            fixture.send_callback("done");
             return;
         }
         cancel.send(()).expect("the attempt is in flight");
@@ -307,7 +307,7 @@
 
 /// A request whose connection breaks after its last byte may have run, whatever it consists of.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_request_may_have_run_if_its_connection_breaks_after_the_last_byte(
     #[values(None, Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"))] key: Option<&str>,
@@ -327,7 +327,7 @@
 /// A worker retries a callback that was not answered. One that has ended an attempt does not end the next one there, which has
 /// not been accepted yet; a callback after the 202 is about the next one.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_retried_callback_does_not_end_a_later_attempt(
     #[values("returned", "failed", "lost")] state: &str,
@@ -337,17 +337,17 @@
         let mut connection = fixture.accept().await;
         connection.read_request().await.expect("the job");
         connection.write("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
-        fixture.call_back(state);
+        fixture.send_callback(state);
     };
     let (result, ()) = tokio::join!(fixture.attempt(), first);
     assert!(matches!(result, AttemptResult::NotServed(Outcome::Rejected | Outcome::Error | Outcome::Reset)));
     let second = async {
         let mut connection = fixture.accept().await;
         connection.read_request().await.expect("the retry");
-        fixture.call_back(state);
+        fixture.send_callback(state);
         tokio::task::yield_now().await;
         connection.write(ACCEPTED);
-        fixture.call_back("done");
+        fixture.send_callback("done");
     };
     assert_eq!(tokio::join!(fixture.attempt(), second).0, served());
 }
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -67,7 +67,7 @@
         let callback = json!({"id": id, "from": worker_name(number, name_length), "state": "done",
                               "result": number.to_string()});
         let mut connection = dial(current_address(&scheduler)).await;
-        connection.hand_in("/callback", "", &callback.to_string()).await;
+        connection.post_request("/callback", "", &callback.to_string()).await;
         assert_eq!(status(&connection.read().await), "200");
     }
 }
@@ -238,7 +238,7 @@
     let mut workers = BTreeSet::new();
     for job in jobs {
         let headers = format!("X-Trace-Id: {job:016x}\r\nX-Qos: safe\r\n");
-        client.hand_in(&format!("/safe/key-{job}"), &headers, "work").await;
+        client.post_request(&format!("/safe/key-{job}"), &headers, "work").await;
         let answer = client.read().await.expect("an answer");
         assert_eq!(answer.status(), "200", "job {job} after {} workers", workers.len());
         workers.insert(answer.text().parse().expect("a worker's number"));
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -18,7 +18,7 @@
 #[rstest]
 #[case::names_of_usual_length(8)]
 #[case::long_names(LONG_NAME_BYTES)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_scheduler_starts_serves_is_handed_over_and_restarts(#[case] name_length: usize) {
     let mut fleet = Fleet::new(name_length, ListFormat::Compact).await;
@@ -29,7 +29,7 @@
     while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
 
     let mut successor = fleet.start_without_list();
-    assert_eq!(successor.operate("health").await, "ok serving\n");
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
     first.signal("-TERM");
     assert!(first.child.wait().expect("it ends").success());
     until_ready(&successor).await;
@@ -59,7 +59,7 @@
 #[rstest]
 #[case::indented_in_pieces(8, ListFormat::IndentedInPieces)]
 #[case::long_names(LONG_NAME_BYTES, ListFormat::Compact)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_large_list_is_read_from_discovery(#[case] name_length: usize, #[case] format: ListFormat) {
     let mut fleet = Fleet::new(name_length, format).await;
@@ -74,7 +74,7 @@
 /// Connections to workers are pooled, but fewer than there are descriptors: neither a dial to another worker nor a callback nor
 /// a client fails for want of one.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn fewer_descriptors_than_workers_suffice_to_use_all_workers() {
     const CLIENTS: u64 = 60;
@@ -98,7 +98,7 @@
 
 /// Many schedulers may share a directory. Each is found by its own successor only, even where long names begin alike.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn schedulers_whose_long_names_begin_alike_are_each_handed_over_to_their_own_successor() {
     let mut fleet = Fleet::new(8, ListFormat::Compact).await;
@@ -117,14 +117,14 @@
         fleet.config = config;
         let successor = fleet.start_without_list();
         assert_eq!(successor.address, process.address);
-        assert_eq!(successor.operate("health").await, "ok serving\n");
-        assert_eq!(process.operate("quiesce").await, "fail handed over; ask the successor\n");
+        assert_eq!(successor.admin_command("health").await, "ok serving\n");
+        assert_eq!(process.admin_command("quiesce").await, "fail handed over; ask the successor\n");
     }
 }
 
 /// An entry that is too long for a handover message costs the successor no worker: it requests the complete list.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_list_that_can_not_be_handed_over_is_requested_from_discovery() {
     let mut fleet = Fleet::new(8, ListFormat::Compact).await;
@@ -134,14 +134,14 @@
     until_ready(&first).await;
     while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
     let successor = fleet.start_without_list();
-    assert_eq!(successor.operate("health").await, "ok serving\n");
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
     while fleet.next_call().await != "/registry/instances" {}
     fleet.serve_from_the_complete_list().await;
 }
 
 /// Entries of all lengths are divided into handover messages; no message is longer than allowed, and no entry is lost.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[test]
 fn every_entry_that_fits_a_message_is_in_one() {
     let entry = |length: usize| -> Instance {
