--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -75,7 +75,9 @@
 pub fn kernel_connection(here: SocketAddr, there: SocketAddr) -> Option<KernelConnection> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
     let ports = [here, there].map(|end| format!(":{:04X}", end.port()));
-    table.lines().find_map(|line| {
+    // The table has the connections of the whole machine: only lines that name both ports are taken apart.
+    let mut candidates = table.lines().filter(|line| ports.iter().all(|port| line.contains(port)));
+    candidates.find_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         let found = columns.get(1)?.ends_with(&ports[0]) && columns.get(2)?.ends_with(&ports[1]);
         found.then(|| KernelConnection {
