--- a/crates/scheduling/src/fleet/tests.rs
+++ b/crates/scheduling/src/fleet/tests.rs
@@ -63,6 +63,6 @@
     fleet.update(NOW, EndpointUpdate::Snapshot, (91..=100).map(endpoint).collect(), Weights::Size);
     assert_eq!((fleet.len(), fleet.ready_count()), (11, 10));
     assert!(fleet.get(WorkerId(50)).is_some() && fleet.get(WorkerId(1)).is_none());
-    let points = fleet.ring().clockwise_from(0).map(|point| point.worker_index()).max();
+    let points = fleet.ring().clockwise_from(0).map(super::super::ring::Point::worker_index).max();
     assert_eq!(points, Some(10), "the ring names workers by their new index");
 }
--- a/crates/scheduling/tests/endpoint_refresh.rs
+++ b/crates/scheduling/tests/endpoint_refresh.rs
@@ -305,7 +305,7 @@
             assert!({ jobs }.all(|worker| worker != WorkerId(1)), "a job went to a draining worker");
             all_polls.extend(polled);
         }
-        all_polls.sort();
+        all_polls.sort_unstable();
         assert!(
             all_polls.windows(3).all(|three| three[2] - three[0] >= 10 * MS),
             "all at once: {all_polls:?}"
--- a/crates/vetchbridge/src/cli/mod.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -81,7 +81,7 @@
 
 #[derive(Debug, Default, Args)]
 struct Serve {
-    /// Configuration file; what BALANCER_CONFIG names wins over it
+    /// Configuration file; what `BALANCER_CONFIG` names wins over it
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// This scheduler's name
@@ -96,7 +96,7 @@
     /// How log lines look
     #[arg(long, value_enum, value_name = "FORMAT")]
     log_format: Option<LogFormat>,
-    /// What is logged, as in RUST_LOG
+    /// What is logged, as in `RUST_LOG`
     #[arg(long, value_name = "FILTER")]
     log_filter: Option<String>,
 }
--- a/crates/vetchbridge/src/discovery/endpoint_list/tests.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list/tests.rs
@@ -14,7 +14,7 @@
 }
 
 fn names(names: &[&str]) -> Vec<String> {
-    names.iter().map(|name| name.to_string()).collect()
+    names.iter().map(std::string::ToString::to_string).collect()
 }
 
 #[test]
--- a/crates/vetchbridge/src/lifecycle/clock.rs
+++ b/crates/vetchbridge/src/lifecycle/clock.rs
@@ -42,12 +42,12 @@
 
     /// Ends the start: the process can serve from now on.
     pub fn start_serving(&self) {
-        self.with_machine(|machine, now| machine.start_serving(now));
+        self.with_machine(super::state::LifecycleMachine::start_serving);
     }
 
     /// Starts to drain clients, at an operator's command.
     pub fn quiesce(&self) {
-        self.with_machine(|machine, now| machine.quiesce(now));
+        self.with_machine(super::state::LifecycleMachine::quiesce);
     }
 
     /// Accepts clients again, at an operator's command.
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -92,12 +92,11 @@
 
     fn handle_datagram(&self, datagram: &[u8], sender: SocketAddr) {
         let peer = self.config.each.iter().position(|known| *known == sender);
-        match peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
-            Some(index) => {
-                let data = datagram.to_vec();
-                self.engine.handle(Event::PeerMessage { from: index as u32, data });
-            }
-            None => warn!(bytes = datagram.len(), from = %sender, "peer_datagram.dropped"),
+        if let Some(index) = peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
+            let data = datagram.to_vec();
+            self.engine.handle(Event::PeerMessage { from: index as u32, data });
+        } else {
+            warn!(bytes = datagram.len(), from = %sender, "peer_datagram.dropped")
         }
     }
 }
--- a/crates/vetchbridge/src/serve/sockets.rs
+++ b/crates/vetchbridge/src/serve/sockets.rs
@@ -41,13 +41,12 @@
             Some(path) => open_handover_listener(path).await,
             None => None,
         };
-        let client_listener = match inherited.client_listener {
-            Some(listener) => into_tokio(listener).map_err(ServeError::ClientListener)?,
-            None => {
-                // Without a hand-over the next process of this scheduler can only listen beside this one.
-                let shared = config.handover.is_some() && handover_listener.is_none();
-                bind_with_retry(config.listen, || listen(config.listen, shared)).await?
-            }
+        let client_listener = if let Some(listener) = inherited.client_listener {
+            into_tokio(listener).map_err(ServeError::ClientListener)?
+        } else {
+            // Without a hand-over the next process of this scheduler can only listen beside this one.
+            let shared = config.handover.is_some() && handover_listener.is_none();
+            bind_with_retry(config.listen, || listen(config.listen, shared)).await?
         };
         let duplicate = retry("listener", || client_listener.as_fd().try_clone_to_owned()).await;
         let listener_duplicate = duplicate.map_err(ServeError::ClientListener)?.into();
--- a/crates/vetchbridge/src/workers/message.rs
+++ b/crates/vetchbridge/src/workers/message.rs
@@ -128,7 +128,7 @@
 
     /// The load report in the head.
     pub(super) fn load_report(&self) -> Option<&[u8]> {
-        self.headers.get(LOAD_REPORT_HEADER).map(|value| value.as_bytes())
+        self.headers.get(LOAD_REPORT_HEADER).map(axum::http::HeaderValue::as_bytes)
     }
 
     /// Reads the complete body; empty if it is too long, `None` if the connection failed.
