--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -150,3 +150,6 @@
         actions.extend(in_flight.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduling/src/completion/tests.rs
@@ -0,0 +1,106 @@
+use super::*;
+use crate::events::{EndpointUpdate, Request};
+use crate::ids::{ClassId, TenantId};
+use crate::settings::{Idempotency, Settings};
+use crate::test_support::{endpoint, settings, NOW};
+
+const ID: RequestId = RequestId(1);
+
+/// A scheduler with one request in flight, and the worker that has it.
+fn with_request(settings: Settings) -> (Scheduler, WorkerId) {
+    let mut scheduler = Scheduler::new(settings, 1).expect("sound settings");
+    let endpoints = (1..=3).map(endpoint).collect();
+    scheduler.on_endpoints(NOW, EndpointUpdate::Snapshot, endpoints, &mut Vec::new());
+    let request = Request {
+        id: ID,
+        class: ClassId(0),
+        tenant: TenantId(0),
+        key: None,
+        deadline: NOW + 5_000_000,
+        expected_work: None,
+        slots: 1.0,
+        retry: false,
+    };
+    scheduler.on_request(NOW, &request, &mut Vec::new());
+    let worker = scheduler.requests.get(ID).expect("it is pending").attempts[0].worker;
+    (scheduler, worker)
+}
+
+fn non_idempotent() -> Settings {
+    let mut settings = settings();
+    settings.classes[0].idempotency = Idempotency::NonIdempotent;
+    settings
+}
+
+fn finish(scheduler: &mut Scheduler, worker: WorkerId, outcome: Outcome, closed: bool) -> Vec<Action> {
+    let id = AttemptId { request: ID, number: AttemptNo(0) };
+    let mut actions = Vec::new();
+    let result = AttemptResult { id, worker, outcome, latency: 1_000, closed };
+    scheduler.on_attempt_finished(NOW, &result, &mut actions);
+    actions
+}
+
+#[test]
+fn a_served_request_is_complete_without_a_further_answer() {
+    let (mut scheduler, worker) = with_request(settings());
+    assert_eq!(finish(&mut scheduler, worker, Outcome::Ok, true), []);
+    assert!(!scheduler.requests.contains(ID));
+    assert_eq!(finish(&mut scheduler, worker, Outcome::Ok, true), [], "its attempt has ended already");
+}
+
+#[test]
+fn an_invalid_request_fails() {
+    let (mut scheduler, worker) = with_request(settings());
+    let actions = finish(&mut scheduler, worker, Outcome::Invalid, false);
+    assert_eq!(actions, [Action::Fail { request: ID }]);
+}
+
+#[test]
+fn a_job_that_may_have_run_fails_if_a_retry_may_do_harm() {
+    let (mut scheduler, worker) = with_request(non_idempotent());
+    let actions = finish(&mut scheduler, worker, Outcome::Error, false);
+    assert_eq!(actions, [Action::Fail { request: ID }]);
+}
+
+#[test]
+fn a_worker_that_gives_no_response_loses_its_idle_connections() {
+    let (mut scheduler, worker) = with_request(non_idempotent());
+    let actions = finish(&mut scheduler, worker, Outcome::NoResponse, false);
+    assert_eq!(actions, [Action::CloseIdle(worker), Action::Fail { request: ID }]);
+}
+
+#[test]
+fn at_its_deadline_a_request_in_flight_gets_a_moment_more_and_then_its_answer() {
+    let (mut scheduler, _) = with_request(settings());
+    let (deadline, mut actions) = (NOW + 5_000_000, Vec::new());
+    scheduler.on_deadline_timer(deadline, 0, &mut actions);
+    let token = Timer::Deadline(0).token();
+    assert_eq!(actions, [Action::SetTimer { at: deadline + 4_000, token }]);
+    actions.clear();
+    scheduler.on_deadline_timer(deadline + 4_000, 0, &mut actions);
+    let cancel = Action::Cancel { request: ID, attempt: AttemptNo(0) };
+    assert_eq!(actions, [Action::Reject { request: ID, retry_after: MIN_QUEUE_PAUSE }, cancel]);
+}
+
+#[test]
+fn at_shutdown_every_pending_request_gets_its_answer() {
+    let (mut scheduler, _) = with_request(non_idempotent());
+    let mut actions = Vec::new();
+    scheduler.on_shutdown(NOW, &mut actions);
+    let cancel = Action::Cancel { request: ID, attempt: AttemptNo(0) };
+    assert_eq!(actions, [Action::Fail { request: ID }, cancel]);
+    assert_eq!(scheduler.requests.ids(), []);
+}
+
+#[test]
+fn the_retry_after_lasts_until_a_worker_takes_jobs_again_within_its_limits() {
+    let (mut scheduler, _) = with_request(settings());
+    assert_eq!(scheduler.retry_after(NOW, None), MIN_QUEUE_PAUSE, "a worker takes jobs now");
+    for (ejection, retry_after) in [(1_000_000, 1_000_000), (6_000_000, 2_000_000)] {
+        scheduler.fleet.iter_mut().for_each(|worker| worker.outlier.extend_ejection(NOW, ejection));
+        assert_eq!(scheduler.retry_after(NOW, None), retry_after);
+    }
+    assert_eq!(scheduler.retry_after(NOW, Some(KindId(9))), 2_000_000, "no worker of this type");
+    scheduler.settings.limits.retry_after = false;
+    assert_eq!(scheduler.retry_after(NOW, None), 0);
+}
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -260,3 +260,6 @@
         self.notify_coordinator(now, index, message, actions);
     }
 }
+
+#[cfg(test)]
+mod tests;
