--- a/crates/vetchbridge/src/clients/connection/lingering_close.rs
+++ b/crates/vetchbridge/src/clients/connection/lingering_close.rs
@@ -19,7 +19,7 @@
     tokio::select! {
         // Neither result changes anything: there is no more to send.
         _ = timeout(LINGER_TIMEOUT, shut_down_and_drop_input(&mut socket)) => {}
-        () = connection.must_close() => {}
+        () = connection.wait_for_forced_close() => {}
     }
 }
 
--- a/crates/vetchbridge/src/clients/connection/mod.rs
+++ b/crates/vetchbridge/src/clients/connection/mod.rs
@@ -60,7 +60,7 @@
     }
 
     /// Resolves when an eviction or a time limit closes the connection.
-    pub(super) async fn must_close(&self) {
+    pub(super) async fn wait_for_forced_close(&self) {
         loop {
             self.close_check.notified().await;
             if lock(&self.state).must_close(Instant::now()) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Lets [`ClientConnection::must_close`] check its conditions.
+    /// Lets [`ClientConnection::wait_for_forced_close`] check its conditions.
     pub(super) fn check_close(&self) {
         self.close_check.notify_one();
     }
@@ -81,17 +81,17 @@
     }
 
     /// Resolves while the connection is between requests, no byte of the next one having been read.
-    pub(super) async fn between_requests(&self) {
-        self.reached(|phase| matches!(phase, Phase::New | Phase::Idle)).await;
+    pub(super) async fn wait_until_between_requests(&self) {
+        self.wait_for_phase(|phase| matches!(phase, Phase::New | Phase::Idle)).await;
     }
 
     /// Resolves while the connection is between requests and has had a response. Until then its first request may be on
     /// the way.
-    pub(super) async fn idle(&self) {
-        self.reached(|phase| phase == Phase::Idle).await;
+    pub(super) async fn wait_until_idle(&self) {
+        self.wait_for_phase(|phase| phase == Phase::Idle).await;
     }
 
-    async fn reached(&self, is_reached: impl Fn(Phase) -> bool) {
+    async fn wait_for_phase(&self, is_reached: impl Fn(Phase) -> bool) {
         loop {
             let response_sent = self.response_sent.notified();
             if is_reached(lock(&self.state).phase) {
--- a/crates/vetchbridge/src/clients/connections/tests.rs
+++ b/crates/vetchbridge/src/clients/connections/tests.rs
@@ -27,7 +27,7 @@
         admitted.push(connections.admit(ALONE).expect("an eviction"));
         admitted.last().unwrap().connection.mark_awaiting_response();
         // Resolves at once for the one that was chosen, and for no other.
-        evicted.connection.must_close().await;
+        evicted.connection.wait_for_forced_close().await;
     }
     assert!(connections.admit(ALONE).is_none(), "no other may be evicted");
     drop(admitted.pop());
@@ -66,7 +66,7 @@
     assert_eq!(connections.next_eviction_at(ALONE), None);
     slots[0].connection.record_received(b"POST /a");
     let _admitted = connections.admit(ALONE).expect("one that has sent nothing is evicted");
-    slots[1].connection.must_close().await;
+    slots[1].connection.wait_for_forced_close().await;
 }
 
 /// A client's next request may arrive while its connection is chosen for eviction: it gets its response, and no other.
@@ -79,12 +79,12 @@
     let evicted = &slots[0].connection;
     evicted.record_received(b"POST /a HTTP/1.1\r\n\r\n");
     evicted.mark_awaiting_response();
-    let must_close = evicted.must_close();
-    tokio::pin!(must_close);
-    assert!(futures_util::poll!(must_close.as_mut()).is_pending() && evicted.closes_after_response());
+    let forced_close = evicted.wait_for_forced_close();
+    tokio::pin!(forced_close);
+    assert!(futures_util::poll!(forced_close.as_mut()).is_pending() && evicted.closes_after_response());
     evicted.mark_sending_response();
     evicted.record_flush();
-    must_close.await;
+    forced_close.await;
 }
 
 /// An evicted connection counts until it has closed, and closes at once when another needs its descriptor.
@@ -94,19 +94,19 @@
     let slots: Vec<ConnectionSlot<'_>> = (0..6).filter_map(|_| connections.admit(ALONE)).collect();
     slots[0].connection.mark_kept_alive();
     let _admitted = connections.admit(ALONE).expect("the idle one is evicted");
-    slots[0].connection.must_close().await;
+    slots[0].connection.wait_for_forced_close().await;
     slots[0].connection.check_close();
     slots[0].connection.start_lingering();
     {
-        let must_close = slots[0].connection.must_close();
-        tokio::pin!(must_close);
-        assert!(futures_util::poll!(must_close).is_pending(), "an earlier notification no longer counts");
+        let forced_close = slots[0].connection.wait_for_forced_close();
+        tokio::pin!(forced_close);
+        assert!(futures_util::poll!(forced_close).is_pending(), "an earlier notification no longer counts");
     }
     assert!(connections.has_lingering() && lock(&connections.table).remaining() == 7);
     let eviction_at = connections.next_eviction_at(ALONE).expect("its closing alone is not enough");
     tokio::time::advance(eviction_at - Instant::now()).await;
     let _next = connections.admit(ALONE).expect("two are evicted");
-    slots[0].connection.must_close().await;
+    slots[0].connection.wait_for_forced_close().await;
     assert_eq!(lock(&connections.table).remaining(), 6);
 }
 
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -69,9 +69,9 @@
             // What has been read comes first: an evicted connection may have received a request.
             biased;
             result = Pin::new(&mut serving) => ServingEnd::Finished(result),
-            () = connection.must_close() => ServingEnd::ClosedByLimit,
-            () = self.can_hand_over(connection) => ServingEnd::HandedOver,
-            () = self.drained(connection) => ServingEnd::Drained,
+            () = connection.wait_for_forced_close() => ServingEnd::ClosedByLimit,
+            () = self.wait_for_handover(connection) => ServingEnd::HandedOver,
+            () = self.wait_for_drain(connection) => ServingEnd::Drained,
         };
         match end {
             ServingEnd::Finished(Ok(())) => {}
@@ -93,11 +93,11 @@
     }
 
     /// Resolves when a successor is there and the connection is between requests.
-    async fn can_hand_over(&self, connection: &ClientConnection) {
+    async fn wait_for_handover(&self, connection: &ClientConnection) {
         let mut successor = self.process_links.successor();
         loop {
             drop(successor.wait_for(Option::is_some).await);
-            connection.between_requests().await;
+            connection.wait_until_between_requests().await;
             // The successor may have gone again while a request was in flight.
             if self.process_links.has_successor() {
                 return;
@@ -107,11 +107,11 @@
 
     /// Resolves when the process is draining and the connection is idle. One that has had no response may have its
     /// request on the way; that response closes it.
-    async fn drained(&self, connection: &ClientConnection) {
+    async fn wait_for_drain(&self, connection: &ClientConnection) {
         let mut state = self.lifecycle.subscribe();
         loop {
             drop(state.wait_for(|state| state.closes_idle()).await);
-            connection.idle().await;
+            connection.wait_until_idle().await;
             if self.lifecycle.state().closes_idle() {
                 return;
             }
