--- a/crates/vetchbridge/src/clients/eviction.rs
+++ b/crates/vetchbridge/src/clients/eviction.rs
@@ -134,3 +134,6 @@
         next.map(|(since, _)| *since + MIN_AGE_FOR_NEW_CONNECTION)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/vetchbridge/src/clients/eviction/tests.rs
@@ -0,0 +1,54 @@
+//! The eviction order by itself, without connections.
+
+use super::*;
+
+/// The groups, in the order in which they are evicted.
+const GROUPS: [EvictionGroup; EvictionGroup::COUNT] = [
+    EvictionGroup::Lingering,
+    EvictionGroup::New,
+    EvictionGroup::ReceivingRequest,
+    EvictionGroup::IdleAfterOneResponse,
+    EvictionGroup::IdleKeepAlive,
+    EvictionGroup::IdleCallback,
+];
+
+fn order_of(ranks: &[EvictionRank]) -> EvictionOrder {
+    let mut order = EvictionOrder::default();
+    for (id, rank) in (1..).zip(ranks) {
+        order.update(id, None, Some(*rank));
+    }
+    order
+}
+
+#[test]
+fn groups_are_evicted_in_order_and_the_oldest_of_a_group_first() {
+    let since = Instant::now();
+    let younger = since + Duration::from_millis(1);
+    let ranks: Vec<EvictionRank> = GROUPS
+        .iter()
+        .flat_map(|group| [younger, since].map(|since| EvictionRank { group: *group, since }))
+        .collect();
+    let mut order = order_of(&ranks);
+    let now = younger + MIN_AGE;
+    let mut evicted = Vec::new();
+    while let Some(id) = order.next(NewConnections::Protected, now) {
+        order.update(id, Some(ranks[id as usize - 1]), None);
+        evicted.push(id);
+    }
+    assert_eq!(evicted, [2, 1, 4, 3, 6, 5, 8, 7, 10, 9, 12, 11]);
+}
+
+#[test]
+fn a_new_connection_is_evicted_early_only_for_another_new_one() {
+    let since = Instant::now();
+    let order = order_of(&[EvictionRank { group: EvictionGroup::New, since }]);
+    let eviction_at = since + MIN_AGE_FOR_NEW_CONNECTION;
+    assert_eq!(order.next_new_connection_at(since), Some(eviction_at));
+    assert_eq!(order.next(NewConnections::Evictable, since), None);
+    assert!(!order.can_evict(1, since));
+    assert_eq!(order.next(NewConnections::Evictable, eviction_at), Some(1));
+    assert_eq!(order.next(NewConnections::Protected, eviction_at), None);
+    assert!(order.can_evict(1, eviction_at) && !order.can_evict(2, eviction_at));
+    assert_eq!(order.next_new_connection_at(eviction_at), None);
+    assert_eq!(order.next(NewConnections::Protected, since + MIN_AGE), Some(1));
+}
