--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -16,8 +16,6 @@
 use crate::timer::Timer;
 use crate::worker::AttemptId;
 
-pub use crate::endpoint_refresh::CONFIRM_WITHIN;
-
 /// The decision module of one scheduler: a state machine that takes events and returns actions.
 pub struct Scheduler {
     pub(crate) settings: Settings,
--- a/crates/scheduling/tests/coordination.rs
+++ b/crates/scheduling/tests/coordination.rs
@@ -5,8 +5,8 @@
 mod common;
 use common::*;
 use std::collections::BTreeMap;
-use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
 use vetchbridge_scheduling::*;
+use vetchbridge_scheduling::{Occupancy, PeerMessage};
 
 fn coordinating(scheduler_index: u32, scheduler_count: u32) -> Settings {
     let mut settings = Settings {
--- a/crates/scheduling/tests/limits.rs
+++ b/crates/scheduling/tests/limits.rs
@@ -35,16 +35,8 @@
 ];
 
 /// Files that decide nothing: the interface, the encoding of messages, and what the unit tests share.
-const OTHERS: [&str; 8] = [
-    "actions.rs",
-    "events.rs",
-    "ids.rs",
-    "interface.rs",
-    "lib.rs",
-    "peer_message.rs",
-    "settings.rs",
-    "test_support.rs",
-];
+const OTHERS: [&str; 7] =
+    ["actions.rs", "events.rs", "ids.rs", "lib.rs", "peer_message.rs", "settings.rs", "test_support.rs"];
 
 const DEPLOY_FILE: &str = include_str!("../../../deploy/balancer.toml");
 
--- a/crates/scheduling/tests/peer_messages.rs
+++ b/crates/scheduling/tests/peer_messages.rs
@@ -1,7 +1,7 @@
 //! The 16 bytes that schedulers send one another, as literals: schedulers of two versions share a tier.
 
-use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
 use vetchbridge_scheduling::WorkerId;
+use vetchbridge_scheduling::{Occupancy, PeerMessage};
 
 const WORKER: WorkerId = WorkerId(0x0123_4567_89ab_cdef);
 const WORKER_BYTES: [u8; 8] = [0xef, 0xcd, 0xab, 0x89, 0x67, 0x45, 0x23, 0x01];
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
 use vetchbridge_scheduling::*;
+use vetchbridge_scheduling::{Occupancy, PeerMessage};
 
 const WORKERS: u64 = 9;
 /// How long a repeat of a keyed request is dropped, as in the tests' settings.
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -3,7 +3,7 @@
 use crate::error::{Expected, SettingsFormatError};
 use crate::json_object::JsonObject;
 use crate::specifics::Specifics;
-use vetchbridge_scheduling::interface::{Class, DeduplicationScope, Idempotency};
+use vetchbridge_scheduling::{Class, DeduplicationScope, Idempotency};
 
 const REPEAT_VALUES: &[&str] = &["safe", "keyed", "unsafe"];
 const GROUP_VALUES: &[&str] = &["all", "zone", "cell"];
--- a/crates/settings/src/cost_weights.rs
+++ b/crates/settings/src/cost_weights.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
-use vetchbridge_scheduling::interface::CostWeights;
+use vetchbridge_scheduling::CostWeights;
 
 pub(crate) fn read(charges: &JsonObject<'_>) -> Result<CostWeights, SettingsFormatError> {
     Ok(CostWeights {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,7 +25,7 @@
 use json_object::JsonObject;
 use serde_json::Value;
 use specifics::Specifics;
-use vetchbridge_scheduling::interface::{EndpointDelivery, LoadReportSource, Settings, Weights, ZoneId};
+use vetchbridge_scheduling::{EndpointDelivery, LoadReportSource, Settings, Weights, ZoneId};
 
 const DISCOVERY_VALUES: &[&str] = &["push", "ask"];
 const STATS_VIA_VALUES: &[&str] = &["off", "inline", "on_probe"];
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
-use vetchbridge_scheduling::interface::Limits;
+use vetchbridge_scheduling::Limits;
 
 pub(crate) fn read(limits: &JsonObject<'_>) -> Result<Limits, SettingsFormatError> {
     Ok(Limits {
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
-use vetchbridge_scheduling::interface::Rules;
+use vetchbridge_scheduling::Rules;
 
 pub(crate) fn read(rules: &JsonObject<'_>) -> Result<Rules, SettingsFormatError> {
     Ok(Rules {
--- a/crates/settings/src/specifics.rs
+++ b/crates/settings/src/specifics.rs
@@ -3,7 +3,7 @@
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
 use serde_json::Value;
-use vetchbridge_scheduling::interface::{KindId, Micros, QueueOrder};
+use vetchbridge_scheduling::{KindId, Micros, QueueOrder};
 
 /// The site's specifics; all of them may be absent.
 pub(crate) struct Specifics<'a> {
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
-use vetchbridge_scheduling::interface::Tenant;
+use vetchbridge_scheduling::Tenant;
 
 pub(crate) fn read(root: &JsonObject<'_>) -> Result<Vec<Tenant>, SettingsFormatError> {
     if root.get("accounts").is_none() {
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use rstest::rstest;
-use vetchbridge_scheduling::interface::*;
+use vetchbridge_scheduling::*;
 use vetchbridge_settings::{from_json, Expected, Problem, SettingsFormatError};
 
 /// Only what is required.
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,8 +2,8 @@
 
 use crate::wire::{print_actions, FieldError, FieldProblem, Message};
 use std::collections::BTreeMap;
-use vetchbridge_scheduling::interface::{Action, Event, Micros, Settings};
-use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_scheduling::Scheduler;
+use vetchbridge_scheduling::{Action, Event, Micros, Settings};
 
 /// A batch that has begun.
 struct Batch {
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 use std::io;
-use vetchbridge_scheduling::interface::SettingsError;
+use vetchbridge_scheduling::SettingsError;
 use vetchbridge_settings::SettingsFormatError;
 
 /// What is wrong with a field or message.
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) use print::print_actions;
 pub(crate) use reader::Reader;
 
-use vetchbridge_scheduling::interface::{Event, Micros, Settings};
+use vetchbridge_scheduling::{Event, Micros, Settings};
 
 /// One message of a batch.
 #[derive(Debug, PartialEq)]
--- a/crates/simulator-adapter/src/wire/parse.rs
+++ b/crates/simulator-adapter/src/wire/parse.rs
@@ -3,7 +3,7 @@
 use super::error::{FieldError, FieldProblem};
 use super::fields::Fields;
 use super::{base64, worker_address, Message};
-use vetchbridge_scheduling::interface::{
+use vetchbridge_scheduling::{
     AttemptNo, CellId, ClassId, Endpoint, EndpointState, EndpointUpdate, Event, JobProgress, KindId,
     LoadReport, Outcome, Request, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
 };
--- a/crates/simulator-adapter/src/wire/print.rs
+++ b/crates/simulator-adapter/src/wire/print.rs
@@ -3,7 +3,7 @@
 use super::base64;
 use super::worker_address::WorkerAddress;
 use std::io::{self, Write};
-use vetchbridge_scheduling::interface::{Action, Micros, Recipient, RequestId, WorkerId};
+use vetchbridge_scheduling::{Action, Micros, Recipient, RequestId, WorkerId};
 
 /// Prints the actions of one instance as reply lines.
 pub(crate) fn print_actions(out: &mut Vec<u8>, instance: u32, actions: &[Action]) -> io::Result<()> {
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -4,7 +4,7 @@
 use super::parse::{parse_endpoint, parse_line, Line};
 use super::Message;
 use std::io::BufRead;
-use vetchbridge_scheduling::interface::{EndpointUpdate, Event};
+use vetchbridge_scheduling::{EndpointUpdate, Event};
 
 /// Initial capacity of the line buffer in bytes.
 const LINE_CAPACITY: usize = 1 << 16;
--- a/crates/simulator-adapter/src/wire/worker_address.rs
+++ b/crates/simulator-adapter/src/wire/worker_address.rs
@@ -1,7 +1,7 @@
 //! Workers by their address, `a.b.c.d:port`. The number of an address is the same at every scheduler.
 
 use std::fmt;
-use vetchbridge_scheduling::interface::WorkerId;
+use vetchbridge_scheduling::WorkerId;
 
 /// Number of digits of the longest port.
 const MAX_DIGITS: u32 = 5;
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use std::sync::Arc;
 use tokio::sync::OwnedSemaphorePermit;
-use vetchbridge_scheduling::interface::{Class, ClassId, Idempotency, Micros, Request};
+use vetchbridge_scheduling::{Class, ClassId, Idempotency, Micros, Request};
 
 /// Why a request can't be accepted as it is; the text is part of the response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -13,7 +13,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::time::Duration;
-use vetchbridge_scheduling::interface::Settings;
+use vetchbridge_scheduling::Settings;
 
 /// Descriptors that the process may hold where nothing says otherwise.
 const DEFAULT_SOCKETS: usize = 1024;
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -12,9 +12,9 @@
 use crate::snapshot::{NameTables, Snapshot};
 use crate::workers::load_report::{self, LoadReportSettings};
 use std::collections::BTreeSet;
-use vetchbridge_scheduling::interface::{
-    self, Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings,
-    Tenant, ZoneId,
+use vetchbridge_scheduling::{
+    Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings, Tenant,
+    ZoneId,
 };
 
 /// Translates a file whose text is `text`; all of its faults otherwise, in the order of their places.
@@ -277,24 +277,24 @@
     }
 }
 
-fn weights(weights: Weights) -> interface::Weights {
+fn weights(weights: Weights) -> vetchbridge_scheduling::Weights {
     match weights {
-        Weights::Off => interface::Weights::Fixed,
-        Weights::Nominal | Weights::Rough => interface::Weights::Size,
-        Weights::Live => interface::Weights::Live,
+        Weights::Off => vetchbridge_scheduling::Weights::Fixed,
+        Weights::Nominal | Weights::Rough => vetchbridge_scheduling::Weights::Size,
+        Weights::Live => vetchbridge_scheduling::Weights::Live,
     }
 }
 
-fn queue_order(order: QueueOrder) -> interface::QueueOrder {
+fn queue_order(order: QueueOrder) -> vetchbridge_scheduling::QueueOrder {
     match order {
-        QueueOrder::Fifo => interface::QueueOrder::Fifo,
-        QueueOrder::Backfill => interface::QueueOrder::Backfill,
-        QueueOrder::Priority => interface::QueueOrder::Priority,
+        QueueOrder::Fifo => vetchbridge_scheduling::QueueOrder::Fifo,
+        QueueOrder::Backfill => vetchbridge_scheduling::QueueOrder::Backfill,
+        QueueOrder::Priority => vetchbridge_scheduling::QueueOrder::Priority,
     }
 }
 
-fn limits(attempts: &Attempts) -> interface::Limits {
-    interface::Limits {
+fn limits(attempts: &Attempts) -> vetchbridge_scheduling::Limits {
+    vetchbridge_scheduling::Limits {
         max_attempts: attempts.max,
         hedging: attempts.second_copies,
         dial_timeout: attempts.dial_timeout.0,
@@ -306,8 +306,8 @@
     }
 }
 
-fn rules(rules: &Rules) -> interface::Rules {
-    interface::Rules {
+fn rules(rules: &Rules) -> vetchbridge_scheduling::Rules {
+    vetchbridge_scheduling::Rules {
         answer_slack: rules.answer_slack.0,
         drain_grace: rules.drain_grace.0,
         poll_within: rules.ask_within.map(|span| span.0),
@@ -318,8 +318,8 @@
     }
 }
 
-fn cost_weights(prices: &Prices) -> interface::CostWeights {
-    interface::CostWeights {
+fn cost_weights(prices: &Prices) -> vetchbridge_scheduling::CostWeights {
+    vetchbridge_scheduling::CostWeights {
         cross_zone: prices.cross_zone,
         probe: prices.probe,
         waste: prices.waste,
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -8,7 +8,7 @@
 use std::num::ParseIntError;
 use std::str::FromStr;
 use std::time::Duration;
-use vetchbridge_scheduling::interface::Micros;
+use vetchbridge_scheduling::Micros;
 
 /// Why a text is no value of a unit. What would be right is [`Unit::EXAMPLE`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -6,7 +6,7 @@
 use crate::workers::worker_id;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use vetchbridge_scheduling::interface::{CellId, Endpoint, EndpointState, KindId, ZoneId};
+use vetchbridge_scheduling::{CellId, Endpoint, EndpointState, KindId, ZoneId};
 
 /// The index of a zone or machine type that the settings do not name: no class or scheduler has it.
 const UNKNOWN_INDEX: u32 = u32::MAX;
--- a/crates/vetchbridge/src/discovery/endpoint_list.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list.rs
@@ -7,7 +7,7 @@
 use crate::snapshot::NameTables;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use vetchbridge_scheduling::interface::{Endpoint, EndpointUpdate};
+use vetchbridge_scheduling::{Endpoint, EndpointUpdate};
 
 /// The complete endpoint list, with its generation at its source.
 #[derive(Debug, Default)]
--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 use tokio::time::Instant;
-use vetchbridge_scheduling::interface::EndpointDelivery;
+use vetchbridge_scheduling::EndpointDelivery;
 
 /// The longest time that a watch waits at the service for a change. A silent connection is noticed only when this is
 /// over.
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -25,7 +25,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
-use vetchbridge_scheduling::interface::{Endpoint, EndpointState, EndpointUpdate, Event};
+use vetchbridge_scheduling::{Endpoint, EndpointState, EndpointUpdate, Event};
 
 /// The list that a process starts from.
 pub struct InitialEndpoints {
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -21,10 +21,8 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 use tracing::{debug, error, info};
-use vetchbridge_scheduling::interface::{
-    Action, AttemptNo, Event, Micros, Request, RequestId, TimerToken, WorkerId,
-};
-use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_scheduling::Scheduler;
+use vetchbridge_scheduling::{Action, AttemptNo, Event, Micros, Request, RequestId, TimerToken, WorkerId};
 
 /// What the scheduler wants done for one request.
 #[derive(Debug)]
--- a/crates/vetchbridge/src/engine/clock.rs
+++ b/crates/vetchbridge/src/engine/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
-use vetchbridge_scheduling::interface::Micros;
+use vetchbridge_scheduling::Micros;
 
 /// Unix time at the start and monotonic from there on, so that the start times in endpoint lists need no translation.
 #[derive(Clone, Copy)]
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -5,7 +5,7 @@
 use crate::workers::{worker_id, WorkerEndpoint};
 use std::time::Duration;
 use tokio::net::TcpListener;
-use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
+use vetchbridge_scheduling::{EndpointState, EndpointUpdate, Outcome};
 use vetchbridge_testbed::wire::Wire;
 
 const MINUTE: Duration = Duration::from_secs(60);
--- a/crates/vetchbridge/src/engine/timers.rs
+++ b/crates/vetchbridge/src/engine/timers.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use vetchbridge_scheduling::interface::{Micros, TimerToken};
+use vetchbridge_scheduling::{Micros, TimerToken};
 
 /// One timer. The order of the fields is the order in which timers fire.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/vetchbridge/src/invariants.rs
+++ b/crates/vetchbridge/src/invariants.rs
@@ -6,7 +6,7 @@
 use crate::logs::Id;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tracing::error;
-use vetchbridge_scheduling::interface::RequestId;
+use vetchbridge_scheduling::RequestId;
 
 /// A statement that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/vetchbridge/src/logs/mod.rs
+++ b/crates/vetchbridge/src/logs/mod.rs
@@ -15,7 +15,7 @@
 use tracing_subscriber::reload::{self, Handle};
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{EnvFilter, Registry};
-use vetchbridge_scheduling::interface::RequestId;
+use vetchbridge_scheduling::RequestId;
 use writer::LossyWriter;
 
 /// The filter where none is configured.
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{debug, warn};
-use vetchbridge_scheduling::interface::{Event, Recipient};
+use vetchbridge_scheduling::{Event, Recipient};
 
 /// The longest datagram that may be sent between schedulers.
 const MAX_DATAGRAM_BYTES: usize = 256;
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 use tracing::debug;
-use vetchbridge_scheduling::interface::{
+use vetchbridge_scheduling::{
     AttemptNo, ClassId, Event, Idempotency, LoadReport, Micros, Outcome, Request, RequestId, WorkerId,
 };
 
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -30,7 +30,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use tracing::info;
-use vetchbridge_scheduling::interface::SettingsError;
+use vetchbridge_scheduling::SettingsError;
 
 /// Why the daemon could not serve.
 #[derive(Debug, thiserror::Error)]
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
 use tracing::{error, info, warn};
-use vetchbridge_scheduling::interface::{EndpointUpdate, Event};
+use vetchbridge_scheduling::{EndpointUpdate, Event};
 
 /// Applies new configurations to the parts of the daemon that can take them at work.
 pub(super) struct Reloader {
--- a/crates/vetchbridge/src/serve/shutdown.rs
+++ b/crates/vetchbridge/src/serve/shutdown.rs
@@ -3,7 +3,7 @@
 use crate::upgrade::HandoverServer;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
-use vetchbridge_scheduling::interface::Event;
+use vetchbridge_scheduling::Event;
 
 /// Minimum time that the listener stays after SIGTERM: new connections keep arriving.
 const MIN_LISTEN_TIME: Duration = Duration::from_millis(900);
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::timeout;
 use tracing::{error, info};
-use vetchbridge_scheduling::scheduler::{Scheduler, CONFIRM_WITHIN};
+use vetchbridge_scheduling::{Scheduler, CONFIRM_WITHIN};
 
 /// At most one descriptor in this many is used for a health check: a quarter of those that are not for client
 /// connections.
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::workers::load_report::LoadReportSettings;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use vetchbridge_scheduling::interface::{Class, Settings, Tenant, TenantId};
+use vetchbridge_scheduling::{Class, Settings, Tenant, TenantId};
 
 /// The names behind the settings' indices, as the sockets use them: a name's place in its table is its index.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tokio::time::timeout;
 use tracing::warn;
-use vetchbridge_scheduling::interface::RequestId;
+use vetchbridge_scheduling::RequestId;
 
 /// Messages that may be queued for one process; further ones are dropped, as for a process that hangs.
 const QUEUE_CAPACITY: usize = 8192;
--- a/crates/vetchbridge/src/workers/attempt.rs
+++ b/crates/vetchbridge/src/workers/attempt.rs
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 use tracing::debug;
-use vetchbridge_scheduling::interface::{JobProgress, LoadReport, Outcome, RequestId, WorkerId};
+use vetchbridge_scheduling::{JobProgress, LoadReport, Outcome, RequestId, WorkerId};
 
 /// How an attempt ended.
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/vetchbridge/src/workers/attempt/tests.rs
+++ b/crates/vetchbridge/src/workers/attempt/tests.rs
@@ -2,7 +2,7 @@
 use crate::workers::{worker_id, WorkerEndpoint};
 use hyper::http::uri::PathAndQuery;
 use tokio::net::TcpListener;
-use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate};
+use vetchbridge_scheduling::{EndpointState, EndpointUpdate};
 
 const MINUTE: Duration = Duration::from_secs(60);
 
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::Instant;
 use tracing::warn;
-use vetchbridge_scheduling::interface::{RequestId, WorkerId};
+use vetchbridge_scheduling::{RequestId, WorkerId};
 
 /// How long after the end of an attempt a worker may still retry the callback that ended it.
 const CALLBACK_RETRY_WINDOW: Duration = Duration::from_secs(2);
--- a/crates/vetchbridge/src/workers/endpoint.rs
+++ b/crates/vetchbridge/src/workers/endpoint.rs
@@ -4,7 +4,7 @@
 use hyper::http::uri::Authority;
 use std::sync::Mutex;
 use tokio::sync::watch;
-use vetchbridge_scheduling::interface::{EndpointState, Micros, Outcome, WorkerId};
+use vetchbridge_scheduling::{EndpointState, Micros, Outcome, WorkerId};
 
 /// A worker as the endpoint list describes it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 use tracing::warn;
-use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, WorkerId};
+use vetchbridge_scheduling::{EndpointState, EndpointUpdate, WorkerId};
 
 /// How long a worker may take to accept a job where the settings put no limit on a dial.
 const DEFAULT_ACCEPT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/vetchbridge/src/workers/identifiers.rs
+++ b/crates/vetchbridge/src/workers/identifiers.rs
@@ -1,6 +1,6 @@
 //! The identifiers of workers and requests.
 
-use vetchbridge_scheduling::interface::{RequestId, WorkerId};
+use vetchbridge_scheduling::{RequestId, WorkerId};
 
 /// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/vetchbridge/src/workers/load_report.rs
+++ b/crates/vetchbridge/src/workers/load_report.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use tracing::debug;
-use vetchbridge_scheduling::interface::{LoadReport, LoadReportSource};
+use vetchbridge_scheduling::{LoadReport, LoadReportSource};
 
 /// The response header that carries a load report.
 pub const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
--- a/crates/vetchbridge/src/workers/probe.rs
+++ b/crates/vetchbridge/src/workers/probe.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use vetchbridge_scheduling::interface::{LoadReport, Outcome, WorkerId};
+use vetchbridge_scheduling::{LoadReport, Outcome, WorkerId};
 
 /// How long a probe may take, including its dial. A worker rejects a probe that has been queued for 500 ms; its response is
 /// still read, so that the connection can be reused.
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -23,8 +23,8 @@
 use vetchbridge::snapshot::{CurrentSettings, Snapshot};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{parse_request_id, Payload, UpstreamGroup};
-use vetchbridge_scheduling::interface::{ClassId, EndpointDelivery, Event, Request, Settings, TenantId};
-use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_scheduling::Scheduler;
+use vetchbridge_scheduling::{ClassId, EndpointDelivery, Event, Request, Settings, TenantId};
 use vetchbridge_testbed::wire::Wire;
 
 /// A test that makes no progress fails after this time.
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use vetchbridge::config::{load, read_file, Flags};
 use vetchbridge::workers::load_report::{FreeSlotsField, LoadReportSettings};
-use vetchbridge_scheduling::interface::LoadReportSource;
+use vetchbridge_scheduling::LoadReportSource;
 
 fn file(name: &str, text: &str) -> PathBuf {
     static FILES: AtomicU32 = AtomicU32::new(0);
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -14,7 +14,7 @@
 use vetchbridge::workers::{
     parse_request_id, worker_id, AttemptResult, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
-use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome};
+use vetchbridge_scheduling::{EndpointState, EndpointUpdate, Outcome};
 use vetchbridge_testbed::wire::Wire;
 
 /// A worker that rejects every job and keeps the connection open; sends its number to `closed` for each connection that the
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -18,7 +18,7 @@
 use vetchbridge::workers::{
     worker_id, AttemptResult, Callback, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
-use vetchbridge_scheduling::interface::{EndpointState, EndpointUpdate, Outcome, RequestId, WorkerId};
+use vetchbridge_scheduling::{EndpointState, EndpointUpdate, Outcome, RequestId, WorkerId};
 
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, Instant};
 use vetchbridge::discovery::document::InstanceState;
 use vetchbridge::discovery::request::DiscoveryRequest;
-use vetchbridge_scheduling::interface::EndpointDelivery;
+use vetchbridge_scheduling::EndpointDelivery;
 use vetchbridge_testbed::wire::{Message, Wire};
 
 /// One change answers the watches of all schedulers together, and then all fall silent together: they end apart, by
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
-use vetchbridge_scheduling::interface::EndpointDelivery;
+use vetchbridge_scheduling::EndpointDelivery;
 use vetchbridge_testbed::wire::Wire;
 
 /// A scheduler that has not called discovery again by then is not going to.
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::sleep;
-use vetchbridge_scheduling::peer_message::{Occupancy, PeerMessage};
+use vetchbridge_scheduling::{Occupancy, PeerMessage};
 use vetchbridge_testbed::wire::Wire;
 
 pub const WORKERS: usize = 1200;
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -16,10 +16,8 @@
 use vetchbridge::request::{submit, Answer, Job};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{worker_id, Payload, SendConditions, UpstreamGroup, WorkerEndpoint};
-use vetchbridge_scheduling::interface::{
-    ClassId, EndpointState, EndpointUpdate, Request, RequestId, TenantId,
-};
-use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_scheduling::Scheduler;
+use vetchbridge_scheduling::{ClassId, EndpointState, EndpointUpdate, Request, RequestId, TenantId};
 
 const MINUTE: Duration = Duration::from_secs(60);
 
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -24,8 +24,8 @@
 use vetchbridge::workers::{
     worker_id, AttemptResult, Callback, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
-use vetchbridge_scheduling::interface::*;
-use vetchbridge_scheduling::scheduler::Scheduler;
+use vetchbridge_scheduling::Scheduler;
+use vetchbridge_scheduling::*;
 use vetchbridge_testbed::wire::Wire;
 
 const MINUTE: Duration = Duration::from_secs(60);
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -13,7 +13,7 @@
 use vetchbridge::workers::{
     worker_id, AttemptResult, Callback, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
-use vetchbridge_scheduling::interface::{
+use vetchbridge_scheduling::{
     EndpointState, EndpointUpdate, LoadReport, LoadReportSource, Outcome, RequestId, WorkerId,
 };
 use vetchbridge_testbed::{wire::Wire, Port};
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use vetchbridge::request::Answer;
 use vetchbridge::workers::Callback;
-use vetchbridge_scheduling::interface::{Event, Idempotency};
+use vetchbridge_scheduling::{Event, Idempotency};
 use vetchbridge_testbed::wire::Wire;
 
 const REQUEST_ID: &str = "00000000000000ab";
