--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -8,13 +8,13 @@
 
 /// What repeating a job of a class does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// It may run any number of times.
-    Safe,
+    Idempotent,
     /// Workers drop a repeat within this time.
     Keyed(Duration),
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// One class of jobs as clients send them.
@@ -25,19 +25,19 @@
     /// Its share of the jobs, against the others' shares.
     pub share: f64,
     /// The worth of a job answered in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The mean of its work.
     pub work: Duration,
     /// How widely work varies: the sigma of a log-normal distribution.
     pub spread: f64,
     /// An answer is in time within this ...
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// ... and so many times its work.
-    pub stretch: f64,
+    pub objective_per_work: f64,
     /// When a client gives up.
     pub deadline: Duration,
     /// What a repeat does.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// How many objects jobs are about.
     pub objects: u64,
     /// How unevenly they are asked for: the exponent of a Zipf distribution.
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -2,9 +2,9 @@
 //!
 //! Owns the connections and the clock of the load. Latency counts from when a job should have been sent, so that a
 //! stall of the load itself is not hidden (coordinated omission); how late it ran is kept beside it. It must never
-//! judge what came back; that is [`crate::account`]'s.
+//! judge what came back; that is [`crate::audit`]'s.
 
-use crate::arrivals::{Arrival, Arrivals, ClassLoad, LoadError, LoadSpec, Repeat};
+use crate::arrivals::{Arrival, Arrivals, ClassLoad, Idempotency, LoadError, LoadSpec};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, StatusCode};
@@ -28,7 +28,7 @@
     /// 200, with this result.
     Served(String),
     /// 429 or 503.
-    Refused,
+    Rejected,
     /// Any other status.
     Failed(u16),
     /// No connection was made, so nothing was taken.
@@ -41,7 +41,7 @@
 
 /// One try of a job.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// Its id, new with every try.
     pub id: u64,
     /// When it was sent, from the start.
@@ -54,31 +54,32 @@
     pub outcome: Outcome,
 }
 
-/// One job and all of its tries.
+/// One job and all of its attempts.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
     /// As it arrived.
     pub arrival: Arrival,
     /// The key under which repeats are dropped.
     pub key: Option<String>,
-    /// Its tries, in order.
-    pub tries: Vec<Try>,
+    /// Its attempts, in order.
+    pub attempts: Vec<Attempt>,
 }
 
 impl JobRecord {
     /// How long the client waited, from when the job should have been sent.
     pub fn latency(&self) -> Duration {
-        self.tries.last().map_or(Duration::ZERO, |last| last.ended.saturating_sub(self.arrival.at))
+        self.attempts.last().map_or(Duration::ZERO, |last| last.ended.saturating_sub(self.arrival.at))
     }
 
     /// Whether it was served within its class's aim, which may grow with the job's own running time.
     pub fn in_time(&self, class: &ClassLoad) -> bool {
-        self.served() && self.latency() <= class.aim + self.arrival.work.mul_f64(class.stretch)
+        self.served()
+            && self.latency() <= class.latency_objective + self.arrival.work.mul_f64(class.objective_per_work)
     }
 
     /// Whether it was served in the end.
     pub fn served(&self) -> bool {
-        matches!(self.tries.last(), Some(Try { outcome: Outcome::Served(_), .. }))
+        matches!(self.attempts.last(), Some(Attempt { outcome: Outcome::Served(_), .. }))
     }
 }
 
@@ -198,10 +199,10 @@
         let (http, fresh) = (self.http.clone(), self.fresh.clone());
         async move {
             let class = &spec.classes[arrival.class];
-            let key = matches!(class.repeat, Repeat::Keyed(_))
+            let key = matches!(class.idempotency, Idempotency::Keyed(_))
                 .then(|| format!("{:016x}{:04x}", arrival.salt, arrival.job));
             let give_up = began + arrival.at + class.deadline;
-            let mut record = JobRecord { arrival, key, tries: Vec::new() };
+            let mut record = JobRecord { arrival, key, attempts: Vec::new() };
             for number in 0..=spec.retries {
                 let left = give_up.saturating_duration_since(Instant::now());
                 if left.is_zero() {
@@ -226,10 +227,10 @@
                     Ok(heard) => heard,
                     Err(_) => (Outcome::Unanswered, None),
                 };
-                let first = record.tries.first().map_or(sent, |first| first.sent);
+                let first = record.attempts.first().map_or(sent, |first| first.sent);
                 let returns = began.elapsed().saturating_sub(first) + spec.pause;
-                let over = !comes_back(class.repeat, &outcome, returns);
-                record.tries.push(Try { id, sent, resent, ended: began.elapsed(), outcome });
+                let over = !comes_back(class.idempotency, &outcome, returns);
+                record.attempts.push(Attempt { id, sent, resent, ended: began.elapsed(), outcome });
                 if over || number == spec.retries {
                     break;
                 }
@@ -248,14 +249,14 @@
 /// Whether a client asks again: after its own time never, and where a second run would do harm only after an answer
 /// that says that there was none, or without a connection. A failure says nothing, so that a key is sent again only while
 /// it is remembered; `returns` is the time from the first try to the next.
-fn comes_back(repeat: Repeat, heard: &Outcome, returns: Duration) -> bool {
+fn comes_back(idempotency: Idempotency, heard: &Outcome, returns: Duration) -> bool {
     match heard {
         Outcome::Served(_) | Outcome::Unanswered => false,
-        Outcome::Refused | Outcome::Unreachable(_) => true,
-        Outcome::Failed(_) | Outcome::Broken(_) => match repeat {
-            Repeat::Safe => true,
-            Repeat::Keyed(window) => returns < window,
-            Repeat::Unsafe => false,
+        Outcome::Rejected | Outcome::Unreachable(_) => true,
+        Outcome::Failed(_) | Outcome::Broken(_) => match idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed(window) => returns < window,
+            Idempotency::NonIdempotent => false,
         },
     }
 }
@@ -320,7 +321,7 @@
     };
     let outcome = match status {
         StatusCode::OK => Outcome::Served(String::from_utf8_lossy(&body).into_owned()),
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Outcome::Refused,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected,
         other => Outcome::Failed(other.as_u16()),
     };
     (outcome, advice)
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -17,8 +17,8 @@
 //! # Ok(()) }
 //! ```
 
-pub mod account;
 pub mod arrivals;
+pub mod audit;
 pub mod client;
 pub mod discovery;
 pub mod front;
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,7 +1,7 @@
 //! What the workers ran: the one account of it, and the memory by which they drop repeats of keyed jobs.
 //!
 //! Pure but for its lock: times are handed in. It must never decide what a scheduler should have done; that is
-//! [`crate::account`]'s.
+//! [`crate::audit`]'s.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/testbed/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -2,19 +2,19 @@
 #![allow(missing_docs)]
 
 use std::time::Duration;
-use vetchbridge_testbed::arrivals::{Arrival, Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
+use vetchbridge_testbed::arrivals::{Arrival, Arrivals, ClassLoad, Idempotency, LoadSpec, TenantLoad};
 
 fn spec() -> LoadSpec {
     let class = |name: &str, share, work| ClassLoad {
         name: name.to_string(),
         share,
-        worth: 1.0,
+        priority_weight: 1.0,
         work: Duration::from_millis(work),
         spread: 0.5,
-        aim: Duration::from_millis(200),
-        stretch: 2.0,
+        latency_objective: Duration::from_millis(200),
+        objective_per_work: 2.0,
         deadline: Duration::from_secs(5),
-        repeat: Repeat::Safe,
+        idempotency: Idempotency::Idempotent,
         objects: 100,
         zipf: 1.0,
         slots: 1,
--- a/crates/testbed/tests/stories.rs
+++ b/crates/testbed/tests/stories.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use vetchbridge_testbed::arrivals::{Arrivals, ClassLoad, LoadSpec, Repeat, TenantLoad};
+use vetchbridge_testbed::arrivals::{Arrivals, ClassLoad, Idempotency, LoadSpec, TenantLoad};
 use vetchbridge_testbed::client::{Clients, Outcome};
 use vetchbridge_testbed::discovery::{Discovery, Health};
 use vetchbridge_testbed::front::Front;
@@ -451,13 +451,13 @@
     let class = ClassLoad {
         name: "c".to_string(),
         share: 1.0,
-        worth: 1.0,
+        priority_weight: 1.0,
         work: Duration::from_millis(3),
         spread: 0.0,
-        aim: Duration::from_secs(60),
-        stretch: 0.0,
+        latency_objective: Duration::from_secs(60),
+        objective_per_work: 0.0,
         deadline: Duration::from_secs(60),
-        repeat: Repeat::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         objects: 1,
         zipf: 0.0,
         slots,
@@ -500,6 +500,6 @@
     wire.answer(500, "", "").await.expect("answered");
     drop((wire, scheduler));
     let record = loading.await.expect("it ends").expect("a load");
-    let ends: Vec<_> = record.jobs[0].tries.iter().map(|one| one.outcome.clone()).collect();
-    assert_eq!(ends, [Outcome::Refused, Outcome::Failed(500)]);
+    let ends: Vec<_> = record.jobs[0].attempts.iter().map(|one| one.outcome.clone()).collect();
+    assert_eq!(ends, [Outcome::Rejected, Outcome::Failed(500)]);
 }
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -181,8 +181,11 @@
     let (took, used) = (began.elapsed(), cpu_time(contender.pid).ok_or_else(gone)?.saturating_sub(before));
     let served = record.jobs.iter().filter(|job| job.served()).count();
     if served * 100 < record.jobs.len() * 99 {
-        let other =
-            record.jobs.iter().flat_map(|job| &job.tries).find(|t| !matches!(t.outcome, Outcome::Served(_)));
+        let other = record
+            .jobs
+            .iter()
+            .flat_map(|job| &job.attempts)
+            .find(|t| !matches!(t.outcome, Outcome::Served(_)));
         let text =
             format!("{}: only {served} of {} were served: {other:?}", contender.name, record.jobs.len());
         return Err(Failure::Missed(text));
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use vetchbridge::config::file;
 use vetchbridge::config::units::Span;
-use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec, Repeat, TenantLoad};
+use vetchbridge_testbed::arrivals::{ClassLoad, Idempotency, LoadSpec, TenantLoad};
 
 /// The load: an open loop.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
@@ -108,16 +108,18 @@
         ClassLoad {
             name: self.name.clone(),
             share: self.share,
-            worth: class.worth,
+            priority_weight: class.worth,
             work: self.work.duration(),
             spread: self.spread,
-            aim: class.aim.duration(),
-            stretch: class.stretch,
+            latency_objective: class.aim.duration(),
+            objective_per_work: class.stretch,
             deadline: class.deadline.duration(),
-            repeat: match class.repeat {
-                file::Repeat::Safe => Repeat::Safe,
-                file::Repeat::Unsafe => Repeat::Unsafe,
-                file::Repeat::Keyed => Repeat::Keyed(class.window.map_or(Duration::ZERO, Span::duration)),
+            idempotency: match class.repeat {
+                file::Repeat::Safe => Idempotency::Idempotent,
+                file::Repeat::Unsafe => Idempotency::NonIdempotent,
+                file::Repeat::Keyed => {
+                    Idempotency::Keyed(class.window.map_or(Duration::ZERO, Span::duration))
+                }
             },
             objects: self.objects,
             zipf: self.zipf,
--- a/crates/testkit/src/report.rs
+++ b/crates/testkit/src/report.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use vetchbridge_testbed::account::{judge, Answers, Outage};
 use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec};
+use vetchbridge_testbed::audit::{audit_jobs, Answers, Outage};
 use vetchbridge_testbed::client::{JobRecord, LoadRecord, Outcome};
 use vetchbridge_testbed::runs::Run;
 
@@ -107,11 +107,12 @@
         outages: &[Outage],
     ) -> Report {
         let classes = &spec.classes;
-        let verdict = judge(classes, &record.jobs, workers.map(|workers| workers.runs.as_slice()), outages);
+        let verdict =
+            audit_jobs(classes, &record.jobs, workers.map(|workers| workers.runs.as_slice()), outages);
         let jobs = record.jobs.len() as u64;
-        let tries = record.jobs.iter().map(|job| job.tries.len() as u64).sum();
+        let tries = record.jobs.iter().map(|job| job.attempts.len() as u64).sum();
         let mut causes = BTreeMap::new();
-        for one in record.jobs.iter().flat_map(|job| &job.tries) {
+        for one in record.jobs.iter().flat_map(|job| &job.attempts) {
             if let Outcome::Broken(cause) | Outcome::Unreachable(cause) = &one.outcome {
                 *causes.entry(cause.clone()).or_default() += 1;
             }
@@ -164,10 +165,10 @@
         let mut row = |name: &str, value: String| {
             all.add_row(vec![name.to_string(), value]);
         };
-        let Answers { served, refused, failed, lost, unreachable, none } = self.answers;
+        let Answers { served, rejected, failed, lost, unreachable, none } = self.answers;
         row("jobs", self.jobs.to_string());
         row("tries", self.tries.to_string());
-        row("answers", format!("{served} served, {refused} refused, {failed} failed"));
+        row("answers", format!("{served} served, {rejected} refused, {failed} failed"));
         row("without an answer", format!("{lost} lost, {unreachable} unreachable, {none} timed out"));
         let verdict = match self.violations.len() {
             0 => "held: one final answer each".to_string(),
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -13,7 +13,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
-use vetchbridge_testbed::account::Outage;
+use vetchbridge_testbed::audit::Outage;
 use vetchbridge_testbed::client::{Clients, LoadRecord, Standing};
 use vetchbridge_testbed::discovery::Discovery;
 use vetchbridge_testbed::worker::Worker;
@@ -239,7 +239,7 @@
 pub fn count_from_earlier(record: &mut LoadRecord, offset: Duration) {
     for job in &mut record.jobs {
         job.arrival.at += offset;
-        for one in &mut job.tries {
+        for one in &mut job.attempts {
             (one.sent, one.ended) = (one.sent + offset, one.ended + offset);
             one.resent = one.resent.map(|resent| resent + offset);
         }
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -132,7 +132,7 @@
     let mut gives_up: HashMap<u64, Duration> = HashMap::new();
     for job in evidence.jobs {
         let deadline = job.arrival.at + evidence.classes[job.arrival.class].deadline;
-        gives_up.extend(job.tries.iter().map(|one| (one.id, deadline)));
+        gives_up.extend(job.attempts.iter().map(|one| (one.id, deadline)));
     }
     let late = evidence.arrivals.iter().filter_map(|arrival| {
         let told = arrival.at + arrival.expires_in?;
--- a/crates/testkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use vetchbridge_testbed::arrivals::{Arrival, Repeat};
-use vetchbridge_testbed::client::{Outcome, Try};
+use vetchbridge_testbed::arrivals::{Arrival, Idempotency};
+use vetchbridge_testbed::client::{Attempt, Outcome};
 
 const WORKER: &str = "fast-1";
 
@@ -20,13 +20,13 @@
     ClassLoad {
         name: "position".to_string(),
         share: 1.0,
-        worth: 1.0,
+        priority_weight: 1.0,
         work: Duration::ZERO,
         spread: 0.0,
-        aim: Duration::ZERO,
-        stretch: 0.0,
+        latency_objective: Duration::ZERO,
+        objective_per_work: 0.0,
         deadline: seconds(3.0),
-        repeat: Repeat::Safe,
+        idempotency: Idempotency::Idempotent,
         objects: 1,
         zipf: 0.0,
         slots: 1,
@@ -45,8 +45,8 @@
         salt: 0,
     };
     let one =
-        Try { id, sent: seconds(at), resent: None, ended: seconds(at + 1.0), outcome: Outcome::Refused };
-    JobRecord { arrival, key: None, tries: vec![one] }
+        Attempt { id, sent: seconds(at), resent: None, ended: seconds(at + 1.0), outcome: Outcome::Rejected };
+    JobRecord { arrival, key: None, attempts: vec![one] }
 }
 
 fn judged(
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -22,8 +22,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use troubles::{Episode, Journal, TroubleKind};
-use vetchbridge_testbed::account::{judge, Answers, Outage, Violation};
 use vetchbridge_testbed::arrivals::ClassLoad;
+use vetchbridge_testbed::audit::{audit_jobs, Answers, Outage, Violation};
 use vetchbridge_testbed::client::{Clients, LoadRecord};
 
 /// From this span on, each kind of trouble and of fault must have happened.
@@ -174,10 +174,10 @@
     let _kept = stage.take_folder();
     let bad_ends = stage.end().await;
     let outages = outages(&seen.episodes, notice);
-    let verdict = judge(&seen.classes, &seen.record.jobs, Some(&runs.all()), &outages);
+    let verdict = audit_jobs(&seen.classes, &seen.record.jobs, Some(&runs.all()), &outages);
     let strangers = seen.misbehaved.ids();
     let of_a_stranger = |violation: &&Violation| match violation {
-        Violation::Unasked(id) => strangers.contains(id),
+        Violation::UnknownRequest(id) => strangers.contains(id),
         _ => false,
     };
     let account = verdict.violations.iter().filter(|violation| !of_a_stranger(violation));
@@ -209,8 +209,8 @@
 }
 
 fn answers_text(jobs: usize, answers: Answers) -> String {
-    let Answers { served, refused, failed, lost, unreachable, none } = answers;
+    let Answers { served, rejected, failed, lost, unreachable, none } = answers;
     format!(
-        "{jobs} jobs: {served} served, {refused} refused, {failed} failed, {lost} lost, {unreachable} unreachable, {none} timed out"
+        "{jobs} jobs: {served} served, {rejected} refused, {failed} failed, {lost} lost, {unreachable} unreachable, {none} timed out"
     )
 }
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 use vetchbridge::config::file;
-use vetchbridge_testbed::account::{judge, Verdict, Violation};
+use vetchbridge_testbed::audit::{audit_jobs, Audit, Violation};
 use vetchbridge_testbed::client::Clients;
 use vetchbridge_testbed::discovery::Health;
 use vetchbridge_testbed::worker::Act;
@@ -42,7 +42,7 @@
 
 /// Plays the deployment while its list is out of reach and each worker misbehaves; what the account says of it. The
 /// schedulers believe `told`, the clients and the account the plan.
-async fn play(told: &Plan, plan: &Plan, how: Health) -> Verdict {
+async fn play(told: &Plan, plan: &Plan, how: Health) -> Audit {
     let mut stage = Stage::set(told, Some(&daemon()), None, &[]).await.expect("a stage");
     let (began, spec) = (Instant::now(), plan.load_spec());
     let (_stop, stopped) = watch::channel(false);
@@ -60,9 +60,9 @@
     };
     let (record, ()) = tokio::join!(load, troubles);
     let record = record.expect("a load");
-    assert!(record.jobs.len() > 150 && record.jobs.iter().all(|job| !job.tries.is_empty()));
+    assert!(record.jobs.len() > 150 && record.jobs.iter().all(|job| !job.attempts.is_empty()));
     stage.all_live().expect("every scheduler lives");
-    let verdict = judge(&spec.classes, &record.jobs, Some(&stage.runs.all()), &[]);
+    let verdict = audit_jobs(&spec.classes, &record.jobs, Some(&stage.runs.all()), &[]);
     assert_eq!(stage.end().await, Vec::<String>::new(), "every scheduler ended well");
     verdict
 }
@@ -97,5 +97,8 @@
     let (mut told, plan) = (scans(), scans());
     told.daemon.class.iter_mut().for_each(|class| class.repeat = file::Repeat::Safe);
     let verdict = timeout(HANG, play(&told, &plan, Health::Failing)).await.expect("it ends");
-    assert!(verdict.violations.iter().any(|v| matches!(v, Violation::UnsafeTwice(_))), "{verdict:?}");
+    assert!(
+        verdict.violations.iter().any(|v| matches!(v, Violation::NonIdempotentRanTwice(_))),
+        "{verdict:?}"
+    );
 }
