--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins on loopback sockets for everything that stands around a scheduler, written from the daemon's protocol:
 //! a [`discovery::Discovery`] with watches, [`worker::Worker`]s that run jobs or misbehave as they are told, a
-//! [`front::Front`] that spreads clients, and [`client`]s with a seeded load.
+//! [`load_balancer::LoadBalancer`] before the schedulers, and [`client`]s with a seeded load.
 //!
 //! Each part is a value that owns its sockets and tasks; dropping it ends them. A test scripts a part by calling it;
 //! [`wire::Wire`] speaks either end by hand where a script must break off inside a message. Nothing here knows the
@@ -21,7 +21,7 @@
 pub mod audit;
 pub mod client;
 pub mod discovery;
-pub mod front;
+pub mod load_balancer;
 pub mod queue;
 pub mod runs;
 pub mod stats;
--- a/crates/testbed/src/queue.rs
+++ b/crates/testbed/src/queue.rs
@@ -1,109 +1,119 @@
-//! A worker's slots and who waits for them, in order or as they fit.
+//! A worker's slots and the queue for them, in order or by what fits.
 //!
-//! Owns the count of free slots and the line of those that wait. It must never know what is waiting or why.
+//! The queue does not know what waits in it, or why.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::oneshot;
 
-/// Who is served next.
+/// Which waiter gets its slots next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
-    /// In order: the head waits until it fits, and all others behind it.
+    /// The first one; while it does not fit, all others wait behind it.
     #[default]
     Fifo,
-    /// Whoever fits first, the longest wait first among those.
+    /// The first one that fits.
     Backfill,
 }
 
 struct Waiter {
-    need: usize,
-    granted: oneshot::Sender<Held>,
+    slots: usize,
+    granted: oneshot::Sender<SlotPermit>,
 }
 
-struct Line {
+struct QueueState {
     free: usize,
-    waiting: VecDeque<Waiter>,
+    waiters: VecDeque<Waiter>,
+}
+
+impl QueueState {
+    /// Removes the waiters that get their slots now, and takes the slots for them.
+    fn take_grants(&mut self, order: Order) -> Vec<Waiter> {
+        self.waiters.retain(|waiter| !waiter.granted.is_closed());
+        let mut grants = Vec::new();
+        let mut index = 0;
+        while let Some(waiter) = self.waiters.get(index) {
+            if waiter.slots <= self.free {
+                self.free -= waiter.slots;
+                grants.extend(self.waiters.remove(index));
+            } else if order == Order::Backfill {
+                index += 1;
+            } else {
+                break;
+            }
+        }
+        grants
+    }
 }
 
 struct Shared {
     order: Order,
     slots: usize,
-    line: Mutex<Line>,
+    state: Mutex<QueueState>,
 }
 
-/// See the head of this file. Clones share the slots.
+/// A number of slots and the queue for them. Clones share both.
 #[derive(Clone)]
 pub struct Queue(Arc<Shared>);
 
-/// Slots that are held; dropping it gives them back.
-pub struct Held {
+/// Slots that were taken; dropping it releases them.
+pub struct SlotPermit {
     queue: Queue,
     slots: usize,
 }
 
-impl Drop for Held {
+impl Drop for SlotPermit {
     fn drop(&mut self) {
-        self.queue.line().free += self.slots;
-        self.queue.serve();
+        self.queue.state().free += self.slots;
+        self.queue.grant();
     }
 }
 
-/// One that stops waiting may have been what held the others up.
-struct Leaving<'q>(&'q Queue, oneshot::Receiver<Held>);
+/// A place in the queue. Dropping it may let those behind it have their slots.
+struct QueuePlace<'a> {
+    queue: &'a Queue,
+    granted: oneshot::Receiver<SlotPermit>,
+}
 
-impl Drop for Leaving<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
-        self.1.close();
-        self.0.serve();
+        self.granted.close();
+        self.queue.grant();
     }
 }
 
 impl Queue {
-    /// So many free slots.
+    /// An empty queue for a number of free slots.
     pub fn new(slots: usize, order: Order) -> Queue {
-        let line = Mutex::new(Line { free: slots, waiting: VecDeque::new() });
-        Queue(Arc::new(Shared { order, slots, line }))
+        let state = Mutex::new(QueueState { free: slots, waiters: VecDeque::new() });
+        Queue(Arc::new(Shared { order, slots, state }))
     }
 
-    fn line(&self) -> MutexGuard<'_, Line> {
-        self.0.line.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, QueueState> {
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Slots that nobody holds.
+    /// Number of free slots.
     pub fn free(&self) -> usize {
-        self.line().free
+        self.state().free
     }
 
-    /// Waits for so many slots; at most all of them are asked for.
-    pub async fn take(&self, need: usize) -> Option<Held> {
-        let (granted, told) = oneshot::channel();
-        self.line().waiting.push_back(Waiter { need: need.clamp(1, self.0.slots.max(1)), granted });
-        self.serve();
-        let mut leaving = Leaving(self, told);
-        (&mut leaving.1).await.ok()
+    /// Waits for a number of slots; more than there are count as all of them.
+    pub async fn take(&self, slots: usize) -> Option<SlotPermit> {
+        let (sender, granted) = oneshot::channel();
+        let slots = slots.clamp(1, self.0.slots.max(1));
+        self.state().waiters.push_back(Waiter { slots, granted: sender });
+        self.grant();
+        let mut place = QueuePlace { queue: self, granted };
+        (&mut place.granted).await.ok()
     }
 
-    fn serve(&self) {
-        let mut served = Vec::new();
-        {
-            let line = &mut *self.line();
-            line.waiting.retain(|waiter| !waiter.granted.is_closed());
-            let mut at = 0;
-            while let Some(waiter) = line.waiting.get(at) {
-                if waiter.need <= line.free {
-                    line.free -= waiter.need;
-                    served.extend(line.waiting.remove(at));
-                } else if self.0.order == Order::Backfill {
-                    at += 1;
-                } else {
-                    break;
-                }
-            }
-        }
-        // Out of the lock: one that has left meanwhile gives its slots back right here.
-        for Waiter { need, granted } in served {
-            let _ = granted.send(Held { queue: self.clone(), slots: need });
+    /// Gives free slots to waiters.
+    fn grant(&self) {
+        let grants = self.state().take_grants(self.0.order);
+        // Outside the lock: the permit of a waiter that has left meanwhile is dropped here and releases its slots.
+        for Waiter { slots, granted } in grants {
+            let _ = granted.send(SlotPermit { queue: self.clone(), slots });
         }
     }
 }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,7 +1,6 @@
-//! What the workers ran: the one account of it, and the memory by which they drop repeats of keyed jobs.
+//! The record of what workers ran, and the deduplication of keyed jobs.
 //!
-//! Pure but for its lock: times are handed in. It must never decide what a scheduler should have done; that is
-//! [`crate::audit`]'s.
+//! Times are passed in. Whether a run should have happened is for [`crate::audit`] to say.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,15 +10,15 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It is still running.
-    Open,
-    /// It came to its end.
+    /// It has not ended.
+    Running,
+    /// It completed.
     Finished,
-    /// It failed on the way.
+    /// It failed.
     Failed,
-    /// It was called off while it ran.
-    Stopped,
-    /// Its process died.
+    /// It was cancelled while it ran.
+    Cancelled,
+    /// Its process ended.
     Lost,
 }
 
@@ -28,68 +27,94 @@
 pub struct Run {
     /// The request's id.
     pub id: u64,
-    /// The key under which repeats are dropped.
+    /// The idempotency key.
     pub key: Option<String>,
-    /// The class, as the path has it.
+    /// The class, as in the path.
     pub class: String,
-    /// What the request is about, as the path has it.
+    /// The object of the request, as in the path.
     pub object: String,
     /// The worker's name.
     pub worker: String,
-    /// Since the account began.
+    /// When it started, from the beginning of the record.
     pub started: Duration,
     /// How it ended.
     pub end: RunEnd,
 }
 
-/// What a worker is to do with a job that has arrived.
+/// What a worker does with a job that has arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Run it, under this number.
+    /// It runs the job, as the run of this number.
     Run(usize),
-    /// A repeat of a run that has finished: its result is this number's.
+    /// The job repeats the finished run of this number, and has its result.
     Finished(usize),
-    /// A repeat of one that is still running, or of one whose end nobody knows.
+    /// The job repeats the run of this number, which has not ended.
     Running(usize),
 }
 
-/// An attempt that arrived whole at a worker, whatever became of it.
+/// An attempt that arrived complete at a worker, whatever the worker did with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptArrival {
     /// The request's id.
     pub id: u64,
     /// The worker's name.
     pub worker: String,
-    /// Since the account began.
+    /// When it arrived, from the beginning of the record.
     pub at: Duration,
-    /// How long the scheduler said that it would wait, if it said so.
+    /// How long the scheduler waits for the job's end, if its request has that.
     pub expires_in: Option<Duration>,
 }
 
+/// Numbers of attempts that arrived at workers.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AttemptCounts {
+    /// All that arrived.
+    pub arrived: u64,
+    /// Those that repeated a keyed job and did not run.
+    pub deduplicated: u64,
+}
+
 #[derive(Default)]
 struct State {
     runs: Vec<Run>,
     arrivals: Vec<AttemptArrival>,
-    keys: HashMap<String, usize>,
-    attempts: u64,
-    dropped: u64,
+    /// The last run of each idempotency key.
+    runs_by_key: HashMap<String, usize>,
+    deduplicated: u64,
     probes: u64,
 }
 
-/// See the head of this file. Clones share one account.
+impl State {
+    /// The run that a job repeats: of the same key, within the deduplication window, and neither failed nor lost.
+    fn repeated_run(&self, run: &Run, window: Duration) -> Option<Admission> {
+        let number = *self.runs_by_key.get(run.key.as_ref()?)?;
+        let earlier = &self.runs[number];
+        if run.started.saturating_sub(earlier.started) >= window {
+            return None;
+        }
+        match earlier.end {
+            RunEnd::Finished => Some(Admission::Finished(number)),
+            RunEnd::Running => Some(Admission::Running(number)),
+            RunEnd::Failed | RunEnd::Cancelled | RunEnd::Lost => None,
+        }
+    }
+}
+
+/// The record of what workers ran. Clones share one record.
 #[derive(Clone, Default)]
-pub struct Runs(Arc<Mutex<State>>, Arc<Notify>);
+pub struct Runs {
+    state: Arc<Mutex<State>>,
+    run_ended: Arc<Notify>,
+}
 
 impl Runs {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes an attempt that arrived whole at a worker.
-    pub fn attempt(&self, arrival: AttemptArrival) {
-        let state = &mut *self.state();
-        state.attempts += 1;
-        state.arrivals.push(arrival);
+    /// Records an attempt that arrived complete at a worker.
+    pub fn record_attempt(&self, arrival: AttemptArrival) {
+        self.state().arrivals.push(arrival);
     }
 
     /// The attempts that arrived, in their order.
@@ -97,86 +122,73 @@
         self.state().arrivals.clone()
     }
 
-    /// Notes a probe that arrived at a worker.
-    pub fn probe(&self) {
+    /// Records a health check that arrived at a worker.
+    pub fn record_probe(&self) {
         self.state().probes += 1;
     }
 
-    /// Probes that arrived.
+    /// Number of health checks that arrived.
     pub fn probes(&self) -> u64 {
         self.state().probes
     }
 
-    /// Starts a run, unless it repeats one of the same key that began within `window`.
+    /// Starts a run, unless it repeats one of the same key that started within `window`.
     pub fn start(&self, run: Run, window: Duration) -> Admission {
         let state = &mut *self.state();
-        if let Some(first) = run.key.as_ref().and_then(|key| state.keys.get(key)).copied() {
-            let earlier = &state.runs[first];
-            if run.started.saturating_sub(earlier.started) < window {
-                match earlier.end {
-                    RunEnd::Finished => {
-                        state.dropped += 1;
-                        return Admission::Finished(first);
-                    }
-                    RunEnd::Open => {
-                        state.dropped += 1;
-                        return Admission::Running(first);
-                    }
-                    // It did not come to its end, so it may begin again.
-                    RunEnd::Failed | RunEnd::Stopped | RunEnd::Lost => {}
-                }
-            }
+        if let Some(repeated) = state.repeated_run(&run, window) {
+            state.deduplicated += 1;
+            return repeated;
         }
         let number = state.runs.len();
         if let Some(key) = &run.key {
-            state.keys.insert(key.clone(), number);
+            state.runs_by_key.insert(key.clone(), number);
         }
         state.runs.push(run);
         Admission::Run(number)
     }
 
-    /// Ends a run; the first word on it stands.
+    /// Ends a run; an end that is already recorded stays.
     pub fn end(&self, number: usize, end: RunEnd) {
-        if let Some(run) = self.state().runs.get_mut(number).filter(|run| run.end == RunEnd::Open) {
+        if let Some(run) = self.state().runs.get_mut(number).filter(|run| run.end == RunEnd::Running) {
             run.end = end;
-            self.1.notify_waiters();
+            self.run_ended.notify_waiters();
         }
     }
 
-    /// Waits until a run has ended.
-    pub async fn ended(&self, number: usize) -> RunEnd {
+    /// Waits for the end of a run.
+    pub async fn wait_for_end(&self, number: usize) -> RunEnd {
         loop {
-            let changed = self.1.notified();
-            match self.state_of(number) {
-                RunEnd::Open => changed.await,
+            let notified = self.run_ended.notified();
+            match self.end_of(number) {
+                RunEnd::Running => notified.await,
                 end => return end,
             }
         }
     }
 
-    /// The request that a run was of.
+    /// The id of the request that a run was for.
     pub fn id_of(&self, number: usize) -> u64 {
         self.state().runs[number].id
     }
 
-    /// How a run stands.
-    pub fn state_of(&self, number: usize) -> RunEnd {
+    /// How a run ended, if it has.
+    pub fn end_of(&self, number: usize) -> RunEnd {
         self.state().runs[number].end
     }
 
-    /// Everything that was run so far.
+    /// All runs so far, in the order of their numbers.
     pub fn all(&self) -> Vec<Run> {
         self.state().runs.clone()
     }
 
-    /// Attempts that arrived, and repeats that were dropped.
-    pub fn counts(&self) -> (u64, u64) {
+    /// Numbers of attempts so far.
+    pub fn counts(&self) -> AttemptCounts {
         let state = self.state();
-        (state.attempts, state.dropped)
+        AttemptCounts { arrived: state.arrivals.len() as u64, deduplicated: state.deduplicated }
     }
 }
 
-/// The result of a run, by which a client's answer can be traced to it.
+/// The result of a run; it names the run, so that an answer can be traced to it.
 pub fn result(id: u64, number: usize) -> String {
     format!("{id:016x}:{number}")
 }
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -1,61 +1,73 @@
-//! What jobs need before they can run: a worker keeps what it used last and fetches the rest from a store for all workers.
-//!
-//! Owns the store's room and, for each worker, which keys it keeps. It must never look at the work itself.
+//! The objects that jobs need before they run: each worker caches the last ones it used, and fetches others from a store
+//! that all workers share.
 
 use std::collections::VecDeque;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// The one store, from which so many fetch at once. Clones share it.
+/// The store that all workers share, with a limit of concurrent fetches. Clones share the limit.
 #[derive(Clone, Debug)]
 pub struct Store {
-    room: Arc<Semaphore>,
-    fetch: Duration,
+    permits: Arc<Semaphore>,
+    fetch_time: Duration,
 }
 
 impl Store {
-    /// A store with room for so many at once; a fetch takes so long, once it has room.
-    pub fn new(room: usize, fetch: Duration) -> Store {
-        Store { room: Arc::new(Semaphore::new(room.max(1))), fetch }
+    /// A store that serves `max_fetches` at once, each of which takes `fetch_time`.
+    pub fn new(max_fetches: usize, fetch_time: Duration) -> Store {
+        Store { permits: Arc::new(Semaphore::new(max_fetches.max(1))), fetch_time }
     }
 
     async fn fetch(&self) {
-        let _room = self.room.acquire().await;
-        sleep(self.fetch).await;
+        let _permit = self.permits.acquire().await;
+        sleep(self.fetch_time).await;
     }
 }
 
-/// What one worker keeps.
-pub struct Kept {
-    /// The store, and how many keys are kept; absent where jobs need nothing.
-    from: Option<(Store, usize)>,
-    keys: Mutex<VecDeque<String>>,
+/// Configuration of one worker's object cache.
+#[derive(Clone, Debug)]
+pub struct CacheSpec {
+    /// The store that objects are fetched from.
+    pub store: Store,
+    /// Number of objects that are cached.
+    pub capacity: usize,
+}
+
+/// The object cache of one worker; the object that was used longest ago is evicted.
+pub struct ObjectCache {
+    /// Absent where jobs need no objects.
+    spec: Option<CacheSpec>,
+    /// The cached objects, the last used first.
+    objects: Mutex<VecDeque<String>>,
 }
 
-impl Kept {
-    /// Nothing yet.
-    pub fn new(from: Option<(Store, usize)>) -> Kept {
-        Kept { from, keys: Mutex::default() }
+impl ObjectCache {
+    /// An empty cache.
+    pub fn new(spec: Option<CacheSpec>) -> ObjectCache {
+        ObjectCache { spec, objects: Mutex::default() }
+    }
+
+    fn objects(&self) -> MutexGuard<'_, VecDeque<String>> {
+        self.objects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forgets everything, as the death of a process does.
-    pub fn forget(&self) {
-        self.keys.lock().unwrap_or_else(PoisonError::into_inner).clear();
+    /// Removes every object, as the end of a process does.
+    pub fn clear(&self) {
+        self.objects().clear();
     }
 
-    /// Returns once a job of this key can run; the key is kept until so many others were used.
-    pub async fn ready(&self, key: &str) {
-        let Some((store, most)) = &self.from else { return };
-        let known = || self.keys.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = known().iter().position(|kept| kept == key);
-        if place.is_none() {
+    /// Waits until an object is cached, and marks it as the last used.
+    pub async fn load(&self, object: &str) {
+        let Some(CacheSpec { store, capacity }) = &self.spec else { return };
+        let is_cached = self.objects().iter().any(|cached| cached == object);
+        if !is_cached {
             store.fetch().await;
         }
-        let keys = &mut *known();
-        keys.retain(|kept| kept != key);
-        keys.push_front(key.to_string());
-        keys.truncate(*most);
+        let objects = &mut *self.objects();
+        objects.retain(|cached| cached != object);
+        objects.push_front(object.to_string());
+        objects.truncate(*capacity);
     }
 }
--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -1,6 +1,5 @@
 //! Callbacks: how a worker reports a job's state to its scheduler, retried until they are answered.
 
-use super::state::WorkerState;
 use crate::wire::Wire;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -8,13 +7,13 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use serde_json::json;
+use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How often a callback is sent at most.
-const CALLBACK_TRIES: u32 = 10;
+/// Maximum number of attempts to send a callback.
+const MAX_CALLBACK_ATTEMPTS: u32 = 10;
 /// How long a callback waits for its connection, and for its answer.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before a callback is sent again.
@@ -59,16 +58,45 @@
     }
 
     /// Whether the callback may carry a load report: the worker itself ends the attempt by it.
-    fn carries_load(&self) -> bool {
+    pub(super) fn carries_load(&self) -> bool {
         matches!(self, JobUpdate::Done { .. } | JobUpdate::Failed | JobUpdate::Returned)
     }
 }
 
+/// One callback.
+pub(super) struct Callback<'a> {
+    /// The request's id.
+    pub(super) id: u64,
+    /// The worker's name.
+    pub(super) worker: &'a str,
+    /// The change that it reports.
+    pub(super) update: &'a JobUpdate,
+    /// A load report, if the callback carries one.
+    pub(super) load: Option<Value>,
+}
+
+impl Callback<'_> {
+    /// The body of the callback's request.
+    pub(super) fn body(self) -> String {
+        let state = self.update.state();
+        let mut body = json!({"id": format!("{:016x}", self.id), "from": self.worker, "state": state});
+        match self.update {
+            JobUpdate::Running { share } => body["share"] = json!(share),
+            JobUpdate::Done { result } => body["result"] = json!(result),
+            _ => {}
+        }
+        if let Some(load) = self.load {
+            body["load"] = load;
+        }
+        body.to_string()
+    }
+}
+
 /// How the bytes of a callback are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// As a whole, retried until it is answered.
-    Whole,
+    /// In one piece, retried until it is answered.
+    Retried,
     /// One byte at a time, once.
     ByteByByte,
 }
@@ -89,9 +117,17 @@
         CallbackClient(client)
     }
 
-    /// Sends a body until it is answered, at most [`CALLBACK_TRIES`] times. A 400 is final, too.
-    pub(super) async fn deliver(&self, scheduler: SocketAddr, body: String) {
-        for _ in 0..CALLBACK_TRIES {
+    /// Sends a body in the way of `delivery`.
+    pub(super) async fn deliver(&self, scheduler: SocketAddr, body: String, delivery: Delivery) {
+        match delivery {
+            Delivery::Retried => self.deliver_with_retries(scheduler, body).await,
+            Delivery::ByteByByte => deliver_byte_by_byte(scheduler, &body).await,
+        }
+    }
+
+    /// Sends a body until it is answered, at most [`MAX_CALLBACK_ATTEMPTS`] times. A 400 is final, too.
+    async fn deliver_with_retries(&self, scheduler: SocketAddr, body: String) {
+        for _ in 0..MAX_CALLBACK_ATTEMPTS {
             let request =
                 Request::post(format!("http://{scheduler}/callback")).body(Full::from(body.clone()));
             let Ok(request) = request else { return };
@@ -116,38 +152,8 @@
     let Ok(mut wire) = Wire::dial(scheduler).await else { return };
     let length = body.len();
     let text = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
-    // A scheduler that does not read it loses the callback; a test asks for that by this delivery.
+    // A scheduler that does not read it loses the callback, as this delivery has no retries.
     if wire.write_in_pieces(&text).await.is_ok() {
         wire.read().await;
     }
 }
-
-impl WorkerState {
-    /// Reports one update of a job to its scheduler.
-    pub(super) async fn report(
-        &self,
-        scheduler: SocketAddr,
-        id: u64,
-        update: &JobUpdate,
-        delivery: Delivery,
-    ) {
-        let body = self.callback_body(id, update);
-        match delivery {
-            Delivery::Whole => self.callbacks.deliver(scheduler, body).await,
-            Delivery::ByteByByte => deliver_byte_by_byte(scheduler, &body).await,
-        }
-    }
-
-    fn callback_body(&self, id: u64, update: &JobUpdate) -> String {
-        let mut body = json!({"id": format!("{id:016x}"), "from": self.spec.name, "state": update.state()});
-        match update {
-            JobUpdate::Running { share } => body["share"] = json!(share),
-            JobUpdate::Done { result } => body["result"] = json!(result),
-            _ => {}
-        }
-        if let Some(stats) = self.stats_in_answers().filter(|_| update.carries_load()) {
-            body["load"] = stats.json(&self.reported_load());
-        }
-        body.to_string()
-    }
-}
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -103,7 +103,7 @@
             Some(Err(_)) => return self.answer(400, "", "").await,
             None => return self.answer(404, "", "").await,
         };
-        self.worker.runs.attempt(AttemptArrival {
+        self.worker.runs.record_attempt(AttemptArrival {
             id,
             worker: self.worker.spec.name.clone(),
             at: self.worker.elapsed(),
@@ -112,7 +112,7 @@
         if let ControlFlow::Break(keep_alive) = self.misbehave(&act).await {
             return keep_alive;
         }
-        if !self.worker.has_room() {
+        if !self.worker.has_capacity() {
             return self.end_attempt(503, true).await;
         }
         let job = JobRequest::read(id, self.scheduler, &message, self.worker.spec.work);
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -4,7 +4,7 @@
 use super::job::{JobPlace, JobRequest};
 use super::script::Act;
 use super::state::WorkerState;
-use crate::queue::Held;
+use crate::queue::SlotPermit;
 use crate::runs::{result, Admission, RunEnd};
 use futures_util::future::BoxFuture;
 use std::future::Future;
@@ -41,7 +41,7 @@
         Box::pin(async move {
             let (updates, sent) = unbounded_channel();
             let (id, scheduler) = (job.id, job.scheduler);
-            let delivery = if act == Act::Pieces { Delivery::ByteByByte } else { Delivery::Whole };
+            let delivery = if act == Act::Pieces { Delivery::ByteByByte } else { Delivery::Retried };
             let reporting = async {
                 let mut sent: UnboundedReceiver<JobUpdate> = sent;
                 while let Some(update) = sent.recv().await {
@@ -61,7 +61,7 @@
         updates: UnboundedSender<JobUpdate>,
     ) {
         if *act == Act::Garble {
-            self.callbacks.deliver(job.scheduler, INVALID_CALLBACK.to_string()).await;
+            self.callbacks.deliver(job.scheduler, INVALID_CALLBACK.to_string(), Delivery::Retried).await;
         }
         let execution = Execution { worker: self, job, act, updates: &updates, cancelled: place.cancelled() };
         let last = match execution.run(place).await {
@@ -110,7 +110,7 @@
             Admission::Running(first) => {
                 drop(slots);
                 self.worker.record_load();
-                match self.worker.runs.ended(first).await {
+                match self.worker.runs.wait_for_end(first).await {
                     RunEnd::Finished => Ok(self.worker.done(first)),
                     _ => Err(EarlyEnd::Reported(JobUpdate::Failed)),
                 }
@@ -119,7 +119,7 @@
     }
 
     /// Waits in the queue until the job has its slots, is cancelled, or the worker drains.
-    async fn wait_for_slots(&mut self) -> Result<Held, EarlyEnd> {
+    async fn wait_for_slots(&mut self) -> Result<SlotPermit, EarlyEnd> {
         let mut draining = self.worker.draining.subscribe();
         tokio::select! {
             biased;
@@ -129,9 +129,9 @@
         }
     }
 
-    /// The run itself, in slots that the caller holds.
+    /// The run itself, in slots that the caller has taken.
     async fn run_in_slots(&mut self, number: usize) -> Result<JobUpdate, EarlyEnd> {
-        if self.worker.spec.tells_start {
+        if self.worker.spec.reports_start {
             self.update(JobUpdate::Started)?;
         }
         match self.act {
@@ -143,7 +143,7 @@
             _ => {}
         }
         let worker = self.worker;
-        self.unless_cancelled(number, worker.kept.ready(&self.job.object)).await?;
+        self.unless_cancelled(number, worker.cache.load(&self.job.object)).await?;
         self.work(number).await?;
         worker.runs.end(number, RunEnd::Finished);
         Ok(worker.done(number))
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Awaits one part of a run; a worker that stops running jobs gives it up when the job is cancelled.
+    /// Awaits one part of a run; a worker that stops running jobs abandons it when the job is cancelled.
     async fn unless_cancelled(
         &mut self,
         number: usize,
@@ -177,7 +177,7 @@
         tokio::select! {
             () = part => Ok(()),
             _ = self.cancelled.wait_for(|cancelled| *cancelled), if self.worker.spec.stops_running => {
-                self.worker.runs.end(number, RunEnd::Stopped);
+                self.worker.runs.end(number, RunEnd::Cancelled);
                 Err(EarlyEnd::Silent)
             }
         }
--- a/crates/testbed/src/worker/job.rs
+++ b/crates/testbed/src/worker/job.rs
@@ -1,4 +1,4 @@
-//! A job: what its request says, and its place among the jobs that a worker holds.
+//! A job: the content of its request, and its place among the jobs in flight at a worker.
 
 use super::state::WorkerState;
 use crate::runs::{Run, RunEnd};
@@ -14,7 +14,7 @@
     message.header("x-trace-id").map(|id| u64::from_str_radix(id, 16))
 }
 
-/// How long the scheduler waits, as the request says it: a number with the unit `m` or `u`.
+/// How long the scheduler waits for the end of the job, by the request: a number with the unit `m` or `u`.
 pub(super) fn expires_in(message: &Message) -> Option<Duration> {
     let text = message.header("x-expires-in")?;
     match text.strip_suffix('u') {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The entry for the account of runs.
+    /// The entry for the record of runs.
     pub(super) fn run(&self, worker: &str, started: Duration) -> Run {
         Run {
             id: self.id,
@@ -70,7 +70,7 @@
             object: self.object.clone(),
             worker: worker.to_string(),
             started,
-            end: RunEnd::Open,
+            end: RunEnd::Running,
         }
     }
 }
@@ -129,7 +129,7 @@
         }
         self.worker.record_load();
         if let Some(run) = self.run {
-            // The account keeps the first end that it was told.
+            // The record keeps the first end.
             self.worker.runs.end(run, RunEnd::Lost);
         }
         self.worker.forget_cancellation(self.id, &self.cancelled);
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -1,15 +1,16 @@
-//! A worker (worker): accepts jobs, runs them by a small model of a worker, and reports to its scheduler by callbacks;
-//! or misbehaves, once for each [`Act`] that a test scripts.
+//! A worker: accepts jobs, runs them by a small model of a worker, and reports to its scheduler by callbacks; or
+//! misbehaves, once for each [`Act`] that a test scripts.
 //!
 //! One task owns the listeners, the connections and the jobs; [`Worker::kill`] ends all of it as the death of a process
 //! does, and dropping the worker likewise. A worker listens on one port for each scheduler, since that is how it knows
-//! whom to call back. It keeps no account of its own: what ran is recorded in [`Runs`].
+//! whom to call back. What ran is recorded in [`Runs`].
 
 mod callbacks;
 mod connection;
 mod execution;
 mod job;
 mod probes;
+mod reporting;
 mod script;
 mod server;
 mod spec;
@@ -66,7 +67,7 @@
         Worker::start_at(spec, runs, schedulers, Instant::now()).await
     }
 
-    /// Like [`Worker::start`], with the time at which the account of runs began.
+    /// Like [`Worker::start`], with the time at which the record of runs began.
     pub async fn start_at(
         spec: WorkerSpec,
         runs: Runs,
@@ -118,8 +119,8 @@
     }
 
     /// Sets how old its load reports are from now on.
-    pub fn tell_late(&self, late: Duration) {
-        self.state.lock().ledger.late(late);
+    pub fn set_report_delay(&self, delay: Duration) {
+        self.state.lock().load_history.set_delay(delay);
     }
 
     /// Starts or stops rejecting every job without having run it.
@@ -159,12 +160,12 @@
         for port in &self.ports {
             let (state, scheduler) = (self.state.clone(), port.scheduler);
             tokio::spawn(async move {
-                state.report(scheduler, id, &JobUpdate::Lost, Delivery::Whole).await;
+                state.report(scheduler, id, &JobUpdate::Lost, Delivery::Retried).await;
             });
         }
     }
 
-    /// Comes back after its death: cold and without jobs, at the same ports.
+    /// Restarts its process after [`Worker::kill`]: warming up and without jobs, at the same ports.
     pub fn restart(&self) -> io::Result<()> {
         self.state.restart();
         self.listen()
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -36,7 +36,7 @@
     pub(super) async fn probe(&mut self, target: &str) -> KeepAlive {
         let target = ProbeTarget::parse(target).filter(|_| self.worker.spec.probes.is_some());
         let Some(target) = target else { return self.answer(404, "", "").await };
-        self.worker.runs.probe();
+        self.worker.runs.record_probe();
         let act = self.worker.lock().script.next_probe();
         if let ControlFlow::Break(keep_alive) = self.misbehave_at_probe(act).await {
             return keep_alive;
@@ -74,7 +74,7 @@
     /// Does the work of a probe; whether the probe was accepted.
     async fn serve_probe(&self) -> bool {
         let Some(probe) = self.spec.probes else { return false };
-        if probe.deep && !self.has_room() {
+        if probe.deep && !self.has_capacity() {
             return false;
         }
         let slot = if probe.deep { self.slots.take(1).await } else { None };
--- /dev/null
+++ b/crates/testbed/src/worker/reporting.rs
@@ -0,0 +1,21 @@
+//! The reports of a worker about its jobs: which callbacks carry a load report, and how they are sent.
+
+use super::callbacks::{Callback, Delivery, JobUpdate};
+use super::state::WorkerState;
+use std::net::SocketAddr;
+
+impl WorkerState {
+    /// Reports one update of a job to its scheduler.
+    pub(super) async fn report(
+        &self,
+        scheduler: SocketAddr,
+        id: u64,
+        update: &JobUpdate,
+        delivery: Delivery,
+    ) {
+        let stats = self.stats_in_answers().filter(|_| update.carries_load());
+        let load = stats.map(|stats| stats.json(&self.reported_load()));
+        let callback = Callback { id, worker: &self.spec.name, update, load };
+        self.callbacks.deliver(scheduler, callback.body(), delivery).await;
+    }
+}
--- a/crates/testbed/src/worker/spec.rs
+++ b/crates/testbed/src/worker/spec.rs
@@ -2,7 +2,7 @@
 
 use crate::queue::Order;
 use crate::stats::StatsSpec;
-use crate::store::Store;
+use crate::store::CacheSpec;
 use std::time::Duration;
 
 /// Configuration of one worker.
@@ -25,11 +25,11 @@
     /// Work that one slot completes per second, in seconds at speed 1.
     pub speed: f64,
     /// Fraction of `speed` at which a restarted worker begins.
-    pub cold_share: f64,
+    pub slow_start_floor: f64,
     /// Time that a restarted worker takes to reach full speed.
-    pub cold_time: Duration,
+    pub slow_start_time: Duration,
     /// Whether it sends a callback when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Interval between progress callbacks; zero for none.
     pub progress: Duration,
     /// Maximum number of open connections; a further one is closed at once.
@@ -48,8 +48,8 @@
     pub stats: Option<StatsSpec>,
     /// Handling of probes; they are answered with 404 if absent.
     pub probes: Option<ProbeSpec>,
-    /// Store that objects are fetched from, and the number of objects that are cached; jobs need no objects if absent.
-    pub setup: Option<(Store, usize)>,
+    /// Cache of the objects that jobs need; they need none if absent.
+    pub cache: Option<CacheSpec>,
 }
 
 /// How a worker handles probes.
@@ -73,9 +73,9 @@
             slots: 64,
             queue: 1024,
             speed: 1.0,
-            cold_share: 0.2,
-            cold_time: Duration::from_secs(24),
-            tells_start: true,
+            slow_start_floor: 0.2,
+            slow_start_time: Duration::from_secs(24),
+            reports_start: true,
             progress: Duration::from_secs(1),
             connections: 1024,
             idle: Duration::from_secs(60),
@@ -85,7 +85,7 @@
             order: Order::Fifo,
             stats: None,
             probes: None,
-            setup: None,
+            cache: None,
         }
     }
 }
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -5,8 +5,8 @@
 use super::spec::WorkerSpec;
 use crate::queue::Queue;
 use crate::runs::Runs;
-use crate::stats::{Ledger, Load, StatsSpec};
-use crate::store::Kept;
+use crate::stats::{Load, LoadHistory, StatsSpec};
+use crate::store::ObjectCache;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,8 +15,8 @@
 
 /// The smallest factor by which a worker can be slowed down.
 const MIN_SLOWDOWN: f64 = 1e-3;
-/// The shortest warm-up, in seconds; it keeps the division by it defined.
-const MIN_COLD_TIME: f64 = 1e-9;
+/// The shortest slow start, in seconds; it keeps the division by it defined.
+const MIN_SLOW_START_TIME: f64 = 1e-9;
 
 /// When a worker was last restarted.
 #[derive(Clone, Copy)]
@@ -30,7 +30,7 @@
     /// What it does with the next jobs and probes.
     pub(super) script: Script,
     /// Load reports of the past.
-    pub(super) ledger: Ledger,
+    pub(super) load_history: LoadHistory,
     /// Whether every job is rejected.
     pub(super) refusing: bool,
     /// Whether its process counts as dead.
@@ -48,14 +48,14 @@
 pub(super) struct WorkerState {
     /// Its configuration.
     pub(super) spec: WorkerSpec,
-    /// The account of runs.
+    /// The record of runs.
     pub(super) runs: Runs,
-    /// When the account of runs began.
+    /// When the record of runs began.
     began: Instant,
     /// Its slots and the jobs that wait for them.
     pub(super) slots: Queue,
     /// Objects that it caches.
-    pub(super) kept: Kept,
+    pub(super) cache: ObjectCache,
     /// Whether waiting jobs are returned.
     pub(super) draining: watch::Sender<bool>,
     /// Client for callbacks.
@@ -68,7 +68,7 @@
     pub(super) fn new(spec: WorkerSpec, runs: Runs, began: Instant) -> WorkerState {
         let mutable = MutableState {
             script: Script::default(),
-            ledger: Ledger::new(spec.stats.as_ref(), spec.slots),
+            load_history: LoadHistory::new(spec.stats.as_ref(), spec.slots),
             refusing: false,
             killed: false,
             slowdown: 1.0,
@@ -79,7 +79,7 @@
         };
         WorkerState {
             slots: Queue::new(spec.slots, spec.order),
-            kept: Kept::new(spec.setup.clone()),
+            cache: ObjectCache::new(spec.cache.clone()),
             draining: watch::Sender::new(false),
             callbacks: CallbackClient::new(),
             mutable: Mutex::new(mutable),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Locks what changes; the guard must not be held across an await.
+    /// Locks what changes; the guard must not live across an await.
     pub(super) fn lock(&self) -> MutexGuard<'_, MutableState> {
         self.mutable.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -104,7 +104,7 @@
         self.lock().slowdown = factor.max(MIN_SLOWDOWN);
     }
 
-    /// Resets everything that a process loses by its death, and starts the warm-up.
+    /// Resets everything that a process loses by its death, and begins the slow start.
     pub(super) fn restart(&self) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         {
@@ -117,29 +117,29 @@
             state.cancellations.clear();
             state.restarted = Some(Restart { at: Instant::now(), unix_ms: unix.as_millis() as u64 });
         }
-        self.kept.forget();
+        self.cache.clear();
         self.draining.send_replace(false);
     }
 
     /// Whether it accepts another job.
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_capacity(&self) -> bool {
         let state = self.lock();
-        let room = state.waiting < self.spec.queue || self.slots.free() > state.waiting;
-        room && !state.refusing && !*self.draining.borrow()
+        let has_capacity = state.waiting < self.spec.queue || self.slots.free() > state.waiting;
+        has_capacity && !state.refusing && !*self.draining.borrow()
     }
 
     /// Work that one slot completes per second now, in seconds at speed 1.
     pub(super) fn rate(&self) -> f64 {
         let state = self.lock();
-        let warmth = state.restarted.map_or(1.0, |restart| {
-            let share =
-                restart.at.elapsed().as_secs_f64() / self.spec.cold_time.as_secs_f64().max(MIN_COLD_TIME);
-            self.spec.cold_share + (1.0 - self.spec.cold_share) * share.min(1.0)
+        let warm_up_fraction = state.restarted.map_or(1.0, |restart| {
+            let share = restart.at.elapsed().as_secs_f64()
+                / self.spec.slow_start_time.as_secs_f64().max(MIN_SLOW_START_TIME);
+            self.spec.slow_start_floor + (1.0 - self.spec.slow_start_floor) * share.min(1.0)
         });
-        self.spec.speed * warmth / state.slowdown
+        self.spec.speed * warm_up_fraction / state.slowdown
     }
 
-    /// Time since the account of runs began.
+    /// Time since the record of runs began.
     pub(super) fn elapsed(&self) -> Duration {
         self.began.elapsed()
     }
@@ -153,12 +153,12 @@
         let state = &mut *self.lock();
         let inflight = state.waiting + state.running;
         let load = Load { inflight, queue: state.waiting, free, slots: self.spec.slots };
-        state.ledger.note(self.elapsed(), load);
+        state.load_history.record(self.elapsed(), load);
     }
 
-    /// The load that a report tells now; it may be out of date, as configured.
+    /// The load that a report has now; it may be out of date, as configured.
     pub(super) fn reported_load(&self) -> Load {
-        self.lock().ledger.told(self.elapsed())
+        self.lock().load_history.reported(self.elapsed())
     }
 
     /// The form of load reports in answers and callbacks that end an attempt, if they carry any.
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -2,16 +2,16 @@
 #![allow(missing_docs)]
 
 use std::time::Duration;
-use vetchbridge_testbed::runs::{Admission, Run, RunEnd, Runs};
+use vetchbridge_testbed::runs::{Admission, AttemptCounts, Run, RunEnd, Runs};
 
 fn run(key: &str, at: u64) -> Run {
     let (class, object, worker) = ("c".to_string(), "o".to_string(), "s-0".to_string());
     let started = Duration::from_secs(at);
-    Run { id: 1, key: Some(key.to_string()), class, object, worker, started, end: RunEnd::Open }
+    Run { id: 1, key: Some(key.to_string()), class, object, worker, started, end: RunEnd::Running }
 }
 
 #[test]
-fn a_repeat_is_dropped_within_its_window_unless_the_first_run_broke_off() {
+fn a_keyed_job_is_deduplicated_within_its_window_unless_its_first_run_was_lost() {
     let (runs, window) = (Runs::default(), Duration::from_secs(15));
     assert_eq!(runs.start(run("k", 0), window), Admission::Run(0));
     assert_eq!(runs.start(run("k", 5), window), Admission::Running(0));
@@ -22,5 +22,5 @@
     assert_eq!(runs.start(run("k", 15), window), Admission::Run(2));
     runs.end(2, RunEnd::Lost);
     assert_eq!(runs.start(run("k", 16), window), Admission::Run(3));
-    assert_eq!(runs.counts(), (0, 2));
+    assert_eq!(runs.counts(), AttemptCounts { arrived: 0, deduplicated: 2 });
 }
--- a/crates/testbed/tests/stories.rs
+++ b/crates/testbed/tests/stories.rs
@@ -11,7 +11,7 @@
 use vetchbridge_testbed::arrivals::{Arrivals, ClassLoad, Idempotency, LoadSpec, TenantLoad};
 use vetchbridge_testbed::client::{Clients, Outcome};
 use vetchbridge_testbed::discovery::{Discovery, Health};
-use vetchbridge_testbed::front::Front;
+use vetchbridge_testbed::load_balancer::LoadBalancer;
 use vetchbridge_testbed::runs::{result, RunEnd, Runs};
 use vetchbridge_testbed::stats::{Field, StatsSpec};
 use vetchbridge_testbed::wire::{Message, Wire};
@@ -80,7 +80,7 @@
 #[tokio::test]
 async fn a_worker_that_refuses_or_drains_takes_nothing_and_hands_back_what_waits() {
     let spec =
-        WorkerSpec { slots: 1, tells_start: false, progress: Duration::ZERO, ..WorkerSpec::new("s-0") };
+        WorkerSpec { slots: 1, reports_start: false, progress: Duration::ZERO, ..WorkerSpec::new("s-0") };
     let stage = Stage::set(spec).await;
     let turned_away = async |id| {
         let answer = stage.send(id, "", "").await.read().await.expect("an answer");
@@ -172,7 +172,7 @@
     assert_eq!(stage.told_state().await, "done");
     assert_eq!(
         stage.runs.all().iter().map(|run| run.end).collect::<Vec<_>>(),
-        [RunEnd::Stopped, RunEnd::Finished]
+        [RunEnd::Cancelled, RunEnd::Finished]
     );
 }
 
@@ -280,13 +280,13 @@
 #[rstest]
 #[timeout(HANG)]
 #[tokio::test]
-async fn the_front_deals_to_whoever_is_ready_and_notices_late_that_one_has_gone() {
+async fn a_load_balancer_uses_ready_schedulers_and_detects_a_dead_one_after_a_delay() {
     let ready = Arc::new(AtomicBool::new(true));
     let says = ready.clone();
     let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dead = vetchbridge_testbed::Port::reserve().expect("a port");
     let notice = Duration::from_millis(300);
-    let front = Front::start(&[dead.address(), scheduler.local_addr().expect("bound")], notice)
+    let balancer = LoadBalancer::start(&[dead.address(), scheduler.local_addr().expect("bound")], notice)
         .await
         .expect("a front");
     let serving = vetchbridge_testbed::Owned::spawn(async move {
@@ -302,32 +302,32 @@
             });
         }
     });
-    while front.dealt_to() == 0 {
+    while balancer.ready_schedulers() == 0 {
         tokio::task::yield_now().await;
     }
     for _ in 0..3 {
-        let mut client = Wire::dial(front.address()).await.expect("it listens");
+        let mut client = Wire::dial(balancer.address()).await.expect("it listens");
         client.post("/c/k", "", "").await.expect("sent");
         assert_eq!(client.read().await.expect("an answer").text(), "ok");
     }
     // One that says no is left alone at once, and taken in again.
     for wanted in [false, true] {
         ready.store(wanted, Ordering::Relaxed);
-        while (front.dealt_to() > 0) != wanted {
+        while (balancer.ready_schedulers() > 0) != wanted {
             tokio::task::yield_now().await;
         }
     }
     drop(serving);
-    while front.dealt_to() > 0 {
+    while balancer.ready_schedulers() > 0 {
         tokio::task::yield_now().await;
     }
-    let mut client = Wire::dial(front.address()).await.expect("it listens");
+    let mut client = Wire::dial(balancer.address()).await.expect("it listens");
     assert!(client.read().await.is_none(), "nobody is left to deal to");
 }
 
 fn stats(in_answers: bool) -> StatsSpec {
     let fields = vec![Field::Inflight, Field::Queue, Field::X0];
-    StatsSpec { fields, every: Duration::ZERO, late: Duration::ZERO, in_answers }
+    StatsSpec { fields, refresh_interval: Duration::ZERO, delay: Duration::ZERO, in_answers }
 }
 
 async fn get(wire: &mut Wire, target: &str) -> Option<Message> {
@@ -356,7 +356,7 @@
     assert_eq!((load.status(), &*load.text()), ("200", r#"{"inflight":2,"queue":1,"x0":0}"#));
     let live = get(&mut wire, "/health/live").await.expect("an answer");
     assert_eq!((live.status(), &*live.text()), ("200", ""));
-    assert_eq!((stage.runs.probes(), stage.runs.counts().0), (2, 2));
+    assert_eq!((stage.runs.probes(), stage.runs.counts().arrived), (2, 2));
 
     let stage = Stage::set(WorkerSpec { stats: Some(stats(true)), ..WorkerSpec::new("s-0") }).await;
     stage.worker.next([Act::Mute]);
@@ -420,7 +420,7 @@
     let spec = WorkerSpec {
         slots: 1,
         queue: 0,
-        tells_start: false,
+        reports_start: false,
         stats: Some(stats(true)),
         ..WorkerSpec::new("s-0")
     };
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -8,7 +8,7 @@
 use vetchbridge::config::units::Span;
 use vetchbridge_testbed::queue::Order;
 use vetchbridge_testbed::stats::{Field, StatsSpec};
-use vetchbridge_testbed::store::Store;
+use vetchbridge_testbed::store::{CacheSpec, Store};
 use vetchbridge_testbed::worker::{ProbeSpec, WorkerSpec};
 
 /// How long repeats of a keyed job are deduplicated where no class says so.
@@ -61,8 +61,8 @@
     fn spec(&self) -> StatsSpec {
         StatsSpec {
             fields: self.fields.iter().copied().map(StatsField::field).collect(),
-            every: self.every.duration(),
-            late: self.late.duration(),
+            refresh_interval: self.every.duration(),
+            delay: self.late.duration(),
             in_answers: self.in_answers,
         }
     }
@@ -161,8 +161,8 @@
             slots: self.slots,
             queue: self.queue,
             speed: self.speed,
-            cold_share: self.cold_share,
-            cold_time: self.cold_time.duration(),
+            slow_start_floor: self.cold_share,
+            slow_start_time: self.cold_time.duration(),
             ..common.clone()
         }
     }
@@ -184,7 +184,7 @@
         let windows = self.daemon.class.iter().filter_map(|class| class.window);
         let setup = self.setup.as_ref();
         WorkerSpec {
-            tells_start: fleet.tells_start,
+            reports_start: fleet.tells_start,
             progress: fleet.progress.duration(),
             idle: fleet.conn_idle.duration(),
             window: windows.max().unwrap_or(DEFAULT_WINDOW).duration(),
@@ -195,7 +195,10 @@
             },
             stats: self.stats.as_ref().map(Stats::spec),
             probes: self.probes.as_ref().map(Probes::spec),
-            setup: setup.map(|setup| (Store::new(setup.room, setup.fetch.duration()), setup.kept)),
+            cache: setup.map(|setup| CacheSpec {
+                store: Store::new(setup.room, setup.fetch.duration()),
+                capacity: setup.kept,
+            }),
             ..WorkerSpec::new("")
         }
     }
--- a/crates/testkit/src/report.rs
+++ b/crates/testkit/src/report.rs
@@ -9,7 +9,7 @@
 use vetchbridge_testbed::arrivals::{ClassLoad, LoadSpec};
 use vetchbridge_testbed::audit::{audit_jobs, Answers, Outage};
 use vetchbridge_testbed::client::{JobRecord, LoadRecord, Outcome};
-use vetchbridge_testbed::runs::Run;
+use vetchbridge_testbed::runs::{AttemptCounts, Run};
 
 /// A load that ran so late was not what was asked for: the machine, not the schedulers, made its clients wait.
 pub const LAG_LIMIT: Duration = Duration::from_millis(100);
@@ -93,7 +93,7 @@
     /// What they ran.
     pub runs: Vec<Run>,
     /// Attempts that arrived, and repeats dropped.
-    pub counts: (u64, u64),
+    pub counts: AttemptCounts,
     /// Probes that arrived; absent where workers answer none.
     pub probes: Option<u64>,
 }
@@ -121,8 +121,8 @@
             jobs,
             tries,
             answers: verdict.answers,
-            attempts_per_job: workers.map(|workers| workers.counts.0 as f64 / jobs.max(1) as f64),
-            repeats_dropped: workers.map(|workers| workers.counts.1),
+            attempts_per_job: workers.map(|workers| workers.counts.arrived as f64 / jobs.max(1) as f64),
+            repeats_dropped: workers.map(|workers| workers.counts.deduplicated),
             affinity: workers.map(|_| verdict.affinity),
             service: verdict.service,
             probes_per_job: workers
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -158,11 +158,13 @@
             (Some(health), _) => discovery.out_for(health, lasts).await,
             (None, plan::TroubleKind::StatsLate) => {
                 for worker in workers {
-                    worker.tell_late(trouble.late.duration());
+                    worker.set_report_delay(trouble.late.duration());
                 }
                 sleep(lasts).await;
                 for worker in workers {
-                    worker.tell_late(worker.spec().stats.as_ref().map_or(Duration::ZERO, |stats| stats.late));
+                    worker.set_report_delay(
+                        worker.spec().stats.as_ref().map_or(Duration::ZERO, |stats| stats.delay),
+                    );
                 }
             }
             (None, _) => {
@@ -205,7 +207,7 @@
                 Trouble::Kill => {
                     let from = began.elapsed();
                     scheduler.kill().await;
-                    let noticed = from + front.notice() + NOTICE_SLACK;
+                    let noticed = from + front.detection_delay() + NOTICE_SLACK;
                     outages.push(Outage { from, until: noticed });
                     sleep(DOWN).await;
                     scheduler.restart()?;
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -169,7 +169,8 @@
 /// tells of violations too.
 async fn judge_stage(mut stage: Stage, seen: Seen, unasked: Option<String>) -> SoakReport {
     let log_paths: Vec<_> = stage.schedulers.iter().map(|scheduler| scheduler.log().to_path_buf()).collect();
-    let (folder, runs, notice) = (stage.folder().to_path_buf(), stage.runs.clone(), stage.front.notice());
+    let (folder, runs, notice) =
+        (stage.folder().to_path_buf(), stage.runs.clone(), stage.front.detection_delay());
     // Dropped with this function's end, after the logs and counts in it have been read.
     let _kept = stage.take_folder();
     let bad_ends = stage.end().await;
--- a/crates/testkit/src/stage.rs
+++ b/crates/testkit/src/stage.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::{interval, Instant};
 use vetchbridge_testbed::discovery::Discovery;
-use vetchbridge_testbed::front::Front;
+use vetchbridge_testbed::load_balancer::LoadBalancer;
 use vetchbridge_testbed::runs::Runs;
 use vetchbridge_testbed::worker::Worker;
 use vetchbridge_testbed::Port;
@@ -29,7 +29,7 @@
     /// What the workers ran.
     pub runs: Runs,
     /// Where clients connect.
-    pub front: Front,
+    pub front: LoadBalancer,
     /// When the account of runs began.
     pub began: Instant,
     folder: Folder,
@@ -82,7 +82,7 @@
             workers.push(worker);
         }
         discovery.lateness(plan.schedulers.lateness.duration());
-        let front = Front::start(&addresses, plan.schedulers.notice.duration())
+        let front = LoadBalancer::start(&addresses, plan.schedulers.notice.duration())
             .await
             .map_err(machine("the front"))?;
         let mut stage =
@@ -145,11 +145,11 @@
     /// Waits until the front deals to every scheduler.
     pub async fn ready(&mut self) -> Result<(), Failure> {
         let (asked, mut every) = (Instant::now(), interval(Duration::from_millis(20)));
-        while self.front.dealt_to() < self.schedulers.len() {
+        while self.front.ready_schedulers() < self.schedulers.len() {
             every.tick().await;
             self.all_live()?;
             if asked.elapsed() > READY_WITHIN {
-                let ready = self.front.dealt_to();
+                let ready = self.front.ready_schedulers();
                 let text =
                     format!("{ready} of {} schedulers ready after {READY_WITHIN:?}", self.schedulers.len());
                 return Err(Failure::Machine(text));
