--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -6,12 +6,19 @@
 use rand_pcg::Pcg64;
 use std::time::Duration;
 
-/// What repeating a job of a class does.
+/// The least mean of a class's work, in seconds.
+const MIN_WORK_SECONDS: f64 = 1e-6;
+/// The most work of a job, in seconds.
+const MAX_WORK_SECONDS: f64 = 600.0;
+/// The largest factor by which a hint is above the work.
+const MAX_HINT_FACTOR: f64 = 1e3;
+
+/// Whether the jobs of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// It may run any number of times.
     Idempotent,
-    /// Workers drop a repeat within this time.
+    /// Workers deduplicate repeats within this time.
     Keyed(Duration),
     /// It must never run twice.
     NonIdempotent,
@@ -24,7 +31,7 @@
     pub name: String,
     /// Its share of the jobs, against the others' shares.
     pub share: f64,
-    /// The worth of a job answered in time.
+    /// The weight of a job answered in time.
     pub priority_weight: f64,
     /// The mean of its work.
     pub work: Duration,
@@ -34,13 +41,13 @@
     pub latency_objective: Duration,
     /// ... and so many times its work.
     pub objective_per_work: f64,
-    /// When a client gives up.
+    /// How long a client waits, over all attempts.
     pub deadline: Duration,
-    /// What a repeat does.
+    /// Whether jobs may run more than once.
     pub idempotency: Idempotency,
-    /// How many objects jobs are about.
+    /// Number of objects that jobs are for.
     pub objects: u64,
-    /// How unevenly they are asked for: the exponent of a Zipf distribution.
+    /// How unevenly jobs spread over them: the exponent of a Zipf distribution.
     pub zipf: f64,
     /// Slots that a job takes at a worker.
     pub slots: usize,
@@ -64,17 +71,17 @@
     pub rate: f64,
     /// The classes.
     pub classes: Vec<ClassLoad>,
-    /// The tenants; jobs are nobody's where there are none.
+    /// The tenants; jobs have none if empty.
     pub tenants: Vec<TenantLoad>,
     /// How far hints are off the work: the sigma of a log-normal factor; no hints if absent.
     pub hints: Option<f64>,
-    /// The share of refused clients that wait as long as they are told.
-    pub heeds: f64,
-    /// A client that comes back says so.
+    /// The share of rejected clients that wait for the time of `Retry-After`.
+    pub honors_retry_after: f64,
+    /// Whether retries carry a header that marks them.
     pub marks_retries: bool,
-    /// How often a client comes back after a refusal or a failure.
+    /// Maximum number of retries of a job.
     pub retries: u32,
-    /// How long it waits where nothing else is said.
+    /// Pause before a retry without a `Retry-After` that the client honors.
     pub pause: Duration,
 }
 
@@ -88,6 +95,12 @@
     pub reason: String,
 }
 
+impl LoadError {
+    pub(crate) fn new(key: impl Into<String>, reason: impl Into<String>) -> LoadError {
+        LoadError { key: key.into(), reason: reason.into() }
+    }
+}
+
 /// One job as it arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
@@ -97,106 +110,142 @@
     pub job: u64,
     /// Its class, as an index.
     pub class: usize,
-    /// What it is about.
+    /// The object of its request.
     pub object: String,
     /// Its work at speed 1.
     pub work: Duration,
     /// Its tenant, as an index.
     pub tenant: Option<usize>,
-    /// What its client takes its work to be.
+    /// Its client's estimate of its work.
     pub hint: Option<Duration>,
-    /// Whence its ids are drawn.
+    /// The seed of its ids and its key.
     pub salt: u64,
 }
 
-struct ClassDraw {
-    upto: f64,
+/// What is drawn for the jobs of one class.
+struct ClassDistributions {
+    /// The shares of the classes up to this one, as a fraction of all.
+    cumulative_share: f64,
     work: LogNormal<f64>,
     object: Zipf<f64>,
 }
 
-/// Draws arrivals without end.
+/// An endless iterator of arrivals.
 pub struct Arrivals {
     gap: Exp<f64>,
-    classes: Vec<ClassDraw>,
-    names: Vec<String>,
+    classes: Vec<ClassDistributions>,
+    class_names: Vec<String>,
+    /// Cumulative shares.
     tenants: Vec<f64>,
     hints: Option<LogNormal<f64>>,
     time: Duration,
     job: u64,
+    /// A random stream for each concern.
     streams: [Pcg64; 7],
 }
 
 impl Arrivals {
     /// The arrivals of a load; the same for the same specification.
     pub fn new(spec: &LoadSpec) -> Result<Arrivals, LoadError> {
-        let bad = |key: &str, reason: &str| LoadError { key: key.to_string(), reason: reason.to_string() };
         if spec.classes.is_empty() {
-            return Err(bad("classes", "there is none"));
-        }
-        if !(spec.rate.is_finite() && spec.rate > 0.0) {
-            return Err(bad("rate", "must be above 0"));
-        }
-        let gap = Exp::new(spec.rate).map_err(|error| bad("rate", &error.to_string()))?;
-        let total: f64 = spec.classes.iter().map(|class| class.share).sum();
-        if !(total.is_finite() && total > 0.0) || spec.classes.iter().any(|class| class.share < 0.0) {
-            return Err(bad("share", "shares must not be negative, nor all 0"));
-        }
-        let (mut upto, mut classes) = (0.0, Vec::new());
-        for class in &spec.classes {
-            upto += class.share / total;
-            if !(class.spread >= 0.0 && class.spread.is_finite()) {
-                return Err(bad(&format!("{}.spread", class.name), "must not be negative"));
-            }
-            // The mean of a log-normal is exp(mu + sigma^2 / 2).
-            let mu = class.work.as_secs_f64().max(1e-6).ln() - class.spread * class.spread / 2.0;
-            let work = LogNormal::new(mu, class.spread)
-                .map_err(|error| bad(&format!("{}.spread", class.name), &error.to_string()))?;
-            let object = Zipf::new(class.objects.max(1) as f64, class.zipf)
-                .map_err(|error| bad(&format!("{}.zipf", class.name), &error.to_string()))?;
-            classes.push(ClassDraw { upto, work, object });
+            return Err(LoadError::new("classes", "there is none"));
         }
-        let of_tenants: f64 = spec.tenants.iter().map(|tenant| tenant.share).sum();
-        if !spec.tenants.is_empty()
-            && (!(of_tenants.is_finite() && of_tenants > 0.0) || spec.tenants.iter().any(|t| t.share < 0.0))
-        {
-            return Err(bad("tenant", "shares must not be negative, nor all 0"));
-        }
-        let mut upto = 0.0;
-        let tenants = spec.tenants.iter().map(|tenant| {
-            upto += tenant.share / of_tenants;
-            upto
-        });
-        let tenants = tenants.collect();
-        if spec.hints.is_some_and(|sigma| !(sigma >= 0.0 && sigma.is_finite())) {
-            return Err(bad("hint_spread", "must not be negative"));
-        }
-        let hints = spec.hints.map(|sigma| LogNormal::new(0.0, sigma));
-        let hints = hints.transpose().map_err(|error| bad("hint_spread", &error.to_string()))?;
+        let gap = gap_distribution(spec.rate)?;
+        let classes = class_distributions(&spec.classes)?;
+        let tenants = tenant_distribution(&spec.tenants)?;
+        let hints = hint_distribution(spec.hints)?;
+        let class_names = spec.classes.iter().map(|class| class.name.clone()).collect();
         let streams = std::array::from_fn(|stream| Pcg64::new(u128::from(spec.seed), stream as u128 + 1));
-        let names = spec.classes.iter().map(|class| class.name.clone()).collect();
-        Ok(Arrivals { gap, classes, names, tenants, hints, time: Duration::ZERO, job: 0, streams })
+        Ok(Arrivals { gap, classes, class_names, tenants, hints, time: Duration::ZERO, job: 0, streams })
+    }
+}
+
+/// The time between two arrivals.
+fn gap_distribution(rate: f64) -> Result<Exp<f64>, LoadError> {
+    if !(rate.is_finite() && rate > 0.0) {
+        return Err(LoadError::new("rate", "must be above 0"));
+    }
+    Exp::new(rate).map_err(|error| LoadError::new("rate", error.to_string()))
+}
+
+/// What is drawn for each class, in their order.
+fn class_distributions(classes: &[ClassLoad]) -> Result<Vec<ClassDistributions>, LoadError> {
+    let shares: Vec<f64> = classes.iter().map(|class| class.share).collect();
+    let cumulative = cumulative_shares("share", &shares)?;
+    let with_shares = classes.iter().zip(cumulative);
+    with_shares.map(|(class, share)| ClassDistributions::new(class, share)).collect()
+}
+
+impl ClassDistributions {
+    fn new(class: &ClassLoad, cumulative_share: f64) -> Result<ClassDistributions, LoadError> {
+        let key = |field: &str| format!("{}.{field}", class.name);
+        if !(class.spread >= 0.0 && class.spread.is_finite()) {
+            return Err(LoadError::new(key("spread"), "must not be negative"));
+        }
+        // The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
+        let mean = class.work.as_secs_f64().max(MIN_WORK_SECONDS);
+        let mu = mean.ln() - class.spread * class.spread / 2.0;
+        let work = LogNormal::new(mu, class.spread)
+            .map_err(|error| LoadError::new(key("spread"), error.to_string()))?;
+        let object = Zipf::new(class.objects.max(1) as f64, class.zipf)
+            .map_err(|error| LoadError::new(key("zipf"), error.to_string()))?;
+        Ok(ClassDistributions { cumulative_share, work, object })
+    }
+}
+
+/// The tenants' cumulative shares, in their order; empty without tenants.
+fn tenant_distribution(tenants: &[TenantLoad]) -> Result<Vec<f64>, LoadError> {
+    if tenants.is_empty() {
+        return Ok(Vec::new());
+    }
+    let shares: Vec<f64> = tenants.iter().map(|tenant| tenant.share).collect();
+    cumulative_shares("tenant", &shares)
+}
+
+/// The factor by which hints are off the work, if there are hints.
+fn hint_distribution(sigma: Option<f64>) -> Result<Option<LogNormal<f64>>, LoadError> {
+    let Some(sigma) = sigma else { return Ok(None) };
+    if !(sigma >= 0.0 && sigma.is_finite()) {
+        return Err(LoadError::new("hint_spread", "must not be negative"));
+    }
+    let factor = LogNormal::new(0.0, sigma);
+    factor.map(Some).map_err(|error| LoadError::new("hint_spread", error.to_string()))
+}
+
+/// For each share the sum of the shares up to it, as a fraction of all.
+fn cumulative_shares(key: &str, shares: &[f64]) -> Result<Vec<f64>, LoadError> {
+    let total: f64 = shares.iter().sum();
+    let is_valid = total.is_finite() && total > 0.0 && !shares.iter().any(|share| *share < 0.0);
+    if !is_valid {
+        return Err(LoadError::new(key, "shares must not be negative, nor all 0"));
     }
+    let mut cumulative = 0.0;
+    let fractions = shares.iter().map(|share| {
+        cumulative += share / total;
+        cumulative
+    });
+    Ok(fractions.collect())
 }
 
 impl Iterator for Arrivals {
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let [gaps, kinds, works, objects, salts, whose, hints] = &mut self.streams;
+        let [gaps, class_draws, works, objects, salts, tenant_draws, hints] = &mut self.streams;
         self.time += Duration::from_secs_f64(self.gap.sample(gaps));
-        let drawn: f64 = kinds.random();
-        let class =
-            self.classes.iter().position(|class| drawn < class.upto).unwrap_or(self.classes.len() - 1);
-        let draw = &self.classes[class];
-        let work = Duration::from_secs_f64(draw.work.sample(works).min(600.0));
-        let object = format!("{}-{}", self.names[class], draw.object.sample(objects) as u64);
+        let drawn: f64 = class_draws.random();
+        let class = self.classes.iter().position(|class| drawn < class.cumulative_share);
+        let class = class.unwrap_or(self.classes.len() - 1);
+        let distributions = &self.classes[class];
+        let work = Duration::from_secs_f64(distributions.work.sample(works).min(MAX_WORK_SECONDS));
+        let rank = distributions.object.sample(objects) as u64;
+        let object = format!("{}-{rank}", self.class_names[class]);
         let job = self.job;
         self.job += 1;
-        let drawn: f64 = whose.random();
-        let tenant = self.tenants.iter().position(|upto| drawn < *upto);
+        let drawn: f64 = tenant_draws.random();
+        let tenant = self.tenants.iter().position(|cumulative_share| drawn < *cumulative_share);
         let tenant = tenant.or_else(|| self.tenants.len().checked_sub(1));
-        let hint = self.hints.map(|off| work.mul_f64(off.sample(hints).min(1e3)));
+        let hint = self.hints.map(|factor| work.mul_f64(factor.sample(hints).min(MAX_HINT_FACTOR)));
         Some(Arrival { at: self.time, job, class, object, work, tenant, hint, salt: salts.next_u64() })
     }
 }
--- /dev/null
+++ b/crates/testbed/src/client/job.rs
@@ -0,0 +1,97 @@
+//! One job: its attempts, from the first to the last.
+
+use super::exchange::{exchange, AttemptRequest, Response};
+use super::record::{Attempt, JobRecord, Outcome};
+use super::retry::{attempt_id, honors_retry_after, may_retry};
+use super::Clients;
+use crate::arrivals::{Arrival, Idempotency};
+use std::time::Duration;
+use tokio::time::{sleep, timeout, Instant};
+
+/// How long after the client's deadline a response may still arrive.
+const RESPONSE_GRACE: Duration = Duration::from_millis(100);
+
+/// A job in progress.
+pub(super) struct Job {
+    clients: Clients,
+    load_start: Instant,
+    deadline: Instant,
+    idempotency: Idempotency,
+    record: JobRecord,
+}
+
+impl Job {
+    /// A job of a load that started at `load_start`, without attempts.
+    pub(super) fn new(clients: Clients, load_start: Instant, arrival: Arrival) -> Job {
+        let class = &clients.spec.classes[arrival.class];
+        let idempotency = class.idempotency;
+        let deadline = load_start + arrival.at + class.deadline;
+        let key = matches!(idempotency, Idempotency::Keyed(_))
+            .then(|| format!("{:016x}{:04x}", arrival.salt, arrival.job));
+        let record = JobRecord { arrival, key, attempts: Vec::new() };
+        Job { clients, load_start, deadline, idempotency, record }
+    }
+
+    /// Makes attempts until the job is served, may not be retried, or its deadline is over.
+    pub(super) async fn run(mut self) -> JobRecord {
+        for number in 0..=self.clients.spec.retries {
+            let remaining = self.remaining();
+            if remaining.is_zero() {
+                break;
+            }
+            let Some(pause) = self.attempt(number, remaining).await else { break };
+            sleep(pause).await;
+        }
+        self.record
+    }
+
+    /// Time until the deadline.
+    fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
+    }
+
+    /// Makes one attempt and records it; the pause before the next one, if there is one.
+    async fn attempt(&mut self, number: u32, remaining: Duration) -> Option<Duration> {
+        let id = attempt_id(self.record.arrival.salt, number);
+        let request = AttemptRequest { target: self.clients.next_target(), id, number };
+        let sent = self.load_start.elapsed();
+        let mut resent = None;
+        let response = self.send(&request, remaining, &mut resent);
+        let response = timeout(remaining + RESPONSE_GRACE, response).await;
+        let Response { outcome, retry_after } = response.unwrap_or_else(|_| Outcome::Unanswered.into());
+        let retries = self.retries_after(&outcome, sent) && number < self.clients.spec.retries;
+        self.record.attempts.push(Attempt { id, sent, resent, ended: self.load_start.elapsed(), outcome });
+        retries.then(|| self.pause(id, retry_after))
+    }
+
+    /// Sends a request, and once more on a new connection if the first one broke: the request may have crossed the
+    /// close of an idle connection, unread.
+    async fn send(
+        &self,
+        request: &AttemptRequest,
+        remaining: Duration,
+        resent: &mut Option<Duration>,
+    ) -> Response {
+        let spec = &self.clients.spec;
+        let first = exchange(&self.clients.pooled, request.build(spec, &self.record, remaining)).await;
+        if !matches!(first.outcome, Outcome::Broken(_)) {
+            return first;
+        }
+        *resent = Some(self.load_start.elapsed());
+        exchange(&self.clients.unpooled, request.build(spec, &self.record, self.remaining())).await
+    }
+
+    /// Whether the outcome of an attempt that was sent at `sent` allows a retry.
+    fn retries_after(&self, outcome: &Outcome, sent: Duration) -> bool {
+        let first_sent = self.record.attempts.first().map_or(sent, |first| first.sent);
+        let until_retry = self.load_start.elapsed().saturating_sub(first_sent) + self.clients.spec.pause;
+        may_retry(self.idempotency, outcome, until_retry)
+    }
+
+    /// The pause before the next attempt.
+    fn pause(&self, id: u64, retry_after: Option<Duration>) -> Duration {
+        let spec = &self.clients.spec;
+        let honored = retry_after.filter(|_| honors_retry_after(id, spec.honors_retry_after));
+        honored.unwrap_or(spec.pause)
+    }
+}
--- a/crates/testbed/src/client/tests.rs
+++ b/crates/testbed/src/client/tests.rs
@@ -1,11 +1,14 @@
 //! The rules by which a client retries; they are private to the module.
 
-use super::*;
+use super::record::Outcome;
+use super::retry::{attempt_id, honors_retry_after, may_retry};
+use crate::arrivals::Idempotency;
+use std::time::Duration;
 
 #[test]
-fn a_client_asks_again_only_where_that_does_no_harm() {
+fn a_client_retries_only_where_the_idempotency_of_its_class_allows_it() {
     let text = String::new;
-    let heard = [
+    let outcomes = [
         Outcome::Served(text()),
         Outcome::Unanswered,
         Outcome::Rejected,
@@ -14,13 +17,14 @@
         Outcome::Broken(text()),
     ];
     let second = Duration::from_secs(1);
-    let again =
-        |idempotency| heard.iter().map(|heard| comes_back(idempotency, heard, second)).collect::<Vec<_>>();
-    assert_eq!(again(Idempotency::Idempotent), [false, false, true, true, true, true]);
-    assert_eq!(again(Idempotency::Keyed(2 * second)), [false, false, true, true, true, true]);
-    assert_eq!(again(Idempotency::Keyed(second)), [false, false, true, true, false, false]);
-    assert_eq!(again(Idempotency::NonIdempotent), [false, false, true, true, false, false]);
-    let heeding = (0..1_000u64).filter(|n| heeds(try_id(n << 54, 1), 0.25)).count();
-    assert!((200..300).contains(&heeding), "{heeding}");
-    assert!(!heeds(0, 0.0) && heeds(u64::MAX, 1.0));
+    let retries = |idempotency| {
+        outcomes.iter().map(|outcome| may_retry(idempotency, outcome, second)).collect::<Vec<_>>()
+    };
+    assert_eq!(retries(Idempotency::Idempotent), [false, false, true, true, true, true]);
+    assert_eq!(retries(Idempotency::Keyed(2 * second)), [false, false, true, true, true, true]);
+    assert_eq!(retries(Idempotency::Keyed(second)), [false, false, true, true, false, false]);
+    assert_eq!(retries(Idempotency::NonIdempotent), [false, false, true, true, false, false]);
+    let honoring = (0..1_000u64).filter(|n| honors_retry_after(attempt_id(n << 54, 1), 0.25)).count();
+    assert!((200..300).contains(&honoring), "{honoring}");
+    assert!(!honors_retry_after(0, 0.0) && honors_retry_after(u64::MAX, 1.0));
 }
--- a/crates/testbed/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -27,7 +27,7 @@
         classes,
         tenants: vec![tenant("x", 4.0), tenant("y", 1.0)],
         hints: Some(0.0),
-        heeds: 1.0,
+        honors_retry_after: 1.0,
         marks_retries: true,
         retries: 0,
         pause: Duration::ZERO,
--- a/crates/testbed/tests/stories.rs
+++ b/crates/testbed/tests/stories.rs
@@ -469,7 +469,7 @@
         classes: vec![class],
         tenants: tenants.into_iter().collect(),
         hints: said.then_some(0.0),
-        heeds: 0.0,
+        honors_retry_after: 0.0,
         marks_retries: said,
         retries: 1,
         pause: Duration::ZERO,
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -176,8 +176,10 @@
     let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
     let gone = || Failure::Machine(format!("{} ended early", contender.name));
     let (began, before) = (Instant::now(), cpu_time(contender.pid).ok_or_else(gone)?);
-    let record =
-        clients.closed(connections, turn).await.map_err(|error| Failure::BadInput(error.to_string()))?;
+    let record = clients
+        .run_closed_loop(connections, turn)
+        .await
+        .map_err(|error| Failure::BadInput(error.to_string()))?;
     let (took, used) = (began.elapsed(), cpu_time(contender.pid).ok_or_else(gone)?.saturating_sub(before));
     let served = record.jobs.iter().filter(|job| job.served()).count();
     if served * 100 < record.jobs.len() * 99 {
--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -390,7 +390,7 @@
     let record = match connections {
         Some(0) => return Err(Failure::BadInput("--connections 0: at least 1".to_string())),
         Some(connections) => {
-            interrupt.unless_asked(async { Ok(clients.closed(connections, duration).await) }).await?
+            interrupt.unless_asked(async { Ok(clients.run_closed_loop(connections, duration).await) }).await?
         }
         None => {
             let mut progress = Progress::new(duration);
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -141,7 +141,7 @@
             classes: self.load.class.iter().filter_map(class).collect(),
             tenants: self.load.tenant.iter().map(LoadTenant::spec).collect(),
             hints: self.load.hints.then_some(self.load.hint_spread),
-            heeds: self.load.heeds,
+            honors_retry_after: self.load.heeds,
             marks_retries: self.load.marks_retries,
             retries: self.load.retries,
             pause: self.load.pause.duration(),
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 use vetchbridge_testbed::audit::Outage;
-use vetchbridge_testbed::client::{Clients, LoadRecord, Standing};
+use vetchbridge_testbed::client::{Clients, LoadProgress, LoadRecord};
 use vetchbridge_testbed::discovery::Discovery;
 use vetchbridge_testbed::worker::Worker;
 
@@ -114,7 +114,7 @@
     }
 
     /// Shows how a load stands.
-    pub fn show(&mut self, at: Standing) {
+    pub fn show(&mut self, at: LoadProgress) {
         let text = format!(
             "{:.0} of {:.0} s, {} sent, {} out",
             at.elapsed.as_secs_f64(),
