--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,284 +1,177 @@
-//! Discovery: the list of workers as a service, with watches by version, and all the ways in which it fails.
+//! The discovery service: the list of workers with versions, watches for changes, and scripted faults.
 //!
-//! One port for each scheduler, so that each can be told its own addresses and be moved on its own. One task owns the
-//! listeners and their connections. It must never look at a worker: it knows what it was told.
+//! It listens on a port for each scheduler, so that each has its own addresses of the workers and can be moved on its
+//! own. A task for each port owns the listener and its connections. The list holds what was published, also where a
+//! worker has changed since.
+
+mod endpoints;
+mod server;
+
+pub use endpoints::{Endpoint, Lifecycle};
 
-use crate::wire::Wire;
 use crate::worker::Worker;
 use crate::{Owned, Port};
-use serde_json::{json, Value};
-use std::collections::BTreeMap;
+use endpoints::EndpointList;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::sync::watch;
-use tokio::task::JoinSet;
-use tokio::time::{sleep, timeout};
-
-/// The longest wait that a watch may ask for.
-const LONGEST_WAIT: u64 = 60_000;
-
-/// One entry of the list.
-#[derive(Clone, Debug)]
-pub struct Entry {
-    /// The worker's name.
-    pub name: String,
-    /// Where each scheduler reaches it.
-    pub addresses: Vec<SocketAddr>,
-    /// Its zone.
-    pub zone: String,
-    /// Its kind of machine.
-    pub kind: String,
-    /// Its cell.
-    pub cell: u32,
-    /// `up`, `draining` or `removed`.
-    pub lifecycle: &'static str,
-    /// Its size.
-    pub weight: f64,
-    /// When it last started, in Unix milliseconds.
-    pub started_at_ms: u64,
-}
-
-impl Entry {
-    /// A worker's entry.
-    pub fn of(worker: &Worker, lifecycle: &'static str) -> Entry {
-        let spec = worker.spec();
-        Entry {
-            name: spec.name.clone(),
-            addresses: worker.addresses(),
-            zone: spec.zone.clone(),
-            kind: spec.kind.clone(),
-            cell: spec.cell,
-            lifecycle,
-            weight: spec.weight,
-            started_at_ms: worker.started_at_ms(),
-        }
-    }
-
-    fn json(&self, scheduler: usize) -> Value {
-        let address = self.addresses.get(scheduler).map(SocketAddr::to_string).unwrap_or_default();
-        json!({"instanceId": self.name, "hostPort": address, "zone": self.zone, "machineType": self.kind,
-               "cell": self.cell, "lifecycle": self.lifecycle, "weight": self.weight,
-               "startedAtMs": self.started_at_ms})
-    }
-}
+use tokio::time::sleep;
 
 /// How discovery answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// As it should.
+    /// Normally.
     Up,
-    /// 503 to every call; watches end so too.
+    /// With 503, also to watches that wait.
     Failing,
-    /// Every call's connection is reset; watches end so too.
+    /// By resetting the connection, also of watches that wait.
     Resetting,
-    /// Connections are accepted and hear nothing.
+    /// Not at all: connections are accepted and stay open.
     Mute,
-    /// An answer breaks off in its middle.
-    Breaking,
+    /// With half of the answer, then the end of the connection.
+    Truncating,
 }
 
+/// The state that the tasks of all ports share.
 struct State {
-    generation: u64,
-    entries: BTreeMap<String, (Entry, u64)>,
+    endpoints: EndpointList,
     health: Health,
-    lateness: Duration,
+    /// How long after it was published a change is listed.
+    update_delay: Duration,
+    /// Number of calls that were answered.
     calls: u64,
 }
 
+/// State and signal of one discovery service.
 struct Shared {
     state: Mutex<State>,
-    /// Changes whenever a watch has something to look at.
-    changed: watch::Sender<u64>,
+    /// Wakes the watches after each change of the list or of the health.
+    changed: watch::Sender<()>,
 }
 
-/// See the head of this file.
-pub struct Discovery {
-    shared: Arc<Shared>,
-    ports: Vec<Mutex<(Port, Option<Owned>)>>,
+impl Shared {
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn update(&self, endpoint: Endpoint) {
+        self.state().endpoints.update(endpoint);
+        self.changed.send_replace(());
+    }
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+/// The port of one scheduler.
+struct SchedulerPort {
+    port: Port,
+    /// Absent while it does not listen.
+    server: Option<Owned>,
+}
+
+/// A discovery service on loopback sockets; dropping it ends it.
+pub struct Discovery {
+    shared: Arc<Shared>,
+    ports: Vec<Mutex<SchedulerPort>>,
 }
 
 impl Discovery {
-    /// Starts one with an empty list and a port for each scheduler.
+    /// Starts a service with an empty list and a port for each scheduler.
     pub async fn start(schedulers: usize) -> io::Result<Discovery> {
         let state = State {
-            generation: 1,
-            entries: BTreeMap::new(),
+            endpoints: EndpointList::default(),
             health: Health::Up,
-            lateness: Duration::ZERO,
+            update_delay: Duration::ZERO,
             calls: 0,
         };
-        let shared = Arc::new(Shared { state: Mutex::new(state), changed: watch::Sender::new(0) });
-        let ports =
-            (0..schedulers).map(|_| Ok(Mutex::new((Port::reserve()?, None)))).collect::<io::Result<_>>()?;
+        let shared = Arc::new(Shared { state: Mutex::new(state), changed: watch::Sender::new(()) });
+        let reserve = || Ok(Mutex::new(SchedulerPort { port: Port::reserve()?, server: None }));
+        let ports = (0..schedulers).map(|_| reserve()).collect::<io::Result<_>>()?;
         let discovery = Discovery { shared, ports };
-        (0..schedulers).try_for_each(|scheduler| discovery.go_up(scheduler))?;
+        (0..schedulers).try_for_each(|scheduler| discovery.listen(scheduler))?;
         Ok(discovery)
     }
 
+    fn port(&self, scheduler: usize) -> MutexGuard<'_, SchedulerPort> {
+        self.ports[scheduler].lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
     /// Where a scheduler reaches it.
     pub fn address(&self, scheduler: usize) -> SocketAddr {
-        lock(&self.ports[scheduler]).0.address()
+        self.port(scheduler).port.address()
     }
 
     /// Stops listening for a scheduler; its connections end.
-    pub fn go_down(&self, scheduler: usize) {
-        lock(&self.ports[scheduler]).1 = None;
+    pub fn stop_listening(&self, scheduler: usize) {
+        self.port(scheduler).server = None;
     }
 
-    /// Listens again.
-    pub fn go_up(&self, scheduler: usize) -> io::Result<()> {
-        let port = &mut *lock(&self.ports[scheduler]);
-        let listener = port.0.listen()?;
-        port.1 = Some(Owned::spawn(serve(self.shared.clone(), listener, scheduler)));
+    /// Listens again for a scheduler.
+    pub fn listen(&self, scheduler: usize) -> io::Result<()> {
+        let port = &mut *self.port(scheduler);
+        let listener = port.port.listen()?;
+        port.server = Some(Owned::spawn(server::serve(self.shared.clone(), listener, scheduler)));
         Ok(())
     }
 
-    /// Moves to another address for a scheduler; the old one refuses from now on, and its connections end.
-    pub fn move_away(&self, scheduler: usize) -> io::Result<SocketAddr> {
+    /// Moves to another port for a scheduler; the old one refuses connections, and its open ones end.
+    pub fn move_to_new_port(&self, scheduler: usize) -> io::Result<SocketAddr> {
         let port = Port::reserve()?;
         let listener = port.listen()?;
-        let (address, server) = (port.address(), serve(self.shared.clone(), listener, scheduler));
-        *lock(&self.ports[scheduler]) = (port, Some(Owned::spawn(server)));
+        let address = port.address();
+        let server = Owned::spawn(server::serve(self.shared.clone(), listener, scheduler));
+        *self.port(scheduler) = SchedulerPort { port, server: Some(server) };
         Ok(address)
     }
 
-    /// Answers in this way from now on.
-    pub fn health(&self, health: Health) {
-        lock(&self.shared.state).health = health;
-        self.shared.changed.send_modify(|at| *at += 1);
+    /// Sets how it answers from now on.
+    pub fn set_health(&self, health: Health) {
+        self.shared.state().health = health;
+        self.shared.changed.send_replace(());
     }
 
-    /// Learns of changes so much later, from now on.
-    pub fn lateness(&self, lateness: Duration) {
-        lock(&self.shared.state).lateness = lateness;
+    /// Sets how long after it is published a change is listed, from now on.
+    pub fn set_update_delay(&self, delay: Duration) {
+        self.shared.state().update_delay = delay;
     }
 
-    /// Is out of reach in this way for so long, and then answers again.
-    pub async fn out_for(&self, how: Health, lasts: Duration) {
-        self.health(how);
-        sleep(lasts).await;
-        self.health(Health::Up);
+    /// Answers in another way for `duration`, and normally after it.
+    pub async fn fail_for(&self, health: Health, duration: Duration) {
+        self.set_health(health);
+        sleep(duration).await;
+        self.set_health(Health::Up);
     }
 
-    /// Calls answered so far.
+    /// Number of calls answered so far.
     pub fn calls(&self) -> u64 {
-        lock(&self.shared.state).calls
+        self.shared.state().calls
     }
 
     /// Lists a worker as up.
     pub fn up(&self, worker: &Worker) {
-        self.tell(Entry::of(worker, "up"));
+        self.publish(Endpoint::of(worker, Lifecycle::Up));
     }
 
     /// Lists a worker as draining.
     pub fn draining(&self, worker: &Worker) {
-        self.tell(Entry::of(worker, "draining"));
+        self.publish(Endpoint::of(worker, Lifecycle::Draining));
     }
 
-    /// Takes a worker off the list.
+    /// Removes a worker from the list.
     pub fn remove(&self, worker: &Worker) {
-        self.tell(Entry::of(worker, "removed"));
+        self.publish(Endpoint::of(worker, Lifecycle::Removed));
     }
 
-    /// Takes an entry in, after the lateness that is in force.
-    pub fn tell(&self, entry: Entry) {
-        let lateness = lock(&self.shared.state).lateness;
-        if lateness.is_zero() {
-            return self.shared.tell(entry);
+    /// Lists an endpoint after the update delay.
+    pub fn publish(&self, endpoint: Endpoint) {
+        let delay = self.shared.state().update_delay;
+        if delay.is_zero() {
+            return self.shared.update(endpoint);
         }
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            sleep(lateness).await;
-            shared.tell(entry);
+            sleep(delay).await;
+            shared.update(endpoint);
         });
     }
 }
-
-impl Shared {
-    fn tell(&self, entry: Entry) {
-        {
-            let state = &mut *lock(&self.state);
-            state.generation += 1;
-            state.entries.insert(entry.name.clone(), (entry, state.generation));
-        }
-        self.changed.send_modify(|at| *at += 1);
-    }
-
-    /// The answer to a call: the whole list, or what is newer than a version.
-    fn list(&self, scheduler: usize, since: Option<u64>) -> Value {
-        let state = lock(&self.state);
-        let since = since.filter(|since| *since <= state.generation);
-        let listed = state.entries.values().filter(|(entry, at)| match since {
-            Some(since) => *at > since,
-            None => entry.lifecycle != "removed",
-        });
-        let instances: Vec<Value> = listed.map(|(entry, _)| entry.json(scheduler)).collect();
-        json!({"generation": state.generation, "reset": since.is_none(), "instances": instances})
-    }
-
-    fn health(&self) -> Health {
-        lock(&self.state).health
-    }
-}
-
-async fn serve(shared: Arc<Shared>, listener: tokio::net::TcpListener, scheduler: usize) {
-    let mut connections = JoinSet::new();
-    loop {
-        tokio::select! {
-            accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                connections.spawn(connection(shared.clone(), Wire::new(stream), scheduler));
-            },
-            Some(_) = connections.join_next(), if !connections.is_empty() => {}
-        }
-    }
-}
-
-async fn connection(shared: Arc<Shared>, mut wire: Wire, scheduler: usize) {
-    while let Some(call) = wire.read().await {
-        let number = |name: &str| {
-            let (_, query) = call.target().split_once('?')?;
-            query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
-        };
-        let (since, wait) = (number("index"), number("wait").unwrap_or(0).min(LONGEST_WAIT));
-        if let Some(since) = since {
-            let mut changed = shared.changed.subscribe();
-            let newer = async {
-                loop {
-                    changed.borrow_and_update();
-                    let generation = lock(&shared.state).generation;
-                    if generation != since
-                        || shared.health() != Health::Up
-                        || changed.changed().await.is_err()
-                    {
-                        return;
-                    }
-                }
-            };
-            let _ = timeout(Duration::from_millis(wait), newer).await;
-        }
-        lock(&shared.state).calls += 1;
-        let body = shared.list(scheduler, since).to_string();
-        let written = match shared.health() {
-            Health::Up => wire.answer(200, "", &body).await,
-            Health::Failing => wire.answer(503, "", "").await,
-            Health::Resetting => return wire.reset(),
-            Health::Mute => return wire.closed().await,
-            Health::Breaking => {
-                let half = &body[..body.len() / 2];
-                let _ = wire
-                    .write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{half}", body.len()))
-                    .await;
-                return;
-            }
-        };
-        if written.is_err() {
-            return;
-        }
-    }
-}
--- /dev/null
+++ b/crates/testbed/src/discovery/server.rs
@@ -0,0 +1,82 @@
+//! The HTTP side of discovery: calls for the list, and watches that wait for a change.
+
+use super::{Health, Shared};
+use crate::wire::{Message, Wire};
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+/// The longest wait of a watch, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
+
+/// Serves one scheduler, until it is dropped.
+pub(super) async fn serve(shared: Arc<Shared>, listener: TcpListener, scheduler: usize) {
+    let mut connections = JoinSet::new();
+    loop {
+        tokio::select! {
+            accepted = listener.accept() => if let Ok((stream, _)) = accepted {
+                connections.spawn(serve_connection(shared.clone(), Wire::new(stream), scheduler));
+            },
+            Some(_) = connections.join_next(), if !connections.is_empty() => {}
+        }
+    }
+}
+
+async fn serve_connection(shared: Arc<Shared>, mut wire: Wire, scheduler: usize) {
+    while let Some(request) = wire.read().await {
+        let since = query_number(&request, "index");
+        if let Some(since) = since {
+            let wait = query_number(&request, "wait").unwrap_or(0).min(MAX_WAIT_MS);
+            // The call is answered after the wait, changed or not.
+            let _ = timeout(Duration::from_millis(wait), wait_for_change(&shared, since)).await;
+        }
+        let (document, health) = {
+            let mut state = shared.state();
+            state.calls += 1;
+            (state.endpoints.document(scheduler, since).to_string(), state.health)
+        };
+        let written = match health {
+            Health::Up => wire.answer(200, "", &document).await,
+            Health::Failing => wire.answer(503, "", "").await,
+            Health::Resetting => return wire.reset(),
+            Health::Mute => return wire.closed().await,
+            Health::Truncating => {
+                // The connection ends here whether the write succeeded or not.
+                let _ = write_half(&mut wire, &document).await;
+                return;
+            }
+        };
+        if written.is_err() {
+            return;
+        }
+    }
+}
+
+/// A number in the query of a request.
+fn query_number(request: &Message, name: &str) -> Option<u64> {
+    let (_, query) = request.target().split_once('?')?;
+    query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+}
+
+/// Waits until the list's version is not `since`, or discovery fails.
+async fn wait_for_change(shared: &Shared, since: u64) {
+    let mut changed = shared.changed.subscribe();
+    loop {
+        changed.borrow_and_update();
+        let is_over = {
+            let state = shared.state();
+            state.endpoints.version() != since || state.health != Health::Up
+        };
+        if is_over || changed.changed().await.is_err() {
+            return;
+        }
+    }
+}
+
+async fn write_half(wire: &mut Wire, document: &str) -> io::Result<()> {
+    let (length, half) = (document.len(), &document[..document.len() / 2]);
+    wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{half}")).await
+}
--- a/crates/testbed/tests/stories.rs
+++ b/crates/testbed/tests/stories.rs
@@ -216,13 +216,13 @@
     assert_eq!(news["instances"][0]["hostPort"], worker.addresses()[0].to_string());
     // A watch that waits is ended by an outage.
     let watch = format!("/registry/instances?index={}&wait=60000", news["generation"]);
-    let (failed, ()) = tokio::join!(ask(&watch), async { discovery.health(Health::Failing) });
+    let (failed, ()) = tokio::join!(ask(&watch), async { discovery.set_health(Health::Failing) });
     assert!(failed.is_null());
-    discovery.health(Health::Up);
+    discovery.set_health(Health::Up);
     discovery.remove(&worker);
     assert_eq!(ask(&watch).await["instances"][0]["lifecycle"], "removed");
     let old = discovery.address(0);
-    let new = discovery.move_away(0).expect("another port");
+    let new = discovery.move_to_new_port(0).expect("another port");
     assert_ne!(old, new);
     Wire::dial(new).await.expect("it listens there");
 }
@@ -242,12 +242,12 @@
         tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
         wire.read().await.map(|answer| answer.text())
     };
-    for health in [Health::Mute, Health::Breaking, Health::Resetting] {
-        discovery.health(health);
+    for health in [Health::Mute, Health::Truncating, Health::Resetting] {
+        discovery.set_health(health);
         assert_eq!(call("/registry/instances").await, None, "{health:?}");
     }
-    discovery.health(Health::Up);
-    discovery.lateness(Duration::from_secs(2));
+    discovery.set_health(Health::Up);
+    discovery.set_update_delay(Duration::from_secs(2));
     discovery.up(&worker);
     let list = call("/registry/instances").await.expect("a list");
     assert!(!list.contains("s-0"), "not yet: {list}");
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -155,7 +155,7 @@
         sleep_until(began + trouble.at.duration()).await;
         let lasts = trouble.lasts.duration();
         match (trouble.what.health(), trouble.what) {
-            (Some(health), _) => discovery.out_for(health, lasts).await,
+            (Some(health), _) => discovery.fail_for(health, lasts).await,
             (None, plan::TroubleKind::StatsLate) => {
                 for worker in workers {
                     worker.set_report_delay(trouble.late.duration());
--- a/crates/testkit/src/soak/troubles.rs
+++ b/crates/testkit/src/soak/troubles.rs
@@ -254,7 +254,7 @@
     /// Moves a scheduler's discovery to another address and has it told by its configuration.
     fn move_discovery(&self, scheduler: &Scheduler, number: usize) -> Result<(), Failure> {
         let old = self.discovery.address(number).to_string();
-        let new = self.discovery.move_away(number).map_err(machine("another address of discovery"))?;
+        let new = self.discovery.move_to_new_port(number).map_err(machine("another address of discovery"))?;
         let path = scheduler.config();
         let text = std::fs::read_to_string(path).map_err(machine("a scheduler's configuration"))?;
         let fresh = path.with_extension("fresh");
@@ -352,14 +352,14 @@
         while let Some(kind) = turns.next().await {
             let (lasts, from) = (turns.span(0.3, 3.0), Instant::now());
             match kind {
-                ListRefuses => self.discovery.out_for(Health::Failing, lasts).await,
-                ListResets => self.discovery.out_for(Health::Resetting, lasts).await,
-                ListIsMute => self.discovery.out_for(Health::Mute, lasts).await,
-                ListBreaksOff => self.discovery.out_for(Health::Breaking, lasts).await,
+                ListRefuses => self.discovery.fail_for(Health::Failing, lasts).await,
+                ListResets => self.discovery.fail_for(Health::Resetting, lasts).await,
+                ListIsMute => self.discovery.fail_for(Health::Mute, lasts).await,
+                ListBreaksOff => self.discovery.fail_for(Health::Truncating, lasts).await,
                 _ => {
-                    self.discovery.lateness(LATEST_NEWS);
+                    self.discovery.set_update_delay(LATEST_NEWS);
                     sleep(lasts).await;
-                    self.discovery.lateness(Duration::ZERO);
+                    self.discovery.set_update_delay(Duration::ZERO);
                 }
             }
             self.journal.note(kind, "", from);
--- a/crates/testkit/src/stage.rs
+++ b/crates/testkit/src/stage.rs
@@ -81,7 +81,7 @@
             discovery.up(&worker);
             workers.push(worker);
         }
-        discovery.lateness(plan.schedulers.lateness.duration());
+        discovery.set_update_delay(plan.schedulers.lateness.duration());
         let front = LoadBalancer::start(&addresses, plan.schedulers.notice.duration())
             .await
             .map_err(machine("the front"))?;
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -51,7 +51,7 @@
     let troubles = async {
         stage.workers.iter().for_each(|worker| worker.next(acts()));
         sleep(OUT_AT).await;
-        stage.discovery.out_for(how, OUT_FOR).await;
+        stage.discovery.fail_for(how, OUT_FOR).await;
         let asked = stage.discovery.calls();
         // Each spreads its next call by itself; this story goes on until the first has come.
         while stage.discovery.calls() == asked {
