--- /dev/null
+++ b/crates/testbed/tests/discovery.rs
@@ -0,0 +1,73 @@
+//! The discovery service: versions, watches and faults.
+#![allow(missing_docs)]
+
+use rstest::rstest;
+use std::time::Duration;
+use vetchbridge_testbed::discovery::{Discovery, Health};
+use vetchbridge_testbed::runs::Runs;
+use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::worker::{Worker, WorkerSpec};
+
+/// How long a test may take.
+const HANG: Duration = Duration::from_secs(60);
+
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_watch_gets_the_changes_after_its_version_and_ends_when_discovery_fails() {
+    let discovery = Discovery::start(1).await.expect("a service");
+    let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
+        .await
+        .expect("a worker");
+    let mut wire = Wire::dial(discovery.address(0)).await.expect("it listens");
+    let mut call = async |target: &str| -> serde_json::Value {
+        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("sent");
+        serde_json::from_slice(&wire.read().await.expect("an answer").body).unwrap_or_default()
+    };
+    let list = call("/registry/instances").await;
+    assert_eq!((list["reset"].as_bool(), list["instances"].as_array().map(Vec::len)), (Some(true), Some(0)));
+    let watch = format!("/registry/instances?index={}&wait=60000", list["generation"]);
+    discovery.up(&worker);
+    let changes = call(&watch).await;
+    assert_eq!(changes["reset"].as_bool(), Some(false));
+    assert_eq!(changes["instances"][0]["hostPort"], worker.addresses()[0].to_string());
+    // A watch that waits ends when discovery fails.
+    let watch = format!("/registry/instances?index={}&wait=60000", changes["generation"]);
+    let (failed, ()) = tokio::join!(call(&watch), async { discovery.set_health(Health::Failing) });
+    assert!(failed.is_null());
+    discovery.set_health(Health::Up);
+    discovery.remove(&worker);
+    assert_eq!(call(&watch).await["instances"][0]["lifecycle"], "removed");
+    let old = discovery.address(0);
+    let new = discovery.move_to_new_port(0).expect("another port");
+    assert_ne!(old, new);
+    Wire::dial(new).await.expect("it listens there");
+}
+
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn discovery_is_unresponsive_truncates_resets_or_lists_late_as_set() {
+    let discovery = Discovery::start(1).await.expect("a service");
+    let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
+        .await
+        .expect("a worker");
+    let call = async |target: &str| {
+        let mut wire = Wire::dial(discovery.address(0)).await.expect("it listens");
+        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("sent");
+        // An unresponsive service keeps the connection open until the caller closes it.
+        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
+        wire.read().await.map(|answer| answer.text())
+    };
+    for health in [Health::Mute, Health::Truncating, Health::Resetting] {
+        discovery.set_health(health);
+        assert_eq!(call("/registry/instances").await, None, "{health:?}");
+    }
+    discovery.set_health(Health::Up);
+    discovery.set_update_delay(Duration::from_secs(2));
+    discovery.up(&worker);
+    let list = call("/registry/instances").await.expect("a list");
+    assert!(!list.contains("s-0"), "not yet: {list}");
+    let changes = call("/registry/instances?index=1&wait=60000").await.expect("changes");
+    assert!(changes.contains("s-0"), "{changes}");
+}
--- /dev/null
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -0,0 +1,170 @@
+//! A worker's jobs: execution, callbacks, rejections, scripted misbehaviour and its end.
+#![allow(missing_docs)]
+
+mod common;
+
+use common::{TestWorker, ENDLESS_WORK, HANG};
+use rstest::rstest;
+use std::time::Duration;
+use vetchbridge_testbed::runs::{result, RunEnd};
+use vetchbridge_testbed::wire::{Message, Wire};
+use vetchbridge_testbed::worker::{Act, WorkerSpec};
+
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_worker_runs_a_job_and_retries_its_callbacks_until_they_are_answered() {
+    let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
+    let mut wire = worker.send(0xab, "", "").await;
+    assert_eq!(wire.read().await.expect("an answer").status(), "202");
+    // The first attempt of a callback gets no answer.
+    drop(worker.accept_callback().await);
+    assert_eq!(worker.next_state().await, "started");
+    let done: serde_json::Value = serde_json::from_slice(&worker.next_callback().await.body).expect("JSON");
+    assert_eq!((done["state"].as_str(), done["result"].as_str()), (Some("done"), Some(&*result(0xab, 0))));
+    assert_eq!(worker.runs.all()[0].end, RunEnd::Finished);
+}
+
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_rejecting_or_draining_worker_accepts_no_job_and_returns_those_that_wait() {
+    let spec =
+        WorkerSpec { slots: 1, reports_start: false, progress: Duration::ZERO, ..WorkerSpec::new("s-0") };
+    let worker = TestWorker::start(spec).await;
+    let expect_rejected = async |id| {
+        let answer = worker.send(id, "", "").await.read().await.expect("an answer");
+        assert_eq!((answer.status(), answer.header("x-never-ran")), ("503", Some("1")));
+    };
+    worker.worker.refuse(true);
+    expect_rejected(1).await;
+    worker.worker.refuse(false);
+    for (id, work) in [(2, ENDLESS_WORK), (3, "")] {
+        assert_eq!(worker.send(id, "", work).await.read().await.expect("an answer").status(), "202");
+    }
+    worker.worker.drain();
+    // The first callback at all: the running job goes on, and this worker does not report starts.
+    assert_eq!(worker.next_state().await, "returned");
+    expect_rejected(4).await;
+}
+
+/// The last step of a job may be shorter than the resolution of the clock.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn work_of_any_length_finishes() {
+    let worker = TestWorker::start(WorkerSpec { speed: 1.7, ..WorkerSpec::new("s-0") }).await;
+    for work in [1, 333, 50_001, 100_003] {
+        worker.send(work, "", &format!("work_us={work}")).await.read().await.expect("an answer");
+        assert_eq!(
+            (worker.next_state().await.as_str(), worker.next_state().await.as_str()),
+            ("started", "done")
+        );
+    }
+}
+
+#[rstest]
+#[case::reject(Act::Answer { status: 503, never_ran: true }, Some("503"), &[])]
+#[case::no_response(Act::Mute, None, &[])]
+#[case::cut_in_body(Act::CutInBody, None, &[])]
+#[case::cut_before_answer(Act::CutBeforeAnswer, None, &[])]
+#[case::half_an_answer(Act::HalfAnswer, None, &[])]
+#[case::lose(Act::Lose, Some("202"), &["started", "lost"])]
+#[case::fail(Act::Fail, Some("202"), &["started", "failed"])]
+#[case::return_unstarted(Act::HandBack, Some("202"), &["returned"])]
+#[case::no_callback(Act::Forget, Some("202"), &[])]
+#[case::byte_by_byte(Act::Pieces, Some("202"), &["started", "done"])]
+#[case::repeated_callback(Act::Repeat(3), Some("202"), &["started", "done", "done", "done"])]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_worker_misbehaves_once_as_scripted(
+    #[case] act: Act,
+    #[case] answer: Option<&str>,
+    #[case] states: &[&str],
+) {
+    let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
+    let mute = act == Act::Mute;
+    worker.worker.next([act]);
+    let mut wire = worker.send(1, "", "").await;
+    if mute {
+        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
+    }
+    assert_eq!(wire.read().await.as_ref().map(Message::status), answer);
+    for state in states {
+        assert_eq!(worker.next_state().await, *state);
+    }
+    let mut wire = worker.send(2, "", "").await;
+    assert_eq!(wire.read().await.expect("the next is served").status(), "202");
+}
+
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_full_worker_rejects_jobs_unrun_and_a_keyed_job_finishes_once() {
+    let worker = TestWorker::start(WorkerSpec {
+        slots: 1,
+        queue: 1,
+        progress: Duration::ZERO,
+        ..WorkerSpec::new("s-0")
+    })
+    .await;
+    let key = "idempotency-key: k\r\n";
+    let mut running = worker.send(1, key, ENDLESS_WORK).await;
+    assert_eq!(running.read().await.expect("an answer").status(), "202");
+    assert_eq!(worker.next_state().await, "started");
+    let mut waiting = worker.send(2, key, "").await;
+    assert_eq!(waiting.read().await.expect("an answer").status(), "202");
+    let full = worker.send(3, "", "").await.read().await.expect("an answer");
+    assert_eq!((full.status(), full.header("x-never-ran")), ("503", Some("1")));
+    running.write("DELETE /jobs/0000000000000001 HTTP/1.1\r\n\r\n").await.expect("sent");
+    assert_eq!(running.read().await.expect("an answer").status(), "200");
+    // The first run was cancelled, so the repeat that waited runs.
+    assert_eq!(worker.next_state().await, "started");
+    assert_eq!(worker.next_state().await, "done");
+    worker.send(4, key, "").await.read().await.expect("an answer");
+    assert_eq!(worker.next_state().await, "done");
+    assert_eq!(
+        worker.runs.all().iter().map(|run| run.end).collect::<Vec<_>>(),
+        [RunEnd::Cancelled, RunEnd::Finished]
+    );
+}
+
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_killed_worker_resets_connections_refuses_new_ones_and_restarts_at_its_port() {
+    let worker = TestWorker::start(WorkerSpec { progress: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
+    let mut wire = worker.send(1, "", ENDLESS_WORK).await;
+    assert_eq!(wire.read().await.expect("an answer").status(), "202");
+    assert_eq!(worker.next_state().await, "started");
+    worker.worker.kill(true).await;
+    assert_eq!(worker.next_state().await, "lost");
+    assert_eq!(worker.runs.all()[0].end, RunEnd::Lost);
+    assert!(wire.read().await.is_none());
+    assert!(Wire::dial(worker.address()).await.is_err());
+    worker.worker.restart().expect("the port is reserved");
+    assert!(worker.worker.started_at_ms() > 0);
+    assert_eq!(worker.send(2, "", "").await.read().await.expect("an answer").status(), "202");
+}
+
+/// A callback may overtake the 202, be invalid, or come late from a slow worker.
+#[rstest]
+#[timeout(HANG)]
+#[tokio::test]
+async fn a_worker_sends_callbacks_early_invalid_or_late_as_scripted() {
+    let worker = TestWorker::start(WorkerSpec { progress: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
+    worker.worker.next([Act::Overtake, Act::Garble]);
+    let mut wire = worker.send(1, "", "").await;
+    assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
+    assert_eq!(wire.read().await.expect("after its callbacks").status(), "202");
+    let mut wire = worker.send(2, "", "").await;
+    assert_eq!(wire.read().await.expect("an answer").status(), "202");
+    assert!(serde_json::from_slice::<serde_json::Value>(&worker.next_callback().await.body).is_err());
+    assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
+    worker.worker.slow(10.0);
+    let began = std::time::Instant::now();
+    let mut wire = worker.send(3, "", "work_us=20000").await;
+    wire.read().await.expect("an answer");
+    assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
+    assert!(began.elapsed() >= Duration::from_millis(190), "{:?}", began.elapsed());
+}
