--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -238,7 +238,7 @@
             if resent_in_outage.get(&run.id).is_some_and(|resent| run.started < *resent) {
                 continue;
             }
-            // By job, not by attempt: a client may retry only after an answer that says that nothing ran.
+            // By job, not by attempt: a client may retry only after a rejection, which means that nothing ran.
             let started_before = !started_jobs.insert(job.arrival.job);
             match self.classes[job.arrival.class].idempotency {
                 Idempotency::NonIdempotent if started_before => {
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -29,7 +29,7 @@
     /// By resetting the connection, also of watches that wait.
     Resetting,
     /// Not at all: connections are accepted and stay open.
-    Mute,
+    Unresponsive,
     /// With half of the answer, then the end of the connection.
     Truncating,
 }
--- /dev/null
+++ b/crates/testbed/src/port.rs
@@ -0,0 +1,37 @@
+//! Ports that stay reserved while nothing listens on them.
+
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+use tokio::net::{TcpListener, TcpSocket};
+
+/// Number of connections that may wait to be accepted.
+const BACKLOG: u32 = 1024;
+
+/// A reserved port on loopback: while nothing listens on it connections are refused, and no other process gets it.
+pub struct Port {
+    address: SocketAddr,
+    _reserved: TcpSocket,
+}
+
+impl Port {
+    /// Reserves any free port.
+    pub fn reserve() -> io::Result<Port> {
+        let reserved = TcpSocket::new_v4()?;
+        reserved.set_reuseaddr(true)?;
+        reserved.bind((Ipv4Addr::LOCALHOST, 0).into())?;
+        Ok(Port { address: reserved.local_addr()?, _reserved: reserved })
+    }
+
+    /// Its address.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Listens on it until the listener is dropped.
+    pub fn listen(&self) -> io::Result<TcpListener> {
+        let socket = TcpSocket::new_v4()?;
+        socket.set_reuseaddr(true)?;
+        socket.bind(self.address)?;
+        socket.listen(BACKLOG)
+    }
+}
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,21 +1,23 @@
-//! One end of an HTTP/1.1 connection, spoken by hand so that a script can break off anywhere.
+//! One end of an HTTP/1.1 connection, written without an HTTP library so that a test can break off anywhere.
 //!
-//! Owns the socket and what was read ahead. It must never mend, retry or judge: it reads and writes what it is told to.
+//! Owns the socket and the bytes that were received beyond the last message. It neither retries nor corrects.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The longest head or body that is read.
-const LIMIT: usize = 1 << 20;
+/// Maximum size of a head or a body that is read, in bytes.
+const MAX_PART_BYTES: usize = 1 << 20;
+/// The end of a message's head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A request or an answer, read whole.
+/// A complete request or answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The first line.
     pub line: String,
-    /// Names in lower case, values as they were written.
+    /// Names in lower case, values as received.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
@@ -48,21 +50,22 @@
     }
 }
 
-/// See the head of this file.
+/// One end of an HTTP/1.1 connection.
 pub struct Wire {
     stream: TcpStream,
-    ahead: Vec<u8>,
+    /// Bytes beyond the last message.
+    received: Vec<u8>,
 }
 
 impl Wire {
-    /// The end that accepted, or that dialled elsewhere.
+    /// The end of a connection that was accepted or made elsewhere.
     pub fn new(stream: TcpStream) -> Wire {
-        // A stand-in's short writes must not wait for one another.
+        // Short writes must not wait for acknowledgements; without the option they are only slower.
         let _ = stream.set_nodelay(true);
-        Wire { stream, ahead: Vec::new() }
+        Wire { stream, received: Vec::new() }
     }
 
-    /// Dials.
+    /// Connects to an address.
     pub async fn dial(address: SocketAddr) -> io::Result<Wire> {
         TcpStream::connect(address).await.map(Wire::new)
     }
@@ -72,22 +75,23 @@
         &mut self.stream
     }
 
-    async fn more(&mut self) -> Option<()> {
-        match self.stream.read_buf(&mut self.ahead).await {
-            Ok(read) if read > 0 && self.ahead.len() <= LIMIT => Some(()),
+    /// Receives more bytes; `None` at the end of the connection, or if there are too many.
+    async fn receive(&mut self) -> Option<()> {
+        match self.stream.read_buf(&mut self.received).await {
+            Ok(read) if read > 0 && self.received.len() <= MAX_PART_BYTES => Some(()),
             _ => None,
         }
     }
 
-    /// The head of the next message, its body still to come: the message without it, and its length.
+    /// Reads the head of the next message: the message without its body, and the length of the body.
     pub async fn head(&mut self) -> Option<(Message, usize)> {
         let end = loop {
-            if let Some(at) = self.ahead.windows(4).position(|four| four == b"\r\n\r\n") {
-                break at + 4;
+            if let Some(at) = self.received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
+                break at + HEAD_END.len();
             }
-            self.more().await?;
+            self.receive().await?;
         };
-        let head: Vec<u8> = self.ahead.drain(..end).collect();
+        let head: Vec<u8> = self.received.drain(..end).collect();
         let text = String::from_utf8(head).ok()?;
         let mut lines = text.trim_end().split("\r\n");
         let line = lines.next()?.to_string();
@@ -95,28 +99,28 @@
         let headers = headers.map(|(name, value)| (name.to_lowercase(), value.trim().to_string())).collect();
         let message = Message { line, headers, body: Vec::new() };
         let length = message.header("content-length").map_or(Some(0), |length| length.parse().ok())?;
-        (length <= LIMIT).then_some((message, length))
+        (length <= MAX_PART_BYTES).then_some((message, length))
     }
 
-    /// The next whole message; `None` once the other side has closed, or says what is no message.
+    /// Reads the next message; `None` once the other side has closed, or sends an invalid one.
     pub async fn read(&mut self) -> Option<Message> {
         let (mut message, length) = self.head().await?;
         message.body = self.body(length).await?;
         Some(message)
     }
 
-    /// The rest of a message whose head was read.
+    /// Reads the body of a message whose head was read.
     pub async fn body(&mut self, length: usize) -> Option<Vec<u8>> {
-        while self.ahead.len() < length {
-            self.more().await?;
+        while self.received.len() < length {
+            self.receive().await?;
         }
-        Some(self.ahead.drain(..length).collect())
+        Some(self.received.drain(..length).collect())
     }
 
-    /// Whether the other side has closed; what it still says is passed over.
+    /// Waits until the other side has closed; what it sends until then is dropped.
     pub async fn closed(&mut self) {
-        while self.more().await.is_some() {
-            self.ahead.clear();
+        while self.receive().await.is_some() {
+            self.received.clear();
         }
     }
 
@@ -125,17 +129,17 @@
         self.stream.write_all(text.as_bytes()).await
     }
 
-    /// Writes text as it is, each byte a piece of its own.
+    /// Writes text as it is, one byte at a time.
     pub async fn write_in_pieces(&mut self, text: &str) -> io::Result<()> {
         for byte in text.as_bytes().chunks(1) {
             self.stream.write_all(byte).await?;
-            // The other side is to have the chance to read it alone.
+            // Lets the other side read the byte alone.
             tokio::task::yield_now().await;
         }
         Ok(())
     }
 
-    /// Writes a whole `POST`; `headers` are whole lines.
+    /// Writes a complete `POST`; `headers` are lines with their ends.
     pub async fn post(&mut self, target: &str, headers: &str, body: &str) -> io::Result<()> {
         let length = body.len();
         let text =
@@ -143,13 +147,13 @@
         self.write(&text).await
     }
 
-    /// Writes a whole answer; `headers` are whole lines.
+    /// Writes a complete answer; `headers` are lines with their ends.
     pub async fn answer(&mut self, status: u16, headers: &str, body: &str) -> io::Result<()> {
         let length = body.len();
         self.write(&format!("HTTP/1.1 {status} X\r\n{headers}content-length: {length}\r\n\r\n{body}")).await
     }
 
-    /// Ends the connection as the death of a process does: the other side sees a reset.
+    /// Resets the connection, as the end of a process may do.
     pub fn reset(self) {
         let _ = self.stream.set_zero_linger();
     }
--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -18,7 +18,7 @@
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before a callback is sent again.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long an idle connection to a scheduler is kept.
+/// How long an idle connection to a scheduler is reused.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A change of a job's state, as a callback reports it.
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -15,7 +15,7 @@
 /// The header line of an answer to a job that was not run.
 const NEVER_RAN: &str = "x-never-ran: 1\r\n";
 
-/// Whether a connection is kept after an exchange; `None` closes it.
+/// Whether a connection stays open after an exchange; `None` closes it.
 pub(super) type KeepAlive = Option<()>;
 
 /// One connection from a scheduler; reset if its worker is killed.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Writes a whole answer; `headers` are whole lines.
+    /// Writes a complete answer; `headers` are lines with their ends.
     pub(super) async fn answer(&mut self, status: u16, headers: &str, body: &str) -> KeepAlive {
         self.wire.as_mut()?.answer(status, headers, body).await.ok()
     }
@@ -93,7 +93,7 @@
         job_starts: &UnboundedSender<JobFuture>,
     ) -> KeepAlive {
         let act = self.worker.lock().script.next_job();
-        if act == Act::CutInBody {
+        if act == Act::ResetInBody {
             self.reset();
             return None;
         }
@@ -125,8 +125,8 @@
             Act::Answer { status, never_ran } => {
                 ControlFlow::Break(self.end_attempt(status, never_ran).await)
             }
-            Act::Mute => ControlFlow::Break(self.stay_silent().await),
-            Act::CutBeforeAnswer => {
+            Act::NoResponse => ControlFlow::Break(self.stay_silent().await),
+            Act::ResetBeforeAnswer => {
                 self.reset();
                 ControlFlow::Break(None)
             }
@@ -148,7 +148,7 @@
         self.answer(status, &headers, "").await
     }
 
-    /// Answers 202 and starts the job, in the order that the script asks for.
+    /// Answers 202 and starts the job, in the scripted order.
     async fn accept(
         &mut self,
         job: JobRequest,
@@ -156,11 +156,11 @@
         job_starts: &UnboundedSender<JobFuture>,
     ) -> KeepAlive {
         match act {
-            Act::Overtake => {
+            Act::CallbackBeforeAnswer => {
                 self.worker.clone().job(job, Act::Serve).await;
                 return self.answer(202, "", "").await;
             }
-            Act::Pieces => {
+            Act::ByteByByte => {
                 let answer = "HTTP/1.1 202 X\r\ncontent-length: 0\r\n\r\n";
                 self.wire.as_mut()?.write_in_pieces(answer).await.ok()?;
             }
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -16,7 +16,7 @@
 
 /// The work of a job is done in steps of at most this time, since the worker's speed may change meanwhile.
 const WORK_STEP: Duration = Duration::from_millis(50);
-/// The longest step in seconds, for a worker that is nearly stopped; it keeps the step representable.
+/// The longest step in seconds, for a worker that is nearly stopped; a longer one might not be representable.
 const MAX_STEP: f64 = 3600.0;
 /// Remaining work, in seconds, that counts as none: less than the clock resolves would never be done.
 const WORK_EPSILON: f64 = 1e-6;
@@ -41,7 +41,7 @@
         Box::pin(async move {
             let (updates, sent) = unbounded_channel();
             let (id, scheduler) = (job.id, job.scheduler);
-            let delivery = if act == Act::Pieces { Delivery::ByteByByte } else { Delivery::Retried };
+            let delivery = if act == Act::ByteByByte { Delivery::ByteByByte } else { Delivery::Retried };
             let reporting = async {
                 let mut sent: UnboundedReceiver<JobUpdate> = sent;
                 while let Some(update) = sent.recv().await {
@@ -60,7 +60,7 @@
         act: &Act,
         updates: UnboundedSender<JobUpdate>,
     ) {
-        if *act == Act::Garble {
+        if *act == Act::InvalidCallback {
             self.callbacks.deliver(job.scheduler, INVALID_CALLBACK.to_string(), Delivery::Retried).await;
         }
         let execution = Execution { worker: self, job, act, updates: &updates, cancelled: place.cancelled() };
@@ -68,7 +68,7 @@
             Ok(update) | Err(EarlyEnd::Reported(update)) => update,
             Err(EarlyEnd::Silent) => return,
         };
-        let repeats = if let Act::Repeat(times) = act { *times } else { 1 };
+        let repeats = if let Act::RepeatCallback(times) = act { *times } else { 1 };
         for _ in 0..repeats {
             // The receiver lives until this sender is dropped.
             let _ = updates.send(last.clone());
@@ -94,8 +94,8 @@
     /// From the queue to the end of the run; the last callback.
     async fn run(mut self, mut place: JobPlace) -> Result<JobUpdate, EarlyEnd> {
         match self.act {
-            Act::Forget => return Err(EarlyEnd::Silent),
-            Act::HandBack => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
+            Act::NoCallback => return Err(EarlyEnd::Silent),
+            Act::ReturnUnstarted => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
             _ => {}
         }
         let slots = self.wait_for_slots().await?;
--- a/crates/testbed/src/worker/job.rs
+++ b/crates/testbed/src/worker/job.rs
@@ -129,7 +129,7 @@
         }
         self.worker.record_load();
         if let Some(run) = self.run {
-            // The record keeps the first end.
+            // An end that is already recorded stays.
             self.worker.runs.end(run, RunEnd::Lost);
         }
         self.worker.forget_cancellation(self.id, &self.cancelled);
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -109,12 +109,12 @@
     }
 
     /// Scripts what it does with the next jobs, one entry each; jobs after them are served.
-    pub fn next(&self, acts: impl IntoIterator<Item = Act>) {
+    pub fn script_jobs(&self, acts: impl IntoIterator<Item = Act>) {
         self.state.lock().script.extend_jobs(acts);
     }
 
     /// Scripts what it does with the next probes, one entry each; probes after them are answered.
-    pub fn next_probes(&self, acts: impl IntoIterator<Item = ProbeAct>) {
+    pub fn script_probes(&self, acts: impl IntoIterator<Item = ProbeAct>) {
         self.state.lock().script.extend_probes(acts);
     }
 
@@ -124,8 +124,8 @@
     }
 
     /// Starts or stops rejecting every job without having run it.
-    pub fn refuse(&self, refusing: bool) {
-        self.state.lock().refusing = refusing;
+    pub fn reject_jobs(&self, rejecting: bool) {
+        self.state.lock().rejecting = rejecting;
     }
 
     /// Runs this many times slower than configured.
@@ -138,9 +138,9 @@
         self.state.draining.send_replace(true);
     }
 
-    /// Dies: its connections are reset, its jobs are lost and new connections are refused. With `told`, the machine's
-    /// agent reports the lost jobs to the schedulers.
-    pub async fn kill(&self, told: bool) {
+    /// Ends its process: its connections are reset, its jobs are lost and new connections are refused. With
+    /// `reports_lost_jobs`, the machine's agent reports the lost jobs to the schedulers.
+    pub async fn kill(&self, reports_lost_jobs: bool) {
         self.state.lock().killed = true;
         let Some(server) = self.server().take() else { return };
         let open = self.state.open_jobs();
@@ -148,7 +148,7 @@
         if server.stop.send(ended).is_ok() {
             let _ = end.await;
         }
-        if told {
+        if reports_lost_jobs {
             for id in open {
                 self.report_lost(id);
             }
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -12,7 +12,7 @@
 /// The longest that the work of a probe takes.
 const MAX_PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// What a probe asks for.
+/// The subject of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeTarget {
     /// A load report.
@@ -44,7 +44,7 @@
         let wire = self.wire.as_mut()?;
         let served = tokio::select! {
             served = self.worker.serve_probe() => served,
-            // A scheduler that gives the probe up also takes it out of the queue.
+            // A scheduler that cancels the probe also removes it from the queue.
             () = wire.closed() => return None,
         };
         if !served {
@@ -58,10 +58,10 @@
     async fn misbehave_at_probe(&mut self, act: ProbeAct) -> ControlFlow<KeepAlive> {
         match act {
             ProbeAct::Answer => {}
-            ProbeAct::Late(delay) => sleep(delay).await,
-            ProbeAct::Mute => return ControlFlow::Break(self.stay_silent().await),
-            ProbeAct::Refuse => return ControlFlow::Break(self.answer(503, "", "").await),
-            ProbeAct::Cut => {
+            ProbeAct::Delay(delay) => sleep(delay).await,
+            ProbeAct::NoResponse => return ControlFlow::Break(self.stay_silent().await),
+            ProbeAct::Reject => return ControlFlow::Break(self.answer(503, "", "").await),
+            ProbeAct::Reset => {
                 self.reset();
                 return ControlFlow::Break(None);
             }
--- a/crates/testbed/src/worker/script.rs
+++ b/crates/testbed/src/worker/script.rs
@@ -16,29 +16,29 @@
         never_ran: bool,
     },
     /// Reads it and sends nothing until the scheduler closes the connection.
-    Mute,
+    NoResponse,
     /// Resets the connection after the head, with the body unread.
-    CutInBody,
-    /// Reads it whole, then resets the connection before any answer.
-    CutBeforeAnswer,
+    ResetInBody,
+    /// Reads it completely, then resets the connection before any answer.
+    ResetBeforeAnswer,
     /// Sends half of a 202, then closes the connection.
     HalfAnswer,
     /// Answers 202 and never sends a callback.
-    Forget,
+    NoCallback,
     /// Answers 202, starts it and loses it.
     Lose,
     /// Answers 202, starts it and fails.
     Fail,
     /// Answers 202 and returns it without having started it.
-    HandBack,
+    ReturnUnstarted,
     /// Sends the final callback before the 202.
-    Overtake,
+    CallbackBeforeAnswer,
     /// Sends the final callback this many times.
-    Repeat(u32),
+    RepeatCallback(u32),
     /// Answers 202, sends a callback that is not valid JSON, then runs it.
-    Garble,
+    InvalidCallback,
     /// Runs it, and writes the 202 and every callback one byte at a time.
-    Pieces,
+    ByteByByte,
 }
 
 /// What a worker does with one probe.
@@ -47,13 +47,13 @@
     /// Answers it as configured.
     Answer,
     /// Answers it as configured after this delay.
-    Late(Duration),
+    Delay(Duration),
     /// Sends nothing until the scheduler closes the connection.
-    Mute,
+    NoResponse,
     /// Answers 503.
-    Refuse,
+    Reject,
     /// Resets the connection.
-    Cut,
+    Reset,
 }
 
 /// The entries not yet used up; jobs and probes beyond them are served normally.
--- a/crates/testbed/src/worker/server.rs
+++ b/crates/testbed/src/worker/server.rs
@@ -30,7 +30,7 @@
     job_starts: UnboundedSender<JobFuture>,
 }
 
-/// Serves until `stop` says otherwise, then ends all connections and jobs.
+/// Serves until `stop` is received, then ends all connections and jobs.
 pub(super) async fn serve(
     worker: Arc<WorkerState>,
     listeners: Vec<SchedulerListener>,
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -15,7 +15,7 @@
 
 /// The smallest factor by which a worker can be slowed down.
 const MIN_SLOWDOWN: f64 = 1e-3;
-/// The shortest slow start, in seconds; it keeps the division by it defined.
+/// The shortest slow start, in seconds; it prevents a division by zero.
 const MIN_SLOW_START_TIME: f64 = 1e-9;
 
 /// When a worker was last restarted.
@@ -32,7 +32,7 @@
     /// Load reports of the past.
     pub(super) load_history: LoadHistory,
     /// Whether every job is rejected.
-    pub(super) refusing: bool,
+    pub(super) rejecting: bool,
     /// Whether its process counts as dead.
     pub(super) killed: bool,
     /// Factor by which it is slower than configured.
@@ -69,7 +69,7 @@
         let mutable = MutableState {
             script: Script::default(),
             load_history: LoadHistory::new(spec.stats.as_ref(), spec.slots),
-            refusing: false,
+            rejecting: false,
             killed: false,
             slowdown: 1.0,
             restarted: None,
@@ -110,7 +110,7 @@
         {
             let mut state = self.lock();
             state.killed = false;
-            state.refusing = false;
+            state.rejecting = false;
             state.slowdown = 1.0;
             state.waiting = 0;
             state.running = 0;
@@ -125,7 +125,7 @@
     pub(super) fn has_capacity(&self) -> bool {
         let state = self.lock();
         let has_capacity = state.waiting < self.spec.queue || self.slots.free() > state.waiting;
-        has_capacity && !state.refusing && !*self.draining.borrow()
+        has_capacity && !state.rejecting && !*self.draining.borrow()
     }
 
     /// Work that one slot completes per second now, in seconds at speed 1.
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -59,7 +59,7 @@
         tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
         wire.read().await.map(|answer| answer.text())
     };
-    for health in [Health::Mute, Health::Truncating, Health::Resetting] {
+    for health in [Health::Unresponsive, Health::Truncating, Health::Resetting] {
         discovery.set_health(health);
         assert_eq!(call("/registry/instances").await, None, "{health:?}");
     }
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -36,9 +36,9 @@
         let answer = worker.send(id, "", "").await.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("x-never-ran")), ("503", Some("1")));
     };
-    worker.worker.refuse(true);
+    worker.worker.reject_jobs(true);
     expect_rejected(1).await;
-    worker.worker.refuse(false);
+    worker.worker.reject_jobs(false);
     for (id, work) in [(2, ENDLESS_WORK), (3, "")] {
         assert_eq!(worker.send(id, "", work).await.read().await.expect("an answer").status(), "202");
     }
@@ -65,16 +65,16 @@
 
 #[rstest]
 #[case::reject(Act::Answer { status: 503, never_ran: true }, Some("503"), &[])]
-#[case::no_response(Act::Mute, None, &[])]
-#[case::cut_in_body(Act::CutInBody, None, &[])]
-#[case::cut_before_answer(Act::CutBeforeAnswer, None, &[])]
+#[case::no_response(Act::NoResponse, None, &[])]
+#[case::cut_in_body(Act::ResetInBody, None, &[])]
+#[case::cut_before_answer(Act::ResetBeforeAnswer, None, &[])]
 #[case::half_an_answer(Act::HalfAnswer, None, &[])]
 #[case::lose(Act::Lose, Some("202"), &["started", "lost"])]
 #[case::fail(Act::Fail, Some("202"), &["started", "failed"])]
-#[case::return_unstarted(Act::HandBack, Some("202"), &["returned"])]
-#[case::no_callback(Act::Forget, Some("202"), &[])]
-#[case::byte_by_byte(Act::Pieces, Some("202"), &["started", "done"])]
-#[case::repeated_callback(Act::Repeat(3), Some("202"), &["started", "done", "done", "done"])]
+#[case::return_unstarted(Act::ReturnUnstarted, Some("202"), &["returned"])]
+#[case::no_callback(Act::NoCallback, Some("202"), &[])]
+#[case::byte_by_byte(Act::ByteByByte, Some("202"), &["started", "done"])]
+#[case::repeated_callback(Act::RepeatCallback(3), Some("202"), &["started", "done", "done", "done"])]
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_worker_misbehaves_once_as_scripted(
@@ -83,8 +83,8 @@
     #[case] states: &[&str],
 ) {
     let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
-    let mute = act == Act::Mute;
-    worker.worker.next([act]);
+    let mute = act == Act::NoResponse;
+    worker.worker.script_jobs([act]);
     let mut wire = worker.send(1, "", "").await;
     if mute {
         tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
@@ -153,7 +153,7 @@
 #[tokio::test]
 async fn a_worker_sends_callbacks_early_invalid_or_late_as_scripted() {
     let worker = TestWorker::start(WorkerSpec { progress: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
-    worker.worker.next([Act::Overtake, Act::Garble]);
+    worker.worker.script_jobs([Act::CallbackBeforeAnswer, Act::InvalidCallback]);
     let mut wire = worker.send(1, "", "").await;
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
     assert_eq!(wire.read().await.expect("after its callbacks").status(), "202");
--- a/crates/testbed/tests/worker_probes.rs
+++ b/crates/testbed/tests/worker_probes.rs
@@ -42,7 +42,7 @@
 
     let worker =
         TestWorker::start(WorkerSpec { stats: Some(load_reports(true)), ..WorkerSpec::new("s-0") }).await;
-    worker.worker.next([Act::Mute]);
+    worker.worker.script_jobs([Act::NoResponse]);
     let mut wire = Wire::dial(worker.address()).await.expect("it listens");
     for target in ["/stats", "/health/live", "/jobs/1"] {
         let answer = get(&mut wire, target).await.expect("an answer");
@@ -82,7 +82,12 @@
     let probes = Some(ProbeSpec { deep: false, work: Duration::ZERO });
     let worker = TestWorker::start(WorkerSpec { probes, ..WorkerSpec::new("s-0") }).await;
     let late = Duration::from_millis(50);
-    worker.worker.next_probes([ProbeAct::Late(late), ProbeAct::Refuse, ProbeAct::Mute, ProbeAct::Cut]);
+    worker.worker.script_probes([
+        ProbeAct::Delay(late),
+        ProbeAct::Reject,
+        ProbeAct::NoResponse,
+        ProbeAct::Reset,
+    ]);
     let mut wire = Wire::dial(worker.address()).await.expect("it listens");
     let began = std::time::Instant::now();
     assert_eq!(get(&mut wire, "/health/live").await.expect("late").status(), "200");
@@ -112,12 +117,12 @@
     worker.send(1, "", "").await.read().await.expect("an answer");
     let done: serde_json::Value = serde_json::from_slice(&worker.next_callback().await.body).expect("JSON");
     assert_eq!(done["load"], serde_json::json!({"inflight": 0, "queue": 0, "x0": 1}), "{done}");
-    worker.worker.refuse(true);
+    worker.worker.reject_jobs(true);
     let rejected = worker.send(2, "", "").await.read().await.expect("an answer");
     assert_eq!(rejected.header("endpoint-load-metrics"), Some("TEXT inflight=0, queue=0, x0=1"));
     let without_reports =
         TestWorker::start(WorkerSpec { stats: Some(load_reports(false)), ..WorkerSpec::new("s-0") }).await;
-    without_reports.worker.refuse(true);
+    without_reports.worker.reject_jobs(true);
     let rejected = without_reports.send(2, "", "").await.read().await.expect("an answer");
     assert_eq!(rejected.header("endpoint-load-metrics"), None);
 }
--- a/crates/testkit/src/soak/troubles.rs
+++ b/crates/testkit/src/soak/troubles.rs
@@ -305,18 +305,18 @@
             Act::Answer { status: 500, never_ran: false },
             Act::Answer { status: 503, never_ran: true },
             Act::Answer { status: 429, never_ran: false },
-            Act::Mute,
-            Act::CutInBody,
-            Act::CutBeforeAnswer,
+            Act::NoResponse,
+            Act::ResetInBody,
+            Act::ResetBeforeAnswer,
             Act::HalfAnswer,
-            Act::Forget,
+            Act::NoCallback,
             Act::Lose,
             Act::Fail,
-            Act::HandBack,
-            Act::Overtake,
-            Act::Repeat(3),
-            Act::Garble,
-            Act::Pieces,
+            Act::ReturnUnstarted,
+            Act::CallbackBeforeAnswer,
+            Act::RepeatCallback(3),
+            Act::InvalidCallback,
+            Act::ByteByByte,
         ];
         let mut turns =
             Turns::new(self.seed, 30, &[WorkerMisbehaves, WorkerIsSlow, WorkerRefuses], self.until);
@@ -329,14 +329,14 @@
                     worker.slow(1.0);
                 }
                 WorkerRefuses => {
-                    worker.refuse(true);
+                    worker.reject_jobs(true);
                     sleep(turns.span(0.2, 1.5)).await;
-                    worker.refuse(false);
+                    worker.reject_jobs(false);
                 }
                 _ => {
                     let few = turns.random.random_range(1..8);
                     let chosen: Vec<Act> = (0..few).map(|_| turns.one_of(&acts).clone()).collect();
-                    worker.next(chosen);
+                    worker.script_jobs(chosen);
                     sleep(turns.span(0.2, 1.0)).await;
                 }
             }
@@ -354,7 +354,7 @@
             match kind {
                 ListRefuses => self.discovery.fail_for(Health::Failing, lasts).await,
                 ListResets => self.discovery.fail_for(Health::Resetting, lasts).await,
-                ListIsMute => self.discovery.fail_for(Health::Mute, lasts).await,
+                ListIsMute => self.discovery.fail_for(Health::Unresponsive, lasts).await,
                 ListBreaksOff => self.discovery.fail_for(Health::Truncating, lasts).await,
                 _ => {
                     self.discovery.set_update_delay(LATEST_NEWS);
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -29,13 +29,13 @@
 fn acts() -> Vec<Act> {
     let once = [
         Act::Lose,
-        Act::CutBeforeAnswer,
-        Act::HandBack,
+        Act::ResetBeforeAnswer,
+        Act::ReturnUnstarted,
         Act::Fail,
         Act::Answer { status: 503, never_ran: true },
         Act::Answer { status: 500, never_ran: false },
         Act::HalfAnswer,
-        Act::CutInBody,
+        Act::ResetInBody,
     ];
     once.iter().chain(&once).cloned().collect()
 }
@@ -49,7 +49,7 @@
     let clients = Clients::new(spec.clone(), vec![stage.front.address()]).expect("a load");
     let load = clients.run(began, LOAD, stopped, |_| {});
     let troubles = async {
-        stage.workers.iter().for_each(|worker| worker.next(acts()));
+        stage.workers.iter().for_each(|worker| worker.script_jobs(acts()));
         sleep(OUT_AT).await;
         stage.discovery.fail_for(how, OUT_FOR).await;
         let asked = stage.discovery.calls();
