--- a/crates/testbed/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! A seeded load: its distributions, its reproducibility and the faults of its configuration.
+//! A seeded load: its distributions, its reproducibility and the errors in its configuration.
 #![allow(missing_docs)]
 
 use std::time::Duration;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_load_is_what_it_says_and_the_same_for_the_same_seed() {
+fn a_load_has_the_configured_distributions_and_its_seed_repeats_it() {
     let drawn: Vec<Arrival> = Arrivals::new(&spec()).expect("a load").take(20_000).collect();
     assert_eq!(drawn, Arrivals::new(&spec()).expect("a load").take(20_000).collect::<Vec<_>>());
     let rate = 20_000.0 / drawn[19_999].at.as_secs_f64();
@@ -47,12 +47,12 @@
     let hot = drawn.iter().filter(|a| a.object == "a-1").count() as f64 / 15_000.0;
     let of_y = drawn.iter().filter(|a| a.tenant == Some(1)).count() as f64 / 20_000.0;
     assert!((0.19..0.21).contains(&of_y), "{of_y}");
-    assert!(drawn.iter().all(|a| a.hint == Some(a.work)), "exact where they are off by nothing");
+    assert!(drawn.iter().all(|a| a.hint == Some(a.work)), "without spread hints are exact");
     assert!((0.17..0.22).contains(&hot), "the first of 100 by Zipf has 1/H(100) = 0.19: {hot}");
 }
 
 #[test]
-fn one_concern_more_or_less_leaves_the_others_draws_alone() {
+fn a_change_to_one_distribution_leaves_the_draws_of_the_others_alone() {
     let mut other = spec();
     other.classes[0].spread = 0.1;
     other.classes[0].zipf = 0.5;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_load_that_makes_no_sense_names_its_field() {
+fn an_invalid_load_is_rejected_with_the_name_of_its_field() {
     let with = |change: fn(&mut LoadSpec)| {
         let mut spec = spec();
         change(&mut spec);
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,18 +1,53 @@
 //! The exactly-once audit: every broken guarantee is reported, and sound records report none.
 #![allow(missing_docs)]
 
+use rstest::rstest;
 use std::time::Duration;
 use vetchbridge_testbed::arrivals::{Arrival, ClassLoad, Idempotency};
 use vetchbridge_testbed::audit::{audit_jobs, Outage, Violation};
 use vetchbridge_testbed::client::{Attempt, JobRecord, Outcome};
 use vetchbridge_testbed::runs::{result, Run, RunEnd};
 
+/// How long workers remember the key of a job.
 const WINDOW: Duration = Duration::from_secs(15);
+/// The key of the keyed job.
+const KEY: &str = "k";
+/// The numbers of the jobs, and the indexes of their classes.
+const IDEMPOTENT: usize = 0;
+const KEYED: usize = 1;
+const NON_IDEMPOTENT: usize = 2;
 
-/// Sound records: one class of each idempotency, and a job of each served by its one run.
-fn sound_records() -> (Vec<ClassLoad>, Vec<JobRecord>, Vec<Run>) {
-    let class = |name: &str, idempotency| ClassLoad {
-        name: name.to_string(),
+/// What clients sent and workers ran.
+struct Records {
+    classes: Vec<ClassLoad>,
+    jobs: Vec<JobRecord>,
+    runs: Vec<Run>,
+}
+
+impl Records {
+    /// Sound records: a class of each idempotency, and a job of each that was served by its one run.
+    fn sound() -> Records {
+        let classes = [Idempotency::Idempotent, Idempotency::Keyed(WINDOW), Idempotency::NonIdempotent];
+        Records {
+            classes: classes.into_iter().map(class).collect(),
+            jobs: [IDEMPOTENT, KEYED, NON_IDEMPOTENT].into_iter().map(job).collect(),
+            runs: [IDEMPOTENT, KEYED, NON_IDEMPOTENT].into_iter().map(run).collect(),
+        }
+    }
+
+    /// The first attempt of a job.
+    fn attempt(&mut self, job: usize) -> &mut Attempt {
+        &mut self.jobs[job].attempts[0]
+    }
+
+    fn violations(&self, outages: &[Outage]) -> Vec<Violation> {
+        audit_jobs(&self.classes, &self.jobs, Some(&self.runs), outages).violations
+    }
+}
+
+fn class(idempotency: Idempotency) -> ClassLoad {
+    ClassLoad {
+        name: format!("{idempotency:?}"),
         share: 1.0,
         priority_weight: 1.0,
         work: Duration::from_secs(1),
@@ -24,123 +59,144 @@
         objects: 1,
         zipf: 0.0,
         slots: 1,
+    }
+}
+
+fn key(job: usize) -> Option<String> {
+    (job == KEYED).then(|| KEY.to_string())
+}
+
+fn job(number: usize) -> JobRecord {
+    let arrival = Arrival {
+        at: Duration::ZERO,
+        job: number as u64,
+        class: number,
+        object: format!("o{number}"),
+        work: Duration::from_secs(1),
+        tenant: None,
+        hint: None,
+        salt: number as u64,
     };
-    let classes = vec![
-        class("idempotent", Idempotency::Idempotent),
-        class("keyed", Idempotency::Keyed(WINDOW)),
-        class("non-idempotent", Idempotency::NonIdempotent),
-    ];
-    let key = |n: usize| (n == 1).then(|| "k".to_string());
-    let jobs = (0..3).map(|n| JobRecord {
-        arrival: Arrival {
-            at: Duration::ZERO,
-            job: n as u64,
-            class: n,
-            object: format!("o{n}"),
-            work: Duration::from_secs(1),
-            tenant: None,
-            hint: None,
-            salt: n as u64,
-        },
-        key: key(n),
-        attempts: vec![Attempt {
-            id: n as u64,
-            sent: Duration::ZERO,
-            resent: None,
-            ended: Duration::from_secs(1),
-            outcome: Outcome::Served(result(n as u64, n)),
-        }],
-    });
-    let runs = (0..3).map(|n| Run {
-        id: n as u64,
-        key: key(n),
-        class: classes[n].name.clone(),
-        object: format!("o{n}"),
+    let attempt = Attempt {
+        id: number as u64,
+        sent: Duration::ZERO,
+        resent: None,
+        ended: Duration::from_secs(1),
+        outcome: Outcome::Served(result(number as u64, number)),
+    };
+    JobRecord { arrival, key: key(number), attempts: vec![attempt] }
+}
+
+fn run(number: usize) -> Run {
+    Run {
+        id: number as u64,
+        key: key(number),
+        class: format!("c{number}"),
+        object: format!("o{number}"),
         worker: "s-0".to_string(),
         started: Duration::ZERO,
         end: RunEnd::Finished,
-    });
-    let (jobs, runs) = (jobs.collect(), runs.collect());
-    (classes, jobs, runs)
+    }
 }
 
-type Corruption = fn(&mut Vec<JobRecord>, &mut Vec<Run>);
+fn milliseconds(number: u64) -> Duration {
+    Duration::from_millis(number)
+}
 
-/// Each corruption of sound records breaks one guarantee, or none.
-#[test]
-fn each_broken_guarantee_is_reported_and_sound_records_report_none() {
-    let cases: [(Corruption, Option<Violation>); 17] = [
-        (|_, _| {}, None),
-        (|jobs, _| jobs[0].attempts[0].outcome = Outcome::Unanswered, Some(Violation::Unanswered(0))),
-        (|jobs, _| jobs[0].attempts[0].outcome = Outcome::Broken(String::new()), Some(Violation::Lost(0))),
-        // Sent again: its first connection ended before it was read, or after it was accepted.
-        (
-            |jobs, runs| {
-                jobs[0].attempts[0].resent = Some(Duration::from_millis(10));
-                runs[0].started = Duration::from_millis(20);
-            },
-            None,
-        ),
-        (|jobs, _| jobs[0].attempts[0].resent = Some(Duration::from_millis(10)), Some(Violation::Lost(0))),
-        // Nothing was accepted, so no response is due.
-        (|jobs, _| jobs[0].attempts[0].outcome = Outcome::Unreachable(String::new()), None),
-        (
-            |jobs, _| jobs[0].attempts[0].outcome = Outcome::Served("invented".to_string()),
-            Some(Violation::ForeignResult(0)),
-        ),
-        (
-            |jobs, _| jobs[0].attempts[0].outcome = Outcome::Served(result(2, 2)),
-            Some(Violation::ForeignResult(0)),
-        ),
-        (|_, runs| runs[0].end = RunEnd::Lost, Some(Violation::ForeignResult(0))),
-        (|_, runs| runs.push(runs[1].clone()), Some(Violation::KeyedRanTwice("k".to_string()))),
-        (
-            |_, runs| {
-                runs.push(Run { started: WINDOW, end: RunEnd::Lost, ..runs[1].clone() });
-            },
-            Some(Violation::KeyedRanTwice("k".to_string())),
-        ),
-        (
-            |_, runs| {
-                // It was lost and started again within the deduplication window.
-                runs.push(Run { end: RunEnd::Lost, ..runs[1].clone() });
-            },
-            None,
-        ),
-        (|_, runs| runs.push(runs[2].clone()), Some(Violation::NonIdempotentRanTwice(2))),
-        // An idempotent job may run any number of times, and be rejected after a run.
-        (|_, runs| runs.push(runs[0].clone()), None),
-        (|jobs, _| jobs[0].attempts[0].outcome = Outcome::Rejected, None),
-        (|jobs, _| jobs[2].attempts[0].outcome = Outcome::Rejected, Some(Violation::RejectedAfterRun(2))),
-        (|_, runs| runs.push(Run { id: 9, ..runs[0].clone() }), Some(Violation::UnknownRequest(9))),
-    ];
-    for (number, (corrupt, expected)) in cases.into_iter().enumerate() {
-        let (classes, mut jobs, mut runs) = sound_records();
-        corrupt(&mut jobs, &mut runs);
-        let found = audit_jobs(&classes, &jobs, Some(&runs), &[]).violations;
-        assert_eq!(found, expected.into_iter().collect::<Vec<_>>(), "case {number}");
-    }
+fn outage(from: u64, until: u64) -> Outage {
+    Outage { from: milliseconds(from), until: milliseconds(until) }
+}
+
+#[rstest]
+#[case::sound_records(|_: &mut Records| {}, &[])]
+#[case::no_response(
+    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Unanswered,
+    &[Violation::Unanswered(0)]
+)]
+#[case::broken_connection(
+    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Broken(String::new()),
+    &[Violation::Lost(0)]
+)]
+#[case::resent_before_it_ran(
+    |records: &mut Records| {
+        records.attempt(IDEMPOTENT).resent = Some(milliseconds(10));
+        records.runs[IDEMPOTENT].started = milliseconds(20);
+    },
+    &[]
+)]
+#[case::resent_after_it_ran(
+    |records: &mut Records| records.attempt(IDEMPOTENT).resent = Some(milliseconds(10)),
+    &[Violation::Lost(0)]
+)]
+#[case::no_connection(
+    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Unreachable(String::new()),
+    &[]
+)]
+#[case::result_that_names_no_run(
+    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Served("invented".to_string()),
+    &[Violation::ForeignResult(0)]
+)]
+#[case::result_of_another_job(
+    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Served(result(2, 2)),
+    &[Violation::ForeignResult(0)]
+)]
+#[case::result_of_a_lost_run(
+    |records: &mut Records| records.runs[IDEMPOTENT].end = RunEnd::Lost,
+    &[Violation::ForeignResult(0)]
+)]
+#[case::keyed_job_that_finished_twice(
+    |records: &mut Records| records.runs.push(run(KEYED)),
+    &[Violation::KeyedRanTwice(KEY.to_string())]
+)]
+#[case::keyed_job_that_ran_again_after_its_window(
+    |records: &mut Records| records.runs.push(Run { started: WINDOW, end: RunEnd::Lost, ..run(KEYED) }),
+    &[Violation::KeyedRanTwice(KEY.to_string())]
+)]
+#[case::keyed_job_that_was_lost_within_its_window(
+    |records: &mut Records| records.runs.push(Run { end: RunEnd::Lost, ..run(KEYED) }),
+    &[]
+)]
+#[case::non_idempotent_job_that_ran_twice(
+    |records: &mut Records| records.runs.push(run(NON_IDEMPOTENT)),
+    &[Violation::NonIdempotentRanTwice(2)]
+)]
+#[case::idempotent_job_that_ran_twice(|records: &mut Records| records.runs.push(run(IDEMPOTENT)), &[])]
+#[case::idempotent_job_rejected_after_it_ran(
+    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Rejected,
+    &[]
+)]
+#[case::non_idempotent_job_rejected_after_it_ran(
+    |records: &mut Records| records.attempt(NON_IDEMPOTENT).outcome = Outcome::Rejected,
+    &[Violation::RejectedAfterRun(2)]
+)]
+#[case::run_without_a_request(
+    |records: &mut Records| records.runs.push(Run { id: 9, ..run(IDEMPOTENT) }),
+    &[Violation::UnknownRequest(9)]
+)]
+fn each_broken_guarantee_is_reported_and_sound_records_report_none(
+    #[case] corrupt: fn(&mut Records),
+    #[case] expected: &[Violation],
+) {
+    let mut records = Records::sound();
+    corrupt(&mut records);
+    assert_eq!(records.violations(&[]), expected);
 }
 
 #[test]
 fn a_run_that_started_before_a_resend_in_an_outage_does_not_count_as_repeated() {
-    let (classes, mut jobs, mut runs) = sound_records();
-    jobs[2].attempts[0].resent = Some(Duration::from_millis(10));
-    runs.push(Run { started: Duration::from_millis(20), ..runs[2].clone() });
-    jobs[2].attempts[0].outcome = Outcome::Served(result(2, 3));
-    let outage =
-        |from, until| Outage { from: Duration::from_millis(from), until: Duration::from_millis(until) };
-    let found = |outage| audit_jobs(&classes, &jobs, Some(&runs), &[outage]).violations;
-    assert_eq!(found(outage(0, 900)), []);
-    assert_eq!(found(outage(1_001, 2_000)), [Violation::Lost(2), Violation::NonIdempotentRanTwice(2)]);
+    let mut records = Records::sound();
+    records.attempt(NON_IDEMPOTENT).resent = Some(milliseconds(10));
+    records.runs.push(Run { started: milliseconds(20), ..run(NON_IDEMPOTENT) });
+    records.attempt(NON_IDEMPOTENT).outcome = Outcome::Served(result(2, 3));
+    assert_eq!(records.violations(&[outage(0, 900)]), []);
+    let outside = records.violations(&[outage(1_001, 2_000)]);
+    assert_eq!(outside, [Violation::Lost(2), Violation::NonIdempotentRanTwice(2)]);
 }
 
 #[test]
 fn only_an_attempt_in_flight_during_an_outage_may_be_lost() {
-    let (classes, mut jobs, runs) = sound_records();
-    jobs[0].attempts[0].outcome = Outcome::Broken(String::new());
-    let outage =
-        |from, until| Outage { from: Duration::from_millis(from), until: Duration::from_millis(until) };
-    let found = |outage| audit_jobs(&classes, &jobs, Some(&runs), &[outage]).violations.len();
-    assert_eq!((found(outage(500, 900)), found(outage(1_001, 2_000))), (0, 1));
+    let mut records = Records::sound();
+    records.attempt(IDEMPOTENT).outcome = Outcome::Broken(String::new());
+    let violations = |outage| records.violations(&[outage]).len();
+    assert_eq!((violations(outage(500, 900)), violations(outage(1_001, 2_000))), (0, 1));
 }
--- a/crates/testbed/tests/clients.rs
+++ b/crates/testbed/tests/clients.rs
@@ -11,17 +11,8 @@
 /// How long a test may take.
 const HANG: Duration = Duration::from_secs(60);
 
-/// The headers are those of the tenant, the work, its hint and its slots, each only where the load has it.
-#[rstest]
-#[case::every_optional_header(Some("x-customer: t"), 2)]
-#[case::no_optional_header(None, 1)]
-#[timeout(HANG)]
-#[tokio::test]
-async fn clients_send_the_headers_of_their_load_and_retry_as_often_as_configured(
-    #[case] tenant: Option<&str>,
-    #[case] slots: usize,
-) {
-    let optional = tenant.is_some();
+/// A load of one class, with a tenant, hints and marked retries only with `optional_headers`.
+fn load(optional_headers: bool, slots: usize) -> LoadSpec {
     let class = ClassLoad {
         name: "c".to_string(),
         share: 1.0,
@@ -36,18 +27,30 @@
         zipf: 0.0,
         slots,
     };
-    let tenants = optional.then(|| TenantLoad { name: "t".to_string(), share: 1.0 });
-    let spec = LoadSpec {
+    let tenant = TenantLoad { name: "t".to_string(), share: 1.0 };
+    LoadSpec {
         seed: 1,
         rate: 1000.0,
         classes: vec![class],
-        tenants: tenants.into_iter().collect(),
-        hints: optional.then_some(0.0),
+        tenants: if optional_headers { vec![tenant] } else { Vec::new() },
+        hints: optional_headers.then_some(0.0),
         honors_retry_after: 0.0,
-        marks_retries: optional,
+        marks_retries: optional_headers,
         retries: 1,
         pause: Duration::ZERO,
-    };
+    }
+}
+
+#[rstest]
+#[case::every_optional_header(true, 2)]
+#[case::no_optional_header(false, 1)]
+#[timeout(HANG)]
+#[tokio::test]
+async fn clients_send_the_headers_of_their_load_and_retry_as_often_as_configured(
+    #[case] optional_headers: bool,
+    #[case] slots: usize,
+) {
+    let spec = load(optional_headers, slots);
     let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     // The load ends before its second job.
     let first_only = Arrivals::new(&spec).expect("a load").nth(1).expect("endless").at;
@@ -66,11 +69,11 @@
     let (first, retry, mut wire) = serving.await;
     let headers = ["x-customer", "x-size-hint", "x-props", "idempotency-key", "x-second-try"];
     let values = |message: &Message| headers.map(|name| message.header(name).map(str::to_string));
-    let text = |text: &str| optional.then(|| text.to_string());
+    let text = |text: &str| optional_headers.then(|| text.to_string());
     let (hint, props) = (text("3000"), text("slots=2"));
     assert_eq!(values(&first), [text("t"), hint.clone(), props.clone(), None, None]);
     assert_eq!(values(&retry), [text("t"), hint, props, None, text("1")]);
-    assert_eq!(first.text(), if optional { "work_us=3000 slots=2" } else { "work_us=3000" });
+    assert_eq!(first.text(), if optional_headers { "work_us=3000 slots=2" } else { "work_us=3000" });
     wire.answer(500, "", "").await.expect("answered");
     drop((wire, scheduler));
     let record = loading.await.expect("it ends").expect("a load");
