--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -67,7 +67,7 @@
     /// Reads one request and answers it.
     async fn exchange(&mut self, job_starts: &UnboundedSender<JobFuture>) -> KeepAlive {
         let wire = self.wire.as_mut()?;
-        let (head, length) = timeout(self.worker.spec.idle, wire.head()).await.ok()??;
+        let (head, length) = timeout(self.worker.spec.idle_timeout, wire.head()).await.ok()??;
         match head.method() {
             "DELETE" => self.cancel(head.target()).await,
             "GET" => {
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -101,7 +101,7 @@
         let slots = self.wait_for_slots().await?;
         place.begin();
         let run = self.job.run(&self.worker.spec.name, self.worker.elapsed());
-        match self.worker.runs.start(run, self.worker.spec.window) {
+        match self.worker.runs.start(run, self.worker.spec.deduplication_window) {
             Admission::Run(number) => {
                 place.set_run(number);
                 self.run_in_slots(number).await
@@ -151,7 +151,7 @@
 
     /// Does the job's work and reports progress.
     async fn work(&mut self, number: usize) -> Result<(), EarlyEnd> {
-        let (worker, progress) = (self.worker, self.worker.spec.progress);
+        let (worker, progress) = (self.worker, self.worker.spec.progress_interval);
         let total = self.job.work.as_secs_f64();
         let mut remaining = total;
         let mut since_report = Duration::ZERO;
@@ -176,7 +176,7 @@
     ) -> Result<(), EarlyEnd> {
         tokio::select! {
             () = part => Ok(()),
-            _ = self.cancelled.wait_for(|cancelled| *cancelled), if self.worker.spec.stops_running => {
+            _ = self.cancelled.wait_for(|cancelled| *cancelled), if self.worker.spec.cancels_running_jobs => {
                 self.worker.runs.end(number, RunEnd::Cancelled);
                 Err(EarlyEnd::Silent)
             }
--- a/crates/testbed/src/worker/server.rs
+++ b/crates/testbed/src/worker/server.rs
@@ -63,7 +63,7 @@
 impl Server {
     /// Serves a connection, or closes it if there are too many.
     fn accept(&mut self, stream: TcpStream, scheduler: SocketAddr) {
-        if self.connections.len() >= self.worker.spec.connections {
+        if self.connections.len() >= self.worker.spec.max_connections {
             return;
         }
         let mut connection = Connection::new(self.worker.clone(), scheduler, Wire::new(stream));
--- a/crates/testbed/src/worker/spec.rs
+++ b/crates/testbed/src/worker/spec.rs
@@ -21,7 +21,7 @@
     /// Number of jobs that run at once.
     pub slots: usize,
     /// Number of jobs that may wait for a slot; the next one is rejected without having run.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Work that one slot completes per second, in seconds at speed 1.
     pub speed: f64,
     /// Fraction of `speed` at which a restarted worker begins.
@@ -31,15 +31,15 @@
     /// Whether it sends a callback when a job starts.
     pub reports_start: bool,
     /// Interval between progress callbacks; zero for none.
-    pub progress: Duration,
+    pub progress_interval: Duration,
     /// Maximum number of open connections; a further one is closed at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Idle time after which a connection is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Whether a running job stops when it is cancelled.
-    pub stops_running: bool,
+    pub cancels_running_jobs: bool,
     /// How long repeats of a keyed job are deduplicated.
-    pub window: Duration,
+    pub deduplication_window: Duration,
     /// Work of a job whose body names none.
     pub work: Duration,
     /// Order in which waiting jobs start.
@@ -71,16 +71,16 @@
             cell: 0,
             weight: 1.0,
             slots: 64,
-            queue: 1024,
+            max_queued: 1024,
             speed: 1.0,
             slow_start_floor: 0.2,
             slow_start_time: Duration::from_secs(24),
             reports_start: true,
-            progress: Duration::from_secs(1),
-            connections: 1024,
-            idle: Duration::from_secs(60),
-            stops_running: true,
-            window: Duration::from_secs(15),
+            progress_interval: Duration::from_secs(1),
+            max_connections: 1024,
+            idle_timeout: Duration::from_secs(60),
+            cancels_running_jobs: true,
+            deduplication_window: Duration::from_secs(15),
             work: Duration::ZERO,
             order: Order::Fifo,
             stats: None,
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -124,7 +124,7 @@
     /// Whether it accepts another job.
     pub(super) fn has_capacity(&self) -> bool {
         let state = self.lock();
-        let has_capacity = state.waiting < self.spec.queue || self.slots.free() > state.waiting;
+        let has_capacity = state.waiting < self.spec.max_queued || self.slots.free() > state.waiting;
         has_capacity && !state.rejecting && !*self.draining.borrow()
     }
 
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -29,8 +29,12 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_rejecting_or_draining_worker_accepts_no_job_and_returns_those_that_wait() {
-    let spec =
-        WorkerSpec { slots: 1, reports_start: false, progress: Duration::ZERO, ..WorkerSpec::new("s-0") };
+    let spec = WorkerSpec {
+        slots: 1,
+        reports_start: false,
+        progress_interval: Duration::ZERO,
+        ..WorkerSpec::new("s-0")
+    };
     let worker = TestWorker::start(spec).await;
     let expect_rejected = async |id| {
         let answer = worker.send(id, "", "").await.read().await.expect("an answer");
@@ -103,8 +107,8 @@
 async fn a_full_worker_rejects_jobs_unrun_and_a_keyed_job_finishes_once() {
     let worker = TestWorker::start(WorkerSpec {
         slots: 1,
-        queue: 1,
-        progress: Duration::ZERO,
+        max_queued: 1,
+        progress_interval: Duration::ZERO,
         ..WorkerSpec::new("s-0")
     })
     .await;
@@ -133,7 +137,8 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_killed_worker_resets_connections_refuses_new_ones_and_restarts_at_its_port() {
-    let worker = TestWorker::start(WorkerSpec { progress: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
+    let worker =
+        TestWorker::start(WorkerSpec { progress_interval: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
     let mut wire = worker.send(1, "", ENDLESS_WORK).await;
     assert_eq!(wire.read().await.expect("an answer").status(), "202");
     assert_eq!(worker.next_state().await, "started");
@@ -152,7 +157,8 @@
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_worker_sends_callbacks_early_invalid_or_late_as_scripted() {
-    let worker = TestWorker::start(WorkerSpec { progress: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
+    let worker =
+        TestWorker::start(WorkerSpec { progress_interval: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
     worker.worker.script_jobs([Act::CallbackBeforeAnswer, Act::InvalidCallback]);
     let mut wire = worker.send(1, "", "").await;
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
--- a/crates/testbed/tests/worker_probes.rs
+++ b/crates/testbed/tests/worker_probes.rs
@@ -56,8 +56,13 @@
 #[tokio::test]
 async fn a_deep_probe_queues_and_is_rejected_where_a_job_would_be() {
     let probes = Some(ProbeSpec { deep: true, work: Duration::from_millis(2) });
-    let spec =
-        WorkerSpec { slots: 1, queue: 1, stats: Some(load_reports(false)), probes, ..WorkerSpec::new("s-0") };
+    let spec = WorkerSpec {
+        slots: 1,
+        max_queued: 1,
+        stats: Some(load_reports(false)),
+        probes,
+        ..WorkerSpec::new("s-0")
+    };
     let worker = TestWorker::start(spec).await;
     let mut running = worker.send(1, "", ENDLESS_WORK).await;
     running.read().await.expect("an answer");
@@ -108,7 +113,7 @@
 async fn answers_and_callbacks_that_end_an_attempt_carry_a_load_report_where_configured() {
     let spec = WorkerSpec {
         slots: 1,
-        queue: 0,
+        max_queued: 0,
         reports_start: false,
         stats: Some(load_reports(true)),
         ..WorkerSpec::new("s-0")
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -159,7 +159,7 @@
             kind: self.kind.clone(),
             weight: self.weight,
             slots: self.slots,
-            queue: self.queue,
+            max_queued: self.queue,
             speed: self.speed,
             slow_start_floor: self.cold_share,
             slow_start_time: self.cold_time.duration(),
@@ -185,9 +185,9 @@
         let setup = self.setup.as_ref();
         WorkerSpec {
             reports_start: fleet.tells_start,
-            progress: fleet.progress.duration(),
-            idle: fleet.conn_idle.duration(),
-            window: windows.max().unwrap_or(DEFAULT_WINDOW).duration(),
+            progress_interval: fleet.progress.duration(),
+            idle_timeout: fleet.conn_idle.duration(),
+            deduplication_window: windows.max().unwrap_or(DEFAULT_WINDOW).duration(),
             order: match fleet.queue_order {
                 // The stand-ins have no priorities; they serve in order.
                 QueueOrder::Fifo | QueueOrder::Priority => Order::Fifo,
