--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,5 +1,9 @@
-//! The load: which job arrives when. Pure and seeded, with a random stream of its own for each concern, so that one
-//! more draw in one never moves another.
+//! The arrivals of a load: which job arrives when. Pure and seeded; each distribution draws from a random stream of its
+//! own, so that a change to one leaves the draws of the others as they are.
+
+mod load;
+
+pub use load::{ClassLoad, Idempotency, LoadError, LoadErrorReason, LoadSpec, TenantLoad};
 
 use rand::{Rng, RngExt};
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
@@ -13,94 +17,6 @@
 /// The largest factor by which a hint is above the work.
 const MAX_HINT_FACTOR: f64 = 1e3;
 
-/// Whether the jobs of a class may run more than once.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Idempotency {
-    /// It may run any number of times.
-    Idempotent,
-    /// Workers deduplicate repeats within this time.
-    Keyed(Duration),
-    /// It must never run twice.
-    NonIdempotent,
-}
-
-/// One class of jobs as clients send them.
-#[derive(Clone, Debug)]
-pub struct ClassLoad {
-    /// Its name, the first part of the path.
-    pub name: String,
-    /// Its share of the jobs, against the others' shares.
-    pub share: f64,
-    /// The weight of a job answered in time.
-    pub priority_weight: f64,
-    /// The mean of its work.
-    pub work: Duration,
-    /// How widely work varies: the sigma of a log-normal distribution.
-    pub spread: f64,
-    /// An answer is in time within this ...
-    pub latency_objective: Duration,
-    /// ... and so many times its work.
-    pub objective_per_work: f64,
-    /// How long a client waits, over all attempts.
-    pub deadline: Duration,
-    /// Whether jobs may run more than once.
-    pub idempotency: Idempotency,
-    /// Number of objects that jobs are for.
-    pub objects: u64,
-    /// How unevenly jobs spread over them: the exponent of a Zipf distribution.
-    pub zipf: f64,
-    /// Slots that a job takes at a worker.
-    pub slots: usize,
-}
-
-/// One tenant as clients send for it.
-#[derive(Clone, Debug)]
-pub struct TenantLoad {
-    /// Its name.
-    pub name: String,
-    /// Its share of the jobs, against the others' shares.
-    pub share: f64,
-}
-
-/// A load: an open loop of independent arrivals.
-#[derive(Clone, Debug)]
-pub struct LoadSpec {
-    /// The seed of every draw.
-    pub seed: u64,
-    /// Jobs a second.
-    pub rate: f64,
-    /// The classes.
-    pub classes: Vec<ClassLoad>,
-    /// The tenants; jobs have none if empty.
-    pub tenants: Vec<TenantLoad>,
-    /// How far hints are off the work: the sigma of a log-normal factor; no hints if absent.
-    pub hints: Option<f64>,
-    /// The share of rejected clients that wait for the time of `Retry-After`.
-    pub honors_retry_after: f64,
-    /// Whether retries carry a header that marks them.
-    pub marks_retries: bool,
-    /// Maximum number of retries of a job.
-    pub retries: u32,
-    /// Pause before a retry without a `Retry-After` that the client honors.
-    pub pause: Duration,
-}
-
-/// A load that can't be drawn.
-#[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{key}: {reason}")]
-pub struct LoadError {
-    /// The field at fault.
-    pub key: String,
-    /// What is wrong with it.
-    pub reason: String,
-}
-
-impl LoadError {
-    pub(crate) fn new(key: impl Into<String>, reason: impl Into<String>) -> LoadError {
-        LoadError { key: key.into(), reason: reason.into() }
-    }
-}
-
 /// One job as it arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
@@ -148,7 +64,7 @@
     /// The arrivals of a load; the same for the same specification.
     pub fn new(spec: &LoadSpec) -> Result<Arrivals, LoadError> {
         if spec.classes.is_empty() {
-            return Err(LoadError::new("classes", "there is none"));
+            return Err(LoadError::new("classes", LoadErrorReason::Empty));
         }
         let gap = gap_distribution(spec.rate)?;
         let classes = class_distributions(&spec.classes)?;
@@ -163,9 +79,9 @@
 /// The time between two arrivals.
 fn gap_distribution(rate: f64) -> Result<Exp<f64>, LoadError> {
     if !(rate.is_finite() && rate > 0.0) {
-        return Err(LoadError::new("rate", "must be above 0"));
+        return Err(LoadError::new("rate", LoadErrorReason::NotPositive));
     }
-    Exp::new(rate).map_err(|error| LoadError::new("rate", error.to_string()))
+    Exp::new(rate).map_err(|error| LoadError::new("rate", error))
 }
 
 /// What is drawn for each class, in their order.
@@ -180,15 +96,14 @@
     fn new(class: &ClassLoad, cumulative_share: f64) -> Result<ClassDistributions, LoadError> {
         let key = |field: &str| format!("{}.{field}", class.name);
         if !(class.spread >= 0.0 && class.spread.is_finite()) {
-            return Err(LoadError::new(key("spread"), "must not be negative"));
+            return Err(LoadError::new(key("spread"), LoadErrorReason::Negative));
         }
         // The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
         let mean = class.work.as_secs_f64().max(MIN_WORK_SECONDS);
         let mu = mean.ln() - class.spread * class.spread / 2.0;
-        let work = LogNormal::new(mu, class.spread)
-            .map_err(|error| LoadError::new(key("spread"), error.to_string()))?;
+        let work = LogNormal::new(mu, class.spread).map_err(|error| LoadError::new(key("spread"), error))?;
         let object = Zipf::new(class.objects.max(1) as f64, class.zipf)
-            .map_err(|error| LoadError::new(key("zipf"), error.to_string()))?;
+            .map_err(|error| LoadError::new(key("zipf"), error))?;
         Ok(ClassDistributions { cumulative_share, work, object })
     }
 }
@@ -206,10 +121,10 @@
 fn hint_distribution(sigma: Option<f64>) -> Result<Option<LogNormal<f64>>, LoadError> {
     let Some(sigma) = sigma else { return Ok(None) };
     if !(sigma >= 0.0 && sigma.is_finite()) {
-        return Err(LoadError::new("hint_spread", "must not be negative"));
+        return Err(LoadError::new("hint_spread", LoadErrorReason::Negative));
     }
     let factor = LogNormal::new(0.0, sigma);
-    factor.map(Some).map_err(|error| LoadError::new("hint_spread", error.to_string()))
+    factor.map(Some).map_err(|error| LoadError::new("hint_spread", error))
 }
 
 /// For each share the sum of the shares up to it, as a fraction of all.
@@ -217,7 +132,7 @@
     let total: f64 = shares.iter().sum();
     let is_valid = total.is_finite() && total > 0.0 && !shares.iter().any(|share| *share < 0.0);
     if !is_valid {
-        return Err(LoadError::new(key, "shares must not be negative, nor all 0"));
+        return Err(LoadError::new(key, LoadErrorReason::InvalidShares));
     }
     let mut cumulative = 0.0;
     let fractions = shares.iter().map(|share| {
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -11,7 +11,7 @@
 
 pub use record::{Attempt, JobRecord, LoadProgress, LoadRecord, Outcome};
 
-use crate::arrivals::{Arrival, Arrivals, LoadError, LoadSpec};
+use crate::arrivals::{Arrival, Arrivals, LoadError, LoadErrorReason, LoadSpec};
 use exchange::HttpClient;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
@@ -48,7 +48,7 @@
     pub fn new(spec: LoadSpec, targets: Vec<SocketAddr>) -> Result<Clients, LoadError> {
         Arrivals::new(&spec)?;
         if targets.is_empty() {
-            return Err(LoadError::new("targets", "there is none"));
+            return Err(LoadError::new("targets", LoadErrorReason::Empty));
         }
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
