--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -261,7 +261,7 @@
         attempts.map(|(attempt, job)| (attempt.id, job)).collect()
     }
 
-    /// When attempts that were in flight in an outage were sent again. A client can't tell the end of its scheduler from
+    /// When attempts that were in flight in an outage were sent again. A client can't distinguish the end of its scheduler from
     /// the close of an idle connection, so runs that started before the resend don't count as repeated by it.
     fn resent_in_outage(&self) -> HashMap<u64, Duration> {
         let attempts = self.jobs.iter().flat_map(|job| &job.attempts);
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the connections and the clock of the load. Latency counts from when a job should have been sent, so that a
 //! delay of the clients is not hidden (coordinated omission); that delay is recorded beside it. Whether the answers
-//! are right is for [`crate::audit`] to say.
+//! are right is checked by [`crate::audit`].
 
 mod exchange;
 mod job;
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,6 +1,6 @@
 //! The record of what workers ran, and the deduplication of keyed jobs.
 //!
-//! Times are passed in. Whether a run should have happened is for [`crate::audit`] to say.
+//! Times are passed in. Whether a run should have happened is checked by [`crate::audit`].
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -29,7 +29,7 @@
 /// Why an execution ended before the job was done.
 enum EarlyEnd {
     /// Without another callback.
-    Silent,
+    Unreported,
     /// With this callback.
     Reported(JobUpdate),
 }
@@ -66,7 +66,7 @@
         let execution = Execution { worker: self, job, act, updates: &updates, cancelled: place.cancelled() };
         let last = match execution.run(place).await {
             Ok(update) | Err(EarlyEnd::Reported(update)) => update,
-            Err(EarlyEnd::Silent) => return,
+            Err(EarlyEnd::Unreported) => return,
         };
         let repeats = if let Act::RepeatCallback(times) = act { *times } else { 1 };
         for _ in 0..repeats {
@@ -94,7 +94,7 @@
     /// From the queue to the end of the run; the last callback.
     async fn run(mut self, mut place: JobPlace) -> Result<JobUpdate, EarlyEnd> {
         match self.act {
-            Act::NoCallback => return Err(EarlyEnd::Silent),
+            Act::NoCallback => return Err(EarlyEnd::Unreported),
             Act::ReturnUnstarted => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
             _ => {}
         }
@@ -123,9 +123,9 @@
         let mut draining = self.worker.draining.subscribe();
         tokio::select! {
             biased;
-            _ = self.cancelled.wait_for(|cancelled| *cancelled) => Err(EarlyEnd::Silent),
+            _ = self.cancelled.wait_for(|cancelled| *cancelled) => Err(EarlyEnd::Unreported),
             _ = draining.wait_for(|draining| *draining) => Err(EarlyEnd::Reported(JobUpdate::Returned)),
-            slots = self.worker.slots.take(self.job.slots) => slots.ok_or(EarlyEnd::Silent),
+            slots = self.worker.slots.take(self.job.slots) => slots.ok_or(EarlyEnd::Unreported),
         }
     }
 
@@ -178,13 +178,13 @@
             () = part => Ok(()),
             _ = self.cancelled.wait_for(|cancelled| *cancelled), if self.worker.spec.cancels_running_jobs => {
                 self.worker.runs.end(number, RunEnd::Cancelled);
-                Err(EarlyEnd::Silent)
+                Err(EarlyEnd::Unreported)
             }
         }
     }
 
     /// Hands over a callback.
     fn update(&self, update: JobUpdate) -> Result<(), EarlyEnd> {
-        self.updates.send(update).map_err(|_| EarlyEnd::Silent)
+        self.updates.send(update).map_err(|_| EarlyEnd::Unreported)
     }
 }
