--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -4,7 +4,7 @@
 use super::job::{JobPlace, JobRequest};
 use super::script::Act;
 use super::state::WorkerState;
-use crate::queue::Held;
+use crate::queue::SlotPermit;
 use crate::runs::{result, Admission, RunEnd};
 use futures_util::future::BoxFuture;
 use std::future::Future;
@@ -16,7 +16,7 @@
 
 /// The work of a job is done in steps of at most this time, since the worker's speed may change meanwhile.
 const WORK_STEP: Duration = Duration::from_millis(50);
-/// The longest step in seconds, for a worker that is nearly stopped; it keeps the step representable.
+/// The longest step in seconds, for a worker that is nearly stopped; a longer one might not be representable.
 const MAX_STEP: f64 = 3600.0;
 /// Remaining work, in seconds, that counts as none: less than the clock resolves would never be done.
 const WORK_EPSILON: f64 = 1e-6;
@@ -29,7 +29,7 @@
 /// Why an execution ended before the job was done.
 enum EarlyEnd {
     /// Without another callback.
-    Silent,
+    Unreported,
     /// With this callback.
     Reported(JobUpdate),
 }
@@ -41,7 +41,7 @@
         Box::pin(async move {
             let (updates, sent) = unbounded_channel();
             let (id, scheduler) = (job.id, job.scheduler);
-            let delivery = if act == Act::Pieces { Delivery::ByteByByte } else { Delivery::Whole };
+            let delivery = if act == Act::ByteByByte { Delivery::ByteByByte } else { Delivery::Retried };
             let reporting = async {
                 let mut sent: UnboundedReceiver<JobUpdate> = sent;
                 while let Some(update) = sent.recv().await {
@@ -60,15 +60,15 @@
         act: &Act,
         updates: UnboundedSender<JobUpdate>,
     ) {
-        if *act == Act::Garble {
-            self.callbacks.deliver(job.scheduler, INVALID_CALLBACK.to_string()).await;
+        if *act == Act::InvalidCallback {
+            self.callbacks.deliver(job.scheduler, INVALID_CALLBACK.to_string(), Delivery::Retried).await;
         }
         let execution = Execution { worker: self, job, act, updates: &updates, cancelled: place.cancelled() };
         let last = match execution.run(place).await {
             Ok(update) | Err(EarlyEnd::Reported(update)) => update,
-            Err(EarlyEnd::Silent) => return,
+            Err(EarlyEnd::Unreported) => return,
         };
-        let repeats = if let Act::Repeat(times) = act { *times } else { 1 };
+        let repeats = if let Act::RepeatCallback(times) = act { *times } else { 1 };
         for _ in 0..repeats {
             // The receiver lives until this sender is dropped.
             let _ = updates.send(last.clone());
@@ -94,14 +94,14 @@
     /// From the queue to the end of the run; the last callback.
     async fn run(mut self, mut place: JobPlace) -> Result<JobUpdate, EarlyEnd> {
         match self.act {
-            Act::Forget => return Err(EarlyEnd::Silent),
-            Act::HandBack => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
+            Act::NoCallback => return Err(EarlyEnd::Unreported),
+            Act::ReturnUnstarted => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
             _ => {}
         }
         let slots = self.wait_for_slots().await?;
         place.begin();
         let run = self.job.run(&self.worker.spec.name, self.worker.elapsed());
-        match self.worker.runs.start(run, self.worker.spec.window) {
+        match self.worker.runs.start(run, self.worker.spec.deduplication_window) {
             Admission::Run(number) => {
                 place.set_run(number);
                 self.run_in_slots(number).await
@@ -110,7 +110,7 @@
             Admission::Running(first) => {
                 drop(slots);
                 self.worker.record_load();
-                match self.worker.runs.ended(first).await {
+                match self.worker.runs.wait_for_end(first).await {
                     RunEnd::Finished => Ok(self.worker.done(first)),
                     _ => Err(EarlyEnd::Reported(JobUpdate::Failed)),
                 }
@@ -119,19 +119,19 @@
     }
 
     /// Waits in the queue until the job has its slots, is cancelled, or the worker drains.
-    async fn wait_for_slots(&mut self) -> Result<Held, EarlyEnd> {
+    async fn wait_for_slots(&mut self) -> Result<SlotPermit, EarlyEnd> {
         let mut draining = self.worker.draining.subscribe();
         tokio::select! {
             biased;
-            _ = self.cancelled.wait_for(|cancelled| *cancelled) => Err(EarlyEnd::Silent),
+            _ = self.cancelled.wait_for(|cancelled| *cancelled) => Err(EarlyEnd::Unreported),
             _ = draining.wait_for(|draining| *draining) => Err(EarlyEnd::Reported(JobUpdate::Returned)),
-            slots = self.worker.slots.take(self.job.slots) => slots.ok_or(EarlyEnd::Silent),
+            slots = self.worker.slots.take(self.job.slots) => slots.ok_or(EarlyEnd::Unreported),
         }
     }
 
-    /// The run itself, in slots that the caller holds.
+    /// The run itself, in slots that the caller has taken.
     async fn run_in_slots(&mut self, number: usize) -> Result<JobUpdate, EarlyEnd> {
-        if self.worker.spec.tells_start {
+        if self.worker.spec.reports_start {
             self.update(JobUpdate::Started)?;
         }
         match self.act {
@@ -143,7 +143,7 @@
             _ => {}
         }
         let worker = self.worker;
-        self.unless_cancelled(number, worker.kept.ready(&self.job.object)).await?;
+        self.unless_cancelled(number, worker.cache.load(&self.job.object)).await?;
         self.work(number).await?;
         worker.runs.end(number, RunEnd::Finished);
         Ok(worker.done(number))
@@ -151,7 +151,7 @@
 
     /// Does the job's work and reports progress.
     async fn work(&mut self, number: usize) -> Result<(), EarlyEnd> {
-        let (worker, progress) = (self.worker, self.worker.spec.progress);
+        let (worker, progress) = (self.worker, self.worker.spec.progress_interval);
         let total = self.job.work.as_secs_f64();
         let mut remaining = total;
         let mut since_report = Duration::ZERO;
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Awaits one part of a run; a worker that stops running jobs gives it up when the job is cancelled.
+    /// Awaits one part of a run; a worker that stops running jobs abandons it when the job is cancelled.
     async fn unless_cancelled(
         &mut self,
         number: usize,
@@ -176,15 +176,15 @@
     ) -> Result<(), EarlyEnd> {
         tokio::select! {
             () = part => Ok(()),
-            _ = self.cancelled.wait_for(|cancelled| *cancelled), if self.worker.spec.stops_running => {
-                self.worker.runs.end(number, RunEnd::Stopped);
-                Err(EarlyEnd::Silent)
+            _ = self.cancelled.wait_for(|cancelled| *cancelled), if self.worker.spec.cancels_running_jobs => {
+                self.worker.runs.end(number, RunEnd::Cancelled);
+                Err(EarlyEnd::Unreported)
             }
         }
     }
 
     /// Hands over a callback.
     fn update(&self, update: JobUpdate) -> Result<(), EarlyEnd> {
-        self.updates.send(update).map_err(|_| EarlyEnd::Silent)
+        self.updates.send(update).map_err(|_| EarlyEnd::Unreported)
     }
 }
--- a/crates/testbed/src/worker/server.rs
+++ b/crates/testbed/src/worker/server.rs
@@ -30,7 +30,7 @@
     job_starts: UnboundedSender<JobFuture>,
 }
 
-/// Serves until `stop` says otherwise, then ends all connections and jobs.
+/// Serves until `stop` is received, then ends all connections and jobs.
 pub(super) async fn serve(
     worker: Arc<WorkerState>,
     listeners: Vec<SchedulerListener>,
@@ -63,7 +63,7 @@
 impl Server {
     /// Serves a connection, or closes it if there are too many.
     fn accept(&mut self, stream: TcpStream, scheduler: SocketAddr) {
-        if self.connections.len() >= self.worker.spec.connections {
+        if self.connections.len() >= self.worker.spec.max_connections {
             return;
         }
         let mut connection = Connection::new(self.worker.clone(), scheduler, Wire::new(stream));
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -176,13 +176,18 @@
     let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
     let gone = || Failure::Machine(format!("{} ended early", contender.name));
     let (began, before) = (Instant::now(), cpu_time(contender.pid).ok_or_else(gone)?);
-    let record =
-        clients.closed(connections, turn).await.map_err(|error| Failure::BadInput(error.to_string()))?;
+    let record = clients
+        .run_closed_loop(connections, turn)
+        .await
+        .map_err(|error| Failure::BadInput(error.to_string()))?;
     let (took, used) = (began.elapsed(), cpu_time(contender.pid).ok_or_else(gone)?.saturating_sub(before));
     let served = record.jobs.iter().filter(|job| job.served()).count();
     if served * 100 < record.jobs.len() * 99 {
-        let other =
-            record.jobs.iter().flat_map(|job| &job.tries).find(|t| !matches!(t.outcome, Outcome::Served(_)));
+        let other = record
+            .jobs
+            .iter()
+            .flat_map(|job| &job.attempts)
+            .find(|t| !matches!(t.outcome, Outcome::Served(_)));
         let text =
             format!("{}: only {served} of {} were served: {other:?}", contender.name, record.jobs.len());
         return Err(Failure::Missed(text));
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -13,8 +13,8 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
-use vetchbridge_testbed::account::Outage;
-use vetchbridge_testbed::client::{Clients, LoadRecord, Standing};
+use vetchbridge_testbed::audit::Outage;
+use vetchbridge_testbed::client::{Clients, LoadProgress, LoadRecord};
 use vetchbridge_testbed::discovery::Discovery;
 use vetchbridge_testbed::worker::Worker;
 
@@ -114,7 +114,7 @@
     }
 
     /// Shows how a load stands.
-    pub fn show(&mut self, at: Standing) {
+    pub fn show(&mut self, at: LoadProgress) {
         let text = format!(
             "{:.0} of {:.0} s, {} sent, {} out",
             at.elapsed.as_secs_f64(),
@@ -155,14 +155,16 @@
         sleep_until(began + trouble.at.duration()).await;
         let lasts = trouble.lasts.duration();
         match (trouble.what.health(), trouble.what) {
-            (Some(health), _) => discovery.out_for(health, lasts).await,
+            (Some(health), _) => discovery.fail_for(health, lasts).await,
             (None, plan::TroubleKind::StatsLate) => {
                 for worker in workers {
-                    worker.tell_late(trouble.late.duration());
+                    worker.set_report_delay(trouble.late.duration());
                 }
                 sleep(lasts).await;
                 for worker in workers {
-                    worker.tell_late(worker.spec().stats.as_ref().map_or(Duration::ZERO, |stats| stats.late));
+                    worker.set_report_delay(
+                        worker.spec().stats.as_ref().map_or(Duration::ZERO, |stats| stats.delay),
+                    );
                 }
             }
             (None, _) => {
@@ -205,7 +207,7 @@
                 Trouble::Kill => {
                     let from = began.elapsed();
                     scheduler.kill().await;
-                    let noticed = from + front.notice() + NOTICE_SLACK;
+                    let noticed = from + front.detection_delay() + NOTICE_SLACK;
                     outages.push(Outage { from, until: noticed });
                     sleep(DOWN).await;
                     scheduler.restart()?;
@@ -239,7 +241,7 @@
 pub fn count_from_earlier(record: &mut LoadRecord, offset: Duration) {
     for job in &mut record.jobs {
         job.arrival.at += offset;
-        for one in &mut job.tries {
+        for one in &mut job.attempts {
             (one.sent, one.ended) = (one.sent + offset, one.ended + offset);
             one.resent = one.resent.map(|resent| resent + offset);
         }
