--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -247,7 +247,7 @@
         }
         Command::Soak { seed, duration, schedulers, staging } => {
             let schedulers = schedulers.map(|count| count as usize);
-            soak(SoakSpec { seed, span: duration.duration(), schedulers }, &staging).await
+            soak(SoakSpec { seed, duration: duration.duration(), schedulers }, &staging).await
         }
         Command::Bench { connections, turn, rounds, daemon, json } => {
             if connections == 0 || rounds == 0 {
@@ -371,7 +371,7 @@
     let filter = staging.log_filter.as_deref().unwrap_or("info");
     let report = soak::run(spec, staging.daemon.as_deref(), staging.logs.as_deref(), filter).await?;
     print(&report.text())?;
-    if report.held() {
+    if report.passed() {
         return Ok(());
     }
     Err(Failure::Missed("not every promise was kept, or not everything happened".to_string()))
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -1,161 +1,202 @@
-//! The promises that a soak test is judged by, beside the account of answers and runs: pure functions of what was seen.
+//! The invariants that a soak test is judged by, beside the account of answers and runs: pure functions of the evidence.
 
-use super::clients::{Departure, Stayed};
-use super::troubles::{Episode, TroubleKind};
+use super::fault::{FaultKind, InjectedFault};
+use super::{DisconnectedClient, StalledClient};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
+use vetchbridge_testbed::account::Violation;
 use vetchbridge_testbed::arrivals::ClassLoad;
 use vetchbridge_testbed::client::JobRecord;
 use vetchbridge_testbed::runs::AttemptArrival;
 
-/// News counts as told so long after discovery had it and could be reached.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
-/// Attempts may go to a draining worker for so long after that.
+/// Schedulers learn of a published change within this time, as long as discovery is available.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
+/// Attempts may still be sent to a draining worker for so long after that.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has gone.
-const LEFT_GRACE: Duration = Duration::from_millis(100);
-/// A worker may be told so much more than its client has left.
-const EXPIRY_SLACK: Duration = Duration::from_millis(150);
-/// A client that stopped in a request has its error or its end within this.
-const STOPPED_GRACE: Duration = Duration::from_secs(3);
-/// A scheduler may be held up so long between a decision and its write.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// What a busy machine may add between two processes.
-const MACHINE: Duration = Duration::from_millis(250);
+/// An attempt may begin so long after its client has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// By how much the expiry that a worker is given may exceed the client's deadline.
+const EXPIRY_TOLERANCE: Duration = Duration::from_millis(150);
+/// A client that stalls in a request gets an error or is disconnected within this time.
+const STALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The longest delay between a scheduler's decision and its write.
+const SCHEDULER_DELAY: Duration = Duration::from_millis(150);
+/// The longest delay that a busy machine adds between two processes.
+const MACHINE_DELAY: Duration = Duration::from_millis(250);
 
-/// A promise that was broken.
+/// An invariant that was violated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// Of the account of answers and runs.
-    Account(String),
-    /// A scheduler ended unasked, or badly.
+#[non_exhaustive]
+pub enum InvariantViolation {
+    /// A violation that the account of answers and runs found.
+    Account(Violation),
+    /// A scheduler exited by itself, or did not shut down cleanly.
     Process(String),
-    /// An attempt came to a worker that had long been told to be draining.
-    Drained(String),
-    /// An attempt came to a worker after its client had gone.
-    ClientGone(String),
-    /// A worker was told more time than its client had left.
-    Expiry(String),
-    /// A client that stopped in a request and stayed was kept.
-    Stopped(String),
-    /// A scheduler counted a violation of its own, or panicked.
-    Log(String),
+    /// An attempt came to a worker that schedulers had long known to be draining.
+    AttemptWhileDraining {
+        /// The request.
+        request_id: u64,
+        /// The worker's name.
+        worker: String,
+        /// The time since it began to drain.
+        after: Duration,
+    },
+    /// An attempt came to a worker after its client had disconnected.
+    AttemptAfterDisconnect {
+        /// The request.
+        request_id: u64,
+        /// The worker's name.
+        worker: String,
+        /// The time since the client disconnected.
+        after: Duration,
+    },
+    /// A worker was given an expiry beyond its client's deadline.
+    ExpiryAfterDeadline {
+        /// The request.
+        request_id: u64,
+        /// The time from the deadline to the expiry.
+        excess: Duration,
+    },
+    /// A client that stalled in a request was left connected.
+    StalledClientKept(StalledClient),
+    /// A scheduler logged a violated invariant of its own, or a panic.
+    LoggedError {
+        /// The scheduler's number.
+        scheduler: usize,
+        /// The line of its log.
+        line: String,
+    },
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for InvariantViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::Account(text) => write!(f, "account: {text}"),
-            Broken::Process(text) => write!(f, "process: {text}"),
-            Broken::Drained(text) => write!(f, "drained: {text}"),
-            Broken::ClientGone(text) => write!(f, "client gone: {text}"),
-            Broken::Expiry(text) => write!(f, "expiry: {text}"),
-            Broken::Stopped(text) => write!(f, "stopped: {text}"),
-            Broken::Log(text) => write!(f, "log: {text}"),
+            Self::Account(violation) => write!(f, "account: {violation}"),
+            Self::Process(text) => write!(f, "process: {text}"),
+            Self::AttemptWhileDraining { request_id, worker, after } => {
+                write!(f, "drained: {request_id:016x} came to {worker} {after:?} after it began to drain")
+            }
+            Self::AttemptAfterDisconnect { request_id, worker, after } => {
+                write!(f, "client gone: {request_id:016x} came to {worker} {after:?} after its client")
+            }
+            Self::ExpiryAfterDeadline { request_id, excess } => {
+                write!(f, "expiry: {request_id:016x} was given {excess:?} more than its client had left")
+            }
+            Self::StalledClientKept(StalledClient { stalled_at, ended_after }) => {
+                write!(f, "stopped: at {stalled_at:?}: ended after {ended_after:?}")
+            }
+            Self::LoggedError { scheduler, line } => write!(f, "log: scheduler {scheduler}: {line}"),
         }
     }
 }
 
-/// What was seen; times count from the beginning of the account.
+/// What was observed; times count from the deployment's epoch.
 pub struct Evidence<'a> {
-    /// The troubles.
-    pub episodes: &'a [Episode],
+    /// The injected faults.
+    pub faults: &'a [InjectedFault],
     /// Attempts that arrived at workers.
     pub arrivals: &'a [AttemptArrival],
     /// The load's jobs.
     pub jobs: &'a [JobRecord],
     /// Its classes.
     pub classes: &'a [ClassLoad],
-    /// Clients that left.
-    pub departures: &'a [Departure],
-    /// Clients that stopped.
-    pub stayed: &'a [Stayed],
+    /// Clients that disconnected before their response.
+    pub disconnected: &'a [DisconnectedClient],
+    /// Clients that stalled in a request.
+    pub stalled: &'a [StalledClient],
     /// The schedulers' logs.
     pub logs: &'a [String],
-    /// The latest that discovery learns of a change.
-    pub discovery_lateness: Duration,
+    /// The longest delay after which discovery publishes a change.
+    pub publication_delay: Duration,
 }
 
-/// Every check.
-pub fn all(evidence: &Evidence<'_>) -> Vec<Broken> {
-    let found =
-        [drained(evidence), client_gone(evidence), expiry(evidence), stopped(evidence), logs(evidence)];
+/// Runs every check.
+pub fn check_all(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
+    let found = [
+        check_draining_workers(evidence),
+        check_disconnected_clients(evidence),
+        check_expiries(evidence),
+        check_stalled_clients(evidence),
+        check_logs(evidence),
+    ];
     found.into_iter().flatten().collect()
 }
 
-/// When a change of that moment counts as told to every scheduler: discovery could be reached for so long on end.
-fn told_by(changed: Duration, episodes: &[Episode]) -> Duration {
-    let mut from = changed;
-    for outage in episodes.iter().filter(|episode| episode.kind.hides_discovery()) {
-        if outage.from < from + TOLD_WITHIN && outage.until > from {
-            from = outage.until;
+/// When every scheduler must know of a change: discovery has been available for long enough without a break.
+fn known_by(published: Duration, faults: &[InjectedFault]) -> Duration {
+    let mut available_since = published;
+    for outage in faults.iter().filter(|fault| fault.kind.is_discovery_outage()) {
+        if outage.started < available_since + PROPAGATION_TIMEOUT && outage.ended > available_since {
+            available_since = outage.ended;
         }
     }
-    from + TOLD_WITHIN
+    available_since + PROPAGATION_TIMEOUT
 }
 
-fn drained(evidence: &Evidence<'_>) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    for drain in evidence.episodes.iter().filter(|episode| episode.kind == TroubleKind::WorkerDrains) {
-        let told = told_by(drain.from + evidence.discovery_lateness, evidence.episodes);
-        let from = told + DRAIN_GRACE + HELD_UP + MACHINE;
-        let late = |arrival: &&AttemptArrival| {
-            arrival.worker == drain.whom && (from..drain.until).contains(&arrival.at)
-        };
-        broken.extend(evidence.arrivals.iter().filter(late).map(|arrival| {
-            let after = arrival.at.saturating_sub(drain.from);
-            Broken::Drained(format!(
-                "{:016x} came to {} {after:?} after it began to drain",
-                arrival.id, arrival.worker
-            ))
-        }));
-    }
-    broken
+fn check_draining_workers(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
+    let drains = evidence.faults.iter().filter(|fault| fault.kind == FaultKind::WorkerDrain);
+    drains.flat_map(|drain| attempts_while_draining(drain, evidence)).collect()
+}
+
+fn attempts_while_draining(drain: &InjectedFault, evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
+    let known = known_by(drain.started + evidence.publication_delay, evidence.faults);
+    let forbidden = known + DRAIN_GRACE + SCHEDULER_DELAY + MACHINE_DELAY..drain.ended;
+    let is_late =
+        |arrival: &&AttemptArrival| arrival.worker == drain.target && forbidden.contains(&arrival.at);
+    let violation = |arrival: &AttemptArrival| InvariantViolation::AttemptWhileDraining {
+        request_id: arrival.id,
+        worker: arrival.worker.clone(),
+        after: arrival.at.saturating_sub(drain.started),
+    };
+    evidence.arrivals.iter().filter(is_late).map(violation).collect()
 }
 
-fn client_gone(evidence: &Evidence<'_>) -> Vec<Broken> {
-    let gone: HashMap<u64, Duration> = evidence.departures.iter().map(|one| (one.id, one.closed)).collect();
+fn check_disconnected_clients(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
+    let disconnected: HashMap<u64, Duration> =
+        evidence.disconnected.iter().map(|client| (client.request_id, client.closed_at)).collect();
     let late = evidence.arrivals.iter().filter_map(|arrival| {
-        let after = arrival.at.checked_sub(*gone.get(&arrival.id)?)?;
-        (after > LEFT_GRACE + HELD_UP + MACHINE).then(|| {
-            Broken::ClientGone(format!(
-                "{:016x} came to {} {after:?} after its client",
-                arrival.id, arrival.worker
-            ))
+        let after = arrival.at.checked_sub(*disconnected.get(&arrival.id)?)?;
+        let is_late = after > DISCONNECT_GRACE + SCHEDULER_DELAY + MACHINE_DELAY;
+        is_late.then(|| InvariantViolation::AttemptAfterDisconnect {
+            request_id: arrival.id,
+            worker: arrival.worker.clone(),
+            after,
         })
     });
     late.collect()
 }
 
-fn expiry(evidence: &Evidence<'_>) -> Vec<Broken> {
-    let mut gives_up: HashMap<u64, Duration> = HashMap::new();
+fn check_expiries(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
+    let mut deadlines: HashMap<u64, Duration> = HashMap::new();
     for job in evidence.jobs {
         let deadline = job.arrival.at + evidence.classes[job.arrival.class].deadline;
-        gives_up.extend(job.tries.iter().map(|one| (one.id, deadline)));
+        deadlines.extend(job.tries.iter().map(|attempt| (attempt.id, deadline)));
     }
     let late = evidence.arrivals.iter().filter_map(|arrival| {
-        let told = arrival.at + arrival.expires_in?;
-        let over = told.checked_sub(*gives_up.get(&arrival.id)?)?;
-        (over > EXPIRY_SLACK + MACHINE).then(|| {
-            Broken::Expiry(format!("{:016x} was told {over:?} more than its client had left", arrival.id))
-        })
+        let expiry = arrival.at + arrival.expires_in?;
+        let excess = expiry.checked_sub(*deadlines.get(&arrival.id)?)?;
+        let is_late = excess > EXPIRY_TOLERANCE + MACHINE_DELAY;
+        is_late.then_some(InvariantViolation::ExpiryAfterDeadline { request_id: arrival.id, excess })
     });
     late.collect()
 }
 
-fn stopped(evidence: &Evidence<'_>) -> Vec<Broken> {
-    let kept = |one: &&Stayed| one.ended_after.is_none_or(|after| after > STOPPED_GRACE + HELD_UP + MACHINE);
-    let kept = evidence.stayed.iter().filter(kept);
-    kept.map(|one| Broken::Stopped(format!("at {:?}: ended after {:?}", one.since, one.ended_after)))
-        .collect()
+fn check_stalled_clients(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
+    let limit = STALL_TIMEOUT + SCHEDULER_DELAY + MACHINE_DELAY;
+    let was_kept = |client: &&StalledClient| client.ended_after.is_none_or(|after| after > limit);
+    let kept = evidence.stalled.iter().filter(was_kept);
+    kept.map(|client| InvariantViolation::StalledClientKept(*client)).collect()
 }
 
-fn logs(evidence: &Evidence<'_>) -> Vec<Broken> {
-    let tells = |line: &&str| line.contains("invariant.violated") || line.contains("panicked at");
-    let lines = evidence.logs.iter().enumerate();
-    let lines = lines.flat_map(|(number, log)| log.lines().filter(tells).map(move |line| (number, line)));
-    lines.map(|(number, line)| Broken::Log(format!("scheduler {number}: {line}"))).collect()
+fn check_logs(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
+    let is_error = |line: &&str| line.contains("invariant.violated") || line.contains("panicked at");
+    let logs = evidence.logs.iter().enumerate();
+    let lines =
+        logs.flat_map(|(scheduler, log)| log.lines().filter(is_error).map(move |line| (scheduler, line)));
+    lines
+        .map(|(scheduler, line)| InvariantViolation::LoggedError { scheduler, line: line.to_string() })
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/testkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -8,8 +8,8 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn episode(kind: TroubleKind, from: f64, until: f64) -> Episode {
-    Episode { kind, whom: WORKER.to_string(), from: seconds(from), until: seconds(until) }
+fn fault(kind: FaultKind, started: f64, ended: f64) -> InjectedFault {
+    InjectedFault { kind, target: WORKER.to_string(), started: seconds(started), ended: seconds(ended) }
 }
 
 fn arrival(id: u64, at: f64, expires_in: f64) -> AttemptArrival {
@@ -44,58 +44,77 @@
         hint: None,
         salt: 0,
     };
-    let one =
+    let attempt =
         Try { id, sent: seconds(at), resent: None, ended: seconds(at + 1.0), outcome: Outcome::Refused };
-    JobRecord { arrival, key: None, tries: vec![one] }
+    JobRecord { arrival, key: None, tries: vec![attempt] }
 }
 
-fn judged(
-    episodes: &[Episode],
+fn check(
+    faults: &[InjectedFault],
     arrivals: &[AttemptArrival],
-    departures: &[Departure],
-    stayed: &[Stayed],
+    disconnected: &[DisconnectedClient],
+    stalled: &[StalledClient],
     log: &str,
-) -> Vec<Broken> {
+) -> Vec<InvariantViolation> {
     let evidence = Evidence {
-        episodes,
+        faults,
         arrivals,
         jobs: &[job(1, 10.0)],
         classes: &[class()],
-        departures,
-        stayed,
+        disconnected,
+        stalled,
         logs: &[log.to_string()],
-        discovery_lateness: Duration::ZERO,
+        publication_delay: Duration::ZERO,
     };
-    all(&evidence)
+    check_all(&evidence)
 }
 
-/// Each check finds what is planted for it, and lets pass what stands just inside the promise.
+/// Each check reports evidence just beyond its limit, and accepts what is just within it.
 #[test]
-fn each_check_finds_its_planted_fault_and_nothing_else() {
-    let drain = episode(TroubleKind::WorkerDrains, 10.0, 23.0);
-    let outage = episode(TroubleKind::ListRefuses, 12.0, 14.0);
-    let drained = |episodes: &[Episode], at: f64| judged(episodes, &[arrival(9, at, 1.0)], &[], &[], "");
+fn each_check_finds_its_violation_and_nothing_else() {
+    let drain = fault(FaultKind::WorkerDrain, 10.0, 23.0);
+    let outage = fault(FaultKind::DiscoveryError, 12.0, 14.0);
+    let drained = |faults: &[InjectedFault], at: f64| check(faults, &[arrival(9, at, 1.0)], &[], &[], "");
     let alone = std::slice::from_ref(&drain);
     assert!(drained(alone, 16.8).is_empty());
-    assert!(matches!(drained(alone, 17.0)[..], [Broken::Drained(_)]));
+    assert!(matches!(drained(alone, 17.0)[..], [InvariantViolation::AttemptWhileDraining { .. }]));
     assert!(drained(&[drain.clone(), outage.clone()], 20.8).is_empty());
-    assert!(matches!(drained(&[drain.clone(), outage], 21.0)[..], [Broken::Drained(_)]));
+    assert!(matches!(
+        drained(&[drain.clone(), outage], 21.0)[..],
+        [InvariantViolation::AttemptWhileDraining { .. }]
+    ));
     assert!(drained(alone, 23.1).is_empty());
 
-    let left = [Departure { id: 9, closed: seconds(5.0) }];
-    assert!(judged(&[], &[arrival(9, 5.4, 1.0)], &left, &[], "").is_empty());
-    assert!(matches!(judged(&[], &[arrival(9, 5.6, 1.0)], &left, &[], "")[..], [Broken::ClientGone(_)]));
+    let disconnected = [DisconnectedClient { request_id: 9, closed_at: seconds(5.0) }];
+    assert!(check(&[], &[arrival(9, 5.4, 1.0)], &disconnected, &[], "").is_empty());
+    assert!(matches!(
+        check(&[], &[arrival(9, 5.6, 1.0)], &disconnected, &[], "")[..],
+        [InvariantViolation::AttemptAfterDisconnect { .. }]
+    ));
 
-    assert!(judged(&[], &[arrival(1, 11.0, 2.3)], &[], &[], "").is_empty());
-    assert!(matches!(judged(&[], &[arrival(1, 11.0, 2.5)], &[], &[], "")[..], [Broken::Expiry(_)]));
+    assert!(check(&[], &[arrival(1, 11.0, 2.3)], &[], &[], "").is_empty());
+    assert!(matches!(
+        check(&[], &[arrival(1, 11.0, 2.5)], &[], &[], "")[..],
+        [InvariantViolation::ExpiryAfterDeadline { .. }]
+    ));
 
-    let stayed = |after: Option<f64>| [Stayed { since: seconds(1.0), ended_after: after.map(seconds) }];
-    assert!(judged(&[], &[], &[], &stayed(Some(3.3)), "").is_empty());
-    assert!(matches!(judged(&[], &[], &[], &stayed(Some(3.5)), "")[..], [Broken::Stopped(_)]));
-    assert!(matches!(judged(&[], &[], &[], &stayed(None), "")[..], [Broken::Stopped(_)]));
+    let stalled =
+        |after: Option<f64>| [StalledClient { stalled_at: seconds(1.0), ended_after: after.map(seconds) }];
+    assert!(check(&[], &[], &[], &stalled(Some(3.3)), "").is_empty());
+    assert!(matches!(
+        check(&[], &[], &[], &stalled(Some(3.5)), "")[..],
+        [InvariantViolation::StalledClientKept(_)]
+    ));
+    assert!(matches!(
+        check(&[], &[], &[], &stalled(None), "")[..],
+        [InvariantViolation::StalledClientKept(_)]
+    ));
 
-    assert!(judged(&[], &[], &[], &[], "INFO daemon.stopped violations=0").is_empty());
+    assert!(check(&[], &[], &[], &[], "INFO daemon.stopped violations=0").is_empty());
     let log =
         "ERROR invariant.violated invariant=NonIdempotentJobSentOnce request=1\nthread 'main' panicked at src/x.rs";
-    assert!(matches!(judged(&[], &[], &[], &[], log)[..], [Broken::Log(_), Broken::Log(_)]));
+    assert!(matches!(
+        check(&[], &[], &[], &[], log)[..],
+        [InvariantViolation::LoggedError { .. }, InvariantViolation::LoggedError { .. }]
+    ));
 }
--- /dev/null
+++ b/crates/testkit/src/soak/inject/mod.rs
@@ -0,0 +1,74 @@
+//! Injects faults into the platform, on several tracks at once: each track cycles through its own kinds in an order drawn
+//! from the seed, so that each kind happens and any two may overlap.
+
+mod clients;
+mod discovery;
+mod schedule;
+mod schedulers;
+mod workers;
+
+use super::fault::{FaultKind, FaultLog};
+use super::faulty_clients::FaultyClients;
+use crate::scheduler::Scheduler;
+use crate::Failure;
+use schedule::FaultSchedule;
+use std::net::SocketAddr;
+use tokio::time::Instant;
+use vetchbridge_testbed::discovery::Discovery;
+use vetchbridge_testbed::worker::Worker;
+
+pub(super) use discovery::PUBLICATION_DELAY;
+
+/// Numbers of the tracks, each with a random sequence of its own. Where a number is the first of several, the track's index
+/// is added to it.
+mod track {
+    pub(super) const FIRST_SCHEDULERS: u64 = 1;
+    pub(super) const WORKER_CRASHES: u64 = 10;
+    pub(super) const FIRST_WORKER_DRAINS: u64 = 20;
+    pub(super) const WORKER_MISBEHAVIOR: u64 = 30;
+    pub(super) const DISCOVERY: u64 = 40;
+    pub(super) const FIRST_CLIENTS: u64 = 50;
+}
+
+/// Tracks that divide the schedulers among them.
+const SCHEDULER_TRACKS: usize = 3;
+
+/// What the tracks share.
+pub(super) struct FaultInjector<'a> {
+    pub(super) seed: u64,
+    pub(super) until: Instant,
+    pub(super) workers: &'a [Worker],
+    pub(super) discovery: &'a Discovery,
+    pub(super) log: &'a FaultLog,
+}
+
+impl FaultInjector<'_> {
+    /// Runs all tracks to their end.
+    pub(super) async fn run(
+        &self,
+        schedulers: &mut [Scheduler],
+        addresses: &[SocketAddr],
+        clients: &FaultyClients,
+    ) -> Result<(), Failure> {
+        let per_track = schedulers.len().div_ceil(SCHEDULER_TRACKS).max(1);
+        let scheduler_tracks = schedulers.chunks_mut(per_track).enumerate();
+        let scheduler_tracks =
+            scheduler_tracks.map(|(track, chunk)| self.disturb_schedulers(track, track * per_track, chunk));
+        let (crashing, others) = self.workers.split_at(self.workers.len() / 3);
+        let (draining, misbehaving) = others.split_at(others.len() / 2);
+        tokio::try_join!(
+            futures_util::future::try_join_all(scheduler_tracks),
+            self.crash_workers(crashing),
+            self.drain_workers(draining),
+            self.disturb_workers(misbehaving),
+            self.disturb_discovery(),
+            self.disturb_with_clients(0, addresses, clients),
+            self.disturb_with_clients(1, addresses, clients),
+        )?;
+        Ok(())
+    }
+
+    fn schedule(&self, track: u64, kinds: &[FaultKind]) -> FaultSchedule {
+        FaultSchedule::new(self.seed, track, kinds, self.until)
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/soak/inject/schedule.rs
@@ -0,0 +1,53 @@
+//! When a track injects its next fault, and of which kind.
+
+use super::super::fault::FaultKind;
+use rand::seq::SliceRandom;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+
+/// The longest pause between two faults of a track, in seconds.
+const MAX_PAUSE_SECONDS: f64 = 0.8;
+
+/// Cycles through a track's kinds, shuffled anew for each cycle, and draws the details of each fault.
+pub(super) struct FaultSchedule {
+    pub(super) random: Pcg64,
+    kinds: Vec<FaultKind>,
+    next: usize,
+    until: Instant,
+}
+
+impl FaultSchedule {
+    pub(super) fn new(seed: u64, track: u64, kinds: &[FaultKind], until: Instant) -> FaultSchedule {
+        let mut random = Pcg64::seed_from_u64(seed ^ (track << 48));
+        let mut kinds = kinds.to_vec();
+        kinds.shuffle(&mut random);
+        FaultSchedule { random, kinds, next: 0, until }
+    }
+
+    /// The next kind, after a pause; `None` once the time is over.
+    pub(super) async fn next(&mut self) -> Option<FaultKind> {
+        let pause = Duration::from_secs_f64(self.random.random_range(0.0..MAX_PAUSE_SECONDS));
+        sleep(pause).await;
+        if Instant::now() >= self.until {
+            return None;
+        }
+        if self.next == self.kinds.len() {
+            self.kinds.shuffle(&mut self.random);
+            self.next = 0;
+        }
+        self.next += 1;
+        Some(self.kinds[self.next - 1])
+    }
+
+    /// One element of a slice that is not empty.
+    pub(super) fn choose<'a, T>(&mut self, all: &'a [T]) -> &'a T {
+        &all[self.random.random_range(0..all.len())]
+    }
+
+    /// A duration between two numbers of seconds.
+    pub(super) fn duration(&mut self, min_seconds: f64, max_seconds: f64) -> Duration {
+        Duration::from_secs_f64(self.random.random_range(min_seconds..max_seconds))
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -0,0 +1,101 @@
+//! Faults of workers: crashes, drains, and answers that a broken or overloaded program might give.
+
+use super::super::fault::FaultKind;
+use super::{track, FaultInjector};
+use crate::{machine, Failure};
+use futures_util::future::join_all;
+use rand::RngExt;
+use std::time::Duration;
+use tokio::time::{sleep, sleep_until, Instant};
+use vetchbridge_testbed::worker::{Act, Worker};
+
+/// How long a worker is published as draining: long enough for schedulers to learn of it in spite of an outage.
+const DRAIN_TIME: Duration = Duration::from_secs(13);
+
+/// Each way in which a worker mistreats an attempt.
+const MISBEHAVIOR: [Act; 15] = [
+    Act::Answer { status: 500, never_ran: false },
+    Act::Answer { status: 503, never_ran: true },
+    Act::Answer { status: 429, never_ran: false },
+    Act::Mute,
+    Act::CutInBody,
+    Act::CutBeforeAnswer,
+    Act::HalfAnswer,
+    Act::Forget,
+    Act::Lose,
+    Act::Fail,
+    Act::HandBack,
+    Act::Overtake,
+    Act::Repeat(3),
+    Act::Garble,
+    Act::Pieces,
+];
+
+impl FaultInjector<'_> {
+    /// Crashes workers one after another; discovery learns of about half of the crashes.
+    pub(super) async fn crash_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
+        let mut schedule = self.schedule(track::WORKER_CRASHES, &[FaultKind::WorkerCrash]);
+        while let Some(kind) = schedule.next().await {
+            let (worker, is_published) = (schedule.choose(workers), schedule.random.random_bool(0.5));
+            let started = Instant::now();
+            worker.kill(is_published).await;
+            if is_published {
+                self.discovery.remove(worker);
+            }
+            sleep(schedule.duration(0.2, 3.0)).await;
+            worker.restart().map_err(machine("a worker"))?;
+            self.discovery.up(worker);
+            self.log.record(kind, &worker.spec().name, started);
+        }
+        Ok(())
+    }
+
+    /// Drains half of the workers again and again, each on a track of its own.
+    pub(super) async fn drain_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
+        let half = workers.iter().take(workers.len().div_ceil(2)).enumerate();
+        join_all(half.map(|(index, worker)| self.drain_worker(index as u64, worker))).await;
+        Ok(())
+    }
+
+    async fn drain_worker(&self, index: u64, worker: &Worker) {
+        let mut schedule = self.schedule(track::FIRST_WORKER_DRAINS + index, &[FaultKind::WorkerDrain]);
+        while let Some(kind) = schedule.next().await {
+            let started = Instant::now();
+            self.discovery.draining(worker);
+            // The worker goes on accepting attempts, so that those that come too late are recorded.
+            sleep_until((started + DRAIN_TIME).min(self.until)).await;
+            self.log.record(kind, &worker.spec().name, started);
+            self.discovery.up(worker);
+            sleep(schedule.duration(2.0, 5.0)).await;
+        }
+    }
+
+    /// Slows workers down, has them refuse connections, and has them mistreat attempts.
+    pub(super) async fn disturb_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
+        let kinds = [FaultKind::WorkerMisbehavior, FaultKind::WorkerSlowdown, FaultKind::WorkerRefusal];
+        let mut schedule = self.schedule(track::WORKER_MISBEHAVIOR, &kinds);
+        while let Some(kind) = schedule.next().await {
+            let (worker, started) = (schedule.choose(workers), Instant::now());
+            match kind {
+                FaultKind::WorkerSlowdown => {
+                    worker.slow(schedule.random.random_range(2.0..20.0));
+                    sleep(schedule.duration(0.5, 3.0)).await;
+                    worker.slow(1.0);
+                }
+                FaultKind::WorkerRefusal => {
+                    worker.refuse(true);
+                    sleep(schedule.duration(0.2, 1.5)).await;
+                    worker.refuse(false);
+                }
+                _ => {
+                    let count = schedule.random.random_range(1..8);
+                    let acts: Vec<Act> = (0..count).map(|_| schedule.choose(&MISBEHAVIOR).clone()).collect();
+                    worker.next(acts);
+                    sleep(schedule.duration(0.2, 1.0)).await;
+                }
+            }
+            self.log.record(kind, &worker.spec().name, started);
+        }
+        Ok(())
+    }
+}
