--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -1,9 +1,9 @@
 //! What the daemon costs: a closed loop against one scheduler whose workers finish at once, and against the bare relay,
 //! in turns within one run. Owns the turns and the figures; the ratio is what counts, the figures depend on the machine.
 
+use crate::deployment::Deployment;
 use crate::plan::Plan;
-use crate::scheduler::{cpu_time, memory_kib, Launch, Scheduler};
-use crate::stage::Stage;
+use crate::scheduler::{cpu_time, resident_memory_kib, LaunchOptions, Scheduler};
 use crate::{machine, relay, Failure};
 use comfy_table::{presets, Table};
 use serde::Serialize;
@@ -103,28 +103,28 @@
     for workers in &mut plan.workers {
         (workers.slots, workers.queue) = (1 << 16, 1 << 16);
     }
-    let binary = crate::scheduler::binary(daemon)?;
-    let mut stage = Stage::set(&plan, daemon, None, &[]).await?;
+    let binary = crate::scheduler::find_daemon(daemon)?;
+    let mut deployment = Deployment::start(&plan, daemon, None, &[]).await?;
     // Each scheduler again, with the words of its variant; its file and address stay.
-    let folder = stage.folder().to_path_buf();
-    for (number, (_, extra)) in VARIANTS.iter().enumerate() {
-        let address = stage.schedulers[number].address();
-        stage.schedulers[number].end().await;
-        let extra = extra.iter().map(ToString::to_string).collect();
-        let launch = Launch { extra, ..Launch::default() };
+    let folder = deployment.directory().to_path_buf();
+    for (number, (_, arguments)) in VARIANTS.iter().enumerate() {
+        let address = deployment.schedulers[number].address();
+        deployment.schedulers[number].shut_down().await;
+        let arguments = arguments.iter().map(ToString::to_string).collect();
+        let launch = LaunchOptions { arguments, ..LaunchOptions::default() };
         let config = folder.join(Plan::file_name(number));
-        stage.schedulers[number] = Scheduler::start(&binary, &config, address, launch)?;
+        deployment.schedulers[number] = Scheduler::start(&binary, &config, address, launch)?;
     }
     let port = Port::reserve().map_err(machine("a port for the relay's worker"))?;
     let _worker = Owned::spawn(relay::answer_at_once(port.listen().map_err(machine("the relay's worker"))?));
     let listen = Port::reserve().map_err(machine("a port for the relay"))?;
     let relay = start_relay(listen.address(), port.address())?;
-    stage.ready().await?;
+    deployment.wait_until_ready().await?;
     await_ready(listen.address()).await?;
 
     let pid = |pid: Option<u32>| pid.ok_or_else(|| Failure::Machine("a process ended early".to_string()));
     let mut contenders = vec![("relay".to_string(), listen.address(), pid(relay.id())?)];
-    for ((name, _), scheduler) in VARIANTS.iter().zip(&stage.schedulers) {
+    for ((name, _), scheduler) in VARIANTS.iter().zip(&deployment.schedulers) {
         contenders.push((name.to_string(), scheduler.address(), pid(scheduler.pid())?));
     }
     let mut contenders: Vec<Contender> = contenders
@@ -133,7 +133,7 @@
             name,
             address,
             pid,
-            idle_kib: memory_kib(pid).unwrap_or_default(),
+            idle_kib: resident_memory_kib(pid).unwrap_or_default(),
             turns: Vec::new(),
         })
         .collect();
@@ -160,7 +160,7 @@
             cpu_us,
             ratio: cpu_us / relay_cpu,
             idle_kib: one.idle_kib,
-            loaded_kib: memory_kib(one.pid).unwrap_or_default(),
+            loaded_kib: resident_memory_kib(one.pid).unwrap_or_default(),
         }
     });
     Ok(Comparison { figures: figures.collect(), connections, rounds })
--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -1,10 +1,10 @@
 //! The kit's command line. Owns its words, its exit codes and what is printed.
 
+use crate::deployment::Deployment;
 use crate::plan::{self, Plan};
 use crate::report::{Report, WorkerSide};
 use crate::runner::{self, Interrupt, Progress, Trouble};
 use crate::soak::{self, SoakSpec};
-use crate::stage::Stage;
 use crate::{bench, relay, Failure};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -328,32 +328,33 @@
 async fn up(plan: &Plan, staging: &Staging) -> Result<(), Failure> {
     let interrupt = Interrupt::listen()?;
     let extra = staging.extra();
-    let setting = Stage::set(plan, staging.daemon.as_deref(), staging.logs.as_deref(), &extra);
-    let mut stage = interrupt.unless_asked(setting).await?;
-    let mut text = format!("front       {}\n", stage.front.address());
-    for (number, scheduler) in stage.schedulers.iter().enumerate() {
-        let (address, log) = (scheduler.address(), scheduler.log().display());
-        let door = scheduler.admin().map(|address| format!("  operators {address}")).unwrap_or_default();
+    let setting = Deployment::start(plan, staging.daemon.as_deref(), staging.logs.as_deref(), &extra);
+    let mut deployment = interrupt.unless_asked(setting).await?;
+    let mut text = format!("front       {}\n", deployment.front.address());
+    for (number, scheduler) in deployment.schedulers.iter().enumerate() {
+        let (address, log) = (scheduler.address(), scheduler.log_path().display());
+        let door =
+            scheduler.admin_address().map(|address| format!("  operators {address}")).unwrap_or_default();
         text.push_str(&format!("scheduler {number} {address}{door}  log {log}\n"));
     }
-    for worker in &stage.workers {
+    for worker in &deployment.workers {
         let (spec, addresses) = (worker.spec(), worker.addresses());
         let first = addresses.first().map(ToString::to_string).unwrap_or_default();
         text.push_str(&format!("worker      {first}  {} {} {}\n", spec.name, spec.zone, spec.kind));
     }
     text.push_str(&format!(
         "\nvetchbridge-testkit load --to {}   sends it jobs; Ctrl-C ends\n",
-        stage.front.address()
+        deployment.front.address()
     ));
     print(&text)?;
     let mut every = tokio::time::interval(Duration::from_millis(500));
     loop {
         tokio::select! {
             () = interrupt.asked() => break,
-            _ = every.tick() => stage.all_live()?,
+            _ = every.tick() => deployment.check_running()?,
         }
     }
-    ended_well(&stage.end().await)
+    ended_well(&deployment.shut_down().await)
 }
 
 fn ended_well(failures: &[String]) -> Result<(), Failure> {
@@ -406,20 +407,26 @@
     descriptors((plan.load.rate * 4.0).ceil() as u64 + 64 * plan.worker_specs().len() as u64)?;
     let interrupt = Interrupt::listen()?;
     let extra = staging.extra();
-    let setting = Stage::set(plan, staging.daemon.as_deref(), staging.logs.as_deref(), &extra);
-    let mut stage = interrupt.unless_asked(setting).await?;
-    let clients = Clients::new(plan.load_spec(), vec![stage.front.address()]);
+    let setting = Deployment::start(plan, staging.daemon.as_deref(), staging.logs.as_deref(), &extra);
+    let mut deployment = interrupt.unless_asked(setting).await?;
+    let clients = Clients::new(plan.load_spec(), vec![deployment.front.address()]);
     let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
-    let ran =
-        runner::run(&mut stage, clients, plan.load.duration.duration(), troubles, &plan.trouble, &interrupt)
-            .await;
+    let ran = runner::run(
+        &mut deployment,
+        clients,
+        plan.load.duration.duration(),
+        troubles,
+        &plan.trouble,
+        &interrupt,
+    )
+    .await;
     let (record, outages) = ran?;
     let workers = WorkerSide {
-        runs: stage.runs.all(),
-        counts: stage.runs.counts(),
-        probes: plan.probes.as_ref().map(|_| stage.runs.probes()),
+        runs: deployment.runs.all(),
+        counts: deployment.runs.counts(),
+        probes: plan.probes.as_ref().map(|_| deployment.runs.probes()),
     };
-    let failures = stage.end().await;
+    let failures = deployment.shut_down().await;
     let report = Report::of(&plan.load_spec(), &record, Some(&workers), &outages);
     finish(&report, json, &failures)
 }
--- /dev/null
+++ b/crates/testkit/src/deployment.rs
@@ -0,0 +1,201 @@
+//! A whole deployment on one machine: stand-ins for everything round the schedulers, and the schedulers as child processes.
+//!
+//! Owns everything that it started; dropping it ends all of it. What happens in it is judged elsewhere.
+
+use crate::plan::{KnownWorker, Plan, SchedulerSpec};
+use crate::scheduler::{find_daemon, LaunchOptions, Scheduler};
+use crate::{machine, Failure};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::ExitStatus;
+use std::time::Duration;
+use tokio::task::JoinSet;
+use tokio::time::{interval, Instant};
+use vetchbridge_testbed::discovery::Discovery;
+use vetchbridge_testbed::front::Front;
+use vetchbridge_testbed::runs::Runs;
+use vetchbridge_testbed::worker::Worker;
+use vetchbridge_testbed::Port;
+
+/// How long the schedulers may take until all of them are ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Between two looks at the schedulers' readiness.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Schedulers, workers, discovery and the front that clients connect to.
+pub struct Deployment {
+    /// The schedulers, by their number.
+    pub schedulers: Vec<Scheduler>,
+    /// The workers.
+    pub workers: Vec<Worker>,
+    /// Discovery.
+    pub discovery: Discovery,
+    /// What the workers ran.
+    pub runs: Runs,
+    /// Where clients connect.
+    pub front: Front,
+    /// The time from which the workers' records count.
+    pub epoch: Instant,
+    directory: WorkingDirectory,
+    _ports: Vec<Port>,
+}
+
+/// The directory of configurations and logs.
+enum WorkingDirectory {
+    /// Given by the user, and left in place.
+    Given(PathBuf),
+    /// Removed with the deployment.
+    Temporary(tempfile::TempDir),
+}
+
+impl WorkingDirectory {
+    fn create(given: Option<&Path>) -> Result<WorkingDirectory, Failure> {
+        let Some(path) = given else {
+            return tempfile::tempdir().map(Self::Temporary).map_err(machine("a folder for logs"));
+        };
+        std::fs::create_dir_all(path).map_err(machine("the folder for logs"))?;
+        Ok(Self::Given(path.to_path_buf()))
+    }
+
+    fn path(&self) -> &Path {
+        match self {
+            Self::Given(path) => path,
+            Self::Temporary(directory) => directory.path(),
+        }
+    }
+}
+
+impl Deployment {
+    /// Starts a deployment, each scheduler with the same further arguments, and waits until every scheduler is ready.
+    pub async fn start(
+        plan: &Plan,
+        daemon: Option<&Path>,
+        logs: Option<&Path>,
+        arguments: &[String],
+    ) -> Result<Deployment, Failure> {
+        let options =
+            |_: usize, _: &Path| LaunchOptions { arguments: arguments.to_vec(), ..LaunchOptions::default() };
+        Deployment::start_with(plan, daemon, logs, options).await
+    }
+
+    /// The same, where the options of each scheduler depend on its number and the directory of its files.
+    pub async fn start_with(
+        plan: &Plan,
+        daemon: Option<&Path>,
+        logs: Option<&Path>,
+        options: impl Fn(usize, &Path) -> LaunchOptions,
+    ) -> Result<Deployment, Failure> {
+        let binary = find_daemon(daemon)?;
+        let directory = WorkingDirectory::create(logs)?;
+        let (runs, epoch, count) = (Runs::default(), Instant::now(), plan.schedulers.count);
+        let ports = (0..count).map(|_| Port::reserve()).collect::<Result<Vec<_>, _>>();
+        let ports = ports.map_err(machine("ports for the schedulers"))?;
+        let addresses: Vec<SocketAddr> = ports.iter().map(Port::address).collect();
+        let discovery = Discovery::start(count).await.map_err(machine("discovery"))?;
+        let mut workers = Vec::new();
+        for spec in plan.worker_specs() {
+            let worker = Worker::start_at(spec, runs.clone(), &addresses, epoch).await;
+            let worker = worker.map_err(machine("a worker"))?;
+            discovery.up(&worker);
+            workers.push(worker);
+        }
+        discovery.lateness(plan.schedulers.lateness.duration());
+        let front = Front::start(&addresses, plan.schedulers.notice.duration()).await;
+        let front = front.map_err(machine("the front"))?;
+        let schedulers = Vec::new();
+        let mut deployment =
+            Deployment { schedulers, workers, discovery, runs, front, epoch, directory, _ports: ports };
+        deployment.start_schedulers(plan, &binary, &addresses, options)?;
+        deployment.wait_until_ready().await?;
+        Ok(deployment)
+    }
+
+    /// Writes the configuration of each scheduler and starts it.
+    fn start_schedulers(
+        &mut self,
+        plan: &Plan,
+        binary: &Path,
+        addresses: &[SocketAddr],
+        options: impl Fn(usize, &Path) -> LaunchOptions,
+    ) -> Result<(), Failure> {
+        for (number, listen) in addresses.iter().copied().enumerate() {
+            let path = self.directory().join(Plan::file_name(number));
+            let text = plan.scheduler_config(SchedulerSpec {
+                number,
+                listen,
+                discovery: self.discovery.address(number),
+                known: &self.known_workers(number),
+                handover: Some(path.with_extension("handover")),
+            });
+            std::fs::write(&path, text).map_err(machine("a scheduler's configuration"))?;
+            let options = options(number, self.directory());
+            self.schedulers.push(Scheduler::start(binary, &path, listen, options)?);
+        }
+        Ok(())
+    }
+
+    /// The workers as one scheduler knows them at its start.
+    fn known_workers(&self, scheduler: usize) -> Vec<KnownWorker> {
+        let known = |worker: &Worker| KnownWorker {
+            spec: worker.spec().clone(),
+            address: worker.addresses()[scheduler],
+        };
+        self.workers.iter().map(known).collect()
+    }
+
+    /// The directory of configurations and logs.
+    pub fn directory(&self) -> &Path {
+        self.directory.path()
+    }
+
+    /// Hands over a temporary directory, so that it outlives the deployment; `None` if the user gave one.
+    pub fn take_temporary_directory(&mut self) -> Option<tempfile::TempDir> {
+        let path = self.directory().to_path_buf();
+        match std::mem::replace(&mut self.directory, WorkingDirectory::Given(path)) {
+            WorkingDirectory::Temporary(directory) => Some(directory),
+            WorkingDirectory::Given(_) => None,
+        }
+    }
+
+    /// Waits until the front has found every scheduler ready.
+    pub async fn wait_until_ready(&mut self) -> Result<(), Failure> {
+        let (started, mut poll) = (Instant::now(), interval(READY_POLL_INTERVAL));
+        while self.front.dealt_to() < self.schedulers.len() {
+            poll.tick().await;
+            self.check_running()?;
+            if started.elapsed() > READY_TIMEOUT {
+                let (ready, count) = (self.front.dealt_to(), self.schedulers.len());
+                let text = format!("{ready} of {count} schedulers ready after {READY_TIMEOUT:?}");
+                return Err(Failure::Machine(text));
+            }
+        }
+        Ok(())
+    }
+
+    /// Fails if a scheduler has exited by itself.
+    pub fn check_running(&mut self) -> Result<(), Failure> {
+        for (number, scheduler) in self.schedulers.iter_mut().enumerate() {
+            if let Some(status) = scheduler.try_exit_status() {
+                let log = scheduler.log_tail();
+                return Err(Failure::Machine(format!(
+                    "scheduler {number} exited by itself, {status}:\n{log}"
+                )));
+            }
+        }
+        Ok(())
+    }
+
+    /// Shuts down every scheduler gracefully, all at once; returns a text on each that did not exit cleanly.
+    pub async fn shut_down(mut self) -> Vec<String> {
+        let mut shutdowns = JoinSet::new();
+        for (number, mut scheduler) in self.schedulers.drain(..).enumerate() {
+            shutdowns.spawn(async move { (number, scheduler.shut_down().await) });
+        }
+        let exits = shutdowns.join_all().await;
+        let failed = exits.into_iter().filter(|(_, status)| status.is_some_and(|status| !status.success()));
+        let text = |(number, status): (usize, Option<ExitStatus>)| {
+            format!("scheduler {number} did not shut down cleanly: {status:?}")
+        };
+        failed.map(text).collect()
+    }
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -3,13 +3,13 @@
 
 pub mod bench;
 pub mod cli;
+pub mod deployment;
 pub mod plan;
 pub mod relay;
 pub mod report;
 pub mod runner;
 pub mod scheduler;
 pub mod soak;
-pub mod stage;
 
 use std::fmt;
 
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -3,8 +3,9 @@
 //! Owns the bar or the lines of progress, and what Ctrl-C does: the first ends the load cleanly, the second ends the
 //! program at once. It must never decide whether the load went well.
 
+use crate::deployment::Deployment;
 use crate::plan;
-use crate::stage::Stage;
+use crate::scheduler::PredecessorEnd;
 use crate::{machine, Failure};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::future::Future;
@@ -180,10 +181,10 @@
     futures_util::future::try_join_all(troubles.iter().map(one)).await.map(drop)
 }
 
-/// Runs a load against a stage, with troubles at even distances along it, each at the next scheduler in turn, and with
+/// Runs a load against a deployment, with troubles at even distances along it, each at the next scheduler in turn, and with
 /// those of the plan at their times.
 pub async fn run(
-    stage: &mut Stage,
+    deployment: &mut Deployment,
     clients: Clients,
     duration: Duration,
     troubles: &[Trouble],
@@ -192,10 +193,10 @@
 ) -> Result<(LoadRecord, Vec<Outage>), Failure> {
     let mut progress = Progress::new(duration);
     let began = Instant::now();
-    let offset = began.duration_since(stage.began);
+    let offset = began.duration_since(deployment.epoch);
     let load = clients.run(began, duration, interrupt.subscribe(), move |standing| progress.show(standing));
     let mut outages = Vec::new();
-    let Stage { schedulers, workers, discovery, front, .. } = &mut *stage;
+    let Deployment { schedulers, workers, discovery, front, .. } = &mut *deployment;
     let met = async {
         for (number, trouble) in troubles.iter().enumerate() {
             sleep_until(began + duration.mul_f64((number + 1) as f64 / (troubles.len() + 1) as f64)).await;
@@ -211,8 +212,8 @@
                     scheduler.restart()?;
                 }
                 // Nothing is excused: no scheduler is ever down.
-                Trouble::Upgrade => scheduler.upgrade(false).await?,
-                Trouble::CarelessUpgrade => scheduler.upgrade(true).await?,
+                Trouble::Upgrade => scheduler.upgrade(PredecessorEnd::Graceful).await?,
+                Trouble::CarelessUpgrade => scheduler.upgrade(PredecessorEnd::Killed).await?,
                 Trouble::Drain => scheduler.drain(DRAINED).await?,
             }
         }
@@ -227,7 +228,7 @@
         }
     };
     let mut record = record.map_err(|error| Failure::BadInput(error.to_string()))?;
-    stage.all_live()?;
+    deployment.check_running()?;
     count_from_earlier(&mut record, offset);
     for outage in &mut outages {
         (outage.from, outage.until) = (outage.from + offset, outage.until + offset);
@@ -235,7 +236,7 @@
     Ok((record, outages))
 }
 
-/// Has a record's times count from so much before the load: the workers' account began with the stage.
+/// Has a record's times count from so much before the load: the workers' account began with the deployment.
 pub fn count_from_earlier(record: &mut LoadRecord, offset: Duration) {
     for job in &mut record.jobs {
         job.arrival.at += offset;
--- /dev/null
+++ b/crates/testkit/src/scheduler/admin.rs
@@ -0,0 +1,45 @@
+//! A client of the schedulers' admin interface: one command a connection, one line in answer.
+
+use crate::Failure;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout, Instant};
+
+/// How long a scheduler may take to reach a state that is waited for: ready after its start, or drained.
+const STATE_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long one answer may take.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Between two commands while a state is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Sends a command again and again until its answer is as wanted.
+pub(super) async fn wait_for_answer(
+    address: SocketAddr,
+    command: &str,
+    is_wanted: impl Fn(&str) -> bool,
+) -> Result<(), Failure> {
+    let started = Instant::now();
+    loop {
+        let answer = match timeout(ANSWER_TIMEOUT, send_command(address, command)).await {
+            Ok(Ok(answer)) if is_wanted(answer.trim_end()) => return Ok(()),
+            Ok(Ok(answer)) => answer.trim_end().to_string(),
+            Ok(Err(error)) => error.to_string(),
+            Err(_) => "nothing".to_string(),
+        };
+        if started.elapsed() > STATE_TIMEOUT {
+            return Err(Failure::Missed(format!("{command}: the admin interface answers {answer:?}")));
+        }
+        sleep(POLL_INTERVAL).await;
+    }
+}
+
+async fn send_command(address: SocketAddr, command: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(format!("{command}\n").as_bytes()).await?;
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).await?;
+    Ok(answer)
+}
--- a/crates/testkit/src/soak/inject/schedulers.rs
+++ b/crates/testkit/src/soak/inject/schedulers.rs
@@ -4,7 +4,7 @@
 use super::schedule::FaultSchedule;
 use super::{track, FaultInjector};
 use crate::runner::DOWN;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{PredecessorEnd, Scheduler};
 use crate::{machine, Failure};
 use rand::RngExt;
 use tokio::time::{sleep, Instant};
@@ -47,11 +47,11 @@
     ) -> Result<(), Failure> {
         match kind {
             FaultKind::SchedulerRestart => restart(number, scheduler).await?,
-            FaultKind::SchedulerUpgrade => scheduler.upgrade(false).await?,
+            FaultKind::SchedulerUpgrade => scheduler.upgrade(PredecessorEnd::Graceful).await?,
             FaultKind::SchedulerDrain => scheduler.drain(schedule.duration(0.1, 1.0)).await?,
             FaultKind::SchedulerReload => {
                 for _ in 0..schedule.random.random_range(1..4) {
-                    scheduler.hang_up();
+                    scheduler.reload();
                     sleep(schedule.duration(0.0, 0.3)).await;
                 }
             }
@@ -69,22 +69,22 @@
     fn move_discovery(&self, scheduler: &Scheduler, number: usize) -> Result<(), Failure> {
         let old = self.discovery.address(number).to_string();
         let new = self.discovery.move_away(number).map_err(machine("another address of discovery"))?;
-        let path = scheduler.config();
+        let path = scheduler.config_path();
         let text = std::fs::read_to_string(path).map_err(machine("a scheduler's configuration"))?;
         let fresh = path.with_extension("fresh");
         std::fs::write(&fresh, text.replace(&old, &new.to_string())).map_err(machine("a configuration"))?;
         std::fs::rename(&fresh, path).map_err(machine("a configuration"))?;
-        scheduler.hang_up();
+        scheduler.reload();
         Ok(())
     }
 }
 
 async fn restart(number: usize, scheduler: &mut Scheduler) -> Result<(), Failure> {
-    let ended = scheduler.end().await;
+    let ended = scheduler.shut_down().await;
     if !ended.is_some_and(|status| status.success()) {
         return Err(Failure::Missed(format!(
             "scheduler {number} did not shut down cleanly: {ended:?}\n{}",
-            scheduler.last_words()
+            scheduler.log_tail()
         )));
     }
     scheduler.restart()
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -14,10 +14,10 @@
 pub mod report;
 mod syscall_faults;
 
+use crate::deployment::Deployment;
 use crate::plan::{self, Plan};
 use crate::runner::{count_from_earlier, Interrupt, Progress, NOTICE_SLACK};
-use crate::scheduler::{Launch, Scheduler};
-use crate::stage::Stage;
+use crate::scheduler::{LaunchOptions, Scheduler};
 use crate::Failure;
 use checks::{Evidence, InvariantViolation};
 use fault::{FaultKind, FaultLog, InjectedFault};
@@ -60,14 +60,14 @@
     plan.schedulers.count = spec.schedulers.unwrap_or(plan.schedulers.count);
     let library = syscall_faults::find_library()?;
     let interrupt = Interrupt::listen()?;
-    let launch = |number: usize, directory: &Path| Launch {
-        extra: vec!["--log-filter".to_string(), log_filter.to_string()],
+    let launch = |number: usize, directory: &Path| LaunchOptions {
+        arguments: vec!["--log-filter".to_string(), log_filter.to_string()],
         environment: SyscallFaultPlan::draw(spec.seed, number).environment(&library, directory, number),
     };
-    let mut stage = interrupt.unless_asked(Stage::set_with(&plan, daemon, logs, launch)).await?;
-    let observed = run_load(spec, &plan, &mut stage, &interrupt).await?;
-    let early_exit = stage.all_live().err().map(|failure| failure.to_string());
-    Ok(judge_run(spec, stage, observed, early_exit).await)
+    let mut deployment = interrupt.unless_asked(Deployment::start_with(&plan, daemon, logs, launch)).await?;
+    let observed = run_load(spec, &plan, &mut deployment, &interrupt).await?;
+    let early_exit = deployment.check_running().err().map(|failure| failure.to_string());
+    Ok(judge_run(spec, deployment, observed, early_exit).await)
 }
 
 /// What was observed from outside the schedulers while they ran.
@@ -82,28 +82,28 @@
 async fn run_load(
     spec: SoakSpec,
     plan: &Plan,
-    stage: &mut Stage,
+    deployment: &mut Deployment,
     interrupt: &Interrupt,
 ) -> Result<Observed, Failure> {
     let bad_load = |error: &dyn std::fmt::Display| Failure::BadInput(error.to_string());
     let load = plan.load_spec();
-    let clients = Clients::new(load.clone(), vec![stage.front.address()]);
+    let clients = Clients::new(load.clone(), vec![deployment.front.address()]);
     let clients = clients.map_err(|error| bad_load(&error))?;
     let started = Instant::now();
-    let offset = started.duration_since(stage.began);
-    let log = FaultLog::new(stage.began);
+    let offset = started.duration_since(deployment.epoch);
+    let log = FaultLog::new(deployment.epoch);
     let faulty_clients = FaultyClients::default();
     let mut progress = Progress::new(spec.duration);
     let load_run = clients.run(started, spec.duration, interrupt.subscribe(), |at| progress.show(at));
-    let addresses: Vec<SocketAddr> = stage.schedulers.iter().map(Scheduler::address).collect();
+    let addresses: Vec<SocketAddr> = deployment.schedulers.iter().map(Scheduler::address).collect();
     let injector = FaultInjector {
         seed: spec.seed,
         until: started + spec.duration,
-        workers: &stage.workers,
-        discovery: &stage.discovery,
+        workers: &deployment.workers,
+        discovery: &deployment.discovery,
         log: &log,
     };
-    let injected = injector.run(&mut stage.schedulers, &addresses, &faulty_clients);
+    let injected = injector.run(&mut deployment.schedulers, &addresses, &faulty_clients);
     let (mut record, ()) = tokio::try_join!(
         async { load_run.await.map_err(|error| bad_load(&error)) },
         interrupt.unless_asked(injected)
@@ -116,15 +116,17 @@
 /// after the shutdown, which logs violations too.
 async fn judge_run(
     spec: SoakSpec,
-    mut stage: Stage,
+    mut deployment: Deployment,
     observed: Observed,
     early_exit: Option<String>,
 ) -> SoakReport {
-    let log_paths: Vec<_> = stage.schedulers.iter().map(|scheduler| scheduler.log().to_path_buf()).collect();
-    let (directory, runs, notice) = (stage.folder().to_path_buf(), stage.runs.clone(), stage.front.notice());
+    let log_paths: Vec<_> =
+        deployment.schedulers.iter().map(|scheduler| scheduler.log_path().to_path_buf()).collect();
+    let (directory, runs, notice) =
+        (deployment.directory().to_path_buf(), deployment.runs.clone(), deployment.front.notice());
     // Removed at the end of this function, after its logs and counts have been read.
-    let _temporary = stage.take_folder();
-    let failed_exits = stage.end().await;
+    let _temporary = deployment.take_temporary_directory();
+    let failed_exits = deployment.shut_down().await;
     let outages = outages(&observed.faults, notice);
     let jobs = &observed.load.jobs;
     let verdict = judge(&observed.classes, jobs, Some(&runs.all()), &outages);
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -14,8 +14,8 @@
 use vetchbridge_testbed::client::Clients;
 use vetchbridge_testbed::discovery::Health;
 use vetchbridge_testbed::worker::Act;
+use vetchbridge_testkit::deployment::Deployment;
 use vetchbridge_testkit::plan::Plan;
-use vetchbridge_testkit::stage::Stage;
 
 /// Nothing here takes so long unless something hangs.
 const HANG: Duration = Duration::from_secs(60);
@@ -43,27 +43,27 @@
 /// Plays the deployment while its list is out of reach and each worker misbehaves; what the account says of it. The
 /// schedulers believe `told`, the clients and the account the plan.
 async fn play(told: &Plan, plan: &Plan, how: Health) -> Verdict {
-    let mut stage = Stage::set(told, Some(&daemon()), None, &[]).await.expect("a stage");
+    let mut deployment = Deployment::start(told, Some(&daemon()), None, &[]).await.expect("a deployment");
     let (began, spec) = (Instant::now(), plan.load_spec());
     let (_stop, stopped) = watch::channel(false);
-    let clients = Clients::new(spec.clone(), vec![stage.front.address()]).expect("a load");
+    let clients = Clients::new(spec.clone(), vec![deployment.front.address()]).expect("a load");
     let load = clients.run(began, LOAD, stopped, |_| {});
     let troubles = async {
-        stage.workers.iter().for_each(|worker| worker.next(acts()));
+        deployment.workers.iter().for_each(|worker| worker.next(acts()));
         sleep(OUT_AT).await;
-        stage.discovery.out_for(how, OUT_FOR).await;
-        let asked = stage.discovery.calls();
+        deployment.discovery.out_for(how, OUT_FOR).await;
+        let asked = deployment.discovery.calls();
         // Each spreads its next call by itself; this story goes on until the first has come.
-        while stage.discovery.calls() == asked {
+        while deployment.discovery.calls() == asked {
             sleep(Duration::from_millis(20)).await;
         }
     };
     let (record, ()) = tokio::join!(load, troubles);
     let record = record.expect("a load");
     assert!(record.jobs.len() > 150 && record.jobs.iter().all(|job| !job.tries.is_empty()));
-    stage.all_live().expect("every scheduler lives");
-    let verdict = judge(&spec.classes, &record.jobs, Some(&stage.runs.all()), &[]);
-    assert_eq!(stage.end().await, Vec::<String>::new(), "every scheduler ended well");
+    deployment.check_running().expect("every scheduler lives");
+    let verdict = judge(&spec.classes, &record.jobs, Some(&deployment.runs.all()), &[]);
+    assert_eq!(deployment.shut_down().await, Vec::<String>::new(), "every scheduler ended well");
     verdict
 }
 
