--- /dev/null
+++ b/crates/testkit/src/cli/options.rs
@@ -0,0 +1,74 @@
+//! What several commands share: options, and the limit on descriptors.
+
+use crate::deployment::Deployment;
+use crate::plan::Plan;
+use crate::runner::Interrupt;
+use crate::Failure;
+use clap::Args;
+use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
+use std::path::PathBuf;
+use vetchbridge::config::units::Span;
+
+/// The highest rate of a load, in jobs a second.
+const MAX_RATE: f64 = 1e6;
+
+/// Options of every command that starts schedulers.
+#[derive(Debug, Args)]
+pub(super) struct DeploymentOptions {
+    /// The daemon's binary; the one beside this program where it is absent
+    #[arg(long, value_name = "FILE")]
+    pub(super) daemon: Option<PathBuf>,
+    /// Keep the schedulers' configurations and logs in this folder
+    #[arg(long, value_name = "FOLDER")]
+    pub(super) logs: Option<PathBuf>,
+    /// What the schedulers log, as in `RUST_LOG`
+    #[arg(long, value_name = "FILTER")]
+    pub(super) log_filter: Option<String>,
+}
+
+impl DeploymentOptions {
+    /// Starts a deployment, unless it is interrupted meanwhile.
+    pub(super) async fn start(&self, plan: &Plan, interrupt: &Interrupt) -> Result<Deployment, Failure> {
+        let arguments = self.scheduler_arguments();
+        let starting = Deployment::start(plan, self.daemon.as_deref(), self.logs.as_deref(), &arguments);
+        interrupt.or_stop(starting).await
+    }
+
+    fn scheduler_arguments(&self) -> Vec<String> {
+        let filter = self.log_filter.iter();
+        filter.flat_map(|filter| ["--log-filter".to_string(), filter.clone()]).collect()
+    }
+}
+
+/// Replaces the rate and the duration of a plan's load by those of the command line.
+pub(super) fn override_load(
+    plan: &mut Plan,
+    rate: Option<f64>,
+    duration: Option<Span>,
+) -> Result<(), Failure> {
+    if let Some(rate) = rate {
+        if !(rate > 0.0 && rate <= MAX_RATE) {
+            return Err(Failure::BadInput(format!(
+                "--rate {rate}: from just above 0 to {MAX_RATE} jobs a second"
+            )));
+        }
+        plan.load.rate = rate;
+    }
+    plan.load.duration = duration.unwrap_or(plan.load.duration);
+    Ok(())
+}
+
+/// Raises the limit on descriptors as far as possible, and fails if it stays too low.
+pub(super) fn ensure_descriptors(needed: u64) -> Result<(), Failure> {
+    let limit = getrlimit(Resource::Nofile);
+    if limit.current.is_some_and(|current| current < needed) {
+        // A limit that can't be raised is found below.
+        let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
+    }
+    match getrlimit(Resource::Nofile).current {
+        Some(current) if current < needed => Err(Failure::Machine(format!(
+            "{needed} descriptors are needed and the limit is {current}: raise it (ulimit -n) or ask for less"
+        ))),
+        _ => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/cli/plan.rs
@@ -0,0 +1,54 @@
+//! `plan`: prints and checks plans.
+
+use super::output::{print, to_json};
+use crate::plan::{self, Plan};
+use crate::Failure;
+use clap::Subcommand;
+use std::path::PathBuf;
+
+#[derive(Debug, Subcommand)]
+pub(super) enum PlanCommand {
+    /// The plan of the demonstration
+    Default,
+    /// A built-in plan by its name: demo, or scans
+    Show {
+        /// Its name
+        name: String,
+    },
+    /// The JSON Schema of the format, for editors
+    Schema,
+    /// Read plans and tell every fault
+    Check {
+        /// The plans
+        #[arg(required = true)]
+        files: Vec<PathBuf>,
+    },
+}
+
+impl PlanCommand {
+    pub(super) fn run(self) -> Result<(), Failure> {
+        match self {
+            PlanCommand::Default => print(plan::DEMO),
+            PlanCommand::Show { name } => show(&name),
+            PlanCommand::Schema => print(&to_json(&plan::schema())?),
+            PlanCommand::Check { files } => check(&files),
+        }
+    }
+}
+
+fn show(name: &str) -> Result<(), Failure> {
+    let Some((_, text)) = plan::BUILT_IN.iter().find(|(known, _)| *known == name) else {
+        let names = plan::BUILT_IN.map(|(known, _)| known).join(", ");
+        return Err(Failure::BadInput(format!("{name}: no plan of this name; one of {names}")));
+    };
+    print(text)
+}
+
+fn check(files: &[PathBuf]) -> Result<(), Failure> {
+    let errors = files.iter().filter_map(|file| Plan::read(Some(file)).err());
+    let errors: Vec<String> = errors.map(|failure| failure.to_string()).collect();
+    if errors.is_empty() {
+        return print("held\n");
+    }
+    Err(Failure::BadInput(errors.join("\n")))
+}
--- /dev/null
+++ b/crates/testkit/src/cli/soak.rs
@@ -0,0 +1,47 @@
+//! `soak`: many schedulers under overlapping faults.
+
+use super::options::{ensure_descriptors, DeploymentOptions};
+use super::output::print;
+use crate::soak::{self, SoakSpec};
+use crate::Failure;
+use clap::Args;
+use vetchbridge::config::units::Span;
+
+/// Listeners of each worker for each scheduler, connection floods, the load and what is in flight.
+const DESCRIPTORS: u64 = 8192;
+/// What the schedulers log unless the user says otherwise.
+const DEFAULT_LOG_FILTER: &str = "info";
+
+#[derive(Debug, Args)]
+pub(super) struct SoakCommand {
+    /// Draws troubles and faults
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// For how long
+    #[arg(long = "for", default_value = "30s", value_name = "SPAN")]
+    duration: Span,
+    /// How many schedulers; 24 where it is absent
+    #[arg(long, value_parser = clap::value_parser!(u64).range(3..=48))]
+    schedulers: Option<u64>,
+    #[command(flatten)]
+    deployment: DeploymentOptions,
+}
+
+impl SoakCommand {
+    pub(super) async fn run(self) -> Result<(), Failure> {
+        ensure_descriptors(DESCRIPTORS)?;
+        let DeploymentOptions { daemon, logs, log_filter } = &self.deployment;
+        let spec = SoakSpec {
+            seed: self.seed,
+            duration: self.duration.duration(),
+            schedulers: self.schedulers.map(|count| count as usize),
+        };
+        let filter = log_filter.as_deref().unwrap_or(DEFAULT_LOG_FILTER);
+        let report = soak::run(spec, daemon.as_deref(), logs.as_deref(), filter).await?;
+        print(&report.text())?;
+        if report.passed() {
+            return Ok(());
+        }
+        Err(Failure::Missed("not every promise was kept, or not everything happened".to_string()))
+    }
+}
--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -1,7 +1,7 @@
 //! Checks of a plan beyond its schema: names that refer to other tables, and what the daemon would refuse.
 
+use super::fault::PlannedFaultKind;
 use super::scheduler::SchedulerSpec;
-use super::trouble::TroubleKind;
 use super::workers::WorkerGroup;
 use super::Plan;
 use crate::Failure;
@@ -25,7 +25,7 @@
     let mut faults = workers(plan, &text);
     faults.extend(classes(plan, &text));
     faults.extend(tenants(plan, &text));
-    faults.extend(troubles(plan, &text));
+    faults.extend(planned_faults(plan, &text));
     if plan.workers.is_empty() {
         let remedy = "add a [[peers]] with prefix, count, kind and slots";
         faults.push(text.fault("peers", "the list of workers is empty", remedy));
@@ -95,12 +95,12 @@
     unknown.map(fault).collect()
 }
 
-fn troubles(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
+fn planned_faults(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let names: Vec<String> = plan.workers.iter().flat_map(WorkerGroup::names).collect();
     let mut faults = Vec::new();
-    for (at, trouble) in plan.trouble.iter().enumerate() {
-        let named = trouble.worker.as_ref().is_some_and(|worker| names.contains(worker));
-        if trouble.what == TroubleKind::WorkerDies && !named {
+    for (at, fault) in plan.faults.iter().enumerate() {
+        let named = fault.worker.as_ref().is_some_and(|worker| names.contains(worker));
+        if fault.kind == PlannedFaultKind::WorkerCrash && !named {
             let remedy = "a prefix of [[peers]] and a number, such as prefix-0";
             faults.push(text.fault(&format!("trouble[{at}].peer"), "no such worker", remedy));
         }
--- a/crates/testkit/src/plan/trouble.rs
+++ b/crates/testkit/src/plan/fault.rs
@@ -7,26 +7,29 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+#[schemars(rename = "TroubleKind")]
+pub enum PlannedFaultKind {
     /// Discovery answers 503 to every call.
-    ListRefuses,
+    #[serde(rename = "list-refuses")]
+    DiscoveryError,
     /// Discovery resets every call.
-    ListResets,
+    #[serde(rename = "list-resets")]
+    DiscoveryReset,
     /// Workers' load reports are older than otherwise.
-    StatsLate,
-    /// A worker dies, and comes back cold.
+    #[serde(rename = "stats-late")]
+    LoadReportDelay,
+    /// A worker crashes, and restarts without what it had cached.
     #[serde(rename = "peer-dies")]
-    WorkerDies,
+    WorkerCrash,
 }
 
-impl TroubleKind {
+impl PlannedFaultKind {
     /// How discovery answers meanwhile, if it is discovery that fails.
-    pub fn health(self) -> Option<Health> {
+    pub fn discovery_health(self) -> Option<Health> {
         match self {
-            TroubleKind::ListRefuses => Some(Health::Failing),
-            TroubleKind::ListResets => Some(Health::Resetting),
-            TroubleKind::StatsLate | TroubleKind::WorkerDies => None,
+            PlannedFaultKind::DiscoveryError => Some(Health::Failing),
+            PlannedFaultKind::DiscoveryReset => Some(Health::Resetting),
+            PlannedFaultKind::LoadReportDelay | PlannedFaultKind::WorkerCrash => None,
         }
     }
 }
@@ -34,18 +37,20 @@
 /// A fault that is injected at a set time.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+#[schemars(rename = "Trouble")]
+pub struct PlannedFault {
     /// list-refuses, list-resets, stats-late or peer-dies.
-    pub what: TroubleKind,
+    #[serde(rename = "what")]
+    pub kind: PlannedFaultKind,
     /// When it begins, from the start of the load.
     pub at: Span,
     /// How long it lasts.
-    pub lasts: Span,
+    #[serde(rename = "lasts")]
+    pub duration: Span,
     /// Of stats-late: how old load reports are.
-    #[serde(default)]
-    pub late: Span,
+    #[serde(default, rename = "late")]
+    pub delay: Span,
     /// Of peer-dies: the name of the worker.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "peer")]
+    #[serde(default, rename = "peer", skip_serializing_if = "Option::is_none")]
     pub worker: Option<String>,
 }
--- a/crates/testkit/src/plan/mod.rs
+++ b/crates/testkit/src/plan/mod.rs
@@ -3,14 +3,14 @@
 
 mod check;
 mod defaults;
+mod fault;
 mod load;
 mod scheduler;
-mod trouble;
 mod workers;
 
+pub use fault::{PlannedFault, PlannedFaultKind};
 pub use load::{Load, LoadClass, LoadTenant};
 pub use scheduler::{KnownWorker, SchedulerSpec, Schedulers};
-pub use trouble::{Trouble, TroubleKind};
 pub use workers::{Probes, Setup, Stats, StatsField, WorkerGroup};
 
 use crate::Failure;
@@ -54,8 +54,8 @@
     #[serde(rename = "peers")]
     pub workers: Vec<WorkerGroup>,
     /// Faults that are injected at set times.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub trouble: Vec<Trouble>,
+    #[serde(default, rename = "trouble", skip_serializing_if = "Vec::is_empty")]
+    pub faults: Vec<PlannedFault>,
     /// The load.
     pub load: Load,
 }
--- /dev/null
+++ b/crates/testkit/src/runner/mod.rs
@@ -0,0 +1,97 @@
+//! Runs a load against a deployment, shows its progress, and injects faults meanwhile. Whether the load went well is judged
+//! elsewhere.
+
+mod faults;
+mod interrupt;
+mod progress;
+
+pub use faults::SchedulerFault;
+pub use interrupt::Interrupt;
+pub use progress::Progress;
+
+use crate::deployment::Deployment;
+use crate::plan::PlannedFault;
+use crate::Failure;
+use faults::{inject_planned_faults, inject_scheduler_faults};
+use std::time::Duration;
+use tokio::time::Instant;
+use vetchbridge_testbed::account::Outage;
+use vetchbridge_testbed::client::{Clients, LoadRecord};
+
+/// How long a killed scheduler stays down.
+pub const RESTART_DELAY: Duration = Duration::from_secs(2);
+/// How long, beyond the front's detection delay, clients may still be sent to a scheduler that was killed: its last health
+/// check and the answer.
+pub const DETECTION_SLACK: Duration = Duration::from_millis(700);
+
+/// What happens during a load.
+#[derive(Clone, Copy, Debug)]
+pub struct LoadPlan<'a> {
+    /// How long the load lasts.
+    pub duration: Duration,
+    /// Faults of schedulers, at even distances.
+    pub scheduler_faults: &'a [SchedulerFault],
+    /// Faults at set times.
+    pub planned_faults: &'a [PlannedFault],
+}
+
+/// What a load recorded; times count from the deployment's epoch.
+#[derive(Debug)]
+pub struct LoadRun {
+    /// Its jobs.
+    pub record: LoadRecord,
+    /// The times in which attempts may be lost.
+    pub outages: Vec<Outage>,
+}
+
+/// Runs a load to its end.
+pub async fn run(
+    deployment: &mut Deployment,
+    clients: Clients,
+    plan: LoadPlan<'_>,
+    interrupt: &Interrupt,
+) -> Result<LoadRun, Failure> {
+    let mut progress = Progress::new(plan.duration);
+    let started = Instant::now();
+    let offset = started.duration_since(deployment.epoch);
+    let load = clients.run(started, plan.duration, interrupt.subscribe(), move |at| progress.show(at));
+    let Deployment { schedulers, workers, discovery, front, .. } = &mut *deployment;
+    let mut outages = Vec::new();
+    let scheduler_faults = inject_scheduler_faults(
+        plan.scheduler_faults,
+        schedulers,
+        started,
+        plan.duration,
+        front.notice(),
+        &mut outages,
+    );
+    let planned_faults = inject_planned_faults(plan.planned_faults, discovery, workers, started);
+    tokio::pin!(load);
+    let record = tokio::select! {
+        record = &mut load => record,
+        injected = async { tokio::try_join!(scheduler_faults, planned_faults) } => {
+            injected?;
+            load.await
+        }
+    };
+    let mut record = record.map_err(|error| Failure::BadInput(error.to_string()))?;
+    deployment.check_running()?;
+    shift_times(&mut record, offset);
+    for outage in &mut outages {
+        outage.from += offset;
+        outage.until += offset;
+    }
+    Ok(LoadRun { record, outages })
+}
+
+/// Makes a record's times count from the deployment's epoch, which was `offset` before the load's start.
+pub fn shift_times(record: &mut LoadRecord, offset: Duration) {
+    for job in &mut record.jobs {
+        job.arrival.at += offset;
+        for attempt in &mut job.tries {
+            attempt.sent += offset;
+            attempt.ended += offset;
+            attempt.resent = attempt.resent.map(|resent| resent + offset);
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/runner/progress.rs
@@ -0,0 +1,60 @@
+//! The progress of a load on standard error.
+
+use indicatif::{ProgressBar, ProgressStyle};
+use std::io::IsTerminal;
+use std::time::Duration;
+use vetchbridge_testbed::client::Standing;
+
+/// Between two lines of progress where there is no terminal.
+const LINE_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Progress as a bar on a terminal and as plain lines elsewhere, on standard error.
+pub struct Progress {
+    bar: Option<ProgressBar>,
+    total: Duration,
+    last_line: Duration,
+}
+
+impl Progress {
+    /// For work that takes this long.
+    pub fn new(total: Duration) -> Progress {
+        let bar = std::io::stderr().is_terminal().then(|| {
+            let bar = ProgressBar::new(total.as_millis() as u64);
+            if let Ok(style) = ProgressStyle::with_template("{bar:40} {msg}") {
+                bar.set_style(style);
+            }
+            bar
+        });
+        Progress { bar, total, last_line: Duration::ZERO }
+    }
+
+    /// Shows the progress of a load.
+    pub fn show(&mut self, at: Standing) {
+        let text = format!(
+            "{:.0} of {:.0} s, {} sent, {} out",
+            at.elapsed.as_secs_f64(),
+            self.total.as_secs_f64(),
+            at.sent,
+            at.sent - at.ended
+        );
+        match &self.bar {
+            Some(bar) => {
+                bar.set_position(at.elapsed.min(self.total).as_millis() as u64);
+                bar.set_message(text);
+            }
+            None if at.elapsed >= self.last_line + LINE_INTERVAL => {
+                self.last_line = at.elapsed;
+                eprintln!("{text}");
+            }
+            None => {}
+        }
+    }
+}
+
+impl Drop for Progress {
+    fn drop(&mut self) {
+        if let Some(bar) = &self.bar {
+            bar.finish_and_clear();
+        }
+    }
+}
--- a/crates/testkit/src/soak/inject/schedulers.rs
+++ b/crates/testkit/src/soak/inject/schedulers.rs
@@ -3,7 +3,7 @@
 use super::super::fault::FaultKind;
 use super::schedule::FaultSchedule;
 use super::{track, FaultInjector};
-use crate::runner::DOWN;
+use crate::runner::RESTART_DELAY;
 use crate::scheduler::{PredecessorEnd, Scheduler};
 use crate::{machine, Failure};
 use rand::RngExt;
@@ -58,7 +58,7 @@
             FaultKind::DiscoveryMove => self.move_discovery(scheduler, number)?,
             _ => {
                 scheduler.kill().await;
-                sleep(DOWN).await;
+                sleep(RESTART_DELAY).await;
                 scheduler.restart()?;
             }
         }
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::deployment::Deployment;
 use crate::plan::{self, Plan};
-use crate::runner::{count_from_earlier, Interrupt, Progress, NOTICE_SLACK};
+use crate::runner::{shift_times, Interrupt, Progress, DETECTION_SLACK};
 use crate::scheduler::{LaunchOptions, Scheduler};
 use crate::Failure;
 use checks::{Evidence, InvariantViolation};
@@ -64,7 +64,7 @@
         arguments: vec!["--log-filter".to_string(), log_filter.to_string()],
         environment: SyscallFaultPlan::draw(spec.seed, number).environment(&library, directory, number),
     };
-    let mut deployment = interrupt.unless_asked(Deployment::start_with(&plan, daemon, logs, launch)).await?;
+    let mut deployment = interrupt.or_stop(Deployment::start_with(&plan, daemon, logs, launch)).await?;
     let observed = run_load(spec, &plan, &mut deployment, &interrupt).await?;
     let early_exit = deployment.check_running().err().map(|failure| failure.to_string());
     Ok(judge_run(spec, deployment, observed, early_exit).await)
@@ -106,9 +106,9 @@
     let injected = injector.run(&mut deployment.schedulers, &addresses, &faulty_clients);
     let (mut record, ()) = tokio::try_join!(
         async { load_run.await.map_err(|error| bad_load(&error)) },
-        interrupt.unless_asked(injected)
+        interrupt.or_stop(injected)
     )?;
-    count_from_earlier(&mut record, offset);
+    shift_times(&mut record, offset);
     Ok(Observed { faults: log.faults(), load: record, classes: load.classes, clients: faulty_clients })
 }
 
@@ -167,7 +167,9 @@
 /// The times in which attempts may be lost, since a scheduler had been killed.
 fn outages(faults: &[InjectedFault], notice: Duration) -> Vec<Outage> {
     let crashes = faults.iter().filter(|fault| fault.kind == FaultKind::SchedulerCrash);
-    let outage =
-        |fault: &InjectedFault| Outage { from: fault.started, until: fault.started + notice + NOTICE_SLACK };
+    let outage = |fault: &InjectedFault| Outage {
+        from: fault.started,
+        until: fault.started + notice + DETECTION_SLACK,
+    };
     crashes.map(outage).collect()
 }
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -69,7 +69,7 @@
 
 fn scans() -> Plan {
     let mut plan = Plan::read(Some(Path::new("scans"))).expect("a plan");
-    plan.trouble.clear();
+    plan.faults.clear();
     for class in &mut plan.load.class {
         class.spread = 0.3;
     }
