--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -1,11 +1,11 @@
-//! What the daemon costs: a closed loop against one scheduler whose workers finish at once, and against the bare relay,
-//! in turns within one run. Owns the turns and the figures; the ratio is what counts, the figures depend on the machine.
+//! The daemon's cost: a closed loop against one scheduler whose workers finish at once, and against the bare relay, in turns
+//! within one run. The ratio between them is what counts; the other figures depend on the machine.
 
 use crate::deployment::Deployment;
 use crate::plan::Plan;
-use crate::scheduler::{cpu_time, resident_memory_kib, LaunchOptions, Scheduler};
+use crate::report::new_table;
+use crate::scheduler::{cpu_time, find_daemon, resident_memory_kib, LaunchOptions, Scheduler};
 use crate::{machine, relay, Failure};
-use comfy_table::{presets, Table};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,16 +13,31 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 use tokio::time::{interval, Instant};
-use vetchbridge_testbed::client::{Clients, Outcome};
-use vetchbridge_testbed::{Owned, Port};
-
-/// How the daemon is run in each of its turns.
-const VARIANTS: [(&str, &[&str]); 4] = [
-    ("daemon, no log", &["--log-filter", "off"]),
-    ("daemon, text at info", &["--log-filter", "info"]),
-    ("daemon, JSON at info", &["--log-filter", "info", "--log-format", "json"]),
-    ("daemon, JSON at debug", &["--log-filter", "debug", "--log-format", "json"]),
+use vetchbridge::config::units::Span;
+use vetchbridge_testbed::client::{Clients, JobRecord, LoadRecord, Outcome};
+use vetchbridge_testbed::{wire::Wire, Owned, Port};
+
+/// A way to run the daemon.
+struct Variant {
+    name: &'static str,
+    arguments: &'static [&'static str],
+}
+
+/// The ways in which the daemon is measured.
+const VARIANTS: [Variant; 4] = [
+    Variant { name: "daemon, no log", arguments: &["--log-filter", "off"] },
+    Variant { name: "daemon, text at info", arguments: &["--log-filter", "info"] },
+    Variant { name: "daemon, JSON at info", arguments: &["--log-filter", "info", "--log-format", "json"] },
+    Variant { name: "daemon, JSON at debug", arguments: &["--log-filter", "debug", "--log-format", "json"] },
 ];
+/// Slots and queue places of a worker: more than any load of a bench takes.
+const UNLIMITED_JOBS: usize = 1 << 16;
+/// The least share of jobs, in percent, that must be served for a turn to count.
+const MIN_SERVED_PERCENT: usize = 99;
+/// Between two attempts to connect to the relay while it starts.
+const RELAY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Attempts to connect to the relay until its start has failed.
+const RELAY_POLLS: usize = 500;
 
 /// One contender's figures; medians over the rounds.
 #[derive(Debug, Serialize)]
@@ -44,9 +59,9 @@
 /// What was measured.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
-    /// The relay first.
+    /// The relay's figures, then those of each variant of the daemon.
     pub figures: Vec<Figures>,
-    /// Connections that were kept busy.
+    /// Connections that were busy.
     pub connections: usize,
     /// Turns of each contender.
     pub rounds: usize,
@@ -55,39 +70,24 @@
 impl Comparison {
     /// As a table.
     pub fn text(&self) -> String {
-        let mut table = Table::new();
-        table.load_style(presets::UTF8_BORDERS_ONLY);
-        table.set_header(vec![
-            "",
-            "requests/s",
-            "CPU us/request",
-            "of the relay's",
-            "idle KiB",
-            "loaded KiB",
-        ]);
-        for one in &self.figures {
+        let mut table = new_table();
+        let header = ["", "requests/s", "CPU us/request", "of the relay's", "idle KiB", "loaded KiB"];
+        table.set_header(header.to_vec());
+        for figures in &self.figures {
             table.add_row(vec![
-                one.name.clone(),
-                format!("{:.0}", one.per_second),
-                format!("{:.1}", one.cpu_us),
-                format!("{:.2}", one.ratio),
-                one.idle_kib.to_string(),
-                one.loaded_kib.to_string(),
+                figures.name.clone(),
+                format!("{:.0}", figures.per_second),
+                format!("{:.1}", figures.cpu_us),
+                format!("{:.2}", figures.ratio),
+                figures.idle_kib.to_string(),
+                figures.loaded_kib.to_string(),
             ]);
         }
         format!("{table}\n{} connections, medians of {} rounds, in turns\n", self.connections, self.rounds)
     }
 }
 
-struct Contender {
-    name: String,
-    address: SocketAddr,
-    pid: u32,
-    idle_kib: u64,
-    turns: Vec<(f64, f64)>,
-}
-
-/// Plays the turns.
+/// Measures the relay and each variant of the daemon in turns.
 pub async fn compare(
     plan: &Plan,
     daemon: Option<&Path>,
@@ -95,117 +95,164 @@
     turn: Duration,
     rounds: usize,
 ) -> Result<Comparison, Failure> {
-    let mut plan = plan.clone();
-    plan.schedulers.count = VARIANTS.len();
-    for class in &mut plan.load.class {
-        class.work = vetchbridge::config::units::Span(0);
-    }
-    for workers in &mut plan.workers {
-        (workers.slots, workers.queue) = (1 << 16, 1 << 16);
-    }
-    let binary = crate::scheduler::find_daemon(daemon)?;
+    let plan = bench_plan(plan);
     let mut deployment = Deployment::start(&plan, daemon, None, &[]).await?;
-    // Each scheduler again, with the words of its variant; its file and address stay.
-    let folder = deployment.directory().to_path_buf();
-    for (number, (_, arguments)) in VARIANTS.iter().enumerate() {
-        let address = deployment.schedulers[number].address();
-        deployment.schedulers[number].shut_down().await;
-        let arguments = arguments.iter().map(ToString::to_string).collect();
-        let launch = LaunchOptions { arguments, ..LaunchOptions::default() };
-        let config = folder.join(Plan::file_name(number));
-        deployment.schedulers[number] = Scheduler::start(&binary, &config, address, launch)?;
-    }
-    let port = Port::reserve().map_err(machine("a port for the relay's worker"))?;
-    let _worker = Owned::spawn(relay::answer_at_once(port.listen().map_err(machine("the relay's worker"))?));
-    let listen = Port::reserve().map_err(machine("a port for the relay"))?;
-    let relay = start_relay(listen.address(), port.address())?;
+    restart_as_variants(&mut deployment, &find_daemon(daemon)?).await?;
+    let relay = Relay::start()?;
     deployment.wait_until_ready().await?;
-    await_ready(listen.address()).await?;
+    relay.wait_until_ready().await?;
 
-    let pid = |pid: Option<u32>| pid.ok_or_else(|| Failure::Machine("a process ended early".to_string()));
-    let mut contenders = vec![("relay".to_string(), listen.address(), pid(relay.id())?)];
-    for ((name, _), scheduler) in VARIANTS.iter().zip(&deployment.schedulers) {
-        contenders.push((name.to_string(), scheduler.address(), pid(scheduler.pid())?));
+    let mut contenders = vec![Contender::new("relay", relay.address, relay.process.id())?];
+    for (variant, scheduler) in VARIANTS.iter().zip(&deployment.schedulers) {
+        contenders.push(Contender::new(variant.name, scheduler.address(), scheduler.pid())?);
     }
-    let mut contenders: Vec<Contender> = contenders
-        .into_iter()
-        .map(|(name, address, pid)| Contender {
-            name,
-            address,
-            pid,
-            idle_kib: resident_memory_kib(pid).unwrap_or_default(),
-            turns: Vec::new(),
-        })
-        .collect();
     // The first round warms up and does not count.
     for round in 0..=rounds {
         eprintln!("round {round} of {rounds}{}", if round == 0 { ", which warms up" } else { "" });
         for contender in &mut contenders {
-            let figures = take_turn(&plan, contender, connections, turn).await?;
+            let measured = contender.take_turn(&plan, connections, turn).await?;
             if round > 0 {
-                contender.turns.push(figures);
+                contender.turns.push(measured);
             }
         }
     }
-    let median = |mut values: Vec<f64>| {
-        values.sort_by(f64::total_cmp);
-        values[values.len() / 2]
-    };
-    let relay_cpu = median(contenders[0].turns.iter().map(|turn| turn.1).collect());
-    let figures = contenders.into_iter().map(|one| {
-        let cpu_us = median(one.turns.iter().map(|turn| turn.1).collect());
-        Figures {
-            name: one.name,
-            per_second: median(one.turns.iter().map(|turn| turn.0).collect()),
-            cpu_us,
-            ratio: cpu_us / relay_cpu,
-            idle_kib: one.idle_kib,
-            loaded_kib: resident_memory_kib(one.pid).unwrap_or_default(),
-        }
-    });
-    Ok(Comparison { figures: figures.collect(), connections, rounds })
+    let relay_cpu_us = contenders[0].median_cpu_us();
+    let figures = contenders.iter().map(|contender| contender.figures(relay_cpu_us)).collect();
+    Ok(Comparison { figures, connections, rounds })
 }
 
-async fn take_turn(
-    plan: &Plan,
-    contender: &Contender,
-    connections: usize,
-    turn: Duration,
-) -> Result<(f64, f64), Failure> {
-    let clients = Clients::new(plan.load_spec(), vec![contender.address]);
-    let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
-    let gone = || Failure::Machine(format!("{} ended early", contender.name));
-    let (began, before) = (Instant::now(), cpu_time(contender.pid).ok_or_else(gone)?);
-    let record =
-        clients.closed(connections, turn).await.map_err(|error| Failure::BadInput(error.to_string()))?;
-    let (took, used) = (began.elapsed(), cpu_time(contender.pid).ok_or_else(gone)?.saturating_sub(before));
-    let served = record.jobs.iter().filter(|job| job.served()).count();
-    if served * 100 < record.jobs.len() * 99 {
-        let other =
-            record.jobs.iter().flat_map(|job| &job.tries).find(|t| !matches!(t.outcome, Outcome::Served(_)));
-        let text =
-            format!("{}: only {served} of {} were served: {other:?}", contender.name, record.jobs.len());
-        return Err(Failure::Missed(text));
+/// The plan with a scheduler for each variant, jobs that need no work, and workers that never reject one.
+fn bench_plan(plan: &Plan) -> Plan {
+    let mut plan = plan.clone();
+    plan.schedulers.count = VARIANTS.len();
+    for class in &mut plan.load.class {
+        class.work = Span(0);
+    }
+    for workers in &mut plan.workers {
+        workers.slots = UNLIMITED_JOBS;
+        workers.queue = UNLIMITED_JOBS;
     }
-    let served = served.max(1) as f64;
-    Ok((served / took.as_secs_f64(), used.as_secs_f64() * 1e6 / served))
+    plan
 }
 
-fn start_relay(listen: SocketAddr, to: SocketAddr) -> Result<Child, Failure> {
-    let binary = std::env::current_exe().map_err(machine("the kit's own path"))?;
-    let mut command = Command::new(binary);
-    command.args(["relay", "--listen", &listen.to_string(), "--to", &to.to_string()]);
-    command.stdin(Stdio::null()).stdout(Stdio::null()).process_group(0).kill_on_drop(true);
-    command.spawn().map_err(machine("the relay"))
+/// Starts each scheduler again with the arguments of its variant; its configuration and address stay.
+async fn restart_as_variants(deployment: &mut Deployment, binary: &Path) -> Result<(), Failure> {
+    let directory = deployment.directory().to_path_buf();
+    for (number, variant) in VARIANTS.iter().enumerate() {
+        let scheduler = &mut deployment.schedulers[number];
+        scheduler.shut_down().await;
+        let arguments = variant.arguments.iter().map(ToString::to_string).collect();
+        let options = LaunchOptions { arguments, ..LaunchOptions::default() };
+        let config = directory.join(Plan::file_name(number));
+        *scheduler = Scheduler::start(binary, &config, scheduler.address(), options)?;
+    }
+    Ok(())
+}
+
+/// The bare relay as a process of its own, with its worker.
+struct Relay {
+    process: Child,
+    address: SocketAddr,
+    _worker: Owned,
+    _ports: [Port; 2],
 }
 
-async fn await_ready(address: SocketAddr) -> Result<(), Failure> {
-    let mut every = interval(Duration::from_millis(20));
-    for _ in 0..500 {
-        every.tick().await;
-        if vetchbridge_testbed::wire::Wire::dial(address).await.is_ok() {
-            return Ok(());
+impl Relay {
+    fn start() -> Result<Relay, Failure> {
+        let worker_port = Port::reserve().map_err(machine("a port for the relay's worker"))?;
+        let listener = worker_port.listen().map_err(machine("the relay's worker"))?;
+        let worker = Owned::spawn(relay::answer_at_once(listener));
+        let port = Port::reserve().map_err(machine("a port for the relay"))?;
+        let address = port.address();
+        let binary = std::env::current_exe().map_err(machine("the kit's own path"))?;
+        let (listen, to) = (address.to_string(), worker_port.address().to_string());
+        let mut command = Command::new(binary);
+        command.args(["relay", "--listen", &listen, "--to", &to]);
+        command.stdin(Stdio::null()).stdout(Stdio::null()).process_group(0).kill_on_drop(true);
+        let process = command.spawn().map_err(machine("the relay"))?;
+        Ok(Relay { process, address, _worker: worker, _ports: [worker_port, port] })
+    }
+
+    async fn wait_until_ready(&self) -> Result<(), Failure> {
+        let mut poll = interval(RELAY_POLL_INTERVAL);
+        for _ in 0..RELAY_POLLS {
+            poll.tick().await;
+            if Wire::dial(self.address).await.is_ok() {
+                return Ok(());
+            }
+        }
+        Err(Failure::Machine("the relay did not come up".to_string()))
+    }
+}
+
+/// What was measured in one turn of a contender.
+struct Turn {
+    per_second: f64,
+    cpu_us: f64,
+}
+
+/// The relay or a variant of the daemon, and its turns.
+struct Contender {
+    name: &'static str,
+    address: SocketAddr,
+    pid: u32,
+    idle_kib: u64,
+    turns: Vec<Turn>,
+}
+
+impl Contender {
+    fn new(name: &'static str, address: SocketAddr, pid: Option<u32>) -> Result<Contender, Failure> {
+        let pid = pid.ok_or_else(|| Failure::Machine("a process ended early".to_string()))?;
+        let idle_kib = resident_memory_kib(pid).unwrap_or_default();
+        Ok(Contender { name, address, pid, idle_kib, turns: Vec::new() })
+    }
+
+    async fn take_turn(&self, plan: &Plan, connections: usize, turn: Duration) -> Result<Turn, Failure> {
+        let clients = Clients::new(plan.load_spec(), vec![self.address]);
+        let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
+        let (started, cpu_before) = (Instant::now(), self.cpu_time()?);
+        let load = clients.closed(connections, turn).await;
+        let load = load.map_err(|error| Failure::BadInput(error.to_string()))?;
+        let (elapsed, used) = (started.elapsed(), self.cpu_time()?.saturating_sub(cpu_before));
+        let served = self.count_served(&load)?.max(1) as f64;
+        Ok(Turn { per_second: served / elapsed.as_secs_f64(), cpu_us: used.as_secs_f64() * 1e6 / served })
+    }
+
+    fn cpu_time(&self) -> Result<Duration, Failure> {
+        cpu_time(self.pid).ok_or_else(|| Failure::Machine(format!("{} ended early", self.name)))
+    }
+
+    /// The jobs that were served; fails if these were too few.
+    fn count_served(&self, load: &LoadRecord) -> Result<usize, Failure> {
+        let (served, jobs) = (load.jobs.iter().filter(|job| job.served()).count(), load.jobs.len());
+        if served * 100 >= jobs * MIN_SERVED_PERCENT {
+            return Ok(served);
         }
+        let mut requests = load.jobs.iter().flat_map(|job: &JobRecord| &job.tries);
+        let other = requests.find(|request| !matches!(request.outcome, Outcome::Served(_)));
+        Err(Failure::Missed(format!("{}: only {served} of {jobs} were served: {other:?}", self.name)))
+    }
+
+    fn median_cpu_us(&self) -> f64 {
+        median(self.turns.iter().map(|turn| turn.cpu_us))
     }
-    Err(Failure::Machine("the relay did not come up".to_string()))
+
+    fn figures(&self, relay_cpu_us: f64) -> Figures {
+        let cpu_us = self.median_cpu_us();
+        Figures {
+            name: self.name.to_string(),
+            per_second: median(self.turns.iter().map(|turn| turn.per_second)),
+            cpu_us,
+            ratio: cpu_us / relay_cpu_us,
+            idle_kib: self.idle_kib,
+            loaded_kib: resident_memory_kib(self.pid).unwrap_or_default(),
+        }
+    }
+}
+
+/// The upper median of values, of which there is at least one.
+fn median(values: impl Iterator<Item = f64>) -> f64 {
+    let mut values: Vec<f64> = values.collect();
+    values.sort_by(f64::total_cmp);
+    values[values.len() / 2]
 }
--- a/crates/testkit/src/cli/demo.rs
+++ b/crates/testkit/src/cli/demo.rs
@@ -3,7 +3,7 @@
 use super::options::{ensure_descriptors, override_load, DeploymentOptions};
 use super::output::finish;
 use crate::plan::Plan;
-use crate::report::{Report, WorkerSide};
+use crate::report::{Report, WorkerRecord};
 use crate::runner::{self, Interrupt, LoadPlan, SchedulerFault};
 use crate::Failure;
 use clap::Args;
@@ -61,13 +61,15 @@
             planned_faults: &plan.faults,
         };
         let run = runner::run(&mut deployment, clients, load, &interrupt).await?;
-        let workers = WorkerSide {
+        let (attempts, repeats_dropped) = deployment.runs.counts();
+        let workers = WorkerRecord {
             runs: deployment.runs.all(),
-            counts: deployment.runs.counts(),
+            attempts,
+            repeats_dropped,
             probes: plan.probes.as_ref().map(|_| deployment.runs.probes()),
         };
         let failed_shutdowns = deployment.shut_down().await;
-        let report = Report::of(&plan.load_spec(), &run.record, Some(&workers), &run.outages);
+        let report = Report::new(&plan.load_spec(), &run.record, Some(&workers), &run.outages);
         finish(&report, self.json, &failed_shutdowns)
     }
 
--- a/crates/testkit/src/cli/load.rs
+++ b/crates/testkit/src/cli/load.rs
@@ -59,6 +59,6 @@
             }
         };
         let record = record.map_err(|error| Failure::BadInput(error.to_string()))?;
-        finish(&Report::of(&plan.load_spec(), &record, None, &[]), self.json, &[])
+        finish(&Report::new(&plan.load_spec(), &record, None, &[]), self.json, &[])
     }
 }
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -1,5 +1,5 @@
-//! The bare relay that the daemon's cost is held against: the same axum in front and hyper-util's client behind, with
-//! no decision, no callbacks and no account. It must never become a scheduler.
+//! The bare relay that the daemon's cost is compared with: the same axum as its server and hyper-util's client towards its
+//! worker, without decisions, callbacks or records.
 
 use crate::{machine, Failure};
 use axum::body::Body;
@@ -16,37 +16,44 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-const BODY_LIMIT: usize = 64 * 1024;
+/// The largest body of a request, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
+/// How long an unused connection to the worker stays open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The path of the readiness check, which the relay answers itself.
+const READY_PATH: &str = "/health/ready";
+
+/// What each request needs.
 #[derive(Clone)]
 struct Relay {
     client: Client<HttpConnector, Full<Bytes>>,
-    to: SocketAddr,
+    worker: SocketAddr,
 }
 
-/// Passes every request on to one address and its answer back, until the process ends.
-pub async fn serve(listen: SocketAddr, to: SocketAddr) -> Result<(), Failure> {
+/// Forwards every request to one address, and its response back, until the process ends.
+pub async fn serve(listen: SocketAddr, worker: SocketAddr) -> Result<(), Failure> {
     let mut tcp = HttpConnector::new();
     tcp.set_nodelay(true);
     let client = Client::builder(TokioExecutor::new())
-        .pool_idle_timeout(Duration::from_secs(30))
+        .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_timer(TokioTimer::new())
         .build(tcp);
-    let router = Router::new().fallback(pass).with_state(Relay { client, to });
+    let router = Router::new().fallback(forward).with_state(Relay { client, worker });
     let listener = TcpListener::bind(listen).await.map_err(machine("the relay's address"))?;
     axum::serve(listener, router).await.map_err(machine("the relay"))
 }
 
-async fn pass(State(relay): State<Relay>, request: Request) -> Response {
-    if request.uri().path() == "/health/ready" {
+async fn forward(State(relay): State<Relay>, request: Request) -> Response {
+    if request.uri().path() == READY_PATH {
         return StatusCode::OK.into_response();
     }
     let (mut parts, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, BODY_LIMIT).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let Ok(uri) = format!("http://{}{path}", relay.to).parse() else {
+    let Ok(uri) = format!("http://{}{path}", relay.worker).parse() else {
         return StatusCode::BAD_REQUEST.into_response();
     };
     parts.uri = uri;
@@ -57,10 +64,10 @@
     }
 }
 
-/// The relay's worker: answers everything at once.
+/// The relay's worker: answers every request at once.
 pub async fn answer_at_once(listener: TcpListener) {
     let router = Router::new()
         .fallback(|body: Bytes| async move { (StatusCode::OK, format!("made of {}", body.len())) });
-    // Ends with the task that runs it.
+    // It ends only with its task.
     let _ = axum::serve(listener, router).await;
 }
--- /dev/null
+++ b/crates/testkit/src/report/summary.rs
@@ -0,0 +1,96 @@
+//! The figures of one class and of one tenant of a load.
+
+use super::milliseconds;
+use hdrhistogram::Histogram;
+use serde::Serialize;
+use std::time::Duration;
+use vetchbridge_testbed::arrivals::ClassLoad;
+use vetchbridge_testbed::client::JobRecord;
+
+/// The shortest latency that is told apart, in microseconds.
+const MIN_LATENCY_MICROS: u64 = 1;
+/// The longest latency that is told apart, in microseconds: an hour.
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
+/// Significant decimal digits of a latency.
+const LATENCY_DIGITS: u8 = 3;
+
+/// One class's figures; latencies in milliseconds, from when a job should have been sent.
+#[derive(Debug, Serialize)]
+pub struct ClassSummary {
+    /// Its name.
+    #[serde(rename = "class")]
+    pub name: String,
+    /// Jobs.
+    pub jobs: u64,
+    /// Jobs served in the end.
+    pub served: u64,
+    /// Of those, in time.
+    pub in_time: u64,
+    /// The median of the time until they were served.
+    pub p50_ms: f64,
+    /// Its 90th percentile.
+    pub p90_ms: f64,
+    /// Its 99th percentile.
+    pub p99_ms: f64,
+    /// Its maximum.
+    pub max_ms: f64,
+}
+
+impl ClassSummary {
+    /// Summarizes the jobs of the class with this index.
+    pub(super) fn new(class: &ClassLoad, index: usize, jobs: &[JobRecord]) -> ClassSummary {
+        let jobs: Vec<&JobRecord> = jobs.iter().filter(|job| job.arrival.class == index).collect();
+        let mut latencies = new_histogram();
+        let mut in_time = 0;
+        for job in jobs.iter().filter(|job| job.served()) {
+            latencies.saturating_record(job.latency().as_micros() as u64);
+            in_time += u64::from(job.in_time(class));
+        }
+        let quantile =
+            |quantile: f64| milliseconds(Duration::from_micros(latencies.value_at_quantile(quantile)));
+        ClassSummary {
+            name: class.name.clone(),
+            jobs: jobs.len() as u64,
+            served: latencies.len(),
+            in_time,
+            p50_ms: quantile(0.5),
+            p90_ms: quantile(0.9),
+            p99_ms: quantile(0.99),
+            max_ms: milliseconds(Duration::from_micros(latencies.max())),
+        }
+    }
+}
+
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(MIN_LATENCY_MICROS, MAX_LATENCY_MICROS, LATENCY_DIGITS)
+        .unwrap_or_else(|error| unreachable!("these constant bounds are valid: {error}"))
+}
+
+/// One tenant's figures.
+#[derive(Debug, Serialize)]
+pub struct TenantSummary {
+    /// Its name.
+    #[serde(rename = "tenant")]
+    pub name: String,
+    /// Jobs.
+    pub jobs: u64,
+    /// Jobs served in the end.
+    pub served: u64,
+    /// Of those, in time.
+    pub in_time: u64,
+}
+
+impl TenantSummary {
+    /// Summarizes the jobs of the tenant with this index.
+    pub(super) fn new(name: &str, index: usize, classes: &[ClassLoad], jobs: &[JobRecord]) -> TenantSummary {
+        let jobs: Vec<&JobRecord> = jobs.iter().filter(|job| job.arrival.tenant == Some(index)).collect();
+        let served = jobs.iter().filter(|job| job.served()).count();
+        let in_time = jobs.iter().filter(|job| job.in_time(&classes[job.arrival.class])).count();
+        TenantSummary {
+            name: name.to_string(),
+            jobs: jobs.len() as u64,
+            served: served as u64,
+            in_time: in_time as u64,
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/report/tables.rs
@@ -0,0 +1,94 @@
+//! A report as tables for people.
+
+use super::{ClassSummary, Report, TenantSummary};
+use comfy_table::{presets, Table};
+use vetchbridge_testbed::account::Answers;
+
+/// Violations that the text lists one by one.
+const MAX_LISTED_VIOLATIONS: usize = 10;
+
+impl Report {
+    /// As tables, followed by the causes of broken connections and the violations.
+    pub fn text(&self) -> String {
+        let mut text = format!("{}\n{}\n", self.totals_table(), classes_table(&self.classes));
+        if !self.tenants.is_empty() {
+            text.push_str(&format!("{}\n", tenants_table(&self.tenants)));
+        }
+        for (cause, count) in &self.causes {
+            text.push_str(&format!("{count} times: {cause}\n"));
+        }
+        for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
+            text.push_str(&format!("broken: {violation}\n"));
+        }
+        if self.violations.len() > MAX_LISTED_VIOLATIONS {
+            text.push_str(&format!("and {} more\n", self.violations.len() - MAX_LISTED_VIOLATIONS));
+        }
+        text
+    }
+
+    fn totals_table(&self) -> Table {
+        let mut table = new_table();
+        let mut row = |name: &str, value: String| {
+            table.add_row(vec![name.to_string(), value]);
+        };
+        let Answers { served, refused, failed, lost, unreachable, none } = self.answers;
+        row("jobs", self.jobs.to_string());
+        row("tries", self.requests.to_string());
+        row("answers", format!("{served} served, {refused} refused, {failed} failed"));
+        row("without an answer", format!("{lost} lost, {unreachable} unreachable, {none} timed out"));
+        row("exactly once", exactly_once_text(self.violations.len()));
+        row("service", format!("{:.3} of the priority weight requested, in time", self.service));
+        if let Some(attempts) = self.attempts_per_job {
+            row("attempts a job", format!("{attempts:.3}"));
+        }
+        if let Some(dropped) = self.repeats_dropped {
+            row("keyed repeats dropped", dropped.to_string());
+        }
+        if let Some(affinity) = self.affinity {
+            row("affinity", format!("{affinity:.3} of an object's jobs at its first worker"));
+        }
+        if let Some(probes) = self.probes_per_job {
+            row("probes a job", format!("{probes:.3}"));
+        }
+        row("load ran late by", format!("{:.1} ms at most", self.lag_ms));
+        table
+    }
+}
+
+fn exactly_once_text(violations: usize) -> String {
+    match violations {
+        0 => "held: one final answer each".to_string(),
+        count => format!("BROKEN, {count} times"),
+    }
+}
+
+fn classes_table(classes: &[ClassSummary]) -> Table {
+    let mut table = new_table();
+    table.set_header(vec!["class", "jobs", "served", "in time", "p50 ms", "p90 ms", "p99 ms", "max ms"]);
+    for class in classes {
+        let mut cells = vec![class.name.clone()];
+        cells.extend([class.jobs, class.served, class.in_time].map(|count| count.to_string()));
+        let latencies = [class.p50_ms, class.p90_ms, class.p99_ms, class.max_ms];
+        cells.extend(latencies.map(|latency| format!("{latency:.1}")));
+        table.add_row(cells);
+    }
+    table
+}
+
+fn tenants_table(tenants: &[TenantSummary]) -> Table {
+    let mut table = new_table();
+    table.set_header(vec!["tenant", "jobs", "served", "in time"]);
+    for tenant in tenants {
+        let mut cells = vec![tenant.name.clone()];
+        cells.extend([tenant.jobs, tenant.served, tenant.in_time].map(|count| count.to_string()));
+        table.add_row(cells);
+    }
+    table
+}
+
+/// An empty table in the kit's style.
+pub(crate) fn new_table() -> Table {
+    let mut table = Table::new();
+    table.load_style(presets::UTF8_BORDERS_ONLY);
+    table
+}
