--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -125,7 +125,7 @@
 fn bench_plan(plan: &Plan) -> Plan {
     let mut plan = plan.clone();
     plan.schedulers.count = VARIANTS.len();
-    for class in &mut plan.load.class {
+    for class in &mut plan.load.classes {
         class.work = Span(0);
     }
     for workers in &mut plan.workers {
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -99,8 +99,8 @@
             discovery.up(&worker);
             workers.push(worker);
         }
-        discovery.lateness(plan.schedulers.lateness.duration());
-        let front = Front::start(&addresses, plan.schedulers.notice.duration()).await;
+        discovery.lateness(plan.schedulers.publication_delay.duration());
+        let front = Front::start(&addresses, plan.schedulers.detection_delay.duration()).await;
         let front = front.map_err(machine("the front"))?;
         let schedulers = Vec::new();
         let mut deployment =
--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a plan beyond its schema: names that refer to other tables, and what the daemon would refuse.
+//! Checks of a plan beyond its schema: names that refer to other tables, and what the daemon would reject.
 
 use super::fault::PlannedFaultKind;
 use super::scheduler::SchedulerSpec;
@@ -13,7 +13,7 @@
 /// An address for a configuration that is only checked, never used.
 const PLACEHOLDER: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 1);
 
-/// The failure that tells of faults, one a line.
+/// The failure that lists faults, one a line.
 pub(super) fn bad_input(faults: &[Fault]) -> Failure {
     let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
     Failure::BadInput(lines.join("\n"))
@@ -33,12 +33,12 @@
     faults
 }
 
-/// What the daemon or the clients would refuse, found before anything is started.
+/// What the daemon or the clients would reject, found before anything is started.
 pub(super) fn dry_run(plan: &Plan, source: &str) -> Result<(), Failure> {
     let address = SocketAddr::from(PLACEHOLDER);
     let first = SchedulerSpec { number: 0, listen: address, discovery: address, known: &[], handover: None };
     let config = plan.scheduler_config(first);
-    vetchbridge::config::read_text(&format!("{source}, as a scheduler is told"), &config)
+    vetchbridge::config::read_text(&format!("{source}, as a scheduler's configuration"), &config)
         .map_err(|error| bad_input(&error.0))?;
     Arrivals::new(&plan.load_spec())
         .map_err(|error| Failure::BadInput(format!("{source}: load.{}: {}", error.key, error.reason)))?;
@@ -71,13 +71,13 @@
 
 fn classes(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let known: Vec<String> = plan.daemon.class.iter().map(|class| class.name.clone()).collect();
-    let named = plan.load.class.iter().map(|class| class.name.as_str());
+    let named = plan.load.classes.iter().map(|class| class.name.as_str());
     unknown_names(text, "load.class", named, "daemon.class", &known)
 }
 
 fn tenants(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let known: Vec<String> = plan.daemon.tenant.iter().map(|tenant| tenant.name.clone()).collect();
-    let named = plan.load.tenant.iter().map(|tenant| tenant.name.as_str());
+    let named = plan.load.tenants.iter().map(|tenant| tenant.name.as_str());
     unknown_names(text, "load.tenant", named, "daemon.tenant", &known)
 }
 
--- a/crates/testkit/src/plan/defaults.rs
+++ b/crates/testkit/src/plan/defaults.rs
@@ -1,11 +1,11 @@
-//! Defaults of the format that several tables share, in the form that serde asks for.
+//! Defaults of the format that several tables share, as functions for serde.
 
 /// A factor or share that changes nothing.
-pub(super) fn one() -> f64 {
+pub(super) fn unit() -> f64 {
     1.0
 }
 
 /// A switch that is on.
-pub(super) fn yes() -> bool {
+pub(super) fn enabled() -> bool {
     true
 }
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -1,6 +1,6 @@
 //! The load of a plan: its tables in the format, and the clients' load that is made of them.
 
-use super::defaults::{one, yes};
+use super::defaults::{enabled, unit};
 use super::Plan;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -19,31 +19,32 @@
     /// For how long.
     pub duration: Span,
     /// How often a client retries.
-    #[serde(default)]
+    #[serde(default, rename = "retries")]
     #[schemars(range(max = 100))]
-    pub retries: u32,
+    pub max_retries: u32,
     /// How long it waits before the first retry, unless the answer says otherwise.
-    #[serde(default)]
-    pub pause: Span,
+    #[serde(default, rename = "pause")]
+    pub retry_delay: Span,
     /// The share of refused clients that wait as long as the answer says instead.
-    #[serde(default = "one")]
+    #[serde(default = "unit", rename = "heeds")]
     #[schemars(range(min = 0.0, max = 1.0))]
-    pub heeds: f64,
+    pub retry_after_share: f64,
     /// Whether a retry is marked as one.
-    #[serde(default = "yes")]
+    #[serde(default = "enabled")]
     pub marks_retries: bool,
     /// Whether clients give a hint of the work.
-    #[serde(default = "yes")]
+    #[serde(default = "enabled")]
     pub hints: bool,
     /// How far hints are off: the sigma of a log-normal factor.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 5.0))]
     pub hint_spread: f64,
     /// The tenants, of daemon.tenant; jobs belong to no tenant where there are none.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub tenant: Vec<LoadTenant>,
+    #[serde(default, rename = "tenant", skip_serializing_if = "Vec::is_empty")]
+    pub tenants: Vec<LoadTenant>,
     /// What is sent of each class of daemon.class.
-    pub class: Vec<LoadClass>,
+    #[serde(rename = "class")]
+    pub classes: Vec<LoadClass>,
 }
 
 /// What is sent for a tenant.
@@ -53,7 +54,7 @@
     /// Its name in daemon.tenant.
     pub name: String,
     /// Its share of the jobs, relative to the others'.
-    #[serde(default = "one")]
+    #[serde(default = "unit")]
     #[schemars(range(min = 0.0))]
     pub share: f64,
 }
@@ -71,7 +72,7 @@
     /// Its name in daemon.class.
     pub name: String,
     /// Its share of the jobs, relative to the others'.
-    #[serde(default = "one")]
+    #[serde(default = "unit")]
     #[schemars(range(min = 0.0))]
     pub share: f64,
     /// The mean of its work at speed 1.
@@ -81,29 +82,29 @@
     #[schemars(range(min = 0.0, max = 5.0))]
     pub spread: f64,
     /// How many objects its jobs are about.
-    #[serde(default = "objects")]
+    #[serde(default = "default_objects")]
     #[schemars(range(min = 1))]
     pub objects: u64,
-    /// How unevenly these are asked for: the exponent of a Zipf distribution.
+    /// How unevenly these are requested: the exponent of a Zipf distribution.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 10.0))]
     pub zipf: f64,
     /// Slots that a job takes at a worker.
-    #[serde(default = "slots")]
+    #[serde(default = "default_slots")]
     #[schemars(range(min = 1))]
     pub slots: usize,
 }
 
-fn objects() -> u64 {
+fn default_objects() -> u64 {
     100
 }
 
-fn slots() -> usize {
+fn default_slots() -> usize {
     1
 }
 
 impl LoadClass {
-    /// The load of this class, with the terms that schedulers serve it under.
+    /// The load of this class, with the objectives of its class in the daemon's configuration.
     fn spec(&self, class: &file::Class) -> ClassLoad {
         ClassLoad {
             name: self.name.clone(),
@@ -127,7 +128,7 @@
 }
 
 impl Plan {
-    /// The load in the clients' terms.
+    /// The load as the clients' configuration.
     pub fn load_spec(&self) -> LoadSpec {
         let class = |load: &LoadClass| {
             let class = self.daemon.class.iter().find(|class| class.name == load.name)?;
@@ -136,13 +137,13 @@
         LoadSpec {
             seed: self.seed,
             rate: self.load.rate,
-            classes: self.load.class.iter().filter_map(class).collect(),
-            tenants: self.load.tenant.iter().map(LoadTenant::spec).collect(),
+            classes: self.load.classes.iter().filter_map(class).collect(),
+            tenants: self.load.tenants.iter().map(LoadTenant::spec).collect(),
             hints: self.load.hints.then_some(self.load.hint_spread),
-            heeds: self.load.heeds,
+            heeds: self.load.retry_after_share,
             marks_retries: self.load.marks_retries,
-            retries: self.load.retries,
-            pause: self.load.pause.duration(),
+            retries: self.load.max_retries,
+            pause: self.load.retry_delay.duration(),
         }
     }
 }
--- a/crates/testkit/src/plan/mod.rs
+++ b/crates/testkit/src/plan/mod.rs
@@ -1,5 +1,6 @@
-//! The plan of a platform on one machine: schedulers, workers, load and faults. Reads the format, checks it, and
-//! translates it for the stand-ins and the schedulers; it starts nothing.
+//! The plan of a deployment on one machine: schedulers, workers, load and faults. Reads the format, checks it, and translates
+//! it for the stand-ins and the schedulers; it starts nothing. The keys of the format are those of the users' files; where the
+//! Rust name of a field differs, serde maps it.
 
 mod check;
 mod defaults;
@@ -11,7 +12,7 @@
 pub use fault::{PlannedFault, PlannedFaultKind};
 pub use load::{Load, LoadClass, LoadTenant};
 pub use scheduler::{KnownWorker, SchedulerSpec, Schedulers};
-pub use workers::{Probes, Setup, Stats, StatsField, WorkerGroup};
+pub use workers::{LoadReportField, LoadReports, Probes, Setup, WorkerGroup};
 
 use crate::Failure;
 use schemars::JsonSchema;
@@ -42,8 +43,8 @@
     /// The configuration of every scheduler, in the daemon's own format; name, addresses, number and zone are filled in.
     pub daemon: File,
     /// How workers report their load; they report nothing where it is absent.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub stats: Option<Stats>,
+    #[serde(default, rename = "stats", skip_serializing_if = "Option::is_none")]
+    pub load_reports: Option<LoadReports>,
     /// How workers answer probes; they answer none where it is absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub probes: Option<Probes>,
--- a/crates/testkit/src/plan/scheduler.rs
+++ b/crates/testkit/src/plan/scheduler.rs
@@ -20,18 +20,18 @@
     #[schemars(range(min = 1, max = 10000))]
     pub count: usize,
     /// How late the front notices that one has gone.
-    #[serde(default = "notice")]
-    pub notice: Span,
+    #[serde(default = "default_detection_delay", rename = "notice")]
+    pub detection_delay: Span,
     /// How late discovery learns of changes.
-    #[serde(default)]
-    pub lateness: Span,
+    #[serde(default, rename = "lateness")]
+    pub publication_delay: Span,
 }
 
-fn notice() -> Span {
+fn default_detection_delay() -> Span {
     Span::s(2)
 }
 
-/// A worker that a scheduler knows before it asks discovery.
+/// A worker that a scheduler knows before it polls discovery.
 pub struct KnownWorker {
     /// The worker's configuration.
     pub spec: WorkerSpec,
@@ -81,7 +81,7 @@
         file.handover = spec.handover;
         file.seed = Some(Seed(seed));
         file.workers = spec.known.iter().map(KnownWorker::entry).collect();
-        // A File is plain data, which TOML can always hold.
+        // A File is plain data, which TOML can always represent.
         toml::to_string(&file).unwrap_or_default()
     }
 
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -1,6 +1,6 @@
 //! The workers of a plan: their tables in the format, and the stand-ins' configuration that is made of them.
 
-use super::defaults::one;
+use super::defaults::unit;
 use super::Plan;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -11,30 +11,34 @@
 use vetchbridge_testbed::store::Store;
 use vetchbridge_testbed::worker::{ProbeSpec, WorkerSpec};
 
-/// How long repeats of a keyed job are deduplicated where no class says so.
-const DEFAULT_WINDOW: Span = Span::s(15);
+/// How long repeats of a keyed job are deduplicated if no class defines it.
+const DEFAULT_DEDUPLICATION_WINDOW: Span = Span::s(15);
 
 /// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum StatsField {
-    /// Requests that a worker holds.
-    Inflight,
+#[schemars(rename = "StatsField")]
+pub enum LoadReportField {
+    /// Requests that a worker has accepted and not finished.
+    #[serde(rename = "inflight")]
+    InFlight,
     /// Requests that wait at it.
-    Queue,
+    #[serde(rename = "queue")]
+    Queued,
     /// Its free slots.
-    X0,
+    #[serde(rename = "x0")]
+    FreeSlots,
     /// The share of its slots that is taken.
-    Util,
+    #[serde(rename = "util")]
+    Utilization,
 }
 
-impl StatsField {
+impl LoadReportField {
     fn field(self) -> Field {
         match self {
-            StatsField::Inflight => Field::Inflight,
-            StatsField::Queue => Field::Queue,
-            StatsField::X0 => Field::X0,
-            StatsField::Util => Field::Util,
+            LoadReportField::InFlight => Field::Inflight,
+            LoadReportField::Queued => Field::Queue,
+            LoadReportField::FreeSlots => Field::X0,
+            LoadReportField::Utilization => Field::Util,
         }
     }
 }
@@ -42,28 +46,29 @@
 /// How workers report their load.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Stats {
+#[schemars(rename = "Stats")]
+pub struct LoadReports {
     /// The fields of a report: inflight, queue, x0 and util.
     #[schemars(length(min = 1))]
-    pub fields: Vec<StatsField>,
+    pub fields: Vec<LoadReportField>,
     /// How often a report is refreshed.
-    #[serde(default)]
-    pub every: Span,
+    #[serde(default, rename = "every")]
+    pub interval: Span,
     /// How old a report is.
-    #[serde(default)]
-    pub late: Span,
+    #[serde(default, rename = "late")]
+    pub delay: Span,
     /// Whether answers and callbacks that end an attempt carry a report, too.
-    #[serde(default)]
-    pub in_answers: bool,
+    #[serde(default, rename = "in_answers")]
+    pub in_responses: bool,
 }
 
-impl Stats {
+impl LoadReports {
     fn spec(&self) -> StatsSpec {
         StatsSpec {
-            fields: self.fields.iter().copied().map(StatsField::field).collect(),
-            every: self.every.duration(),
-            late: self.late.duration(),
-            in_answers: self.in_answers,
+            fields: self.fields.iter().copied().map(LoadReportField::field).collect(),
+            every: self.interval.duration(),
+            late: self.delay.duration(),
+            in_answers: self.in_responses,
         }
     }
 }
@@ -91,16 +96,19 @@
 #[serde(deny_unknown_fields)]
 pub struct Setup {
     /// How long a fetch takes.
-    pub fetch: Span,
+    #[serde(rename = "fetch")]
+    pub fetch_time: Span,
     /// How many fetches the store serves at once.
+    #[serde(rename = "room")]
     #[schemars(range(min = 1))]
-    pub room: usize,
+    pub store_capacity: usize,
     /// How many objects a worker caches.
+    #[serde(rename = "kept")]
     #[schemars(range(min = 1))]
-    pub kept: usize,
+    pub cached_objects: usize,
 }
 
-/// Workers of one make.
+/// Workers of one configuration.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerGroup {
@@ -109,7 +117,7 @@
     /// How many.
     #[schemars(range(min = 1, max = 10000))]
     pub count: usize,
-    /// Their zone; dealt out over daemon.fleet.zones in turn where it is absent.
+    /// Their zone; distributed over daemon.fleet.zones in turn where it is absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Their kind of machine, one of daemon.fleet.kinds.
@@ -121,27 +129,27 @@
     #[serde(default)]
     pub queue: usize,
     /// Work that a slot does in a second, in seconds of a slot at speed 1.
-    #[serde(default = "one")]
+    #[serde(default = "unit")]
     #[schemars(range(min = 0.001))]
     pub speed: f64,
     /// The weight that discovery publishes.
-    #[serde(default = "one")]
+    #[serde(default = "unit")]
     #[schemars(range(min = 0.0))]
     pub weight: f64,
-    /// The share of its speed with which one starts after its death.
-    #[serde(default = "cold_share")]
+    /// The share of its speed with which one starts to warm up after a crash.
+    #[serde(default = "slow_start_floor", rename = "cold_share")]
     #[schemars(range(min = 0.01, max = 1.0))]
-    pub cold_share: f64,
+    pub slow_start_floor: f64,
     /// How long it takes to warm up.
-    #[serde(default = "cold_time")]
-    pub cold_time: Span,
+    #[serde(default = "slow_start_time", rename = "cold_time")]
+    pub slow_start_time: Span,
 }
 
-fn cold_share() -> f64 {
+fn slow_start_floor() -> f64 {
     0.2
 }
 
-fn cold_time() -> Span {
+fn slow_start_time() -> Span {
     Span::s(24)
 }
 
@@ -161,8 +169,8 @@
             slots: self.slots,
             queue: self.queue,
             speed: self.speed,
-            cold_share: self.cold_share,
-            cold_time: self.cold_time.duration(),
+            cold_share: self.slow_start_floor,
+            cold_time: self.slow_start_time.duration(),
             ..common.clone()
         }
     }
@@ -187,15 +195,18 @@
             tells_start: fleet.tells_start,
             progress: fleet.progress.duration(),
             idle: fleet.conn_idle.duration(),
-            window: windows.max().unwrap_or(DEFAULT_WINDOW).duration(),
+            window: windows.max().unwrap_or(DEFAULT_DEDUPLICATION_WINDOW).duration(),
             order: match fleet.queue_order {
                 // The stand-ins have no priorities; they serve in order.
                 QueueOrder::Fifo | QueueOrder::Priority => Order::Fifo,
                 QueueOrder::Backfill => Order::Backfill,
             },
-            stats: self.stats.as_ref().map(Stats::spec),
+            stats: self.load_reports.as_ref().map(LoadReports::spec),
             probes: self.probes.as_ref().map(Probes::spec),
-            setup: setup.map(|setup| (Store::new(setup.room, setup.fetch.duration()), setup.kept)),
+            setup: setup.map(|setup| {
+                let store = Store::new(setup.store_capacity, setup.fetch_time.duration());
+                (store, setup.cached_objects)
+            }),
             ..WorkerSpec::new("")
         }
     }
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -14,6 +14,9 @@
 pub mod report;
 mod syscall_faults;
 
+pub use faulty_clients::{DisconnectedClient, StalledClient};
+pub use syscall_faults::SyscallFaultCount;
+
 use crate::deployment::Deployment;
 use crate::plan::{self, Plan};
 use crate::runner::{shift_times, Interrupt, Progress, DETECTION_SLACK};
@@ -22,13 +25,11 @@
 use checks::{Evidence, InvariantViolation};
 use fault::{FaultKind, FaultLog, InjectedFault};
 use faulty_clients::FaultyClients;
-pub use faulty_clients::{DisconnectedClient, StalledClient};
 use inject::FaultInjector;
 use report::SoakReport;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-pub use syscall_faults::SyscallFaultCount;
 use syscall_faults::SyscallFaultPlan;
 use tokio::time::Instant;
 use vetchbridge_testbed::account::{judge, Outage, Violation};
--- a/crates/testkit/tests/commands.rs
+++ b/crates/testkit/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The kit as its users meet it: real schedulers under load and under SIGKILL, bad input, a machine that can't, Ctrl-C.
+//! The kit's commands as a user runs them: real schedulers under load and SIGKILL, bad input, limits of the machine, Ctrl-C.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,17 +8,17 @@
 use std::io::{BufRead, BufReader, Read};
 use std::process::{Child, Command, Output, Stdio};
 
-fn vetchbridge_testkit(arguments: &[&str]) -> Command {
+fn testkit(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_vetchbridge-testkit"));
     command.args(arguments).stdin(Stdio::null());
     command
 }
 
 fn run(arguments: &[&str]) -> Output {
-    vetchbridge_testkit(arguments).output().expect("it runs")
+    testkit(arguments).output().expect("it runs")
 }
 
-fn words(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -27,14 +27,14 @@
     assert!(Command::new("kill").args(["-INT", &pid]).status().expect("kill runs").success());
 }
 
-/// Whether a process is there; one that has ended and was waited for is not.
-fn lives(pid: &str) -> bool {
+/// Whether a process runs; a zombie does not.
+fn is_running(pid: &str) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     status.lines().any(|line| line.starts_with("State:") && !line.contains('Z'))
 }
 
 #[test]
-fn the_demo_holds_exactly_once_while_two_schedulers_are_killed() {
+fn a_demo_gives_each_job_exactly_one_answer_while_two_schedulers_are_killed() {
     let daemon = daemon();
     let daemon = daemon.to_str().expect("text");
     let output = run(&["demo", "--for", "6s", "--kill", "2", "--json", "--daemon", daemon]);
@@ -43,12 +43,12 @@
     assert!(report["jobs"].as_u64().expect("jobs") > 200, "{report:#}");
     // Each had at least one attempt, and the killed ones' keyed jobs were not run again.
     assert!(report["attempts_per_job"].as_f64().expect("attempts") >= 0.9, "{report:#}");
-    assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", words(&output));
+    assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", stderr(&output));
 }
 
-/// Upgrades and drains are to be noticed by nobody: no try loses its connection, no scheduler is ever down.
+/// Upgrades and drains are invisible to clients: no request loses its connection, no scheduler is ever down.
 #[test]
-fn the_demo_holds_while_schedulers_are_replaced_and_drained() {
+fn a_demo_loses_no_request_while_schedulers_are_upgraded_and_drained() {
     let daemon = daemon();
     let daemon = daemon.to_str().expect("text");
     let output =
@@ -57,12 +57,12 @@
     assert_eq!(report["violations"], serde_json::json!([]), "{report:#}");
     assert_eq!(report["answers"]["lost"], 0, "{report:#}");
     assert!(report["answers"]["served"].as_u64().expect("answers") > 200, "{report:#}");
-    assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", words(&output));
+    assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", stderr(&output));
 }
 
-/// A hand-over that loses what the old process had is not excused.
+/// A handover that loses the predecessor's requests is not excused.
 #[test]
-fn the_account_tells_what_a_careless_upgrade_lost() {
+fn requests_that_an_abrupt_upgrade_loses_are_reported() {
     let daemon = daemon();
     let daemon = daemon.to_str().expect("text");
     let output = run(&["demo", "--for", "4s", "--upgrade", "1", "--careless", "--json", "--daemon", daemon]);
@@ -72,11 +72,11 @@
         lost.filter(|broken| broken.to_string().contains("lost its connection")).count() > 0,
         "{report:#}"
     );
-    assert_eq!(output.status.code(), Some(1), "{}", words(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", stderr(&output));
 }
 
 #[test]
-fn a_faulty_plan_tells_every_fault_and_starts_nothing() {
+fn an_invalid_plan_is_rejected_with_every_fault_and_starts_nothing() {
     let plan = run(&["plan", "show", "demo"]).stdout;
     let other = run(&["plan", "show", "scans"]).stdout;
     assert_eq!(run(&["plan", "check", "demo", "scans"]).status.code(), Some(0));
@@ -113,9 +113,9 @@
         assert!(plan.contains(old), "{old}");
         std::fs::write(&path, plan.replacen(old, new, 1)).expect("written");
         let output = run(&["demo", &path, "--daemon", "/nowhere"]);
-        assert_eq!(output.status.code(), Some(2), "{}", words(&output));
-        for sentence in *expected {
-            assert!(words(&output).contains(sentence), "{sentence} in {}", words(&output));
+        assert_eq!(output.status.code(), Some(2), "{}", stderr(&output));
+        for message in *expected {
+            assert!(stderr(&output).contains(message), "{message} in {}", stderr(&output));
         }
     }
 }
@@ -137,11 +137,11 @@
     let path = format!("{}/plan-{}-large.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     std::fs::write(&path, plan).expect("written");
     let output = run(&["plan", "check", &path]);
-    assert_eq!(output.status.code(), Some(0), "{}", words(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
 }
 
 #[test]
-fn what_the_machine_cannot_do_is_told_apart_from_bad_input() {
+fn machine_failures_and_bad_input_have_different_exit_codes() {
     let cases: [(&[&str], i32, &str); 4] = [
         (&["demo", "--daemon", "/nowhere/vetchbridge"], 3, "there is no daemon here; build it with"),
         (
@@ -152,15 +152,15 @@
         (&["load", "--to", "127.0.0.1:1", "--connections", "0"], 2, "at least 1"),
         (&["load", "--to", "127.0.0.1:1", "--rate", "0"], 2, "--rate 0"),
     ];
-    for (arguments, code, sentence) in cases {
+    for (arguments, code, message) in cases {
         let output = run(arguments);
-        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {}", words(&output));
-        assert!(words(&output).contains(sentence), "{sentence} in {}", words(&output));
+        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {}", stderr(&output));
+        assert!(stderr(&output).contains(message), "{message} in {}", stderr(&output));
     }
 }
 
 #[test]
-fn a_load_that_nobody_answers_has_missed() {
+fn a_load_without_any_answer_fails() {
     let unused = vetchbridge_testbed::Port::reserve().expect("a port");
     let to = unused.address().to_string();
     let output = run(&["load", "--to", &to, "--rate", "50", "--for", "500ms", "--json"]);
@@ -175,9 +175,9 @@
 }
 
 #[test]
-fn ctrl_c_ends_a_platform_cleanly_and_its_schedulers_with_it() {
+fn ctrl_c_shuts_down_a_deployment_and_its_schedulers() {
     let daemon = daemon();
-    let mut kit = vetchbridge_testkit(&["up", "--daemon", daemon.to_str().expect("text")]);
+    let mut kit = testkit(&["up", "--daemon", daemon.to_str().expect("text")]);
     let mut kit = kit.stdout(Stdio::piped()).spawn().expect("it starts");
     let mut lines = BufReader::new(kit.stdout.take().expect("piped")).lines();
     let line = lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("vetchbridge-testkit load")));
@@ -186,24 +186,21 @@
     let children = std::fs::read_to_string(of_kit).unwrap_or_default();
     interrupt(&kit);
     assert_eq!(kit.wait().expect("it ends").code(), Some(0));
-    assert!(children.split_whitespace().all(|pid| !lives(pid)), "{children}");
+    assert!(children.split_whitespace().all(|pid| !is_running(pid)), "{children}");
 }
 
 #[test]
-fn a_first_ctrl_c_prints_what_was_done_and_a_second_ends_at_once() {
+fn the_first_ctrl_c_prints_the_report_and_the_second_exits_at_once() {
     let daemon = daemon();
     let arguments = ["demo", "--for", "600s", "--json", "--daemon", daemon.to_str().expect("text")];
     for twice in [false, true] {
-        let mut kit = vetchbridge_testkit(&arguments)
-            .stdout(Stdio::piped())
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("it starts");
+        let mut kit =
+            testkit(&arguments).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
         let mut lines = BufReader::new(kit.stderr.take().expect("piped")).lines().map_while(Result::ok);
-        // The first line of progress says that the load runs.
+        // The first line of progress shows that the load runs.
         lines.find(|line| line.contains(" sent, ")).expect("progress");
         interrupt(&kit);
-        lines.find(|line| line.contains("once more ends at once")).expect("it heard");
+        lines.find(|line| line.contains("once more ends at once")).expect("the signal is acknowledged");
         if twice {
             interrupt(&kit);
         }
@@ -213,7 +210,7 @@
         if twice && code == Some(130) {
             assert!(printed.is_empty(), "{printed}");
         } else {
-            // The second may come when all is done already.
+            // The second signal may come after the load's end.
             let report: Value = serde_json::from_str(&printed).expect("JSON");
             assert!(report["jobs"].as_u64().expect("jobs") > 0);
             assert!(matches!(code, Some(0 | 3)), "{code:?}: {printed}");
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the kit's stories share.
+//! What the kit's tests share.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -1,5 +1,5 @@
-//! A deployment that shares nothing with the demonstration's: real schedulers on the built-in plan `scans`, its workers
-//! misbehaving and its list out of reach.
+//! A deployment that shares nothing with the demonstration's: real schedulers on the built-in plan `scans`, while its workers
+//! misbehave and its discovery is unavailable.
 #![allow(missing_docs)]
 
 mod common;
@@ -18,15 +18,16 @@
 use vetchbridge_testkit::plan::Plan;
 
 /// Nothing here takes so long unless something hangs.
-const HANG: Duration = Duration::from_secs(60);
-const LOAD: Duration = Duration::from_secs(3);
-/// The list is out of reach from here ...
-const OUT_AT: Duration = Duration::from_millis(500);
-/// ... for so long.
-const OUT_FOR: Duration = Duration::from_secs(2);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long the load lasts.
+const LOAD_TIME: Duration = Duration::from_secs(3);
+/// When discovery becomes unavailable, from the load's start.
+const OUTAGE_START: Duration = Duration::from_millis(500);
+/// How long it stays so.
+const OUTAGE_TIME: Duration = Duration::from_secs(2);
 
-/// Every way in which a worker leaves it open, or says, whether a job ran, at each worker and more than once.
-fn acts() -> Vec<Act> {
+/// Each way in which a worker reports whether a job ran, or leaves it open; each more than once.
+fn misbehavior() -> Vec<Act> {
     let once = [
         Act::Lose,
         Act::CutBeforeAnswer,
@@ -40,48 +41,53 @@
     once.iter().chain(&once).cloned().collect()
 }
 
-/// Plays the deployment while its list is out of reach and each worker misbehaves; what the account says of it. The
-/// schedulers believe `told`, the clients and the account the plan.
-async fn play(told: &Plan, plan: &Plan, how: Health) -> Verdict {
-    let mut deployment = Deployment::start(told, Some(&daemon()), None, &[]).await.expect("a deployment");
-    let (began, spec) = (Instant::now(), plan.load_spec());
+/// Runs a deployment while its discovery is unavailable and each worker misbehaves, and judges the run. The schedulers are
+/// configured by `scheduler_plan`, the clients and the judgment by `plan`.
+async fn run_deployment(scheduler_plan: &Plan, plan: &Plan, outage: Health) -> Verdict {
+    let mut deployment =
+        Deployment::start(scheduler_plan, Some(&daemon()), None, &[]).await.expect("a deployment");
+    let (started, spec) = (Instant::now(), plan.load_spec());
     let (_stop, stopped) = watch::channel(false);
     let clients = Clients::new(spec.clone(), vec![deployment.front.address()]).expect("a load");
-    let load = clients.run(began, LOAD, stopped, |_| {});
-    let troubles = async {
-        deployment.workers.iter().for_each(|worker| worker.next(acts()));
-        sleep(OUT_AT).await;
-        deployment.discovery.out_for(how, OUT_FOR).await;
-        let asked = deployment.discovery.calls();
-        // Each spreads its next call by itself; this story goes on until the first has come.
-        while deployment.discovery.calls() == asked {
+    let load = clients.run(started, LOAD_TIME, stopped, |_| {});
+    let faults = async {
+        deployment.workers.iter().for_each(|worker| worker.next(misbehavior()));
+        sleep(OUTAGE_START).await;
+        deployment.discovery.out_for(outage, OUTAGE_TIME).await;
+        let calls = deployment.discovery.calls();
+        // Each scheduler draws the time of its next call; this goes on until the first has come.
+        while deployment.discovery.calls() == calls {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    let (record, ()) = tokio::join!(load, troubles);
+    let (record, ()) = tokio::join!(load, faults);
     let record = record.expect("a load");
     assert!(record.jobs.len() > 150 && record.jobs.iter().all(|job| !job.tries.is_empty()));
-    deployment.check_running().expect("every scheduler lives");
+    deployment.check_running().expect("every scheduler runs");
     let verdict = judge(&spec.classes, &record.jobs, Some(&deployment.runs.all()), &[]);
-    assert_eq!(deployment.shut_down().await, Vec::<String>::new(), "every scheduler ended well");
+    assert_eq!(deployment.shut_down().await, Vec::<String>::new(), "every scheduler shut down cleanly");
     verdict
 }
 
 fn scans() -> Plan {
     let mut plan = Plan::read(Some(Path::new("scans"))).expect("a plan");
     plan.faults.clear();
-    for class in &mut plan.load.class {
+    for class in &mut plan.load.classes {
         class.spread = 0.3;
     }
     plan
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_unsafe_job_runs_twice_and_each_has_one_answer_while_the_list_is_out_of_reach() {
+async fn non_idempotent_jobs_run_once_and_each_has_one_answer_while_discovery_is_unavailable() {
     let plan = scans();
-    let plays =
-        async { tokio::join!(play(&plan, &plan, Health::Failing), play(&plan, &plan, Health::Resetting)) };
-    let (failing, resetting) = timeout(HANG, plays).await.expect("it ends");
+    let runs = async {
+        tokio::join!(
+            run_deployment(&plan, &plan, Health::Failing),
+            run_deployment(&plan, &plan, Health::Resetting)
+        )
+    };
+    let (failing, resetting) = timeout(TEST_TIMEOUT, runs).await.expect("it ends");
     for verdict in [failing, resetting] {
         assert_eq!(verdict.violations, [], "{verdict:?}");
         let answers = verdict.answers;
@@ -91,11 +97,13 @@
     }
 }
 
-/// The verdict can be a bad one: schedulers that take the unsafe class for a safe one are found out.
+/// The judgment detects schedulers that are configured to treat the non-idempotent class as idempotent.
 #[tokio::test(flavor = "multi_thread")]
-async fn schedulers_that_repeat_what_they_must_not_are_found_out() {
-    let (mut told, plan) = (scans(), scans());
-    told.daemon.class.iter_mut().for_each(|class| class.repeat = file::Repeat::Safe);
-    let verdict = timeout(HANG, play(&told, &plan, Health::Failing)).await.expect("it ends");
+async fn schedulers_that_retry_non_idempotent_jobs_are_detected() {
+    let (mut scheduler_plan, plan) = (scans(), scans());
+    scheduler_plan.daemon.class.iter_mut().for_each(|class| class.repeat = file::Repeat::Safe);
+    let verdict = timeout(TEST_TIMEOUT, run_deployment(&scheduler_plan, &plan, Health::Failing))
+        .await
+        .expect("it ends");
     assert!(verdict.violations.iter().any(|v| matches!(v, Violation::UnsafeTwice(_))), "{verdict:?}");
 }
--- a/crates/testkit/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! What `make test` makes of KNOWN-RED.txt, on a throw-away workspace whose tests fail or hang as they are told to.
+//! How `make test` treats KNOWN-RED.txt, in a temporary workspace whose tests fail or hang as its environment says.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -21,11 +21,11 @@
         "one/src/lib.rs",
         r#"
         /// ```
-        /// first::told("first doc");
+        /// first::run_named("first doc");
         /// ```
-        pub fn told(name: &str) {
-            let among = |key| std::env::var(key).unwrap_or_default().split(',').any(|word| word == name);
-            assert!(!among("FAILING"), "{name} fails as told");
+        pub fn run_named(name: &str) {
+            let among = |key| std::env::var(key).unwrap_or_default().split(',').any(|listed| listed == name);
+            assert!(!among("FAILING"), "{name} fails as configured");
             // Far longer than any limit here; a run that should not have waited for it ends all the same.
             if among("HANGING") {
                 std::thread::sleep(std::time::Duration::from_secs(20));
@@ -34,9 +34,9 @@
         #[cfg(test)]
         mod what {
             #[test]
-            fn case_1() { crate::told("first what::case_1") }
+            fn case_1() { crate::run_named("first what::case_1") }
             #[test]
-            fn case_10() { crate::told("first what::case_10") }
+            fn case_10() { crate::run_named("first what::case_10") }
         }
         "#,
     ),
@@ -44,12 +44,12 @@
         "one/tests/stories.rs",
         r#"
         #[test]
-        fn fails() { first::told("first::stories fails") }
+        fn fails() { first::run_named("first::stories fails") }
         #[test]
-        fn fails_more() { first::told("first::stories fails_more") }
+        fn fails_more() { first::run_named("first::stories fails_more") }
         mod what {
             #[test]
-            fn fails() { first::told("first::stories what::fails") }
+            fn fails() { first::run_named("first::stories what::fails") }
         }
         "#,
     ),
@@ -58,8 +58,8 @@
         "[package]\nname = \"two\"\nversion = \"0.1.0\"\nedition = \"2021\"\n\
          [dependencies]\nfirst = { path = \"../one\" }\n",
     ),
-    ("two/src/main.rs", "fn main() {}\n#[test]\nfn starts() { first::told(\"two::bin/two starts\") }\n"),
-    ("two/tests/stories.rs", "#[test]\nfn fails() { first::told(\"two::stories fails\") }\n"),
+    ("two/src/main.rs", "fn main() {}\n#[test]\nfn starts() { first::run_named(\"two::bin/two starts\") }\n"),
+    ("two/tests/stories.rs", "#[test]\nfn fails() { first::run_named(\"two::stories fails\") }\n"),
 ];
 
 struct Workspace(TempDir);
@@ -72,7 +72,7 @@
 
 impl Run {
     #[track_caller]
-    fn is(&self, success: bool) -> &Self {
+    fn succeeds(&self, success: bool) -> &Self {
         assert_eq!(self.success, success, "{}\n{}", self.stdout, self.stderr);
         self
     }
@@ -85,7 +85,7 @@
     }
 
     #[track_caller]
-    fn complains(&self, line: &str) -> &Self {
+    fn reports(&self, line: &str) -> &Self {
         assert!(self.stderr.lines().any(|it| it == line), "no {line:?}\n{}\n{}", self.stdout, self.stderr);
         self
     }
@@ -94,8 +94,8 @@
     fn counts(&self) -> [usize; 3] {
         let results = self.stdout.lines().filter(|line| line.starts_with("test result: "));
         results.fold([0; 3], |counts, line| {
-            let number = |word: &str| -> usize {
-                let before = &line[..line.find(word).expect("a result")];
+            let number = |label: &str| -> usize {
+                let before = &line[..line.find(label).expect("a result")];
                 before.split_whitespace().last().expect("a number").parse().expect("a number")
             };
             [
@@ -116,7 +116,7 @@
             fs::write(path, text).expect("it is written");
         }
         let this = Self(folder);
-        this.takes(&["Makefile", ".ci/test", ".ci/runner"]);
+        this.copy_files(&["Makefile", ".ci/test", ".ci/runner"]);
         let locked = this.command("cargo", &["generate-lockfile", "--offline"]).output().expect("cargo runs");
         assert!(locked.status.success(), "{locked:?}");
         this
@@ -126,8 +126,8 @@
         self.0.path()
     }
 
-    /// Copies files of ours to the same places here.
-    fn takes(&self, files: &[&str]) {
+    /// Copies files of this repository to the same paths here.
+    fn copy_files(&self, files: &[&str]) {
         fs::create_dir_all(self.path().join(".ci")).expect("a folder");
         for file in files {
             fs::copy(Path::new(ROOT).join(file), self.path().join(file)).expect("it is copied");
@@ -142,12 +142,12 @@
             .env("CARGO_NET_OFFLINE", "true")
             .env("CARGO_TERM_COLOR", "never")
             .env("CARGO_INCREMENTAL", "0");
-        // Of the make and the cargo that run us.
+        // Set by the make that runs this test.
         command.env_remove("MAKEFLAGS").env_remove("MFLAGS").env_remove("MAKELEVEL");
         command
     }
 
-    fn list(&self, text: &str) {
+    fn write_known_red(&self, text: &str) {
         fs::write(self.path().join("KNOWN-RED.txt"), text).expect("it is written");
     }
 
@@ -168,23 +168,23 @@
     let workspace = Workspace::new();
     for text in [None, Some(""), Some("\n \n")] {
         if let Some(text) = text {
-            workspace.list(text);
+            workspace.write_known_red(text);
         }
         let run = workspace.test("");
-        assert_eq!(run.is(true).counts(), [8, 0, 0], "{}", run.stdout);
+        assert_eq!(run.succeeds(true).counts(), [8, 0, 0], "{}", run.stdout);
         assert!(!run.stdout.contains("known red"), "{}", run.stdout);
-        workspace.test("two::stories fails").is(false);
+        workspace.test("two::stories fails").succeeds(false);
     }
 }
 
 #[test]
 fn a_listed_test_that_fails_is_run_alone_and_printed_and_all_others_run() {
     let workspace = Workspace::new();
-    workspace.list("first::stories fails | the cause | issue 7\n");
+    workspace.write_known_red("first::stories fails | the cause | issue 7\n");
     let run = workspace.test("first::stories fails");
-    run.is(true).prints("known red: first::stories fails: failed as known (the cause; issue 7)");
+    run.succeeds(true).prints("known red: first::stories fails: failed as known (the cause; issue 7)");
     // Its own output is shown, but not as a result that counts.
-    assert!(run.stdout.contains("\n  | first::stories fails fails as told\n"), "{}", run.stdout);
+    assert!(run.stdout.contains("\n  | first::stories fails fails as configured\n"), "{}", run.stdout);
     // The tests whose name extends it or is the same elsewhere are among these, and the doc test.
     assert_eq!(run.counts(), [7, 0, 1], "{}", run.stdout);
     run.prints("test fails_more ... ok").prints("test what::fails ... ok").prints("test fails ... ok");
@@ -195,11 +195,11 @@
 #[test]
 fn three_may_be_listed_among_them_cases_and_tests_of_a_program() {
     let workspace = Workspace::new();
-    workspace.list(
+    workspace.write_known_red(
         "first what::case_1 | a | 1\n\n  two::bin/two starts|b|2\ntwo::stories fails | c | see https://host/3 ",
     );
     let run = workspace.test("first what::case_1,two::bin/two starts,two::stories fails");
-    run.is(true).prints("known red: first what::case_1: failed as known (a; 1)");
+    run.succeeds(true).prints("known red: first what::case_1: failed as known (a; 1)");
     run.prints("known red: two::bin/two starts: failed as known (b; 2)");
     run.prints("known red: two::stories fails: failed as known (c; see https://host/3)");
     run.prints("test what::case_10 ... ok");
@@ -209,7 +209,7 @@
 #[test]
 fn a_failing_test_that_is_not_listed_fails_the_run() {
     let workspace = Workspace::new();
-    workspace.list("first::stories fails | the cause | issue 7\n");
+    workspace.write_known_red("first::stories fails | the cause | issue 7\n");
     for other in [
         "two::stories fails",
         "first::stories fails_more",
@@ -218,29 +218,29 @@
         "first doc",
     ] {
         let run = workspace.test(&format!("first::stories fails,{other}"));
-        run.is(false).prints("known red: first::stories fails: failed as known (the cause; issue 7)");
+        run.succeeds(false).prints("known red: first::stories fails: failed as known (the cause; issue 7)");
         assert_eq!(run.counts()[1], 1, "{other}: {}", run.stdout);
     }
 }
 
 #[test]
-fn a_listed_test_that_passes_is_told_to_be_removed_and_does_not_fail_the_run() {
+fn a_listed_test_that_passes_is_reported_for_removal_and_does_not_fail_the_run() {
     let workspace = Workspace::new();
-    workspace.list("\nfirst::stories fails | the cause | issue 7\n");
-    workspace.test("").is(true).prints(
+    workspace.write_known_red("\nfirst::stories fails | the cause | issue 7\n");
+    workspace.test("").succeeds(true).prints(
         "known red: first::stories fails: PASSES NOW; remove line 2 of KNOWN-RED.txt unless the test is flaky \
          (the cause; issue 7)",
     );
 }
 
 #[test]
-fn a_listed_test_that_hangs_is_ended_and_counts_as_failed() {
+fn a_listed_test_that_hangs_times_out_and_counts_as_failed() {
     let workspace = Workspace::new();
-    workspace.list("first::stories fails | the cause | issue 7\n");
+    workspace.write_known_red("first::stories fails | the cause | issue 7\n");
     let start = Instant::now();
     let mut command = workspace.command("make", &["test"]);
     let run = Workspace::run(command.env("HANGING", "first::stories fails").env("KNOWN_RED_LIMIT", "1"));
-    run.is(true)
+    run.succeeds(true)
         .prints("known red: first::stories fails: timed out after 1 s, failed as known (the cause; issue 7)");
     assert_eq!(run.counts(), [7, 0, 1], "{}", run.stdout);
     assert!(start.elapsed() < Duration::from_secs(60), "{:?}", start.elapsed());
@@ -257,11 +257,11 @@
     "a x | b | c\na y | b | c\na z | b | c\na w | b | c\n",
     "4: a file of more than 3 tests is refused; mend one and remove its line"
 )]
-fn a_file_of_another_form_fails_the_run_before_any_test(#[case] text: &str, #[case] fault: &str) {
+fn a_file_in_an_invalid_format_fails_the_run_before_any_test(#[case] text: &str, #[case] fault: &str) {
     let workspace = Workspace::new();
-    workspace.list(text);
+    workspace.write_known_red(text);
     let run = workspace.test("");
-    assert!(run.is(false).stderr.contains(&format!("KNOWN-RED.txt:{fault}")), "{}", run.stderr);
+    assert!(run.succeeds(false).stderr.contains(&format!("KNOWN-RED.txt:{fault}")), "{}", run.stderr);
     assert_eq!(run.counts(), [0; 3], "{}", run.stdout);
 }
 
@@ -279,27 +279,30 @@
         "first::stories .*",
         "first doc",
     ] {
-        workspace.list(&format!("two::stories fails | a | 1\n{name} | b | 2\n"));
+        workspace.write_known_red(&format!("two::stories fails | a | 1\n{name} | b | 2\n"));
         let run = workspace.test("");
-        run.is(false).complains(&format!(
+        run.succeeds(false).reports(&format!(
             "KNOWN-RED.txt:2: there is no test \"{name}\"; write it as .ci/test --list prints it, or remove the line"
         ));
         assert_eq!(run.counts(), [0; 3], "{}", run.stdout);
     }
     let run = Workspace::run(&mut workspace.command(".ci/test", &["--list"]));
-    run.is(true).prints("first::stories fails").prints("two::stories fails").prints("two::bin/two starts");
+    run.succeeds(true)
+        .prints("first::stories fails")
+        .prints("two::stories fails")
+        .prints("two::bin/two starts");
     assert_eq!(run.stdout.lines().count(), 7, "{}", run.stdout);
-    Workspace::run(&mut workspace.command(".ci/test", &["fails"])).is(false);
+    Workspace::run(&mut workspace.command(".ci/test", &["fails"])).succeeds(false);
 }
 
 #[test]
-fn what_does_not_compile_fails_the_run() {
+fn a_test_that_does_not_compile_fails_the_run() {
     let workspace = Workspace::new();
-    workspace.list("first::stories fails | the cause | issue 7\n");
+    workspace.write_known_red("first::stories fails | the cause | issue 7\n");
     fs::write(workspace.path().join("two/src/main.rs"), "fn main() { nothing() }\n").expect("it is written");
     assert!(workspace
         .test("first::stories fails")
-        .is(false)
+        .succeeds(false)
         .stderr
         .contains("cannot find function `nothing`"));
 }
@@ -314,11 +317,11 @@
     #[case] steps: &[&str],
 ) {
     let workspace = Workspace::new();
-    workspace.takes(&[".ci/run"]);
+    workspace.copy_files(&[".ci/run"]);
     let makefile = format!("lint demo soak:\n\t@echo step $@\ntest:\n\t@echo step $@\n\t@{result}\n");
     fs::write(workspace.path().join("Makefile"), makefile).expect("it is written");
     let run = Workspace::run(&mut workspace.command(".ci/run", &[]));
     let run_steps: Vec<_> =
-        run.is(success).stdout.lines().filter_map(|it| it.strip_prefix("step ")).collect();
+        run.succeeds(success).stdout.lines().filter_map(|it| it.strip_prefix("step ")).collect();
     assert_eq!(run_steps, steps);
 }
