--- a/crates/testkit/src/cli/mod.rs
+++ b/crates/testkit/src/cli/mod.rs
@@ -52,22 +52,22 @@
     /// Start a platform and its schedulers, and keep them until Ctrl-C
     #[command(after_help = "Example:\n  vetchbridge-testkit up plan.toml --logs logs")]
     Up(UpCommand),
-    /// Send a load to given addresses and tell what came back
+    /// Send a load to given addresses and report the answers
     #[command(after_help = "\
 Examples:
   vetchbridge-testkit load --to 127.0.0.1:8080 --to 127.0.0.1:8081 --rate 200 --for 30s
   vetchbridge-testkit load --to 127.0.0.1:8080 --connections 64 --for 10s     a closed loop instead")]
     Load(LoadCommand),
-    /// Start a platform, send it its load, and hold what clients heard against what workers ran
+    /// Start a platform, send it its load, and compare the clients' answers with the workers' runs
     #[command(after_help = "Example:\n  vetchbridge-testkit demo --for 60s --kill 2 --logs logs")]
     Demo(DemoCommand),
-    /// Play troubles that overlap against real schedulers whose system calls fail, and hold them to their promises
+    /// Inject overlapping faults into real schedulers whose system calls fail, and check their invariants
     #[command(after_help = "\
 Examples:
   vetchbridge-testkit soak --seed 7 --for 60s
   vetchbridge-testkit soak --seed 7 --for 10s --schedulers 6 --logs logs     shorter and smaller, with what it leaves
 
-The last line counts troubles, overlaps, faults and violations; exit code 0 only if every promise was kept and, from 30 s on,
+The last line counts troubles, overlaps, faults and violations; exit code 0 only if every invariant held and, from 30 s on,
 every kind of trouble and of fault has happened.")]
     Soak(SoakCommand),
     /// Measure the daemon's processor time a request beside a bare relay's, in turns
--- a/crates/testkit/src/cli/output.rs
+++ b/crates/testkit/src/cli/output.rs
@@ -1,5 +1,6 @@
 //! What commands print, and how a report decides their exit code.
 
+use crate::deployment::FailedShutdown;
 use crate::report::Report;
 use crate::Failure;
 use std::io::{self, Write};
@@ -20,7 +21,11 @@
 
 /// Prints the report of a load, then fails if a goal was missed; `failed_shutdowns` names schedulers that did not shut down
 /// cleanly.
-pub(super) fn finish(report: &Report, json: bool, failed_shutdowns: &[String]) -> Result<(), Failure> {
+pub(super) fn finish(
+    report: &Report,
+    json: bool,
+    failed_shutdowns: &[FailedShutdown],
+) -> Result<(), Failure> {
     print(&if json { to_json(report)? } else { report.text() })?;
     if !report.violations.is_empty() {
         return Err(Failure::Missed(format!("{} rules were broken", report.violations.len())));
@@ -35,9 +40,10 @@
 }
 
 /// Fails if a scheduler did not shut down cleanly.
-pub(super) fn check_shutdowns(failed: &[String]) -> Result<(), Failure> {
+pub(super) fn check_shutdowns(failed: &[FailedShutdown]) -> Result<(), Failure> {
     if failed.is_empty() {
         return Ok(());
     }
-    Err(Failure::Missed(failed.join("\n")))
+    let lines: Vec<String> = failed.iter().map(ToString::to_string).collect();
+    Err(Failure::Missed(lines.join("\n")))
 }
--- a/crates/testkit/src/cli/plan.rs
+++ b/crates/testkit/src/cli/plan.rs
@@ -17,7 +17,7 @@
     },
     /// The JSON Schema of the format, for editors
     Schema,
-    /// Read plans and tell every fault
+    /// Read plans and report every fault
     Check {
         /// The plans
         #[arg(required = true)]
--- a/crates/testkit/src/cli/soak.rs
+++ b/crates/testkit/src/cli/soak.rs
@@ -14,7 +14,7 @@
 
 #[derive(Debug, Args)]
 pub(super) struct SoakCommand {
-    /// Draws troubles and faults
+    /// The seed of all faults
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// For how long
@@ -42,6 +42,6 @@
         if report.passed() {
             return Ok(());
         }
-        Err(Failure::Missed("not every promise was kept, or not everything happened".to_string()))
+        Err(Failure::Missed("an invariant was violated, or a kind of fault did not happen".to_string()))
     }
 }
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -5,6 +5,7 @@
 use crate::plan::{KnownWorker, Plan, SchedulerSpec};
 use crate::scheduler::{find_daemon, LaunchOptions, Scheduler};
 use crate::{machine, Failure};
+use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitStatus;
@@ -65,6 +66,21 @@
     }
 }
 
+/// A scheduler that did not shut down cleanly.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FailedShutdown {
+    /// Its number.
+    pub scheduler: usize,
+    /// How it exited.
+    pub status: ExitStatus,
+}
+
+impl fmt::Display for FailedShutdown {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "scheduler {} did not shut down cleanly: {}", self.scheduler, self.status)
+    }
+}
+
 impl Deployment {
     /// Starts a deployment, each scheduler with the same further arguments, and waits until every scheduler is ready.
     pub async fn start(
@@ -185,17 +201,17 @@
         Ok(())
     }
 
-    /// Shuts down every scheduler gracefully, all at once; returns a text on each that did not exit cleanly.
-    pub async fn shut_down(mut self) -> Vec<String> {
+    /// Shuts down every scheduler gracefully, all at once; returns those that did not exit cleanly.
+    pub async fn shut_down(mut self) -> Vec<FailedShutdown> {
         let mut shutdowns = JoinSet::new();
         for (number, mut scheduler) in self.schedulers.drain(..).enumerate() {
             shutdowns.spawn(async move { (number, scheduler.shut_down().await) });
         }
         let exits = shutdowns.join_all().await;
-        let failed = exits.into_iter().filter(|(_, status)| status.is_some_and(|status| !status.success()));
-        let text = |(number, status): (usize, Option<ExitStatus>)| {
-            format!("scheduler {number} did not shut down cleanly: {status:?}")
-        };
-        failed.map(text).collect()
+        let failed = exits.into_iter().filter_map(|(scheduler, status)| {
+            let status = status.filter(|status| !status.success())?;
+            Some(FailedShutdown { scheduler, status })
+        });
+        failed.collect()
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -9,7 +9,9 @@
 //! - [`runner`] runs a load against it and injects faults;
 //! - [`report`] summarizes and judges the load;
 //! - [`soak`] does all of that under many overlapping faults;
-//! - [`bench`] compares the daemon's cost with that of a bare [`relay`].
+//! - [`mod@bench`] compares the daemon's cost with that of a bare [`relay`].
+
+#![deny(missing_docs)]
 
 pub mod bench;
 pub mod cli;
--- a/crates/testkit/src/report/summary.rs
+++ b/crates/testkit/src/report/summary.rs
@@ -7,9 +7,9 @@
 use vetchbridge_testbed::arrivals::ClassLoad;
 use vetchbridge_testbed::client::JobRecord;
 
-/// The shortest latency that is told apart, in microseconds.
+/// The shortest latency that is distinguished, in microseconds.
 const MIN_LATENCY_MICROS: u64 = 1;
-/// The longest latency that is told apart, in microseconds: an hour.
+/// The longest latency that is distinguished, in microseconds: an hour.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 /// Significant decimal digits of a latency.
 const LATENCY_DIGITS: u8 = 3;
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -2,6 +2,7 @@
 
 use super::fault::{FaultKind, InjectedFault};
 use super::{DisconnectedClient, StalledClient};
+use crate::deployment::FailedShutdown;
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
@@ -31,8 +32,10 @@
 pub enum InvariantViolation {
     /// A violation that the account of answers and runs found.
     Account(Violation),
-    /// A scheduler exited by itself, or did not shut down cleanly.
-    Process(String),
+    /// A scheduler exited by itself; the text has its status and the end of its log.
+    EarlyExit(String),
+    /// A scheduler did not shut down cleanly.
+    FailedShutdown(FailedShutdown),
     /// An attempt came to a worker that schedulers had long known to be draining.
     AttemptWhileDraining {
         /// The request.
@@ -73,7 +76,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Account(violation) => write!(f, "account: {violation}"),
-            Self::Process(text) => write!(f, "process: {text}"),
+            Self::EarlyExit(text) => write!(f, "process: {text}"),
+            Self::FailedShutdown(failure) => write!(f, "process: {failure}"),
             Self::AttemptWhileDraining { request_id, worker, after } => {
                 write!(f, "drained: {request_id:016x} came to {worker} {after:?} after it began to drain")
             }
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -127,14 +127,15 @@
         (deployment.directory().to_path_buf(), deployment.runs.clone(), deployment.front.notice());
     // Removed at the end of this function, after its logs and counts have been read.
     let _temporary = deployment.take_temporary_directory();
-    let failed_exits = deployment.shut_down().await;
+    let failed_shutdowns = deployment.shut_down().await;
     let outages = outages(&observed.faults, notice);
     let jobs = &observed.load.jobs;
     let verdict = judge(&observed.classes, jobs, Some(&runs.all()), &outages);
     let logs: Vec<String> =
         log_paths.iter().map(|path| std::fs::read_to_string(path).unwrap_or_default()).collect();
     let mut violations = account_violations(verdict.violations, &observed.clients);
-    violations.extend(early_exit.into_iter().chain(failed_exits).map(InvariantViolation::Process));
+    violations.extend(early_exit.map(InvariantViolation::EarlyExit));
+    violations.extend(failed_shutdowns.into_iter().map(InvariantViolation::FailedShutdown));
     violations.extend(checks::check_all(&Evidence {
         faults: &observed.faults,
         arrivals: &runs.arrivals(),
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -65,7 +65,7 @@
     assert!(record.jobs.len() > 150 && record.jobs.iter().all(|job| !job.tries.is_empty()));
     deployment.check_running().expect("every scheduler runs");
     let verdict = judge(&spec.classes, &record.jobs, Some(&deployment.runs.all()), &[]);
-    assert_eq!(deployment.shut_down().await, Vec::<String>::new(), "every scheduler shut down cleanly");
+    assert_eq!(deployment.shut_down().await, [], "every scheduler shut down cleanly");
     verdict
 }
 
