--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -82,6 +82,8 @@
 //! | discovery | `endpoint_refresh.rs` |
 //! | tools | `timer.rs`, `hash.rs`, `random.rs` |
 
+#![deny(missing_docs)]
+
 mod actions;
 mod admission;
 mod candidates;
@@ -94,16 +96,15 @@
 mod hash;
 mod hot_keys;
 mod ids;
-pub mod interface;
 mod migration;
 mod outlier;
-pub mod peer_message;
+mod peer_message;
 mod placement;
 mod random;
 mod request;
 mod retry;
 mod ring;
-pub mod scheduler;
+mod scheduler;
 mod settings;
 mod slow_start;
 #[cfg(test)]
@@ -115,5 +116,6 @@
 pub use endpoint_refresh::CONFIRM_WITHIN;
 pub use events::*;
 pub use ids::*;
+pub use peer_message::{Occupancy, PeerMessage};
 pub use scheduler::Scheduler;
 pub use settings::*;
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -15,7 +15,7 @@
 /// The header line of an answer to a job that was not run.
 const NEVER_RAN: &str = "x-never-ran: 1\r\n";
 
-/// Whether a connection is kept after an exchange; `None` closes it.
+/// Whether a connection stays open after an exchange; `None` closes it.
 pub(super) type KeepAlive = Option<()>;
 
 /// One connection from a scheduler; reset if its worker is killed.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Writes a whole answer; `headers` are whole lines.
+    /// Writes a complete answer; `headers` are lines with their ends.
     pub(super) async fn answer(&mut self, status: u16, headers: &str, body: &str) -> KeepAlive {
         self.wire.as_mut()?.answer(status, headers, body).await.ok()
     }
@@ -67,7 +67,7 @@
     /// Reads one request and answers it.
     async fn exchange(&mut self, job_starts: &UnboundedSender<JobFuture>) -> KeepAlive {
         let wire = self.wire.as_mut()?;
-        let (head, length) = timeout(self.worker.spec.idle, wire.head()).await.ok()??;
+        let (head, length) = timeout(self.worker.spec.idle_timeout, wire.head()).await.ok()??;
         match head.method() {
             "DELETE" => self.cancel(head.target()).await,
             "GET" => {
@@ -93,7 +93,7 @@
         job_starts: &UnboundedSender<JobFuture>,
     ) -> KeepAlive {
         let act = self.worker.lock().script.next_job();
-        if act == Act::CutInBody {
+        if act == Act::ResetInBody {
             self.reset();
             return None;
         }
@@ -103,7 +103,7 @@
             Some(Err(_)) => return self.answer(400, "", "").await,
             None => return self.answer(404, "", "").await,
         };
-        self.worker.runs.attempt(AttemptArrival {
+        self.worker.runs.record_attempt(AttemptArrival {
             id,
             worker: self.worker.spec.name.clone(),
             at: self.worker.elapsed(),
@@ -112,7 +112,7 @@
         if let ControlFlow::Break(keep_alive) = self.misbehave(&act).await {
             return keep_alive;
         }
-        if !self.worker.has_room() {
+        if !self.worker.has_capacity() {
             return self.end_attempt(503, true).await;
         }
         let job = JobRequest::read(id, self.scheduler, &message, self.worker.spec.work);
@@ -125,8 +125,8 @@
             Act::Answer { status, never_ran } => {
                 ControlFlow::Break(self.end_attempt(status, never_ran).await)
             }
-            Act::Mute => ControlFlow::Break(self.stay_silent().await),
-            Act::CutBeforeAnswer => {
+            Act::NoResponse => ControlFlow::Break(self.stay_silent().await),
+            Act::ResetBeforeAnswer => {
                 self.reset();
                 ControlFlow::Break(None)
             }
@@ -148,7 +148,7 @@
         self.answer(status, &headers, "").await
     }
 
-    /// Answers 202 and starts the job, in the order that the script asks for.
+    /// Answers 202 and starts the job, in the scripted order.
     async fn accept(
         &mut self,
         job: JobRequest,
@@ -156,11 +156,11 @@
         job_starts: &UnboundedSender<JobFuture>,
     ) -> KeepAlive {
         match act {
-            Act::Overtake => {
+            Act::CallbackBeforeAnswer => {
                 self.worker.clone().job(job, Act::Serve).await;
                 return self.answer(202, "", "").await;
             }
-            Act::Pieces => {
+            Act::ByteByByte => {
                 let answer = "HTTP/1.1 202 X\r\ncontent-length: 0\r\n\r\n";
                 self.wire.as_mut()?.write_in_pieces(answer).await.ok()?;
             }
--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -1,7 +1,7 @@
-//! Checks of a plan beyond its schema: names that refer to other tables, and what the daemon would refuse.
+//! Checks of a plan beyond its schema: names that refer to other tables, and what the daemon would reject.
 
+use super::fault::PlannedFaultKind;
 use super::scheduler::SchedulerSpec;
-use super::trouble::TroubleKind;
 use super::workers::WorkerGroup;
 use super::Plan;
 use crate::Failure;
@@ -13,7 +13,7 @@
 /// An address for a configuration that is only checked, never used.
 const PLACEHOLDER: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 1);
 
-/// The failure that tells of faults, one a line.
+/// The failure that lists faults, one a line.
 pub(super) fn bad_input(faults: &[Fault]) -> Failure {
     let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
     Failure::BadInput(lines.join("\n"))
@@ -25,7 +25,7 @@
     let mut faults = workers(plan, &text);
     faults.extend(classes(plan, &text));
     faults.extend(tenants(plan, &text));
-    faults.extend(troubles(plan, &text));
+    faults.extend(planned_faults(plan, &text));
     if plan.workers.is_empty() {
         let remedy = "add a [[peers]] with prefix, count, kind and slots";
         faults.push(text.fault("peers", "the list of workers is empty", remedy));
@@ -33,12 +33,12 @@
     faults
 }
 
-/// What the daemon or the clients would refuse, found before anything is started.
+/// What the daemon or the clients would reject, found before anything is started.
 pub(super) fn dry_run(plan: &Plan, source: &str) -> Result<(), Failure> {
     let address = SocketAddr::from(PLACEHOLDER);
     let first = SchedulerSpec { number: 0, listen: address, discovery: address, known: &[], handover: None };
     let config = plan.scheduler_config(first);
-    vetchbridge::config::read_text(&format!("{source}, as a scheduler is told"), &config)
+    vetchbridge::config::read_text(&format!("{source}, as a scheduler's configuration"), &config)
         .map_err(|error| bad_input(&error.0))?;
     Arrivals::new(&plan.load_spec())
         .map_err(|error| Failure::BadInput(format!("{source}: load.{}: {}", error.key, error.reason)))?;
@@ -71,13 +71,13 @@
 
 fn classes(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let known: Vec<String> = plan.daemon.class.iter().map(|class| class.name.clone()).collect();
-    let named = plan.load.class.iter().map(|class| class.name.as_str());
+    let named = plan.load.classes.iter().map(|class| class.name.as_str());
     unknown_names(text, "load.class", named, "daemon.class", &known)
 }
 
 fn tenants(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let known: Vec<String> = plan.daemon.tenant.iter().map(|tenant| tenant.name.clone()).collect();
-    let named = plan.load.tenant.iter().map(|tenant| tenant.name.as_str());
+    let named = plan.load.tenants.iter().map(|tenant| tenant.name.as_str());
     unknown_names(text, "load.tenant", named, "daemon.tenant", &known)
 }
 
@@ -95,12 +95,12 @@
     unknown.map(fault).collect()
 }
 
-fn troubles(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
+fn planned_faults(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let names: Vec<String> = plan.workers.iter().flat_map(WorkerGroup::names).collect();
     let mut faults = Vec::new();
-    for (at, trouble) in plan.trouble.iter().enumerate() {
-        let named = trouble.worker.as_ref().is_some_and(|worker| names.contains(worker));
-        if trouble.what == TroubleKind::WorkerDies && !named {
+    for (at, fault) in plan.faults.iter().enumerate() {
+        let named = fault.worker.as_ref().is_some_and(|worker| names.contains(worker));
+        if fault.kind == PlannedFaultKind::WorkerCrash && !named {
             let remedy = "a prefix of [[peers]] and a number, such as prefix-0";
             faults.push(text.fault(&format!("trouble[{at}].peer"), "no such worker", remedy));
         }
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{debug, warn};
-use vetchbridge_scheduling::interface::{Event, Recipient};
+use vetchbridge_scheduling::{Event, Recipient};
 
 /// The longest datagram that may be sent between schedulers.
 const MAX_DATAGRAM_BYTES: usize = 256;
@@ -92,12 +92,11 @@
 
     fn handle_datagram(&self, datagram: &[u8], sender: SocketAddr) {
         let peer = self.config.each.iter().position(|known| *known == sender);
-        match peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
-            Some(index) => {
-                let data = datagram.to_vec();
-                self.engine.handle(Event::PeerMessage { from: index as u32, data });
-            }
-            None => warn!(bytes = datagram.len(), from = %sender, "peer_datagram.dropped"),
+        if let Some(index) = peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
+            let data = datagram.to_vec();
+            self.engine.handle(Event::PeerMessage { from: index as u32, data });
+        } else {
+            warn!(bytes = datagram.len(), from = %sender, "peer_datagram.dropped");
         }
     }
 }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -75,7 +75,9 @@
 pub fn kernel_connection(here: SocketAddr, there: SocketAddr) -> Option<KernelConnection> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
     let ports = [here, there].map(|end| format!(":{:04X}", end.port()));
-    table.lines().find_map(|line| {
+    // The table has the connections of the whole machine: only lines that name both ports are taken apart.
+    let mut candidates = table.lines().filter(|line| ports.iter().all(|port| line.contains(port)));
+    candidates.find_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         let found = columns.get(1)?.ends_with(&ports[0]) && columns.get(2)?.ends_with(&ports[1]);
         found.then(|| KernelConnection {
@@ -104,8 +106,8 @@
     Wire::dial(address).await.expect("the daemon listens")
 }
 
-pub fn status(answer: &Option<Message>) -> &str {
-    answer.as_ref().expect("an answer").status()
+pub fn status(answer: Option<&Message>) -> &str {
+    answer.expect("an answer").status()
 }
 
 pub fn instance(number: usize, address: SocketAddr, lifecycle: &str) -> Value {
@@ -360,7 +362,7 @@
         let body =
             json!({"id": id, "from": format!("s-{worker}"), "state": state, "result": "made"}).to_string();
         wire.post_request("/callback", "", &body).await;
-        assert_eq!(status(&wire.read().await), "200");
+        assert_eq!(status(wire.read().await.as_ref()), "200");
     }
 
     /// Sends jobs of many keys, and has worker 0 and no other serve them.
@@ -372,7 +374,7 @@
             // Closes the connection after each job, so that the next one needs a new connection.
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             self.send_callback(&id, 0, "done").await;
-            assert_eq!(status(&client.read().await), "200");
+            assert_eq!(status(client.read().await.as_ref()), "200");
         }
     }
 
@@ -398,7 +400,7 @@
             assert_eq!(call.header("x-trace-id"), Some(next.as_str()), "{call:?}");
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             self.send_callback(&next, number, "done").await;
-            assert_eq!(status(&client.read().await), "200");
+            assert_eq!(status(client.read().await.as_ref()), "200");
             return empty;
         }
     }
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use vetchbridge::request::Answer;
 use vetchbridge::workers::Callback;
-use vetchbridge_scheduling::interface::{Event, Idempotency};
+use vetchbridge_scheduling::{Event, Idempotency};
 use vetchbridge_testbed::wire::Wire;
 
 const REQUEST_ID: &str = "00000000000000ab";
@@ -38,8 +38,8 @@
             instance("s-a", a.local_addr().expect("bound")),
             instance("s-b", b.local_addr().expect("bound"))
         ]));
-        let _watch = scheduler.confirm_saved_list().await;
-        TwoWorkers { scheduler, a, b, _watch }
+        let watch = scheduler.confirm_saved_list().await;
+        TwoWorkers { scheduler, a, b, _watch: watch }
     }
 
     /// The next attempt: its connection, read to the end of the head, and its worker's name.
