--- a/crates/vetchbridge/src/workers/attempt.rs
+++ b/crates/vetchbridge/src/workers/attempt.rs
@@ -18,39 +18,40 @@
 use tracing::debug;
 use vetchbridge_scheduling::{JobProgress, LoadReport, Outcome, RequestId, WorkerId};
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// With the worker's result for this request.
+    /// The worker returned this result for the request.
     Served(Bytes),
-    /// In any other way.
+    /// The attempt ended with this outcome, without a result.
     NotServed(Outcome),
 }
 
-/// An attempt's result, with the load report that came with what ended it.
+/// An attempt's result, with the load report on the response or callback that ended the attempt.
 type AttemptEnd = (AttemptResult, Option<LoadReport>);
 
-/// The conditions under which an attempt is sent. They are checked again just before its first byte, since a connection may
-/// take long to come up.
+/// The conditions under which an attempt is sent. They are checked again just before the attempt's first byte
+/// is written, since connecting may take long.
 #[derive(Clone, Debug)]
 pub struct SendConditions {
-    /// How long the attempt waits for its end.
+    /// How long the attempt may take in total.
     pub timeout: Duration,
-    /// Its first byte must be written within this time.
+    /// The time within which the first byte of the attempt must be written.
     pub first_byte_timeout: Duration,
     /// Set once the request has been answered or its client has disconnected.
     pub concluded: Arc<AtomicBool>,
 }
 
 impl SendConditions {
-    /// The conditions of a request whose client waits for this long.
+    /// Returns the conditions of an attempt whose only limit is `timeout`.
     pub fn with_timeout(timeout: Duration) -> SendConditions {
         SendConditions { timeout, first_byte_timeout: timeout, concluded: Arc::default() }
     }
 }
 
 impl UpstreamGroup {
-    /// Makes one attempt and returns its result, with the load report that came with what ended it.
+    /// Makes one attempt and returns its result, with the load report on the response or callback that ended
+    /// the attempt.
     pub async fn attempt(
         &self,
         request: RequestId,
@@ -61,7 +62,7 @@
         on_progress: impl Fn(JobProgress),
     ) -> (AttemptResult, Option<LoadReport>) {
         let Some(worker) = self.worker(worker_id) else { return not_served(Outcome::ConnectFailed) };
-        // Before the first byte: a callback may overtake the 202.
+        // Subscribes before the first byte is written, since a callback may arrive before the 202.
         let subscription = self.callbacks.subscribe(request, worker_id);
         let SendConditions { timeout, first_byte_timeout, concluded } = conditions;
         let first_byte_deadline = Instant::now() + first_byte_timeout.min(timeout);
@@ -79,7 +80,7 @@
                 biased;
                 Ok(()) = &mut cancelled => Some(attempt.cancel()),
                 outcome = wait_until_unavailable(&mut availability), if attempt.phase == Phase::Writing => {
-                    attempt.on_unavailable(outcome)
+                    attempt.on_worker_unavailable(outcome)
                 }
                 Some(callback) = attempt.subscription.callbacks.recv() => {
                     attempt.on_callback(callback, &on_progress)
@@ -88,7 +89,7 @@
                     attempt.on_response(response)
                 }
                 () = &mut accept_timed_out, if attempt.phase != Phase::Accepted => {
-                    // Dropping the exchange closes its connection, which cancels the job.
+                    // Returning drops the exchange and closes its connection, which cancels the job.
                     Some(not_served(Outcome::NoResponse))
                 }
                 () = &mut timed_out => Some(attempt.time_out()),
@@ -100,7 +101,8 @@
     }
 }
 
-/// Resolves once a connected worker has neither accepted nor rejected the job in time: it does either at once.
+/// Resolves once the accept timeout has passed since the worker was connected. A responsive worker accepts or
+/// rejects a job at once.
 fn accept_timed_out(
     progress: &ExchangeProgress,
     accept_timeout: Duration,
@@ -116,10 +118,10 @@
     (AttemptResult::NotServed(outcome), None)
 }
 
-/// How far an attempt has come.
+/// The phase that an attempt is in.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The request may be unwritten: it is not sent if the worker becomes unavailable.
+    /// The request may be unwritten: the attempt ends without sending it if the worker becomes unavailable.
     Writing,
     /// The request is being written or the response awaited; the worker's availability no longer matters.
     AwaitingResponse,
@@ -127,8 +129,8 @@
     Accepted,
 }
 
-/// An attempt in flight. Its response is dropped before its subscription: the connection is closed while callbacks still have
-/// an attempt to be dispatched to.
+/// An attempt in flight. `response` is declared, and so dropped, before `subscription`: callbacks can still
+/// be dispatched to the attempt until its connection is closed.
 struct Attempt<'a> {
     group: &'a UpstreamGroup,
     worker: &'a Worker,
@@ -155,11 +157,11 @@
     }
 
     /// Whether the worker may have received a part of the request.
-    fn has_begun(&self) -> bool {
-        self.phase == Phase::Accepted || self.progress.has_begun()
+    fn may_have_reached_worker(&self) -> bool {
+        self.phase == Phase::Accepted || self.progress.first_byte_written()
     }
 
-    /// Cancels the job where the worker has accepted it; before that, dropping the exchange does.
+    /// Cancels the job if the worker has accepted it. Before that, dropping the exchange cancels the job.
     fn cancel_job(&self) {
         if self.phase == Phase::Accepted {
             self.worker.cancel_job(&self.payload.id);
@@ -167,13 +169,13 @@
     }
 
     fn cancel(&self) -> AttemptEnd {
-        let has_begun = self.has_begun();
+        let may_have_reached_worker = self.may_have_reached_worker();
         self.cancel_job();
-        not_served(if has_begun { Outcome::Cancelled } else { Outcome::NotSent })
+        not_served(if may_have_reached_worker { Outcome::Cancelled } else { Outcome::NotSent })
     }
 
     fn time_out(&self) -> AttemptEnd {
-        let outcome = match (self.has_begun(), self.progress.is_connected()) {
+        let outcome = match (self.may_have_reached_worker(), self.progress.is_connected()) {
             (true, _) => Outcome::Timeout,
             (false, true) => Outcome::NotSent,
             (false, false) => Outcome::ConnectFailed,
@@ -182,15 +184,15 @@
         not_served(outcome)
     }
 
-    /// The worker drains or was replaced: if no byte has been written, none may be written any more.
-    fn on_unavailable(&mut self, outcome: Outcome) -> Option<AttemptEnd> {
+    /// Ends the attempt if no byte has been written to a worker that is draining or was replaced.
+    fn on_worker_unavailable(&mut self, outcome: Outcome) -> Option<AttemptEnd> {
         self.phase = Phase::AwaitingResponse;
-        (!self.progress.has_begun()).then(|| not_served(outcome))
+        (!self.progress.first_byte_written()).then(|| not_served(outcome))
     }
 
     fn on_response(&mut self, response: Result<WorkerResponse, ExchangeError>) -> Option<AttemptEnd> {
         match response {
-            // The head is enough to know that; a worker may never come to the end of the body.
+            // The head alone accepts the job; the body may never end.
             Ok(response) if response.status == StatusCode::ACCEPTED => {
                 debug!(request = self.payload.id, worker = self.worker.name, "attempt.accepted");
                 self.phase = Phase::Accepted;
@@ -199,7 +201,7 @@
             }
             Ok(response) => {
                 let outcome = response_outcome(&response);
-                let load = self.group.load_reports().from_response(response.load_report());
+                let load = self.group.load_report_settings().report_from_response(response.load_report());
                 response.drain_body();
                 Some((AttemptResult::NotServed(outcome), load))
             }
@@ -213,8 +215,8 @@
 
     fn on_callback(&mut self, callback: Callback, on_progress: impl Fn(JobProgress)) -> Option<AttemptEnd> {
         let state = callback.state;
-        // A result is one of this request, whichever attempt it is from.
-        if state != CallbackState::Done && self.is_of_earlier_attempt(state) {
+        // A result is valid for the request even if an earlier attempt produced it.
+        if state != CallbackState::Done && self.is_from_earlier_attempt(state) {
             debug!(
                 request = self.payload.id,
                 worker = self.worker.name,
@@ -223,7 +225,7 @@
             );
             return None;
         }
-        if self.phase != Phase::Accepted && self.progress.is_fully_written() {
+        if self.phase != Phase::Accepted && self.progress.last_byte_written() {
             self.accept_by_callback();
         }
         let result = match state {
@@ -241,20 +243,22 @@
             CallbackState::Lost => AttemptResult::NotServed(Outcome::Reset),
         };
         if state != CallbackState::Done {
-            self.subscription.record_end(state);
+            self.subscription.record_end_state(state);
         }
         let load = callback.load.as_ref().map(|load| load.get().as_bytes());
-        Some((result, self.group.load_reports().from_response(load)))
+        Some((result, self.group.load_report_settings().report_from_response(load)))
     }
 
-    /// Whether a callback must be about an earlier attempt: this one's request is not fully written, or the callback is a
-    /// retry of one that ended an earlier attempt here.
-    fn is_of_earlier_attempt(&self, state: CallbackState) -> bool {
+    /// Whether a callback must be about an earlier attempt: the request of this attempt is not fully written,
+    /// or a callback in the same state has recently ended an earlier attempt at this worker and may be
+    /// retried now.
+    fn is_from_earlier_attempt(&self, state: CallbackState) -> bool {
         self.phase != Phase::Accepted
-            && (!self.progress.is_fully_written() || self.subscription.ended_earlier_attempt(state))
+            && (!self.progress.last_byte_written() || self.subscription.ended_earlier_attempt(state))
     }
 
-    /// The worker calls back before its 202 has been read; reading that in the background saves the connection.
+    /// Marks the job as accepted when a callback arrives before the 202 has been read. The 202 is read in the
+    /// background, so that the connection can be reused.
     fn accept_by_callback(&mut self) {
         let response = std::mem::replace(&mut self.response, Box::pin(std::future::pending()));
         finish_in_background(response);
@@ -262,19 +266,20 @@
     }
 }
 
-/// The outcome of an attempt that the worker did not accept.
+/// Returns the outcome of an attempt that the worker did not accept.
 fn response_outcome(response: &WorkerResponse) -> Outcome {
     if response.job_never_ran() {
         Outcome::Rejected
-    } else if is_request_fault(response.status) {
+    } else if is_invalid_request(response.status) {
         Outcome::Invalid
     } else {
         Outcome::Error
     }
 }
 
-/// Whether a response finds fault with the request itself; 408 and 429 are about the worker's time and load.
-fn is_request_fault(status: StatusCode) -> bool {
+/// Whether a status means that the request itself is invalid; 408 and 429 are about the worker's time and
+/// load.
+fn is_invalid_request(status: StatusCode) -> bool {
     status.is_client_error()
         && status != StatusCode::REQUEST_TIMEOUT
         && status != StatusCode::TOO_MANY_REQUESTS
--- a/crates/vetchbridge/src/workers/attempt/tests.rs
+++ b/crates/vetchbridge/src/workers/attempt/tests.rs
@@ -6,9 +6,10 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// A dial can outlast the update by which its worker drains; the job must not be written to it then.
+/// A worker may start to drain while an attempt still dials it; the job must not be written to the worker
+/// then.
 #[tokio::test]
-async fn an_attempt_that_still_dials_when_its_worker_drains_is_never_written() {
+async fn an_attempt_that_is_dialling_when_its_worker_drains_is_never_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let group = UpstreamGroup::new(MINUTE, MINUTE, 1);
@@ -24,7 +25,7 @@
     let conditions = SendConditions::with_timeout(MINUTE);
     let attempt = group.attempt(RequestId(0xab), worker_id, &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
-    // The first poll starts the dial; no dial ends before the runtime has polled its sockets.
+    // The first poll starts the dial, which cannot end before the runtime polls its sockets.
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
     update(EndpointState::Draining);
     let written = async {
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -1,9 +1,10 @@
 //! Callbacks of workers, and their dispatch to the attempts that wait for them.
 //!
-//! Each attempt owns a [`CallbackSubscription`], which ends when it is dropped. A callback without a subscriber is not
-//! stored; the router only remembers for [`CALLBACK_RETRY_WINDOW`] which callbacks ended an attempt without a result.
+//! Each attempt owns a [`CallbackSubscription`]; dropping the subscription ends it. A callback without a
+//! subscriber is not stored. For [`CALLBACK_RETRY_WINDOW`] the router remembers which callbacks ended an
+//! attempt without a result.
 
-use super::{lock, parse_request_id, worker_id};
+use super::{lock_ignoring_poison, parse_request_id, worker_id};
 use crate::invariants::{record_violation, Invariant};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -15,10 +16,10 @@
 use tracing::warn;
 use vetchbridge_scheduling::{RequestId, WorkerId};
 
-/// How long after the end of an attempt a worker may still retry the callback that ended it.
+/// How long after the end of an attempt its worker may still retry the callback that ended the attempt.
 const CALLBACK_RETRY_WINDOW: Duration = Duration::from_secs(2);
 
-/// What a worker reports about a job, sent to the address that clients use.
+/// A worker's report about a job. Workers send callbacks to the address that clients use.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Callback {
     /// The id of the request.
@@ -45,19 +46,19 @@
 pub enum CallbackState {
     /// The job has started.
     Started,
-    /// It is running.
+    /// The job is running.
     Running,
-    /// It is done.
+    /// The job is done.
     Done,
-    /// It failed; it may have run.
+    /// The job failed; it may have run.
     Failed,
-    /// It was returned before it started.
+    /// The worker returned the job before starting it.
     Returned,
-    /// It was killed, or its process died; it may have run.
+    /// The job was killed, or its process died; the job may have run.
     Lost,
 }
 
-/// Identifies an attempt: a request has at most one at a time at each worker.
+/// Identifies an attempt: a request has at most one attempt at a time at each worker.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct AttemptKey {
     request: RequestId,
@@ -74,7 +75,7 @@
 #[derive(Default)]
 struct RouterState {
     subscribers: HashMap<AttemptKey, UnboundedSender<Callback>>,
-    /// The attempts ended within the retry window, the earliest first.
+    /// The attempts that ended within the retry window, the earliest first.
     ended: VecDeque<EndedAttempt>,
 }
 
@@ -82,32 +83,33 @@
 #[derive(Default)]
 pub(super) struct CallbackRouter(Arc<Mutex<RouterState>>);
 
-/// The subscription of one attempt to its callbacks.
+/// The subscription of one attempt to the callbacks about it.
 pub(super) struct CallbackSubscription {
     router: Arc<Mutex<RouterState>>,
     key: AttemptKey,
-    /// The callbacks that recently ended earlier attempts of this request at the same worker.
-    earlier_ends: Vec<CallbackState>,
+    /// The states in callbacks that recently ended earlier attempts of this request at the same worker.
+    earlier_end_states: Vec<CallbackState>,
     /// The callbacks about this attempt, in the order of their arrival.
     pub(super) callbacks: UnboundedReceiver<Callback>,
 }
 
 impl Drop for CallbackSubscription {
     fn drop(&mut self) {
-        lock(&self.router).subscribers.remove(&self.key);
+        lock_ignoring_poison(&self.router).subscribers.remove(&self.key);
     }
 }
 
 impl CallbackSubscription {
-    /// Whether a callback in this state has already ended an earlier attempt, and may be a retry of that one.
+    /// Whether a callback in this state has recently ended an earlier attempt. Another callback in this state
+    /// may be a retry of it.
     pub(super) fn ended_earlier_attempt(&self, state: CallbackState) -> bool {
-        self.earlier_ends.contains(&state)
+        self.earlier_end_states.contains(&state)
     }
 
-    /// Records the callback that ended this attempt, for a later attempt at the same worker.
-    pub(super) fn record_end(&self, state: CallbackState) {
+    /// Records the state in the callback that ended this attempt, for a later attempt at the same worker.
+    pub(super) fn record_end_state(&self, state: CallbackState) {
         let ended = EndedAttempt { ended_at: Instant::now(), key: self.key, state };
-        lock(&self.router).ended.push_back(ended);
+        lock_ignoring_poison(&self.router).ended.push_back(ended);
     }
 }
 
@@ -116,31 +118,36 @@
     pub(super) fn subscribe(&self, request: RequestId, worker: WorkerId) -> CallbackSubscription {
         let key = AttemptKey { request, worker };
         let (sender, callbacks) = unbounded_channel();
-        let state = &mut *lock(&self.0);
+        let state = &mut *lock_ignoring_poison(&self.0);
         if state.subscribers.insert(key, sender).is_some() {
             record_violation(
                 Invariant::OneAttemptPerWorker,
                 Some(request),
-                "an earlier attempt there still waits",
+                "an earlier attempt at this worker has not ended",
             );
         }
         while state.ended.front().is_some_and(|ended| ended.ended_at.elapsed() >= CALLBACK_RETRY_WINDOW) {
             state.ended.pop_front();
         }
-        let earlier_ends = state.ended.iter().filter(|ended| ended.key == key).map(|ended| ended.state);
-        CallbackSubscription { router: self.0.clone(), key, earlier_ends: earlier_ends.collect(), callbacks }
+        let earlier_end_states = state.ended.iter().filter(|ended| ended.key == key).map(|ended| ended.state);
+        CallbackSubscription {
+            router: self.0.clone(),
+            key,
+            earlier_end_states: earlier_end_states.collect(),
+            callbacks,
+        }
     }
 
-    /// Dispatches a callback to the attempt that it is about; false if there is no such attempt here.
+    /// Dispatches a callback to the attempt that it is about. Returns false if there is no such attempt.
     pub(super) fn dispatch(&self, callback: &Callback) -> bool {
         let Some(request) = parse_request_id(&callback.id) else {
             warn!(worker = callback.worker, "callback.malformed");
             return true;
         };
         let key = AttemptKey { request, worker: worker_id(&callback.worker) };
-        let state = lock(&self.0);
+        let state = lock_ignoring_poison(&self.0);
         let Some(subscriber) = state.subscribers.get(&key) else { return false };
-        // Sending fails only while the attempt is ending.
+        // Sending fails only if the attempt is ending; the callback is dropped then.
         drop(subscriber.send(callback.clone()));
         true
     }
--- a/crates/vetchbridge/src/workers/callbacks/tests.rs
+++ b/crates/vetchbridge/src/workers/callbacks/tests.rs
@@ -35,7 +35,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_callback_that_ended_an_attempt_is_remembered_for_the_retry_window() {
     let router = CallbackRouter::default();
-    router.subscribe(REQUEST, worker_id("s-0")).record_end(CallbackState::Lost);
+    router.subscribe(REQUEST, worker_id("s-0")).record_end_state(CallbackState::Lost);
     tokio::time::advance(CALLBACK_RETRY_WINDOW - Duration::from_millis(1)).await;
     let second = router.subscribe(REQUEST, worker_id("s-0"));
     assert!(second.ended_earlier_attempt(CallbackState::Lost));
--- a/crates/vetchbridge/src/workers/client.rs
+++ b/crates/vetchbridge/src/workers/client.rs
@@ -1,6 +1,6 @@
 //! The HTTP client of one worker, with its pool of connections.
 //!
-//! Which workers' idle connections are closed is chosen by the upstream group.
+//! The upstream group chooses the workers whose idle connections are closed.
 
 use super::connection_count::ConnectionCount;
 use super::dial::Dialer;
@@ -12,7 +12,8 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::Instant;
 
-/// The most idle connections kept for one worker; a job occupies one only until its 202.
+/// The maximum number of idle connections kept for one worker. A few suffice, since a job occupies a
+/// connection only until the worker's 202.
 const MAX_IDLE_PER_WORKER: usize = 8;
 
 /// An HTTP client whose connections are counted.
@@ -26,12 +27,12 @@
 }
 
 impl WorkerClient {
-    /// A client without connections; those that it opens are registered with `all_connections` too.
+    /// Creates a client without connections. Its connections are also counted in `all_connections`.
     pub(super) fn new(timeouts: Timeouts, all_connections: ConnectionCount) -> WorkerClient {
         let connector = Connector::new(Some(timeouts.dial).filter(|timeout| !timeout.is_zero()));
         let connections = ConnectionCount::default();
         let http = Client::builder(TokioExecutor::new())
-            // A request repeated by the client would be an attempt that the decision module does not know of.
+            // Only the decision module retries: it must know of every attempt.
             .retry_canceled_requests(false)
             .pool_idle_timeout(timeouts.idle)
             .pool_max_idle_per_host(MAX_IDLE_PER_WORKER)
@@ -40,18 +41,18 @@
         WorkerClient { http, connections, last_used: Instant::now() }
     }
 
-    /// The client for one request that is sent now.
+    /// Returns the HTTP client for one request, and records the time of its use.
     pub(super) fn for_request(&mut self) -> HttpClient {
         self.last_used = Instant::now();
         self.http.clone()
     }
 
-    /// The number of its connections, including dials and those in use.
+    /// Returns the number of connections of this client, including dials and connections in use.
     pub(super) fn connection_count(&self) -> usize {
         self.connections.get()
     }
 
-    /// When it last served a request, or was created.
+    /// Returns when this client was last used for a request, or was created.
     pub(super) fn last_used(&self) -> Instant {
         self.last_used
     }
--- a/crates/vetchbridge/src/workers/connection.rs
+++ b/crates/vetchbridge/src/workers/connection.rs
@@ -1,11 +1,12 @@
-//! A connection to a worker, and the meter of what is written to it.
+//! A connection to a worker, and the meter that counts the bytes written to the connection.
 //!
-//! The meter tells a request that was written completely, and may have run, from one that was not. The connection checks the
-//! send permission before the first byte of each request, and is not reused before [`REUSE_DELAY`] has passed.
+//! The meter shows whether a request was written completely and so may have run. The connection checks the
+//! send permission before the first byte of each request, and delays that byte until [`REUSE_DELAY`] has
+//! passed since the last response.
 
 use super::connection_count::ConnectionGuard;
 use super::expiry::ExpiryHeader;
-use super::lock;
+use super::lock_ignoring_poison;
 use super::permission::SendPermission;
 use crate::net::RetryingStream;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -22,11 +23,12 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 use tracing::debug;
 
-/// How long a connection is not reused after a response. A worker that responds twice is detected by then; its second
-/// response would otherwise be taken for that of the next request.
+/// How long a connection is not reused after a response. The delay detects a worker that responds twice,
+/// whose second response would otherwise be taken for the response to the next request.
 pub(super) const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Counts the bytes written to a connection, and stores what the current exchange needs before its first byte.
+/// Counts the bytes written to a connection, and stores the send permission and the expiry header of the
+/// current exchange.
 #[derive(Clone, Default)]
 pub(super) struct WriteMeter(Arc<Mutex<MeterState>>);
 
@@ -35,45 +37,49 @@
     bytes_written: u64,
     /// The part of `bytes_written` that belongs to earlier exchanges.
     bytes_before_exchange: u64,
-    /// Present until the first byte of the current exchange is written.
+    /// The permission of the current exchange; present until the first byte of the exchange is written.
     permission: Option<SendPermission>,
     expiry: Option<ExpiryHeader>,
-    /// No further byte may be written.
+    /// Whether any further write fails.
     closed: bool,
+    /// When bytes were last read from the connection.
     last_read: Option<Instant>,
 }
 
 impl WriteMeter {
-    /// Starts an exchange whose request has been handed to this connection, and is not written yet.
+    /// Starts an exchange whose request has been handed to this connection and is not written yet.
     ///
-    /// Both happen on one thread, and the writing in the connection's own task.
+    /// The runtime has one thread, and the connection's own task does the writing: no byte is written between
+    /// the handover of the request and this call.
     pub(super) fn begin_exchange(&self, permission: SendPermission, expiry: Option<ExpiryHeader>) {
-        let state = &mut *lock(&self.0);
+        let state = &mut *lock_ignoring_poison(&self.0);
         state.bytes_before_exchange = state.bytes_written;
         state.permission = Some(permission);
         state.expiry = expiry;
     }
 
-    /// The bytes written for the current exchange.
+    /// Returns the number of bytes written for the current exchange.
     pub(super) fn exchange_bytes(&self) -> u64 {
-        lock(&self.0).exchange_bytes()
+        lock_ignoring_poison(&self.0).exchange_bytes()
     }
 
-    /// Prevents any further write, which ends the connection.
+    /// Makes any further write fail, which ends the connection.
     pub(super) fn close(&self) {
-        lock(&self.0).closed = true;
+        lock_ignoring_poison(&self.0).closed = true;
     }
 
-    /// A copy of these bytes of the current request with its expiry brought up to date, if they include it.
+    /// Returns a copy of the next bytes of the current request with an updated expiry header, or `None` if
+    /// the bytes do not include the header's value.
     fn replace_expiry<'a>(&self, pieces: impl Iterator<Item = &'a [u8]>) -> Option<Vec<u8>> {
-        let state = &mut *lock(&self.0);
+        let state = &mut *lock_ignoring_poison(&self.0);
         let position = state.exchange_bytes();
         state.expiry.as_mut()?.replace_value(position as usize, pieces)
     }
 
+    /// Counts the bytes of a write; the first byte of an exchange uses up its send permission.
     fn record_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &result {
-            let state = &mut *lock(&self.0);
+            let state = &mut *lock_ignoring_poison(&self.0);
             state.bytes_written += *bytes as u64;
             state.permission = state.permission.take().filter(|_| *bytes == 0);
         }
@@ -82,6 +88,7 @@
 }
 
 impl MeterState {
+    /// Returns the number of bytes written for the current exchange.
     fn exchange_bytes(&self) -> u64 {
         self.bytes_written - self.bytes_before_exchange
     }
@@ -96,17 +103,18 @@
 }
 
 impl WorkerConnection {
-    /// A connection that is counted by these guards.
+    /// Creates a connection that stays counted for as long as it holds these guards.
     pub(super) fn new(io: TokioIo<RetryingStream>, guards: [ConnectionGuard; 2]) -> WorkerConnection {
         WorkerConnection { io, meter: WriteMeter::default(), reuse_delay: None, _guards: guards }
     }
 
-    /// Resolves once bytes may be written; an error before a request's first byte means that none was written.
-    fn poll_may_write(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    /// Resolves once bytes may be written. An error before a request's first byte means that no byte of the
+    /// request was written.
+    fn poll_write_permission(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let reusable_at = {
-            let state = lock(&self.meter.0);
+            let state = lock_ignoring_poison(&self.meter.0);
             match (state.closed, &state.permission) {
-                (true, _) => return Poll::Ready(Err(aborted())),
+                (true, _) => return Poll::Ready(Err(connection_aborted())),
                 (false, None) => return Poll::Ready(Ok(())),
                 (false, Some(_)) => state.last_read.map(|last_read| last_read + REUSE_DELAY),
             }
@@ -115,6 +123,7 @@
         Poll::Ready(self.check_first_byte())
     }
 
+    /// Resolves once the connection may be reused.
     fn poll_reuse_delay(&mut self, reusable_at: Option<Instant>, cx: &mut Context<'_>) -> Poll<()> {
         let pending = |at: &Instant| self.reuse_delay.is_none() && Instant::now() < *at;
         if let Some(reusable_at) = reusable_at.filter(pending) {
@@ -127,23 +136,26 @@
         Poll::Ready(())
     }
 
-    /// Checks that nothing, not even its end, waits to be read from the connection, and that the request may be sent.
+    /// Checks that the connection has no unread bytes and has not ended, and that the request may be sent.
     fn check_first_byte(&self) -> io::Result<()> {
-        // Read from the kernel: the runtime's view of a socket is as old as its last poll of all of them.
+        // Asks the kernel, since the runtime knows only the socket's state at its last poll of all sockets.
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         let received = retry_on_intr(|| recv(self.io.inner(), &mut [0; 1], flags));
         let is_quiet = received == Err(Errno::AGAIN);
-        let denied = lock(&self.meter.0).permission.as_ref().and_then(|permission| permission.check().err());
+        let denied = lock_ignoring_poison(&self.meter.0)
+            .permission
+            .as_ref()
+            .and_then(|permission| permission.check().err());
         if is_quiet && denied.is_none() {
             return Ok(());
         }
         debug!(?denied, is_quiet, "exchange.send_denied");
         self.meter.close();
-        Err(aborted())
+        Err(connection_aborted())
     }
 }
 
-fn aborted() -> io::Error {
+fn connection_aborted() -> io::Error {
     io::ErrorKind::ConnectionAborted.into()
 }
 
@@ -161,11 +173,12 @@
     ) -> Poll<io::Result<()>> {
         let read = Pin::new(&mut self.io).poll_read(cx, buffer);
         if read.is_ready() {
-            let state = &mut *lock(&self.meter.0);
+            let state = &mut *lock_ignoring_poison(&self.meter.0);
             if state.permission.is_some() {
-                // Bytes or an end before the request is written: they must not be taken for its response.
+                // Bytes that arrive before the request is written, or the end of the connection, must not be
+                // taken for the response to the request.
                 state.closed = true;
-                return Poll::Ready(Err(aborted()));
+                return Poll::Ready(Err(connection_aborted()));
             }
             state.last_read = Some(Instant::now());
         }
@@ -175,7 +188,7 @@
 
 impl Write for WorkerConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        ready!(self.poll_may_write(cx))?;
+        ready!(self.poll_write_permission(cx))?;
         let replaced = self.meter.replace_expiry(std::iter::once(data));
         let result = Pin::new(&mut self.io).poll_write(cx, replaced.as_deref().unwrap_or(data));
         self.meter.record_write(result)
@@ -186,7 +199,7 @@
         cx: &mut Context<'_>,
         data: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.poll_may_write(cx))?;
+        ready!(self.poll_write_permission(cx))?;
         let result = match self.meter.replace_expiry(data.iter().map(|piece| &**piece)) {
             Some(replaced) => Pin::new(&mut self.io).poll_write(cx, &replaced),
             None => Pin::new(&mut self.io).poll_write_vectored(cx, data),
--- a/crates/vetchbridge/src/workers/connection_count.rs
+++ b/crates/vetchbridge/src/workers/connection_count.rs
@@ -3,11 +3,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The number of connections that are open now; clones share the count.
+/// A counter of the connections that are open now; clones share the counter.
 #[derive(Clone, Default)]
 pub struct ConnectionCount(Arc<AtomicUsize>);
 
-/// Keeps one connection counted in a [`ConnectionCount`] until it is dropped.
+/// Keeps one connection counted in a [`ConnectionCount`] until the guard is dropped.
 pub struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionCount {
@@ -17,7 +17,7 @@
         ConnectionGuard(self.0.clone())
     }
 
-    /// The number of connections counted now.
+    /// Returns the number of connections counted now.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/vetchbridge/src/workers/dial.rs
+++ b/crates/vetchbridge/src/workers/dial.rs
@@ -1,4 +1,4 @@
-//! Dialling workers. Each connection is counted from its dial on.
+//! Dials connections to workers. Each connection is counted from the start of its dial.
 
 use super::connection::WorkerConnection;
 use super::connection_count::ConnectionCount;
@@ -13,12 +13,12 @@
 #[derive(Clone)]
 pub(super) struct Dialer {
     connector: Connector,
-    /// The counts of all connections, and of those of this worker.
+    /// The count of all connections, and the count of the connections to this worker.
     counts: [ConnectionCount; 2],
 }
 
 impl Dialer {
-    /// A dialer whose connections are registered with both counts.
+    /// Creates a dialer that registers each connection with both counts.
     pub(super) fn new(connector: Connector, counts: [ConnectionCount; 2]) -> Dialer {
         Dialer { connector, counts }
     }
--- a/crates/vetchbridge/src/workers/endpoint.rs
+++ b/crates/vetchbridge/src/workers/endpoint.rs
@@ -1,4 +1,4 @@
-//! One worker: what discovery reports of it, and whether it may be written to.
+//! One worker: its description in the endpoint list, and whether requests may be written to it.
 
 use super::client::WorkerClient;
 use hyper::http::uri::Authority;
@@ -9,30 +9,31 @@
 /// A worker as the endpoint list describes it.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerEndpoint<'a> {
-    /// Its id in the decision module.
+    /// The worker's id in the decision module.
     pub worker_id: WorkerId,
-    /// Its name.
+    /// The worker's name.
     pub name: &'a str,
-    /// Host and port.
+    /// The worker's host and port.
     pub address: &'a str,
-    /// Its state.
+    /// The worker's state.
     pub state: EndpointState,
-    /// When its process last started; 0 if that was long ago.
+    /// When the worker's process last started, in microseconds of Unix time; 0 if the process started long
+    /// ago.
     pub started_at: Micros,
 }
 
-/// One process that runs jobs, and the connections to it.
+/// One worker process, and the connections to it.
 pub(super) struct Worker {
     pub(super) name: String,
     pub(super) address: Authority,
     pub(super) client: Mutex<WorkerClient>,
-    /// When its process last started, by another machine's wall clock.
+    /// When the process started, by the wall clock of another machine.
     started_at: Micros,
     pub(super) availability: watch::Sender<Availability>,
 }
 
 impl Worker {
-    /// The worker of an endpoint, at its parsed address.
+    /// Creates the worker of an endpoint, at the endpoint's parsed address.
     pub(super) fn new(endpoint: &WorkerEndpoint<'_>, address: Authority, client: WorkerClient) -> Worker {
         Worker {
             name: endpoint.name.to_string(),
@@ -43,10 +44,11 @@
         }
     }
 
-    /// Whether an endpoint describes this same process.
+    /// Whether an endpoint describes this worker process rather than a newer one of the same name.
     ///
-    /// Start times are compared for equality only, since the clock that they were read from may have been stepped. One of a
-    /// worker that takes no jobs may come from an older list.
+    /// Start times are compared for equality only, since the wall clock that they were read from may have
+    /// been stepped. The start time of an endpoint that is not ready is ignored, since it may come from an
+    /// older list.
     pub(super) fn is_same_process(&self, endpoint: &WorkerEndpoint<'_>, address: &Authority) -> bool {
         let same_start = self.started_at == endpoint.started_at
             || endpoint.started_at == 0
@@ -55,20 +57,20 @@
     }
 }
 
-/// Whether a worker may still be written to.
+/// Whether requests may still be written to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Availability {
-    /// It may be written to.
+    /// Requests may be written to the worker.
     Ready,
-    /// It is draining or was removed.
+    /// The worker is draining or was removed.
     Draining,
-    /// Another process has taken over its name, so that decisions made for this one are void.
+    /// Another process uses the worker's name now, so that decisions made for this process are void.
     Replaced,
 }
 
 impl Availability {
-    /// The availability of a worker in this state.
-    pub(super) fn of(state: EndpointState) -> Availability {
+    /// Returns the availability of a worker in this state.
+    pub(super) fn from_state(state: EndpointState) -> Availability {
         if state == EndpointState::Ready {
             Availability::Ready
         } else {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The outcome of an attempt of which no byte has been written; `None` while one may be written.
+    /// Returns the outcome of an attempt of which no byte has been written; `None` while the worker is ready.
     pub(super) fn outcome_if_unwritten(self) -> Option<Outcome> {
         match self {
             Availability::Ready => None,
@@ -86,11 +88,12 @@
     }
 }
 
-/// Resolves once a worker may not be written to any more, with the outcome of an attempt of which no byte has been written.
+/// Resolves once requests may no longer be written to a worker. Returns the outcome of an attempt of which no
+/// byte has been written.
 pub(super) async fn wait_until_unavailable(availability: &mut watch::Receiver<Availability>) -> Outcome {
-    // The sender lives as long as the worker, which the caller owns a reference to.
-    match availability.wait_for(|now| *now != Availability::Ready).await {
-        Ok(now) => now.outcome_if_unwritten().unwrap_or(Outcome::ConnectFailed),
+    // The sender lives as long as the worker, to which the caller holds a reference.
+    match availability.wait_for(|current| *current != Availability::Ready).await {
+        Ok(current) => current.outcome_if_unwritten().unwrap_or(Outcome::ConnectFailed),
         Err(_) => Outcome::ConnectFailed,
     }
 }
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -1,13 +1,13 @@
-//! One HTTP exchange with a worker: the request is written, the response read, and a failure classified by whether the worker
-//! can have received the whole request.
+//! One HTTP exchange with a worker: writes the request, reads the response, and classifies a failure by
+//! whether the worker can have received the whole request.
 //!
-//! What a response means for a job is decided elsewhere.
+//! The modules `attempt` and `probe` interpret the response.
 
 use super::client::HttpClient;
 use super::connection::WriteMeter;
 use super::endpoint::Worker;
 use super::expiry::ExpiryHeader;
-use super::lock;
+use super::lock_ignoring_poison;
 use super::message::{request_length, WorkerRequest, WorkerResponse, BACKGROUND_READ_TIMEOUT};
 use super::permission::SendPermission;
 use bytes::Bytes;
@@ -20,64 +20,66 @@
 use tokio::time::{timeout, Instant};
 use tracing::debug;
 
-/// How an exchange failed.
+/// Why an exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ExchangeError {
-    /// Before the request's last byte was written: the worker has not run it.
+    /// The connection failed before the request's last byte was written: the worker has not run the request.
     #[error("the connection failed before the request was written")]
     RequestIncomplete,
-    /// After the request's last byte, or at an unknown point: the worker may have run it.
+    /// The connection failed after the request's last byte, or at an unknown point: the worker may have run
+    /// the request.
     #[error("the connection failed before the response was read")]
     ResponseMissing,
 }
 
-/// The response of an exchange, once its head has been read.
+/// Resolves to the response of an exchange once the response's head has been read.
 pub(super) type ResponseFuture = Pin<Box<dyn Future<Output = Result<WorkerResponse, ExchangeError>> + Send>>;
 
-/// A request to a worker and its response; dropping the response's future closes the connection.
+/// A request in flight to a worker. Dropping `response` closes the connection.
 pub(super) struct Exchange {
     pub(super) progress: ExchangeProgress,
     pub(super) response: ResponseFuture,
 }
 
-/// How far a request has been written. Valid until its response: from then on the connection may serve another.
+/// Tells how much of a request has been written. Valid until the response arrives; the connection may carry
+/// another request after that.
 pub(super) struct ExchangeProgress {
     connection: CaptureConnection,
     request_length: u64,
 }
 
 impl ExchangeProgress {
-    /// Whether there is a connection for the request.
+    /// Whether the request has been assigned a connection.
     pub(super) fn is_connected(&self) -> bool {
         self.connection.connection_metadata().is_some()
     }
 
-    /// Resolves once there is a connection for the request.
+    /// Resolves once the request has been assigned a connection.
     pub(super) fn wait_for_connection(&self) -> impl Future<Output = ()> + use<> {
         let mut connection = self.connection.clone();
         async move { drop(connection.wait_for_connection_metadata().await) }
     }
 
     /// Whether the request's first byte has been written.
-    pub(super) fn has_begun(&self) -> bool {
+    pub(super) fn first_byte_written(&self) -> bool {
         write_meter(&self.connection).is_some_and(|meter| meter.exchange_bytes() > 0)
     }
 
     /// Whether the request's last byte has been written.
-    pub(super) fn is_fully_written(&self) -> bool {
+    pub(super) fn last_byte_written(&self) -> bool {
         write_meter(&self.connection).is_some_and(|meter| meter.exchange_bytes() >= self.request_length)
     }
 }
 
-/// The meter of the connection that a request was handed to.
+/// Returns the write meter of the connection that a request was assigned to.
 fn write_meter(connection: &CaptureConnection) -> Option<WriteMeter> {
     let mut extensions = hyper::http::Extensions::new();
     connection.connection_metadata().as_ref()?.get_extras(&mut extensions);
     extensions.remove::<WriteMeter>()
 }
 
-/// The connection of a request that has no response yet. Dropping this closes it, so that nothing more is written of a request
-/// that nobody waits for.
+/// Closes the connection of a request when dropped before the response has arrived, so that no further byte
+/// is written of a request that nobody waits for.
 struct AbortOnDrop(Option<WriteMeter>);
 
 impl Drop for AbortOnDrop {
@@ -88,8 +90,9 @@
     }
 }
 
-/// What sending a request needs beside the request itself.
-struct Sender {
+/// Sends one request. Owns the client, the send permission and whatever else sending needs besides the
+/// request itself.
+struct RequestSender {
     client: HttpClient,
     connection: CaptureConnection,
     permission: SendPermission,
@@ -98,17 +101,18 @@
     worker_name: String,
 }
 
-impl Sender {
-    /// Writes the request, if it is still permitted once there is a connection, and reads the head of the response.
+impl RequestSender {
+    /// Writes the request, if it is still permitted once it has a connection, and reads the head of the
+    /// response.
     fn send(mut self, request: Request<Full<Bytes>>) -> ResponseFuture {
         Box::pin(async move {
-            let (mut in_use, mut permission) = (AbortOnDrop(None), Some(self.permission));
+            let (mut abort_on_drop, mut permission) = (AbortOnDrop(None), Some(self.permission));
             let mut response = self.client.request(request);
             let response = poll_fn(|cx| {
                 let polled = Pin::new(&mut response).poll(cx);
-                if in_use.0.is_none() {
-                    in_use.0 = write_meter(&self.connection);
-                    if let Some(meter) = &in_use.0 {
+                if abort_on_drop.0.is_none() {
+                    abort_on_drop.0 = write_meter(&self.connection);
+                    if let Some(meter) = &abort_on_drop.0 {
                         if let Some(permission) = permission.take() {
                             meter.begin_exchange(permission, self.expiry.take());
                         }
@@ -117,15 +121,15 @@
                 polled
             })
             .await;
-            let bytes_written = in_use.0.as_ref().map_or(0, WriteMeter::exchange_bytes);
+            let bytes_written = abort_on_drop.0.as_ref().map_or(0, WriteMeter::exchange_bytes);
             let request_incomplete = bytes_written < self.request_length;
             match response {
                 Ok(response) if bytes_written > 0 => {
-                    in_use.0 = None;
+                    abort_on_drop.0 = None;
                     Ok(WorkerResponse::from(response))
                 }
                 Ok(_) => {
-                    // It is not the response to this request, of which nothing was written.
+                    // No byte of this request was written, so this response is not the answer to it.
                     debug!(worker = self.worker_name, "exchange.unsolicited_response");
                     Err(ExchangeError::RequestIncomplete)
                 }
@@ -143,30 +147,33 @@
 }
 
 impl Worker {
-    /// Starts an exchange with this worker; the request is written only while `permission` holds.
+    /// Starts an exchange with this worker; the request is written only if `permission` allows it at the
+    /// first byte.
     pub(super) fn exchange(&self, request: &WorkerRequest<'_>, permission: SendPermission) -> Exchange {
         let mut http_request = request.to_http(&self.address);
         let request_length = request_length(&http_request);
         let deadline = request.timeout().map(|timeout| Instant::now() + timeout);
         let expiry = deadline.and_then(|deadline| ExpiryHeader::locate(&http_request, deadline));
         let connection = capture_connection(&mut http_request);
-        let client = lock(&self.client).for_request();
+        let client = lock_ignoring_poison(&self.client).for_request();
         let progress = ExchangeProgress { connection: connection.clone(), request_length };
         let worker_name = self.name.clone();
-        let sender = Sender { client, connection, permission, expiry, request_length, worker_name };
+        let sender = RequestSender { client, connection, permission, expiry, request_length, worker_name };
         Exchange { progress, response: sender.send(http_request) }
     }
 
-    /// Cancels a job that the worker has accepted. An attempt before that is cancelled by dropping its exchange.
+    /// Cancels a job that the worker has accepted. An attempt that is not accepted is cancelled by dropping
+    /// its exchange.
     pub(super) fn cancel_job(&self, id: &str) {
-        // An id is 16 hexadecimal digits, so this is a path.
+        // A request id is 16 hexadecimal digits, so parsing the path cannot fail.
         let Ok(path) = format!("/jobs/{id}").parse() else { return };
         let exchange = self.exchange(&WorkerRequest::CancelJob { path }, SendPermission::always());
         finish_in_background(exchange.response);
     }
 }
 
-/// Completes an exchange whose response nobody waits for, so that its connection can be reused.
+/// Completes an exchange in the background although nobody waits for the response, so that its connection can
+/// be reused.
 pub(super) fn finish_in_background(response: ResponseFuture) {
     tokio::spawn(timeout(BACKGROUND_READ_TIMEOUT, async { response.await.map(WorkerResponse::drain_body) }));
 }
--- a/crates/vetchbridge/src/workers/expiry.rs
+++ b/crates/vetchbridge/src/workers/expiry.rs
@@ -1,8 +1,8 @@
-//! The header that informs a worker how long its response is waited for.
+//! The header that tells a worker how long the daemon waits for its response.
 //!
-//! The header is set when the request is built, but a connection may take long to come up: its value is replaced by the time
-//! that remains when the first byte is written. The length of the request does not change, so that the count of its bytes
-//! remains valid.
+//! The header is set when the request is built. Since connecting may take long, the value is replaced by the
+//! remaining time when the first byte is written. The replacement keeps the length of the request, so that
+//! the count of its bytes remains valid.
 
 use hyper::header::HeaderName;
 use hyper::Request;
@@ -10,13 +10,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How much of a request is copied at most to replace the value in it, in bytes; a short request goes out in one write.
+/// How many bytes of a request are copied at most to replace the header's value. A request of up to this
+/// length is written in one call.
 const MAX_COPIED_BYTES: usize = 8 * 1024;
 
-/// The name of the header.
+/// The name of the expiry header.
 pub(super) const EXPIRES_IN_HEADER: &str = "x-expires-in";
 
-/// The value of the header for a timeout.
+/// Returns the header's value for a timeout: the number of microseconds, followed by `u`.
 pub(super) fn header_value(timeout: Duration) -> String {
     format!("{}u", timeout.as_micros())
 }
@@ -24,14 +25,15 @@
 /// The expiry header of one request, located in the request's bytes.
 pub(super) struct ExpiryHeader {
     deadline: Instant,
-    /// Where the value stands in the request's bytes.
+    /// The position of the header's value in the request's bytes.
     value_range: Range<usize>,
-    /// The remaining time as it is written; set at the first byte.
+    /// The value that is written instead: the time remaining at the first byte. `None` before the first byte.
     written_value: Option<Vec<u8>>,
 }
 
 impl ExpiryHeader {
-    /// Locates the header in a request whose headers are all set; `None` if it has none.
+    /// Locates the header in a request whose headers are all set. Returns `None` if the request has no such
+    /// header.
     pub(super) fn locate<B>(request: &Request<B>, deadline: Instant) -> Option<ExpiryHeader> {
         let mut start = request_line_length(request);
         for (name, value) in request.headers() {
@@ -45,9 +47,9 @@
         None
     }
 
-    /// Copies the request's bytes from `position` on, with the remaining time in place of the header's value.
+    /// Copies the request's bytes from `position` on, and replaces the header's value by the remaining time.
     ///
-    /// The copy may be shorter than `pieces`. `None` if `position` is past the value, where nothing needs replacing.
+    /// The copy may be shorter than `pieces`. Returns `None` if `position` is past the header's value.
     pub(super) fn replace_value<'a>(
         &mut self,
         position: usize,
@@ -74,7 +76,7 @@
         Some(bytes)
     }
 
-    /// The header's value for the time that remains, in as many bytes as the original value has.
+    /// Returns the header's value for the remaining time, padded to the length of the original value.
     fn remaining_value(&self, now: Instant) -> Vec<u8> {
         let width = self.value_range.len();
         let remaining = self.deadline.saturating_duration_since(now).max(Duration::from_micros(1));
@@ -85,13 +87,13 @@
     }
 }
 
-/// The length of a request line, in bytes.
+/// Returns the length of a request line, in bytes.
 pub(super) fn request_line_length<B>(request: &Request<B>) -> usize {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len()
 }
 
-/// The length of a header's line, in bytes.
+/// Returns the length of a header's line, in bytes.
 pub(super) fn header_length(name: &HeaderName, value_length: usize) -> usize {
     name.as_str().len() + ": ".len() + value_length + "\r\n".len()
 }
--- a/crates/vetchbridge/src/workers/expiry/tests.rs
+++ b/crates/vetchbridge/src/workers/expiry/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A request as hyper writes it.
+/// Returns a request, and the bytes that hyper writes for it.
 fn request(timeout: Duration) -> (Request<()>, Vec<u8>) {
     let mut request = Request::post("/safe/k?x=1").body(()).expect("a request");
     for (name, text) in [
@@ -16,7 +16,8 @@
     (request, bytes)
 }
 
-/// However the bytes are split over pieces and writes, the same value is written in its place, and all other bytes are unchanged.
+/// The value is replaced correctly, and all other bytes stay unchanged, however the bytes are split over
+/// pieces and writes.
 #[tokio::test(start_paused = true)]
 async fn the_time_remaining_at_the_first_byte_is_written_however_the_request_is_split() {
     let timeout = Duration::from_micros(5_000_000);
@@ -26,7 +27,7 @@
         tokio::time::advance(Duration::from_micros(4_100_000)).await;
         let first = expiry
             .replace_value(0, [&bytes[..split / 2], &bytes[split / 2..]].into_iter())
-            .expect("the value is ahead");
+            .expect("the header's value is not written yet");
         // The kernel accepted the bytes up to the split; the others follow later.
         tokio::time::advance(Duration::from_micros(300_000)).await;
         let rest = if split == 0 {
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -5,7 +5,7 @@
 use super::connection_count::ConnectionCount;
 use super::endpoint::{Availability, Worker, WorkerEndpoint};
 use super::load_report::LoadReportSettings;
-use super::lock;
+use super::lock_ignoring_poison;
 use hyper::http::uri::Authority;
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,93 +15,98 @@
 use tracing::warn;
 use vetchbridge_scheduling::{EndpointState, EndpointUpdate, WorkerId};
 
-/// How long a worker may take to accept a job where the settings put no limit on a dial.
+/// How long a worker may take to accept a job if the settings have no dial timeout.
 const DEFAULT_ACCEPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The workers that may get requests, and the attempts and probes in flight to them.
+/// The workers in the endpoint list, and the attempts and probes in flight to them.
 ///
-/// The group never chooses a worker or the time of a probe, and never repeats a request by itself. It writes no request to a
-/// worker that is draining, even if the attempt started before that and still waits for its connection.
+/// The group never chooses a worker or the time of a probe, and never retries a request by itself. It writes
+/// no request to a worker that is draining, even if the worker started to drain while the attempt was waiting
+/// for a connection.
 pub struct UpstreamGroup {
     workers: Mutex<HashMap<WorkerId, Arc<Worker>>>,
     pub(super) callbacks: CallbackRouter,
     timeouts: Mutex<Timeouts>,
-    load_reports: Mutex<LoadReportSettings>,
-    /// One permit for each probe that may be in flight, since each may use a descriptor.
+    load_report_settings: Mutex<LoadReportSettings>,
+    /// One permit for each probe that may be in flight. Probes are limited because each may use a descriptor.
     pub(super) probe_permits: Semaphore,
     connections: ConnectionCount,
-    /// With more connections than this, idle ones are closed.
+    /// The number of connections beyond which idle connections are closed.
     max_connections: AtomicUsize,
 }
 
-/// Time limits of the exchanges with workers.
+/// The time limits of exchanges with workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Timeouts {
-    /// Of a dial; zero for none.
+    /// How long a dial may take; zero for no limit.
     pub(super) dial: Duration,
-    /// From the connection to the response that accepts or rejects a job.
+    /// How long a connected worker may take to respond that it accepts or rejects a job.
     pub(super) accept: Duration,
-    /// Of an idle connection.
+    /// How long a connection may be idle before it is closed.
     pub(super) idle: Duration,
 }
 
 impl Timeouts {
-    /// `worker_idle_timeout` is when workers close an idle connection themselves.
+    /// Creates the time limits. `worker_idle_timeout` is how long workers keep an idle connection open.
     fn new(dial: Duration, worker_idle_timeout: Duration) -> Timeouts {
-        // Half of the workers' own timeout: no request is written to a connection that may just have expired.
+        // Half of the workers' own timeout, so that no request is written to a connection that its worker is
+        // just closing.
         let idle = worker_idle_timeout / 2;
-        // As long as a dial: each is one round trip of a responsive worker.
+        // The same as the dial timeout, since a responsive worker needs one round trip for either.
         let accept = if dial.is_zero() { DEFAULT_ACCEPT_TIMEOUT } else { dial };
         Timeouts { dial, accept, idle }
     }
 }
 
 impl UpstreamGroup {
-    /// A group without workers.
+    /// Creates a group without workers.
     ///
-    /// `worker_idle_timeout` is when workers close an idle connection themselves; `max_probes` limits the probes in flight.
+    /// `worker_idle_timeout` is how long workers keep an idle connection open; `max_probes` limits the probes
+    /// in flight.
     pub fn new(dial_timeout: Duration, worker_idle_timeout: Duration, max_probes: usize) -> UpstreamGroup {
         UpstreamGroup {
             workers: Mutex::default(),
             callbacks: CallbackRouter::default(),
             timeouts: Mutex::new(Timeouts::new(dial_timeout, worker_idle_timeout)),
-            load_reports: Mutex::default(),
+            load_report_settings: Mutex::default(),
             probe_permits: Semaphore::new(max_probes),
             connections: ConnectionCount::default(),
             max_connections: AtomicUsize::new(usize::MAX),
         }
     }
 
-    /// Sets how load reports are read; until this is called none counts.
+    /// Sets which load reports are used and how they are interpreted; until this call, every report is
+    /// ignored.
     pub fn set_load_reports(&self, settings: LoadReportSettings) {
-        *lock(&self.load_reports) = settings;
+        *lock_ignoring_poison(&self.load_report_settings) = settings;
     }
 
-    /// The number of connections to workers, including dials.
+    /// Returns the count of connections to workers, including dials.
     pub fn connections(&self) -> ConnectionCount {
         self.connections.clone()
     }
 
-    /// Sets the number of connections beyond which idle ones are closed; there is no limit until this is called.
+    /// Sets the number of connections beyond which idle connections are closed; until this call, the number
+    /// is unlimited.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
-    /// Sets new time limits for every worker; they do not apply to attempts in flight.
+    /// Sets new time limits for every worker; attempts in flight keep the old ones.
     pub fn set_timeouts(&self, dial_timeout: Duration, worker_idle_timeout: Duration) {
         let timeouts = Timeouts::new(dial_timeout, worker_idle_timeout);
-        if std::mem::replace(&mut *lock(&self.timeouts), timeouts) != timeouts {
+        if std::mem::replace(&mut *lock_ignoring_poison(&self.timeouts), timeouts) != timeouts {
             self.close_all_idle_connections();
         }
     }
 
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list to the workers.
     pub fn apply_endpoints<'a>(
         &self,
         update: EndpointUpdate,
         endpoints: impl Iterator<Item = WorkerEndpoint<'a>>,
     ) {
-        let workers = &mut *lock(&self.workers);
+        let workers = &mut *lock_ignoring_poison(&self.workers);
         let mut removed: HashSet<WorkerId> =
             if update.is_complete() { workers.keys().copied().collect() } else { HashSet::new() };
         for endpoint in endpoints {
@@ -119,7 +124,8 @@
         }
     }
 
-    /// Adds the worker of an endpoint, replaces it where its process is a new one, and sets its availability.
+    /// Adds the worker of an endpoint, or replaces the worker if its process is a new one, and sets the
+    /// worker's availability.
     fn update_worker(&self, workers: &mut HashMap<WorkerId, Arc<Worker>>, endpoint: &WorkerEndpoint<'_>) {
         let WorkerEndpoint { worker_id, name, address, state, .. } = *endpoint;
         match address.parse::<Authority>() {
@@ -135,34 +141,36 @@
             Err(error) => warn!(worker = name, address, %error, "worker.address_invalid"),
         }
         if let Some(worker) = workers.get(&worker_id) {
-            worker.availability.send_replace(Availability::of(state));
+            worker.availability.send_replace(Availability::from_state(state));
         }
     }
 
-    /// Closes the idle connections to a worker, by replacing its pool.
+    /// Closes the idle connections to a worker by replacing the worker's connection pool.
     pub fn close_idle_connections(&self, worker_id: WorkerId) {
-        if let Some(worker) = lock(&self.workers).get(&worker_id) {
-            *lock(&worker.client) = self.new_client();
+        if let Some(worker) = lock_ignoring_poison(&self.workers).get(&worker_id) {
+            *lock_ignoring_poison(&worker.client) = self.new_client();
         }
     }
 
     /// Closes the idle connections to every worker.
     pub fn close_all_idle_connections(&self) {
-        for worker in lock(&self.workers).values() {
-            *lock(&worker.client) = self.new_client();
+        for worker in lock_ignoring_poison(&self.workers).values() {
+            *lock_ignoring_poison(&worker.client) = self.new_client();
         }
     }
 
-    /// Closes idle connections beyond the limit, those of the least recently used workers first.
+    /// Closes idle connections beyond the limit, starting with the least recently used worker.
     ///
-    /// A connection in use is closed once its exchange has ended.
+    /// All connections of a chosen worker are closed; a connection in use is closed once its exchange has
+    /// ended.
     pub(super) fn evict_idle_connections(&self) {
         let max_connections = self.max_connections.load(Ordering::Relaxed);
         if self.connections.get() <= max_connections {
             return;
         }
-        let workers = lock(&self.workers);
-        let mut clients: Vec<_> = workers.values().map(|worker| lock(&worker.client)).collect();
+        let workers = lock_ignoring_poison(&self.workers);
+        let mut clients: Vec<_> =
+            workers.values().map(|worker| lock_ignoring_poison(&worker.client)).collect();
         clients.retain(|client| client.connection_count() > 0);
         clients.sort_by_key(|client| client.last_used());
         let total: usize = clients.iter().map(|client| client.connection_count()).sum();
@@ -176,29 +184,33 @@
         }
     }
 
-    /// A worker's name, for the log; empty if the worker is not in the endpoint list.
+    /// Returns a worker's name for the log; empty if the worker is not in the endpoint list.
     pub fn worker_name(&self, worker_id: WorkerId) -> String {
-        lock(&self.workers).get(&worker_id).map(|worker| worker.name.clone()).unwrap_or_default()
+        lock_ignoring_poison(&self.workers)
+            .get(&worker_id)
+            .map(|worker| worker.name.clone())
+            .unwrap_or_default()
     }
 
-    /// Dispatches a callback to the attempt that it is about; false if there is no such attempt here.
+    /// Dispatches a callback to the attempt that it is about. Returns false if this process has no such
+    /// attempt.
     pub fn dispatch_callback(&self, callback: &Callback) -> bool {
         self.callbacks.dispatch(callback)
     }
 
     pub(super) fn worker(&self, worker_id: WorkerId) -> Option<Arc<Worker>> {
-        lock(&self.workers).get(&worker_id).cloned()
+        lock_ignoring_poison(&self.workers).get(&worker_id).cloned()
     }
 
     pub(super) fn accept_timeout(&self) -> Duration {
-        lock(&self.timeouts).accept
+        lock_ignoring_poison(&self.timeouts).accept
     }
 
-    pub(super) fn load_reports(&self) -> LoadReportSettings {
-        *lock(&self.load_reports)
+    pub(super) fn load_report_settings(&self) -> LoadReportSettings {
+        *lock_ignoring_poison(&self.load_report_settings)
     }
 
     fn new_client(&self) -> WorkerClient {
-        WorkerClient::new(*lock(&self.timeouts), self.connections.clone())
+        WorkerClient::new(*lock_ignoring_poison(&self.timeouts), self.connections.clone())
     }
 }
--- a/crates/vetchbridge/src/workers/identifiers.rs
+++ b/crates/vetchbridge/src/workers/identifiers.rs
@@ -6,15 +6,16 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Hexadecimal digits in a request id.
+/// The number of hexadecimal digits in a request id.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// A hash of a name (FNV-1a) that is the same in every process.
+/// Returns the FNV-1a hash of a name, which is the same in every process.
 pub fn name_hash(name: &str) -> u64 {
     name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The id of a worker in the decision module: a hash of its name alone, so that all schedulers agree on it.
+/// Returns the id of a worker in the decision module. The id is a hash of the worker's name alone, so that
+/// all schedulers use the same id.
 pub fn worker_id(name: &str) -> WorkerId {
     WorkerId(name_hash(name))
 }
--- a/crates/vetchbridge/src/workers/load_report.rs
+++ b/crates/vetchbridge/src/workers/load_report.rs
@@ -1,6 +1,6 @@
-//! Load reports of workers: parsing, and which reports count under the settings in force.
+//! Load reports of workers: parsing, and which reports are used under the settings in force.
 //!
-//! A report is advisory: one that can't be parsed is logged and ignored.
+//! Reports are advisory: a report that cannot be parsed is logged and ignored.
 
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -12,23 +12,26 @@
 
 /// The optional prefixes that name a report's format.
 const FORMAT_PREFIXES: [&str; 2] = ["TEXT", "JSON"];
-/// The longest part of a malformed report that is logged, in bytes.
+/// How much of a malformed report is logged, in bytes.
 const MAX_LOGGED_BYTES: usize = 80;
 
-/// Which of the two fields whose meaning a deployment defines reports a worker's free slots.
+/// The field of a load report that holds the worker's free slots. Each deployment defines the meaning of the
+/// fields
+/// `x0` and `x1`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FreeSlotsField {
-    /// `x0`.
+    /// The field `x0` holds the free slots.
     #[default]
     X0,
-    /// `x1`.
+    /// The field `x1` holds the free slots.
     X1,
-    /// Neither.
+    /// Neither field holds the free slots.
     Unreported,
 }
 
 impl FreeSlotsField {
-    /// Chooses the field from the deployment's descriptions of `x0` and `x1`; an undescribed `x0` reports free slots.
+    /// Chooses the field from the deployment's descriptions of `x0` and `x1`. Without a description, `x0`
+    /// holds the free slots.
     pub fn from_descriptions(x0: Option<&str>, x1: Option<&str>) -> FreeSlotsField {
         let means_free_slots = |description: &str| description.trim().eq_ignore_ascii_case("free slots");
         match (x0.is_none_or(means_free_slots), x1.is_some_and(means_free_slots)) {
@@ -39,12 +42,12 @@
     }
 }
 
-/// Which load reports count, and how their fields are interpreted.
+/// Settings of which load reports are used, and how their fields are interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReportSettings {
-    /// Where reports are taken from.
+    /// The messages that load reports are taken from.
     pub source: LoadReportSource,
-    /// The field that reports free slots.
+    /// The field that holds the free slots.
     pub free_slots: FreeSlotsField,
 }
 
@@ -55,13 +58,14 @@
 }
 
 impl LoadReportSettings {
-    /// The report on the response or callback that ended an attempt, if such reports count.
-    pub fn from_response(self, text: Option<&[u8]>) -> Option<LoadReport> {
+    /// Parses the report on the response or callback that ended an attempt; `None` if such reports are not
+    /// used.
+    pub fn report_from_response(self, text: Option<&[u8]>) -> Option<LoadReport> {
         self.parse_or_log(text.filter(|_| self.source == LoadReportSource::Responses))
     }
 
-    /// The report on the response to a probe, if reports count at all.
-    pub fn from_probe(self, text: Option<&[u8]>) -> Option<LoadReport> {
+    /// Parses the report on the response to a probe; `None` if no reports are used.
+    pub fn report_from_probe(self, text: Option<&[u8]>) -> Option<LoadReport> {
         self.parse_or_log(text.filter(|_| self.source != LoadReportSource::Never))
     }
 
@@ -78,7 +82,7 @@
 
 /// Parses a report: a JSON object, or `name=value, name=value`, optionally prefixed with its format.
 ///
-/// Values that are not finite numbers from 0 up are ignored; `None` if no known field is left.
+/// Ignores values that are not finite numbers of at least 0. Returns `None` if no known field is left.
 pub fn parse(text: &str, free_slots: FreeSlotsField) -> Option<LoadReport> {
     let text = strip_format_prefixes(text);
     let mut report = LoadReport::default();
@@ -95,7 +99,7 @@
         *field = value.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0);
     };
     if text.starts_with('{') {
-        // Raw values: one that is out of range must not invalidate the others.
+        // Values stay unparsed here, since a value that is out of range must not invalidate the others.
         let object: BTreeMap<String, &RawValue> = serde_json::from_str(text).ok()?;
         for (name, value) in &object {
             set_field(name, value.get());
@@ -109,7 +113,7 @@
     (report != LoadReport::default()).then_some(report)
 }
 
-/// The report without the names of its format; a name counts only if white space follows it.
+/// Strips the prefixes that name the report's format. A prefix counts only if white space follows it.
 fn strip_format_prefixes(text: &str) -> &str {
     let mut text = text.trim();
     for prefix in FORMAT_PREFIXES {
--- a/crates/vetchbridge/src/workers/load_report/tests.rs
+++ b/crates/vetchbridge/src/workers/load_report/tests.rs
@@ -45,32 +45,32 @@
     assert_eq!(parse(text, FreeSlotsField::X0), None);
 }
 
-/// The deployment's descriptions decide which field reports free slots.
+/// The deployment's descriptions decide which field holds the free slots.
 #[rstest]
 #[case(None, None, Some(3.0))]
 #[case(Some("free slots"), Some("free memory"), Some(3.0))]
 #[case(Some("free memory"), Some(" Free slots"), Some(4.0))]
 #[case(Some("free memory"), None, None)]
-fn x0_reports_free_slots_unless_it_is_described_as_something_else(
+fn x0_holds_free_slots_unless_it_is_described_otherwise(
     #[case] x0: Option<&str>,
     #[case] x1: Option<&str>,
     #[case] expected: Option<f64>,
 ) {
-    let report =
-        parse("x0=3, x1=4, queue=0", FreeSlotsField::from_descriptions(x0, x1)).expect("queue is there");
+    let report = parse("x0=3, x1=4, queue=0", FreeSlotsField::from_descriptions(x0, x1))
+        .expect("the report has a queue length");
     assert_eq!(report.free_slots, expected);
 }
 
 #[test]
-fn reports_count_only_from_the_configured_source() {
+fn reports_are_used_only_from_the_configured_source() {
     for (source, from_response, from_probe) in [
         (LoadReportSource::Never, false, false),
         (LoadReportSource::Probes, false, true),
         (LoadReportSource::Responses, true, true),
     ] {
         let settings = LoadReportSettings { source, free_slots: FreeSlotsField::X0 };
-        assert_eq!(settings.from_response(Some(b"queue=1")).is_some(), from_response, "{source:?}");
-        assert_eq!(settings.from_probe(Some(b"queue=1")).is_some(), from_probe, "{source:?}");
-        assert_eq!(settings.from_probe(Some(b"\xff\xfe")), None);
+        assert_eq!(settings.report_from_response(Some(b"queue=1")).is_some(), from_response, "{source:?}");
+        assert_eq!(settings.report_from_probe(Some(b"queue=1")).is_some(), from_probe, "{source:?}");
+        assert_eq!(settings.report_from_probe(Some(b"\xff\xfe")), None);
     }
 }
--- a/crates/vetchbridge/src/workers/message.rs
+++ b/crates/vetchbridge/src/workers/message.rs
@@ -1,4 +1,4 @@
-//! The requests that workers get, and their responses.
+//! The HTTP requests to workers, and the workers' responses.
 
 use super::expiry::{self, header_length, request_line_length, EXPIRES_IN_HEADER};
 use super::load_report::LOAD_REPORT_HEADER;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long the rest of a response is read that nobody waits for.
+/// How long the rest of a response is read in the background when nobody waits for it.
 pub(super) const BACKGROUND_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The longest response body that is read, in bytes.
@@ -22,33 +22,33 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// The response header by which a worker declares that it has not started the job.
 const NEVER_RAN_HEADER: &str = "x-never-ran";
-/// The path of a worker's health and load.
+/// The path under which a worker reports its health and load.
 const STATS_PATH: &str = "/stats";
 
 /// The part of a client's request that is forwarded to a worker unchanged.
 pub struct Payload {
     /// The request's id as the client wrote it.
     pub id: String,
-    /// Path and query.
+    /// The path and query of the request.
     pub target: PathAndQuery,
     /// The key by which workers deduplicate retries.
     pub idempotency_key: Option<String>,
-    /// The body.
+    /// The body of the request.
     pub body: Bytes,
 }
 
 /// A request to a worker.
 pub(super) enum WorkerRequest<'a> {
-    /// Run a job.
+    /// Asks the worker to run a job.
     Job {
-        /// What the client sent.
+        /// The part of the client's request that is forwarded.
         payload: &'a Payload,
-        /// How long the result is waited for.
+        /// How long the daemon waits for the result.
         timeout: Duration,
     },
-    /// Report health and load.
+    /// Asks for the worker's health and load.
     Probe,
-    /// Cancel an accepted job.
+    /// Cancels an accepted job.
     CancelJob {
         /// The path of the job.
         path: PathAndQuery,
@@ -56,7 +56,7 @@
 }
 
 impl WorkerRequest<'_> {
-    /// How long the result is waited for, where the worker is informed of that.
+    /// Returns how long the daemon waits for the result, for a request that tells the worker so.
     pub(super) fn timeout(&self) -> Option<Duration> {
         match self {
             WorkerRequest::Job { timeout, .. } => Some(*timeout),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The request as it is written to the worker at this address. Every header is set here; hyper adds none.
+    /// Builds the HTTP request to the worker at `address`, with every header; hyper adds none.
     pub(super) fn to_http(&self, address: &Authority) -> Request<Full<Bytes>> {
         let (method, target, body) = match self {
             WorkerRequest::Job { payload, .. } => {
@@ -76,7 +76,7 @@
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
         let uri = Uri::builder().scheme(Scheme::HTTP).authority(address.clone()).path_and_query(target);
-        // With all three parts given and checked, building can't fail.
+        // Building cannot fail: the scheme, the authority and the target are all present and valid.
         *request.uri_mut() = uri.build().unwrap_or_default();
         let headers = request.headers_mut();
         set_header(headers, HOST.as_str(), address.as_str());
@@ -98,7 +98,7 @@
     }
 }
 
-/// The number of bytes that a request takes on a connection.
+/// Returns the length of a whole request on the wire, in bytes.
 pub(super) fn request_length(request: &Request<Full<Bytes>>) -> u64 {
     let line = request_line_length(request);
     let headers: usize = request.headers().iter().map(|(name, value)| header_length(name, value.len())).sum();
@@ -106,7 +106,7 @@
     (line + headers + "\r\n".len()) as u64 + body
 }
 
-/// A worker's response, of which the head has been read.
+/// A worker's response whose head has been read.
 pub(super) struct WorkerResponse {
     pub(super) status: StatusCode,
     headers: HeaderMap,
@@ -126,12 +126,12 @@
         self.headers.get(NEVER_RAN_HEADER).is_some_and(|value| value == "1")
     }
 
-    /// The load report in the head.
+    /// Returns the load report in the response's headers.
     pub(super) fn load_report(&self) -> Option<&[u8]> {
         self.headers.get(LOAD_REPORT_HEADER).map(axum::http::HeaderValue::as_bytes)
     }
 
-    /// Reads the complete body; empty if it is too long, `None` if the connection failed.
+    /// Reads the complete body. Returns an empty body if it is too long, and `None` if the connection failed.
     pub(super) async fn read_body(&mut self) -> Option<Bytes> {
         match Limited::new(&mut self.body, MAX_BODY_BYTES).collect().await {
             Ok(body) => Some(body.to_bytes()),
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Reads and discards the body in the background; the connection can be reused only after that.
+    /// Reads and discards the body in the background; the connection can be reused once the body has been
+    /// read.
     pub(super) fn drain_body(mut self) {
         if !self.body.is_end_stream() {
             tokio::spawn(timeout(BACKGROUND_READ_TIMEOUT, async move { drop(self.read_body().await) }));
--- a/crates/vetchbridge/src/workers/mod.rs
+++ b/crates/vetchbridge/src/workers/mod.rs
@@ -1,18 +1,18 @@
-//! Workers: the upstream group, and the attempts and probes in flight to its workers.
+//! The upstream group of workers, and the attempts and probes in flight to them.
 //!
 //! | Module | Concern |
 //! | --- | --- |
 //! | `group` | the workers in the endpoint list, time limits, and the limit on connections |
-//! | `endpoint` | one worker, and whether it may be written to |
+//! | `endpoint` | one worker, and whether requests may be written to it |
 //! | `attempt` | one attempt, from its dial to its outcome |
 //! | `probe` | one health check |
 //! | `exchange` | one HTTP exchange, and whether the worker can have received the request |
 //! | `message` | the requests that workers get, and their responses |
 //! | `permission` | whether a request may still be written, checked before its first byte |
-//! | `expiry` | the header by which a worker knows how long the response is waited for |
+//! | `expiry` | the header that tells a worker how long the daemon waits for the response |
 //! | `client`, `dial`, `connection`, `connection_count` | the connection pool of a worker |
 //! | `callbacks` | callbacks, and their dispatch to attempts |
-//! | [`load_report`] | load reports |
+//! | [`load_report`] | load reports of workers, and which of them are used |
 //! | `identifiers` | ids of workers and requests |
 
 mod attempt;
@@ -41,6 +41,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks a mutex, also after a thread has panicked while it held the lock.
+fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -1,6 +1,6 @@
-//! Whether a request may still be written to its worker, checked just before its first byte.
+//! The check just before a request's first byte whether the request may still be written to its worker.
 //!
-//! The decision to send was made earlier, and the connection may have taken long to come up since.
+//! The decision module decided earlier to send the request, and connecting may have taken long since then.
 
 use super::endpoint::Availability;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,19 +9,19 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Why a request may not be written any more.
+/// The reason why a request may no longer be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum SendDenied {
     /// The worker is draining or was removed.
     #[error("the worker is draining or was removed")]
     WorkerDraining,
-    /// Another process has taken over the worker's name.
+    /// Another process uses the worker's name now.
     #[error("the worker was replaced by another process")]
     WorkerReplaced,
     /// The request has been answered, or its client has disconnected.
     #[error("the request is concluded")]
     RequestConcluded,
-    /// The request's deadline has passed, or the window in which it may be retried.
+    /// The request's deadline has passed, or the window in which the request may be retried.
     #[error("the deadline for the first byte has passed")]
     DeadlinePassed,
 }
@@ -29,30 +29,31 @@
 /// The conditions under which a request may be written.
 #[derive(Clone)]
 pub(super) struct SendPermission {
-    /// The worker's availability; `None` where it does not matter.
+    /// The worker's availability; `None` if the request may be written whatever the availability is.
     availability: Option<watch::Receiver<Availability>>,
     /// Set once nobody waits for the request any more.
     concluded: Arc<AtomicBool>,
+    /// The time before which the first byte must be written; `None` for no limit.
     first_byte_deadline: Option<Instant>,
 }
 
 impl SendPermission {
-    /// For a request that may always be written, such as the cancellation of a job.
+    /// Returns a permission without conditions, such as for the cancellation of a job.
     pub(super) fn always() -> SendPermission {
         SendPermission { availability: None, concluded: Arc::default(), first_byte_deadline: None }
     }
 
-    /// For as long as the worker is available.
+    /// Returns a permission that holds for as long as the worker is available.
     pub(super) fn while_available(availability: watch::Receiver<Availability>) -> SendPermission {
         SendPermission { availability: Some(availability), ..SendPermission::always() }
     }
 
-    /// Limits the permission to the time before `first_byte_deadline`, and before `concluded` is set.
+    /// Limits the permission to the time before `first_byte_deadline` and before `concluded` is set.
     pub(super) fn until(self, first_byte_deadline: Instant, concluded: Arc<AtomicBool>) -> SendPermission {
         SendPermission { concluded, first_byte_deadline: Some(first_byte_deadline), ..self }
     }
 
-    /// Checks whether the first byte may be written now.
+    /// Checks whether the request's first byte may be written now.
     pub(super) fn check(&self) -> Result<(), SendDenied> {
         let availability = self.availability.as_ref().map(|availability| *availability.borrow());
         match availability {
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Checks whether somebody still waits for the request, whatever has become of the worker.
+    /// Checks the request's own conditions, without the worker's availability: the client still waits, and
+    /// the deadline for the first byte has not passed.
     pub(super) fn check_request(&self) -> Result<(), SendDenied> {
         if self.concluded.load(Ordering::Relaxed) {
             return Err(SendDenied::RequestConcluded);
--- a/crates/vetchbridge/src/workers/permission/tests.rs
+++ b/crates/vetchbridge/src/workers/permission/tests.rs
@@ -4,7 +4,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The permission of a request with a second to its first byte, at a worker of this availability.
+/// Returns the permission of a request whose first byte must be written within one second.
 fn permission(availability: Availability, concluded: bool) -> SendPermission {
     let availability = watch::Sender::new(availability).subscribe();
     let concluded = Arc::new(AtomicBool::new(concluded));
@@ -17,7 +17,7 @@
 #[case::replaced(Availability::Replaced, false, Err(SendDenied::WorkerReplaced))]
 #[case::concluded(Availability::Ready, true, Err(SendDenied::RequestConcluded))]
 #[tokio::test(start_paused = true)]
-async fn a_request_may_be_sent_while_its_worker_is_ready_and_somebody_waits(
+async fn a_request_may_be_sent_while_its_worker_is_ready_and_its_client_waits(
     #[case] availability: Availability,
     #[case] concluded: bool,
     #[case] expected: Result<(), SendDenied>,
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_is_wanted_whatever_has_become_of_its_worker() {
+async fn check_request_ignores_the_availability_of_the_worker() {
     assert_eq!(permission(Availability::Draining, false).check_request(), Ok(()));
     assert_eq!(permission(Availability::Replaced, true).check_request(), Err(SendDenied::RequestConcluded));
 }
--- a/crates/vetchbridge/src/workers/probe.rs
+++ b/crates/vetchbridge/src/workers/probe.rs
@@ -1,4 +1,4 @@
-//! Health checks of workers: one probe, from its dial to its outcome.
+//! One health check of a worker (a probe), from its dial to its outcome.
 
 use super::endpoint::{wait_until_unavailable, Availability};
 use super::exchange::{Exchange, ExchangeError};
@@ -12,17 +12,18 @@
 use tokio::time::Instant;
 use vetchbridge_scheduling::{LoadReport, Outcome, WorkerId};
 
-/// How long a probe may take, including its dial. A worker rejects a probe that has been queued for 500 ms; its response is
-/// still read, so that the connection can be reused.
+/// How long a probe may take, including its dial. A worker rejects a probe that has been queued for 500 ms;
+/// the timeout is longer, so that the rejection is read and the connection can be reused.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A response to a probe, and its complete body; `None` if the connection failed before its end.
+/// A response to a probe, and the complete body; the body is `None` if the connection failed before its end.
 type ProbeResponse = (WorkerResponse, Option<Bytes>);
 
 impl UpstreamGroup {
-    /// Probes a worker over the connections of its attempts; the outcome, and the load report that came with it.
+    /// Probes a worker over the same connection pool as attempts. Returns the outcome and the load report on
+    /// the response.
     ///
-    /// Ends within `PROBE_TIMEOUT`. A worker that is draining is not probed.
+    /// Ends within `PROBE_TIMEOUT`. Sends nothing to a worker that is draining.
     pub async fn probe(&self, worker_id: WorkerId) -> (Outcome, Option<LoadReport>) {
         let Ok(_permit) = self.probe_permits.try_acquire() else { return (Outcome::NotSent, None) };
         let Some(worker) = self.worker(worker_id) else { return (Outcome::ConnectFailed, None) };
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The result of a probe that the worker responded to.
+    /// Returns the result of a probe that the worker responded to.
     fn probe_result(&self, (response, body): ProbeResponse) -> (Outcome, Option<LoadReport>) {
         let Some(body) = body else { return (Outcome::Reset, None) };
         let outcome = match response.status {
@@ -49,11 +50,11 @@
             _ => return (Outcome::Error, None),
         };
         let body = Some(&*body).filter(|body| !body.is_empty());
-        (outcome, self.load_reports().from_probe(body.or_else(|| response.load_report())))
+        (outcome, self.load_report_settings().report_from_probe(body.or_else(|| response.load_report())))
     }
 }
 
-/// Reads the response to a probe; the probe's outcome if there is none.
+/// Reads the response to a probe. The error is the outcome of a probe without a response.
 async fn read_response(
     exchange: Exchange,
     mut availability: watch::Receiver<Availability>,
@@ -73,7 +74,7 @@
             biased;
             outcome = wait_until_unavailable(&mut availability), if unwritten => {
                 unwritten = false;
-                if !progress.has_begun() {
+                if !progress.first_byte_written() {
                     return Err(outcome);
                 }
             }
