--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -1,9 +1,9 @@
 //! The engine: sole owner of the scheduler, its clock and its timers.
 //!
-//! Every event enters through [`Engine::handle`] or [`Engine::open_request`]; every action that the scheduler answers
-//! with is executed at once: it is passed to the request, the upstream group, the endpoint watcher or the peers that it
-//! concerns. Executing never waits, so that the lock is held for one event at a time. The engine must never judge, drop
-//! or reorder an action.
+//! Every event enters through [`Engine::handle`] or [`Engine::open_request`]. The engine executes every
+//! action that the scheduler returns at once, by passing the action to the request, the upstream group, the
+//! endpoint watcher or the peer socket. Executing an action never waits, so that the lock is held only while
+//! one event is handled. The engine must never reject, drop or reorder an action.
 
 mod clock;
 mod timers;
@@ -24,51 +24,53 @@
 use vetchbridge_scheduling::Scheduler;
 use vetchbridge_scheduling::{Action, AttemptNo, Event, Micros, Request, RequestId, TimerToken, WorkerId};
 
-/// What the scheduler wants done for one request.
+/// A command of the scheduler for one request.
 #[derive(Debug)]
 pub enum RequestCommand {
-    /// Send an attempt to a worker.
+    /// Sends an attempt to a worker.
     Send {
-        /// The worker.
+        /// The worker that the attempt is sent to.
         worker: WorkerId,
-        /// How long to wait for its end; `None` for as long as the client waits.
+        /// How long to wait for the attempt to end, in microseconds; `None` for as long as the client waits.
         timeout: Option<Micros>,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     Cancel(AttemptNo),
-    /// Conclude the request: it is rejected.
+    /// Answers the client that the request is rejected.
     Reject {
-        /// After how long the client may retry; 0 for no advice.
+        /// How long the client should wait before a retry, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// Conclude the request: it has failed.
+    /// Answers the client that the request has failed.
     Fail,
 }
 
-/// What one event at a time has to itself.
+/// The state behind the engine's lock, used by one event at a time.
 struct EngineState {
     scheduler: Scheduler,
     timers: TimerQueue,
-    requests: HashMap<RequestId, UnboundedSender<RequestCommand>>,
-    /// The actions of the current event; reused for its allocation.
+    /// The sender of commands to each open request.
+    command_senders: HashMap<RequestId, UnboundedSender<RequestCommand>>,
+    /// The actions of the current event; kept between events to reuse the allocation.
     actions: Vec<Action>,
 }
 
-/// The scheduler at work; see the head of this file.
+/// Runs the scheduler: passes events to it and executes its actions.
 pub struct Engine {
     /// The scheduler's clock.
     pub clock: Clock,
     state: Mutex<EngineState>,
+    /// Notified when a timer is set that fires before all others.
     earlier_timer: Notify,
     upstream: Arc<UpstreamGroup>,
     discovery_requests: UnboundedSender<DiscoveryRequest>,
     peer_messages: UnboundedSender<OutgoingMessage>,
-    /// For the tasks that bring a probe's outcome back.
+    /// A reference to this engine for the tasks of probes, which report their outcomes to the engine.
     weak_self: Weak<Engine>,
 }
 
 impl Engine {
-    /// An engine around a scheduler that has seen no event yet.
+    /// Creates an engine for a scheduler that has not handled any event yet.
     pub fn new(
         scheduler: Scheduler,
         upstream: Arc<UpstreamGroup>,
@@ -78,7 +80,7 @@
         let state = EngineState {
             scheduler,
             timers: TimerQueue::default(),
-            requests: HashMap::new(),
+            command_senders: HashMap::new(),
             actions: Vec::new(),
         };
         Arc::new_cyclic(|weak_self| Engine {
@@ -96,38 +98,40 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives the scheduler one event and executes the actions that it answers with.
+    /// Passes one event to the scheduler and executes the actions that the scheduler returns.
     pub fn handle(&self, event: Event) {
         self.handle_locked(&mut self.lock_state(), event);
     }
 
-    /// Hands a request to the scheduler; its commands arrive on the receiver. `None` while its id is in use.
+    /// Passes a new request to the scheduler and returns the receiver of the request's commands. Returns
+    /// `None` if another open request has the same id.
     pub fn open_request(&self, request: Request) -> Option<UnboundedReceiver<RequestCommand>> {
         let state = &mut *self.lock_state();
-        if state.requests.contains_key(&request.id) {
+        if state.command_senders.contains_key(&request.id) {
             return None;
         }
-        let (commands, receiver) = unbounded_channel();
-        state.requests.insert(request.id, commands);
+        let (sender, receiver) = unbounded_channel();
+        state.command_senders.insert(request.id, sender);
         self.handle_locked(state, Event::Request(request));
         Some(receiver)
     }
 
-    /// Forgets where a request's commands go: its context has ended.
+    /// Removes the sender of a request's commands once the request's context has ended.
     pub fn close_request(&self, id: RequestId) {
-        self.lock_state().requests.remove(&id);
+        self.lock_state().command_senders.remove(&id);
     }
 
-    /// The ids of the requests that are open.
+    /// Returns the ids of the open requests.
     pub fn open_request_ids(&self) -> Vec<RequestId> {
-        self.lock_state().requests.keys().copied().collect()
+        self.lock_state().command_senders.keys().copied().collect()
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn open_request_count(&self) -> usize {
-        self.lock_state().requests.len()
+        self.lock_state().command_senders.len()
     }
 
+    /// Handles an event while the caller holds the lock on the state.
     fn handle_locked(&self, state: &mut EngineState, event: Event) {
         let mut actions = std::mem::take(&mut state.actions);
         state.scheduler.handle(self.clock.now(), event, &mut actions);
@@ -150,9 +154,9 @@
             }
             Action::Fail { request } => state.send_command(request, RequestCommand::Fail),
             Action::SetTimer { at, token } => self.set_timer(&mut state.timers, at, token),
-            Action::Subscribe(true) => self.request_endpoints(DiscoveryRequest::Subscribe),
-            Action::Subscribe(false) => self.request_endpoints(DiscoveryRequest::Unsubscribe),
-            Action::FetchEndpoints => self.request_endpoints(DiscoveryRequest::Fetch),
+            Action::Subscribe(true) => self.send_discovery_request(DiscoveryRequest::Subscribe),
+            Action::Subscribe(false) => self.send_discovery_request(DiscoveryRequest::Unsubscribe),
+            Action::FetchEndpoints => self.send_discovery_request(DiscoveryRequest::Fetch),
             Action::SendPeerMessage { to, data } => self.send_peer_message(OutgoingMessage { to, data }),
             Action::CloseIdle(worker) => self.upstream.close_idle_connections(worker),
             Action::Probe(worker) => self.spawn_probe(worker),
@@ -166,7 +170,7 @@
         }
     }
 
-    fn request_endpoints(&self, request: DiscoveryRequest) {
+    fn send_discovery_request(&self, request: DiscoveryRequest) {
         if self.discovery_requests.send(request).is_err() {
             error!("discovery.stopped");
         }
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Makes one probe; the event that it results in.
+    /// Makes one probe and returns the event that reports its outcome.
     async fn probe(&self, worker: WorkerId) -> Event {
         let sent_at = self.clock.now();
         let (outcome, load) = self.upstream.probe(worker).await;
@@ -194,14 +198,14 @@
         Event::Probed { worker, outcome, latency, load }
     }
 
-    /// Gives the scheduler each timer at its time, for as long as the process lives.
+    /// Passes each timer to the scheduler when it fires. Runs until the process ends.
     pub async fn run_timers(self: Arc<Self>) {
         loop {
             let next_at = self.lock_state().timers.next_at();
             match next_at {
                 Some(at) if at <= self.clock.now() => self.fire_next_timer(),
                 Some(at) => tokio::select! {
-                    () = sleep_until(self.clock.instant(at)) => {}
+                    () = sleep_until(self.clock.instant_at(at)) => {}
                     () = self.earlier_timer.notified() => {}
                 },
                 None => self.earlier_timer.notified().await,
@@ -219,7 +223,7 @@
 
 impl EngineState {
     fn send_command(&self, request: RequestId, command: RequestCommand) {
-        if self.requests.get(&request).is_none_or(|commands| commands.send(command).is_err()) {
+        if self.command_senders.get(&request).is_none_or(|sender| sender.send(command).is_err()) {
             debug!(request = %Id(request), "request.command_discarded");
         }
     }
--- a/crates/vetchbridge/src/engine/clock.rs
+++ b/crates/vetchbridge/src/engine/clock.rs
@@ -4,27 +4,29 @@
 use tokio::time::Instant;
 use vetchbridge_scheduling::Micros;
 
-/// Unix time at the start and monotonic from there on, so that the start times in endpoint lists need no translation.
+/// A monotonic clock that starts at Unix time, so that it can be compared with the start times in endpoint
+/// lists.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    started: Instant,
-    origin: Micros,
+    start_instant: Instant,
+    /// Unix time at `start_instant`, in microseconds.
+    start_time: Micros,
 }
 
 impl Clock {
-    /// A clock that reads Unix time now.
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), origin: since_epoch.as_micros() as Micros }
+        Clock { start_instant: Instant::now(), start_time: since_epoch.as_micros() as Micros }
     }
 
-    /// The clock's reading.
+    /// Returns the clock's current time, in microseconds.
     pub fn now(&self) -> Micros {
-        self.origin + self.started.elapsed().as_micros() as Micros
+        self.start_time + self.start_instant.elapsed().as_micros() as Micros
     }
 
-    /// The runtime's instant at which the clock reads `time`.
-    pub fn instant(&self, time: Micros) -> Instant {
-        self.started + Duration::from_micros(time.saturating_sub(self.origin))
+    /// Returns the runtime's instant at which the clock shows `time`.
+    pub fn instant_at(&self, time: Micros) -> Instant {
+        self.start_instant + Duration::from_micros(time.saturating_sub(self.start_time))
     }
 }
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -1,4 +1,5 @@
-//! The engine among an upstream group and a scripted worker; what it does with an action is private to it.
+//! Tests of the engine with an upstream group and a scripted worker. They are unit tests, since the engine's
+//! execution of actions is private.
 
 use super::*;
 use crate::config::{file, read_text};
@@ -10,7 +11,7 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// A probe that the scheduler decided on reaches the worker, and the event that results names the worker and the
+/// A probe that the scheduler requests reaches the worker, and the resulting event names the worker and the
 /// outcome.
 #[tokio::test]
 async fn a_probe_is_sent_to_its_worker_and_its_outcome_returned() {
@@ -35,14 +36,14 @@
     let mut worker = Wire::new(listener.accept().await.expect("a connection").0);
     assert_eq!(worker.read().await.expect("a probe").line, "GET /stats HTTP/1.1");
 
-    // The only permit for probes is taken until that one has ended.
+    // The first probe is in flight and holds the only permit, so a second probe is not sent.
     let event = engine.probe(worker_id).await;
     let Event::Probed { worker, outcome, load, .. } = event else { panic!("{event:?}") };
     assert_eq!((worker, outcome, load), (worker_id, Outcome::NotSent, None));
 }
 
-/// Timers fire in the order of their times, those of one time in the order of their tokens, whatever the order in which
-/// they were set.
+/// Timers fire in the order of their times, whatever the order in which they were set. Timers with equal
+/// times fire in the order of their tokens.
 #[test]
 fn timers_fire_in_the_order_of_their_times() {
     let mut timers = TimerQueue::default();
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -1,8 +1,9 @@
-//! The life of one request, from its submission to exactly one answer.
+//! The life cycle of one request, from its submission to exactly one answer.
 //!
-//! Each request has a task that executes the decision module's commands for it and owns its attempts and its right to an answer.
-//! The task knows no protocol: the client server makes a [`Job`] and renders an [`Answer`]. It never chooses a worker, a delay
-//! or an answer by itself, and reports every event to the module through the engine.
+//! Each request has its own task, which executes the decision module's commands for the request, owns the
+//! request's attempts and sends its answer. The task is independent of the protocol: the client server
+//! creates the [`Job`] and renders the [`Answer`]. The task never chooses a worker, a delay or an answer by
+//! itself, and reports every event to the decision module through the engine.
 
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{record_violation, Invariant};
@@ -25,13 +26,13 @@
 
 /// A request as it was read from a client, independent of the protocol.
 pub struct Job {
-    /// What the decision module gets.
+    /// The part of the request that the decision module gets.
     pub request: Request,
-    /// What a worker gets, unparsed.
+    /// The part of the request that a worker gets, unparsed.
     pub payload: Payload,
-    /// The settings that it was read under; they apply to its end.
+    /// The settings that were in force when the request was read; they apply until the request ends.
     pub settings: Arc<Snapshot>,
-    /// Its part of the memory for bodies, released with the job.
+    /// The request's share of the memory for bodies, released with the job.
     pub body_permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -40,19 +41,19 @@
 pub enum Answer {
     /// A worker's result.
     Served(Bytes),
-    /// Rejected: it has not run, and a retry is harmless.
+    /// The request is rejected; a retry by the client is harmless.
     Rejected {
-        /// When a retry is advised, in microseconds from now; 0 for no advice.
+        /// How long the client should wait before a retry, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// Failed: it may have run.
+    /// The request failed; it may have run.
     Failed,
-    /// The id belongs to a request that is still open.
+    /// The request's id belongs to another request that is still open.
     Duplicate,
 }
 
 impl Answer {
-    /// The name of the answer in the log.
+    /// Returns the name of the answer in the log.
     fn name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
@@ -63,22 +64,23 @@
     }
 }
 
-/// Submits a request to the decision module, and returns the receiver of its one final answer.
+/// Submits a request to the decision module, and returns the receiver of the request's one final answer.
 ///
-/// No other settings may come into force between the reading of the request and this call. The request lives in a task of its
-/// own, since attempts may outlive the client; dropping the receiver means that the client has disconnected.
+/// The settings must not change between the reading of the request and this call. The request runs in its own
+/// task, since attempts may outlive the client's connection; dropping the receiver means that the client has
+/// disconnected.
 pub fn submit(
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     process_links: Arc<ProcessLinks>,
     job: Job,
 ) -> oneshot::Receiver<Answer> {
-    let (reply, answer) = oneshot::channel();
+    let (answer_sender, answer) = oneshot::channel();
     let Job { request, payload, settings, body_permit } = job;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
     let open_elsewhere = process_links.has_open_request(id);
     let Some(commands) = (!open_elsewhere).then(|| engine.open_request(request)).flatten() else {
-        let _ = reply.send(Answer::Duplicate);
+        let _ = answer_sender.send(Answer::Duplicate);
         return answer;
     };
     process_links.broadcast(|| HandoverMessage::RequestOpened(id.0));
@@ -91,7 +93,7 @@
         deadline,
         attempts: Vec::new(),
         commands,
-        reply: Some(reply),
+        answer_sender: Some(answer_sender),
         concluded: Arc::default(),
         _body_permit: body_permit,
     };
@@ -99,15 +101,15 @@
     answer
 }
 
-/// One request's life, until it is answered and each of its attempts has ended.
+/// Runs one request until it is answered and all of its attempts have ended.
 async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, payload: Payload) {
     let engine = context.engine.clone();
     let mut in_flight = FuturesUnordered::new();
-    while context.reply.is_some() || !in_flight.is_empty() {
+    while context.answer_sender.is_some() || !in_flight.is_empty() {
         tokio::select! {
             biased;
-            // Before any command: what the module sends in the same moment is no longer wanted.
-            () = client_disconnected(&mut context.reply) => context.on_client_disconnected(),
+            // The client comes before the commands: no attempt may start once the client has disconnected.
+            () = client_disconnected(&mut context.answer_sender) => context.on_client_disconnected(),
             command = context.commands.recv() => match command {
                 Some(RequestCommand::Send { worker, timeout }) => {
                     let attempt = context.start_attempt(worker, timeout);
@@ -118,7 +120,7 @@
                     context.conclude_unserved(Answer::Rejected { retry_after });
                 }
                 Some(RequestCommand::Fail) => context.conclude_unserved(Answer::Failed),
-                // The engine never drops a sender before `close`.
+                // Unreachable: the engine keeps the sender of the commands until `close_request`.
                 None => return,
             },
             Some(finished) = in_flight.next() => context.finish_attempt(finished, &upstream),
@@ -126,15 +128,15 @@
     }
 }
 
-/// Resolves when the client of an unanswered request disconnects.
-async fn client_disconnected(reply: &mut Option<oneshot::Sender<Answer>>) {
-    match reply {
-        Some(reply) => reply.closed().await,
+/// Resolves when the client of an unanswered request disconnects; never resolves for an answered request.
+async fn client_disconnected(answer_sender: &mut Option<oneshot::Sender<Answer>>) {
+    match answer_sender {
+        Some(answer_sender) => answer_sender.closed().await,
         None => std::future::pending().await,
     }
 }
 
-/// The state of one open request. It is registered with the engine until this is dropped.
+/// The state of one open request. The request is registered with the engine until this context is dropped.
 struct RequestContext {
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
@@ -142,21 +144,21 @@
     id: RequestId,
     class: ClassId,
     deadline: Micros,
-    /// All attempts so far, by their number.
+    /// All attempts so far, indexed by attempt number.
     attempts: Vec<AttemptRecord>,
     commands: UnboundedReceiver<RequestCommand>,
-    /// Present until the request is answered or its client disconnects.
-    reply: Option<oneshot::Sender<Answer>>,
-    /// Set once nobody waits for the answer any more.
+    /// The sender of the answer; present until the request is answered or its client disconnects.
+    answer_sender: Option<oneshot::Sender<Answer>>,
+    /// Set once the request is answered or its client disconnects; shared with the attempts.
     concluded: Arc<AtomicBool>,
     _body_permit: Option<OwnedSemaphorePermit>,
 }
 
-/// What the request remembers of an attempt.
+/// The record that a request keeps of one of its attempts.
 struct AttemptRecord {
-    /// Present until the attempt is cancelled.
+    /// The sender that cancels the attempt; present until the attempt is cancelled.
     cancel: Option<oneshot::Sender<()>>,
-    /// When it was sent; `None` once it is known that it never ran.
+    /// When the attempt was sent; `None` once the attempt is known to have never run.
     may_have_run_since: Option<Micros>,
 }
 
@@ -166,7 +168,7 @@
     number: AttemptNo,
     worker: WorkerId,
     sent_at: Micros,
-    /// `None` if it must not be sent any more.
+    /// The conditions under which the attempt is sent; `None` if the attempt must no longer be sent.
     conditions: Option<SendConditions>,
     cancelled: oneshot::Receiver<()>,
 }
@@ -181,7 +183,7 @@
 }
 
 impl NewAttempt {
-    /// Runs the attempt to its end, and reports the job's progress to the decision module.
+    /// Runs the attempt until it ends, and reports the job's progress to the decision module.
     async fn run(self, engine: &Engine, upstream: &UpstreamGroup, payload: &Payload) -> FinishedAttempt {
         let NewAttempt { request, number, worker, sent_at, .. } = self;
         let on_progress = |progress| {
@@ -207,7 +209,8 @@
 }
 
 impl RequestContext {
-    /// Registers an attempt that the decision module has commanded, and sets the conditions under which it is sent.
+    /// Records an attempt that the decision module has commanded, and sets the conditions under which the
+    /// attempt is sent.
     fn start_attempt(&mut self, worker: WorkerId, timeout: Option<Micros>) -> NewAttempt {
         let number = AttemptNo(self.attempts.len() as u32);
         let sent_at = self.engine.clock.now();
@@ -216,8 +219,8 @@
         let first_byte_deadline = self.first_byte_deadline(sent_at, deadline);
         let (cancel, cancelled) = oneshot::channel();
         self.attempts.push(AttemptRecord { cancel: Some(cancel), may_have_run_since: Some(sent_at) });
-        let is_wanted = self.reply.is_some() && first_byte_deadline > sent_at;
-        let conditions = is_wanted.then(|| SendConditions {
+        let may_send = self.answer_sender.is_some() && first_byte_deadline > sent_at;
+        let conditions = may_send.then(|| SendConditions {
             timeout: Duration::from_micros(deadline - sent_at),
             first_byte_timeout: Duration::from_micros(first_byte_deadline - sent_at),
             concluded: self.concluded.clone(),
@@ -225,8 +228,8 @@
         NewAttempt { request: self.id, number, worker, sent_at, conditions, cancelled }
     }
 
-    /// Until when the first byte of an attempt may be written. The decision module sent it within these bounds, and a
-    /// connection may take long to come up.
+    /// Returns the time before which the first byte of an attempt must be written. The decision module sends
+    /// an attempt within the same limits, but they may have passed once the attempt has a connection.
     fn first_byte_deadline(&self, sent_at: Micros, deadline: Micros) -> Micros {
         let class = self.settings.settings.classes.get(self.class.0 as usize);
         let idempotency = class.map(|class| class.idempotency).unwrap_or_default();
@@ -240,7 +243,7 @@
                 record_violation(
                     Invariant::NonIdempotentJobSentOnce,
                     Some(self.id),
-                    "an attempt before may have run",
+                    "an earlier attempt may have run",
                 );
                 sent_at
             }
@@ -250,12 +253,13 @@
     fn cancel_attempt(&mut self, number: AttemptNo) {
         let attempt = self.attempts.get_mut(number.0 as usize);
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
-            // Sending fails if the attempt has ended.
+            // Sending fails if the attempt has ended; nothing is left to cancel then.
             let _ = cancel.send(());
         }
     }
 
-    /// Answers with an attempt's result where it has one, and reports its outcome to the decision module.
+    /// Answers the request if the attempt has a result, and reports the attempt's outcome to the decision
+    /// module.
     fn finish_attempt(&mut self, finished: FinishedAttempt, upstream: &UpstreamGroup) {
         let FinishedAttempt { number, worker, sent_at, result, load } = finished;
         let outcome = match result {
@@ -277,7 +281,7 @@
             latency_us = latency,
             "attempt.finished"
         );
-        let closed = self.reply.is_none();
+        let closed = self.answer_sender.is_none();
         self.engine.handle(Event::AttemptFinished {
             request,
             attempt: number,
@@ -290,12 +294,13 @@
     }
 
     fn on_client_disconnected(&mut self) {
-        self.reply = None;
+        self.answer_sender = None;
         self.concluded.store(true, Ordering::Relaxed);
         self.engine.handle(Event::ClientDisconnected(self.id));
     }
 
-    /// Answers without a worker's result, and logs what explains that: the attempts, and the time that remained.
+    /// Answers without a worker's result, and logs the number of attempts and the remaining time for
+    /// diagnosis.
     fn conclude_unserved(&mut self, answer: Answer) {
         let may_have_run =
             self.attempts.iter().filter(|attempt| attempt.may_have_run_since.is_some()).count();
@@ -312,25 +317,26 @@
     }
 
     fn answer(&mut self, answer: Answer) {
-        if let Some(reply) = self.reply.take() {
+        if let Some(answer_sender) = self.answer_sender.take() {
             self.concluded.store(true, Ordering::Relaxed);
             let class = self.settings.names.classes.get(self.class.0 as usize).map_or("", String::as_str);
             debug!(request = %Id(self.id), class, answer = answer.name(), "request.answered");
-            // Sending fails if the client has disconnected in this instant; the answer is dropped then.
-            let _ = reply.send(answer);
+            // Sending fails if the client has just disconnected; the answer is dropped then.
+            let _ = answer_sender.send(answer);
         }
     }
 }
 
 impl Drop for RequestContext {
     fn drop(&mut self) {
-        // If the task is cancelled, the decision module must not wait for a request that has no task any more.
-        if let Some(reply) = self.reply.take() {
-            if !reply.is_closed() {
+        // If the task is cancelled, the decision module must not wait for a request that no longer has a
+        // task.
+        if let Some(answer_sender) = self.answer_sender.take() {
+            if !answer_sender.is_closed() {
                 record_violation(
                     Invariant::AcceptedRequestIsAnswered,
                     Some(self.id),
-                    "its life was cut short",
+                    "the request's task was cancelled before it answered",
                 );
             }
             self.engine.handle(Event::ClientDisconnected(self.id));
