--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -336,7 +336,7 @@
                 record_violation(
                     Invariant::AcceptedRequestIsAnswered,
                     Some(self.id),
-                    "the request's task was cancelled before it answered",
+                    "the task ended before the request was answered",
                 );
             }
             self.engine.handle(Event::ClientDisconnected(self.id));
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -1,5 +1,6 @@
-//! Responses of workers that are truncated, sent twice or never end, and connections that end while they are idle. The worker
-//! is a blocking socket, so that what it writes is in the kernel before the runtime can poll any socket.
+//! Responses of workers that are truncated, sent twice or never end, and connections that end while they are
+//! idle. The worker is a blocking socket, so that the bytes that the worker writes are in the kernel before
+//! the runtime polls any socket.
 #![allow(missing_docs)]
 
 mod common;
@@ -25,7 +26,7 @@
 /// A response by which a worker declares that it has not started the job.
 const REJECTED: &str = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// A group that knows one worker, `s-0`.
+/// An upstream group with one worker, `s-0`.
 struct Fixture {
     group: UpstreamGroup,
     listener: TcpListener,
@@ -40,7 +41,7 @@
         self.0.write_all(text.as_bytes()).expect("written");
     }
 
-    /// The next complete request; `None` if the connection was closed between two requests.
+    /// Reads the next complete request; `None` if the connection was closed between two requests.
     async fn read_request(&mut self) -> Option<String> {
         let mut stream = self.0.try_clone().expect("a descriptor");
         spawn_blocking(move || {
@@ -58,7 +59,7 @@
             Some(text)
         })
         .await
-        .expect("it reads")
+        .expect("the blocking read ends")
     }
 
     fn reset(self) {
@@ -67,9 +68,9 @@
 }
 
 impl Fixture {
-    fn new(dial: Duration) -> Fixture {
+    fn new(dial_timeout: Duration) -> Fixture {
         let (listener, worker) = (TcpListener::bind("127.0.0.1:0").expect("a port"), worker_id("s-0"));
-        let group = UpstreamGroup::new(dial, MINUTE, 1);
+        let group = UpstreamGroup::new(dial_timeout, MINUTE, 1);
         let address = listener.local_addr().expect("bound").to_string();
         let (name, state) = ("s-0", EndpointState::Ready);
         let endpoint = WorkerEndpoint { worker_id: worker, name, address: &address, state, started_at: 0 };
@@ -79,9 +80,9 @@
 
     async fn accept(&self) -> WorkerConnection {
         let listener = self.listener.try_clone().expect("a descriptor");
-        let accepting = move || listener.accept().expect("a connection").0;
-        let stream = spawn_blocking(accepting).await.expect("it accepts");
-        // A runtime does not end before its blocking calls do.
+        let accept = move || listener.accept().expect("a connection").0;
+        let stream = spawn_blocking(accept).await.expect("the blocking accept ends");
+        // The runtime waits for blocking calls when it ends, so a read must not block forever.
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         WorkerConnection(stream)
     }
@@ -102,7 +103,8 @@
         self.attempt_with(payload(None, "work"), cancelled).await
     }
 
-    /// A connection that has just become idle: its response was read to the end, as the attempt's result shows.
+    /// Returns a connection that has just become idle: one attempt on it was rejected, and the response was
+    /// read to the end.
     async fn idle_connection(&self) -> WorkerConnection {
         let worker = async {
             let mut connection = self.accept().await;
@@ -112,7 +114,7 @@
         };
         let (result, connection) = tokio::join!(self.attempt(), worker);
         assert_eq!(result, AttemptResult::NotServed(Outcome::Rejected));
-        // The pool's own tasks return it to the pool.
+        // Lets the pool's own tasks run, which return the connection to the pool.
         for _ in 0..8 {
             tokio::task::yield_now().await;
         }
@@ -134,6 +136,7 @@
     AttemptResult::Served(Bytes::from_static(b"made"))
 }
 
+/// What the worker does on an idle connection.
 #[derive(Clone, Copy)]
 enum WorkerAction {
     RespondAgain(&'static str),
@@ -141,9 +144,10 @@
     Reset,
 }
 
-/// Bytes from a worker on an idle connection, or its end, may be in the kernel and not yet read here. The next request is not
-/// written then, it never ran whatever its class, and no response is taken for its own. This holds both within the reuse
-/// delay after the last response and after it.
+/// A worker may send bytes on an idle connection or close the connection, and the kernel may hold this input
+/// while it is still unread here. The next request is then not written, never ran whatever its class, and
+/// takes no response for its own. The test covers both the time within the reuse delay after the last
+/// response and the time after the reuse delay.
 #[rstest]
 #[case::accepted_again(WorkerAction::RespondAgain(ACCEPTED))]
 #[case::rejected_again(WorkerAction::RespondAgain(REJECTED))]
@@ -164,7 +168,7 @@
     }
     let attempt = fixture.attempt();
     tokio::pin!(attempt);
-    // The request is handed to the connection, whose task has not run since.
+    // The first poll hands the request to the connection, whose task has not run since.
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
     match action {
         WorkerAction::RespondAgain(response) => connection.write(response),
@@ -176,31 +180,34 @@
         }
     }
     assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
-    let bytes_read =
-        spawn_blocking(move || connection.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
+    let bytes_read = spawn_blocking(move || connection.0.read(&mut [0; 1]).unwrap_or(0))
+        .await
+        .expect("the blocking read ends");
     assert_eq!(bytes_read, 0, "no byte was written");
     // The next request gets a new connection.
     fixture.idle_connection().await;
 }
 
-/// A second response that arrives some milliseconds late finds the next request unwritten: it waits for the reuse delay.
+/// A worker's second response that arrives some milliseconds late is not taken for the response to the next
+/// request, because that request is not written before the reuse delay has passed.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_second_response_is_not_taken_for_that_of_the_next_request() {
+async fn a_second_response_is_not_taken_for_the_response_to_the_next_request() {
     let fixture = Fixture::new(MINUTE);
     let mut connection = fixture.idle_connection().await;
     let attempt = fixture.attempt();
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
-    // Every task has been polled, including the connection's.
+    // Lets every task run, including the connection's.
     for _ in 0..4 {
         tokio::task::yield_now().await;
     }
     connection.write(REJECTED);
     assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
-    let bytes_read =
-        spawn_blocking(move || connection.0.read(&mut [0; 1]).unwrap_or(0)).await.expect("it reads");
+    let bytes_read = spawn_blocking(move || connection.0.read(&mut [0; 1]).unwrap_or(0))
+        .await
+        .expect("the blocking read ends");
     assert_eq!(bytes_read, 0, "no byte was written");
 }
 
@@ -220,7 +227,7 @@
     }
 }
 
-/// A request that is cancelled within the reuse delay of its connection is not written, and never ran.
+/// A request that is cancelled within the reuse delay of its connection is not written and never ran.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -231,7 +238,7 @@
     let attempt = fixture.attempt_with(payload(None, "work"), cancelled);
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
-    // The connection's task receives it, and delays it.
+    // Lets the connection's task receive the request, which it delays.
     for _ in 0..4 {
         tokio::task::yield_now().await;
     }
@@ -240,7 +247,8 @@
     assert_eq!(connection.read_request().await, None);
 }
 
-/// Half a response counts as none, and is waited for until the accept timeout. What follows the head decides nothing.
+/// An incomplete or informational response counts as no response once the accept timeout has passed. After a
+/// complete head, the body does not affect the outcome.
 #[rstest]
 #[case::half_a_line("HTTP/1.1 20", Outcome::NoResponse)]
 #[case::half_a_head("HTTP/1.1 202 Accepted\r\ncontent-le", Outcome::NoResponse)]
@@ -270,8 +278,9 @@
     assert_eq!(result, AttemptResult::NotServed(expected));
 }
 
-/// The head of a 202 accepts the job: its connection is abandoned after a while, the job goes on, and is cancelled by a call.
-/// An informational response before it does not count.
+/// The head of a 202 accepts the job, also if the body never ends: the connection is abandoned after a while,
+/// but the job goes on until it ends or is cancelled by a `DELETE` request. An informational response before
+/// the 202 does not accept the job.
 #[rstest]
 #[case::ends("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n")]
 #[case::never_ends("HTTP/1.1 202 Accepted\r\ncontent-length: 10\r\n\r\nabc")]
@@ -285,27 +294,28 @@
         let mut connection = fixture.accept().await;
         connection.read_request().await.expect("the job");
         connection.write(response);
-        // Longer than the accept timeout.
+        // This sleep is longer than the accept timeout.
         tokio::time::sleep(Duration::from_secs(1)).await;
         if completes {
             fixture.send_callback("done");
             return;
         }
         cancel.send(()).expect("the attempt is in flight");
-        // A response that has not ended occupies its connection.
+        // A response that has not ended occupies its connection, so the cancellation comes on another one.
         let is_complete = response.contains("content-length: 0");
-        let call = if is_complete {
+        let cancellation = if is_complete {
             connection.read_request().await
         } else {
             fixture.accept().await.read_request().await
         };
-        assert!(call.expect("a call").starts_with(&format!("DELETE /jobs/{REQUEST_ID} ")));
+        assert!(cancellation.expect("a cancellation").starts_with(&format!("DELETE /jobs/{REQUEST_ID} ")));
     };
     let (result, ()) = tokio::join!(fixture.attempt_with(payload(None, "work"), cancelled), worker);
     assert_eq!(result, if completes { served() } else { AttemptResult::NotServed(Outcome::Cancelled) });
 }
 
-/// A request whose connection breaks after its last byte may have run, whatever it consists of.
+/// A request whose connection breaks after the request's last byte may have run, with or without a key or a
+/// body.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -324,8 +334,9 @@
     assert_eq!(result, AttemptResult::NotServed(Outcome::Reset));
 }
 
-/// A worker retries a callback that was not answered. One that has ended an attempt does not end the next one there, which has
-/// not been accepted yet; a callback after the 202 is about the next one.
+/// A worker retries a callback that was not acknowledged. If the callback has ended an attempt, its retry
+/// does not end the next attempt at the same worker as long as that attempt is not accepted. A callback after
+/// the 202 is about the new attempt.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -1,6 +1,7 @@
-//! Connections to workers that come up late, long after the decision to send: one test for each condition that may no longer
-//! hold at the first byte. The kernel drops the SYN of a dial while a listener's queue is full, and retransmits it after a
-//! second; no test waits for that time except by waiting for the connection.
+//! Connections to workers that are established long after the decision to send: one test for each condition
+//! that may no longer hold at the first byte. The delay comes from a full accept queue: the kernel drops the
+//! SYN of the dial, and retransmits the SYN after a second. The tests wait for the connection, not for a
+//! fixed time.
 #![allow(missing_docs)]
 
 mod common;
@@ -30,7 +31,7 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
-/// When the worker's process started.
+/// When the worker's process started, in microseconds.
 const STARTED_AT: Micros = 7;
 
 /// A listener whose accept queue holds one connection.
@@ -43,12 +44,13 @@
     fn open() -> FullQueueListener {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        let listener = socket.listen(0).expect("it listens");
+        let listener = socket.listen(0).expect("a listener");
         let address = listener.local_addr().expect("bound");
         FullQueueListener { listener, address }
     }
 
-    /// Fills the queue: until this connection is accepted, no other comes up.
+    /// Fills the accept queue with a connection. No other connection is established until this one is
+    /// accepted.
     async fn fill(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("the queue is empty")
     }
@@ -81,9 +83,10 @@
     serde_json::from_value(body).expect("a callback")
 }
 
+/// The change that happens while an attempt waits for its connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Change {
-    Nothing,
+    NoChange,
     RequestConcluded,
     DeadlinePassed,
     WorkerDraining,
@@ -94,10 +97,10 @@
 }
 
 impl Change {
-    /// Makes the change while the attempt waits for its connection.
+    /// Makes the change.
     fn apply(self, group: &UpstreamGroup, listener: &FullQueueListener, concluded: &AtomicBool) {
         match self {
-            Change::Nothing | Change::DeadlinePassed => {}
+            Change::NoChange | Change::DeadlinePassed => {}
             Change::RequestConcluded => concluded.store(true, Ordering::Relaxed),
             Change::WorkerDraining => update_endpoint(group, listener, EndpointState::Draining, STARTED_AT),
             Change::WorkerRestarted => update_endpoint(group, listener, EndpointState::Ready, STARTED_AT + 1),
@@ -112,10 +115,11 @@
     }
 }
 
-/// A connection comes up long after its dial began. The conditions of the attempt must still hold at its first byte; if they do
-/// not, no byte is written, and the attempt never ran. A callback that arrives meanwhile is about an earlier attempt.
+/// A connection is established long after its dial began. If the conditions of the attempt no longer hold at
+/// the first byte, no byte is written, and the attempt never ran. A callback that arrives before the
+/// connection is about an earlier attempt.
 #[rstest]
-#[case::nothing_changes(Change::Nothing, AttemptResult::Served("made".into()))]
+#[case::nothing_changes(Change::NoChange, AttemptResult::Served("made".into()))]
 #[case::the_request_is_concluded(Change::RequestConcluded, AttemptResult::NotServed(Outcome::NotSent))]
 #[case::the_deadline_passes(Change::DeadlinePassed, AttemptResult::NotServed(Outcome::NotSent))]
 #[case::the_worker_drains(Change::WorkerDraining, AttemptResult::NotServed(Outcome::ConnectFailed))]
@@ -137,21 +141,21 @@
     let _filler = listener.fill().await;
     let mut conditions = SendConditions::with_timeout(MINUTE);
     if change == Change::DeadlinePassed {
-        // Passed before the kernel retransmits.
+        // This timeout is over before the kernel retransmits the SYN.
         conditions.first_byte_timeout = Duration::from_micros(1);
     }
     let (concluded, payload, (_cancel, cancelled)) =
         (conditions.concluded.clone(), payload(REQUEST_ID), oneshot::channel());
     let attempt = group.attempt(RequestId(0xab), worker_id("s-0"), &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
-    assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
+    assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "the attempt dials");
     change.apply(&group, &listener, &concluded);
     let worker = async {
         drop(listener.accept().await);
         let mut worker = listener.accept().await;
         if let Some(job) = worker.read().await {
             assert_eq!(job.header("x-trace-id"), Some(REQUEST_ID));
-            worker.answer(202, "", "").await.expect("the group reads it");
+            worker.answer(202, "", "").await.expect("the group reads the response");
             assert!(group.dispatch_callback(&callback(REQUEST_ID, "done")));
             return true;
         }
@@ -159,7 +163,7 @@
     };
     tokio::pin!(worker);
     match change {
-        // The dial goes with the attempt: there is no connection to wait for.
+        // The attempt ends at once and its dial is dropped, so that no connection is established.
         Change::WorkerDraining
         | Change::WorkerRestarted
         | Change::WorkerRestartedWithItsClockSteppedBack
@@ -167,31 +171,32 @@
             tokio::select! {
                 biased;
                 (result, _) = attempt => assert_eq!(result, expected),
-                written = &mut worker => panic!("a connection came up, written to: {written}"),
+                written = &mut worker => panic!("a connection was established; request written: {written}"),
             }
         }
         _ => {
             let ((result, _), written) = tokio::join!(attempt, worker);
-            let is_written = matches!(change, Change::Nothing | Change::EarlierAttemptReturned);
+            let is_written = matches!(change, Change::NoChange | Change::EarlierAttemptReturned);
             assert_eq!((result, written), (expected, is_written));
         }
     }
 }
 
-/// A worker learns how long its response is waited for. That counts from the first byte, not from the decision: the client
-/// waits no longer because the connection came up late.
+/// The `x-expires-in` header tells a worker how long the scheduler waits for the response. A connection that
+/// is established late shortens this time, since the client does not wait longer.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_carries_the_time_that_remains_at_its_first_byte() {
     const TIMEOUT: Duration = Duration::from_secs(5);
-    /// From the first byte to its reading here; less than the second before the kernel retransmits.
-    const READ_DELAY: Duration = Duration::from_millis(500);
+    /// How long reading the first byte may take here; less than the second before the kernel retransmits the
+    /// SYN.
+    const MAX_READ_DELAY: Duration = Duration::from_millis(500);
     let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     update_endpoint(&group, &listener, EndpointState::Ready, 0);
     let _filler = listener.fill().await;
     let (payload, (_cancel, cancelled)) = (payload(REQUEST_ID), oneshot::channel());
-    let decided = std::time::Instant::now();
+    let decided_at = std::time::Instant::now();
     let worker = worker_id("s-0");
     let attempt = group.attempt(
         RequestId(0xab),
@@ -202,28 +207,29 @@
         |_| {},
     );
     tokio::pin!(attempt);
-    assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
+    assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "the attempt dials");
     let worker = async {
         drop(listener.accept().await);
         let mut worker = listener.accept().await;
         let job = worker.read().await.expect("the job");
-        let elapsed = decided.elapsed();
-        worker.answer(202, "", "").await.expect("the group reads it");
+        let elapsed = decided_at.elapsed();
+        worker.answer(202, "", "").await.expect("the group reads the response");
         assert!(group.dispatch_callback(&callback(REQUEST_ID, "done")));
-        let value = job.header("x-expires-in").expect("a span");
+        let value = job.header("x-expires-in").expect("the header");
         let micros = value.strip_suffix('u').and_then(|digits| digits.parse().ok()).expect("microseconds");
         (Duration::from_micros(micros), elapsed)
     };
     let ((result, _), (remaining, elapsed)) = tokio::join!(attempt, worker);
     assert_eq!(result, AttemptResult::Served("made".into()));
     assert!(
-        remaining + elapsed <= TIMEOUT + READ_DELAY,
-        "{remaining:?} when {elapsed:?} of {TIMEOUT:?} had passed"
+        remaining + elapsed <= TIMEOUT + MAX_READ_DELAY,
+        "{remaining:?} left after {elapsed:?} of {TIMEOUT:?}"
     );
-    assert!(remaining + elapsed >= TIMEOUT, "{remaining:?} when {elapsed:?} of {TIMEOUT:?} had passed");
+    assert!(remaining + elapsed >= TIMEOUT, "{remaining:?} left after {elapsed:?} of {TIMEOUT:?}");
 }
 
-/// Two requests wait for one worker, and the first is cancelled. Connections that come up afterwards carry only the second.
+/// Two requests wait for connections to one worker, and the first request is cancelled. Connections that are
+/// established afterwards carry only the second request.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -256,20 +262,21 @@
             && futures_util::poll!(second_attempt.as_mut()).is_pending()
     );
     cancel.send(()).expect("the attempt is in flight");
-    assert_eq!(first_attempt.await.0, AttemptResult::NotServed(Outcome::NotSent), "it never ran");
+    assert_eq!(first_attempt.await.0, AttemptResult::NotServed(Outcome::NotSent), "the attempt never ran");
     let worker = async {
         drop(listener.accept().await);
         let mut worker = listener.accept().await;
         let job = worker.read().await.expect("the second job");
         assert_eq!(job.header("x-trace-id"), Some("00000000000000cd"));
-        worker.answer(202, "", "").await.expect("the group reads it");
+        worker.answer(202, "", "").await.expect("the group reads the response");
         assert!(group.dispatch_callback(&callback("00000000000000cd", "done")));
     };
     let ((result, _), ()) = tokio::join!(second_attempt, worker);
     assert_eq!(result, AttemptResult::Served("made".into()));
 }
 
-/// The configuration of one class of keyed jobs, whose deduplication window is shorter than the kernel's retransmission delay.
+/// Returns a configuration with one class of keyed jobs, whose deduplication window is shorter than the
+/// kernel's retransmission delay.
 fn keyed_config() -> Config {
     let class = json!({"name": "pay", "repeat": "keyed", "group": "all", "window": 500_000, "aim": 500_000,
                        "deadline": 60_000_000, "late_share": 0.5});
@@ -278,7 +285,7 @@
             "discovery": "ask", "services": [class], "limits": {"max_attempts": 4, "may_cancel": true},
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
-    read_text("late", &document.to_string()).expect("it reads").config
+    read_text("late", &document.to_string()).expect("a configuration").config
 }
 
 fn keyed_request(deadline: Micros) -> Request {
@@ -318,14 +325,14 @@
     });
 }
 
-/// A keyed job may have run at its first worker. The connection to the second comes up after the deduplication window: the retry
-/// is not written, and the client gets its answer at once.
+/// A keyed job may have run at its first worker. The connection to the second worker is established after the
+/// deduplication window has passed: the retry is not written, and the client gets its answer at once.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_keyed_job_is_not_retried_on_a_connection_that_comes_up_after_its_deduplication_window() {
     let config = keyed_config();
-    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("valid settings");
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
     let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
     tokio::spawn(engine.clone().run_timers());
@@ -335,23 +342,24 @@
     let job =
         Job { request, payload: payload(REQUEST_ID), settings: Arc::new(config.snapshot), body_permit: None };
     let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), job);
-    let (mut first, other) = tokio::select! {
+    let (mut first, second) = tokio::select! {
         worker = workers[0].accept() => (worker, &workers[1]),
         worker = workers[1].accept() => (worker, &workers[0]),
     };
     first.read().await.expect("the job");
-    let _filler = other.fill().await;
-    first.answer(500, "", "").await.expect("the group reads it");
-    let late = async {
+    let _filler = second.fill().await;
+    first.answer(500, "", "").await.expect("the group reads the response");
+    let late_request = async {
         while upstream.connections().get() < 2 {
             tokio::task::yield_now().await;
         }
-        // Once this connection is accepted, the kernel's next SYN is queued; that is a second after the first.
-        drop(other.accept().await);
-        other.accept().await.read().await
+        // Accepting the filler makes room in the queue for the retransmitted SYN, a second after the first
+        // SYN.
+        drop(second.accept().await);
+        second.accept().await.read().await
     };
-    let (written, answer) = tokio::join!(late, answer);
-    assert_eq!(written, None, "the window has passed");
-    // A rejection would promise that a retry is harmless, and workers no longer deduplicate it.
+    let (late_request, answer) = tokio::join!(late_request, answer);
+    assert_eq!(late_request, None, "the deduplication window has passed");
+    // A rejection would promise that a retry is harmless, but workers no longer deduplicate a retry.
     assert_eq!(answer.expect("an answer"), Answer::Failed);
 }
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -1,5 +1,5 @@
-//! Probes of workers and their load reports, against scripted workers on loopback sockets: one test for each way in which a
-//! probe can end, and for each way in which a report can arrive.
+//! Probes and load reports of scripted workers on loopback sockets: one test for each way in which a probe
+//! can end, and for each way in which a report can arrive.
 #![allow(missing_docs)]
 
 use bytes::Bytes;
@@ -18,15 +18,15 @@
 };
 use vetchbridge_testbed::{wire::Wire, Port};
 
-/// A test that makes no progress fails; none of them measures time.
+/// A test that makes no progress fails after this time; no test measures time.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
 
-/// A group that knows one worker, `s-0`.
+/// An upstream group with one worker, `s-0`.
 struct Fixture {
     group: UpstreamGroup,
-    worker: TcpListener,
+    listener: TcpListener,
     worker_id: WorkerId,
 }
 
@@ -37,30 +37,31 @@
 }
 
 impl Fixture {
-    async fn new(source: LoadReportSource, probes: usize) -> Fixture {
-        let worker = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let group = UpstreamGroup::new(MINUTE, MINUTE, probes);
+    async fn new(source: LoadReportSource, max_probes: usize) -> Fixture {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let group = UpstreamGroup::new(MINUTE, MINUTE, max_probes);
         group.set_load_reports(LoadReportSettings { source, free_slots: FreeSlotsField::X0 });
-        update_endpoint(&group, worker.local_addr().expect("bound"), EndpointState::Ready);
-        Fixture { group, worker, worker_id: worker_id("s-0") }
+        update_endpoint(&group, listener.local_addr().expect("bound"), EndpointState::Ready);
+        Fixture { group, listener, worker_id: worker_id("s-0") }
     }
 
     async fn accept(&self) -> Wire {
-        Wire::new(self.worker.accept().await.expect("a connection").0)
+        Wire::new(self.listener.accept().await.expect("a connection").0)
     }
 
-    /// A probe that the worker answers with this status, these header lines and this body.
+    /// Makes a probe, to which the worker responds with this status, these header lines and this body.
     async fn probe(&self, status: u16, headers: &str, body: &str) -> (Outcome, Option<LoadReport>) {
         let responding = async {
             let mut wire = self.accept().await;
             wire.read().await.expect("a probe");
-            wire.answer(status, headers, body).await.expect("the group reads it");
+            wire.answer(status, headers, body).await.expect("the group reads the response");
             wire
         };
         tokio::join!(self.group.probe(self.worker_id), responding).0
     }
 
-    /// An attempt that the worker answers with this status and these header lines, and by a callback if there is one.
+    /// Makes an attempt, to which the worker responds with this status and these header lines, and then with
+    /// the callback if one is given.
     async fn attempt(
         &self,
         response: (u16, &str),
@@ -81,7 +82,7 @@
         let responding = async {
             let mut wire = self.accept().await;
             wire.read().await.expect("the job");
-            wire.answer(response.0, response.1, "").await.expect("the group reads it");
+            wire.answer(response.0, response.1, "").await.expect("the group reads the response");
             if let Some(callback) = callback {
                 let callback: Callback = serde_json::from_str(callback).expect("a callback");
                 assert!(self.group.dispatch_callback(&callback));
@@ -92,11 +93,13 @@
     }
 }
 
+/// Returns a load report with only the number of queued jobs.
 fn queued(jobs: f64) -> LoadReport {
     LoadReport { queued: Some(jobs), ..LoadReport::default() }
 }
 
-/// Probes carry no request id and share the pooled connections: a new one would cost the worker work.
+/// Probes carry no request id. They use pooled connections, since a new connection would cost the worker
+/// additional work.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -111,7 +114,7 @@
             let probe = wire.read().await.expect("a probe");
             assert_eq!(probe.line, "GET /stats HTTP/1.1");
             assert_eq!((probe.header("x-trace-id"), probe.body.len()), (None, 0));
-            wire.answer(200, "", body).await.expect("the group reads it");
+            wire.answer(200, "", body).await.expect("the group reads the response");
         }
         wire
     };
@@ -141,7 +144,7 @@
     assert_eq!(fixture.probe(status, headers, body).await, (expected, load));
 }
 
-/// A body beyond the limit is read no further, and is not a report.
+/// The body of a response is read only up to a limit; a longer body is not used as a report.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -150,7 +153,7 @@
     let responding = async {
         let mut wire = fixture.accept().await;
         wire.read().await.expect("a probe");
-        // The group may close the connection in the middle of it.
+        // The group may close the connection before the whole response is written.
         let _ = wire.answer(200, "", &format!("queue=1,{}", " ".repeat(1 << 20))).await;
     };
     let (end, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
@@ -168,7 +171,7 @@
     let responding = async {
         let mut wire = fixture.accept().await;
         wire.read().await.expect("a probe");
-        wire.write(written).await.expect("the group reads it");
+        wire.write(written).await.expect("the group reads the response");
     };
     let (end, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
     assert_eq!(end, (Outcome::Reset, None));
@@ -183,7 +186,7 @@
     let unresponsive = async {
         let mut wire = fixture.accept().await;
         wire.read().await.expect("a probe");
-        // From here on, only the timeout is waited for.
+        // Only the probe's timeout is pending from here on, so the paused clock moves straight to it.
         tokio::time::pause();
         wire.closed().await;
         tokio::time::resume();
@@ -204,20 +207,21 @@
     assert_eq!(fixture.group.probe(WorkerId(7)).await, (Outcome::ConnectFailed, None));
 }
 
-/// No byte is written to a draining worker, whether it drains before the probe or during its dial.
+/// No byte of a probe is written to a worker that starts to drain before the probe or during the probe's
+/// dial.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_draining_worker_is_not_probed() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
-    let address = fixture.worker.local_addr().expect("bound");
+    let address = fixture.listener.local_addr().expect("bound");
     let probe = fixture.group.probe(fixture.worker_id);
     tokio::pin!(probe);
-    // The first poll starts the dial; no dial ends before the runtime has polled its sockets.
+    // The first poll starts the dial, which cannot end before the runtime polls its sockets.
     assert!(futures_util::poll!(probe.as_mut()).is_pending());
     update_endpoint(&fixture.group, address, EndpointState::Draining);
     let written = async {
-        let (stream, _) = fixture.worker.accept().await.expect("a connection");
+        let (stream, _) = fixture.listener.accept().await.expect("a connection");
         stream.readable().await.expect("readable");
         stream.try_read(&mut [0; 1]).unwrap_or(0)
     };
@@ -229,7 +233,8 @@
     assert_eq!(fixture.group.probe(fixture.worker_id).await, (Outcome::ConnectFailed, None));
 }
 
-/// Each probe may use a descriptor: one beyond the limit is not sent, and ends at once.
+/// The number of probes in flight is limited, since each may use a descriptor. A probe beyond the limit is
+/// not sent and ends at once.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -241,7 +246,8 @@
     assert_eq!(fixture.group.probe(fixture.worker_id).await, (Outcome::NotSent, None));
 }
 
-/// The report comes with what ended the attempt; an earlier one predates the job.
+/// The report is taken from the response or callback that ended the attempt. The report on the 202 is ignored
+/// then, since it predates the job.
 #[rstest]
 #[case::rejected((503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Rejected), Some(queued(2.0)))]
 #[case::failed((500, "Endpoint-Load-Metrics: queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Error), Some(queued(2.0)))]
@@ -263,7 +269,7 @@
     assert_eq!(fixture.attempt(response, callback.as_deref()).await, (expected, load));
 }
 
-/// Where the settings take no reports from responses, such a report is a header like any other.
+/// A report on a response is ignored if the settings take reports from probes only.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -1,4 +1,5 @@
-//! One request and its attempts: when it is sent again, and where to, after a connection broke or its worker restarted.
+//! The attempts of one request: when the request is sent again, and to which worker, after a connection broke
+//! or a worker restarted.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -17,15 +18,15 @@
 use vetchbridge_testbed::wire::Wire;
 
 const REQUEST_ID: &str = "00000000000000ab";
-/// More than the sockets' buffers take.
+/// A length of body that exceeds the sockets' buffers.
 const LONG_BODY_BYTES: usize = 16 << 20;
 
-/// Two listening workers, in the list of a scheduler whose saved list is confirmed.
+/// A scheduler with two listening workers, `s-a` and `s-b`, whose saved endpoint list is confirmed.
 struct TwoWorkers {
     scheduler: TestScheduler,
     a: TcpListener,
     b: TcpListener,
-    /// The watch on the list; it stays silent.
+    /// The connection of the watch on the endpoint list. The watch gets no response.
     _watch: Wire,
 }
 
@@ -42,7 +43,7 @@
         TwoWorkers { scheduler, a, b, _watch: watch }
     }
 
-    /// The next attempt: its connection, read to the end of the head, and its worker's name.
+    /// Accepts the next attempt and reads its head. Returns the connection and the worker's name.
     async fn next_attempt(&self) -> (TcpStream, &'static str) {
         let (accepted, name) = tokio::select! {
             accepted = self.a.accept() => (accepted, "s-a"),
@@ -64,28 +65,28 @@
     bytes
 }
 
-/// A connection that breaks before the last byte of a job was written carried nothing that a worker may begin; one that
-/// breaks after it ends the job.
+/// A worker cannot have started a job whose connection broke before the last byte was written, so the job is
+/// retried. If the connection broke after the last byte, the job may have run, and the request fails.
 #[rstest]
 #[case::before(LONG_BODY_BYTES, 1, true)]
 #[case::after(4, 4, false)]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_non_idempotent_job_is_retried_only_if_its_connection_broke_before_its_last_byte(
-    #[case] length: usize,
-    #[case] read: usize,
+    #[case] body_bytes: usize,
+    #[case] bytes_read: usize,
     #[case] retried: bool,
 ) {
     let workers = TwoWorkers::start().await;
     let scheduler = &workers.scheduler;
-    let mut answer = scheduler.submit(REQUEST_ID, Bytes::from(vec![b'w'; length]));
+    let mut answer = scheduler.submit(REQUEST_ID, Bytes::from(vec![b'w'; body_bytes]));
     let (mut stream, first) = workers.next_attempt().await;
-    read_bytes(&mut stream, read).await;
+    read_bytes(&mut stream, bytes_read).await;
     Wire::new(stream).reset();
     if retried {
         let (mut stream, second) = workers.next_attempt().await;
         assert_ne!(first, second);
-        read_bytes(&mut stream, length).await;
+        read_bytes(&mut stream, body_bytes).await;
         Wire::new(stream).answer(202, "", "").await.expect("the scheduler reads");
         let done = json!({"id": REQUEST_ID, "from": second, "state": "done", "result": "made"}).to_string();
         let callback: Callback = serde_json::from_str(&done).expect("a callback");
@@ -94,18 +95,18 @@
     } else {
         tokio::select! {
             biased;
-            _ = workers.next_attempt() => panic!("it was sent again"),
+            _ = workers.next_attempt() => panic!("the job was sent again"),
             answer = &mut answer => assert_eq!(answer.expect("an answer"), Answer::Failed),
         }
-        // Once its context has ended, nothing is left that could send it.
+        // Waits for the end of the request's context, since nothing else could send the job again.
         while scheduler.engine.open_request_count() > 0 {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// The scheduler decides by its own settings, which may change while a request is open; the request's context checks each
-/// attempt by the settings that the request was accepted under.
+/// The scheduler decides by its current settings, which may change while a request is open. The request's
+/// context checks each attempt by the settings that were in force when the request was accepted.
 #[rstest]
 #[case::non_idempotent_when_it_was_accepted(false)]
 #[case::idempotent_in_both_settings(true)]
@@ -141,8 +142,9 @@
     assert_eq!(retried, idempotent);
 }
 
-/// A worker restarts under its name and address while a job waits for a connection to it. The new process is warming up,
-/// so that the job, which no worker has had yet, is placed again at once, where there is capacity.
+/// A worker restarts under its name and address while a job waits for a connection to it. The new process is
+/// warming up, and no worker has received the job yet, so the job is placed again at once, at a worker with
+/// capacity.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -150,11 +152,11 @@
     let mut scheduler = TestScheduler::in_tier_of(1).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    // The backlog takes one connection, and no other comes up.
-    let full = socket.listen(0).expect("it listens");
-    let full_address = full.local_addr().expect("bound");
-    let _filler = TcpStream::connect(full_address).await.expect("the one that the backlog takes");
-    let warm = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    // The accept queue holds one connection; while it is full, no other connection is established.
+    let full_listener = socket.listen(0).expect("a listener");
+    let full_address = full_listener.local_addr().expect("bound");
+    let _filler = TcpStream::connect(full_address).await.expect("the connection that fills the queue");
+    let warm_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     scheduler.watch_endpoints(json!([]));
     let (mut watch, _) = scheduler.next_call().await;
     answer_changes(&mut watch, 2, json!([instance("s-a", full_address)])).await;
@@ -165,8 +167,8 @@
     }
     let mut restarted = instance("s-a", full_address);
     restarted["startedAtMs"] = (scheduler.engine.clock.now() / 1000).into();
-    let warm_worker = instance("s-b", warm.local_addr().expect("bound"));
+    let warm_worker = instance("s-b", warm_listener.local_addr().expect("bound"));
     answer_changes(&mut watch, 3, json!([restarted, warm_worker])).await;
-    let mut worker = Wire::new(warm.accept().await.expect("a connection").0);
+    let mut worker = Wire::new(warm_listener.accept().await.expect("a connection").0);
     assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some(REQUEST_ID));
 }
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -1,4 +1,5 @@
-//! The way of a request through the daemon as a process, between a scripted client and scripted workers.
+//! Requests through the daemon's process, between a scripted client and scripted workers: forwarding,
+//! callbacks, cancellation and rejection.
 #![allow(missing_docs)]
 
 mod common;
@@ -9,7 +10,8 @@
 use tokio::net::TcpListener;
 use vetchbridge_testbed::wire::Wire;
 
-/// A worker gets what the client sent, and callbacks may come early, twice, or for no attempt.
+/// A worker receives the target, headers and body that the client sent. A callback may arrive before the 202,
+/// twice, or for an unknown attempt.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -24,7 +26,7 @@
     assert_eq!(job.line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
     assert_eq!(job.header("x-trace-id"), Some("00000000000000ab"));
     assert_eq!(job.header("idempotency-key"), Some("5c0f"));
-    assert!(job.header("x-expires-in").is_some_and(|left| left.ends_with('u')), "{job:?}");
+    assert!(job.header("x-expires-in").is_some_and(|remaining| remaining.ends_with('u')), "{job:?}");
     assert_eq!(job.text(), "some work");
     harness.send_callback("00000000000000ab", 7, "done").await;
     harness.send_callback("not an id", number, "done").await;
@@ -33,13 +35,13 @@
     harness.send_callback("00000000000000ab", number, "done").await;
     let answer = client.read().await;
     assert_eq!((status(answer.as_ref()), answer.as_ref().unwrap().text().as_str()), ("200", "made"));
-    // The connection is reused: the 202 was still read after the job was done.
+    // The daemon reuses the connection, since it still reads the 202 after the job is done.
     worker.send(ACCEPTED).await;
     client.post_request("/safe/c", "X-Trace-Id: 00000000000000ac\r\n", "more").await;
     assert_eq!(worker.read_target().await, "/safe/c");
 }
 
-/// Responses and callbacks arrive in pieces of any size, and are read completely.
+/// Responses and callbacks may arrive in pieces of any size, and are read completely.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -50,25 +52,27 @@
     worker.read().await.expect("the job");
     worker.write_in_pieces(ACCEPTED).await.expect("the daemon reads");
     let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
-    let call = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    let callback =
+        format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let mut caller = dial(harness.daemon.address).await;
-    caller.write_in_pieces(&call).await.expect("the daemon reads");
+    caller.write_in_pieces(&callback).await.expect("the daemon reads");
     assert_eq!(status(caller.read().await.as_ref()), "200");
     assert_eq!(client.read().await.expect("an answer").text(), "made");
 }
 
-/// When a client disconnects its attempt is canceled: by a call after the 202, by closing the connection before it.
+/// When a client disconnects, the attempt of its request is cancelled: after the 202 by a `DELETE` request,
+/// before the 202 by closing the connection to the worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_client_that_disconnects_has_its_attempt_canceled(#[values(true, false)] accepted: bool) {
+async fn a_client_that_disconnects_has_its_attempt_cancelled(#[values(true, false)] accepted: bool) {
     let mut harness = Harness::start(1).await;
     let (client, id) = harness.submit_job("safe", "k").await;
     let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     if accepted {
         worker.send(ACCEPTED).await;
-        // Its answer shows that the daemon is past the 202, which came before.
+        // The response to the callback shows that the daemon has read the 202, which was sent before.
         harness.send_callback(&id, number, "started").await;
     }
     drop(client);
@@ -76,7 +80,7 @@
     assert_eq!(cancellation, accepted.then(|| format!("DELETE /jobs/{id} HTTP/1.1")));
 }
 
-/// A request that can't be placed is rejected at once, with the time after which to retry.
+/// A request that every worker rejects is rejected at once, with the time after which the client may retry.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -95,7 +99,8 @@
     assert!(seconds > 0.0 && seconds <= 2.0, "{seconds}");
 }
 
-/// A job that arrives before the first endpoint waits for it; the list may be seconds late at a start.
+/// A job that arrives before the first endpoint waits for an endpoint; the endpoint list may arrive seconds
+/// after the daemon has started.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/worker_failures.rs
+++ b/crates/vetchbridge/tests/worker_failures.rs
@@ -1,4 +1,4 @@
-//! Each way in which a worker may fail, and what becomes of its attempt and of the request.
+//! The ways in which a worker may fail, and their effects on the attempt and on the request.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,7 +10,8 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpSocket;
 
-/// A job that may have run is retried only if its class allows it; one that never ran always is.
+/// A job that may have run is retried only if its class is idempotent; a job that never ran is always
+/// retried.
 #[rstest]
 #[case::error("HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n", "", true)]
 #[case::unavailable("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n", "", true)]
@@ -44,8 +45,9 @@
     assert_eq!(status(client.read().await.as_ref()), if retried { "200" } else { "502" });
 }
 
-/// A callback of an attempt that has ended is acknowledged and otherwise ignored, a result too: the job is in flight at another
-/// worker by then, and the first attempt may have failed on the way to its end.
+/// A callback about an attempt that has ended is acknowledged and otherwise ignored, even if the callback
+/// carries a result: the job is in flight at another worker by then, and the first attempt may have failed
+/// before it ended.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -74,27 +76,28 @@
     assert_eq!((answer.status(), answer.text().as_str()), ("200", "made"));
 }
 
-/// A connected worker that does not accept a job loses it, long before the client's deadline.
+/// An attempt at a connected worker that does not accept the job times out long before the client's deadline.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_attempt_at_an_unresponsive_worker_times_out(#[values("safe", "unsafe")] class: &str) {
     let mut harness = Harness::start(2).await;
     let (mut client, id) = harness.submit_job(class, "k").await;
-    let (_, mut mute) = harness.accept_worker().await;
-    mute.read().await.expect("the job");
+    let (_, mut unresponsive) = harness.accept_worker().await;
+    unresponsive.read().await.expect("the job");
     if class == "safe" {
         harness.serve_next_attempt(&id).await;
     }
     assert_eq!(status(client.read().await.as_ref()), if class == "safe" { "200" } else { "502" });
-    assert!(mute.read().await.is_none(), "closing the connection cancels the attempt");
+    assert!(unresponsive.read().await.is_none(), "closing the connection cancels the attempt");
 }
 
-/// A request that is invalid at one worker is invalid at all: it is not retried, and does not count against the worker.
+/// A request that one worker finds invalid would be invalid at every worker: the request is not retried, and
+/// the failure does not count against the worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_request_that_a_worker_calls_invalid_fails_without_a_retry() {
+async fn a_request_that_a_worker_finds_invalid_fails_without_a_retry() {
     let mut harness = Harness::start(2).await;
     let mut first = None;
     for _ in 0..3 {
@@ -103,23 +106,24 @@
         worker.read().await.expect("the job");
         worker.send("HTTP/1.1 400 No\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         assert_eq!(status(client.read().await.as_ref()), "502");
-        assert_eq!(*first.get_or_insert(number), number, "the key stays at its worker");
+        assert_eq!(*first.get_or_insert(number), number, "jobs with the same key go to the same worker");
     }
 }
 
-/// A worker that refuses connections never ran the job, whatever its class.
+/// A job whose worker refuses the connection never ran, so a non-idempotent job is retried too.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_whose_connection_is_refused_is_retried_at_another_worker() {
-    // Bound but not listening: refuses for certain, and no other test can be given its port.
+    // The socket is bound but does not listen: the kernel refuses every connection, and gives the port to no
+    // other test.
     let refusing = TcpSocket::new_v4().expect("a socket");
     refusing.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let mut harness = Harness::start_with_listed(1, &[refusing.local_addr().expect("bound")]).await;
     harness.serve_at_worker_0("unsafe").await;
 }
 
-/// A connection that the worker has closed while it was idle is never written to.
+/// A connection that the worker closed while the connection was idle is never written to.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -131,7 +135,7 @@
     worker.send(ACCEPTED).await;
     harness.send_callback(&id, number, "done").await;
     assert_eq!(status(client.read().await.as_ref()), "200");
-    worker.socket().shutdown().await.expect("closed");
+    worker.socket().shutdown().await.expect("shut down");
     assert!(worker.read().await.is_none(), "the daemon closes its side too");
     let (mut client, id) = harness.submit_job("unsafe", "k").await;
     harness.serve_next_attempt(&id).await;
