--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -1,9 +1,9 @@
 //! The engine: sole owner of the scheduler, its clock and its timers.
 //!
-//! Every event enters through [`Engine::handle`] or [`Engine::open_request`]. The engine executes every
-//! action that the scheduler returns at once, by passing the action to the request, the upstream group, the
-//! endpoint watcher or the peer socket. Executing an action never waits, so that the lock is held only while
-//! one event is handled. The engine must never reject, drop or reorder an action.
+//! Every event enters through [`Engine::handle`] or [`Engine::open_request`]. Every action that the scheduler
+//! returns is executed at once: the engine passes the action to the request, the upstream group, the endpoint
+//! watcher or the peer socket. Executing an action never waits, so that the lock is held only while one event
+//! is handled. The engine must never reject, drop or reorder an action.
 
 mod clock;
 mod timers;
--- a/crates/vetchbridge/src/engine/clock.rs
+++ b/crates/vetchbridge/src/engine/clock.rs
@@ -4,8 +4,8 @@
 use tokio::time::Instant;
 use vetchbridge_scheduling::Micros;
 
-/// A monotonic clock that starts at Unix time, so that it can be compared with the start times in endpoint
-/// lists.
+/// A monotonic clock that is set to Unix time when it starts, so that its readings can be compared with the
+/// start times in endpoint lists.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start_instant: Instant,
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -90,8 +90,8 @@
     }
 }
 
-/// Sends one request. Owns the client, the send permission and whatever else sending needs besides the
-/// request itself.
+/// Sends one request to a worker, and holds the client, the send permission and the expiry header for doing
+/// so.
 struct RequestSender {
     client: HttpClient,
     connection: CaptureConnection,
@@ -129,7 +129,7 @@
                     Ok(WorkerResponse::from(response))
                 }
                 Ok(_) => {
-                    // No byte of this request was written, so this response is not the answer to it.
+                    // No byte of this request was written, so the response cannot belong to this request.
                     debug!(worker = self.worker_name, "exchange.unsolicited_response");
                     Err(ExchangeError::RequestIncomplete)
                 }
--- a/crates/vetchbridge/src/workers/load_report.rs
+++ b/crates/vetchbridge/src/workers/load_report.rs
@@ -15,9 +15,8 @@
 /// How much of a malformed report is logged, in bytes.
 const MAX_LOGGED_BYTES: usize = 80;
 
-/// The field of a load report that holds the worker's free slots. Each deployment defines the meaning of the
-/// fields
-/// `x0` and `x1`.
+/// The field of a load report that holds the worker's free slots. Each deployment defines the meaning of
+/// the fields `x0` and `x1`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FreeSlotsField {
     /// The field `x0` holds the free slots.
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -86,7 +86,7 @@
 /// The change that happens while an attempt waits for its connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Change {
-    NoChange,
+    Unchanged,
     RequestConcluded,
     DeadlinePassed,
     WorkerDraining,
@@ -100,7 +100,7 @@
     /// Makes the change.
     fn apply(self, group: &UpstreamGroup, listener: &FullQueueListener, concluded: &AtomicBool) {
         match self {
-            Change::NoChange | Change::DeadlinePassed => {}
+            Change::Unchanged | Change::DeadlinePassed => {}
             Change::RequestConcluded => concluded.store(true, Ordering::Relaxed),
             Change::WorkerDraining => update_endpoint(group, listener, EndpointState::Draining, STARTED_AT),
             Change::WorkerRestarted => update_endpoint(group, listener, EndpointState::Ready, STARTED_AT + 1),
@@ -119,7 +119,7 @@
 /// the first byte, no byte is written, and the attempt never ran. A callback that arrives before the
 /// connection is about an earlier attempt.
 #[rstest]
-#[case::nothing_changes(Change::NoChange, AttemptResult::Served("made".into()))]
+#[case::nothing_changes(Change::Unchanged, AttemptResult::Served("made".into()))]
 #[case::the_request_is_concluded(Change::RequestConcluded, AttemptResult::NotServed(Outcome::NotSent))]
 #[case::the_deadline_passes(Change::DeadlinePassed, AttemptResult::NotServed(Outcome::NotSent))]
 #[case::the_worker_drains(Change::WorkerDraining, AttemptResult::NotServed(Outcome::ConnectFailed))]
@@ -176,7 +176,7 @@
         }
         _ => {
             let ((result, _), written) = tokio::join!(attempt, worker);
-            let is_written = matches!(change, Change::NoChange | Change::EarlierAttemptReturned);
+            let is_written = matches!(change, Change::Unchanged | Change::EarlierAttemptReturned);
             assert_eq!((result, written), (expected, is_written));
         }
     }
--- a/crates/vetchbridge/tests/worker_failures.rs
+++ b/crates/vetchbridge/tests/worker_failures.rs
@@ -47,7 +47,7 @@
 
 /// A callback about an attempt that has ended is acknowledged and otherwise ignored, even if the callback
 /// carries a result: the job is in flight at another worker by then, and the first attempt may have failed
-/// before it ended.
+/// before it completed.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
