--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -77,7 +77,7 @@
 
     /// Sets which load reports are used and how they are interpreted; until this call, every report is
     /// ignored.
-    pub fn set_load_reports(&self, settings: LoadReportSettings) {
+    pub fn set_load_report_settings(&self, settings: LoadReportSettings) {
         *lock_ignoring_poison(&self.load_report_settings) = settings;
     }
 
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -1,6 +1,7 @@
 //! Checks just before a request's first byte whether the request may still be written to its worker.
 //!
-//! The decision module has decided earlier to send the request, and connecting may have taken long since then.
+//! The decision module has decided earlier to send the request, and connecting may have taken long since
+//! then.
 
 use super::endpoint::Availability;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -40,7 +40,7 @@
     async fn new(source: LoadReportSource, max_probes: usize) -> Fixture {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let group = UpstreamGroup::new(MINUTE, MINUTE, max_probes);
-        group.set_load_reports(LoadReportSettings { source, free_slots: FreeSlotsField::X0 });
+        group.set_load_report_settings(LoadReportSettings { source, free_slots: FreeSlotsField::X0 });
         update_endpoint(&group, listener.local_addr().expect("bound"), EndpointState::Ready);
         Fixture { group, listener, worker_id: worker_id("s-0") }
     }
