--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: whether a worker has capacity for a job, by what is known of its load, and whether a job may
-//! join its queue.
+//! Admission: decides from the known load of a worker whether the worker has capacity for a job, and whether
+//! a job may join the worker's queue.
 
 use crate::coordination;
 use crate::fleet::Fleet;
@@ -9,16 +9,17 @@
 use crate::slow_start::usable_slot_fraction;
 use crate::worker::Worker;
 
-/// Slots in flight for each slot of a worker up to which a job joins its queue.
+/// A job may join a worker's queue up to this many slots in flight per slot of the worker.
 const MAX_QUEUE_FACTOR: f64 = 2.0;
-/// Where a worker's load is unknown: multiple of its fair share of all own slots in flight that it may have.
+/// Limit for a worker whose load is unknown, as a multiple of its fair share of the slots that this scheduler
+/// has in flight at all workers.
 const MAX_FAIR_SHARE_FACTOR: f64 = 1.25;
-/// Weight of one job's start in the learned slots of a unit of weight.
+/// Fraction of the difference by which one job start corrects the estimated slots per unit of weight.
 const SLOTS_LEARNING_RATE: f64 = 0.05;
-/// Slots of a unit of weight before any start was observed.
+/// Assumed slots per unit of weight before the first job start is observed.
 const INITIAL_SLOTS_PER_UNIT: f64 = 1.0;
 
-/// Slots that one unit of weight has, learned from how soon own jobs start.
+/// Estimated slots per unit of worker weight, learned from how soon this scheduler's jobs start.
 pub(crate) struct SlotsPerUnit(f64);
 
 impl Default for SlotsPerUnit {
@@ -32,8 +33,9 @@
         self.0
     }
 
-    /// A job has started that was sent at this occupancy for each unit of weight. One that started promptly
-    /// above the estimate, or waited below it, corrects the estimate.
+    /// Records the start of a job; `occupancy_at_send` is the worker's occupancy per unit of weight when the
+    /// job was sent. The estimate is corrected if the job started promptly although the occupancy was above
+    /// the estimate, or waited although the occupancy was not above the estimate.
     pub(crate) fn record_start(&mut self, occupancy_at_send: f64, started_promptly: bool) {
         if started_promptly == (occupancy_at_send > self.0) {
             self.0 += SLOTS_LEARNING_RATE * (occupancy_at_send - self.0);
@@ -41,23 +43,23 @@
     }
 }
 
-/// What a worker is to a request.
+/// The role of a candidate worker for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Preference {
-    /// The worker that its key belongs to.
+pub(crate) enum CandidateRole {
+    /// The worker that the request's key belongs to.
     Home,
-    /// A worker that takes what its home has no capacity for.
+    /// A worker that takes the request if the home has no capacity.
     Alternative,
 }
 
-/// A view of the scheduler's state that admission decides by.
+/// The part of the scheduler's state that admission decisions use.
 pub(crate) struct Admission<'a> {
     pub(crate) now: Micros,
     pub(crate) settings: &'a Settings,
     pub(crate) fleet: &'a Fleet,
-    /// Slots that one unit of weight has.
+    /// Estimated slots per unit of worker weight.
     pub(crate) slots_per_unit: f64,
-    /// This scheduler's part of the work that a worker bears while it warms up.
+    /// This scheduler's fraction of the work that all schedulers together may send to a warming worker.
     pub(crate) budget_share: f64,
 }
 
@@ -66,7 +68,7 @@
         worker.warm_up_fraction(self.now, &self.settings.rules)
     }
 
-    /// The rate of work, for this scheduler's part, beyond which a worker fails while it warms up.
+    /// Returns this scheduler's fraction of the rate of work beyond which a warming worker fails.
     pub(crate) fn overload_rate(&self, index: usize) -> f64 {
         let worker = &self.fleet[index];
         self.budget_share
@@ -76,52 +78,53 @@
             * self.settings.rules.overload_factor
     }
 
-    /// How much more work a worker may be sent while it warms up, microseconds.
+    /// Returns how much more work this scheduler may send to a warming worker, in microseconds of work.
     pub(crate) fn remaining_work(&self, index: usize) -> f64 {
         let overload_time = self.settings.rules.overload_time;
         self.fleet[index].admitted_work.remaining(self.now, self.overload_rate(index), overload_time)
     }
 
-    /// Whether a worker may be sent these slots now.
-    pub(crate) fn has_capacity(&self, index: usize, slots: f64, preference: Preference) -> bool {
+    /// Whether this scheduler may send a job of this many slots to a worker now.
+    pub(crate) fn has_capacity(&self, index: usize, slots: f64, role: CandidateRole) -> bool {
         let worker = &self.fleet[index];
-        self.is_within_slow_start(index, preference)
-            && self.is_within_fair_share(index, slots)
+        self.slow_start_allows(index, role)
+            && self.fair_share_allows(index, slots)
             && !self.is_busy(worker, slots)
     }
 
-    /// Whether a worker may be sent anything, as far as it warms up: it must be known to have capacity,
-    /// unless it is the request's home, and some of its admission budget must be left.
-    fn is_within_slow_start(&self, index: usize, preference: Preference) -> bool {
+    /// Whether slow start allows a job at this worker. A warming worker takes a job only if its load is known
+    /// or it is the request's home, and only while its admission budget is not used up.
+    fn slow_start_allows(&self, index: usize, role: CandidateRole) -> bool {
         let worker = &self.fleet[index];
         if self.warm_up_fraction(worker) >= 1.0 {
             return true;
         }
-        let load_is_known = preference == Preference::Home || worker.occupancy(self.now).is_some();
-        // Where schedulers coordinate, the coordinator has checked the budget.
+        let load_is_known = role == CandidateRole::Home || worker.occupancy(self.now).is_some();
+        // If schedulers coordinate, the worker's coordinator has already checked the budget.
         load_is_known && (coordination::is_enabled(self.settings) || self.remaining_work(index) >= 0.0)
     }
 
-    fn is_within_fair_share(&self, index: usize, slots: f64) -> bool {
+    fn fair_share_allows(&self, index: usize, slots: f64) -> bool {
         let in_flight = self.fleet[index].own_slots();
         self.fair_share(index).is_none_or(|share| in_flight + slots <= share.max(slots))
     }
 
     fn is_busy(&self, worker: &Worker, slots: f64) -> bool {
-        let waits = self.settings.reports_start && worker.has_delayed_start(self.now);
+        let start_is_delayed = self.settings.reports_start && worker.has_delayed_start(self.now);
         let usable_slots = self.slots_per_unit * usable_slot_fraction(self.warm_up_fraction(worker));
-        waits || worker.is_busy(self.now, slots, usable_slots)
+        start_is_delayed || worker.is_busy(self.now, slots, usable_slots)
     }
 
-    /// Own slots in flight at which a worker is busy where its load is unknown: its share of all of them, by
-    /// what the workers can do now. `None` where its load is known.
+    /// Returns the limit of this scheduler's slots in flight at a worker whose load is unknown: the worker's
+    /// share, by present capacity, of the slots in flight at all workers. `None` if the load is known or workers
+    /// report job starts.
     pub(crate) fn fair_share(&self, index: usize) -> Option<f64> {
         let worker = &self.fleet[index];
         if self.settings.reports_start || worker.occupancy(self.now).is_some() {
             return None;
         }
         let capacity = |worker: &Worker| worker.weight * self.warm_up_fraction(worker);
-        // The job that is to be placed counts as one slot.
+        // The total starts at one slot for the job that is being placed.
         let (mut total_slots, mut total_capacity) = (1.0, 0.0);
         for ready in self.fleet.ready() {
             total_slots += ready.own_slots();
@@ -130,21 +133,22 @@
         Some(MAX_FAIR_SHARE_FACTOR * total_slots * capacity(worker) / total_capacity)
     }
 
-    /// The least loaded worker whose queue may be joined. A worker that warms up has no queue: it would grow,
-    /// and overload the worker.
+    /// Returns the least loaded candidate whose queue a job may join. Jobs never queue at a warming worker,
+    /// because the queue would grow and overload the worker.
     pub(crate) fn least_loaded(&self, candidates: &[usize], slots: f64) -> Option<usize> {
         let load = |index: &usize| self.fleet[*index].load(self.now);
-        let choices = candidates.iter().copied().filter(|index| self.may_join_queue(*index, slots));
-        choices.min_by(|one, other| load(one).total_cmp(&load(other)))
+        let eligible = candidates.iter().copied().filter(|index| self.may_join_queue(*index, slots));
+        eligible.min_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
     fn may_join_queue(&self, index: usize, slots: f64) -> bool {
         let worker = &self.fleet[index];
         let max_occupancy = MAX_QUEUE_FACTOR * self.slots_per_unit * worker.weight;
-        let is_short = worker.occupancy(self.now).is_none_or(|occupancy| occupancy + slots <= max_occupancy);
+        let queue_is_short =
+            worker.occupancy(self.now).is_none_or(|occupancy| occupancy + slots <= max_occupancy);
         !worker.concurrency_limit.is_rejecting(self.now)
             && !worker.is_warming_up(self.now, &self.settings.rules)
-            && is_short
+            && queue_is_short
     }
 }
 
--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Candidates: the workers that may take a request, in the order in which they are tried.
+//! Candidates: selects the workers that may take a request, in the order in which they are tried.
 
 use crate::fleet::Fleet;
 use crate::hash::mix;
@@ -10,12 +10,13 @@
 use crate::settings::{Idempotency, Settings};
 use crate::worker::Worker;
 
-/// Candidates that are looked at for one decision; bounds the cost where a whole neighbourhood is full.
+/// Largest number of candidates for one decision, apart from the warming workers that come last. Bounds the
+/// cost of a decision when all neighbours on the ring are full.
 const MAX_CANDIDATES: usize = 4;
-/// Workers that warm up that are looked at after those.
+/// Largest number of warming workers that come after the other candidates.
 const MAX_WARMING_CANDIDATES: usize = 2;
 
-/// The search for the candidates of one request: a walk clockwise from its key.
+/// The search for the candidates of one request, which walks the ring clockwise from the request's key.
 struct CandidateSearch<'a> {
     now: Micros,
     settings: &'a Settings,
@@ -27,13 +28,13 @@
 impl CandidateSearch<'_> {
     fn run(&self) -> Vec<usize> {
         let spread = self.request.spread;
-        let max_walk = spread + MAX_CANDIDATES - 1;
+        let max_found = spread + MAX_CANDIDATES - 1;
         let mut seen = vec![false; self.fleet.len()];
-        let (mut found, mut warming) = (Vec::with_capacity(max_walk + 1), Vec::new());
+        let (mut found, mut warming_up) = (Vec::with_capacity(max_found + 1), Vec::new());
         for point in self.fleet.ring().clockwise_from(self.request.key_hash) {
             let index = point.worker_index();
             let worker = &self.fleet[index];
-            if seen[index] || !self.takes_class(worker) {
+            if seen[index] || !self.serves_class(worker) {
                 continue;
             }
             let warm_up_fraction = worker.warm_up_fraction(self.now, &self.settings.rules);
@@ -41,37 +42,39 @@
                 continue;
             }
             seen[index] = true;
-            if !self.may_run_at(worker) {
+            if !self.is_eligible(worker) {
                 continue;
             }
-            // A worker that warms up takes its own keys; all else only after the others.
+            // A warming worker keeps its place only for the first attempt of a request whose key belongs to
+            // the worker; otherwise the warming worker comes after the warm ones.
             if warm_up_fraction < 1.0 && (found.len() >= spread || !self.request.attempts.is_empty()) {
-                warming.push(index);
+                warming_up.push(index);
                 continue;
             }
             found.push(index);
-            if found.len() == max_walk {
+            if found.len() == max_found {
                 break;
             }
         }
         self.rotate_to_start(&mut found);
         found.truncate(MAX_CANDIDATES);
-        found.extend(warming.into_iter().take(MAX_WARMING_CANDIDATES));
+        found.extend(warming_up.into_iter().take(MAX_WARMING_CANDIDATES));
         found
     }
 
-    fn takes_class(&self, worker: &Worker) -> bool {
+    fn serves_class(&self, worker: &Worker) -> bool {
         worker.is_ready && self.request.class.kind.is_none_or(|kind| kind == worker.endpoint.kind)
     }
 
-    /// Whether an attempt at this worker has no second effect, and the worker is healthy.
-    fn may_run_at(&self, worker: &Worker) -> bool {
+    /// Whether the worker is healthy and an attempt there can't cause a second effect of the job.
+    fn is_eligible(&self, worker: &Worker) -> bool {
         self.drops_repeat_at(worker)
             && !self.may_have_run_at(worker)
             && !(self.ejections_apply && worker.outlier.is_ejected(self.now))
     }
 
-    /// Whether the worker would drop a repeat of a keyed job that may have run.
+    /// Whether the worker would drop this request's job as a repeat if the job has run before. True for jobs
+    /// that have not run and for jobs that are not keyed.
     fn drops_repeat_at(&self, worker: &Worker) -> bool {
         let (Some(first), Idempotency::Keyed { scope, .. }) =
             (self.request.first_run(), self.request.class.idempotency)
@@ -87,23 +90,23 @@
         attempts.any(|attempt| attempt.worker == worker.endpoint.worker && attempt.may_have_run())
     }
 
-    /// A hot key is spread over its first workers: each scheduler starts at one of its own zone where there
-    /// is one, fixed by its index, and goes on clockwise from there.
+    /// Rotates the candidates over which a hot key is spread, so that schedulers start at different workers.
+    /// The key and the scheduler's index determine the start, a worker of the scheduler's zone if possible.
     fn rotate_to_start(&self, found: &mut [usize]) {
         let spread = self.request.spread.min(found.len());
         if spread <= 1 {
             return;
         }
         let is_local = |index: usize| self.fleet[index].endpoint.zone == self.settings.zone;
-        let pick = mix(self.request.key_hash ^ u64::from(self.settings.scheduler_index)) as usize;
+        let start_hash = mix(self.request.key_hash ^ u64::from(self.settings.scheduler_index)) as usize;
         let local: Vec<usize> = (0..spread).filter(|position| is_local(found[*position])).collect();
-        let start = if local.is_empty() { pick % spread } else { local[pick % local.len()] };
+        let start = if local.is_empty() { start_hash % spread } else { local[start_hash % local.len()] };
         found[..spread].rotate_left(start);
     }
 }
 
 impl Scheduler {
-    /// The workers that may take this request, by index, in the order in which they are tried.
+    /// Returns the indices of the workers that may take this request, in the order in which they are tried.
     pub(crate) fn candidates(&self, now: Micros, id: RequestId) -> Vec<usize> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let (settings, fleet) = (&self.settings, &self.fleet);
--- a/crates/scheduling/src/candidates/tests.rs
+++ b/crates/scheduling/src/candidates/tests.rs
@@ -12,6 +12,7 @@
     PendingRequest { class, key_hash: KEY, spread: 1, ..PendingRequest::default() }
 }
 
+/// Returns the candidates of a request, with ejections in effect.
 fn search(settings: &Settings, fleet: &Fleet, request: &PendingRequest) -> Vec<WorkerId> {
     let search = CandidateSearch { now: NOW, settings, fleet, request, ejections_apply: true };
     search.run().into_iter().map(|index| fleet[index].endpoint.worker).collect()
@@ -22,35 +23,35 @@
 }
 
 #[test]
-fn the_first_workers_clockwise_are_the_candidates_each_of_them_once() {
+fn the_candidates_are_the_first_distinct_workers_clockwise_from_the_key() {
     let fleet = fleet_of((1..=12).map(endpoint));
     let candidates = search(&settings(), &fleet, &request(Idempotency::Idempotent));
-    let mut walk: Vec<WorkerId> = Vec::new();
+    let mut ring_order: Vec<WorkerId> = Vec::new();
     for point in fleet.ring().clockwise_from(KEY) {
         let worker = fleet[point.worker_index()].endpoint.worker;
-        if !walk.contains(&worker) {
-            walk.push(worker);
+        if !ring_order.contains(&worker) {
+            ring_order.push(worker);
         }
     }
-    assert_eq!(candidates, walk[..MAX_CANDIDATES]);
+    assert_eq!(candidates, ring_order[..MAX_CANDIDATES]);
 }
 
 #[test]
-fn a_worker_that_may_have_run_the_job_or_is_ejected_is_no_candidate() {
+fn a_worker_that_is_ejected_or_may_have_run_the_job_is_no_candidate() {
     let mut fleet = fleet_of((1..=12).map(endpoint));
     let mut request = request(Idempotency::Idempotent);
-    let before = search(&settings(), &fleet, &request);
-    request.attempts.push(attempt(before[0], AttemptState::MayHaveRun));
-    request.attempts.push(attempt(before[2], AttemptState::NeverRan));
-    let index = fleet.index_of(before[1]).expect("listed");
+    let all_candidates = search(&settings(), &fleet, &request);
+    request.attempts.push(attempt(all_candidates[0], AttemptState::MayHaveRun));
+    request.attempts.push(attempt(all_candidates[2], AttemptState::NeverRan));
+    let index = fleet.index_of(all_candidates[1]).expect("listed");
     fleet[index].outlier.extend_ejection(NOW, 1);
-    assert_eq!(search(&settings(), &fleet, &request)[..2], before[2..]);
+    assert_eq!(search(&settings(), &fleet, &request)[..2], all_candidates[2..]);
 }
 
 #[test]
-fn a_keyed_job_that_may_have_run_stays_where_its_repeat_is_dropped() {
-    let in_cells = |n: u64| Endpoint { cell: CellId((n / 4) as u32), ..endpoint(n) };
-    let fleet = fleet_of((0..12).map(in_cells));
+fn a_keyed_job_that_may_have_run_is_retried_only_where_its_repeat_is_dropped() {
+    let in_cell_of_four = |n: u64| Endpoint { cell: CellId((n / 4) as u32), ..endpoint(n) };
+    let fleet = fleet_of((0..12).map(in_cell_of_four));
     let mut request =
         request(Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window: 1 });
     request.attempts.push(attempt(WorkerId(5), AttemptState::MayHaveRun));
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_class_that_is_bound_to_a_machine_type_has_candidates_of_that_type_alone() {
+fn a_class_that_is_bound_to_a_machine_type_has_only_candidates_of_that_type() {
     let fleet = fleet_of((1..=4).map(|n| Endpoint { kind: KindId(n as u32 / 4), ..endpoint(n) }));
     let mut request = request(Idempotency::Idempotent);
     request.class.kind = Some(KindId(1));
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn workers_that_warm_up_come_after_the_others_unless_they_are_the_key_s_home() {
+fn warming_workers_come_after_the_others_unless_they_are_the_home_of_the_key() {
     let started_at = |n| if n > 6 { NOW - 9_000_000 } else { 0 };
     let fleet = fleet_of((1..=12).map(|n| Endpoint { started_at: started_at(n), ..endpoint(n) }));
     let is_warming = |worker: &WorkerId| worker.0 > 6;
@@ -85,11 +86,11 @@
 }
 
 #[test]
-fn a_hot_key_starts_in_the_own_zone_at_a_worker_of_its_spread() {
+fn a_hot_key_starts_at_a_worker_in_the_zone_of_the_scheduler() {
     let fleet = fleet_of((1..=12).map(|n| Endpoint { zone: ZoneId(n as u32 % 3), ..endpoint(n) }));
     let hot = PendingRequest { spread: 6, ..request(Idempotency::Idempotent) };
-    let wide = PendingRequest { spread: 1, ..request(Idempotency::Idempotent) };
-    let home = search(&settings(), &fleet, &wide)[0];
+    let not_spread = PendingRequest { spread: 1, ..request(Idempotency::Idempotent) };
+    let home = search(&settings(), &fleet, &not_spread)[0];
     let mut starts = std::collections::BTreeSet::new();
     for scheduler_index in 0..30 {
         let settings = Settings { scheduler_index, scheduler_count: 30, ..settings() };
@@ -98,5 +99,5 @@
         assert_eq!(start.endpoint.zone, settings.zone);
         starts.insert(candidates[0]);
     }
-    assert!(starts.len() > 1, "{starts:?}, its home is {home:?}");
+    assert!(starts.len() > 1, "all schedulers start at {starts:?}; the home of the key is {home:?}");
 }
--- a/crates/scheduling/src/migration.rs
+++ b/crates/scheduling/src/migration.rs
@@ -1,7 +1,7 @@
 //! Migration: an attempt that waits for a slot, stalls or is slow is cancelled and sent to another worker.
 
 use crate::actions::Action;
-use crate::admission::Preference;
+use crate::admission::CandidateRole;
 use crate::events::{JobProgress, Outcome};
 use crate::ids::{AttemptNo, Micros, RequestId};
 use crate::request::{Attempt, PendingRequest};
@@ -147,7 +147,7 @@
         }
         let admission = self.admission(now);
         let has_capacity = |index: &usize| {
-            *index != from && admission.has_capacity(*index, request.slots, Preference::Alternative)
+            *index != from && admission.has_capacity(*index, request.slots, CandidateRole::Alternative)
         };
         self.candidates(now, id).into_iter().find(has_capacity)
     }
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: from a request's candidates to an attempt, an occupancy query or the queue.
 
 use crate::actions::Action;
-use crate::admission::Preference;
+use crate::admission::CandidateRole;
 use crate::coordination::{self, QUERY_TIMEOUT};
 use crate::events::Request;
 use crate::hash::{hash_key, mix};
@@ -173,14 +173,14 @@
 
     /// What a candidate is to the request. Of a hot key, a worker that warms up is the home only as often as
     /// it is warm.
-    fn preference(&mut self, now: Micros, placement: &Placement, rank: usize, index: usize) -> Preference {
+    fn preference(&mut self, now: Micros, placement: &Placement, rank: usize, index: usize) -> CandidateRole {
         let is_home = !placement.is_spread
             || self.random.next_fraction() < self.fleet[index].warm_up_fraction(now, &self.settings.rules);
         let is_first = rank == 0 || !coordination::is_enabled(&self.settings);
         if is_home && is_first {
-            Preference::Home
+            CandidateRole::Home
         } else {
-            Preference::Alternative
+            CandidateRole::Alternative
         }
     }
 
