--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -116,8 +116,8 @@
     }
 
     /// Returns the limit of this scheduler's slots in flight at a worker whose load is unknown: the worker's
-    /// share, by present capacity, of the slots in flight at all workers. `None` if the load is known or workers
-    /// report job starts.
+    /// share, by present capacity, of the slots in flight at all workers. `None` if the load is known or if
+    /// workers report job starts.
     pub(crate) fn fair_share(&self, index: usize) -> Option<f64> {
         let worker = &self.fleet[index];
         if self.settings.reports_start || worker.occupancy(self.now).is_some() {
--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -1,4 +1,4 @@
-//! Completion: results of attempts and the final answers of requests.
+//! Completion: handles the results of attempts and gives requests their final answers.
 
 use crate::actions::Action;
 use crate::events::Outcome;
@@ -10,23 +10,23 @@
 use crate::timer::{SequenceNumber, Timer};
 use crate::worker::AttemptId;
 
-/// A connection that fails within this part of the dial timeout was refused at once.
-const REFUSED_AT_ONCE_PARTS: Micros = 2;
-/// Part of the grace after the deadline for which an attempt's own timeout is awaited.
-const ANSWER_SLACK_PARTS: Micros = 2;
+/// A connection attempt that fails within the dial timeout divided by this number was refused at once.
+const REFUSED_AT_ONCE_DIVISOR: Micros = 2;
+/// After the deadline, the attempt's own timeout is awaited for the answer slack divided by this number.
+const ANSWER_SLACK_DIVISOR: Micros = 2;
 
 /// The result of one attempt.
 pub(crate) struct AttemptResult {
     pub(crate) id: AttemptId,
     pub(crate) worker: WorkerId,
     pub(crate) outcome: Outcome,
-    /// Time since the attempt was sent.
+    /// Time since the attempt was sent, in microseconds.
     pub(crate) latency: Micros,
-    /// The request is complete.
+    /// Whether the request is complete and needs no answer any more.
     pub(crate) closed: bool,
 }
 
-/// Whether an outcome is a fault of the connection or of the machine.
+/// Whether an outcome means that the connection or the worker's machine failed.
 fn is_connection_failure(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::ConnectFailed | Outcome::Reset | Outcome::NoResponse)
 }
@@ -55,7 +55,7 @@
         self.place(now, id, actions);
     }
 
-    /// Applies a result to its worker, and notifies the worker's coordinator.
+    /// Records an attempt's result at its worker and notifies the worker's coordinator.
     fn record_worker_result(
         &mut self,
         now: Micros,
@@ -64,7 +64,7 @@
         actions: &mut Vec<Action>,
     ) {
         let outcome = result.outcome;
-        let refused_at_once = result.latency < self.settings.limits.dial_timeout / REFUSED_AT_ONCE_PARTS;
+        let refused_at_once = result.latency < self.settings.limits.dial_timeout / REFUSED_AT_ONCE_DIVISOR;
         self.fleet[index].record_result(now, outcome, refused_at_once);
         if outcome == Outcome::Ok {
             self.retry_budget.deposit();
@@ -74,7 +74,7 @@
         let message = PeerMessage::AttemptFinished { served, connection_failed };
         self.notify_coordinator(now, index, message, actions);
         if outcome == Outcome::NoResponse {
-            // Where one connection got no response, the idle ones are not to be trusted either.
+            // One connection got no response, so the idle connections to the worker may be broken too.
             actions.push(Action::CloseIdle(result.worker));
         }
     }
@@ -86,32 +86,33 @@
             if result.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
     }
 
-    /// The request's time is over. An attempt in flight ends by its own timeout; this only guards against its
-    /// absence.
+    /// Handles the deadline of a request. An attempt in flight normally ends by its own timeout; the final
+    /// answer given here covers the case that the timeout does not come.
     pub(crate) fn on_deadline_timer(
         &mut self,
         now: Micros,
         sequence: SequenceNumber,
         actions: &mut Vec<Action>,
     ) {
-        let Some((id, request)) = self.requests.find(sequence) else { return };
-        let latest = request.deadline + self.settings.rules.answer_slack / ANSWER_SLACK_PARTS;
+        let Some((id, request)) = self.requests.find_by_sequence(sequence) else { return };
+        let latest = request.deadline + self.settings.rules.answer_slack / ANSWER_SLACK_DIVISOR;
         if now < latest && request.has_attempt_in_flight() {
             let token = Timer::Deadline(sequence).token();
             return actions.push(Action::SetTimer { at: latest, token });
         }
-        self.conclude(now, id, actions);
+        self.send_final_answer(now, id, actions);
     }
 
     /// Gives the final answer to every pending request.
     pub(crate) fn on_shutdown(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in self.requests.ids() {
-            self.conclude(now, id, actions);
+            self.send_final_answer(now, id, actions);
         }
     }
 
-    /// Gives the final answer: a rejection where a retry by the client is harmless, or else a failure.
-    pub(crate) fn conclude(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+    /// Gives a request its final answer: a rejection if a retry by the client is harmless, otherwise a
+    /// failure.
+    pub(crate) fn send_final_answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let retry_after = self.retry_after(now, request.class.kind);
         actions.push(if request.retry_safety().allows_client_retry(now, retry_after) {
@@ -122,16 +123,17 @@
         self.close(id, actions);
     }
 
-    /// The Retry-After of a rejected client: when the first worker for its class is expected to take jobs
-    /// again, but no sooner than a queued request would try again. 0, for none, where clients are given none.
+    /// Returns the Retry-After for a rejected client, in microseconds: the time until the first worker of the
+    /// machine type is expected to take jobs again, but no less than the shortest pause of a queued request
+    /// and no more than the limit in the settings. Returns 0 if clients are given no Retry-After.
     fn retry_after(&self, now: Micros, kind: Option<KindId>) -> Micros {
         let limits = &self.settings.limits;
         if !limits.retry_after {
             return 0;
         }
-        let takes_class =
+        let eligible =
             self.fleet.ready().filter(|worker| kind.is_none_or(|kind| kind == worker.endpoint.kind));
-        let waits = takes_class.map(|worker| {
+        let waits = eligible.map(|worker| {
             let available_at = worker.concurrency_limit.rejecting_until().max(worker.outlier.ejected_until());
             available_at.saturating_sub(now)
         });
@@ -139,14 +141,14 @@
         shortest.min(limits.max_retry_after)
     }
 
-    /// Forgets a request that is complete and cancels its attempts that are still in flight.
+    /// Removes a complete request and cancels its attempts that are still in flight.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(id) else { return };
         if !self.settings.limits.may_cancel {
             return;
         }
-        let numbered = (0..).map(AttemptNo).zip(&request.attempts);
-        let in_flight = numbered.filter(|(_, attempt)| Attempt::is_in_flight(attempt));
+        let numbered_attempts = (0..).map(AttemptNo).zip(&request.attempts);
+        let in_flight = numbered_attempts.filter(|(_, attempt)| Attempt::is_in_flight(attempt));
         actions.extend(in_flight.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
     }
 }
--- a/crates/scheduling/src/completion/tests.rs
+++ b/crates/scheduling/src/completion/tests.rs
@@ -4,15 +4,15 @@
 use crate::settings::{Idempotency, Settings};
 use crate::test_support::{endpoint, settings, NOW};
 
-const ID: RequestId = RequestId(1);
+const REQUEST: RequestId = RequestId(1);
 
-/// A scheduler with one request in flight, and the worker that has it.
-fn with_request(settings: Settings) -> (Scheduler, WorkerId) {
-    let mut scheduler = Scheduler::new(settings, 1).expect("sound settings");
+/// Returns a scheduler with one request in flight, and the worker that runs the request's attempt.
+fn scheduler_with_request(settings: Settings) -> (Scheduler, WorkerId) {
+    let mut scheduler = Scheduler::new(settings, 1).expect("the settings are valid");
     let endpoints = (1..=3).map(endpoint).collect();
     scheduler.on_endpoints(NOW, EndpointUpdate::Snapshot, endpoints, &mut Vec::new());
     let request = Request {
-        id: ID,
+        id: REQUEST,
         class: ClassId(0),
         tenant: TenantId(0),
         key: None,
@@ -22,7 +22,7 @@
         retry: false,
     };
     scheduler.on_request(NOW, &request, &mut Vec::new());
-    let worker = scheduler.requests.get(ID).expect("it is pending").attempts[0].worker;
+    let worker = scheduler.requests.get(REQUEST).expect("the request is pending").attempts[0].worker;
     (scheduler, worker)
 }
 
@@ -32,8 +32,14 @@
     settings
 }
 
-fn finish(scheduler: &mut Scheduler, worker: WorkerId, outcome: Outcome, closed: bool) -> Vec<Action> {
-    let id = AttemptId { request: ID, number: AttemptNo(0) };
+/// Ends the first attempt of the request and returns the actions.
+fn finish_attempt(
+    scheduler: &mut Scheduler,
+    worker: WorkerId,
+    outcome: Outcome,
+    closed: bool,
+) -> Vec<Action> {
+    let id = AttemptId { request: REQUEST, number: AttemptNo(0) };
     let mut actions = Vec::new();
     let result = AttemptResult { id, worker, outcome, latency: 1_000, closed };
     scheduler.on_attempt_finished(NOW, &result, &mut actions);
@@ -41,61 +47,65 @@
 }
 
 #[test]
-fn a_served_request_is_complete_without_a_further_answer() {
-    let (mut scheduler, worker) = with_request(settings());
-    assert_eq!(finish(&mut scheduler, worker, Outcome::Ok, true), []);
-    assert!(!scheduler.requests.contains(ID));
-    assert_eq!(finish(&mut scheduler, worker, Outcome::Ok, true), [], "its attempt has ended already");
+fn a_served_request_gets_no_further_answer() {
+    let (mut scheduler, worker) = scheduler_with_request(settings());
+    assert_eq!(finish_attempt(&mut scheduler, worker, Outcome::Ok, true), []);
+    assert!(!scheduler.requests.contains(REQUEST));
+    assert_eq!(
+        finish_attempt(&mut scheduler, worker, Outcome::Ok, true),
+        [],
+        "the attempt has already ended"
+    );
 }
 
 #[test]
 fn an_invalid_request_fails() {
-    let (mut scheduler, worker) = with_request(settings());
-    let actions = finish(&mut scheduler, worker, Outcome::Invalid, false);
-    assert_eq!(actions, [Action::Fail { request: ID }]);
+    let (mut scheduler, worker) = scheduler_with_request(settings());
+    let actions = finish_attempt(&mut scheduler, worker, Outcome::Invalid, false);
+    assert_eq!(actions, [Action::Fail { request: REQUEST }]);
 }
 
 #[test]
-fn a_job_that_may_have_run_fails_if_a_retry_may_do_harm() {
-    let (mut scheduler, worker) = with_request(non_idempotent());
-    let actions = finish(&mut scheduler, worker, Outcome::Error, false);
-    assert_eq!(actions, [Action::Fail { request: ID }]);
+fn a_non_idempotent_job_that_may_have_run_fails() {
+    let (mut scheduler, worker) = scheduler_with_request(non_idempotent());
+    let actions = finish_attempt(&mut scheduler, worker, Outcome::Error, false);
+    assert_eq!(actions, [Action::Fail { request: REQUEST }]);
 }
 
 #[test]
-fn a_worker_that_gives_no_response_loses_its_idle_connections() {
-    let (mut scheduler, worker) = with_request(non_idempotent());
-    let actions = finish(&mut scheduler, worker, Outcome::NoResponse, false);
-    assert_eq!(actions, [Action::CloseIdle(worker), Action::Fail { request: ID }]);
+fn idle_connections_to_a_worker_that_gives_no_response_are_closed() {
+    let (mut scheduler, worker) = scheduler_with_request(non_idempotent());
+    let actions = finish_attempt(&mut scheduler, worker, Outcome::NoResponse, false);
+    assert_eq!(actions, [Action::CloseIdle(worker), Action::Fail { request: REQUEST }]);
 }
 
 #[test]
-fn at_its_deadline_a_request_in_flight_gets_a_moment_more_and_then_its_answer() {
-    let (mut scheduler, _) = with_request(settings());
+fn a_request_in_flight_at_its_deadline_is_answered_after_half_of_the_answer_slack() {
+    let (mut scheduler, _) = scheduler_with_request(settings());
     let (deadline, mut actions) = (NOW + 5_000_000, Vec::new());
     scheduler.on_deadline_timer(deadline, 0, &mut actions);
     let token = Timer::Deadline(0).token();
     assert_eq!(actions, [Action::SetTimer { at: deadline + 4_000, token }]);
     actions.clear();
     scheduler.on_deadline_timer(deadline + 4_000, 0, &mut actions);
-    let cancel = Action::Cancel { request: ID, attempt: AttemptNo(0) };
-    assert_eq!(actions, [Action::Reject { request: ID, retry_after: MIN_QUEUE_PAUSE }, cancel]);
+    let cancel = Action::Cancel { request: REQUEST, attempt: AttemptNo(0) };
+    assert_eq!(actions, [Action::Reject { request: REQUEST, retry_after: MIN_QUEUE_PAUSE }, cancel]);
 }
 
 #[test]
-fn at_shutdown_every_pending_request_gets_its_answer() {
-    let (mut scheduler, _) = with_request(non_idempotent());
+fn every_pending_request_gets_its_final_answer_at_shutdown() {
+    let (mut scheduler, _) = scheduler_with_request(non_idempotent());
     let mut actions = Vec::new();
     scheduler.on_shutdown(NOW, &mut actions);
-    let cancel = Action::Cancel { request: ID, attempt: AttemptNo(0) };
-    assert_eq!(actions, [Action::Fail { request: ID }, cancel]);
+    let cancel = Action::Cancel { request: REQUEST, attempt: AttemptNo(0) };
+    assert_eq!(actions, [Action::Fail { request: REQUEST }, cancel]);
     assert_eq!(scheduler.requests.ids(), []);
 }
 
 #[test]
-fn the_retry_after_lasts_until_a_worker_takes_jobs_again_within_its_limits() {
-    let (mut scheduler, _) = with_request(settings());
-    assert_eq!(scheduler.retry_after(NOW, None), MIN_QUEUE_PAUSE, "a worker takes jobs now");
+fn the_retry_after_ends_when_a_worker_takes_jobs_again_but_stays_within_its_limits() {
+    let (mut scheduler, _) = scheduler_with_request(settings());
+    assert_eq!(scheduler.retry_after(NOW, None), MIN_QUEUE_PAUSE, "a worker takes jobs already");
     for (ejection, retry_after) in [(1_000_000, 1_000_000), (6_000_000, 2_000_000)] {
         scheduler.fleet.iter_mut().for_each(|worker| worker.outlier.extend_ejection(NOW, ejection));
         assert_eq!(scheduler.retry_after(NOW, None), retry_after);
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -1,33 +1,37 @@
-//! How much of this scheduler's own load a worker takes, learned from rejections, errors and served attempts.
+//! Concurrency limit: how many slots this scheduler may have in flight at a worker, learned from rejections,
+//! errors and served attempts.
 
 use crate::events::Outcome;
 use crate::ids::Micros;
 
-/// A worker that rejected an attempt is avoided this long, microseconds.
+/// How long a worker is avoided after it rejected an attempt, in microseconds.
 const REJECTION_PAUSE: Micros = 150_000;
-/// The same where its connections are used up: jobs have to end first, microseconds.
+/// How long a worker is avoided after it refused a connection at once, in microseconds. The worker's
+/// connections are used up until jobs end.
 const REFUSED_CONNECTION_PAUSE: Micros = 600_000;
-/// Factor of the limit after an error or a timeout.
+/// The limit is multiplied by this factor after an error or a timeout.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Slots that each served attempt adds to the limit.
+/// Slots added to the limit for each served attempt.
 const INCREASE: f64 = 1.0;
-/// The limit is never below this, slots.
+/// Smallest limit, in slots.
 const MIN_LIMIT: f64 = 1.0;
 
-/// The learned limit of slots that this scheduler may have in flight at one worker.
+/// The learned limit on the slots that this scheduler may have in flight at one worker.
 pub(crate) struct ConcurrencyLimit {
-    slots: f64,
+    /// The limit, in slots; infinite until an attempt is rejected.
+    max_slots: f64,
     rejecting_until: Micros,
 }
 
 impl Default for ConcurrencyLimit {
     fn default() -> ConcurrencyLimit {
-        ConcurrencyLimit { slots: f64::INFINITY, rejecting_until: 0 }
+        ConcurrencyLimit { max_slots: f64::INFINITY, rejecting_until: 0 }
     }
 }
 
 impl ConcurrencyLimit {
-    /// Takes the outcome of an attempt; `in_flight` are the own slots that are still in flight there.
+    /// Records the outcome of an attempt; `in_flight` is the number of slots that this scheduler still has in
+    /// flight at the worker.
     pub(crate) fn record_result(
         &mut self,
         now: Micros,
@@ -37,11 +41,11 @@
     ) {
         let is_overloaded = matches!(outcome, Outcome::Timeout | Outcome::Error);
         let factor = if is_overloaded { DECREASE_FACTOR } else { 1.0 };
-        self.slots = (self.slots * factor).max(MIN_LIMIT);
+        self.max_slots = (self.max_slots * factor).max(MIN_LIMIT);
         match outcome {
-            Outcome::Ok => self.slots += INCREASE,
+            Outcome::Ok => self.max_slots += INCREASE,
             Outcome::Rejected => {
-                self.slots = in_flight.max(MIN_LIMIT);
+                self.max_slots = in_flight.max(MIN_LIMIT);
                 self.rejecting_until = now + REJECTION_PAUSE;
             }
             Outcome::ConnectFailed if refused_at_once => {
@@ -51,16 +55,18 @@
         }
     }
 
-    /// Whether so many slots in flight are too many. A single job is always within the limit.
+    /// Whether a job of `slots` slots would exceed the limit, in addition to the slots in flight. A single
+    /// job is always within the limit.
     pub(crate) fn is_exceeded(&self, in_flight: f64, slots: f64) -> bool {
-        in_flight + slots > self.slots.max(slots)
+        in_flight + slots > self.max_slots.max(slots)
     }
 
     pub(crate) fn is_rejecting(&self, now: Micros) -> bool {
         now < self.rejecting_until
     }
 
-    /// Until when the worker is expected to reject attempts; in the past if it isn't.
+    /// Returns the time until which the worker is expected to reject attempts; a time in the past if no
+    /// rejection is expected.
     pub(crate) fn rejecting_until(&self) -> Micros {
         self.rejecting_until
     }
--- a/crates/scheduling/src/concurrency_limit/tests.rs
+++ b/crates/scheduling/src/concurrency_limit/tests.rs
@@ -2,9 +2,9 @@
 use crate::test_support::NOW;
 
 #[test]
-fn a_rejection_lowers_the_limit_to_what_is_in_flight_and_each_success_raises_it_by_one() {
+fn a_rejection_lowers_the_limit_to_the_slots_in_flight_and_each_success_adds_one_slot() {
     let mut limit = ConcurrencyLimit::default();
-    assert!(!limit.is_exceeded(1e9, 1.0), "without a limit at first");
+    assert!(!limit.is_exceeded(1e9, 1.0), "there is no limit at first");
     limit.record_result(NOW, Outcome::Rejected, false, 4.0);
     assert!(!limit.is_exceeded(3.0, 1.0) && limit.is_exceeded(4.0, 1.0));
     limit.record_result(NOW, Outcome::Ok, false, 3.0);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn errors_and_timeouts_lower_the_limit_but_a_single_job_stays_within_it() {
+fn errors_and_timeouts_lower_the_limit_but_a_single_job_is_always_allowed() {
     let mut limit = ConcurrencyLimit::default();
     limit.record_result(NOW, Outcome::Rejected, false, 10.0);
     limit.record_result(NOW, Outcome::Error, false, 9.0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_worker_that_rejected_is_avoided_for_a_while_and_longer_if_it_refused_the_connection() {
+fn a_worker_is_avoided_after_a_rejection_and_for_longer_after_a_refused_connection() {
     for (outcome, refused_at_once, pause) in [
         (Outcome::Rejected, false, REJECTION_PAUSE),
         (Outcome::ConnectFailed, true, REFUSED_CONNECTION_PAUSE),
--- a/crates/scheduling/src/migration.rs
+++ b/crates/scheduling/src/migration.rs
@@ -1,4 +1,5 @@
-//! Migration: an attempt that waits for a slot, stalls or is slow is cancelled and sent to another worker.
+//! Migration: cancels an attempt that waits for a slot, has stalled or is slow, and sends the request to
+//! another worker.
 
 use crate::actions::Action;
 use crate::admission::CandidateRole;
@@ -10,80 +11,85 @@
 use crate::timer::{SequenceNumber, Timer};
 use crate::worker::{AttemptId, StartedAttempt, MAX_START_DELAY};
 
-/// A job that has not started within this, or within a fraction of its time, may migrate, microseconds.
+/// Longest time from sending an attempt to its first check, in microseconds; also the shortest interval
+/// between later checks of a running attempt.
 const MIGRATION_DELAY: Micros = 300_000;
-/// Part of the time to the deadline after which an attempt is checked at the latest.
-const DEADLINE_PARTS: Micros = 4;
-/// How often one request may migrate.
+/// The first check takes place at the latest when the time from the attempt's start to the deadline, divided
+/// by this number, has passed.
+const FIRST_CHECK_DIVISOR: Micros = 4;
+/// Largest number of migrations of one request.
 const MAX_MIGRATIONS: usize = 2;
-/// A running job migrates if the rest of it takes this many times as long as all of it ought to.
+/// A running job migrates if its remainder is projected to take more than this multiple of the job's whole
+/// expected time.
 const SLOW_FACTOR: f64 = 3.0;
-/// A running job has stalled when so many progress reports are missing.
+/// A running job has stalled once this many progress reports are missing.
 const MISSED_PROGRESS_REPORTS: u64 = 2;
 
-/// Whether attempts may migrate: workers report starts, and a request may have a second attempt.
+/// Whether attempts may migrate: workers report job starts, attempts may be cancelled, and a request may have
+/// two attempts in flight.
 pub(crate) fn is_enabled(settings: &Settings) -> bool {
     settings.reports_start && settings.limits.may_cancel && settings.limits.hedging
 }
 
-/// When an attempt is first checked.
+/// Returns when an attempt is first checked.
 pub(crate) fn first_check_at(sent_at: Micros, deadline: Micros) -> Micros {
     let remaining = deadline.saturating_sub(sent_at);
-    sent_at + MIGRATION_DELAY.min(remaining / DEADLINE_PARTS).max(MAX_START_DELAY)
+    sent_at + MIGRATION_DELAY.min(remaining / FIRST_CHECK_DIVISOR).max(MAX_START_DELAY)
 }
 
-/// How an attempt gets on.
+/// How well an attempt proceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pace {
-    /// It waits for a slot.
+enum AttemptHealth {
+    /// The attempt has not started: it waits for a slot.
     Waiting,
-    /// Its progress reports are missing.
+    /// The attempt has started, but its progress reports are missing.
     Stalled,
-    /// It makes progress, but too slowly.
+    /// The attempt makes progress, but too slowly.
     Slow,
-    /// It is as fast as it ought to be.
+    /// The attempt is as fast as expected, or its speed is unknown.
     Normal,
 }
 
-impl Pace {
-    /// Judges an attempt. `worker_speed` is the fraction of its full speed that its worker has.
-    fn of(
+impl AttemptHealth {
+    /// Assesses an attempt; `attempt` is `None` if its start was not reported. `worker_speed` is the worker's
+    /// present speed as a fraction of its full speed.
+    fn assess(
         attempt: Option<&StartedAttempt>,
         now: Micros,
         progress_interval: Micros,
         expected_work: Micros,
         worker_speed: f64,
-    ) -> Pace {
-        let Some(attempt) = attempt else { return Pace::Waiting };
+    ) -> AttemptHealth {
+        let Some(attempt) = attempt else { return AttemptHealth::Waiting };
         let overdue_at = attempt.last_progress_at + MISSED_PROGRESS_REPORTS * progress_interval;
         if progress_interval > 0 && now > overdue_at {
-            return Pace::Stalled;
+            return AttemptHealth::Stalled;
         }
         if attempt.fraction_done <= 0.0 || expected_work == 0 {
-            return Pace::Normal;
+            return AttemptHealth::Normal;
         }
         let elapsed = (attempt.last_progress_at - attempt.started_at) as f64;
         let remaining = elapsed * (1.0 - attempt.fraction_done) / attempt.fraction_done;
         if remaining * worker_speed > SLOW_FACTOR * expected_work as f64 {
-            Pace::Slow
+            AttemptHealth::Slow
         } else {
-            Pace::Normal
+            AttemptHealth::Normal
         }
     }
 }
 
-/// The latest attempt in flight, if it is time to check it and the request may still migrate.
+/// Returns the latest attempt in flight if its check is due and the request may still migrate.
 fn attempt_to_check(now: Micros, request: &PendingRequest) -> Option<(AttemptNo, &Attempt)> {
     let position = request.attempts.iter().rposition(Attempt::is_in_flight)?;
     let attempt = &request.attempts[position];
     let runs = request.attempts.iter().filter(|attempt| attempt.may_have_run()).count();
-    // An earlier attempt's timer may expire while this one has its own.
+    // The timer that has expired may belong to an earlier attempt of the request.
     let is_due = now >= first_check_at(attempt.sent_at, request.deadline);
     (is_due && runs <= MAX_MIGRATIONS).then_some((AttemptNo(position as u32), attempt))
 }
 
 impl Scheduler {
-    /// Takes a report of an attempt's start or progress.
+    /// Records a report of an attempt's start or progress.
     pub(crate) fn on_job_progress(
         &mut self,
         now: Micros,
@@ -110,39 +116,48 @@
         }
     }
 
-    /// Checks the attempt of a request; it migrates to the first other candidate with capacity if it has to.
+    /// Checks a request's attempt. An attempt that waits, has stalled or is slow migrates to the first other
+    /// candidate with capacity.
     pub(crate) fn on_attempt_check_timer(
         &mut self,
         now: Micros,
         sequence: SequenceNumber,
         actions: &mut Vec<Action>,
     ) {
-        let Some((id, request)) = self.requests.find(sequence) else { return };
+        let Some((id, request)) = self.requests.find_by_sequence(sequence) else { return };
         let Some((number, attempt)) = attempt_to_check(now, request) else { return };
         let Some(index) = self.fleet.index_of(attempt.worker) else { return };
         let worker = &self.fleet[index];
         let started = worker.started(AttemptId { request: id, number });
         let interval = self.settings.progress_interval;
         let speed = worker.warm_up_fraction(now, &self.settings.rules);
-        let pace = Pace::of(started, now, interval, request.expected_work, speed);
-        if let Some(target) = self.migration_target(now, id, index, pace) {
+        let health = AttemptHealth::assess(started, now, interval, request.expected_work, speed);
+        if let Some(target) = self.migration_target(now, id, index, health) {
             self.retry_budget.withdraw();
-            if pace == Pace::Stalled {
+            if health == AttemptHealth::Stalled {
                 self.fleet[index].record_result(now, Outcome::NoResponse, false);
             }
             actions.push(Action::Cancel { request: id, attempt: number });
             return self.send(now, id, target, actions);
         }
-        let pause = if pace == Pace::Waiting { MAX_START_DELAY } else { interval.max(MIGRATION_DELAY) };
+        let pause =
+            if health == AttemptHealth::Waiting { MAX_START_DELAY } else { interval.max(MIGRATION_DELAY) };
         actions.push(Action::SetTimer { at: now + pause, token: Timer::AttemptCheck(sequence).token() });
     }
 
-    /// Where an attempt migrates to, if it has to and may.
-    fn migration_target(&self, now: Micros, id: RequestId, from: usize, pace: Pace) -> Option<usize> {
+    /// Returns the worker that an attempt migrates to; `None` if the attempt proceeds normally, may not
+    /// migrate or finds no worker with capacity.
+    fn migration_target(
+        &self,
+        now: Micros,
+        id: RequestId,
+        from: usize,
+        health: AttemptHealth,
+    ) -> Option<usize> {
         let request = self.requests.get(id)?;
         let may_migrate =
-            self.retry_budget.allows_migration() && request.allows_attempt_by(now + self.settings.tick);
-        if pace == Pace::Normal || !may_migrate {
+            self.retry_budget.allows_migration() && request.allows_attempt_at(now + self.settings.tick);
+        if health == AttemptHealth::Normal || !may_migrate {
             return None;
         }
         let admission = self.admission(now);
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -1,18 +1,21 @@
-//! Outlier detection: a worker whose attempts break again and again is ejected for a while.
+//! Outlier detection: temporarily ejects a worker whose attempts fail repeatedly.
 
 use crate::events::Outcome;
 use crate::ids::Micros;
 
-/// Length of the first ejection, microseconds; each further failure doubles it.
+/// Duration of an ejection after no earlier failure, in microseconds. Each earlier failure in a row doubles
+/// the duration.
 const BASE_EJECTION: Micros = 500_000;
-/// The longest ejection, microseconds.
+/// Longest duration of an ejection, in microseconds.
 const MAX_EJECTION: Micros = 8_000_000;
-/// The ejection is doubled at most so often.
+/// The duration of an ejection is doubled at most this many times.
 const MAX_DOUBLINGS: u32 = 8;
-/// Fraction of the ready workers that may be ejected: a zone and more. Beyond it the fault is a common one.
+/// Ejections apply while no more than this fraction of the ready workers is ejected, which is more than one
+/// zone. If more workers fail, the cause is a common one.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 
-/// Whether ejections count, given how many of the ready workers are ejected.
+/// Whether ejected workers are excluded from the candidates, given the number of ejected workers and of ready
+/// workers.
 pub(crate) fn ejections_apply(ejected: usize, ready: usize) -> bool {
     ejected as f64 <= MAX_EJECTED_FRACTION * ready as f64
 }
@@ -25,14 +28,15 @@
 }
 
 impl OutlierDetector {
-    /// Takes the outcome of an attempt. `refused_at_once`: its connection was refused without delay, which a
-    /// full connection table does as well as a failed worker.
+    /// Records the outcome of an attempt. `refused_at_once` says that the connection was refused without
+    /// delay, either because the worker failed or because its connection table is full.
     pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_at_once: bool) {
         match outcome {
-            Outcome::Ok => self.recover(),
+            Outcome::Ok => self.record_success(),
             Outcome::Invalid => self.reset_failures(),
             Outcome::ConnectFailed if refused_at_once => {}
-            // A single failure may be its connection's or its request's fault; a second one is the worker's.
+            // A single failure may be due to the connection or the request; a second one is due to the
+            // worker.
             Outcome::Reset | Outcome::NoResponse | Outcome::Error if self.consecutive_failures == 0 => {
                 self.consecutive_failures = 1;
             }
@@ -43,8 +47,9 @@
         }
     }
 
-    /// Halves the failures, so that a worker which serves only now and then stays suspect.
-    fn recover(&mut self) {
+    /// Halves the number of failures, so that a worker that rarely serves an attempt stays suspect. Ends the
+    /// ejection once no failure is left.
+    fn record_success(&mut self) {
         self.consecutive_failures /= 2;
         if self.consecutive_failures == 0 {
             self.ejected_until = 0;
@@ -57,12 +62,13 @@
         self.consecutive_failures += 1;
     }
 
-    /// Forgets the failures: a peer's attempt was served.
+    /// Resets the number of failures, after an invalid request or when a peer's attempt was served.
     pub(crate) fn reset_failures(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Takes over an ejection that has so long to go at the worker's coordinator.
+    /// Extends the ejection to at least `remaining` microseconds from now, as the worker's coordinator
+    /// reported.
     pub(crate) fn extend_ejection(&mut self, now: Micros, remaining: Micros) {
         self.ejected_until = self.ejected_until.max(now + remaining.min(MAX_EJECTION));
     }
@@ -71,7 +77,7 @@
         now < self.ejected_until
     }
 
-    /// When the ejection ends; in the past if there is none.
+    /// Returns when the ejection ends; a time in the past if the worker is not ejected.
     pub(crate) fn ejected_until(&self) -> Micros {
         self.ejected_until
     }
--- a/crates/scheduling/src/outlier/tests.rs
+++ b/crates/scheduling/src/outlier/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::test_support::NOW;
 
-fn after(outcomes: &[Outcome]) -> OutlierDetector {
+/// A detector that has recorded these outcomes.
+fn detector_after(outcomes: &[Outcome]) -> OutlierDetector {
     let mut detector = OutlierDetector::default();
     for outcome in outcomes {
         detector.record_result(NOW, *outcome, false);
@@ -10,44 +11,48 @@
 }
 
 #[test]
-fn the_second_failure_in_a_row_ejects_and_each_further_one_doubles_the_time() {
+fn the_second_failure_in_a_row_ejects_and_each_further_failure_doubles_the_duration() {
     for outcome in [Outcome::Reset, Outcome::NoResponse, Outcome::Error] {
-        assert!(!after(&[outcome]).is_ejected(NOW), "{outcome:?}");
+        assert!(!detector_after(&[outcome]).is_ejected(NOW), "{outcome:?}");
         for (failures, ejection) in [(2, 1_000_000), (3, 2_000_000), (4, 4_000_000), (9, MAX_EJECTION)] {
-            assert_eq!(after(&vec![outcome; failures]).ejected_until(), NOW + ejection, "{outcome:?}");
+            assert_eq!(
+                detector_after(&vec![outcome; failures]).ejected_until(),
+                NOW + ejection,
+                "{outcome:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_connection_that_was_not_made_ejects_at_once_unless_it_was_refused_at_once() {
-    assert_eq!(after(&[Outcome::ConnectFailed]).ejected_until(), NOW + BASE_EJECTION);
+fn a_failed_connection_ejects_immediately_unless_it_was_refused_at_once() {
+    assert_eq!(detector_after(&[Outcome::ConnectFailed]).ejected_until(), NOW + BASE_EJECTION);
     let mut detector = OutlierDetector::default();
     detector.record_result(NOW, Outcome::ConnectFailed, true);
     assert!(!detector.is_ejected(NOW));
 }
 
 #[test]
-fn a_served_attempt_ends_the_ejection_once_the_failures_have_halved_to_none() {
-    let mut detector = after(&[Outcome::Error, Outcome::Error]);
+fn served_attempts_halve_the_failures_and_end_the_ejection_at_zero() {
+    let mut detector = detector_after(&[Outcome::Error, Outcome::Error]);
     detector.record_result(NOW, Outcome::Ok, false);
-    assert!(detector.is_ejected(NOW), "one failure of two is left");
+    assert!(detector.is_ejected(NOW), "one of the two failures is left");
     detector.record_result(NOW, Outcome::Ok, false);
     assert!(!detector.is_ejected(NOW));
 }
 
 #[test]
-fn outcomes_that_are_no_fault_of_the_worker_change_nothing() {
+fn outcomes_that_the_worker_did_not_cause_do_not_eject() {
     for outcome in [Outcome::Rejected, Outcome::Timeout, Outcome::Cancelled, Outcome::NotSent] {
-        assert!(!after(&[outcome; 5]).is_ejected(NOW), "{outcome:?}");
-        assert!(after(&[Outcome::Reset, outcome, Outcome::Reset]).is_ejected(NOW), "{outcome:?}");
+        assert!(!detector_after(&[outcome; 5]).is_ejected(NOW), "{outcome:?}");
+        assert!(detector_after(&[Outcome::Reset, outcome, Outcome::Reset]).is_ejected(NOW), "{outcome:?}");
     }
-    assert!(!after(&[Outcome::Reset, Outcome::Invalid, Outcome::Reset]).is_ejected(NOW));
+    assert!(!detector_after(&[Outcome::Reset, Outcome::Invalid, Outcome::Reset]).is_ejected(NOW));
 }
 
 #[test]
-fn the_coordinator_s_ejection_extends_the_own_one_and_never_shortens_it() {
-    let mut detector = after(&[Outcome::Error; 3]);
+fn the_coordinator_s_ejection_extends_the_local_one_and_never_shortens_it() {
+    let mut detector = detector_after(&[Outcome::Error; 3]);
     detector.extend_ejection(NOW, 1);
     assert_eq!(detector.ejected_until(), NOW + 2_000_000);
     detector.extend_ejection(NOW, u64::MAX);
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: from a request's candidates to an attempt, an occupancy query or the queue.
+//! Placement: sends a request to one of its candidates, queries the occupancy of candidates, or queues the
+//! request.
 
 use crate::actions::Action;
 use crate::admission::CandidateRole;
@@ -14,53 +15,57 @@
 use crate::timer::{SequenceNumber, Timer};
 use crate::worker::{AttemptId, InFlightAttempt};
 
-/// Shortest mean pause before a queued request looks for a worker again, microseconds; it grows with its age.
+/// Shortest mean pause before a queued request is placed again, in microseconds. The pause grows with the age
+/// of the request.
 pub(crate) const MIN_QUEUE_PAUSE: Micros = 200_000;
-/// An attempt times out once it exceeds its expected work by this fraction and can't be in time any more.
+/// If late answers are worthless, an attempt times out this fraction of its expected work after its latency
+/// objective: the job may exceed its expected work by that much.
 const MAX_OVERRUN: f64 = 0.3;
-/// A request without an attempt in flight is answered so many ticks ...
+/// A request without an attempt in flight is answered this many ticks plus [`ANSWER_MARGIN`] before its
+/// deadline.
 const ANSWER_MARGIN_TICKS: Micros = 2;
-/// ... and this long before its deadline, microseconds.
+/// Time before its deadline, besides [`ANSWER_MARGIN_TICKS`], at which a request without an attempt in flight
+/// is answered, in microseconds.
 const ANSWER_MARGIN: Micros = 2_000;
 
-/// What the choice of a worker depends on beside the candidates.
-struct Placement {
+/// The properties of a request that the choice among its candidates depends on.
+struct PlacementContext {
     request: RequestId,
     slots: f64,
     is_retry: bool,
-    /// Its key is spread over several workers.
+    /// Whether the request's key is spread over several workers.
     is_spread: bool,
-    /// It has waited for occupancy replies as long as it may.
-    has_awaited_reports: bool,
-    /// Its latency objective can't be met any more.
+    /// Whether the request has waited for occupancy replies until the query timeout.
+    reports_timed_out: bool,
+    /// Whether the latency objective can no longer be met.
     is_late: bool,
 }
 
-impl Placement {
-    fn new(now: Micros, request: RequestId, pending: &PendingRequest) -> Placement {
-        Placement {
+impl PlacementContext {
+    fn new(now: Micros, request: RequestId, pending: &PendingRequest) -> PlacementContext {
+        PlacementContext {
             request,
             slots: pending.slots,
             is_retry: !pending.attempts.is_empty(),
             is_spread: pending.spread != 1,
-            has_awaited_reports: pending.awaits_occupancy_until.is_some_and(|until| now >= until),
-            is_late: now > pending.late_from(1.0),
+            reports_timed_out: pending.awaits_occupancy_until.is_some_and(|until| now >= until),
+            is_late: now > pending.objective_missed_from(1.0),
         }
     }
 }
 
-/// What became of the candidates of a request.
+/// The result of choosing among the candidates of a request.
 enum Selection {
-    /// This one has capacity.
+    /// The worker with this index has capacity.
     Worker(usize),
-    /// Replies of coordinators are awaited.
+    /// Occupancy queries were sent, and their replies are awaited.
     AwaitReports,
-    /// None has capacity.
+    /// No candidate has capacity.
     NoCapacity,
 }
 
 impl Scheduler {
-    /// Takes a client's request.
+    /// Registers a client's request and places it.
     pub(crate) fn on_request(&mut self, now: Micros, request: &Request, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
             return;
@@ -88,7 +93,7 @@
         self.place(now, request.id, actions);
     }
 
-    /// Counts a request's key; returns over how many workers it is spread.
+    /// Counts a request with this key and returns over how many workers the key is spread.
     fn record_key(&mut self, now: Micros, key_hash: u64) -> usize {
         let fleet = FleetView {
             ready_workers: self.fleet.ready_count(),
@@ -98,45 +103,47 @@
         self.hot_keys.record(now, key_hash, &fleet)
     }
 
-    /// How long before its deadline a request without an attempt in flight is answered.
+    /// Returns how long before its deadline a request without an attempt in flight is answered.
     fn answer_margin(&self) -> Micros {
         ANSWER_MARGIN_TICKS * self.settings.tick + ANSWER_MARGIN
     }
 
-    /// Sends the request to a worker, queries the occupancy of some, queues it, or concludes it.
+    /// Sends the request to a worker, queries the occupancy of workers, queues the request, or gives its
+    /// final answer. Does nothing while an attempt is in flight.
     pub(crate) fn place(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.has_attempt_in_flight() {
             return;
         }
         let is_out_of_time = now + self.answer_margin() >= request.deadline;
-        if is_out_of_time || !request.allows_attempt_by(now + self.settings.tick) {
-            return self.conclude(now, id, actions);
+        if is_out_of_time || !request.allows_attempt_at(now + self.settings.tick) {
+            return self.send_final_answer(now, id, actions);
         }
-        let placement = Placement::new(now, id, request);
-        if placement.is_late && request.is_worthless_when_late() {
-            return self.conclude(now, id, actions);
+        let context = PlacementContext::new(now, id, request);
+        if context.is_late && request.is_worthless_when_late() {
+            return self.send_final_answer(now, id, actions);
         }
         if self.endpoint_refresh.is_unconfirmed(now) {
             return self.queue(now, id, actions);
         }
         let candidates = self.candidates(now, id);
-        match self.select(now, &placement, &candidates, actions) {
+        match self.select(now, &context, &candidates, actions) {
             Selection::Worker(index) => self.send(now, id, index, actions),
             Selection::AwaitReports => self.await_reports(now, id, actions),
-            Selection::NoCapacity => match self.select_queue(now, &placement, &candidates) {
+            Selection::NoCapacity => match self.select_queue(now, &context, &candidates) {
                 Some(index) => self.send(now, id, index, actions),
                 None => self.queue(now, id, actions),
             },
         }
     }
 
-    /// The first candidate with capacity. Where schedulers coordinate, the home's occupancy is queried first,
-    /// as it mostly has capacity; then that of the other workers together; then that of those that warm up.
+    /// Selects the first candidate with capacity. If schedulers coordinate, occupancy is queried first at the
+    /// home alone, which mostly has capacity; then at all other warm candidates together; then at the warming
+    /// candidates.
     fn select(
         &mut self,
         now: Micros,
-        placement: &Placement,
+        context: &PlacementContext,
         candidates: &[usize],
         actions: &mut Vec<Action>,
     ) -> Selection {
@@ -146,19 +153,19 @@
                 break;
             }
             let may_query =
-                !placement.has_awaited_reports && !self.fleet[index].concurrency_limit.is_rejecting(now);
-            if may_query && self.query_occupancy(now, index, placement.request, actions) {
+                !context.reports_timed_out && !self.fleet[index].concurrency_limit.is_rejecting(now);
+            if may_query && self.query_occupancy(now, index, context.request, actions) {
                 has_queried = true;
                 if rank == 0 {
                     break;
                 }
                 continue;
             }
-            let preference = self.preference(now, placement, rank, index);
-            if !self.admission(now).has_capacity(index, placement.slots, preference) {
+            let role = self.candidate_role(now, context, rank, index);
+            if !self.admission(now).has_capacity(index, context.slots, role) {
                 continue;
             }
-            let needs_retry_budget = placement.is_retry && self.fleet[index].occupancy(now).is_none();
+            let needs_retry_budget = context.is_retry && self.fleet[index].occupancy(now).is_none();
             if needs_retry_budget && !self.retry_budget.try_withdraw() {
                 break;
             }
@@ -171,10 +178,16 @@
         }
     }
 
-    /// What a candidate is to the request. Of a hot key, a worker that warms up is the home only as often as
-    /// it is warm.
-    fn preference(&mut self, now: Micros, placement: &Placement, rank: usize, index: usize) -> CandidateRole {
-        let is_home = !placement.is_spread
+    /// Returns the role of a candidate for the request. A warming worker is the home of a hot key with a
+    /// probability equal to the worker's warm-up fraction.
+    fn candidate_role(
+        &mut self,
+        now: Micros,
+        context: &PlacementContext,
+        rank: usize,
+        index: usize,
+    ) -> CandidateRole {
+        let is_home = !context.is_spread
             || self.random.next_fraction() < self.fleet[index].warm_up_fraction(now, &self.settings.rules);
         let is_first = rank == 0 || !coordination::is_enabled(&self.settings);
         if is_home && is_first {
@@ -184,17 +197,18 @@
         }
     }
 
-    /// The worker whose queue the request joins. Past its latency objective it joins none, or queues would
-    /// stay long and make all that follows late. Where load is known, a rejected one waits here: at other
-    /// workers its key's data is not cached.
-    fn select_queue(&self, now: Micros, placement: &Placement, candidates: &[usize]) -> Option<usize> {
+    /// Returns the worker whose queue the request joins, if any. A late request joins no queue; otherwise
+    /// queues would stay long and make all later requests late. A retry joins a queue only if the worker's
+    /// load is unknown. If the load is known, the retry waits at the scheduler, because other workers have
+    /// not cached the data of its key.
+    fn select_queue(&self, now: Micros, context: &PlacementContext, candidates: &[usize]) -> Option<usize> {
         let admission = self.admission(now);
-        let index = admission.least_loaded(candidates, placement.slots)?;
-        let may_join = !placement.is_late && (!placement.is_retry || admission.fair_share(index).is_some());
+        let index = admission.least_loaded(candidates, context.slots)?;
+        let may_join = !context.is_late && (!context.is_retry || admission.fair_share(index).is_some());
         may_join.then_some(index)
     }
 
-    /// Waits for the replies of coordinators; a request that waits already keeps its timer.
+    /// Makes the request wait for replies of coordinators. A request that already waits keeps its timer.
     fn await_reports(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.awaits_occupancy_until.is_none() {
@@ -204,34 +218,38 @@
         }
     }
 
-    /// Queues the request: it looks for a worker again after a pause that grows with its age, and when the
-    /// endpoint list changes.
+    /// Queues the request. The request is placed again after a pause that grows with its age, and whenever
+    /// the endpoint list changes.
     fn queue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let jitter = 0.5 + self.random.next_fraction();
         let Some(request) = self.requests.get_mut(id) else { return };
         request.is_queued = true;
         request.awaits_occupancy_until = None;
         let pause = MIN_QUEUE_PAUSE.max(now.saturating_sub(request.arrived_at));
-        let end = if request.is_worthless_when_late() { request.late_from(1.0) + 1 } else { Micros::MAX };
-        let at = end.min(now + (pause as f64 * jitter) as Micros);
+        let latest = if request.is_worthless_when_late() {
+            request.objective_missed_from(1.0) + 1
+        } else {
+            Micros::MAX
+        };
+        let at = latest.min(now + (pause as f64 * jitter) as Micros);
         actions.push(Action::SetTimer { at, token: Timer::Placement(request.sequence).token() });
     }
 
-    /// Looks for a worker again, if the request is queued or its occupancy queries are overdue.
+    /// Places the request again if it is queued or its occupancy queries are overdue.
     pub(crate) fn on_placement_timer(
         &mut self,
         now: Micros,
         sequence: SequenceNumber,
         actions: &mut Vec<Action>,
     ) {
-        let Some((id, request)) = self.requests.find(sequence) else { return };
+        let Some((id, request)) = self.requests.find_by_sequence(sequence) else { return };
         if request.is_queued || request.awaits_occupancy_until.is_some_and(|until| now >= until) {
             self.expire_queries(now);
             self.place(now, id, actions);
         }
     }
 
-    /// Sends an attempt to a worker.
+    /// Sends an attempt of the request to a worker and notifies the worker's coordinator.
     pub(crate) fn send(&mut self, now: Micros, id: RequestId, index: usize, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let worker = &mut self.fleet[index];
@@ -245,15 +263,15 @@
         });
         request.is_queued = false;
         request.awaits_occupancy_until = None;
-        let worst_end = request.late_from(-MAX_OVERRUN);
-        let timeout = request.is_worthless_when_late().then(|| worst_end.saturating_sub(now).max(1));
+        let times_out_at = request.objective_missed_from(-MAX_OVERRUN);
+        let timeout = request.is_worthless_when_late().then(|| times_out_at.saturating_sub(now).max(1));
         actions.push(Action::Send { request: id, worker: worker.endpoint.worker, timeout });
         if migration::is_enabled(&self.settings) {
             let at = migration::first_check_at(now, request.deadline);
             actions.push(Action::SetTimer { at, token: Timer::AttemptCheck(request.sequence).token() });
         }
         if worker.is_warming_up(now, &self.settings.rules) {
-            // Its coordinator has reserved capacity for this attempt alone.
+            // The report holds for one attempt: the worker's coordinator reserved capacity for this one only.
             worker.report = None;
         }
         let message = PeerMessage::AttemptStarted { slots: request.slots, work: request.likely_work() };
--- a/crates/scheduling/src/placement/tests.rs
+++ b/crates/scheduling/src/placement/tests.rs
@@ -4,6 +4,7 @@
 use crate::settings::{LoadReportSource, Settings};
 use crate::test_support::{endpoint, settings, NOW};
 
+/// A request with a key and without a hint of its work, five seconds before its deadline.
 fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -17,19 +18,22 @@
     }
 }
 
+/// A scheduler that knows the workers with numbers from 1 to `workers`.
 fn scheduler(settings: Settings, workers: u64) -> Scheduler {
-    let mut scheduler = Scheduler::new(settings, 1).expect("sound settings");
+    let mut scheduler = Scheduler::new(settings, 1).expect("the settings are valid");
     let endpoints = (1..=workers).map(endpoint).collect();
     scheduler.on_endpoints(NOW, EndpointUpdate::Snapshot, endpoints, &mut Vec::new());
     scheduler
 }
 
-fn place(scheduler: &mut Scheduler, request: &Request) -> Vec<Action> {
+/// Hands a request to the scheduler and returns the actions.
+fn submit(scheduler: &mut Scheduler, request: &Request) -> Vec<Action> {
     let mut actions = Vec::new();
     scheduler.on_request(NOW, request, &mut actions);
     actions
 }
 
+/// The action that sets a timer.
 fn timer(at: Micros, timer: Timer) -> Action {
     Action::SetTimer { at, token: timer.token() }
 }
@@ -39,36 +43,36 @@
 }
 
 #[test]
-fn a_request_is_sent_at_once_and_answered_a_little_before_its_deadline() {
+fn a_request_is_sent_at_once_and_its_answer_is_due_shortly_before_its_deadline() {
     let mut scheduler = scheduler(settings(), 3);
-    let actions = place(&mut scheduler, &request(1));
+    let actions = submit(&mut scheduler, &request(1));
     assert_eq!(actions[0], timer(NOW + 5_000_000 - 6_000, Timer::Deadline(0)));
     assert!(matches!(actions[1..], [Action::Send { request: RequestId(1), timeout: None, .. }]));
 }
 
 #[test]
-fn a_request_that_is_known_already_or_has_no_class_is_not_placed() {
+fn a_duplicate_request_and_a_request_of_an_unknown_class_are_not_placed() {
     let mut scheduler = scheduler(settings(), 3);
-    place(&mut scheduler, &request(1));
-    assert_eq!(place(&mut scheduler, &request(1)), []);
+    submit(&mut scheduler, &request(1));
+    assert_eq!(submit(&mut scheduler, &request(1)), []);
     let unknown_class = Request { class: ClassId(9), ..request(2) };
-    assert_eq!(place(&mut scheduler, &unknown_class), [Action::Fail { request: RequestId(2) }]);
+    assert_eq!(submit(&mut scheduler, &unknown_class), [Action::Fail { request: RequestId(2) }]);
 }
 
 #[test]
-fn a_request_with_invalid_slots_takes_one() {
+fn a_request_with_an_invalid_number_of_slots_takes_one_slot() {
     for slots in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let mut scheduler = scheduler(settings(), 3);
-        place(&mut scheduler, &Request { slots, ..request(1) });
-        let pending = scheduler.requests.get(RequestId(1)).expect("it is pending");
+        submit(&mut scheduler, &Request { slots, ..request(1) });
+        let pending = scheduler.requests.get(RequestId(1)).expect("the request is pending");
         assert_eq!(pending.slots, 1.0, "{slots}");
     }
 }
 
 #[test]
-fn without_a_worker_a_request_is_queued_and_sent_when_one_is_listed() {
+fn a_request_without_a_worker_is_queued_and_sent_when_a_worker_is_listed() {
     let mut scheduler = scheduler(settings(), 0);
-    let actions = place(&mut scheduler, &request(1));
+    let actions = submit(&mut scheduler, &request(1));
     let [_, Action::SetTimer { at, token }] = actions[..] else { panic!("{actions:?}") };
     assert_eq!(token, Timer::Placement(0).token());
     assert!((NOW + MIN_QUEUE_PAUSE / 2..NOW + MIN_QUEUE_PAUSE * 3 / 2).contains(&at));
@@ -78,25 +82,25 @@
 }
 
 #[test]
-fn where_schedulers_coordinate_the_home_s_occupancy_is_queried_before_the_request_is_sent() {
+fn coordinating_schedulers_query_the_occupancy_of_the_home_before_they_send_a_request() {
     let mut coordinating = Settings { scheduler_count: 1000, ..settings() };
     coordinating.load_report_source = LoadReportSource::Never;
     coordinating.limits.may_message_peers = true;
     let mut scheduler = scheduler(coordinating, 3);
-    let actions = place(&mut scheduler, &request(1));
-    let [_, Action::SendPeerMessage { data, .. }, awaited] = &actions[..] else { panic!("{actions:?}") };
+    let actions = submit(&mut scheduler, &request(1));
+    let [_, Action::SendPeerMessage { data, .. }, query_timer] = &actions[..] else { panic!("{actions:?}") };
     let query = PeerMessage::decode(data).map(|(message, _)| message);
     assert_eq!(query, Some(PeerMessage::OccupancyQuery { work: 500_000 }));
-    assert_eq!(*awaited, timer(NOW + QUERY_TIMEOUT, Timer::Placement(0)));
+    assert_eq!(*query_timer, timer(NOW + QUERY_TIMEOUT, Timer::Placement(0)));
     let mut actions = Vec::new();
     scheduler.on_placement_timer(NOW + QUERY_TIMEOUT, 0, &mut actions);
-    assert!(actions.iter().any(is_send), "without a reply it is sent all the same: {actions:?}");
+    assert!(actions.iter().any(is_send), "the request is sent although the query has no reply: {actions:?}");
 }
 
 #[test]
-fn a_request_is_retried_until_its_attempts_are_used_up() {
+fn a_rejected_request_is_retried_until_its_attempts_are_used_up() {
     let mut scheduler = scheduler(settings(), 9);
-    let mut actions = place(&mut scheduler, &request(1));
+    let mut actions = submit(&mut scheduler, &request(1));
     let mut workers: Vec<WorkerId> = Vec::new();
     while let Some(Action::Send { worker, .. }) = actions.iter().find(|action| is_send(action)) {
         workers.push(*worker);
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests that need their final answer, and their attempts.
+//! Pending requests, which still need their final answer, and their attempts.
 
 use crate::ids::{Micros, RequestId, WorkerId};
 use crate::retry::RetrySafety;
@@ -6,10 +6,10 @@
 use crate::timer::SequenceNumber;
 use std::collections::BTreeMap;
 
-/// Late answers that keep a smaller fraction of their weight than this are not worth a worker's time.
+/// Late answers that keep less than this fraction of their weight are not worth a worker's time.
 const MIN_LATE_WEIGHT: f64 = 0.01;
 
-/// Whether an attempt is in flight and, once it has ended, whether it may have run.
+/// The state of an attempt: in flight, or ended with or without a possible run of the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
     InFlight,
@@ -20,7 +20,8 @@
 /// An attempt of a pending request.
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
-    /// Slots in flight there for each unit of weight, its own included, if that was known.
+    /// The worker's occupancy per unit of weight when the attempt was sent, in slots, including the attempt's
+    /// own slots; `None` if the occupancy was unknown.
     pub(crate) occupancy_at_send: Option<f64>,
     pub(crate) state: AttemptState,
     pub(crate) sent_at: Micros,
@@ -31,52 +32,52 @@
         self.state == AttemptState::InFlight
     }
 
-    /// Whether it runs or may have run.
+    /// Whether the job may have run, or may be running, in this attempt.
     pub(crate) fn may_have_run(&self) -> bool {
         self.state != AttemptState::NeverRan
     }
 }
 
-/// A request that needs its final answer.
+/// A request that still needs its final answer.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
-    /// As it was when the request came; newer settings don't change it.
+    /// The class as it was when the request arrived; newer settings don't change it.
     pub(crate) class: Class,
-    /// Attempts allowed: the smallest number of all settings since the request came.
+    /// Attempts allowed: the smallest limit of all settings in effect since the request arrived.
     pub(crate) max_attempts: u32,
-    /// Place of its key on the ring.
+    /// Position on the ring: the hash of the request's key, or of its id if it has no key.
     pub(crate) key_hash: u64,
     pub(crate) slots: f64,
-    /// Expected work, microseconds; 0 without a hint.
+    /// Expected work, in microseconds; 0 if the client gave no hint.
     pub(crate) expected_work: Micros,
     pub(crate) arrived_at: Micros,
     pub(crate) deadline: Micros,
     pub(crate) sequence: SequenceNumber,
-    /// Over how many workers its key is spread.
+    /// Number of workers over which the request's key is spread.
     pub(crate) spread: usize,
     pub(crate) attempts: Vec<Attempt>,
-    /// It waits for coordinators' replies until this time.
+    /// When the wait for replies to occupancy queries ends; `None` if the request does not wait.
     pub(crate) awaits_occupancy_until: Option<Micros>,
     pub(crate) is_queued: bool,
 }
 
 impl PendingRequest {
-    /// From when on it misses its latency objective with `remaining` times its expected work still to be
-    /// done.
-    pub(crate) fn late_from(&self, remaining: f64) -> Micros {
-        let work_allowance = (self.class.objective_per_work - remaining).max(0.0);
+    /// Returns the time from which on the request misses its latency objective if the remaining work is
+    /// `remaining_work_factor` times its expected work.
+    pub(crate) fn objective_missed_from(&self, remaining_work_factor: f64) -> Micros {
+        let work_allowance = (self.class.objective_per_work - remaining_work_factor).max(0.0);
         self.arrived_at
             + self.class.latency_objective
             + (work_allowance * self.expected_work as f64) as Micros
     }
 
-    /// Whether a late answer is worth nothing, and it is known when the answer is late.
+    /// Whether a late answer is worthless and the time from which the answer is late is known.
     pub(crate) fn is_worthless_when_late(&self) -> bool {
         let objective_is_known = self.expected_work > 0 || self.class.objective_per_work == 0.0;
         self.class.late_weight < MIN_LATE_WEIGHT && objective_is_known
     }
 
-    /// The first attempt that runs or may have run.
+    /// Returns the first attempt in which the job may have run or may be running.
     pub(crate) fn first_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
@@ -90,12 +91,13 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether its attempts and its idempotency allow a further attempt that begins by then.
-    pub(crate) fn allows_attempt_by(&self, by: Micros) -> bool {
-        self.attempts.len() < self.max_attempts as usize && self.retry_safety().allows_attempt_by(by)
+    /// Whether the limit of attempts and the idempotency allow a further attempt that starts at this time.
+    pub(crate) fn allows_attempt_at(&self, start: Micros) -> bool {
+        self.attempts.len() < self.max_attempts as usize && self.retry_safety().allows_attempt_at(start)
     }
 
-    /// Its expected work; without a hint, its class is made for jobs of about its latency objective.
+    /// Returns the expected work. Without a hint, returns the latency objective of the class, because a class
+    /// is meant for jobs of about that length.
     pub(crate) fn likely_work(&self) -> Micros {
         if self.expected_work > 0 {
             self.expected_work
@@ -105,7 +107,7 @@
     }
 }
 
-/// All pending requests, by id and by the sequence number that their timers carry.
+/// All pending requests, by id and by the sequence number that their timers contain.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     by_id: BTreeMap<RequestId, PendingRequest>,
@@ -114,7 +116,7 @@
 }
 
 impl PendingRequests {
-    /// Adds a request and returns the sequence number that it was given.
+    /// Adds a request and returns its new sequence number.
     pub(crate) fn insert(&mut self, id: RequestId, request: PendingRequest) -> SequenceNumber {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -141,8 +143,8 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The request with this sequence number.
-    pub(crate) fn find(&self, sequence: SequenceNumber) -> Option<(RequestId, &PendingRequest)> {
+    /// Returns the request with this sequence number.
+    pub(crate) fn find_by_sequence(&self, sequence: SequenceNumber) -> Option<(RequestId, &PendingRequest)> {
         let id = *self.by_sequence.get(&sequence)?;
         self.by_id.get(&id).map(|request| (id, request))
     }
@@ -155,7 +157,7 @@
         self.by_id.iter().filter(|(_, request)| request.is_queued).map(|(id, _)| *id).collect()
     }
 
-    /// New settings: pending requests get no more attempts than these allow.
+    /// Lowers the attempts of all pending requests to the limit of new settings.
     pub(crate) fn limit_attempts(&mut self, max_attempts: u32) {
         for request in self.by_id.values_mut() {
             request.max_attempts = request.max_attempts.min(max_attempts);
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -1,50 +1,51 @@
-//! Retries: whether a job may run again, by its idempotency and its deduplication window, and the budget for
-//! attempts that are sent without knowledge of the worker's load.
+//! Retries: decides by a job's idempotency and deduplication window whether the job may run again, and keeps
+//! the budget for migrations and for retries at workers whose load is unknown.
 
 use crate::events::Endpoint;
 use crate::ids::Micros;
 use crate::settings::{DeduplicationScope, Idempotency};
 
-/// A rejected client is back this long after its Retry-After at the latest, microseconds.
+/// Longest expected delay between the end of a client's Retry-After and the client's retry, in microseconds.
 const MAX_CLIENT_DELAY: Micros = 500_000;
-/// Retries that each served attempt adds to the budget.
+/// Retries added to the budget for each served attempt.
 const RETRIES_PER_SUCCESS: f64 = 1.0;
-/// Retries in the budget at most, and at the start.
+/// Largest number of retries in the budget, and the number at the start.
 const MAX_RETRIES: f64 = 10.0;
-/// Retries in the budget from which on attempts may migrate: where much fails, retries go first.
+/// Attempts may migrate only while the budget holds at least this many retries: when many attempts fail, the
+/// budget is kept for retries.
 const MIN_RETRIES_TO_MIGRATE: f64 = 0.9 * MAX_RETRIES;
 
-/// What decides whether a job may run again.
+/// The properties of a job that decide whether the job may run again.
 #[derive(Clone, Copy)]
 pub(crate) struct RetrySafety {
     pub(crate) idempotency: Idempotency,
-    /// When the first attempt that may have run was sent; `None`: none has run.
+    /// When the first attempt that may have run was sent; `None` if no attempt can have run.
     pub(crate) first_run_at: Option<Micros>,
 }
 
 impl RetrySafety {
-    /// Whether a further attempt that begins by then has no second effect.
-    pub(crate) fn allows_attempt_by(self, by: Micros) -> bool {
+    /// Whether a further attempt that starts at this time can't cause a second effect.
+    pub(crate) fn allows_attempt_at(self, start: Micros) -> bool {
         let Some(first_run_at) = self.first_run_at else { return true };
         match self.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::Keyed { deduplication_window, .. } => by < first_run_at + deduplication_window,
+            Idempotency::Keyed { deduplication_window, .. } => start < first_run_at + deduplication_window,
             Idempotency::NonIdempotent => false,
         }
     }
 
-    /// Whether the client may be promised that a retry is harmless, that long from now. It may come back to
-    /// any scheduler, and its request may go to any worker.
+    /// Whether a retry by the client after `retry_after` microseconds is harmless. The client may retry at
+    /// any scheduler, and any worker may get the request.
     pub(crate) fn allows_client_retry(self, now: Micros, retry_after: Micros) -> bool {
-        let at_any_worker =
+        let dropped_by_any_worker =
             !matches!(self.idempotency, Idempotency::Keyed { scope, .. } if scope != DeduplicationScope::All);
-        (at_any_worker || self.first_run_at.is_none())
-            && self.allows_attempt_by(now + retry_after + MAX_CLIENT_DELAY)
+        (dropped_by_any_worker || self.first_run_at.is_none())
+            && self.allows_attempt_at(now + retry_after + MAX_CLIENT_DELAY)
     }
 }
 
-/// Whether a worker drops the repeat of a keyed job that may have run at `first`; `None`: at a worker that is
-/// no longer known.
+/// Whether the worker `candidate` drops the repeat of a keyed job that may have run at the worker `first`;
+/// `first` is `None` if that worker is no longer known.
 pub(crate) fn drops_repeat(
     scope: DeduplicationScope,
     first: Option<&Endpoint>,
@@ -57,8 +58,9 @@
     }
 }
 
-/// Retries still allowed; they add load, but no capacity.
+/// Limits retries, because retries add load but no capacity.
 pub(crate) struct RetryBudget {
+    /// Retries that may still be sent.
     available: f64,
 }
 
@@ -69,7 +71,7 @@
 }
 
 impl RetryBudget {
-    /// An attempt was served.
+    /// Adds the retries for one served attempt.
     pub(crate) fn deposit(&mut self) {
         self.available = (self.available + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
     }
@@ -78,7 +80,7 @@
         self.available -= 1.0;
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget; returns `false` if the budget is used up.
     pub(crate) fn try_withdraw(&mut self) -> bool {
         let allowed = self.available >= 1.0;
         if allowed {
--- a/crates/scheduling/src/retry/tests.rs
+++ b/crates/scheduling/src/retry/tests.rs
@@ -8,19 +8,19 @@
 }
 
 #[test]
-fn a_job_that_has_not_run_may_be_tried_again_at_any_time() {
+fn a_job_that_has_not_run_may_be_retried_at_any_time() {
     for idempotency in [Idempotency::Idempotent, keyed(DeduplicationScope::Cell), Idempotency::NonIdempotent]
     {
         let safety = RetrySafety { idempotency, first_run_at: None };
-        assert!(safety.allows_attempt_by(Micros::MAX), "{idempotency:?}");
+        assert!(safety.allows_attempt_at(Micros::MAX), "{idempotency:?}");
         assert!(safety.allows_client_retry(SECOND, SECOND), "{idempotency:?}");
     }
 }
 
 #[test]
-fn a_job_that_may_have_run_is_tried_again_as_its_idempotency_allows() {
+fn a_job_that_may_have_run_may_be_retried_if_its_idempotency_allows_it() {
     let allows =
-        |idempotency, by| RetrySafety { idempotency, first_run_at: Some(SECOND) }.allows_attempt_by(by);
+        |idempotency, start| RetrySafety { idempotency, first_run_at: Some(SECOND) }.allows_attempt_at(start);
     assert!(allows(Idempotency::Idempotent, 60 * SECOND));
     assert!(!allows(Idempotency::NonIdempotent, SECOND));
     assert!(allows(keyed(DeduplicationScope::Zone), 3 * SECOND - 1));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_client_s_retry_is_harmless_only_where_every_worker_drops_it_when_it_arrives() {
+fn a_client_s_retry_of_a_keyed_job_is_harmless_only_while_every_worker_drops_it() {
     let allows = |scope, retry_after| {
         RetrySafety { idempotency: keyed(scope), first_run_at: Some(0) }.allows_client_retry(0, retry_after)
     };
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_repeat_is_dropped_within_the_scope_of_the_worker_that_may_have_run_it() {
+fn a_repeat_is_dropped_within_the_deduplication_scope_of_the_first_worker() {
     let endpoint = |zone, cell| Endpoint { zone: ZoneId(zone), cell: CellId(cell), ..Endpoint::default() };
     let first = endpoint(1, 1);
     for (scope, other, dropped) in [
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_budget_starts_full_is_spent_and_grows_with_each_success_up_to_its_maximum() {
+fn the_budget_starts_full_shrinks_with_retries_and_grows_with_successes_up_to_its_maximum() {
     let mut budget = RetryBudget::default();
     assert!(budget.allows_migration());
     let spent = (0..100).take_while(|_| budget.try_withdraw()).count();
