--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: how full a worker is taken to be, by what is known of its load, and which jobs wait.
+//! Admission: which workers get jobs when their load is unknown, and which jobs wait or are answered.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,21 +6,22 @@
 use std::collections::BTreeMap;
 use vetchbridge_scheduling::*;
 
-/// Workers that report neither start nor load queue jobs for seconds before they reject one: arcs are never
-/// even, and the home of a popular key would be overloaded while others are idle. So own jobs are spread by
-/// weight, each key as near to its home as that allows.
+/// Workers that report neither job starts nor load queue jobs for seconds before they reject one. The arcs of
+/// the ring are never even, so the home of a popular key would be overloaded while other workers are idle. A
+/// scheduler therefore spreads its jobs by weight, and keeps each key as near to its home as the weights
+/// allow.
 #[test]
-fn where_load_is_unknown_no_worker_is_sent_much_more_than_its_fair_share() {
+fn no_worker_of_unknown_load_is_sent_much_more_than_its_fair_share() {
     let mut driver = Driver::new(Settings { load_report_source: LoadReportSource::Never, ..settings() });
     let sized = |n: u64| Endpoint { weight: if n <= 4 { 5.0 } else { 3.0 }, ..endpoint(n) };
     driver.event(list(EndpointUpdate::Snapshot, (1..=8).map(sized)));
     let mut in_flight: BTreeMap<WorkerId, f64> = BTreeMap::new();
-    let mut popular: BTreeMap<WorkerId, u32> = BTreeMap::new();
+    let mut jobs_of_popular_key: BTreeMap<WorkerId, u32> = BTreeMap::new();
     for id in 1..=200 {
         let key = if id % 4 == 0 { "popular".to_string() } else { format!("key-{id}") };
         let worker = sent(&driver.request(id, IDEMPOTENT, &key));
         if key == "popular" {
-            *popular.entry(worker).or_default() += 1;
+            *jobs_of_popular_key.entry(worker).or_default() += 1;
         }
         *in_flight.entry(worker).or_default() += 1.0;
     }
@@ -28,110 +29,122 @@
         let share = 200.0 * sized(worker.0).weight / 32.0;
         assert!(*jobs <= 1.3 * share + 1.0, "{jobs} of 200 jobs at {worker:?}, whose share is {share}");
     }
-    let jobs_at_home = popular.values().max();
-    assert!(jobs_at_home >= Some(&15), "the popular key has no home: {popular:?}");
+    let jobs_at_home = jobs_of_popular_key.values().max();
+    assert!(jobs_at_home >= Some(&15), "the popular key has no home: {jobs_of_popular_key:?}");
 }
 
-/// Where a late answer has no weight, work on it takes the worker's time from jobs that can still be in time;
-/// under a burst all would be late. An attempt waits no longer than the latency objective, and what can't be
-/// in time is answered at once.
+/// If a late answer is worthless, work on it takes the worker's time from jobs that can still be in time;
+/// during a burst all jobs would become late. An attempt therefore times out once its answer would be late,
+/// and a request that can't be in time is answered at once.
 #[test]
-fn a_job_whose_late_answer_is_worth_nothing_is_answered_once_it_is_late() {
-    // Idempotency, weight of a late answer, hint; how long an attempt may wait, and whether a retry is
-    // harmless.
-    let (never, all) = (Idempotency::NonIdempotent, Idempotency::Idempotent);
-    for (idempotency, late_weight, hint, wait, harmless) in [
-        (all, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), true),
-        (never, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), false),
-        (all, 0.0, None, None, true),
-        (all, 0.3, Some(300 * MS), None, true),
+fn a_request_whose_late_answer_is_worthless_is_answered_once_it_is_late() {
+    // Idempotency, weight of a late answer, hint of the work, expected timeout of the attempt, and whether a
+    // retry by the client is harmless.
+    let (non_idempotent, idempotent) = (Idempotency::NonIdempotent, Idempotency::Idempotent);
+    for (idempotency, late_weight, work_hint, expected_timeout, is_harmless) in [
+        (idempotent, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), true),
+        (non_idempotent, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), false),
+        (idempotent, 0.0, None, None, true),
+        (idempotent, 0.3, Some(300 * MS), None, true),
     ] {
         let classes = vec![Class { late_weight, ..class(idempotency) }];
         let mut driver = Driver::with_fleet(Settings { classes, ..settings() }, 6);
-        let job = Request { expected_work: hint, ..request(1, 0, "k", driver.now + 5 * S) };
-        let done = driver.event(Event::Request(job));
-        let timeout = |a: &Action| if let Action::Send { timeout, .. } = a { Some(*timeout) } else { None };
-        assert_eq!(done.iter().find_map(timeout), Some(wait), "{idempotency:?}, {late_weight}, {hint:?}");
-        let Some(wait) = wait else { continue };
-        driver.now += wait;
-        let done = driver.event(attempt_finished(1, 0, sent(&done), Outcome::Timeout));
+        let job = Request { expected_work: work_hint, ..request(1, 0, "k", driver.now + 5 * S) };
+        let actions = driver.event(Event::Request(job));
+        let timeout_of =
+            |a: &Action| if let Action::Send { timeout, .. } = a { Some(*timeout) } else { None };
+        assert_eq!(
+            actions.iter().find_map(timeout_of),
+            Some(expected_timeout),
+            "{idempotency:?}, {late_weight}, {work_hint:?}"
+        );
+        let Some(timeout) = expected_timeout else { continue };
+        driver.now += timeout;
+        let actions = driver.event(attempt_finished(1, 0, sent(&actions), Outcome::Timeout));
         assert!(
-            sends(&done).is_empty() && rejected(&done) == harmless && failed(&done) != harmless,
-            "{done:?}"
+            sends(&actions).is_empty()
+                && rejected(&actions) == is_harmless
+                && failed(&actions) != is_harmless,
+            "{actions:?}"
         );
     }
 }
 
-/// That is when it can't be in time even at an idle worker.
+/// A queued request whose late answer is worthless is answered as soon as not even an idle worker could serve
+/// it in time.
 #[test]
-fn a_queued_job_is_answered_when_it_can_t_be_in_time_any_more() {
+fn a_queued_request_is_answered_when_it_can_no_longer_be_in_time() {
     let classes = vec![Class { late_weight: 0.0, ..class(Idempotency::Idempotent) }];
     let mut driver = Driver::new(Settings { classes, ..settings() });
     let started = driver.now;
-    let mut upcoming = timers(&driver.event(Event::Request(Request {
+    let mut pending_timers = timers(&driver.event(Event::Request(Request {
         expected_work: Some(300 * MS),
         ..request(1, 0, "k", started + 5 * S)
     })));
     loop {
-        upcoming.sort();
-        let (at, token) = upcoming.remove(0);
-        let done = driver.at(at, Event::Timer(token));
-        if rejected(&done) {
+        pending_timers.sort();
+        let (at, token) = pending_timers.remove(0);
+        let actions = driver.at(at, Event::Timer(token));
+        if rejected(&actions) {
             break;
         }
-        upcoming.extend(timers(&done));
+        pending_timers.extend(timers(&actions));
     }
     let waited = driver.now - started;
     assert!(
         (800 * MS..=810 * MS).contains(&waited),
-        "answered after {waited} us, the objective leaves 800 ms"
+        "answered after {waited} us; the latency objective allows a wait of 800 ms"
     );
 }
 
-/// Two workers, each with an own job: that is no reason to queue a job whose connection broke at one of them.
+/// Each of two workers has one job in flight, and the connection of one job breaks. The job is retried at the
+/// other worker; it must not be queued because that worker has a job already.
 #[test]
-fn a_job_whose_connection_broke_goes_on_at_once_to_the_only_worker_that_is_left() {
+fn a_job_whose_connection_broke_is_retried_at_once_at_the_only_other_worker() {
     let mut driver =
         Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 2);
     let first = sent(&driver.request(1, IDEMPOTENT, "k"));
     let second = sent(&driver.request(2, IDEMPOTENT, "k"));
-    assert_ne!(first, second, "own load is spread");
+    assert_ne!(first, second, "the jobs of the scheduler are spread over the workers");
     assert_eq!(sent(&driver.event(attempt_finished(2, 0, second, Outcome::Reset))), first);
 }
 
-/// A worker that answers quickly with errors looks idle, and would be sent more than any other. It is
-/// ejected, for longer each time, also when it serves every second job; one error in fifty, or errors
-/// everywhere, eject none.
+/// A worker that answers quickly with errors looks idle, and would be sent more jobs than any other worker.
+/// Such a worker is ejected, each time for longer, even if it serves every second job. A worker is
+/// not excluded for one error in fifty jobs, or if all workers answer with errors.
 #[test]
-fn a_worker_that_answers_with_errors_again_and_again_is_ejected() {
-    let percent_at_failing_worker = |fails: &dyn Fn(WorkerId, u64) -> bool| {
+fn a_worker_that_repeatedly_answers_with_errors_is_ejected() {
+    let percent_of_jobs_at_worker = |fails: &dyn Fn(WorkerId, u64) -> bool| {
         let mut driver =
             Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 6);
-        let (mut at_failing, mut all) = (0, 0);
+        let (mut jobs_at_worker, mut jobs) = (0, 0);
         for id in 1..=1200 {
             driver.now += 20 * MS;
             let worker = sent(&driver.request(id, NON_IDEMPOTENT, &format!("key-{id}")));
-            all += 1;
-            at_failing += u64::from(worker == WorkerId(3));
+            jobs += 1;
+            jobs_at_worker += u64::from(worker == WorkerId(3));
             let outcome = if fails(worker, id) { Outcome::Error } else { Outcome::Ok };
             driver.event(attempt_finished(id, 0, worker, outcome));
         }
-        100 * at_failing / all
+        100 * jobs_at_worker / jobs
     };
-    assert!(percent_at_failing_worker(&|_, _| false) >= 10, "a sixth of the jobs, while it doesn't fail");
-    assert!(percent_at_failing_worker(&|worker, _| worker == WorkerId(3)) <= 2, "it fails each job");
     assert!(
-        percent_at_failing_worker(&|worker, id| worker == WorkerId(3) && mix(id) % 2 == 0) <= 6,
-        "it fails every second one"
+        percent_of_jobs_at_worker(&|_, _| false) >= 10,
+        "without failures the worker gets a sixth of the jobs"
+    );
+    assert!(percent_of_jobs_at_worker(&|worker, _| worker == WorkerId(3)) <= 2, "the worker fails every job");
+    assert!(
+        percent_of_jobs_at_worker(&|worker, id| worker == WorkerId(3) && mix(id) % 2 == 0) <= 6,
+        "the worker fails every second job"
     );
     assert!(
-        percent_at_failing_worker(&|worker, id| worker == WorkerId(3) && id % 50 == 0) >= 10,
-        "it fails now and then"
+        percent_of_jobs_at_worker(&|worker, id| worker == WorkerId(3) && id % 50 == 0) >= 10,
+        "the worker fails one job in fifty"
     );
-    assert!(percent_at_failing_worker(&|_, _| true) >= 10, "no worker is better");
+    assert!(percent_of_jobs_at_worker(&|_, _| true) >= 10, "all workers fail every job");
 }
 
-/// Scatters small numbers; without a seed.
+/// Hashes a small number, without a seed.
 fn mix(n: u64) -> u64 {
     (n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 29) ^ n.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 33
 }
--- a/crates/scheduling/tests/limits.rs
+++ b/crates/scheduling/tests/limits.rs
@@ -1,17 +1,17 @@
-//! The size of the decision module's files, and that the deploy file names all of them.
+//! Limits on the size of the decision module's files, and a check that the deploy file names all of them.
 #![allow(missing_docs)]
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Lines that are not blank, at most, in one file that decides something.
+/// Largest number of lines that are not blank in one decision file.
 const MAX_LINES: usize = 950;
-/// Characters in one line, at most.
+/// Largest number of characters in one line of a decision file.
 const MAX_COLUMNS: usize = 110;
 
-/// Each file that decides something. A rule that no longer fits into one gets a file of its own, with a name
-/// of its own.
-const DECISIONS: [(&str, &str); 20] = [
+/// Decision files: all files that influence a scheduling decision, with their contents. A rule that no longer
+/// fits into its file moves to a new file, which is named after the rule.
+const DECISION_FILES: [(&str, &str); 20] = [
     ("admission.rs", include_str!("../src/admission.rs")),
     ("candidates.rs", include_str!("../src/candidates.rs")),
     ("completion.rs", include_str!("../src/completion.rs")),
@@ -34,41 +34,46 @@
     ("worker.rs", include_str!("../src/worker.rs")),
 ];
 
-/// Files that decide nothing: the interface, the encoding of messages, and what the unit tests share.
-const OTHERS: [&str; 7] =
+/// Files without decisions: the interface, the encoding of messages, and the helpers of the unit tests.
+const OTHER_FILES: [&str; 7] =
     ["actions.rs", "events.rs", "ids.rs", "lib.rs", "peer_message.rs", "settings.rs", "test_support.rs"];
 
 const DEPLOY_FILE: &str = include_str!("../../../deploy/balancer.toml");
 
 #[test]
-fn each_decision_module_stays_within_its_lines_and_columns() {
-    for (name, text) in DECISIONS {
+fn each_decision_file_stays_within_the_limits_on_lines_and_columns() {
+    for (name, text) in DECISION_FILES {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_LINES, "{name}: {lines} lines");
+        assert!(lines <= MAX_LINES, "{name} has {lines} lines, more than allowed");
         for (number, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= MAX_COLUMNS, "{name}:{} is too long", number + 1);
+            assert!(line.chars().count() <= MAX_COLUMNS, "{name}:{} has too many characters", number + 1);
         }
     }
 }
 
 #[test]
-fn every_source_file_is_known_as_one_that_decides_or_not() {
-    let known: BTreeSet<String> =
-        DECISIONS.iter().map(|(name, _)| *name).chain(OTHERS).map(String::from).collect();
+fn every_source_file_is_listed_as_a_decision_file_or_another_file() {
+    let listed: BTreeSet<String> =
+        DECISION_FILES.iter().map(|(name, _)| *name).chain(OTHER_FILES).map(String::from).collect();
     let sources = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let entries =
-        std::fs::read_dir(sources).expect("the sources").map(|entry| entry.expect("an entry").path());
+    let entries = std::fs::read_dir(sources)
+        .expect("the source directory is readable")
+        .map(|entry| entry.expect("the directory entry is readable").path());
     let files = entries.filter(|path| path.is_file());
-    let found: BTreeSet<String> =
-        files.map(|path| path.file_name().expect("a name").to_string_lossy().into_owned()).collect();
-    assert_eq!(found, known);
+    let found: BTreeSet<String> = files
+        .map(|path| path.file_name().expect("the path has a file name").to_string_lossy().into_owned())
+        .collect();
+    assert_eq!(found, listed);
 }
 
 #[test]
-fn the_deploy_file_names_every_file_that_decides() {
-    let policy = DEPLOY_FILE.lines().find_map(|line| line.strip_prefix("policy = ")).expect("a policy list");
+fn the_deploy_file_names_exactly_the_decision_files() {
+    let policy = DEPLOY_FILE
+        .lines()
+        .find_map(|line| line.strip_prefix("policy = "))
+        .expect("the deploy file has a policy list");
     let named: BTreeSet<&str> = policy.split('"').filter(|part| part.starts_with("crates/")).collect();
     let paths: Vec<String> =
-        DECISIONS.iter().map(|(name, _)| format!("crates/scheduling/src/{name}")).collect();
+        DECISION_FILES.iter().map(|(name, _)| format!("crates/scheduling/src/{name}")).collect();
     assert_eq!(named, paths.iter().map(String::as_str).collect());
 }
--- a/crates/scheduling/tests/migration.rs
+++ b/crates/scheduling/tests/migration.rs
@@ -1,64 +1,73 @@
-//! Migration: attempts that wait, stall or are slow are sent to another worker.
+//! Migration: requests whose attempts wait, stall or are slow are sent to another worker.
 #![allow(missing_docs)]
 
 mod common;
 use common::*;
 use vetchbridge_scheduling::*;
 
-fn migrating_fleet() -> Driver {
+/// A scheduler that may migrate attempts, with twelve workers that report progress every second.
+fn migrating_driver() -> Driver {
     let mut settings = Settings { reports_start: true, progress_interval: S, ..settings() };
     settings.limits.hedging = true;
     Driver::with_fleet(settings, 12)
 }
 
-/// Advances the driver's clock and lets the timers in `done` expire; adds the actions that follow.
-fn wait(driver: &mut Driver, span: Micros, done: &mut Vec<Action>) {
-    let until = driver.now + span;
+/// Advances the driver's clock by `duration` and lets the timers in `actions` expire; appends the resulting
+/// actions.
+fn advance(driver: &mut Driver, duration: Micros, actions: &mut Vec<Action>) {
+    let end = driver.now + duration;
     let next_timer =
-        |done: &[Action], from: Micros| timers(done).into_iter().filter(|t| t.0 > from && t.0 <= until).min();
-    while let Some((at, _)) = next_timer(done, driver.now) {
-        for (_, token) in timers(done).into_iter().filter(|t| t.0 == at) {
-            done.extend(driver.at(at, Event::Timer(token)));
+        |issued: &[Action], now: Micros| timers(issued).into_iter().filter(|t| t.0 > now && t.0 <= end).min();
+    while let Some((at, _)) = next_timer(actions, driver.now) {
+        for (_, token) in timers(actions).into_iter().filter(|t| t.0 == at) {
+            actions.extend(driver.at(at, Event::Timer(token)));
         }
     }
-    driver.now = until;
+    driver.now = end;
 }
 
-fn progress(progress: JobProgress) -> Event {
+/// A progress report of the request's first attempt.
+fn progress_report(progress: JobProgress) -> Event {
     Event::JobProgress { request: RequestId(1), attempt: AttemptNo(0), progress }
 }
 
-/// A slow or stalled worker does not keep its jobs: one that waits for a slot, has stalled or is slow is
-/// cancelled and sent elsewhere, as its class allows. One that makes progress stays.
+/// An attempt that waits for a slot, has stalled or is slow is cancelled, and the request is sent to another
+/// worker if its class allows a second attempt. An attempt that makes progress as expected stays at its
+/// worker.
 #[test]
-fn a_job_that_makes_no_progress_migrates_as_its_class_allows() {
-    let waits: &[(Micros, f64)] = &[];
+fn an_attempt_that_makes_too_little_progress_migrates_if_its_class_allows_it() {
+    // Progress reports of the attempt: time since the previous report, and completed fraction of the job.
+    let waiting: &[(Micros, f64)] = &[];
     let stalled = &[(0, 0.0), (S, 0.5)][..];
     let slow = &[(0, 0.0), (S, 0.1), (S, 0.2)][..];
     let running = &[(0, 0.0), (S, 0.5), (S, 0.8), (S, 0.9)][..];
-    for (reports, migrates) in [(waits, true), (stalled, true), (slow, true), (running, false)] {
+    for (reports, needs_migration) in [(waiting, true), (stalled, true), (slow, true), (running, false)] {
         for class in [IDEMPOTENT, KEYED_ALL, NON_IDEMPOTENT] {
-            let mut driver = migrating_fleet();
+            let mut driver = migrating_driver();
             let mut job = request(1, class, "k", driver.now + 60 * S);
             job.expected_work = Some(S);
-            let mut done = driver.event(Event::Request(job));
-            let worker = sent(&done);
+            let mut actions = driver.event(Event::Request(job));
+            let worker = sent(&actions);
             for (after, fraction) in reports {
-                wait(&mut driver, *after, &mut done);
-                driver.event(progress(if *fraction == 0.0 {
+                advance(&mut driver, *after, &mut actions);
+                driver.event(progress_report(if *fraction == 0.0 {
                     JobProgress::Started
                 } else {
                     JobProgress::Fraction(*fraction)
                 }));
             }
-            wait(&mut driver, if migrates { 4 * S } else { S }, &mut done);
-            let next = &sends(&done)[1..];
-            // The keyed window ends 2 s after the first attempt, before that one is known to have stalled.
+            advance(&mut driver, if needs_migration { 4 * S } else { S }, &mut actions);
+            let targets = &sends(&actions)[1..];
+            // The deduplication window ends 2 s after the first attempt, before the stall is detected.
             let allowed = class == IDEMPOTENT || class == KEYED_ALL && reports != stalled;
-            assert_eq!(!next.is_empty(), migrates && allowed, "class {class}, {reports:?}: {done:?}");
-            assert!(!next.contains(&worker));
-            let cancelled = Action::Cancel { request: RequestId(1), attempt: AttemptNo(0) };
-            assert_eq!(done.contains(&cancelled), migrates && allowed);
+            assert_eq!(
+                !targets.is_empty(),
+                needs_migration && allowed,
+                "class {class}, {reports:?}: {actions:?}"
+            );
+            assert!(!targets.contains(&worker));
+            let cancel = Action::Cancel { request: RequestId(1), attempt: AttemptNo(0) };
+            assert_eq!(actions.contains(&cancel), needs_migration && allowed);
         }
     }
 }
--- a/crates/scheduling/tests/outlier.rs
+++ b/crates/scheduling/tests/outlier.rs
@@ -1,12 +1,12 @@
-//! Outlier detection: which results eject a worker.
+//! Outlier detection: which outcomes eject a worker.
 #![allow(missing_docs)]
 
 mod common;
 use common::*;
 use vetchbridge_scheduling::*;
 
-/// A fleet that has served jobs of so many keys that none of them is spread.
-fn busy_fleet() -> Driver {
+/// A scheduler with twelve workers that has served jobs with so many keys that no key counts as hot.
+fn busy_driver() -> Driver {
     let mut driver = Driver::with_fleet(settings(), 12);
     for id in 1000..1200 {
         let worker = sent(&driver.request(id, IDEMPOTENT, &id.to_string()));
@@ -15,11 +15,12 @@
     driver
 }
 
-/// One failure may be the connection's fault, or the request's; the second in a row is the worker's.
+/// A single failure may be due to the connection or the request; a second failure in a row is due to the
+/// worker.
 #[test]
-fn a_worker_is_ejected_from_the_second_failure_in_a_row() {
+fn a_worker_is_ejected_after_the_second_failure_in_a_row() {
     for outcome in [Outcome::Reset, Outcome::NoResponse] {
-        let mut driver = busy_fleet();
+        let mut driver = busy_driver();
         let worker = sent(&driver.request(1, IDEMPOTENT, "k"));
         driver.event(attempt_finished(1, 0, worker, outcome));
         assert_eq!(sent(&driver.request(2, IDEMPOTENT, "k")), worker);
@@ -28,10 +29,10 @@
     }
 }
 
-/// A request that one worker finds invalid is invalid everywhere.
+/// A request that one worker finds invalid is invalid at every worker, so the worker is not at fault.
 #[test]
-fn an_invalid_request_fails_at_once_and_is_no_failure_of_the_worker() {
-    let mut driver = busy_fleet();
+fn an_invalid_request_fails_at_once_and_does_not_eject_the_worker() {
+    let mut driver = busy_driver();
     let worker = sent(&driver.request(1, IDEMPOTENT, "k"));
     for id in 1..4 {
         let actions = driver.event(attempt_finished(id, 0, worker, Outcome::Invalid));
--- a/crates/scheduling/tests/retry.rs
+++ b/crates/scheduling/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: when a job is sent again and when its client may retry, for each idempotency.
+//! Retries: when the scheduler retries a job and when the client may retry, for each idempotency.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,7 +6,7 @@
 use vetchbridge_scheduling::*;
 
 #[test]
-fn a_rejected_job_goes_to_another_worker_and_is_rejected_when_attempts_run_out() {
+fn a_job_rejected_by_workers_is_retried_elsewhere_and_rejected_after_its_last_attempt() {
     for class in [IDEMPOTENT, KEYED_ALL, KEYED_CELL, NON_IDEMPOTENT] {
         let mut driver = Driver::with_fleet(settings(), 12);
         let mut tried = vec![sent(&driver.request(1, class, "k"))];
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_non_idempotent_job_that_may_have_run_fails_and_is_never_sent_again_or_rejected() {
+fn a_non_idempotent_job_that_may_have_run_fails_without_a_retry_or_a_rejection() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         let mut driver = Driver::with_fleet(settings(), 12);
         let worker = sent(&driver.request(1, NON_IDEMPOTENT, "k"));
@@ -32,69 +32,74 @@
 }
 
 #[test]
-fn an_idempotent_job_that_may_have_run_is_sent_again() {
+fn an_idempotent_job_that_may_have_run_is_retried() {
     let mut driver = Driver::with_fleet(settings(), 12);
     let worker = sent(&driver.request(1, IDEMPOTENT, "k"));
     assert_ne!(sent(&driver.event(attempt_finished(1, 0, worker, Outcome::Error))), worker);
 }
 
 #[test]
-fn a_keyed_job_that_may_have_run_stays_in_its_cell_and_window() {
+fn a_keyed_job_that_may_have_run_is_retried_only_in_its_cell_and_deduplication_window() {
     for n in 0..40 {
         let mut driver = Driver::with_fleet(settings(), 23);
         let key = format!("key-{n}");
         let first = sent(&driver.request(1, KEYED_CELL, &key));
         let second = sent(&driver.event(attempt_finished(1, 0, first, Outcome::Error)));
         assert_eq!(endpoint(first.0).cell, endpoint(second.0).cell);
-        let late = driver.now + 2 * S;
-        let actions = driver.at(late, attempt_finished(1, 1, second, Outcome::Error));
+        let window_end = driver.now + 2 * S;
+        let actions = driver.at(window_end, attempt_finished(1, 1, second, Outcome::Error));
         assert!(sends(&actions).is_empty() && failed(&actions) && !rejected(&actions));
     }
 }
 
-/// Its client may come back to any worker, which would run it again.
+/// After the deduplication window, the client's retry may go to any worker, and the worker would run the job
+/// again.
 #[test]
-fn a_keyed_job_known_to_all_workers_is_neither_sent_nor_rejected_after_its_window() {
+fn a_keyed_job_is_neither_retried_nor_rejected_after_its_deduplication_window() {
     let mut driver = Driver::with_fleet(settings(), 24);
     let first = sent(&driver.request(1, KEYED_ALL, "k"));
-    let late = driver.now + 2 * S;
-    let actions = driver.at(late, attempt_finished(1, 0, first, Outcome::Error));
+    let window_end = driver.now + 2 * S;
+    let actions = driver.at(window_end, attempt_finished(1, 0, first, Outcome::Error));
     assert!(sends(&actions).is_empty() && failed(&actions) && !rejected(&actions));
 }
 
-/// A rejection promises that a retry is harmless. For a keyed job that may have run that holds while its
-/// repeat is dropped, and its client takes a moment to come back.
+/// A rejection promises that a retry by the client is harmless. For a keyed job that may have run, a retry is
+/// harmless only while workers drop the repeat, and the client takes some time to retry.
 #[test]
-fn a_keyed_job_that_may_have_run_is_rejected_only_while_its_repeat_would_be_dropped() {
-    for (name, age, harmless) in
+fn a_keyed_job_that_may_have_run_is_rejected_only_while_workers_drop_its_repeat() {
+    for (name, age, is_harmless) in
         [("within its window", S, true), ("as it ends", 2 * S - 300 * MS, false), ("after it", 3 * S, false)]
     {
         let mut driver = Driver::with_fleet(settings(), 6);
         let Idempotency::Keyed { deduplication_window, .. } =
             settings().classes[KEYED_ALL as usize].idempotency
         else {
-            panic!("keyed")
+            panic!("the class is not keyed")
         };
         assert_eq!(deduplication_window, 2 * S);
         sent(&driver.request(1, KEYED_ALL, "k"));
         driver.now += age;
-        let ending = driver.event(Event::ShuttingDown);
-        assert_eq!((rejected(&ending), failed(&ending)), (harmless, !harmless), "{name}: {ending:?}");
-        // One that surely never ran may be tried again at any time.
+        let actions = driver.event(Event::ShuttingDown);
+        assert_eq!(
+            (rejected(&actions), failed(&actions)),
+            (is_harmless, !is_harmless),
+            "{name}: {actions:?}"
+        );
+        // A rejected attempt never ran, so it does not start the deduplication window.
         let mut driver = Driver::with_fleet(settings(), 6);
         let worker = sent(&driver.request(1, KEYED_ALL, "k"));
         driver.now += age;
         driver.event(attempt_finished(1, 0, worker, Outcome::Rejected));
-        assert!(rejected(&driver.event(Event::ShuttingDown)), "{name}: it never ran");
+        assert!(rejected(&driver.event(Event::ShuttingDown)), "{name}: the rejected attempt never ran");
     }
 }
 
-/// A client that is rejected without one comes back at once, to workers that are still full.
+/// A client that is rejected without a Retry-After retries at once, while the workers are still full.
 #[test]
-fn a_rejection_has_a_retry_after_where_clients_are_given_one() {
-    for is_given in [true, false] {
+fn a_rejection_has_a_retry_after_if_the_settings_allow_it() {
+    for is_allowed in [true, false] {
         let mut settings = settings();
-        settings.limits.retry_after = is_given;
+        settings.limits.retry_after = is_allowed;
         let max_retry_after = settings.limits.max_retry_after;
         let mut driver = Driver::with_fleet(settings, 12);
         let mut actions = driver.request(1, IDEMPOTENT, "k");
@@ -104,10 +109,13 @@
         }
         let retry_after_of =
             |a: &Action| if let Action::Reject { retry_after, .. } = a { Some(*retry_after) } else { None };
-        let retry_after = actions.iter().find_map(retry_after_of).expect("out of attempts: rejected");
+        let retry_after = actions
+            .iter()
+            .find_map(retry_after_of)
+            .expect("the request is rejected once its attempts are used up");
         assert!(
-            if is_given { (1..=max_retry_after).contains(&retry_after) } else { retry_after == 0 },
-            "given {is_given}: {retry_after}"
+            if is_allowed { (1..=max_retry_after).contains(&retry_after) } else { retry_after == 0 },
+            "Retry-After allowed: {is_allowed}; given: {retry_after} us"
         );
     }
 }
