--- a/crates/scheduling/tests/isolated_schedulers.rs
+++ b/crates/scheduling/tests/isolated_schedulers.rs
@@ -1,5 +1,5 @@
-//! Slow start without messages: what three schedulers that know nothing of one another send to a worker that
-//! warms up.
+//! Slow start without messages between schedulers: the total work that three schedulers send to a warming
+//! worker.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,10 +8,11 @@
 use vetchbridge_scheduling::*;
 
 const TICK: Micros = 2 * MS;
-/// Mean work of a job.
+/// Mean work of a job, in microseconds.
 const MEAN_WORK: Micros = 225 * MS;
-/// Slots of each worker, and the worker that is restarted.
+/// Slots of each worker.
 const SLOTS: usize = 5;
+/// Number of the worker that is restarted.
 const RESTARTED: u64 = 4;
 
 fn slow_start_rules() -> Rules {
@@ -24,7 +25,8 @@
     }
 }
 
-/// Three schedulers that exchange no messages, at workers that report neither start nor load unasked.
+/// Three schedulers that exchange no messages. Workers do not report job starts, and report their load only
+/// in response to probes.
 fn isolated_schedulers(seed: u64) -> Vec<Driver> {
     let classes = [(Idempotency::Idempotent, 2.5), (Idempotency::NonIdempotent, 1.75)];
     let classes = classes.map(|(idempotency, objective_per_work)| Class {
@@ -33,8 +35,8 @@
         late_weight: 0.0,
         ..class(idempotency)
     });
-    let one = |scheduler_index: u32| {
-        let fleet = Settings {
+    let new_driver = |scheduler_index: u32| {
+        let settings = Settings {
             scheduler_index,
             scheduler_count: 3,
             zone: ZoneId(scheduler_index),
@@ -42,37 +44,37 @@
             ..settings()
         };
         let scheduler = Scheduler::new(
-            Settings { classes: classes.to_vec(), rules: slow_start_rules(), ..fleet },
+            Settings { classes: classes.to_vec(), rules: slow_start_rules(), ..settings },
             3 * seed + u64::from(scheduler_index),
         );
-        let mut driver = Driver { scheduler: scheduler.expect("sound settings"), now: 100 * S };
+        let mut driver = Driver { scheduler: scheduler.expect("the settings are valid"), now: 100 * S };
         driver.event(list(EndpointUpdate::Snapshot, (1..=10).filter(|n| *n != RESTARTED).map(endpoint)));
         driver
     };
-    (0..3).map(one).collect()
+    (0..3).map(new_driver).collect()
 }
 
-/// What came of one run.
+/// The result of one simulation.
 struct Overload {
-    /// The most work sent to the restarted worker in any `overload_time`, as a multiple of what it can do in
-    /// that time.
+    /// Largest amount of work sent to the restarted worker within any `overload_time`, as a multiple of the
+    /// work that the worker can do in that time.
     max_factor: f64,
-    /// How often another worker had an idle slot meanwhile.
+    /// Number of times that another worker had an idle slot at a measurement.
     idle_workers: usize,
 }
 
 /// Three schedulers under a constant load while one of ten workers is restarted and warms up.
 struct Simulation {
-    /// Multiple of the load that the other workers can carry.
+    /// Load, as a multiple of the capacity of the other nine workers.
     load: f64,
     rules: Rules,
     schedulers: Vec<Driver>,
     workers: Workers,
     timers: Timers,
     random: Lcg,
-    /// Work of each job, by its id.
+    /// Work of each job, in microseconds; the index is the job's id.
     work: Vec<f64>,
-    /// Work that was sent to the restarted worker, and when.
+    /// Times and amounts of work, in microseconds, that were sent to the restarted worker.
     admitted: Vec<(Micros, f64)>,
     restarted_at: Micros,
     overload: Overload,
@@ -102,7 +104,7 @@
         rules.slow_start_floor + (1.0 - rules.slow_start_floor) * age / rules.slow_start_time as f64
     }
 
-    /// Runs until the restarted worker is warm.
+    /// Runs the simulation until the restarted worker is warm.
     fn run(mut self) -> Overload {
         let (start, end) = (self.schedulers[0].now, self.restarted_at + self.rules.slow_start_time);
         for now in (start..end).step_by(TICK as usize) {
@@ -125,14 +127,14 @@
         self.overload
     }
 
-    /// All schedulers are notified of the restarted worker.
+    /// Returns the events that notify all schedulers of the restarted worker.
     fn notifications(&self) -> Vec<(usize, Event)> {
         let restarted = Endpoint { started_at: self.restarted_at, ..endpoint(RESTARTED) };
         let notification = || list(EndpointUpdate::Changes, [restarted.clone()]);
         (0..self.schedulers.len()).map(|scheduler| (scheduler, notification())).collect()
     }
 
-    /// Perhaps a request, at one of the schedulers.
+    /// Returns at most one new request, for a random scheduler.
     fn arrival(&mut self, now: Micros) -> Option<(usize, Event)> {
         let arrivals_per_tick = self.load * (9 * SLOTS) as f64 * TICK as f64 / MEAN_WORK as f64;
         if self.random.fraction() >= arrivals_per_tick {
@@ -155,7 +157,8 @@
             match action {
                 Action::Send { request: RequestId(id), worker, timeout } => {
                     let remaining = self.work[id as usize];
-                    let timeout_at = now + timeout.expect("late work is worth nothing");
+                    let timeout_at =
+                        now + timeout.expect("attempts have a timeout because late answers are worthless");
                     self.workers.add(worker, Job { scheduler, id, remaining, timeout_at });
                     if worker == WorkerId(RESTARTED) {
                         self.admitted.push((now, remaining));
@@ -178,17 +181,18 @@
     }
 }
 
-/// What overloads a warming worker is the sum of what all send it, and none of three that exchange no
-/// messages knows of the others. Each keeps to the part that the worker is warm for, so that the sum holds,
-/// at twice the load of the others too.
+/// A warming worker is overloaded by the total work of all schedulers, and schedulers that exchange no
+/// messages don't know what the others send. Each scheduler must therefore keep to its fraction of the work
+/// that the worker can do at its warm-up fraction, even if the load is twice the capacity of the other
+/// workers.
 #[test]
 fn three_isolated_schedulers_together_send_a_warming_worker_less_than_what_overloads_it() {
     for seed in 1..=5 {
         let Overload { max_factor, idle_workers } = Simulation::new(seed, 2.0).run();
-        assert_eq!(idle_workers, 0, "the load left slots of the others idle");
+        assert_eq!(idle_workers, 0, "slots of the other workers were idle in spite of the load");
         assert!(
             max_factor < slow_start_rules().overload_factor,
-            "{max_factor} times what it can do, seed {seed}"
+            "seed {seed}: the warming worker was sent {max_factor} times the work that it can do"
         );
     }
 }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Arbitrary sequences of outcomes, list changes, messages and timers at fixed seeds: no rule breaks, nothing
-//! panics, and equal events give equal actions.
+//! Random sequences of outcomes, list changes, messages and timers, at fixed seeds: the scheduler violates no
+//! rule and does not panic, and equal events give equal actions.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,33 +11,33 @@
 use vetchbridge_scheduling::{Occupancy, PeerMessage};
 
 const WORKERS: u64 = 9;
-/// How long a repeat of a keyed request is dropped, as in the tests' settings.
+/// How long workers drop a repeat of a keyed request, in microseconds; equal to the value in the settings.
 const DEDUPLICATION_WINDOW: Micros = 2 * S;
 const MAX_ATTEMPTS: usize = 4;
 const ANSWER_SLACK: Micros = 8 * MS;
 
-/// An attempt as the rules see it.
-struct LedgerAttempt {
+/// What the checks know of an attempt.
+struct AttemptRecord {
     worker: WorkerId,
     sent_at: Micros,
-    /// `None` while it is in flight.
+    /// Whether the job may have run in the attempt; `None` while the attempt is in flight.
     may_have_run: Option<bool>,
 }
 
-/// One request as the rules see it.
-struct Ledger {
+/// What the checks know of a request.
+struct RequestRecord {
     class: u32,
     deadline: Micros,
-    attempts: Vec<LedgerAttempt>,
+    attempts: Vec<AttemptRecord>,
     answered: bool,
 }
 
-impl Ledger {
-    /// Checks that an attempt may be sent to a worker now.
+impl RequestRecord {
+    /// Checks that the rules allow an attempt at this worker now.
     fn check_send(&self, now: Micros, worker: WorkerId) {
-        assert!(!self.answered, "sent after its answer");
+        assert!(!self.answered, "an attempt was sent after the final answer");
         assert!(now < self.deadline);
-        assert!(self.attempts.len() < MAX_ATTEMPTS, "too many attempts");
+        assert!(self.attempts.len() < MAX_ATTEMPTS, "more attempts than allowed");
         assert!(self.attempts.iter().all(|a| a.may_have_run.is_some()), "two attempts in flight at once");
         let Some(first) = self.attempts.iter().find(|a| a.may_have_run == Some(true)) else { return };
         match self.class {
@@ -51,70 +51,71 @@
         }
     }
 
-    /// Checks that this may be its final answer.
+    /// Checks that the rules allow this final answer now.
     fn check_answer(&self, now: Micros, is_rejection: bool) {
-        assert!(!self.answered, "answered twice");
-        assert!(now <= self.deadline + ANSWER_SLACK, "answered too late");
+        assert!(!self.answered, "the request was answered twice");
+        assert!(now <= self.deadline + ANSWER_SLACK, "the request was answered too late");
         if is_rejection {
             let never_ran = self.attempts.iter().all(|a| a.may_have_run == Some(false));
-            let is_harmless = matches!(self.class, IDEMPOTENT | MACHINE_BOUND | KEYED_ALL);
-            assert!(never_ran || is_harmless, "rejected though a retry may do harm");
+            let retry_is_harmless = matches!(self.class, IDEMPOTENT | MACHINE_BOUND | KEYED_ALL);
+            assert!(never_ran || retry_is_harmless, "the request was rejected although a retry may do harm");
         }
     }
 }
 
-/// An attempt whose outcome is still to come.
+/// An attempt that the scheduler has sent and that has no outcome yet.
 struct InFlight {
     request: u64,
     attempt: u32,
     worker: WorkerId,
 }
 
-/// An occupancy query that awaits its reply.
+/// An occupancy query that has no reply yet.
 struct Query {
     coordinator: u32,
     data: Vec<u8>,
 }
 
-/// One step of a sequence: what happens, and two arguments.
+/// One step of a random sequence: a number that selects the operation, and two arguments of the operation.
 type Step = (u8, u8, u8);
 
-/// A scheduler under test, with everything that is still to come back to it.
-struct World {
+/// A scheduler under test, and the attempts, queries and timers whose results the scheduler still awaits.
+struct Harness {
     driver: Driver,
-    log: Vec<Action>,
-    ledgers: BTreeMap<u64, Ledger>,
+    /// All actions of the scheduler, in order.
+    actions: Vec<Action>,
+    requests: BTreeMap<u64, RequestRecord>,
     in_flight: Vec<InFlight>,
     queries: Vec<Query>,
     timers: Vec<(Micros, TimerToken)>,
-    /// Workers that are draining or removed, and since when.
+    /// Workers that are draining or removed, with the time of that change.
     stopped: BTreeMap<WorkerId, Micros>,
     next_request: u64,
 }
 
-impl World {
-    fn new(settings: Settings) -> World {
-        let mut world = World {
+impl Harness {
+    fn new(settings: Settings) -> Harness {
+        let mut harness = Harness {
             driver: Driver::new(settings),
-            log: vec![],
-            ledgers: BTreeMap::new(),
+            actions: vec![],
+            requests: BTreeMap::new(),
             in_flight: vec![],
             queries: vec![],
             timers: vec![],
             stopped: BTreeMap::new(),
             next_request: 1,
         };
-        world.event(list(EndpointUpdate::Restored, (1..=WORKERS).map(endpoint)));
-        world
+        harness.event(list(EndpointUpdate::Restored, (1..=WORKERS).map(endpoint)));
+        harness
     }
 
-    /// Feeds an event and checks the rules on the actions.
+    /// Gives the scheduler an event and checks the resulting actions against the rules.
     fn event(&mut self, event: Event) {
         let actions = self.driver.event(event);
         for action in &actions {
             self.check(action);
         }
-        self.log.extend(actions);
+        self.actions.extend(actions);
     }
 
     fn check(&mut self, action: &Action) {
@@ -123,13 +124,13 @@
             Action::Reject { request, .. } => self.on_answer(request.0, true),
             Action::Fail { request } => self.on_answer(request.0, false),
             Action::SetTimer { at, token } => self.timers.push((*at, *token)),
-            Action::Probe(_) => panic!("workers are not probed"),
+            Action::Probe(_) => panic!("a worker was probed"),
             Action::SendPeerMessage { to: Recipient::One(coordinator), data } => {
                 self.on_peer_message(*coordinator, data);
             }
-            Action::SendPeerMessage { .. } => panic!("{action:?}"),
+            Action::SendPeerMessage { .. } => panic!("message to all peers: {action:?}"),
             Action::Cancel { request, attempt } => {
-                assert!((attempt.0 as usize) < self.ledgers[&request.0].attempts.len());
+                assert!((attempt.0 as usize) < self.requests[&request.0].attempts.len());
             }
             Action::CloseIdle(_) | Action::Subscribe(_) | Action::FetchEndpoints | Action::Log(_) => {}
         }
@@ -137,18 +138,18 @@
 
     fn on_send(&mut self, request: u64, worker: WorkerId) {
         let sent_at = self.driver.now;
-        assert!(!self.stopped.contains_key(&worker), "sent to a draining or removed worker");
-        let ledger = self.ledgers.get_mut(&request).expect("a request that exists");
-        ledger.check_send(sent_at, worker);
-        let attempt = ledger.attempts.len() as u32;
+        assert!(!self.stopped.contains_key(&worker), "an attempt was sent to a draining or removed worker");
+        let record = self.requests.get_mut(&request).expect("the request exists");
+        record.check_send(sent_at, worker);
+        let attempt = record.attempts.len() as u32;
         self.in_flight.push(InFlight { request, attempt, worker });
-        ledger.attempts.push(LedgerAttempt { worker, sent_at, may_have_run: None });
+        record.attempts.push(AttemptRecord { worker, sent_at, may_have_run: None });
     }
 
     fn on_answer(&mut self, request: u64, is_rejection: bool) {
-        let ledger = self.ledgers.get_mut(&request).expect("a request that exists");
-        ledger.check_answer(self.driver.now, is_rejection);
-        ledger.answered = true;
+        let record = self.requests.get_mut(&request).expect("the request exists");
+        record.check_answer(self.driver.now, is_rejection);
+        record.answered = true;
     }
 
     fn on_peer_message(&mut self, coordinator: u32, data: &[u8]) {
@@ -158,19 +159,19 @@
         }
     }
 
-    /// Lets time pass: attempts time out, and timers expire.
+    /// Advances the clock. Attempts that reach the deadline of their request time out, and due timers expire.
     fn advance(&mut self, until: Micros) {
         loop {
             let next_timer = self.timers.iter().enumerate().min_by_key(|(_, t)| t.0).map(|(i, t)| (i, t.0));
             // An attempt times out at its request's deadline.
             let overdue = self.in_flight.iter().position(|attempt| {
-                let ledger = &self.ledgers[&attempt.request];
-                ledger.deadline <= until.min(next_timer.map_or(until, |(_, at)| at))
+                let record = &self.requests[&attempt.request];
+                record.deadline <= until.min(next_timer.map_or(until, |(_, at)| at))
             });
             if let Some(position) = overdue {
                 let attempt = self.in_flight.swap_remove(position);
-                self.driver.now = self.driver.now.max(self.ledgers[&attempt.request].deadline);
-                self.end(&attempt, Outcome::Timeout, None);
+                self.driver.now = self.driver.now.max(self.requests[&attempt.request].deadline);
+                self.finish_attempt(&attempt, Outcome::Timeout, None);
                 continue;
             }
             match next_timer {
@@ -185,11 +186,11 @@
         self.driver.now = until;
     }
 
-    fn end(&mut self, ended: &InFlight, outcome: Outcome, load: Option<LoadReport>) {
-        let ledger = self.ledgers.get_mut(&ended.request).expect("sent before");
-        ledger.attempts[ended.attempt as usize].may_have_run = Some(!outcome.never_ran());
-        ledger.answered |= outcome == Outcome::Ok;
-        let closed = ledger.answered;
+    fn finish_attempt(&mut self, ended: &InFlight, outcome: Outcome, load: Option<LoadReport>) {
+        let record = self.requests.get_mut(&ended.request).expect("the request of the attempt exists");
+        record.attempts[ended.attempt as usize].may_have_run = Some(!outcome.never_ran());
+        record.answered |= outcome == Outcome::Ok;
+        let closed = record.answered;
         self.event(Event::AttemptFinished {
             request: RequestId(ended.request),
             attempt: AttemptNo(ended.attempt),
@@ -201,31 +202,31 @@
         });
     }
 
-    fn step(&mut self, (what, a, b): Step) {
-        match what % 10 {
-            0..=2 => self.new_request(a, b),
-            3..=5 if !self.in_flight.is_empty() => self.attempt_ends(a, b),
-            6 if b % 4 == 0 => self.unexpected_message(a, b),
+    fn step(&mut self, (selector, a, b): Step) {
+        match selector % 10 {
+            0..=2 => self.start_request(a, b),
+            3..=5 if !self.in_flight.is_empty() => self.end_attempt(a, b),
+            6 if b % 4 == 0 => self.deliver_message(a, b),
             6 if !self.queries.is_empty() => self.reply(a, b),
-            7 => self.list_change(a, b),
+            7 => self.change_list(a, b),
             8 if b % 4 == 0 => self.event(list(EndpointUpdate::Failed, [])),
-            8 => self.client_disconnects(a),
+            8 => self.disconnect_client(a),
             _ => self.advance(self.driver.now + u64::from(a) * 4 * MS),
         }
     }
 
-    fn new_request(&mut self, a: u8, b: u8) {
+    fn start_request(&mut self, a: u8, b: u8) {
         let id = self.next_request;
         self.next_request += 1;
         let (class, deadline) = (u32::from(a % 5), self.driver.now + 20 * MS + u64::from(b) * 20 * MS);
-        self.ledgers.insert(id, Ledger { class, deadline, attempts: vec![], answered: false });
+        self.requests.insert(id, RequestRecord { class, deadline, attempts: vec![], answered: false });
         let mut job = request(id, class, &format!("key-{}", b % 7), deadline);
         job.slots = f64::from(1 + a / 100);
         job.retry = a % 11 == 0;
         self.event(Event::Request(job));
     }
 
-    fn attempt_ends(&mut self, a: u8, b: u8) {
+    fn end_attempt(&mut self, a: u8, b: u8) {
         const OUTCOMES: [Outcome; 8] = [
             Outcome::Ok,
             Outcome::Rejected,
@@ -243,11 +244,11 @@
             service_ms: (b > 9).then_some(f64::from(b)),
             ..LoadReport::default()
         };
-        self.end(&ended, OUTCOMES[b as usize % OUTCOMES.len()], Some(load));
+        self.finish_attempt(&ended, OUTCOMES[b as usize % OUTCOMES.len()], Some(load));
     }
 
-    /// A peer sends a message of its own accord, or data that is no message.
-    fn unexpected_message(&mut self, a: u8, b: u8) {
+    /// Delivers a message from a peer that is no reply; the message may be truncated.
+    fn deliver_message(&mut self, a: u8, b: u8) {
         let messages = [
             PeerMessage::OccupancyQuery { work: S },
             PeerMessage::AttemptStarted { slots: 1.0, work: S },
@@ -259,16 +260,16 @@
         self.event(Event::PeerMessage { from: u32::from(a) % 5, data });
     }
 
-    /// A coordinator replies to a query.
+    /// Delivers a coordinator's reply to an occupancy query.
     fn reply(&mut self, a: u8, b: u8) {
         let query = self.queries.swap_remove(a as usize % self.queries.len());
-        let (_, worker) = PeerMessage::decode(&query.data).expect("a message");
+        let (_, worker) = PeerMessage::decode(&query.data).expect("the query can be decoded");
         let occupancy = Occupancy { slots: f64::from(b % 9), ejected_for: u64::from(b / 200) * S };
         let data = PeerMessage::OccupancyReply((b % 5 > 0).then_some(occupancy)).encode(worker);
         self.event(Event::PeerMessage { from: query.coordinator, data });
     }
 
-    fn list_change(&mut self, a: u8, b: u8) {
+    fn change_list(&mut self, a: u8, b: u8) {
         const STATES: [EndpointState; 3] =
             [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
         let n = 1 + u64::from(a) % WORKERS;
@@ -282,47 +283,49 @@
         self.event(list(EndpointUpdate::Changes, [Endpoint { state, started_at, ..endpoint(n) }]));
     }
 
-    fn client_disconnects(&mut self, a: u8) {
+    fn disconnect_client(&mut self, a: u8) {
         let id = 1 + u64::from(a) % self.next_request;
-        if let Some(ledger) = self.ledgers.get_mut(&id) {
-            ledger.answered = true;
+        if let Some(record) = self.requests.get_mut(&id) {
+            record.answered = true;
         }
         self.event(Event::ClientDisconnected(RequestId(id)));
     }
 
-    /// Lets every request run out of time: each must have had its one answer.
+    /// Advances the clock beyond all deadlines, checks that every request was answered, and returns all
+    /// actions.
     fn finish(mut self) -> Vec<Action> {
         self.advance(self.driver.now + 20 * S);
-        for (id, ledger) in &self.ledgers {
-            assert!(ledger.answered, "request {id} was lost");
+        for (id, record) in &self.requests {
+            assert!(record.answered, "request {id} got no final answer");
         }
-        self.log
+        self.actions
     }
 }
 
+/// Runs one sequence of steps and returns the scheduler's actions.
 fn run(settings: &Settings, steps: &[Step]) -> Vec<Action> {
-    let mut world = World::new(settings.clone());
+    let mut harness = Harness::new(settings.clone());
     for step in steps {
-        world.step(*step);
+        harness.step(*step);
     }
-    world.finish()
+    harness.finish()
 }
 
 #[test]
-fn the_rules_hold_and_equal_events_give_equal_actions() {
+fn no_rule_is_violated_and_equal_events_give_equal_actions() {
     let mut coordinating = settings();
     coordinating.scheduler_count = 5;
     coordinating.limits.may_message_peers = true;
     coordinating.load_report_source = LoadReportSource::Never;
     coordinating.endpoint_delivery = EndpointDelivery::Poll;
     coordinating.rules.poll_within = Some(10 * S);
-    let deployments = [settings(), coordinating];
+    let configurations = [settings(), coordinating];
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let steps = proptest::collection::vec((any::<u8>(), any::<u8>(), any::<u8>()), 1..250);
     let result = runner.run(&steps, |steps| {
-        for deployment in &deployments {
-            assert_eq!(run(deployment, &steps), run(deployment, &steps));
+        for configuration in &configurations {
+            assert_eq!(run(configuration, &steps), run(configuration, &steps));
         }
         Ok(())
     });
