--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -14,7 +14,8 @@
 /// Limit for a worker whose load is unknown, as a multiple of its fair share of the slots that this scheduler
 /// has in flight at all workers.
 const MAX_FAIR_SHARE_FACTOR: f64 = 1.25;
-/// Fraction of the difference by which one job start corrects the estimated slots per unit of weight.
+/// Fraction of the difference between an observed occupancy and the estimated slots per unit of weight by
+/// which one job start corrects the estimate.
 const SLOTS_LEARNING_RATE: f64 = 0.05;
 /// Assumed slots per unit of weight before the first job start is observed.
 const INITIAL_SLOTS_PER_UNIT: f64 = 1.0;
@@ -106,7 +107,7 @@
 
     fn fair_share_allows(&self, index: usize, slots: f64) -> bool {
         let in_flight = self.fleet[index].own_slots();
-        self.fair_share(index).is_none_or(|share| in_flight + slots <= share.max(slots))
+        self.fair_share_limit(index).is_none_or(|limit| in_flight + slots <= limit.max(slots))
     }
 
     fn is_busy(&self, worker: &Worker, slots: f64) -> bool {
@@ -115,10 +116,10 @@
         start_is_delayed || worker.is_busy(self.now, slots, usable_slots)
     }
 
-    /// Returns the limit of this scheduler's slots in flight at a worker whose load is unknown: the worker's
-    /// share, by present capacity, of the slots in flight at all workers. `None` if the load is known or if
-    /// workers report job starts.
-    pub(crate) fn fair_share(&self, index: usize) -> Option<f64> {
+    /// Returns the limit of this scheduler's slots in flight at a worker whose load is unknown:
+    /// [`MAX_FAIR_SHARE_FACTOR`] times the worker's share, by present capacity, of this scheduler's slots in
+    /// flight at all workers. `None` if the load is known or if workers report job starts.
+    pub(crate) fn fair_share_limit(&self, index: usize) -> Option<f64> {
         let worker = &self.fleet[index];
         if self.settings.reports_start || worker.occupancy(self.now).is_some() {
             return None;
--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -38,16 +38,16 @@
     let settings = settings();
     let mut fleet = fleet_of((1..=4).map(endpoint));
     (0..3).for_each(|index| add_attempt(&mut fleet, index, 1.0));
-    assert_eq!(admission(&settings, &fleet).fair_share(3), Some(1.25 * 4.0 / 4.0));
+    assert_eq!(admission(&settings, &fleet).fair_share_limit(3), Some(1.25 * 4.0 / 4.0));
     assert!(admission(&settings, &fleet).has_capacity(3, 1.0, CandidateRole::Home));
     add_attempt(&mut fleet, 3, 1.0);
     assert!(!admission(&settings, &fleet).has_capacity(3, 1.0, CandidateRole::Home));
     set_occupancy(&mut fleet, 3, 0.0);
-    assert_eq!(admission(&settings, &fleet).fair_share(3), None, "the load is known");
+    assert_eq!(admission(&settings, &fleet).fair_share_limit(3), None, "the load is known");
 }
 
 #[test]
-fn a_warming_worker_takes_foreign_keys_only_once_its_load_is_known() {
+fn a_warming_worker_takes_keys_of_other_homes_only_once_its_load_is_known() {
     let settings = settings();
     let mut fleet = fleet_of([Endpoint { started_at: NOW, ..endpoint(1) }]);
     assert!(admission(&settings, &fleet).has_capacity(0, 1.0, CandidateRole::Home));
--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -86,8 +86,9 @@
             if result.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
     }
 
-    /// Handles the deadline of a request. An attempt in flight normally ends by its own timeout; the final
-    /// answer given here covers the case that the timeout does not come.
+    /// Gives a request its final answer when its deadline timer expires. While an attempt is in flight, the
+    /// answer is postponed to shortly after the deadline, because the attempt normally ends by its own
+    /// timeout before then.
     pub(crate) fn on_deadline_timer(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/migration.rs
+++ b/crates/scheduling/src/migration.rs
@@ -14,8 +14,8 @@
 /// Longest time from sending an attempt to its first check, in microseconds; also the shortest interval
 /// between later checks of a running attempt.
 const MIGRATION_DELAY: Micros = 300_000;
-/// The first check takes place at the latest when the time from the attempt's start to the deadline, divided
-/// by this number, has passed.
+/// The first check takes place at the latest when the time from sending the attempt to the deadline, divided
+/// by this number, has passed, but not before [`MAX_START_DELAY`].
 const FIRST_CHECK_DIVISOR: Micros = 4;
 /// Largest number of migrations of one request.
 const MAX_MIGRATIONS: usize = 2;
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -58,7 +58,7 @@
 enum Selection {
     /// The worker with this index has capacity.
     Worker(usize),
-    /// Occupancy queries were sent, and their replies are awaited.
+    /// Replies to occupancy queries are awaited.
     AwaitReports,
     /// No candidate has capacity.
     NoCapacity,
@@ -179,7 +179,8 @@
     }
 
     /// Returns the role of a candidate for the request. A warming worker is the home of a hot key with a
-    /// probability equal to the worker's warm-up fraction.
+    /// probability equal to the worker's warm-up fraction. If schedulers coordinate, only the first candidate
+    /// can be the home; otherwise every candidate can.
     fn candidate_role(
         &mut self,
         now: Micros,
@@ -204,7 +205,7 @@
     fn select_queue(&self, now: Micros, context: &PlacementContext, candidates: &[usize]) -> Option<usize> {
         let admission = self.admission(now);
         let index = admission.least_loaded(candidates, context.slots)?;
-        let may_join = !context.is_late && (!context.is_retry || admission.fair_share(index).is_some());
+        let may_join = !context.is_late && (!context.is_retry || admission.fair_share_limit(index).is_some());
         may_join.then_some(index)
     }
 
--- a/crates/scheduling/src/request/tests.rs
+++ b/crates/scheduling/src/request/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use crate::settings::Idempotency;
 
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 
 /// An idempotent request that arrived at 100 ms and gives no hint of its work.
 fn request() -> PendingRequest {
     let class = Class {
-        latency_objective: 500 * MS,
+        latency_objective: 500 * MILLISECOND,
         objective_per_work: 2.0,
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
-    PendingRequest { class, max_attempts: 2, arrived_at: 100 * MS, ..PendingRequest::default() }
+    PendingRequest { class, max_attempts: 2, arrived_at: 100 * MILLISECOND, ..PendingRequest::default() }
 }
 
 fn attempt(state: AttemptState, sent_at: Micros) -> Attempt {
@@ -21,11 +21,11 @@
 
 #[test]
 fn the_objective_is_missed_once_it_leaves_no_time_for_the_remaining_work() {
-    let hinted = PendingRequest { expected_work: 300 * MS, ..request() };
-    assert_eq!(hinted.objective_missed_from(0.0), 1_200 * MS);
-    assert_eq!(hinted.objective_missed_from(1.0), 900 * MS);
-    assert_eq!(hinted.objective_missed_from(5.0), 600 * MS);
-    assert_eq!(request().objective_missed_from(0.0), 600 * MS);
+    let hinted = PendingRequest { expected_work: 300 * MILLISECOND, ..request() };
+    assert_eq!(hinted.objective_missed_from(0.0), 1_200 * MILLISECOND);
+    assert_eq!(hinted.objective_missed_from(1.0), 900 * MILLISECOND);
+    assert_eq!(hinted.objective_missed_from(5.0), 600 * MILLISECOND);
+    assert_eq!(request().objective_missed_from(0.0), 600 * MILLISECOND);
 }
 
 #[test]
@@ -54,7 +54,7 @@
 
 #[test]
 fn the_likely_work_is_the_hint_or_else_the_latency_objective() {
-    assert_eq!(request().likely_work(), 500 * MS);
+    assert_eq!(request().likely_work(), 500 * MILLISECOND);
     assert_eq!(PendingRequest { expected_work: 7, ..request() }.likely_work(), 7);
 }
 
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -37,9 +37,9 @@
     /// Whether a retry by the client after `retry_after` microseconds is harmless. The client may retry at
     /// any scheduler, and any worker may get the request.
     pub(crate) fn allows_client_retry(self, now: Micros, retry_after: Micros) -> bool {
-        let dropped_by_any_worker =
+        let scope_covers_all_workers =
             !matches!(self.idempotency, Idempotency::Keyed { scope, .. } if scope != DeduplicationScope::All);
-        (dropped_by_any_worker || self.first_run_at.is_none())
+        (scope_covers_all_workers || self.first_run_at.is_none())
             && self.allows_attempt_at(now + retry_after + MAX_CLIENT_DELAY)
     }
 }
