--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -1,9 +1,9 @@
-//! Coordination between schedulers: each worker has one coordinator among them, which accounts for what all
-//! of them have in flight there.
+//! Coordination between schedulers: one scheduler is the coordinator of each worker and keeps account of the
+//! attempts that all schedulers have in flight at the worker.
 //!
-//! Schedulers notify the coordinator of each attempt's start and end, and query the worker's occupancy before
-//! they send. All agree on the coordinator without a message, by rendezvous hashing; one that doesn't answer
-//! is passed over for a while.
+//! Schedulers notify the coordinator when an attempt starts or ends, and query the worker's occupancy before
+//! they send a job to the worker. Every scheduler computes the coordinator by rendezvous hashing, so
+//! schedulers agree without exchanging messages. A coordinator that does not reply is skipped for a while.
 
 use crate::actions::{Action, Recipient};
 use crate::events::Outcome;
@@ -17,26 +17,29 @@
 use crate::worker::OccupancyReport;
 use std::collections::BTreeMap;
 
-/// A coordinator's reply is awaited this long, microseconds.
+/// How long to wait for a coordinator's reply, in microseconds.
 pub(crate) const QUERY_TIMEOUT: Micros = 40_000;
-/// A coordinator that did not answer is passed over this long, microseconds.
+/// How long a coordinator that did not reply is skipped, in microseconds.
 const UNRESPONSIVE_TIME: Micros = 2_000_000;
-/// A peer's attempt counts for this long at most, as the message of its end may be lost, microseconds.
+/// Maximum time for which a peer's attempt is counted, in microseconds. The message about the attempt's end
+/// may be lost.
 const MAX_PEER_ATTEMPT_AGE: Micros = 4_000_000;
-/// The occupancy that is reported for a worker that takes nothing now, slots; above the slots of any worker.
+/// Occupancy reported for a worker that can take no job now, in slots. The value exceeds the slots of any
+/// worker.
 const FULLY_OCCUPIED: f64 = 4000.0;
 
 /// Index of a scheduler among its peers.
 pub(crate) type SchedulerIndex = u32;
 
-/// Whether schedulers coordinate: they may send one another messages, and no worker reports its load.
+/// Whether schedulers coordinate. Schedulers coordinate if they may send messages to each other and workers
+/// never report their load.
 pub(crate) fn is_enabled(settings: &Settings) -> bool {
     settings.limits.may_message_peers
         && settings.scheduler_count > 1
         && settings.load_report_source == LoadReportSource::Never
 }
 
-/// An occupancy query that has no reply yet.
+/// An occupancy query that the coordinator has not replied to yet.
 pub(crate) struct PendingQuery {
     pub(crate) coordinator: SchedulerIndex,
     pub(crate) sent_at: Micros,
@@ -48,16 +51,16 @@
     }
 }
 
-/// Which scheduler coordinates a worker, given the peers that do not answer.
+/// Chooses the coordinator of each worker and tracks the peers that do not reply.
 #[derive(Default)]
 pub(crate) struct Coordinators {
-    /// Peers that did not answer, and until when they are passed over.
+    /// Peers that did not reply, each with the time until which the peer is skipped.
     unresponsive_peers: BTreeMap<SchedulerIndex, Micros>,
 }
 
 impl Coordinators {
-    /// The worker's coordinator: the first by rendezvous hashing that is not unresponsive; `None` if
-    /// schedulers don't coordinate.
+    /// Returns the worker's coordinator: the first responsive scheduler in the order of rendezvous hashing.
+    /// Returns `None` if schedulers don't coordinate.
     fn coordinator_of(
         &mut self,
         now: Micros,
@@ -78,8 +81,9 @@
         self.unresponsive_peers.insert(peer, now + UNRESPONSIVE_TIME);
     }
 
-    /// This scheduler's part of the work that a worker bears while it warms up: an equal share, or as
-    /// coordinator the shares of all peers that are not unresponsive.
+    /// Returns the fraction of a warming worker's work budget that this scheduler may spend. The fraction is
+    /// an equal share per scheduler if schedulers don't coordinate. A coordinator spends its own share and
+    /// the shares of all responsive peers.
     pub(crate) fn budget_share(&self, settings: &Settings) -> f64 {
         let schedulers = f64::from(settings.scheduler_count);
         if is_enabled(settings) {
@@ -98,26 +102,27 @@
 }
 
 impl PeerAttempt {
-    fn counts(&self, now: Micros) -> bool {
+    fn is_recent(&self, now: Micros) -> bool {
         self.started_at + MAX_PEER_ATTEMPT_AGE > now
     }
 }
 
-/// Capacity of a worker that warms up, reserved for a moment for the peer that queried it.
+/// Capacity of a warming worker, reserved briefly for a peer that queried the worker's occupancy.
 struct Reservation {
     peer: SchedulerIndex,
     made_at: Micros,
     work: Micros,
 }
 
-/// What a worker that warms up can take yet.
+/// Remaining capacity of a worker that is warming up.
 struct WarmingCapacity {
+    /// Slots that may be in use.
     slots: f64,
-    /// Work that it may be sent, microseconds; below 0 if it was sent too much.
+    /// Work that may still be sent to the worker, in microseconds; negative if too much was sent.
     work: f64,
 }
 
-/// A coordinator's account of what its peers have at one worker.
+/// A coordinator's account of its peers' attempts and reservations at one worker.
 #[derive(Default)]
 pub(crate) struct PeerLedger {
     attempts: Vec<PeerAttempt>,
@@ -125,27 +130,28 @@
 }
 
 impl PeerLedger {
-    /// Slots that peers have in flight.
-    fn slots(&self, now: Micros) -> f64 {
-        self.attempts.iter().filter(|attempt| attempt.counts(now)).map(|attempt| attempt.slots).sum()
+    /// Returns the slots that the peers' attempts in flight take.
+    fn slots_in_flight(&self, now: Micros) -> f64 {
+        self.attempts.iter().filter(|attempt| attempt.is_recent(now)).map(|attempt| attempt.slots).sum()
     }
 
-    /// A peer has sent an attempt, by its reservation if it has one.
+    /// Records that a peer has sent an attempt. The attempt replaces the peer's reservation, if any.
     fn record_start(&mut self, now: Micros, peer: SchedulerIndex, slots: f64) {
         self.reservations.retain(|reservation| reservation.peer != peer);
-        self.attempts.retain(|attempt| attempt.counts(now));
+        self.attempts.retain(|attempt| attempt.is_recent(now));
         self.attempts.push(PeerAttempt { peer, started_at: now, slots });
     }
 
-    /// An attempt of a peer has ended: the oldest one stands for it.
+    /// Records that an attempt of a peer has ended. Removes the peer's oldest attempt, because the message
+    /// does not identify the attempt.
     fn record_end(&mut self, peer: SchedulerIndex) {
         if let Some(position) = self.attempts.iter().position(|attempt| attempt.peer == peer) {
             self.attempts.remove(position);
         }
     }
 
-    /// Reserves capacity for one job of a peer. Returns the slots in flight and reserved before it, or `None`
-    /// if the worker can't take it.
+    /// Reserves capacity for one job of a peer. Returns the number of slots in flight or reserved before this
+    /// reservation, or `None` if the worker can't take the job.
     fn reserve(
         &mut self,
         now: Micros,
@@ -157,18 +163,18 @@
         self.reservations
             .retain(|reservation| reservation.made_at + QUERY_TIMEOUT > now && reservation.peer != peer);
         let reserved_work: Micros = self.reservations.iter().map(|reservation| reservation.work).sum();
-        let taken = in_flight + self.reservations.len() as f64;
-        if reserved_work as f64 > capacity.work || taken + 1.0 > capacity.slots.max(1.0) {
+        let occupied_slots = in_flight + self.reservations.len() as f64;
+        if reserved_work as f64 > capacity.work || occupied_slots + 1.0 > capacity.slots.max(1.0) {
             return None;
         }
         self.reservations.push(Reservation { peer, made_at: now, work });
-        Some(taken)
+        Some(occupied_slots)
     }
 }
 
 impl Scheduler {
-    /// Sends a message about a worker to its coordinator. Where this scheduler is the coordinator or there is
-    /// none, it does the accounting itself.
+    /// Sends a message about a worker to the worker's coordinator. If this scheduler is the coordinator, or
+    /// if schedulers don't coordinate, updates this scheduler's own account instead.
     pub(crate) fn notify_coordinator(
         &mut self,
         now: Micros,
@@ -192,14 +198,14 @@
         self.fleet[index].admitted_work.charge(now, overload_rate, work);
     }
 
-    /// As its coordinator: a worker's occupancy, for a scheduler that has a job of so much work. A worker
-    /// that warms up and was sent nearly what it bears is fully occupied; otherwise its capacity is reserved
-    /// for the querying peer.
+    /// Returns, as the coordinator, a worker's occupancy in slots for a peer that has a job with the given
+    /// work. If the worker is warming up, reserves capacity for the peer, or returns [`FULLY_OCCUPIED`] if
+    /// the worker's remaining capacity is too small.
     fn occupancy_for(&mut self, now: Micros, index: usize, peer: SchedulerIndex, work: Micros) -> f64 {
         self.charge_admitted_work(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
         let worker = &mut self.fleet[index];
-        let in_flight = worker.peers.slots(now) + worker.own_slots();
+        let in_flight = worker.peers.slots_in_flight(now) + worker.own_slots();
         let warm_up_fraction = worker.warm_up_fraction(now, &self.settings.rules);
         if warm_up_fraction >= 1.0 {
             return in_flight;
@@ -209,8 +215,8 @@
         worker.peers.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
     }
 
-    /// Queries a worker's occupancy from its coordinator, unless a fresh report is at hand. Returns whether a
-    /// reply is to be awaited.
+    /// Queries a worker's occupancy from the worker's coordinator, unless a fresh report is available.
+    /// Returns whether the request has to wait for a reply.
     pub(crate) fn query_occupancy(
         &mut self,
         now: Micros,
@@ -225,7 +231,8 @@
         let work = self.requests.get(id).map_or(0, PendingRequest::likely_work);
         if coordinator == self.settings.scheduler_index {
             let slots = Some(self.occupancy_for(now, index, coordinator, work));
-            // What is sent in this very moment counts in addition only later: it is in the account already.
+            // Attempts sent at `now` are already in the account. A query time after `now` keeps them from
+            // being added to the report a second time.
             self.fleet[index].report = Some(OccupancyReport { slots, queried_at: now + 1 });
             return false;
         }
@@ -240,7 +247,7 @@
         true
     }
 
-    /// Passes over the coordinators whose replies are overdue.
+    /// Marks the coordinators whose replies are overdue as unresponsive.
     pub(crate) fn expire_queries(&mut self, now: Micros) {
         for worker in self.fleet.iter_mut() {
             if let Some(query) = worker.pending_query.take_if(|query| query.is_overdue(now)) {
@@ -249,7 +256,7 @@
         }
     }
 
-    /// Handles a message of another scheduler.
+    /// Handles a message from another scheduler.
     pub(crate) fn on_peer_message(
         &mut self,
         now: Micros,
@@ -283,6 +290,7 @@
         }
     }
 
+    /// Builds the reply to a peer's occupancy query.
     fn report_occupancy(
         &mut self,
         now: Micros,
@@ -295,7 +303,7 @@
         Occupancy { slots, ejected_for }
     }
 
-    /// Takes over a coordinator's reply and places the requests that wait for it.
+    /// Stores a coordinator's reply and places the requests that were waiting for the reply.
     fn on_occupancy_reply(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/coordination/tests.rs
+++ b/crates/scheduling/src/coordination/tests.rs
@@ -54,11 +54,11 @@
     let mut ledger = PeerLedger::default();
     ledger.record_start(NOW, 1, 2.0);
     ledger.record_start(NOW + 1, 2, 3.0);
-    assert_eq!(ledger.slots(NOW + 1), 5.0);
+    assert_eq!(ledger.slots_in_flight(NOW + 1), 5.0);
     ledger.record_end(1);
     ledger.record_end(1);
-    assert_eq!(ledger.slots(NOW + 1), 3.0);
-    assert_eq!(ledger.slots(NOW + 1 + MAX_PEER_ATTEMPT_AGE), 0.0);
+    assert_eq!(ledger.slots_in_flight(NOW + 1), 3.0);
+    assert_eq!(ledger.slots_in_flight(NOW + 1 + MAX_PEER_ATTEMPT_AGE), 0.0);
 }
 
 #[test]
--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -1,5 +1,5 @@
-//! Refresh of the endpoint list: when discovery is polled, backoff after failures, and the confirmation of a
-//! restored list.
+//! Refresh of the endpoint list: schedules the polls of discovery, backs off after failed polls, and tracks
+//! whether discovery has confirmed a restored list.
 
 use crate::actions::Action;
 use crate::events::{Endpoint, EndpointUpdate};
@@ -8,37 +8,41 @@
 use crate::settings::EndpointDelivery;
 use crate::timer::Timer;
 
-/// A restored list may name workers that were removed: nothing is sent until discovery answers, or for so
-/// long at most, microseconds.
+/// How long jobs wait for discovery to confirm a restored list, in microseconds. A restored list may contain
+/// workers that were removed, so no job is sent until discovery responds or this time has passed.
 pub const CONFIRM_WITHIN: Micros = 5_000_000;
-/// First pause before discovery is polled again, microseconds; each further failure doubles it.
+/// Initial mean pause before discovery is polled again, in microseconds. Repeated failures double the pause.
 const BASE_BACKOFF: Micros = 100_000;
-/// The longest such pause, microseconds.
+/// Maximum pause that the doubling reaches, in microseconds.
 const MAX_BACKOFF: Micros = 1_000_000;
-/// The pause is doubled at most so often.
-const MAX_DOUBLINGS: u32 = 8;
-/// Mean pause after a poll that took long to fail, microseconds.
+/// Maximum number of times the pause is doubled. The limit keeps the bit shift from overflowing.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// Mean pause after a poll that took long to fail, in microseconds.
 const PAUSE_AFTER_SLOW_FAILURE: Micros = 500_000;
-/// All schedulers share one discovery: their polls are spread over this for each other scheduler,
-/// microseconds.
+/// Time over which polls are spread, per other scheduler, in microseconds. All schedulers poll the same
+/// discovery service.
 const SPREAD_PER_PEER: Micros = 30_000;
-/// The longest time over which first polls are spread, microseconds.
+/// Maximum time over which the first polls are spread, in microseconds.
 const MAX_FIRST_SPREAD: Micros = 2_000_000;
-/// The longest mean time between the polls of one scheduler after failures, microseconds.
+/// Maximum mean interval between one scheduler's polls due to spreading after failures, in microseconds.
 const MAX_REPEATED_SPREAD: Micros = 2_000_000;
-/// The spread is doubled at most so often.
+/// Maximum number of times the spread is doubled.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
 
-/// Polls of the endpoint list: the failures since the last response, and whether the list is confirmed.
+/// State of the polls of the endpoint list since discovery's last response.
 #[derive(Default)]
 pub(crate) struct EndpointRefresh {
+    /// Polls scheduled since the last response.
     failed_polls: u32,
+    /// Time of the latest poll, which may still lie ahead.
     last_poll: Micros,
+    /// End of the time in which jobs wait for a restored list to be confirmed; 0 if the list is confirmed.
     unconfirmed_until: Micros,
 }
 
 impl EndpointRefresh {
-    /// Takes note of an update of the list.
+    /// Records an update of the list. Failed polls and renumbered lists change nothing. Any other update
+    /// resets the count of failed polls, and confirms the list unless the list was restored.
     pub(crate) fn record_update(&mut self, now: Micros, update: EndpointUpdate) {
         if matches!(update, EndpointUpdate::Failed | EndpointUpdate::Renumbered) {
             return;
@@ -48,12 +52,12 @@
         *self = EndpointRefresh { unconfirmed_until, ..EndpointRefresh::default() };
     }
 
-    /// Whether jobs are to wait, as the list is restored and not yet confirmed.
+    /// Whether jobs have to wait because the list was restored and is not confirmed yet.
     pub(crate) fn is_unconfirmed(&self, now: Micros) -> bool {
         now < self.unconfirmed_until
     }
 
-    /// Plans the next poll and returns its time. `random` is a fraction in `[0, 1)`.
+    /// Schedules the next poll and returns its time. `random` is a fraction in `[0, 1)`.
     pub(crate) fn schedule_poll(
         &mut self,
         now: Micros,
@@ -65,24 +69,26 @@
         let at = if update == EndpointUpdate::Restored {
             now + (spread as f64 * random) as Micros
         } else {
-            self.next_poll(now, spread, random)
+            self.next_poll_time(now, spread, random)
         };
         self.failed_polls += 1;
         self.last_poll = at;
         at
     }
 
-    fn next_poll(&self, now: Micros, spread: Micros, random: f64) -> Micros {
+    fn next_poll_time(&self, now: Micros, spread: Micros, random: f64) -> Micros {
         let jittered = |pause: Micros| (pause as f64 * (0.5 + random)) as Micros;
-        // A watch that breaks after a response broke alone, until the poll for the next one fails too.
-        let repeated_failures = self.failed_polls.saturating_sub(1).min(MAX_DOUBLINGS);
+        // The first failure after a response is taken as a broken watch of this scheduler alone. If the next
+        // poll fails too, all schedulers are assumed to be affected, and the polls are spread.
+        let repeated_failures = self.failed_polls.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
         let spread = if self.failed_polls == 0 {
             0
         } else {
             (spread << repeated_failures.min(MAX_SPREAD_DOUBLINGS)).min(MAX_REPEATED_SPREAD)
         };
         let interval = (BASE_BACKOFF << repeated_failures).min(MAX_BACKOFF).max(spread);
-        // The interval counts from poll to poll, as a poll that took long to fail has used it up.
+        // The interval is measured between the starts of polls, since a poll that took long to fail has
+        // already used up the interval.
         let after_last_poll = self.last_poll + jittered(interval);
         let after_failure = now + jittered(interval.min(PAUSE_AFTER_SLOW_FAILURE));
         after_last_poll.max(after_failure)
@@ -90,7 +96,7 @@
 }
 
 impl Scheduler {
-    /// Applies an update of the endpoint list and places the queued requests by it.
+    /// Applies an update of the endpoint list, schedules the next poll and places the queued requests.
     pub(crate) fn on_endpoints(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/hash.rs
+++ b/crates/scheduling/src/hash.rs
@@ -1,12 +1,12 @@
-//! The hashes by which all schedulers agree without a message: the same on every machine and in every
-//! version.
+//! Hash functions that give the same results on every machine and in every version. With equal hashes,
+//! schedulers make the same choices without exchanging messages.
 
 /// Offset basis of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// Prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The finaliser of splitmix64.
+/// Mixes the bits of a value with the finaliser of splitmix64.
 pub(crate) fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -14,7 +14,7 @@
     x ^ (x >> 31)
 }
 
-/// Place of a key on the ring: FNV-1a over its bytes, then mixed.
+/// Returns a key's position on the ring: FNV-1a over the key's bytes, passed through [`mix`].
 pub(crate) fn hash_key(key: &str) -> u64 {
     let fold_byte = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     mix(key.bytes().fold(FNV_OFFSET_BASIS, fold_byte))
--- a/crates/scheduling/src/hot_keys.rs
+++ b/crates/scheduling/src/hot_keys.rs
@@ -1,17 +1,19 @@
-//! Hot keys: decaying counts of keys, and over how many workers the traffic of one key is spread.
+//! Hot keys: keeps decaying counts of requests by key and determines over how many workers the traffic of one
+//! key is spread.
 
 use crate::ids::Micros;
 use std::collections::BTreeMap;
 
-/// Time constant of the decaying counts, microseconds.
+/// Time constant of the exponential decay of counts, in microseconds.
 const DECAY_TIME: f64 = 20e6;
-/// A key may use this fraction of a mean worker's usual load before it is spread over one more.
+/// Load that one key may put on a worker before it is spread over one more, as a fraction of a worker's mean
+/// load.
 const MAX_KEY_LOAD: f64 = 0.5;
-/// Keys that are counted at most; those with the smallest counts are forgotten first.
+/// Maximum number of counted keys. Beyond this number, keys whose counts have decayed below 1 are removed.
 const MAX_KEYS: usize = 1024;
-/// Requests that are assumed in addition to those counted, so that a few requests prove nothing.
+/// Requests assumed in addition to the counted ones, so that a key isn't spread after only a few requests.
 const PRIOR_REQUESTS: f64 = 5.0;
-/// The same where nothing reports the load of workers.
+/// Like [`PRIOR_REQUESTS`], used if the load of workers is unknown.
 const PRIOR_REQUESTS_LOAD_UNKNOWN: f64 = 30.0;
 
 /// A count that decays exponentially.
@@ -22,24 +24,25 @@
 }
 
 impl DecayingCount {
-    fn at(self, now: Micros) -> f64 {
+    /// Returns the decayed count.
+    fn decayed(self, now: Micros) -> f64 {
         self.count * (-(now.saturating_sub(self.updated_at) as f64) / DECAY_TIME).exp()
     }
 
     fn increment(&mut self, now: Micros) {
-        *self = DecayingCount { count: self.at(now) + 1.0, updated_at: now };
+        *self = DecayingCount { count: self.decayed(now) + 1.0, updated_at: now };
     }
 }
 
-/// What the spread of a key depends on beside its count.
+/// Inputs for the spread of a key that describe the fleet.
 pub(crate) struct FleetView {
     pub(crate) ready_workers: usize,
     pub(crate) schedulers: u32,
-    /// Reports of load or of starts show how full workers are.
+    /// Whether the scheduler knows the workers' load, from coordinators or from reports of job starts.
     pub(crate) load_is_known: bool,
 }
 
-/// Counts of keys and of all requests.
+/// Decaying counts of requests by key and of all requests.
 #[derive(Default)]
 pub(crate) struct HotKeys {
     keys: BTreeMap<u64, DecayingCount>,
@@ -47,20 +50,22 @@
 }
 
 impl HotKeys {
-    /// Counts a request with this key; returns over how many workers the key's traffic is spread.
+    /// Counts a request with this key. Returns the number of workers over which the key's traffic is spread.
     pub(crate) fn record(&mut self, now: Micros, key_hash: u64, fleet: &FleetView) -> usize {
         self.requests.increment(now);
         let key = self.keys.entry(key_hash).or_default();
         key.increment(now);
         let count = key.count;
         if self.keys.len() > MAX_KEYS {
-            self.keys.retain(|_, key| key.at(now) >= 1.0);
+            self.keys.retain(|_, key| key.decayed(now) >= 1.0);
         }
         self.spread(count, fleet)
     }
 
     fn spread(&self, count: f64, fleet: &FleetView) -> usize {
-        // Where the load is unknown, every scheduler may have seen as much of the key as this one.
+        // One request with a key doesn't make the key hot, so it is subtracted from the key's count. If the
+        // load is unknown, every scheduler may have seen the key as often as this one has, and the subtracted
+        // request is divided among all schedulers.
         let (schedulers, prior_requests) = if fleet.load_is_known {
             (1.0, PRIOR_REQUESTS)
         } else {
--- a/crates/scheduling/src/peer_message.rs
+++ b/crates/scheduling/src/peer_message.rs
@@ -1,7 +1,7 @@
 //! Messages between schedulers and their encoding.
 //!
-//! A message takes 16 bytes, little-endian: kind (1), flags (1), sixteenths of slots (2), microseconds (4),
-//! worker (8). Data from a peer is not trusted: what can't be decoded is no message.
+//! A message has 16 bytes, little-endian: kind (1), flags (1), slots in units of 1/16 slot (2), time in
+//! microseconds (4), worker ID (8). Data from a peer is not trusted: data that can't be decoded is discarded.
 
 use crate::ids::{Micros, WorkerId};
 
@@ -10,53 +10,55 @@
 const KIND_ATTEMPT_STARTED: u8 = 2;
 const KIND_ATTEMPT_FINISHED: u8 = 3;
 
-/// Flag of a reply: the worker is listed.
+/// Flag of an occupancy reply: the coordinator's endpoint list contains the worker.
 const FLAG_LISTED: u8 = 1;
-/// Flags of a finished attempt.
+/// Flag of a finished attempt: the attempt was served.
 const FLAG_SERVED: u8 = 1;
+/// Flag of a finished attempt: the connection broke, was never made or gave no response.
 const FLAG_CONNECTION_FAILED: u8 = 1 << 1;
 
-/// Slots are sent in fractions of this size: one slot is so many.
-const SLOT_UNITS: f64 = 16.0;
+/// Encoded units per slot. Messages carry slots as a multiple of 1/16 slot.
+const ENCODED_UNITS_PER_SLOT: f64 = 16.0;
 
-/// How full a worker is, by its coordinator.
+/// A worker's occupancy, as reported by the worker's coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Occupancy {
-    /// Slots in flight there.
+    /// Slots in flight at the worker.
     pub slots: f64,
-    /// How long it is still ejected; 0 if it isn't.
+    /// How long the worker remains ejected, in microseconds; 0 if the worker is not ejected.
     pub ejected_for: Micros,
 }
 
-/// A message about one worker to or from its coordinator.
+/// A message about one worker, sent to or by the worker's coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// To the coordinator: asks for the worker's occupancy.
+    /// To the coordinator: queries the worker's occupancy.
     OccupancyQuery {
-        /// Work of the job that is to be sent there, microseconds.
+        /// Work of the job to be sent to the worker, in microseconds.
         work: Micros,
     },
-    /// From the coordinator; `None` if it doesn't list the worker.
+    /// From the coordinator: the reply to a query; `None` if the coordinator's endpoint list lacks the
+    /// worker.
     OccupancyReply(Option<Occupancy>),
     /// To the coordinator: an attempt was sent to the worker.
     AttemptStarted {
-        /// Slots that it takes.
+        /// Slots that the attempt takes.
         slots: f64,
-        /// Its work, microseconds.
+        /// Work of the attempt, in microseconds.
         work: Micros,
     },
-    /// To the coordinator: an attempt ended there.
+    /// To the coordinator: an attempt at the worker ended.
     AttemptFinished {
-        /// It was served.
+        /// Whether the attempt was served.
         served: bool,
-        /// Its connection broke, was never made or gave no response.
+        /// Whether the attempt's connection broke, was never made or gave no response.
         connection_failed: bool,
     },
 }
 
 impl PeerMessage {
-    /// The bytes of this message about a worker. A figure that is too large for its field is sent as the
-    /// largest.
+    /// Encodes this message about a worker. A value that is too large for its field is encoded as the field's
+    /// maximum.
     #[must_use]
     pub fn encode(self, worker: WorkerId) -> Vec<u8> {
         let (kind, flags, slots, time) = match self {
@@ -72,17 +74,17 @@
                 (KIND_ATTEMPT_FINISHED, served | connection_failed, 0.0, 0)
             }
         };
-        let slots = (slots * SLOT_UNITS) as u16;
+        let slots = (slots * ENCODED_UNITS_PER_SLOT) as u16;
         let time = u32::try_from(time).unwrap_or(u32::MAX);
         [&[kind, flags][..], &slots.to_le_bytes(), &time.to_le_bytes(), &worker.0.to_le_bytes()].concat()
     }
 
-    /// Decodes a datagram into a message and the worker that it is about; `None` if it is no message.
+    /// Decodes a datagram into a message and the worker it concerns. Returns `None` if the data is not valid.
     #[must_use]
     pub fn decode(data: &[u8]) -> Option<(PeerMessage, WorkerId)> {
         let [kind, flags, s0, s1, t0, t1, t2, t3, worker @ ..] = data else { return None };
         let worker = WorkerId(u64::from_le_bytes(worker.try_into().ok()?));
-        let slots = f64::from(u16::from_le_bytes([*s0, *s1])) / SLOT_UNITS;
+        let slots = f64::from(u16::from_le_bytes([*s0, *s1])) / ENCODED_UNITS_PER_SLOT;
         let time = Micros::from(u32::from_le_bytes([*t0, *t1, *t2, *t3]));
         let message = match *kind {
             KIND_OCCUPANCY_QUERY => PeerMessage::OccupancyQuery { work: time },
--- a/crates/scheduling/src/random.rs
+++ b/crates/scheduling/src/random.rs
@@ -1,13 +1,13 @@
-//! The scheduler's only source of randomness: a seeded generator, equal on every machine.
+//! The scheduler's only source of randomness: a seeded generator with the same sequence on every machine.
 
 use crate::hash::mix;
 
-/// Increment of the generator's state (the golden ratio of 2^64, as in splitmix64).
+/// Increment of the generator's state: 2^64 divided by the golden ratio, as in splitmix64.
 const STATE_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bits of precision of an `f64` between 0 and 1.
+/// Number of random bits in a fraction: the precision of an `f64`.
 const FRACTION_BITS: u32 = 53;
 
-/// A seeded generator of fractions.
+/// A seeded generator of random fractions.
 pub(crate) struct RandomSource {
     state: u64,
 }
@@ -17,7 +17,7 @@
         RandomSource { state: seed }
     }
 
-    /// A fraction in `[0, 1)`.
+    /// Returns the next random fraction in `[0, 1)`.
     pub(crate) fn next_fraction(&mut self) -> f64 {
         self.state = self.state.wrapping_add(STATE_INCREMENT);
         (mix(self.state) >> (u64::BITS - FRACTION_BITS)) as f64 / (1u64 << FRACTION_BITS) as f64
--- a/crates/scheduling/src/ring.rs
+++ b/crates/scheduling/src/ring.rs
@@ -1,56 +1,57 @@
-//! The consistent ring: every worker has virtual points in proportion to its weight.
+//! The consistent-hashing ring, on which every worker has virtual points in proportion to its weight.
 
 use crate::hash::mix;
 use crate::worker::Worker;
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// Virtual points of a worker of mean weight: keeps arcs within about a tenth of their fair share.
+/// Virtual points of a worker of mean weight. With this many points, each worker's part of the ring is within
+/// about a tenth of its fair share.
 const POINTS_PER_MEAN_WEIGHT: f64 = 96.0;
-/// A worker has at most this many times the mean's points, so that one absurd weight can't take over the
-/// ring.
+/// Maximum points of a worker as a multiple of [`POINTS_PER_MEAN_WEIGHT`], so that one absurdly large weight
+/// can't take over the ring.
 const MAX_POINTS_FACTOR: f64 = 8.0;
-/// The scale stays as long as the mean weight is within these factors of it.
+/// Range of the ratio of mean weight to weight scale within which the scale is kept.
 const SCALE_TOLERANCE: RangeInclusive<f64> = 0.5..=2.0;
 /// Separates the hashes of points from those of keys.
 const POINT_SALT: u64 = 0x5350;
 
-/// A virtual point.
+/// A virtual point of a worker on the ring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Point {
-    /// Its place on the ring.
-    place: u64,
-    /// Index of its worker.
+    /// Position on the ring.
+    position: u64,
+    /// Index of the point's worker in the fleet.
     worker: u32,
-    /// Which of the worker's points it is.
+    /// Number of the point among the worker's points, from 0.
     number: u32,
 }
 
 impl Point {
-    /// Index of its worker.
+    /// Returns the index of the point's worker in the fleet.
     pub(crate) fn worker_index(self) -> usize {
         self.worker as usize
     }
 
-    /// Whether it counts at this warm-up fraction of its worker, which has so many points. All schedulers
-    /// agree on that without a message.
+    /// Whether this point is active at its worker's warm-up fraction, given the worker's number of points.
+    /// All schedulers compute the same active points without exchanging messages.
     pub(crate) fn is_active(self, warm_up_fraction: f64, worker_points: u32) -> bool {
         warm_up_fraction >= 1.0 || f64::from(self.number) < warm_up_fraction * f64::from(worker_points)
     }
 }
 
-/// The points of all workers in the order of their places.
+/// The points of all workers, sorted by position.
 #[derive(Default)]
 pub(crate) struct Ring {
     points: Vec<Point>,
-    /// Weight that gets [`POINTS_PER_MEAN_WEIGHT`] points, a power of two so that schedulers agree on it; 0
-    /// at first.
+    /// Weight of a worker that gets [`POINTS_PER_MEAN_WEIGHT`] points; 0 before the first update. The scale
+    /// is a power of two, so that schedulers agree on its value.
     weight_scale: f64,
 }
 
 impl Ring {
-    /// Places the points of new or resized workers, given by index; all others keep theirs, unless the mean
-    /// weight has changed much.
+    /// Places the points of new or resized workers, given by index. The points of all other workers stay,
+    /// unless the mean weight has left [`SCALE_TOLERANCE`] and all points are placed anew.
     pub(crate) fn place(&mut self, workers: &mut [Worker], mut changed: Vec<usize>) {
         if changed.is_empty() {
             return;
@@ -66,10 +67,10 @@
         for index in changed {
             self.add_points(index, &mut workers[index]);
         }
-        self.points.sort_by_key(|point| (point.place, point.worker));
+        self.points.sort_by_key(|point| (point.position, point.worker));
     }
 
-    /// Places the points of all workers anew, as their indices have changed.
+    /// Places the points of all workers anew, after the workers' indices have changed.
     pub(crate) fn rebuild(&mut self, workers: &mut [Worker]) {
         self.points.clear();
         self.place(workers, (0..workers.len()).collect());
@@ -80,15 +81,15 @@
         worker.points = (POINTS_PER_MEAN_WEIGHT * relative_weight).round().max(1.0) as u32;
         let seed = mix(worker.endpoint.worker.0);
         self.points.extend((0..worker.points).map(|number| Point {
-            place: mix(seed ^ (u64::from(number) << 32 | POINT_SALT)),
+            position: mix(seed ^ (u64::from(number) << 32 | POINT_SALT)),
             worker: index as u32,
             number,
         }));
     }
 
-    /// All points, clockwise from a place.
-    pub(crate) fn clockwise_from(&self, place: u64) -> impl Iterator<Item = Point> + '_ {
-        let start = self.points.partition_point(|point| point.place < place);
+    /// Iterates over all points clockwise from a position.
+    pub(crate) fn clockwise_from(&self, position: u64) -> impl Iterator<Item = Point> + '_ {
+        let start = self.points.partition_point(|point| point.position < position);
         self.points[start..].iter().chain(&self.points[..start]).copied()
     }
 }
--- a/crates/scheduling/src/ring/tests.rs
+++ b/crates/scheduling/src/ring/tests.rs
@@ -19,7 +19,7 @@
 fn the_walk_starts_at_the_place_goes_clockwise_and_sees_every_point_once() {
     let ring = ring_of(&mut workers(&[1.0; 3]));
     for place in [0, 1 << 62, u64::MAX] {
-        let places: Vec<u64> = ring.clockwise_from(place).map(|point| point.place).collect();
+        let places: Vec<u64> = ring.clockwise_from(place).map(|point| point.position).collect();
         assert_eq!(places.len(), 3 * 96);
         let wraps = places.windows(2).filter(|pair| pair[0] > pair[1]).count();
         assert!(wraps <= 1, "ascending but for the wrap");
