--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -43,7 +43,7 @@
         if update.is_response() || update == EndpointUpdate::HandedOver {
             self.starts.record_response(now);
         }
-        self.ring.place(&mut self.workers, changed);
+        self.ring.place_points(&mut self.workers, changed);
         self.ready_count = self.workers.iter().filter(|worker| worker.is_ready).count();
         self.forget_removed();
     }
--- a/crates/scheduling/src/ring.rs
+++ b/crates/scheduling/src/ring.rs
@@ -52,7 +52,7 @@
 impl Ring {
     /// Places the points of new or resized workers, given by index. The points of all other workers stay,
     /// unless the mean weight has left [`SCALE_TOLERANCE`] and all points are placed anew.
-    pub(crate) fn place(&mut self, workers: &mut [Worker], mut changed: Vec<usize>) {
+    pub(crate) fn place_points(&mut self, workers: &mut [Worker], mut changed: Vec<usize>) {
         if changed.is_empty() {
             return;
         }
@@ -73,7 +73,7 @@
     /// Places the points of all workers anew, after the workers' indices have changed.
     pub(crate) fn rebuild(&mut self, workers: &mut [Worker]) {
         self.points.clear();
-        self.place(workers, (0..workers.len()).collect());
+        self.place_points(workers, (0..workers.len()).collect());
     }
 
     fn add_points(&mut self, index: usize, worker: &mut Worker) {
--- a/crates/scheduling/src/ring/tests.rs
+++ b/crates/scheduling/src/ring/tests.rs
@@ -11,7 +11,7 @@
 
 fn ring_of(workers: &mut [Worker]) -> Ring {
     let mut ring = Ring::default();
-    ring.place(workers, (0..workers.len()).collect());
+    ring.place_points(workers, (0..workers.len()).collect());
     ring
 }
 
@@ -31,13 +31,13 @@
 fn points_are_in_proportion_to_weight_up_to_a_maximum() {
     let mut all = workers(&[1.0, 1.0, 1.0, 1.0, 0.5, 1.5, 100.0, 0.001]);
     let mut ring = Ring { weight_scale: 1.0, ..Ring::default() };
-    ring.place(&mut all[..6], (0..6).collect());
+    ring.place_points(&mut all[..6], (0..6).collect());
     assert_eq!([all[0].points, all[4].points, all[5].points], [96, 48, 144]);
     let mut ring = Ring { weight_scale: 16.0, ..Ring::default() };
-    ring.place(&mut all, (0..8).collect());
+    ring.place_points(&mut all, (0..8).collect());
     assert_eq!([all[6].points, all[7].points], [600, 1]);
     let mut ring = Ring { weight_scale: 8.0, ..Ring::default() };
-    ring.place(&mut all, (0..8).collect());
+    ring.place_points(&mut all, (0..8).collect());
     assert_eq!(all[6].points, 96 * 8, "the mean is within the tolerance, 100 is above the maximum");
 }
 
@@ -50,7 +50,7 @@
     };
     let before = others(&ring);
     all[2].weight = 2.0;
-    ring.place(&mut all, vec![2]);
+    ring.place_points(&mut all, vec![2]);
     assert_eq!(others(&ring), before);
     assert_eq!(all[2].points, 192);
 }
