--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -10,7 +10,7 @@
 
 /// How long jobs wait for discovery to confirm a restored list, in microseconds. A restored list may contain
 /// workers that were removed, so no job is sent until discovery responds or this time has passed.
-pub const CONFIRM_WITHIN: Micros = 5_000_000;
+pub const LIST_CONFIRMATION_TIMEOUT: Micros = 5_000_000;
 /// Initial mean pause before discovery is polled again, in microseconds. Repeated failures double the pause.
 const BASE_BACKOFF: Micros = 100_000;
 /// Maximum pause that the doubling reaches, in microseconds.
@@ -48,7 +48,7 @@
             return;
         }
         let is_restored = update == EndpointUpdate::Restored;
-        let unconfirmed_until = if is_restored { now + CONFIRM_WITHIN } else { 0 };
+        let unconfirmed_until = if is_restored { now + LIST_CONFIRMATION_TIMEOUT } else { 0 };
         *self = EndpointRefresh { unconfirmed_until, ..EndpointRefresh::default() };
     }
 
--- a/crates/scheduling/src/endpoint_refresh/tests.rs
+++ b/crates/scheduling/src/endpoint_refresh/tests.rs
@@ -6,8 +6,8 @@
     let mut refresh = EndpointRefresh::default();
     assert!(!refresh.is_unconfirmed(NOW));
     refresh.record_update(NOW, EndpointUpdate::Restored);
-    assert!(refresh.is_unconfirmed(NOW + CONFIRM_WITHIN - 1));
-    assert!(!refresh.is_unconfirmed(NOW + CONFIRM_WITHIN));
+    assert!(refresh.is_unconfirmed(NOW + LIST_CONFIRMATION_TIMEOUT - 1));
+    assert!(!refresh.is_unconfirmed(NOW + LIST_CONFIRMATION_TIMEOUT));
     for update in [EndpointUpdate::Failed, EndpointUpdate::Renumbered] {
         refresh.record_update(NOW, update);
         assert!(refresh.is_unconfirmed(NOW), "{update:?} is no response");
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -113,7 +113,7 @@
 mod worker;
 
 pub use actions::*;
-pub use endpoint_refresh::CONFIRM_WITHIN;
+pub use endpoint_refresh::LIST_CONFIRMATION_TIMEOUT;
 pub use events::*;
 pub use ids::*;
 pub use peer_message::{Occupancy, PeerMessage};
--- a/crates/scheduling/tests/endpoint_refresh.rs
+++ b/crates/scheduling/tests/endpoint_refresh.rs
@@ -158,8 +158,10 @@
 #[test]
 fn schedulers_that_all_start_at_once_have_their_list_confirmed_before_they_send() {
     for scheduler_count in [1, 3, 20, 100, 300] {
-        let late =
-            notified_after(scheduler_count, 0, 4 * S).into_iter().filter(|at| *at > CONFIRM_WITHIN).count();
+        let late = notified_after(scheduler_count, 0, 4 * S)
+            .into_iter()
+            .filter(|at| *at > LIST_CONFIRMATION_TIMEOUT)
+            .count();
         assert_eq!(late, 0, "of {scheduler_count}");
     }
 }
@@ -192,7 +194,7 @@
     };
     assert!((1..=9).contains(&worker.0));
     assert!(
-        (CONFIRM_WITHIN..2 * CONFIRM_WITHIN).contains(&(driver.now - restored_at)),
+        (LIST_CONFIRMATION_TIMEOUT..2 * LIST_CONFIRMATION_TIMEOUT).contains(&(driver.now - restored_at)),
         "after {}",
         driver.now - restored_at
     );
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::timeout;
 use tracing::{error, info};
-use vetchbridge_scheduling::{Scheduler, CONFIRM_WITHIN};
+use vetchbridge_scheduling::{Scheduler, LIST_CONFIRMATION_TIMEOUT};
 
 /// At most one descriptor in this many is used for a health check: a quarter of those that are not for client
 /// connections.
@@ -219,7 +219,7 @@
     let lifecycle = lifecycle.clone();
     tokio::spawn(async move {
         // Without a response the decision module uses the saved list from then on: there is no better one.
-        let time_limit = Duration::from_micros(CONFIRM_WITHIN);
+        let time_limit = Duration::from_micros(LIST_CONFIRMATION_TIMEOUT);
         let _ = timeout(time_limit, list_confirmed.wait_for(|confirmed| *confirmed)).await;
         lifecycle.start_serving();
     });
