--- a/crates/scheduling/src/coordination/tests.rs
+++ b/crates/scheduling/src/coordination/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::test_support::{settings, NOW};
 
-fn coordinating(scheduler_count: u32) -> Settings {
+fn coordinating_settings(scheduler_count: u32) -> Settings {
     let mut settings = Settings { scheduler_count, ..settings() };
     settings.limits.may_message_peers = true;
     settings.load_report_source = LoadReportSource::Never;
@@ -9,48 +9,48 @@
 }
 
 #[test]
-fn schedulers_coordinate_only_where_messages_are_allowed_and_no_worker_reports_its_load() {
-    assert!(is_enabled(&coordinating(2)));
-    assert!(!is_enabled(&coordinating(1)));
-    let reporting = Settings { load_report_source: LoadReportSource::Probes, ..coordinating(2) };
+fn schedulers_coordinate_only_if_messages_are_allowed_and_no_worker_reports_its_load() {
+    assert!(is_enabled(&coordinating_settings(2)));
+    assert!(!is_enabled(&coordinating_settings(1)));
+    let reporting = Settings { load_report_source: LoadReportSource::Probes, ..coordinating_settings(2) };
     assert!(!is_enabled(&reporting));
-    let mut isolated = coordinating(2);
+    let mut isolated = coordinating_settings(2);
     isolated.limits.may_message_peers = false;
     assert!(!is_enabled(&isolated));
     assert_eq!(Coordinators::default().coordinator_of(NOW, WorkerId(1), &isolated), None);
 }
 
 #[test]
-fn an_unresponsive_coordinator_is_replaced_for_a_while_and_the_others_stay() {
-    let settings = coordinating(5);
+fn an_unresponsive_coordinator_is_replaced_for_a_while_and_other_coordinators_stay() {
+    let settings = coordinating_settings(5);
     let mut coordinators = Coordinators::default();
-    let all = |coordinators: &mut Coordinators, now| -> Vec<Option<SchedulerIndex>> {
+    let coordinators_of_workers = |coordinators: &mut Coordinators, now| -> Vec<Option<SchedulerIndex>> {
         (0..100).map(|n| coordinators.coordinator_of(now, WorkerId(n), &settings)).collect()
     };
-    let before = all(&mut coordinators, NOW);
+    let before = coordinators_of_workers(&mut coordinators, NOW);
     coordinators.mark_unresponsive(NOW, 3);
-    let without = all(&mut coordinators, NOW);
+    let without = coordinators_of_workers(&mut coordinators, NOW);
     for (before, without) in before.iter().zip(&without) {
         assert!(*without != Some(3));
         assert!(before == without || *before == Some(3));
     }
-    assert_eq!(all(&mut coordinators, NOW + UNRESPONSIVE_TIME), before);
+    assert_eq!(coordinators_of_workers(&mut coordinators, NOW + UNRESPONSIVE_TIME), before);
     coordinators.mark_unresponsive(NOW, 3);
     coordinators.mark_responsive(3);
-    assert_eq!(all(&mut coordinators, NOW), before);
+    assert_eq!(coordinators_of_workers(&mut coordinators, NOW), before);
 }
 
 #[test]
-fn the_budget_is_shared_equally_or_kept_by_the_coordinator_for_all_that_answer() {
+fn the_budget_share_is_equal_without_coordination_and_else_covers_all_responsive_schedulers() {
     let mut coordinators = Coordinators::default();
     assert_eq!(coordinators.budget_share(&Settings { scheduler_count: 4, ..settings() }), 0.25);
-    assert_eq!(coordinators.budget_share(&coordinating(4)), 1.0);
+    assert_eq!(coordinators.budget_share(&coordinating_settings(4)), 1.0);
     coordinators.mark_unresponsive(NOW, 1);
-    assert_eq!(coordinators.budget_share(&coordinating(4)), 0.75);
+    assert_eq!(coordinators.budget_share(&coordinating_settings(4)), 0.75);
 }
 
 #[test]
-fn a_peer_s_attempt_counts_until_it_ends_or_is_too_old() {
+fn a_peer_s_attempt_is_counted_until_the_attempt_ends_or_is_too_old() {
     let mut ledger = PeerLedger::default();
     ledger.record_start(NOW, 1, 2.0);
     ledger.record_start(NOW + 1, 2, 3.0);
@@ -62,26 +62,26 @@
 }
 
 #[test]
-fn a_reservation_counts_until_its_peer_sends_or_lets_it_lapse() {
+fn a_reservation_lasts_until_the_peer_sends_an_attempt_or_the_reservation_expires() {
     let capacity = WarmingCapacity { slots: 2.0, work: 1e6 };
     let mut ledger = PeerLedger::default();
     let mut reserve = |now, peer| ledger.reserve(now, peer, 10, 0.0, &capacity);
     assert_eq!(reserve(NOW, 1), Some(0.0));
     assert_eq!(reserve(NOW, 2), Some(1.0));
     assert_eq!(reserve(NOW, 3), None, "both slots are reserved");
-    assert_eq!(reserve(NOW, 2), Some(1.0), "a peer's own reservation is replaced");
+    assert_eq!(reserve(NOW, 2), Some(1.0), "a new query replaces the peer's earlier reservation");
     assert_eq!(reserve(NOW + QUERY_TIMEOUT, 3), Some(0.0));
     ledger.record_start(NOW + QUERY_TIMEOUT, 3, 1.0);
     assert!(ledger.reservations.is_empty());
 }
 
 #[test]
-fn no_more_work_is_reserved_than_the_worker_bears() {
+fn no_work_is_reserved_beyond_the_worker_s_remaining_capacity() {
     let reserve = |ledger: &mut PeerLedger, peer, work| {
         ledger.reserve(NOW, peer, 600, 0.0, &WarmingCapacity { slots: 9.0, work })
     };
     let mut ledger = PeerLedger::default();
-    assert_eq!(reserve(&mut ledger, 1, -1.0), None, "it was sent too much already");
+    assert_eq!(reserve(&mut ledger, 1, -1.0), None, "too much work was sent to the worker already");
     assert!(reserve(&mut ledger, 1, 1000.0).is_some());
     assert!(reserve(&mut ledger, 2, 1000.0).is_some());
     assert_eq!(reserve(&mut ledger, 3, 1000.0), None);
--- a/crates/scheduling/src/endpoint_refresh/tests.rs
+++ b/crates/scheduling/src/endpoint_refresh/tests.rs
@@ -2,7 +2,7 @@
 use crate::test_support::NOW;
 
 #[test]
-fn a_restored_list_is_unconfirmed_until_a_response_or_for_a_limited_time() {
+fn a_restored_list_is_unconfirmed_until_discovery_responds_or_the_timeout_expires() {
     let mut refresh = EndpointRefresh::default();
     assert!(!refresh.is_unconfirmed(NOW));
     refresh.record_update(NOW, EndpointUpdate::Restored);
@@ -10,7 +10,7 @@
     assert!(!refresh.is_unconfirmed(NOW + LIST_CONFIRMATION_TIMEOUT));
     for update in [EndpointUpdate::Failed, EndpointUpdate::Renumbered] {
         refresh.record_update(NOW, update);
-        assert!(refresh.is_unconfirmed(NOW), "{update:?} is no response");
+        assert!(refresh.is_unconfirmed(NOW), "{update:?} is not a response of discovery");
     }
     refresh.record_update(NOW, EndpointUpdate::Changes);
     assert!(!refresh.is_unconfirmed(NOW));
@@ -27,22 +27,22 @@
 }
 
 #[test]
-fn pauses_grow_with_failures_up_to_a_maximum_and_start_anew_after_a_response() {
+fn pauses_grow_with_failures_up_to_a_maximum_and_are_reset_by_a_response() {
     let mut refresh = EndpointRefresh::default();
     let mut now = NOW;
     let mut pauses = |refresh: &mut EndpointRefresh| -> Vec<Micros> {
-        let mut pause = || {
+        let mut next_pause = || {
             let at = refresh.schedule_poll(now, EndpointUpdate::Failed, 1, 0.5);
             let pause = at - now;
             now = at;
             pause
         };
-        (0..7).map(|_| pause()).collect()
+        (0..7).map(|_| next_pause()).collect()
     };
-    let growing = [100_000, 100_000, 200_000, 400_000, 800_000, 1_000_000, 1_000_000];
-    assert_eq!(pauses(&mut refresh), growing);
+    let expected_pauses = [100_000, 100_000, 200_000, 400_000, 800_000, 1_000_000, 1_000_000];
+    assert_eq!(pauses(&mut refresh), expected_pauses);
     refresh.record_update(NOW, EndpointUpdate::Snapshot);
-    assert_eq!(pauses(&mut refresh), growing);
+    assert_eq!(pauses(&mut refresh), expected_pauses);
 }
 
 #[test]
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_single_broken_watch_is_opened_anew_at_once_and_repeated_failures_are_spread() {
+fn a_single_broken_watch_is_reopened_soon_and_repeated_failures_are_spread() {
     let mut refresh = EndpointRefresh::default();
     let first = refresh.schedule_poll(NOW, EndpointUpdate::Failed, 300, 0.5);
     assert_eq!(first - NOW, BASE_BACKOFF);
--- a/crates/scheduling/src/hot_keys/tests.rs
+++ b/crates/scheduling/src/hot_keys/tests.rs
@@ -4,7 +4,7 @@
 const TWENTY_WORKERS: FleetView = FleetView { ready_workers: 20, schedulers: 10, load_is_known: true };
 
 #[test]
-fn a_key_that_is_seen_once_goes_to_one_worker() {
+fn a_key_that_was_requested_once_goes_to_one_worker() {
     assert_eq!(HotKeys::default().record(SECOND, 1, &TWENTY_WORKERS), 1);
     let no_worker = FleetView { ready_workers: 0, ..TWENTY_WORKERS };
     assert_eq!(HotKeys::default().record(SECOND, 1, &no_worker), 1);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_key_s_count_decays_when_other_keys_take_over() {
+fn a_key_s_count_decays_when_later_traffic_has_other_keys() {
     let mut keys = HotKeys::default();
     (0..200).for_each(|_| _ = keys.record(SECOND, 1, &TWENTY_WORKERS));
     let later = SECOND + 10 * DECAY_TIME as Micros;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_smallest_counts_are_forgotten_when_there_are_too_many_keys() {
+fn keys_with_the_smallest_counts_are_removed_when_there_are_too_many_keys() {
     let mut keys = HotKeys::default();
     (0..MAX_KEYS as u64).for_each(|key| _ = keys.record(0, key, &TWENTY_WORKERS));
     keys.record(SECOND, 5, &TWENTY_WORKERS);
--- a/crates/scheduling/src/peer_message/tests.rs
+++ b/crates/scheduling/src/peer_message/tests.rs
@@ -3,7 +3,7 @@
 const WORKER: WorkerId = WorkerId(0x0123_4567_89ab_cdef);
 
 #[test]
-fn every_message_is_decoded_as_it_was_encoded_and_takes_sixteen_bytes() {
+fn every_message_is_encoded_in_sixteen_bytes_and_decoded_to_an_equal_message() {
     let messages = [
         PeerMessage::OccupancyQuery { work: 250_000 },
         PeerMessage::OccupancyReply(None),
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn data_that_is_no_message_is_not_decoded() {
-    let sound = PeerMessage::OccupancyQuery { work: 0 }.encode(WorkerId(1));
-    for length in 0..sound.len() {
-        assert_eq!(PeerMessage::decode(&sound[..length]), None, "cut to {length} bytes");
+fn data_of_the_wrong_length_or_kind_is_not_decoded() {
+    let valid = PeerMessage::OccupancyQuery { work: 0 }.encode(WorkerId(1));
+    for length in 0..valid.len() {
+        assert_eq!(PeerMessage::decode(&valid[..length]), None, "cut to {length} bytes");
     }
-    assert_eq!(PeerMessage::decode(&[sound.clone(), vec![0]].concat()), None, "a byte too many");
-    assert_eq!(PeerMessage::decode(&[&[4][..], &sound[1..]].concat()), None, "an unknown kind");
+    assert_eq!(PeerMessage::decode(&[valid.clone(), vec![0]].concat()), None, "one byte too many");
+    assert_eq!(PeerMessage::decode(&[&[4][..], &valid[1..]].concat()), None, "an unknown kind");
 }
--- a/crates/scheduling/src/ring/tests.rs
+++ b/crates/scheduling/src/ring/tests.rs
@@ -16,59 +16,63 @@
 }
 
 #[test]
-fn the_walk_starts_at_the_place_goes_clockwise_and_sees_every_point_once() {
+fn iteration_starts_at_the_position_goes_clockwise_and_visits_every_point_once() {
     let ring = ring_of(&mut workers(&[1.0; 3]));
-    for place in [0, 1 << 62, u64::MAX] {
-        let places: Vec<u64> = ring.clockwise_from(place).map(|point| point.position).collect();
-        assert_eq!(places.len(), 3 * 96);
-        let wraps = places.windows(2).filter(|pair| pair[0] > pair[1]).count();
-        assert!(wraps <= 1, "ascending but for the wrap");
-        assert!(places[0] >= place || wraps == 0);
+    for position in [0, 1 << 62, u64::MAX] {
+        let positions: Vec<u64> = ring.clockwise_from(position).map(|point| point.position).collect();
+        assert_eq!(positions.len(), 3 * 96);
+        let wraps = positions.windows(2).filter(|pair| pair[0] > pair[1]).count();
+        assert!(wraps <= 1, "positions ascend except where the ring wraps around");
+        assert!(positions[0] >= position || wraps == 0);
     }
 }
 
 #[test]
-fn points_are_in_proportion_to_weight_up_to_a_maximum() {
-    let mut all = workers(&[1.0, 1.0, 1.0, 1.0, 0.5, 1.5, 100.0, 0.001]);
+fn the_number_of_points_is_proportional_to_weight_up_to_a_maximum() {
+    let mut fleet = workers(&[1.0, 1.0, 1.0, 1.0, 0.5, 1.5, 100.0, 0.001]);
     let mut ring = Ring { weight_scale: 1.0, ..Ring::default() };
-    ring.place_points(&mut all[..6], (0..6).collect());
-    assert_eq!([all[0].points, all[4].points, all[5].points], [96, 48, 144]);
+    ring.place_points(&mut fleet[..6], (0..6).collect());
+    assert_eq!([fleet[0].points, fleet[4].points, fleet[5].points], [96, 48, 144]);
     let mut ring = Ring { weight_scale: 16.0, ..Ring::default() };
-    ring.place_points(&mut all, (0..8).collect());
-    assert_eq!([all[6].points, all[7].points], [600, 1]);
+    ring.place_points(&mut fleet, (0..8).collect());
+    assert_eq!([fleet[6].points, fleet[7].points], [600, 1]);
     let mut ring = Ring { weight_scale: 8.0, ..Ring::default() };
-    ring.place_points(&mut all, (0..8).collect());
-    assert_eq!(all[6].points, 96 * 8, "the mean is within the tolerance, 100 is above the maximum");
+    ring.place_points(&mut fleet, (0..8).collect());
+    assert_eq!(
+        fleet[6].points,
+        96 * 8,
+        "the mean is within the tolerance, and the weight 100 exceeds the maximum"
+    );
 }
 
 #[test]
-fn a_resized_worker_moves_no_point_of_another() {
-    let mut all = workers(&[1.0; 4]);
-    let mut ring = ring_of(&mut all);
-    let others = |ring: &Ring| -> Vec<Point> {
+fn resizing_a_worker_moves_no_point_of_another_worker() {
+    let mut fleet = workers(&[1.0; 4]);
+    let mut ring = ring_of(&mut fleet);
+    let points_of_others = |ring: &Ring| -> Vec<Point> {
         ring.clockwise_from(0).filter(|point| point.worker_index() != 2).collect()
     };
-    let before = others(&ring);
-    all[2].weight = 2.0;
-    ring.place_points(&mut all, vec![2]);
-    assert_eq!(others(&ring), before);
-    assert_eq!(all[2].points, 192);
+    let before = points_of_others(&ring);
+    fleet[2].weight = 2.0;
+    ring.place_points(&mut fleet, vec![2]);
+    assert_eq!(points_of_others(&ring), before);
+    assert_eq!(fleet[2].points, 192);
 }
 
 #[test]
-fn the_order_in_which_workers_came_does_not_change_the_walk() {
+fn the_order_in_which_workers_were_added_does_not_change_the_iteration_order() {
     let mut forward = workers(&[1.0, 1.0, 2.0, 1.0]);
     let mut backward = workers(&[1.0, 1.0, 2.0, 1.0]);
     backward.reverse();
-    let (one, other) = (ring_of(&mut forward), ring_of(&mut backward));
-    let walk = |ring: &Ring, workers: &[Worker]| -> Vec<WorkerId> {
+    let (forward_ring, backward_ring) = (ring_of(&mut forward), ring_of(&mut backward));
+    let worker_order = |ring: &Ring, workers: &[Worker]| -> Vec<WorkerId> {
         ring.clockwise_from(7).map(|point| workers[point.worker_index()].endpoint.worker).collect()
     };
-    assert_eq!(walk(&one, &forward), walk(&other, &backward));
+    assert_eq!(worker_order(&forward_ring, &forward), worker_order(&backward_ring, &backward));
 }
 
 #[test]
-fn a_worker_that_warms_up_has_as_many_active_points_as_it_is_warm() {
+fn the_active_points_of_a_warming_worker_are_proportional_to_its_warm_up_fraction() {
     let ring = ring_of(&mut workers(&[1.0]));
     for (fraction, active) in [(0.0, 0), (0.25, 24), (0.5, 48), (1.0, 96)] {
         assert_eq!(ring.clockwise_from(0).filter(|point| point.is_active(fraction, 96)).count(), active);
--- a/crates/scheduling/src/slow_start/tests.rs
+++ b/crates/scheduling/src/slow_start/tests.rs
@@ -4,7 +4,7 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn a_worker_warms_up_from_its_floor_to_all_of_its_capacity() {
+fn a_worker_warms_up_from_the_floor_to_its_full_capacity() {
     let fraction = |age| warm_up_fraction(Some(NOW - age), NOW, &rules());
     assert_eq!(fraction(0), 0.25);
     assert_eq!(fraction(5 * SECOND), 0.625);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn half_of_the_slots_are_usable_at_once_and_all_of_them_from_half_of_the_warm_up_on() {
+fn half_of_the_slots_are_usable_at_first_and_all_slots_from_a_warm_up_fraction_of_one_half() {
     assert_eq!(usable_slot_fraction(0.0), 0.5);
     assert_eq!(usable_slot_fraction(0.25), 0.75);
     assert_eq!(usable_slot_fraction(0.5), 1.0);
@@ -24,23 +24,34 @@
 }
 
 #[test]
-fn a_listed_start_counts_only_between_the_last_response_and_now() {
+fn a_listed_start_is_limited_to_the_time_between_the_last_response_and_now() {
     let mut bounds = StartBounds::default();
     assert_eq!(bounds.started_at(NOW, 0), None, "started long ago");
-    assert_eq!(bounds.started_at(NOW, NOW - 50 * SECOND), Some(NOW - 50 * SECOND), "no response yet");
+    assert_eq!(
+        bounds.started_at(NOW, NOW - 50 * SECOND),
+        Some(NOW - 50 * SECOND),
+        "discovery has not responded yet"
+    );
     assert_eq!(bounds.started_at(NOW, NOW + SECOND), Some(NOW));
     bounds.record_response(NOW - 2 * SECOND);
     assert_eq!(bounds.started_at(NOW, NOW - SECOND), Some(NOW - SECOND));
-    assert_eq!(bounds.started_at(NOW, NOW - 4 * SECOND), Some(NOW - 2 * SECOND), "a late notification");
-    assert_eq!(bounds.started_at(NOW, NOW - 60 * SECOND), Some(NOW), "a clock that was stepped back");
+    assert_eq!(bounds.started_at(NOW, NOW - 4 * SECOND), Some(NOW - 2 * SECOND), "the notification is late");
+    assert_eq!(
+        bounds.started_at(NOW, NOW - 60 * SECOND),
+        Some(NOW),
+        "the clock of the listed start was stepped back"
+    );
 }
 
 #[test]
-fn charged_work_drains_at_the_sustained_rate_and_is_never_below_zero() {
+fn charged_work_drains_at_the_sustained_rate_until_the_bucket_is_empty() {
     let (rate, overload_time) = (3.0, SECOND);
     let mut budget = AdmissionBudget::default();
     let empty = budget.remaining(NOW, rate, overload_time);
-    assert!((empty - 0.6e6).abs() < 1.0, "a fifth of what overloads it in the overload time: {empty}");
+    assert!(
+        (empty - 0.6e6).abs() < 1.0,
+        "a fifth of the work that overloads the worker within the overload time: {empty}"
+    );
     budget.charge(NOW, rate, SECOND);
     assert_eq!(budget.remaining(NOW, rate, overload_time), empty - 1e6);
     let later = budget.remaining(NOW + SECOND / 10, rate, overload_time);
