--- a/crates/scheduling/tests/endpoint_refresh.rs
+++ b/crates/scheduling/tests/endpoint_refresh.rs
@@ -62,7 +62,7 @@
 /// schedulers start. Then it serves one poll at a time and needs `time_to_serve_all` for one poll of every
 /// scheduler. A poll that has waited for 2 s fails. Returns for each scheduler the time between the end of
 /// the outage and the arrival of its list.
-fn notification_delays(scheduler_count: u32, outage: Micros, time_to_serve_all: Micros) -> Vec<Micros> {
+fn list_times(scheduler_count: u32, outage: Micros, time_to_serve_all: Micros) -> Vec<Micros> {
     let (mut discovery_free_at, service_time, outage_end) =
         (0, time_to_serve_all / u64::from(scheduler_count), 100 * S + outage);
     let mut drivers = vec![];
@@ -119,12 +119,8 @@
 fn schedulers_are_notified_in_time_after_a_start_or_an_outage_as_far_as_discovery_can_serve_them() {
     for scheduler_count in [3, 20, 100, 300] {
         for outage in [0, 8 * S, 23 * S] {
-            let late_count = |time_to_serve_all| {
-                notification_delays(scheduler_count, outage, time_to_serve_all)
-                    .into_iter()
-                    .filter(|delay| *delay > 6 * S)
-                    .count()
-            };
+            let late_count =
+                |time| list_times(scheduler_count, outage, time).into_iter().filter(|at| *at > 6 * S).count();
             assert_eq!(
                 late_count(4 * S),
                 0,
@@ -178,7 +174,7 @@
 #[test]
 fn schedulers_that_all_start_at_once_have_their_list_confirmed_before_they_send() {
     for scheduler_count in [1, 3, 20, 100, 300] {
-        let late_count = notification_delays(scheduler_count, 0, 4 * S)
+        let late_count = list_times(scheduler_count, 0, 4 * S)
             .into_iter()
             .filter(|delay| *delay > LIST_CONFIRMATION_TIMEOUT)
             .count();
