--- a/crates/scheduling/tests/coordination.rs
+++ b/crates/scheduling/tests/coordination.rs
@@ -1,5 +1,5 @@
-//! Coordination: what schedulers send one another, and what it changes for a worker that each of them seldom
-//! uses.
+//! Coordination: the messages that schedulers exchange, and how the messages change placement at workers that
+//! each single scheduler seldom uses.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,7 +8,7 @@
 use vetchbridge_scheduling::*;
 use vetchbridge_scheduling::{Occupancy, PeerMessage};
 
-fn coordinating(scheduler_index: u32, scheduler_count: u32) -> Settings {
+fn coordinating_settings(scheduler_index: u32, scheduler_count: u32) -> Settings {
     let mut settings = Settings {
         scheduler_index,
         scheduler_count,
@@ -19,68 +19,79 @@
     settings
 }
 
-/// Several schedulers with one endpoint list. Messages arrive at once, unless their recipient is unreachable.
+/// Schedulers with equal endpoint lists. A message arrives at once, unless its recipient is unreachable.
 struct Fleet {
-    all: Vec<Driver>,
+    schedulers: Vec<Driver>,
     unreachable: Vec<u32>,
-    messages: usize,
+    message_count: usize,
 }
 
 impl Fleet {
     fn new(scheduler_count: u32, workers: u64) -> Fleet {
-        let one =
-            |scheduler_index| Driver::with_fleet(coordinating(scheduler_index, scheduler_count), workers);
-        Fleet { all: (0..scheduler_count).map(one).collect(), unreachable: vec![], messages: 0 }
+        let driver_for = |index| Driver::with_fleet(coordinating_settings(index, scheduler_count), workers);
+        Fleet {
+            schedulers: (0..scheduler_count).map(driver_for).collect(),
+            unreachable: vec![],
+            message_count: 0,
+        }
     }
 
-    /// Gives one scheduler an event; returns the actions of all schedulers but for their messages.
-    fn event(&mut self, at: u32, event: Event) -> Vec<Action> {
-        let mut mail = vec![(at, event)];
-        let mut done = vec![];
-        while let Some((at, event)) = mail.pop() {
-            for action in self.all[at as usize].event(event) {
+    /// Delivers an event to one scheduler, and the messages that follow to their recipients. Returns the
+    /// actions of all schedulers except messages.
+    fn event(&mut self, scheduler_index: u32, event: Event) -> Vec<Action> {
+        let mut pending_events = vec![(scheduler_index, event)];
+        let mut actions = vec![];
+        while let Some((scheduler_index, event)) = pending_events.pop() {
+            for action in self.schedulers[scheduler_index as usize].event(event) {
                 match action {
                     Action::SendPeerMessage { to: Recipient::One(to), data } => {
-                        self.messages += 1;
+                        self.message_count += 1;
                         if !self.unreachable.contains(&to) {
-                            mail.push((to, Event::PeerMessage { from: at, data }));
+                            pending_events.push((to, Event::PeerMessage { from: scheduler_index, data }));
                         }
                     }
-                    other => done.push(other),
+                    other_action => actions.push(other_action),
                 }
             }
         }
-        done
+        actions
     }
 
-    fn request(&mut self, at: u32, id: u64, key: &str) -> Vec<Action> {
-        let deadline = self.all[0].now + 5 * S;
-        self.event(at, Event::Request(request(id, IDEMPOTENT, key, deadline)))
+    fn request(&mut self, scheduler_index: u32, id: u64, key: &str) -> Vec<Action> {
+        let deadline = self.schedulers[0].now + 5 * S;
+        self.event(scheduler_index, Event::Request(request(id, IDEMPOTENT, key, deadline)))
     }
 
-    fn advance(&mut self, time: Micros) {
-        self.all.iter_mut().for_each(|driver| driver.now += time);
+    fn advance(&mut self, duration: Micros) {
+        self.schedulers.iter_mut().for_each(|driver| driver.now += duration);
     }
 }
 
-/// Each of ten schedulers sends a key's home one job: few for each alone, but ten jobs at one worker for all.
+/// Each of ten schedulers sends one job to the home of one key. One job is little for a single scheduler, but
+/// together the schedulers put ten jobs on one worker.
 #[test]
-fn jobs_of_one_key_from_many_schedulers_spill_once_its_home_is_full() {
-    for coordinates in [true, false] {
+fn jobs_of_one_key_from_many_schedulers_spill_once_the_key_s_home_is_full() {
+    for coordinated in [true, false] {
         let mut fleet = Fleet::new(10, 12);
-        if !coordinates {
-            fleet.all.iter_mut().enumerate().for_each(|(scheduler_index, driver)| {
-                let mut alone = coordinating(scheduler_index as u32, 10);
-                alone.limits.may_message_peers = false;
-                *driver = Driver::with_fleet(alone, 12);
+        if !coordinated {
+            fleet.schedulers.iter_mut().enumerate().for_each(|(scheduler_index, driver)| {
+                let mut isolated_settings = coordinating_settings(scheduler_index as u32, 10);
+                isolated_settings.limits.may_message_peers = false;
+                *driver = Driver::with_fleet(isolated_settings, 12);
             });
         }
-        let homes: Vec<WorkerId> =
-            (0..10).flat_map(|at| sends(&fleet.request(at, u64::from(at), "k"))).collect();
-        let most = homes.iter().map(|home| homes.iter().filter(|other| *other == home).count()).max();
-        // Four of the twelve are candidates: one job runs and one waits at each, and two are queued here.
-        assert_eq!((homes.len(), most), if coordinates { (8, Some(2)) } else { (10, Some(10)) }, "{homes:?}");
-        assert_eq!(fleet.messages > 0, coordinates);
+        let workers: Vec<WorkerId> =
+            (0..10).flat_map(|index| sends(&fleet.request(index, u64::from(index), "k"))).collect();
+        let max_jobs =
+            workers.iter().map(|worker| workers.iter().filter(|other| *other == worker).count()).max();
+        // Four of the twelve workers are candidates. With coordination, each candidate runs one job and
+        // queues one job, and two jobs are queued at the schedulers.
+        assert_eq!(
+            (workers.len(), max_jobs),
+            if coordinated { (8, Some(2)) } else { (10, Some(10)) },
+            "{workers:?}"
+        );
+        assert_eq!(fleet.message_count > 0, coordinated);
     }
 }
 
@@ -88,76 +99,82 @@
 fn a_job_that_ended_frees_its_slots_at_the_coordinator() {
     let mut fleet = Fleet::new(10, 12);
     let home = sent(&fleet.request(0, 0, "k"));
-    assert_ne!(sent(&fleet.request(1, 1, "k")), home, "one slot for each unit of size is the first guess");
+    assert_ne!(sent(&fleet.request(1, 1, "k")), home, "a unit of weight is first estimated to have one slot");
     fleet.event(0, attempt_finished(0, 0, home, Outcome::Ok));
     fleet.advance(100 * MS);
     assert_eq!(sent(&fleet.request(2, 2, "k")), home);
 }
 
-/// Its workers are chosen without a report after a moment, and the next scheduler by rendezvous hashing
-/// coordinates them.
+/// If a coordinator does not reply in time, the scheduler places the job without an occupancy report. The
+/// next scheduler by rendezvous hashing then coordinates the unresponsive coordinator's workers.
 #[test]
 fn an_unresponsive_coordinator_delays_one_job_a_little_and_is_replaced() {
     let mut fleet = Fleet::new(10, 12);
     fleet.unreachable = (1..9).collect();
-    let mut waited = 0;
+    let mut waiting_jobs = 0;
     for id in 0..200 {
-        let mut done = fleet.request(0, id, &format!("key-{id}"));
-        if sends(&done).is_empty() {
-            waited += 1;
-            let (at, token) = timers(&done).into_iter().min().expect("a timer to go on at");
-            let began = fleet.all[0].now;
-            assert!(at <= began + 40 * MS, "waits {} us", at - began);
-            fleet.advance(at - began);
-            done = fleet.event(0, Event::Timer(token));
+        let mut actions = fleet.request(0, id, &format!("key-{id}"));
+        if sends(&actions).is_empty() {
+            waiting_jobs += 1;
+            let (expires_at, token) =
+                timers(&actions).into_iter().min().expect("a timer for the next placement");
+            let queried_at = fleet.schedulers[0].now;
+            assert!(expires_at <= queried_at + 40 * MS, "waits {} us", expires_at - queried_at);
+            fleet.advance(expires_at - queried_at);
+            actions = fleet.event(0, Event::Timer(token));
         }
-        let worker = sent(&done);
+        let worker = sent(&actions);
         fleet.event(0, attempt_finished(id, 0, worker, Outcome::Ok));
     }
-    assert!((1..=8).contains(&waited), "{waited} of 200 jobs waited for 8 unresponsive coordinators");
+    assert!(
+        (1..=8).contains(&waiting_jobs),
+        "{waiting_jobs} of 200 jobs waited for 8 unresponsive coordinators"
+    );
 }
 
-/// One failure at each of several schedulers is the worker's fault; alone, each would have to see two.
+/// A single failure may be the connection's fault, so one scheduler ejects a worker only after two failures.
+/// With coordination, one failure at each of two schedulers suffices.
 #[test]
 fn failures_at_two_schedulers_eject_a_worker_for_all() {
     let mut fleet = Fleet::new(10, 12);
     let home = sent(&fleet.request(0, 0, "k"));
     fleet.event(0, attempt_finished(0, 0, home, Outcome::Reset));
     fleet.advance(S);
-    assert_eq!(sent(&fleet.request(1, 1, "k")), home, "one failure may be the connection's");
+    assert_eq!(sent(&fleet.request(1, 1, "k")), home, "one failure may be the connection's fault");
     fleet.event(1, attempt_finished(1, 0, home, Outcome::Reset));
-    for at in 2..10 {
+    for index in 2..10 {
         fleet.advance(30 * MS);
-        let other = sent(&fleet.request(at, 10 + u64::from(at), "k"));
-        assert_ne!(other, home, "scheduler {at}");
-        fleet.event(at, attempt_finished(10 + u64::from(at), 0, other, Outcome::Ok));
+        let other = sent(&fleet.request(index, 10 + u64::from(index), "k"));
+        assert_ne!(other, home, "scheduler {index}");
+        fleet.event(index, attempt_finished(10 + u64::from(index), 0, other, Outcome::Ok));
     }
 }
 
-/// That is a reply without a query, a message about a worker that is not listed, and data that is no message.
+/// Unexpected messages are replies without a query, messages about workers that are not listed, and data that
+/// can't be decoded.
 #[test]
-fn messages_that_were_not_expected_change_nothing() {
-    let mut driver = Driver::with_fleet(coordinating(0, 3), 12);
-    let full = PeerMessage::OccupancyReply(Some(Occupancy { slots: 900.0, ejected_for: 8 * S }));
+fn unexpected_messages_change_nothing() {
+    let mut driver = Driver::with_fleet(coordinating_settings(0, 3), 12);
+    let fully_occupied = PeerMessage::OccupancyReply(Some(Occupancy { slots: 900.0, ejected_for: 8 * S }));
     for worker in (1..=13).map(WorkerId) {
-        driver.event(Event::PeerMessage { from: 1, data: full.encode(worker) });
+        driver.event(Event::PeerMessage { from: 1, data: fully_occupied.encode(worker) });
         driver.event(Event::PeerMessage {
             from: 1,
             data: PeerMessage::AttemptFinished { served: false, connection_failed: false }.encode(worker),
         });
     }
     driver.event(Event::PeerMessage { from: 1, data: vec![1; 300] });
-    let mut fresh = Driver::with_fleet(coordinating(0, 3), 12);
+    let mut fresh = Driver::with_fleet(coordinating_settings(0, 3), 12);
     for id in 0..50 {
         let key = format!("key-{id}");
         assert_eq!(driver.request(id, IDEMPOTENT, &key), fresh.request(id, IDEMPOTENT, &key));
     }
-    let answer = driver.event(Event::PeerMessage {
+    let reply = driver.event(Event::PeerMessage {
         from: 2,
         data: PeerMessage::OccupancyQuery { work: 0 }.encode(WorkerId(13)),
     });
     assert_eq!(
-        answer,
+        reply,
         [Action::SendPeerMessage {
             to: Recipient::One(2),
             data: PeerMessage::OccupancyReply(None).encode(WorkerId(13))
@@ -165,74 +182,81 @@
     );
 }
 
-/// Fills every worker: peers report `each` slots in flight there.
-fn fill(fleet: &mut Fleet, workers: u64, each: f64) {
-    for at in 0..fleet.all.len() as u32 {
+/// Notifies every scheduler of a peer's attempt at each worker that takes `slots_per_worker` slots.
+fn occupy_workers(fleet: &mut Fleet, workers: u64, slots_per_worker: f64) {
+    for scheduler_index in 0..fleet.schedulers.len() as u32 {
         for worker in (1..=workers).map(WorkerId) {
-            let data = PeerMessage::AttemptStarted { slots: each, work: 0 }.encode(worker);
-            fleet.all[at as usize].event(Event::PeerMessage { from: (at + 1) % 10, data });
+            let data = PeerMessage::AttemptStarted { slots: slots_per_worker, work: 0 }.encode(worker);
+            fleet.schedulers[scheduler_index as usize]
+                .event(Event::PeerMessage { from: (scheduler_index + 1) % 10, data });
         }
     }
 }
 
-/// One more job in a long queue makes all that follow late: it waits here, and younger ones pass it.
+/// In a long queue, one more job would make all later jobs late. The job is therefore queued at the
+/// scheduler, where younger jobs may overtake it.
 #[test]
-fn a_job_joins_a_short_queue_and_is_queued_here_rather_than_in_a_long_one() {
-    for (each, joins) in [(1.0, true), (2.0, false)] {
+fn a_job_joins_a_worker_s_short_queue_but_waits_at_the_scheduler_if_queues_are_long() {
+    for (slots_per_worker, is_sent) in [(1.0, true), (2.0, false)] {
         let mut fleet = Fleet::new(10, 12);
-        fill(&mut fleet, 12, each);
-        let done = fleet.request(0, 1, "k");
-        assert_eq!(!sends(&done).is_empty(), joins, "{each} slots in flight: {done:?}");
-        let wakes = timers(&done).iter().map(|t| t.0 - fleet.all[0].now).min();
-        assert!(joins || wakes < Some(400 * MS), "it looks again soon: {wakes:?}");
+        occupy_workers(&mut fleet, 12, slots_per_worker);
+        let actions = fleet.request(0, 1, "k");
+        assert_eq!(!sends(&actions).is_empty(), is_sent, "{slots_per_worker} slots in flight: {actions:?}");
+        let next_timer = timers(&actions).iter().map(|t| t.0 - fleet.schedulers[0].now).min();
+        assert!(is_sent || next_timer < Some(400 * MS), "the job is not placed again soon: {next_timer:?}");
     }
 }
 
-/// Restarted workers take what others have no capacity for, no more than they bear while they warm up.
+/// Restarted workers take jobs that other workers have no capacity for, but not more than the restarted
+/// workers can take while they warm up.
 #[test]
 fn a_warming_worker_takes_other_keys_while_its_coordinator_reports_capacity() {
     let mut fleet = Fleet::new(10, 0);
     let weight = 4.0;
-    let started_at = fleet.all[0].now - 100 * MS;
+    let started_at = fleet.schedulers[0].now - 100 * MS;
     let mut endpoints: Vec<Endpoint> = (1..=12).map(|n| Endpoint { weight, ..endpoint(n) }).collect();
-    endpoints.iter_mut().filter(|m| m.worker.0 > 9).for_each(|warming| warming.started_at = started_at);
-    for at in 0..10 {
-        fleet.event(at, list(EndpointUpdate::Snapshot, endpoints.clone()));
+    endpoints
+        .iter_mut()
+        .filter(|endpoint| endpoint.worker.0 > 9)
+        .for_each(|warming| warming.started_at = started_at);
+    for scheduler_index in 0..10 {
+        fleet.event(scheduler_index, list(EndpointUpdate::Snapshot, endpoints.clone()));
     }
-    fill(&mut fleet, 9, 9.0);
-    let mut to_warming = BTreeMap::new();
+    occupy_workers(&mut fleet, 9, 9.0);
+    let mut jobs_per_worker = BTreeMap::new();
     for id in 0..40 {
-        // Reports are no longer fresh.
+        // Earlier occupancy reports are no longer fresh.
         fleet.advance(30 * MS);
         for worker in sends(&fleet.request(id as u32 % 10, id, &format!("key-{id}"))) {
-            assert!(worker.0 > 9, "the others have long queues");
-            *to_warming.entry(worker).or_insert(0) += 1;
+            assert!(worker.0 > 9, "workers that are warm have long queues");
+            *jobs_per_worker.entry(worker).or_insert(0) += 1;
         }
     }
-    assert_eq!(to_warming.len(), 3, "{to_warming:?}");
-    // Three quarters of four slots at a quarter of the capacity, and less if there is much work.
-    assert!(to_warming.values().all(|jobs| (2..=3).contains(jobs)), "{to_warming:?}");
+    assert_eq!(jobs_per_worker.len(), 3, "{jobs_per_worker:?}");
+    // At a quarter of its capacity, a worker may use three quarters of its four slots, and fewer if its jobs
+    // have much work.
+    assert!(jobs_per_worker.values().all(|jobs| (2..=3).contains(jobs)), "{jobs_per_worker:?}");
 }
 
-/// All schedulers are notified of a restarted worker at once, and query it at once: only some may get a reply
-/// of free capacity.
+/// All schedulers are notified of a restarted worker at the same time and query its occupancy at the same
+/// time. The coordinator may report free capacity only to some of them.
 #[test]
-fn a_rush_to_a_restarted_worker_is_admitted_a_few_jobs_at_a_time() {
+fn simultaneous_queries_for_a_restarted_worker_admit_only_a_few_jobs() {
     for (work, max_admitted) in [(100 * MS, 3), (2 * S, 1)] {
-        let mut driver = Driver::new(coordinating(0, 10));
+        let mut driver = Driver::new(coordinating_settings(0, 10));
         driver.event(list(
             EndpointUpdate::Snapshot,
             [Endpoint { weight: 4.0, started_at: driver.now - 100 * MS, ..endpoint(1) }],
         ));
-        let mut admitted = 0;
+        let mut admitted_jobs = 0;
         for round in 0..3 {
             for from in 1..10 {
-                let done = driver.event(Event::PeerMessage {
+                let actions = driver.event(Event::PeerMessage {
                     from,
                     data: PeerMessage::OccupancyQuery { work }.encode(WorkerId(1)),
                 });
-                let [Action::SendPeerMessage { to: Recipient::One(to), data }] = &done[..] else {
-                    panic!("{done:?}")
+                let [Action::SendPeerMessage { to: Recipient::One(to), data }] = &actions[..] else {
+                    panic!("{actions:?}")
                 };
                 let Some((PeerMessage::OccupancyReply(Some(Occupancy { slots, ejected_for: 0 })), _)) =
                     PeerMessage::decode(data)
@@ -241,58 +265,66 @@
                 };
                 assert_eq!(*to, from);
                 if round == 0 && slots < 4.0 {
-                    admitted += 1;
+                    admitted_jobs += 1;
                     driver.event(Event::PeerMessage {
                         from,
                         data: PeerMessage::AttemptStarted { slots: 1.0, work }.encode(WorkerId(1)),
                     });
                 }
-                assert!(round == 0 || slots > 4.0, "nothing has ended, {slots} in flight");
+                assert!(
+                    round == 0 || slots > 4.0,
+                    "no attempt has ended, but {slots} slots are reported in flight"
+                );
             }
             driver.now += 50 * MS;
         }
-        assert!((1..=max_admitted).contains(&admitted), "{admitted} jobs of {work} us in one moment");
+        assert!(
+            (1..=max_admitted).contains(&admitted_jobs),
+            "{admitted_jobs} jobs of {work} us were admitted at the same time"
+        );
     }
 }
 
-/// A zone is a third of the fleet; two of them are so much that the fault is a common one.
+/// Each zone holds a third of the workers. If two of three zones fail, more than half of the workers are
+/// ejected, so the fault is assumed to affect all workers and ejections are ignored.
 #[test]
-fn a_zone_that_failed_is_ejected_as_a_whole() {
-    for (zones, ejected) in [(1, true), (2, false)] {
-        let mut driver = Driver::with_fleet(coordinating(0, 10), 12);
-        for worker in (1..=12).filter(|n| n % 3 < zones).map(WorkerId) {
+fn a_failed_zone_gets_no_jobs_unless_most_workers_have_failed() {
+    for (failed_zones, ejected) in [(1, true), (2, false)] {
+        let mut driver = Driver::with_fleet(coordinating_settings(0, 10), 12);
+        for worker in (1..=12).filter(|n| n % 3 < failed_zones).map(WorkerId) {
             for from in [1, 2] {
                 let data =
                     PeerMessage::AttemptFinished { served: false, connection_failed: true }.encode(worker);
                 driver.event(Event::PeerMessage { from, data });
             }
         }
-        let mut to_failed = 0;
+        let mut jobs_to_failed_zones = 0;
         for id in 0..60 {
-            let mut done = driver.request(id, IDEMPOTENT, &format!("key-{id}"));
-            if sends(&done).is_empty() {
-                // No coordinator answers.
+            let mut actions = driver.request(id, IDEMPOTENT, &format!("key-{id}"));
+            if sends(&actions).is_empty() {
+                // No coordinator replies.
                 driver.now += 40 * MS;
-                let (_, token) = timers(&done).into_iter().min().expect("a timer to go on at");
-                done = driver.event(Event::Timer(token));
+                let (_, token) = timers(&actions).into_iter().min().expect("a timer for the next placement");
+                actions = driver.event(Event::Timer(token));
             }
-            let worker = sent(&done);
-            to_failed += u32::from(worker.0 % 3 < zones);
+            let worker = sent(&actions);
+            jobs_to_failed_zones += u32::from(worker.0 % 3 < failed_zones);
             driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
         }
         assert_eq!(
-            to_failed == 0,
+            jobs_to_failed_zones == 0,
             ejected,
-            "{zones} zones of three connection_failed: {to_failed} of 60 jobs went there"
+            "{failed_zones} of three zones failed: {jobs_to_failed_zones} of 60 jobs went to failed zones"
         );
     }
 }
 
-/// The message of a later job's end must not stand for one that was lost: the later job would count as
+/// Two attempts start, and the message about the end of the first is lost. The message about the second
+/// attempt's end must not remove the first attempt in its place, or the second attempt would be counted as
 /// running.
 #[test]
-fn an_attempt_whose_end_was_lost_is_forgotten_and_no_other_stands_for_it() {
-    let mut driver = Driver::with_fleet(coordinating(0, 10), 12);
+fn an_attempt_whose_end_message_was_lost_is_forgotten_before_a_later_attempt_ends() {
+    let mut driver = Driver::with_fleet(coordinating_settings(0, 10), 12);
     let receive = |driver: &mut Driver, message: PeerMessage| {
         let data = message.encode(WorkerId(1));
         driver.event(Event::PeerMessage { from: 1, data })
@@ -301,8 +333,8 @@
     driver.now += 5 * S;
     receive(&mut driver, PeerMessage::AttemptStarted { slots: 1.0, work: S });
     receive(&mut driver, PeerMessage::AttemptFinished { served: true, connection_failed: false });
-    let answer = receive(&mut driver, PeerMessage::OccupancyQuery { work: S });
+    let reply = receive(&mut driver, PeerMessage::OccupancyQuery { work: S });
     let empty =
         PeerMessage::OccupancyReply(Some(Occupancy { slots: 0.0, ejected_for: 0 })).encode(WorkerId(1));
-    assert_eq!(answer, [Action::SendPeerMessage { to: Recipient::One(1), data: empty }]);
+    assert_eq!(reply, [Action::SendPeerMessage { to: Recipient::One(1), data: empty }]);
 }
--- a/crates/scheduling/tests/peer_messages.rs
+++ b/crates/scheduling/tests/peer_messages.rs
@@ -1,4 +1,5 @@
-//! The 16 bytes that schedulers send one another, as literals: schedulers of two versions share a tier.
+//! The 16-byte messages between schedulers, as literal bytes. Schedulers of different versions may run in one
+//! tier, so the encoding must not change.
 
 use vetchbridge_scheduling::WorkerId;
 use vetchbridge_scheduling::{Occupancy, PeerMessage};
@@ -7,7 +8,7 @@
 const WORKER_BYTES: [u8; 8] = [0xef, 0xcd, 0xab, 0x89, 0x67, 0x45, 0x23, 0x01];
 
 #[test]
-fn every_message_has_the_bytes_of_the_first_version() {
+fn every_message_has_the_same_bytes_as_in_the_first_version() {
     let messages: [(PeerMessage, [u8; 8]); 6] = [
         (PeerMessage::OccupancyQuery { work: 250_000 }, [0, 0, 0, 0, 0x90, 0xd0, 0x03, 0]),
         (PeerMessage::OccupancyReply(None), [1, 0, 0, 0, 0, 0, 0, 0]),
@@ -19,15 +20,15 @@
         (PeerMessage::AttemptFinished { served: true, connection_failed: false }, [3, 1, 0, 0, 0, 0, 0, 0]),
         (PeerMessage::AttemptFinished { served: false, connection_failed: true }, [3, 2, 0, 0, 0, 0, 0, 0]),
     ];
-    for (message, head) in messages {
-        let literal = [head, WORKER_BYTES].concat();
-        assert_eq!(message.encode(WORKER), literal, "{message:?}");
-        assert_eq!(PeerMessage::decode(&literal), Some((message, WORKER)));
+    for (message, first_half) in messages {
+        let expected_bytes = [first_half, WORKER_BYTES].concat();
+        assert_eq!(message.encode(WORKER), expected_bytes, "{message:?}");
+        assert_eq!(PeerMessage::decode(&expected_bytes), Some((message, WORKER)));
     }
 }
 
 #[test]
-fn figures_too_large_for_their_field_are_written_as_its_largest() {
-    let written = PeerMessage::AttemptStarted { slots: 1e9, work: u64::MAX }.encode(WORKER);
-    assert_eq!(written[..8], [2, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]);
+fn values_too_large_for_their_field_are_encoded_as_the_field_s_maximum() {
+    let encoded = PeerMessage::AttemptStarted { slots: 1e9, work: u64::MAX }.encode(WORKER);
+    assert_eq!(encoded[..8], [2, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]);
 }
