--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -21,8 +21,8 @@
 pub(crate) const QUERY_TIMEOUT: Micros = 40_000;
 /// How long a coordinator that did not reply is skipped, in microseconds.
 const UNRESPONSIVE_TIME: Micros = 2_000_000;
-/// Maximum time for which a peer's attempt is counted, in microseconds. The message about the attempt's end
-/// may be lost.
+/// Maximum time for which a peer's attempt is counted, in microseconds. Without this limit, an attempt would
+/// be counted forever if the message about its end were lost.
 const MAX_PEER_ATTEMPT_AGE: Micros = 4_000_000;
 /// Occupancy reported for a worker that can take no job now, in slots. The value exceeds the slots of any
 /// worker.
--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -24,7 +24,7 @@
 const SPREAD_PER_PEER: Micros = 30_000;
 /// Maximum time over which the first polls are spread, in microseconds.
 const MAX_FIRST_SPREAD: Micros = 2_000_000;
-/// Maximum mean interval between one scheduler's polls due to spreading after failures, in microseconds.
+/// Maximum spread of polls after failures, in microseconds: the mean interval between one scheduler's polls.
 const MAX_REPEATED_SPREAD: Micros = 2_000_000;
 /// Maximum number of times the spread is doubled.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
--- a/crates/scheduling/src/hot_keys.rs
+++ b/crates/scheduling/src/hot_keys.rs
@@ -6,8 +6,8 @@
 
 /// Time constant of the exponential decay of counts, in microseconds.
 const DECAY_TIME: f64 = 20e6;
-/// Load that one key may put on a worker before it is spread over one more, as a fraction of a worker's mean
-/// load.
+/// Load that one key may put on a worker before the key is spread over one more worker, as a fraction of the
+/// mean load of a worker.
 const MAX_KEY_LOAD: f64 = 0.5;
 /// Maximum number of counted keys. Beyond this number, keys whose counts have decayed below 1 are removed.
 const MAX_KEYS: usize = 1024;
@@ -63,9 +63,9 @@
     }
 
     fn spread(&self, count: f64, fleet: &FleetView) -> usize {
-        // One request with a key doesn't make the key hot, so it is subtracted from the key's count. If the
-        // load is unknown, every scheduler may have seen the key as often as this one has, and the subtracted
-        // request is divided among all schedulers.
+        // A single request doesn't make a key hot, so one request is subtracted from the key's count. If the
+        // load is unknown, every scheduler may have seen the key as often as this one has. One request is then
+        // subtracted from the count of all schedulers together.
         let (schedulers, prior_requests) = if fleet.load_is_known {
             (1.0, PRIOR_REQUESTS)
         } else {
--- a/crates/scheduling/src/ring.rs
+++ b/crates/scheduling/src/ring.rs
@@ -13,7 +13,7 @@
 const MAX_POINTS_FACTOR: f64 = 8.0;
 /// Range of the ratio of mean weight to weight scale within which the scale is kept.
 const SCALE_TOLERANCE: RangeInclusive<f64> = 0.5..=2.0;
-/// Separates the hashes of points from those of keys.
+/// Salt that separates the hashes of points from the hashes of keys.
 const POINT_SALT: u64 = 0x5350;
 
 /// A virtual point of a worker on the ring.
