--- a/crates/scheduling/src/hot_keys.rs
+++ b/crates/scheduling/src/hot_keys.rs
@@ -64,8 +64,8 @@
 
     fn spread(&self, count: f64, fleet: &FleetView) -> usize {
         // A single request doesn't make a key hot, so one request is subtracted from the key's count. If the
-        // load is unknown, every scheduler may have seen the key as often as this one has. One request is then
-        // subtracted from the count of all schedulers together.
+        // load is unknown, every scheduler may have seen the key as often as this one has. One request is
+        // then subtracted from the count of all schedulers together.
         let (schedulers, prior_requests) = if fleet.load_is_known {
             (1.0, PRIOR_REQUESTS)
         } else {
