--- a/crates/scheduling/src/actions.rs
+++ b/crates/scheduling/src/actions.rs
@@ -1,17 +1,17 @@
-//! What a scheduler is to do: [`Action`].
+//! The actions that a scheduler requests from the embedding program: [`Action`].
 
 use crate::ids::{AttemptNo, Micros, RequestId, TimerToken, WorkerId};
 
 /// The recipient of a message to other schedulers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipient {
-    /// One scheduler, by number.
+    /// One scheduler, by its index.
     One(u32),
-    /// All others.
+    /// All other schedulers.
     All,
 }
 
-/// What the scheduler is to do.
+/// An action that the embedding program carries out for the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a worker.
@@ -20,7 +20,7 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// The attempt's timeout; `None`: the request's deadline.
+        /// The attempt's timeout; `None` if the request's deadline is the only limit.
         timeout: Option<Micros>,
     },
     /// Cancel one attempt.
@@ -30,19 +30,19 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: rejected; a retry is harmless.
+    /// Give the client its final answer: the request was rejected, and a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// The client's Retry-After; 0 for none.
+        /// The Retry-After for the client; 0 for none.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Give the client its final answer: the request failed, and the job may or may not have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Check a worker's health and load.
+    /// Send a health check to a worker, which also returns its load.
     Probe(WorkerId),
     /// Close idle connections to a worker.
     CloseIdle(WorkerId),
@@ -50,20 +50,21 @@
     Subscribe(bool),
     /// Fetch the complete endpoint list once.
     FetchEndpoints,
-    /// Return this token with [`Event::Timer`](crate::Event::Timer) at this time or soon after.
+    /// Set a timer: return the token with [`Event::Timer`](crate::Event::Timer) at the given time or soon
+    /// after.
     SetTimer {
-        /// When.
+        /// When the timer expires.
         at: Micros,
-        /// The token that comes back.
+        /// The token to return.
         token: TimerToken,
     },
-    /// Send at most 256 bytes to other schedulers.
+    /// Send a message of at most 256 bytes to other schedulers.
     SendPeerMessage {
         /// The recipient.
         to: Recipient,
-        /// The bytes.
+        /// The encoded message.
         data: Vec<u8>,
     },
-    /// A line for the scheduler's log.
+    /// Write a line to the scheduler's log.
     Log(String),
 }
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -1,136 +1,137 @@
-//! What happens to a scheduler: [`Event`], and what events carry.
+//! The events that a scheduler handles ([`Event`]) and the types that they carry.
 
 use crate::ids::{
     AttemptNo, CellId, ClassId, KindId, Micros, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
 };
 use crate::settings::Settings;
 
-/// State of a listed worker.
+/// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes work.
+    /// The worker accepts new jobs.
     #[default]
     Ready,
-    /// Completing its work; send nothing new.
+    /// The worker completes its jobs; no new job may be sent.
     Draining,
-    /// Removed.
+    /// The worker was removed from the deployment.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// The worker.
+    /// The worker that the entry describes.
     pub worker: WorkerId,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// The worker's machine type.
     pub kind: KindId,
-    /// Its cell.
+    /// The worker's cell.
     pub cell: CellId,
-    /// Its state.
+    /// The worker's state.
     pub state: EndpointState,
-    /// Its size relative to other workers; no unit.
+    /// The worker's size relative to other workers; has no unit.
     pub weight: f64,
-    /// When its process last started; 0 for long past.
+    /// When the worker's process last started, by another machine's wall clock; 0 if long ago.
     pub started_at: Micros,
 }
 
-/// What the entries of an endpoint list event are.
+/// What the entries of an [`Event::Endpoints`] are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only the changes.
+    /// The entries that have changed.
     Changes,
-    /// The complete list; a worker that is not in it was removed.
+    /// The complete list; a worker that is missing from the list was removed.
     Snapshot,
-    /// The complete list as this scheduler stored it, perhaps long ago.
+    /// The complete list as this scheduler stored it, possibly long ago.
     Restored,
-    /// The complete list as the predecessor had it a moment ago.
+    /// The complete list as the predecessor handed it over a moment ago.
     HandedOver,
-    /// A subscription or fetch failed. The list stands, but for entries that arrived before the failure.
+    /// A subscription or fetch failed. The entries are those that arrived before the failure; the rest of the
+    /// list stays as it was.
     Failed,
-    /// The present list with the numbers of settings that have just changed; not a response of discovery.
+    /// The current list, with zones and machine types numbered by new settings; not a response of discovery.
     Renumbered,
 }
 
 impl EndpointUpdate {
-    /// Whether a worker that is not among the entries was removed.
+    /// Whether a worker that is missing from the entries was removed.
     #[must_use]
     pub fn is_complete(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Restored | EndpointUpdate::HandedOver)
     }
 
-    /// Whether discovery is to be polled after this update.
+    /// Whether the scheduler has to poll discovery after this update.
     #[must_use]
     pub fn needs_poll(self) -> bool {
         matches!(self, EndpointUpdate::Restored | EndpointUpdate::HandedOver | EndpointUpdate::Failed)
     }
 
-    /// Whether discovery has answered a call with it, or pushed it.
+    /// Whether the update came from discovery, as a response or as a pushed change.
     #[must_use]
     pub fn is_response(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Changes)
     }
 }
 
-/// A request taken from a client.
+/// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that the request belongs to.
     pub tenant: TenantId,
-    /// Affinity key: requests with one key go to the same worker where possible.
+    /// Affinity key: requests with equal keys go to the same worker where possible.
     pub key: Option<String>,
     /// When the client stops waiting for an answer.
     pub deadline: Micros,
-    /// Expected work at standard speed, if the client gave it.
+    /// Expected running time of the job at standard speed; `None` if the client gave none.
     pub expected_work: Option<Micros>,
-    /// Slots that the job takes.
+    /// Number of slots that the job occupies at a worker.
     pub slots: f64,
-    /// A retry by the client, where clients mark it.
+    /// Whether the client has marked the request as a retry.
     pub retry: bool,
 }
 
-/// A worker's load report; absent values were not sent or were out of range.
+/// A worker's load report. A value is `None` if it was not sent or was out of range.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Free slots.
+    /// Number of free slots.
     pub free_slots: Option<f64>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: Option<f64>,
-    /// Recent service time without waiting, milliseconds.
+    /// Recent service time without queueing, in milliseconds.
     pub service_ms: Option<f64>,
-    /// Busy fraction of its cores.
+    /// Busy fraction of the worker's cores.
     pub utilisation: Option<f64>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served; the answer went to the client.
+    /// The request was served, and the answer went to the client.
     Ok,
-    /// The worker returned an error; it may have run.
+    /// The worker returned an error; the job may have run.
     Error,
-    /// Rejected by the worker without being started.
+    /// The worker rejected the attempt without starting the job.
     Rejected,
-    /// No reply in time; it may have run or be running.
+    /// The worker did not reply in time; the job may have run or may still be running.
     Timeout,
-    /// No connection was made; it never ran.
+    /// No connection was established; the job never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the job may have run.
     Reset,
-    /// The worker did not acknowledge the job in time; it may have run.
+    /// The worker did not acknowledge the job in time; the job may have run.
     NoResponse,
-    /// The worker found the request itself invalid, as any other would; it never ran.
+    /// The worker found the request invalid, as any other worker would; the job never ran.
     Invalid,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the job may have run.
     Cancelled,
-    /// Never sent: the request was over, out of time or out of attempts.
+    /// The attempt was not sent: the request was complete, past its deadline or out of attempts.
     NotSent,
 }
 
@@ -155,23 +156,23 @@
 pub enum JobProgress {
     /// The job has started.
     Started,
-    /// This fraction of it is done.
+    /// This fraction of the job is done.
     Fraction(f64),
 }
 
-/// What happened.
+/// An event that a scheduler handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list changed, or could not be fetched.
+    /// The endpoint list has changed, or could not be fetched.
     Endpoints {
         /// What the entries are.
         update: EndpointUpdate,
         /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request arrived; it gets exactly one final answer.
+    /// A client's request has arrived; the request gets exactly one final answer.
     Request(Request),
-    /// An attempt ended; comes exactly once for each [`Action::Send`](crate::Action::Send).
+    /// An attempt has ended. This event comes exactly once for each [`Action::Send`](crate::Action::Send).
     AttemptFinished {
         /// The request.
         request: RequestId,
@@ -179,16 +180,16 @@
         attempt: AttemptNo,
         /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency: Micros,
-        /// The request is complete and needs no answer any more.
+        /// Whether the request is complete and needs no further answer.
         closed: bool,
-        /// The worker's load report, if one came along.
+        /// The worker's load report, if the worker sent one.
         load: Option<LoadReport>,
     },
-    /// A streamed answer has started; this attempt is the one that the client gets.
+    /// A streamed answer has started; the client gets the answer of this attempt.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -201,14 +202,14 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// How far it is.
+        /// The progress.
         progress: JobProgress,
     },
-    /// The client disconnected; the request needs no answer any more.
+    /// The client has disconnected; its request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A timer expired.
+    /// A timer has expired.
     Timer(TimerToken),
-    /// The scheduler is shutting down: every pending request gets its final answer now.
+    /// The scheduler shuts down: every pending request gets its final answer now.
     ShuttingDown,
     /// The result of one [`Action::Probe`](crate::Action::Probe).
     Probed {
@@ -216,19 +217,19 @@
         worker: WorkerId,
         /// How the health check ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the health check was sent.
         latency: Micros,
-        /// The worker's load report, if one came along.
+        /// The worker's load report, if the worker sent one.
         load: Option<LoadReport>,
     },
     /// New settings, in effect from now on. Pending requests keep their class, which may be missing from the
-    /// new settings or have another number there. They have passed [`Settings::check`].
+    /// new settings or have another index there. The new settings have passed [`Settings::check`].
     Settings(Box<Settings>),
     /// A message from another scheduler.
     PeerMessage {
-        /// Its number.
+        /// Index of the scheduler that sent the message.
         from: u32,
-        /// The bytes.
+        /// The encoded message.
         data: Vec<u8>,
     },
 }
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All workers that a scheduler knows, and their ring; follows the endpoint list.
+//! The workers that a scheduler knows, and their ring; both are updated from the endpoint list.
 
 use crate::events::{Endpoint, EndpointState, EndpointUpdate};
 use crate::ids::{Micros, WorkerId};
@@ -9,19 +9,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// Removed workers are kept while all workers are fewer than twice the ready ones and this many.
+/// Removed workers are kept while the number of all workers is below twice the number of ready workers plus
+/// this number.
 const MAX_REMOVED_WORKERS: usize = 64;
-/// A weight that changes by a smaller fraction than this is left as it was.
+/// A relative change of a worker's weight up to this is ignored.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
 /// The workers in the order in which they were first listed.
 #[derive(Default)]
 pub(crate) struct Fleet {
     workers: Vec<Worker>,
-    index: BTreeMap<WorkerId, usize>,
+    /// Index of each worker in `workers`.
+    index_by_id: BTreeMap<WorkerId, usize>,
     ring: Ring,
     ready_count: usize,
-    starts: StartBounds,
+    start_bounds: StartBounds,
 }
 
 impl Fleet {
@@ -38,16 +40,17 @@
         }
         let mut changed = Vec::new();
         for endpoint in endpoints {
-            changed.extend(self.apply(now, endpoint, weights));
+            changed.extend(self.apply_entry(now, endpoint, weights));
         }
         if update.is_response() || update == EndpointUpdate::HandedOver {
-            self.starts.record_response(now);
+            self.start_bounds.record_response(now);
         }
         self.ring.place(&mut self.workers, changed);
         self.ready_count = self.workers.iter().filter(|worker| worker.is_ready).count();
-        self.forget_removed();
+        self.drop_removed();
     }
 
+    /// Marks workers that are missing from a complete list as not ready.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
         for worker in &mut self.workers {
@@ -55,11 +58,11 @@
         }
     }
 
-    /// Applies one entry; returns the worker's index if its points have to be placed.
-    fn apply(&mut self, now: Micros, endpoint: Endpoint, weights: Weights) -> Option<usize> {
+    /// Applies one entry of the list; returns the worker's index if its points have to be placed.
+    fn apply_entry(&mut self, now: Micros, endpoint: Endpoint, weights: Weights) -> Option<usize> {
         let weight = listed_weight(&endpoint, weights);
         let is_ready = endpoint.state == EndpointState::Ready;
-        let started_at = self.starts.started_at(now, endpoint.started_at);
+        let started_at = self.start_bounds.started_at(now, endpoint.started_at);
         let Some(index) = self.index_of(endpoint.worker) else {
             return is_ready.then(|| self.add(Worker::new(endpoint, weight, started_at)));
         };
@@ -69,8 +72,8 @@
             return None;
         }
         let (zone, kind, cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
-        // Starts are compared for equality alone, since a clock may be stepped. A worker that takes no jobs
-        // may be listed with an older start.
+        // Start times are compared for equality alone, since the clock that dates them may be stepped. A worker
+        // that is not ready may be listed with an older start, which is ignored.
         if is_ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
             worker.restart(endpoint, weight, started_at);
         }
@@ -84,19 +87,19 @@
 
     fn add(&mut self, worker: Worker) -> usize {
         let index = self.workers.len();
-        self.index.insert(worker.endpoint.worker, index);
+        self.index_by_id.insert(worker.endpoint.worker, index);
         self.workers.push(worker);
         index
     }
 
-    /// Forgets removed workers once there are many, so that machines that come and go don't fill the memory.
-    fn forget_removed(&mut self) {
+    /// Drops removed workers once there are many, so that memory doesn't grow as machines come and go.
+    fn drop_removed(&mut self) {
         if self.workers.len() < 2 * self.ready_count + MAX_REMOVED_WORKERS {
             return;
         }
         self.workers.retain(|worker| worker.is_ready || !worker.in_flight.is_empty());
         let ids = self.workers.iter().map(|worker| worker.endpoint.worker);
-        self.index = ids.zip(0..).collect();
+        self.index_by_id = ids.zip(0..).collect();
         self.ring.rebuild(&mut self.workers);
     }
 
@@ -121,7 +124,7 @@
     }
 
     pub(crate) fn index_of(&self, worker: WorkerId) -> Option<usize> {
-        self.index.get(&worker).copied()
+        self.index_by_id.get(&worker).copied()
     }
 
     pub(crate) fn get(&self, worker: WorkerId) -> Option<&Worker> {
@@ -143,6 +146,7 @@
     }
 }
 
+/// Returns the listed weight if it is a valid size, otherwise 1.
 fn listed_weight(endpoint: &Endpoint, weights: Weights) -> f64 {
     let is_valid = weights == Weights::Size && endpoint.weight.is_finite() && endpoint.weight > 0.0;
     if is_valid {
--- a/crates/scheduling/src/fleet/tests.rs
+++ b/crates/scheduling/src/fleet/tests.rs
@@ -3,14 +3,14 @@
 use crate::test_support::{endpoint, fleet_of, NOW};
 use crate::worker::{AttemptId, InFlightAttempt, OccupancyReport};
 
-fn change(fleet: &mut Fleet, endpoint: Endpoint) {
+fn apply_change(fleet: &mut Fleet, endpoint: Endpoint) {
     fleet.update(NOW, EndpointUpdate::Changes, vec![endpoint], Weights::Size);
 }
 
 #[test]
-fn a_worker_that_a_complete_list_lacks_is_not_ready_and_one_that_changes_lack_stays() {
+fn a_worker_missing_from_a_complete_list_is_not_ready_but_one_missing_from_changes_stays() {
     let mut fleet = fleet_of((1..=3).map(endpoint));
-    change(&mut fleet, endpoint(4));
+    apply_change(&mut fleet, endpoint(4));
     assert_eq!(fleet.ready_count(), 4);
     fleet.update(NOW, EndpointUpdate::Snapshot, vec![endpoint(2)], Weights::Size);
     let ready: Vec<u64> = fleet.ready().map(|worker| worker.endpoint.worker.0).collect();
@@ -21,7 +21,7 @@
 fn only_ready_workers_are_added() {
     let mut fleet = fleet_of([endpoint(1)]);
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        change(&mut fleet, Endpoint { state, ..endpoint(2) });
+        apply_change(&mut fleet, Endpoint { state, ..endpoint(2) });
         assert!(fleet.get(WorkerId(2)).is_none(), "{state:?}");
     }
 }
@@ -43,19 +43,19 @@
 }
 
 #[test]
-fn another_start_is_another_process_and_zone_and_cell_follow_the_list_in_any_case() {
+fn a_new_start_resets_a_worker_and_its_zone_is_always_taken_from_the_list() {
     let mut fleet = fleet_of([endpoint(1)]);
     fleet[0].report = Some(OccupancyReport { slots: Some(1.0), queried_at: NOW });
-    change(&mut fleet, Endpoint { zone: ZoneId(7), ..endpoint(1) });
+    apply_change(&mut fleet, Endpoint { zone: ZoneId(7), ..endpoint(1) });
     assert_eq!(fleet[0].endpoint.zone, ZoneId(7));
     assert!(fleet[0].report.is_some(), "the same process");
-    change(&mut fleet, Endpoint { started_at: NOW - 5, ..endpoint(1) });
-    assert!(fleet[0].report.is_none(), "a process that has started since");
+    apply_change(&mut fleet, Endpoint { started_at: NOW - 5, ..endpoint(1) });
+    assert!(fleet[0].report.is_none(), "another process");
     assert_eq!(fleet[0].started_at, Some(NOW));
 }
 
 #[test]
-fn removed_workers_are_forgotten_once_there_are_many_unless_attempts_are_out_there() {
+fn removed_workers_without_attempts_in_flight_are_dropped_once_there_are_many() {
     let mut fleet = fleet_of((1..=100).map(endpoint));
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
     let index = fleet.index_of(WorkerId(50)).expect("listed");
@@ -64,5 +64,5 @@
     assert_eq!((fleet.len(), fleet.ready_count()), (11, 10));
     assert!(fleet.get(WorkerId(50)).is_some() && fleet.get(WorkerId(1)).is_none());
     let points = fleet.ring().clockwise_from(0).map(super::super::ring::Point::worker_index).max();
-    assert_eq!(points, Some(10), "the ring names workers by their new index");
+    assert_eq!(points, Some(10), "the ring refers to workers by their new index");
 }
--- a/crates/scheduling/src/ids.rs
+++ b/crates/scheduling/src/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers and the unit of time.
+//! Identifier types, and the type of times and durations.
 
-/// A moment on the scheduler's clock, or a span of time, in microseconds.
+/// A point in time on the scheduler's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A request as the client sent it; a client's retry is a new request.
+/// Identifies one request of a client; a client's retry is a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A worker. Every scheduler must know a worker by the same number, or their rings will differ.
+/// Identifies a worker. All schedulers must use the same number for a worker, or their rings differ.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u64);
 
@@ -15,27 +15,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u32);
 
-/// Index into [`Settings::tenants`](crate::Settings::tenants); 0 where a site has none.
+/// Index into [`Settings::tenants`](crate::Settings::tenants); 0 if the deployment has no tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u32);
 
-/// A zone (site, hall) of the network.
+/// Identifies a zone (a site or a hall) of the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A machine type.
+/// Identifies a machine type.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 
-/// A cell: a few workers that share the idempotency keys they have seen.
+/// Identifies a cell: a group of workers that share the idempotency keys that they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// Number of an attempt of one request: 0, 1, 2 ... in the order of its
+/// Number of an attempt within its request: 0, 1, 2 ... in the order of the request's
 /// [`Action::Send`](crate::Action::Send)s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
-/// A mark that comes back with [`Event::Timer`](crate::Event::Timer); only the scheduler gives it a meaning.
+/// An opaque value that is returned with [`Event::Timer`](crate::Event::Timer); only the scheduler
+/// interprets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,14 +1,14 @@
-//! vetchbridge-scheduling decides, for a scheduler that pushes jobs to workers, where each job goes.
+//! Decides which worker each job is sent to, for a scheduler that pushes jobs to workers.
 //!
-//! [`Scheduler`] is a state machine: the embedding program gives it one [`Event`] at a time with its clock,
-//! and carries out the [`Action`]s that come back, in order. It does no I/O and reads no clock; its randomness
-//! comes from a seed. Equal events give equal actions.
+//! [`Scheduler`] is a state machine: the embedding program passes one [`Event`] at a time with the current
+//! time, and carries out the returned [`Action`]s in order. The scheduler does no I/O, reads no clock and
+//! derives its random numbers from a seed, so that equal events give equal actions.
 //!
-//! # The ordinary path
+//! # Choice of a worker
 //!
 //! A request's key is hashed onto a consistent ring on which every worker has virtual points in proportion
-//! to its weight. The first worker clockwise takes the job; if it has no capacity, the next worker on the ring
-//! does. All else is a rule with a file of its own.
+//! to its weight. The first worker clockwise gets the job; if that worker has no capacity, the next worker on
+//! the ring gets the job. Each further rule has a file of its own, listed below.
 //!
 //! # Example
 //!
@@ -57,12 +57,12 @@
 //! let list = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints };
 //! scheduler.handle(1_000, list, &mut actions);
 //!
-//! // A client's request is to be sent to a worker.
+//! // A client's request arrives and is sent to a worker.
 //! scheduler.handle(2_000, Event::Request(request(1)), &mut actions);
 //! let sent_to = |action: &Action| if let Action::Send { worker, .. } = action { Some(*worker) } else { None };
-//! let worker = actions.iter().find_map(sent_to).expect("an idle worker takes it");
+//! let worker = actions.iter().find_map(sent_to).expect("the request is sent");
 //!
-//! // The worker rejects it: the next worker on the ring gets it.
+//! // The worker rejects the request, which is then sent to the next worker on the ring.
 //! actions.clear();
 //! scheduler.handle(3_000, rejection(worker), &mut actions);
 //! assert!(actions.iter().any(|action| sent_to(action).is_some_and(|next| next != worker)));
@@ -74,13 +74,13 @@
 //! | concern | files |
 //! | --- | --- |
 //! | interface | `ids.rs`, `settings.rs`, `events.rs`, `actions.rs` |
-//! | state and dispatch of events | `scheduler.rs` |
-//! | workers | `fleet.rs` (all of them), `worker.rs` (one), `ring.rs`, `candidates.rs`, `hot_keys.rs` |
+//! | state, dispatch of events | `scheduler.rs` |
+//! | workers | `fleet.rs` (all), `worker.rs` (one), `ring.rs`, `candidates.rs`, `hot_keys.rs` |
 //! | load and health of a worker | `admission.rs`, `concurrency_limit.rs`, `slow_start.rs`, `outlier.rs` |
-//! | a request's way | `request.rs`, `placement.rs`, `migration.rs`, `completion.rs`, `retry.rs` |
+//! | life cycle of a request | `request.rs`, `placement.rs`, `migration.rs`, `completion.rs`, `retry.rs` |
 //! | other schedulers | `coordination.rs`, `peer_message.rs` |
 //! | discovery | `endpoint_refresh.rs` |
-//! | tools | `timer.rs`, `hash.rs`, `random.rs` |
+//! | utilities | `timer.rs`, `hash.rs`, `random.rs` |
 
 #![deny(missing_docs)]
 
--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: its state, and which part of it handles an event.
+//! The scheduler's state, and the dispatch of events to the modules that handle them.
 
 use crate::actions::Action;
 use crate::admission::SlotsPerUnit;
@@ -30,11 +30,11 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows no worker yet.
+    /// Creates a scheduler that knows no worker yet.
     ///
     /// # Errors
     ///
-    /// Settings that do not pass [`Settings::check`].
+    /// Returns an error if the settings do not pass [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Scheduler, SettingsError> {
         settings.check()?;
         Ok(Scheduler {
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Takes one event and appends the actions that it calls for, to be carried out in order.
+    /// Handles one event and appends the resulting actions, which are to be carried out in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Endpoints { update, endpoints } => self.on_endpoints(now, update, endpoints, actions),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Puts new settings into effect; what was learned and the pending requests stay.
+    /// Replaces the settings; pending requests and what was learned about workers stay.
     fn on_settings(&mut self, settings: Settings) {
         self.requests.limit_attempts(settings.limits.max_attempts);
         self.settings = settings;
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -1,236 +1,239 @@
-//! What a scheduler is configured with: its place among its peers, classes, tenants, limits and rules.
+//! The settings of a scheduler: its index among its peers, request classes, tenants, limits and rules.
 
 use crate::ids::{KindId, Micros, ZoneId};
 
 /// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Workers of one scope drop a repeat within a window.
+    /// The workers of one scope drop a repeat of the request within a time window.
     Keyed {
-        /// Which workers recognise a repeat.
+        /// The workers that recognise a repeat.
         scope: DeduplicationScope,
-        /// How long a repeat is dropped, counted from the first attempt that may have run.
+        /// How long the workers drop repeats, counted from the first attempt that may have run.
         deduplication_window: Micros,
     },
-    /// Must not run twice.
+    /// The request must not run more than once.
     #[default]
     NonIdempotent,
 }
 
-/// Which workers drop the repeat of a keyed request.
+/// The workers that drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
     All,
-    /// Those in the zone of the worker that may have run it.
+    /// The workers in the zone of the worker that may have run the request.
     Zone,
-    /// Those in its cell.
+    /// The workers in the cell of the worker that may have run the request.
     Cell,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time counts in full.
+    /// An answer within this time has the full `priority_weight`.
     pub latency_objective: Micros,
-    /// The latency objective grows by this many times the job's own running time.
+    /// Multiple of the job's own running time that is added to the latency objective.
     pub objective_per_work: f64,
-    /// The client's total wait over all of its tries.
+    /// How long the client waits for an answer in total, over all of its tries.
     pub deadline: Micros,
     /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
-    /// Fraction of that weight that a later answer still has.
+    /// Fraction of `priority_weight` that an answer after the latency objective still has.
     pub late_weight: f64,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// The only machine type that runs this class, if it is bound to one.
+    /// The only machine type that runs this class; `None` if every machine type does.
     pub kind: Option<KindId>,
-    /// Priority in the workers' queues, where they keep one.
+    /// Priority in the queues of workers that use [`QueueOrder::Priority`].
     pub priority: i64,
-    /// The answer is streamed.
+    /// Whether the answer is streamed.
     pub stream: bool,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all schedulers, that are within its quota.
+    /// The tenant's quota in requests per second, over all schedulers.
     pub quota_per_second: f64,
 }
 
-/// How a worker serves its queue.
+/// The order in which a worker serves its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// In order; the head waits until it fits.
+    /// In order of arrival; the first job waits until it fits.
     Fifo,
-    /// Whatever fits first.
+    /// The first queued job that fits.
     Backfill,
-    /// By the classes' priority.
+    /// By the priority of the jobs' classes.
     Priority,
 }
 
 /// When workers send load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// With outcomes and with probe results.
+    /// With attempt outcomes and with probe results.
     Responses,
     /// With probe results only.
     Probes,
-    /// Never.
+    /// Workers send no load reports.
     Never,
 }
 
 /// How changes of the endpoint list reach a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointDelivery {
-    /// Watch events arrive by themselves.
+    /// Discovery sends changes without being asked.
     Push,
-    /// Only after [`Action::Subscribe`](crate::Action::Subscribe) or
+    /// Discovery sends changes only after [`Action::Subscribe`](crate::Action::Subscribe) or
     /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
     Poll,
 }
 
-/// What [`Endpoint::weight`](crate::Endpoint::weight) stands for.
+/// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing: always 1.
+    /// Listed weights are ignored: every worker has weight 1.
     Fixed,
-    /// The registered or approximate size.
+    /// The registered or approximate size of the worker.
     Size,
-    /// The size lowered by the load, sampled earlier. Taken as 1, since the ring must not follow the load.
+    /// The worker's size reduced by its load at an earlier sample. Every worker has weight 1, since the ring
+    /// must not follow the load.
     Live,
 }
 
-/// What the scheduler may do.
+/// Limits on what the scheduler may do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// A connection not made within this time has failed.
+    /// A connection that is not established within this time has failed.
     pub dial_timeout: Micros,
-    /// Health checks are allowed.
+    /// Whether the scheduler may send health checks.
     pub may_probe: bool,
-    /// Cancelling an attempt is allowed.
+    /// Whether the scheduler may cancel an attempt.
     pub may_cancel: bool,
-    /// Rejected clients are given a Retry-After.
+    /// Whether rejected clients are given a Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that a client heeds.
+    /// The longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// Messages between schedulers are allowed.
+    /// Whether schedulers may send messages to one another.
     pub may_message_peers: bool,
 }
 
-/// Times and factors of the protocol's rules.
+/// Times and factors of the rules that schedulers must follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Grace after a request's deadline in which a final answer still counts.
+    /// Time after a request's deadline within which a final answer still counts.
     pub answer_slack: Micros,
-    /// Sends to a draining or removed worker must stop within this time.
+    /// The scheduler must stop sending to a draining or removed worker within this time.
     pub drain_grace: Micros,
-    /// With [`EndpointDelivery::Poll`]: a scheduler that has not polled for this long counts as notified.
+    /// With [`EndpointDelivery::Poll`]: a scheduler that has not polled for this long counts as notified of a
+    /// change.
     pub poll_within: Option<Micros>,
-    /// A worker starts with at least this fraction of its capacity.
+    /// Fraction of its full capacity that a worker has at least when it starts.
     pub slow_start_floor: f64,
-    /// A worker has its full capacity after this time at the latest.
+    /// Time after its start by which a worker has its full capacity.
     pub slow_start_time: Micros,
-    /// A worker that is warming up fails when it is sent more than this multiple of its present capacity ...
+    /// A worker that is warming up fails if it is sent more than this multiple of its current capacity for
+    /// `overload_time`.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// How long an overload by `overload_factor` lasts before the worker fails.
     pub overload_time: Micros,
 }
 
-/// What things cost, as fractions of the result; used only to weigh one against another.
+/// Costs as fractions of the overall result; used only to compare one cost with another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CostWeights {
-    /// For attempts that cross zones.
+    /// Cost of attempts that cross zones.
     pub cross_zone: f64,
-    /// For a health check, per request.
+    /// Cost of a health check, per request.
     pub probe: f64,
-    /// For work that served no answer.
+    /// Cost of work that did not lead to a served answer.
     pub waste: f64,
-    /// For a new connection, per request.
+    /// Cost of a new connection, per request.
     pub handshake: f64,
 }
 
 /// The settings of one scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This scheduler's number among the schedulers, from 0.
+    /// Index of this scheduler among all schedulers, from 0.
     pub scheduler_index: u32,
-    /// How many schedulers there are.
+    /// Number of schedulers in the deployment.
     pub scheduler_count: u32,
     /// This scheduler's zone.
     pub zone: ZoneId,
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// Tenants; empty where a site has none.
+    /// Tenants; empty if the deployment has none.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, as a fraction.
+    /// Weight of a request that exceeds its tenant's quota, as a fraction of its ordinary weight.
     pub over_quota_weight: f64,
-    /// Weights count by the work in a request rather than by request.
+    /// Whether a request is weighted by its work; otherwise all requests of a class have the same weight.
     pub weight_by_work: bool,
-    /// How changes of the endpoint list arrive.
+    /// How changes of the endpoint list reach the scheduler.
     pub endpoint_delivery: EndpointDelivery,
-    /// Where load reports come from.
+    /// When workers send load reports.
     pub load_report_source: LoadReportSource,
-    /// Meaning of the listed weights.
+    /// The meaning of the weights in the endpoint list.
     pub weights: Weights,
-    /// How workers serve their queues.
+    /// The order in which workers serve their queues.
     pub queue_order: QueueOrder,
-    /// Workers report when a job starts.
+    /// Whether workers report the start of a job.
     pub reports_start: bool,
-    /// Interval of progress reports; 0 for none.
+    /// Interval between progress reports of a job; 0 if workers send none.
     pub progress_interval: Micros,
-    /// Permissions.
+    /// Limits on what the scheduler may do.
     pub limits: Limits,
-    /// Times and factors of the rules.
+    /// Times and factors of the rules that schedulers must follow.
     pub rules: Rules,
-    /// What things cost.
+    /// Costs that the scheduler weighs against one another.
     pub cost_weights: CostWeights,
-    /// Events come in batches at most this often.
+    /// Minimum interval between two batches of events.
     pub tick: Micros,
 }
 
 impl Settings {
-    /// Checks the settings for values that contradict one another.
+    /// Checks the settings for values that are out of range.
     ///
     /// # Errors
     ///
-    /// The first field that is out of its range, by the key that users set.
+    /// Returns the first field that is out of range, named by the key that users set.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let bad = |field, reason| Err(SettingsError { field, reason });
+        let invalid = |field, reason| Err(SettingsError { field, reason });
         if self.scheduler_count == 0 || self.scheduler_index >= self.scheduler_count {
-            return bad("me", "must be below the number of schedulers");
+            return invalid("me", "must be below the number of schedulers");
         }
         if self.classes.iter().any(|class| class.deadline == 0) {
-            return bad("services[].deadline", "must be above 0");
+            return invalid("services[].deadline", "must be above 0");
         }
         if self.limits.max_attempts == 0 {
-            return bad("limits.max_attempts", "must be at least 1");
+            return invalid("limits.max_attempts", "must be at least 1");
         }
         if !(self.rules.slow_start_floor > 0.0 && self.rules.slow_start_floor <= 1.0) {
-            return bad("rules.cold_share", "must lie in (0, 1]");
+            return invalid("rules.cold_share", "must lie in (0, 1]");
         }
         if !(self.rules.overload_factor > 0.0 && self.rules.overload_factor.is_finite()) {
-            return bad("rules.fall_multiple", "must be positive");
+            return invalid("rules.fall_multiple", "must be positive");
         }
         if self.tenants.iter().any(|t| !(t.quota_per_second >= 0.0 && t.quota_per_second.is_finite())) {
-            return bad("tenants.allowance_per_s", "must not be negative");
+            return invalid("tenants.allowance_per_s", "must not be negative");
         }
         Ok(())
     }
 }
 
-/// Why [`Settings`] were not accepted.
+/// An invalid field of [`Settings`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The key, as users set it.
+    /// The key of the field, as users set it.
     pub field: &'static str,
-    /// What is wrong.
+    /// The condition that the value violates.
     pub reason: &'static str,
 }
 
--- a/crates/scheduling/src/test_support.rs
+++ b/crates/scheduling/src/test_support.rs
@@ -1,4 +1,4 @@
-//! What the unit tests share: settings, endpoints and fleets.
+//! Settings, endpoints and fleets that the unit tests share.
 
 use crate::events::{Endpoint, EndpointUpdate};
 use crate::fleet::Fleet;
@@ -8,10 +8,10 @@
     Weights,
 };
 
-/// The present moment of the tests.
+/// The current time in the tests, in microseconds.
 pub(crate) const NOW: Micros = 100_000_000;
 
-/// One scheduler alone, with one class of idempotent requests.
+/// Settings of a single scheduler with one class of idempotent requests.
 pub(crate) fn settings() -> Settings {
     Settings {
         scheduler_index: 0,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A worker starts with a quarter of its capacity and warms up within ten seconds.
+/// Rules by which a worker starts with a quarter of its capacity and warms up within ten seconds.
 pub(crate) fn rules() -> Rules {
     Rules {
         answer_slack: 8_000,
@@ -68,12 +68,12 @@
     }
 }
 
-/// A ready worker of weight 1 that started long ago.
+/// The entry of a ready worker of weight 1 that started long ago.
 pub(crate) fn endpoint(n: u64) -> Endpoint {
     Endpoint { worker: WorkerId(n), weight: 1.0, ..Endpoint::default() }
 }
 
-/// A fleet of these workers, in this order.
+/// A fleet of the listed workers, in the order of the list.
 pub(crate) fn fleet_of(endpoints: impl IntoIterator<Item = Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
     fleet.update(NOW, EndpointUpdate::Snapshot, endpoints.into_iter().collect(), Weights::Size);
--- a/crates/scheduling/src/timer.rs
+++ b/crates/scheduling/src/timer.rs
@@ -1,13 +1,13 @@
-//! Timers: what is to be done when one expires, and its token.
+//! Timers: what the scheduler does when a timer expires, and how a token encodes a timer.
 //!
-//! A token contains the kind in its top byte and the request's sequence number in the others.
+//! A token contains the timer's kind in its top byte and the request's sequence number in the other bytes.
 
 use crate::ids::TimerToken;
 
-/// Number of a request in the order of arrival.
+/// Number of a request in order of arrival.
 pub(crate) type SequenceNumber = u64;
 
-/// Position of the kind in a token.
+/// Position of the lowest bit of the timer's kind in a token.
 const KIND_SHIFT: u32 = 56;
 /// The bits of a token that contain the sequence number.
 const SEQUENCE_MASK: u64 = (1 << KIND_SHIFT) - 1;
@@ -17,7 +17,7 @@
 const KIND_ENDPOINT_POLL: u64 = 2;
 const KIND_ATTEMPT_CHECK: u64 = 3;
 
-/// What is to be done when a timer expires.
+/// A timer, by what the scheduler does when it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
     /// Give the request its final answer.
@@ -31,7 +31,7 @@
 }
 
 impl Timer {
-    /// The token that the embedding program returns with the timer.
+    /// Returns the token that the embedding program sends back when the timer expires.
     pub(crate) fn token(self) -> TimerToken {
         let (kind, sequence) = match self {
             Timer::Deadline(sequence) => (KIND_DEADLINE, sequence),
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -1,4 +1,4 @@
-//! What a scheduler knows of one worker: its endpoint, its own attempts there, its load and its health.
+//! What a scheduler knows about one worker: its endpoint, load and health, and the attempts sent to it.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::coordination::{PeerLedger, PendingQuery};
@@ -8,16 +8,17 @@
 use crate::settings::Rules;
 use crate::slow_start::{self, AdmissionBudget};
 
-/// A job that need not wait at its worker is reported as started within this time, microseconds.
+/// Time within which a worker with a free slot reports a job as started, in microseconds.
 pub(crate) const MAX_START_DELAY: Micros = 60_000;
-/// An occupancy report that is older than this no longer counts, microseconds.
+/// Age from which an occupancy report no longer counts, in microseconds.
 const MAX_REPORT_AGE: Micros = 1_000_000;
-/// An occupancy report that is younger than this is not queried again, microseconds: a round trip and a tick.
+/// A worker's occupancy is not queried again while its report is younger than this, in microseconds: a round
+/// trip and a tick.
 const FRESH_REPORT_AGE: Micros = 20_000;
-/// The smallest weight that a load is divided by.
+/// Lower bound of the weight that a load is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// Names one attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
@@ -40,41 +41,42 @@
     pub(crate) fraction_done: f64,
 }
 
-/// How full a worker is by its coordinator's latest reply.
+/// A worker's occupancy by its coordinator's latest reply.
 pub(crate) struct OccupancyReport {
-    /// Slots in flight there; `None` if the coordinator doesn't list the worker.
+    /// Slots in flight at the worker; `None` if the coordinator doesn't list the worker.
     pub(crate) slots: Option<f64>,
     /// When the coordinator was queried.
     pub(crate) queried_at: Micros,
 }
 
-/// What this scheduler knows of a worker.
+/// What this scheduler knows about a worker.
 #[derive(Default)]
 pub(crate) struct Worker {
-    /// Its entry in the endpoint list.
+    /// The worker's entry in the endpoint list.
     pub(crate) endpoint: Endpoint,
-    /// When its process started, by this scheduler's own clock; `None`: long ago.
+    /// When the worker's process started, by this scheduler's own clock; `None` if long ago.
     pub(crate) started_at: Option<Micros>,
-    /// It is listed and takes work.
+    /// Whether the worker is listed and accepts new jobs.
     pub(crate) is_ready: bool,
-    /// Its size relative to other workers.
+    /// The worker's size relative to other workers.
     pub(crate) weight: f64,
-    /// Its virtual points on the ring.
+    /// Number of the worker's virtual points on the ring.
     pub(crate) points: u32,
+    /// The latest occupancy report.
     pub(crate) report: Option<OccupancyReport>,
-    /// The occupancy query that its coordinator has not answered yet.
+    /// The occupancy query that the worker's coordinator has not answered yet.
     pub(crate) pending_query: Option<PendingQuery>,
-    /// Requests that wait for that answer.
+    /// Requests that wait for the answer to `pending_query`.
     pub(crate) awaiting_report: Vec<RequestId>,
     pub(crate) concurrency_limit: ConcurrencyLimit,
     pub(crate) outlier: OutlierDetector,
-    /// Own attempts that have not ended.
+    /// This scheduler's attempts that have not ended.
     pub(crate) in_flight: Vec<InFlightAttempt>,
-    /// Those of them that have started, where workers report that.
+    /// The attempts in `in_flight` that have started, where workers report the start of a job.
     pub(crate) started: Vec<StartedAttempt>,
-    /// As its coordinator: what peers have in flight or reserved there.
+    /// What peers have in flight or reserved at the worker, if this scheduler is the worker's coordinator.
     pub(crate) peers: PeerLedger,
-    /// Work that was admitted there, within this scheduler's part of what the worker bears while it warms up.
+    /// Work that was admitted to the worker while it warms up, within this scheduler's share of the limit.
     pub(crate) admitted_work: AdmissionBudget,
 }
 
@@ -84,7 +86,8 @@
         Worker { endpoint, started_at, is_ready, weight, ..Worker::default() }
     }
 
-    /// Replaces what was learned of the worker's earlier process; attempts in flight there still end.
+    /// Discards what was learned about the worker's earlier process. Attempts in flight are kept, since they
+    /// still end.
     pub(crate) fn restart(&mut self, endpoint: Endpoint, weight: f64, started_at: Option<Micros>) {
         let (in_flight, points) = (std::mem::take(&mut self.in_flight), self.points);
         *self = Worker { points, in_flight, ..Worker::new(endpoint, weight, started_at) };
@@ -98,12 +101,13 @@
         self.warm_up_fraction(now, rules) < 1.0
     }
 
-    /// Slots of this scheduler's own attempts there.
+    /// Slots of this scheduler's own attempts in flight at the worker.
     pub(crate) fn own_slots(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// Slots in flight there by the latest report of its coordinator and what was sent since.
+    /// Slots in flight at the worker: the coordinator's latest report plus what was sent since. `None` if the
+    /// report is missing or too old, or doesn't list the worker.
     pub(crate) fn occupancy(&self, now: Micros) -> Option<f64> {
         let report =
             self.report.as_ref().filter(|report| now.saturating_sub(report.queried_at) < MAX_REPORT_AGE)?;
@@ -112,12 +116,12 @@
         report.slots.map(|slots| slots + slots_since)
     }
 
-    /// The same for each unit of weight.
+    /// Slots in flight at the worker per unit of weight.
     pub(crate) fn occupancy_per_unit(&self, now: Micros) -> Option<f64> {
         self.occupancy(now).map(|occupancy| occupancy / self.weight.max(MIN_WEIGHT))
     }
 
-    /// Its load for each unit of weight, by what is known of it.
+    /// The worker's load per unit of weight: its occupancy or, if unknown, this scheduler's own slots.
     pub(crate) fn load(&self, now: Micros) -> f64 {
         self.occupancy(now).unwrap_or(self.own_slots()) / self.weight.max(MIN_WEIGHT)
     }
@@ -126,7 +130,7 @@
         self.report.as_ref().is_some_and(|report| now.saturating_sub(report.queried_at) < FRESH_REPORT_AGE)
     }
 
-    /// Whether an own job has waited here for longer than a report of its start takes: the slots are full.
+    /// Whether a job of this scheduler has not been reported as started in time: the worker's slots are full.
     pub(crate) fn has_delayed_start(&self, now: Micros) -> bool {
         let is_delayed = |attempt: &InFlightAttempt| {
             attempt.sent_at + MAX_START_DELAY < now && self.started(attempt.id).is_none()
@@ -138,7 +142,8 @@
         self.started.iter().find(|attempt| attempt.id == id)
     }
 
-    /// Whether it has no capacity for these slots, given how many slots one unit of weight has.
+    /// Whether the worker has no capacity for a job of `slots`. `slots_per_unit` is the number of slots per
+    /// unit of weight.
     pub(crate) fn is_busy(&self, now: Micros, slots: f64, slots_per_unit: f64) -> bool {
         let is_full = |occupancy: f64| occupancy + slots > (slots_per_unit * self.weight).max(slots);
         self.concurrency_limit.is_rejecting(now)
@@ -146,14 +151,14 @@
             || self.concurrency_limit.is_exceeded(self.own_slots(), slots)
     }
 
-    /// Takes the outcome of an attempt here, by this scheduler or by a peer.
+    /// Records the outcome of an attempt at the worker, sent by this scheduler or by a peer.
     pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_at_once: bool) {
         let in_flight = self.own_slots();
         self.concurrency_limit.record_result(now, outcome, refused_at_once, in_flight);
         self.outlier.record_result(now, outcome, refused_at_once);
     }
 
-    /// Removes an own attempt that has ended; `false` if there is no such attempt.
+    /// Removes an attempt of this scheduler that has ended; returns `false` if there is no such attempt.
     pub(crate) fn remove_attempt(&mut self, id: AttemptId) -> bool {
         let Some(position) = self.in_flight.iter().position(|attempt| attempt.id == id) else {
             return false;
--- a/crates/scheduling/src/worker/tests.rs
+++ b/crates/scheduling/src/worker/tests.rs
@@ -5,16 +5,16 @@
     Worker::new(Endpoint::default(), 2.0, None)
 }
 
-fn id(request: u64) -> AttemptId {
+fn first_attempt(request: u64) -> AttemptId {
     AttemptId { request: RequestId(request), number: AttemptNo(0) }
 }
 
 fn sent(request: u64, sent_at: Micros, slots: f64) -> InFlightAttempt {
-    InFlightAttempt { id: id(request), sent_at, slots }
+    InFlightAttempt { id: first_attempt(request), sent_at, slots }
 }
 
 #[test]
-fn occupancy_is_the_latest_report_and_what_was_sent_since_until_the_report_is_too_old() {
+fn occupancy_is_the_latest_report_plus_slots_sent_since_until_the_report_is_too_old() {
     let mut worker = worker();
     assert_eq!(worker.occupancy(NOW), None);
     worker.in_flight = vec![sent(1, NOW - 2, 1.0), sent(2, NOW, 2.0)];
@@ -23,9 +23,9 @@
     assert_eq!(worker.occupancy_per_unit(NOW), Some(2.5));
     assert_eq!(worker.occupancy(NOW - 1 + MAX_REPORT_AGE), None);
     worker.report = Some(OccupancyReport { slots: None, queried_at: NOW });
-    assert_eq!(worker.occupancy(NOW), None, "the coordinator doesn't list it");
+    assert_eq!(worker.occupancy(NOW), None, "the coordinator doesn't list the worker");
     assert!(worker.has_fresh_report(NOW));
-    assert_eq!(worker.load(NOW), 1.5, "own slots, where nothing else is known");
+    assert_eq!(worker.load(NOW), 1.5, "the scheduler's own slots, as the occupancy is unknown");
 }
 
 #[test]
@@ -46,13 +46,17 @@
     worker.in_flight = vec![sent(1, NOW, 1.0)];
     assert!(!worker.has_delayed_start(NOW + MAX_START_DELAY));
     assert!(worker.has_delayed_start(NOW + MAX_START_DELAY + 1));
-    worker.started =
-        vec![StartedAttempt { id: id(1), started_at: NOW, last_progress_at: NOW, fraction_done: 0.0 }];
+    worker.started = vec![StartedAttempt {
+        id: first_attempt(1),
+        started_at: NOW,
+        last_progress_at: NOW,
+        fraction_done: 0.0,
+    }];
     assert!(!worker.has_delayed_start(NOW + MAX_START_DELAY + 1));
 }
 
 #[test]
-fn a_restarted_worker_keeps_its_attempts_and_points_and_nothing_that_was_learned() {
+fn a_restarted_worker_keeps_its_attempts_and_points_and_loses_what_was_learned() {
     let mut worker = worker();
     worker.in_flight = vec![sent(1, NOW, 1.0)];
     worker.points = 7;
@@ -68,7 +72,7 @@
 fn an_attempt_is_removed_once() {
     let mut worker = worker();
     worker.in_flight = vec![sent(1, NOW, 1.0), sent(2, NOW, 2.0)];
-    assert!(worker.remove_attempt(id(1)));
-    assert!(!worker.remove_attempt(id(1)));
+    assert!(worker.remove_attempt(first_attempt(1)));
+    assert!(!worker.remove_attempt(first_attempt(1)));
     assert_eq!(worker.own_slots(), 2.0);
 }
