--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -72,8 +72,8 @@
             return None;
         }
         let (zone, kind, cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
-        // Start times are compared for equality alone, since the clock that dates them may be stepped. A worker
-        // that is not ready may be listed with an older start, which is ignored.
+        // Start times are compared for equality alone, since the clock that dates them may be stepped. A
+        // worker that is not ready may be listed with an older start, which is ignored.
         if is_ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
             worker.restart(endpoint, weight, started_at);
         }
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -1,4 +1,4 @@
-//! `services`: the classes of requests.
+//! Reads `services`: the classes of requests.
 
 use crate::error::{Expected, SettingsFormatError};
 use crate::json_object::JsonObject;
@@ -35,25 +35,25 @@
         idempotency,
         kind: specifics.kind(index),
         priority: specifics.priority(index),
-        stream: entry.flag_or("stream", false)?,
+        stream: entry.boolean_or("stream", false)?,
     })
 }
 
 fn idempotency(entry: &JsonObject<'_>) -> Result<Idempotency, SettingsFormatError> {
     let scope = deduplication_scope(entry)?;
-    match entry.text("repeat")? {
+    match entry.string("repeat")? {
         "safe" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::Keyed { scope, deduplication_window: entry.integer("window")? }),
         "unsafe" => Ok(Idempotency::NonIdempotent),
-        _ => Err(entry.unreadable("repeat", Expected::OneOf(REPEAT_VALUES))),
+        _ => Err(entry.invalid_value("repeat", Expected::OneOf(REPEAT_VALUES))),
     }
 }
 
 fn deduplication_scope(entry: &JsonObject<'_>) -> Result<DeduplicationScope, SettingsFormatError> {
-    match entry.optional_text("group") {
+    match entry.optional_string("group") {
         None | Some("all") => Ok(DeduplicationScope::All),
         Some("zone") => Ok(DeduplicationScope::Zone),
         Some("cell") => Ok(DeduplicationScope::Cell),
-        Some(_) => Err(entry.unreadable("group", Expected::OneOf(GROUP_VALUES))),
+        Some(_) => Err(entry.invalid_value("group", Expected::OneOf(GROUP_VALUES))),
     }
 }
--- a/crates/settings/src/cost_weights.rs
+++ b/crates/settings/src/cost_weights.rs
@@ -1,4 +1,4 @@
-//! `charges`: what things cost, as shares of the result.
+//! Reads `charges`: costs as fractions of the overall result.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,31 +1,32 @@
-//! Why a settings object can't be read.
+//! Errors of reading a settings object.
 
 use std::fmt;
 
-/// A key that is missing or unreadable.
+/// A key that is missing or has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFormatError {
-    /// The key's path within the object, with `[]` for any entry of a list; empty for the object itself.
+    /// The key's path within the settings object, with `[]` for an entry of a list; empty if the error
+    /// concerns the whole object.
     pub path: String,
-    /// What is wrong there.
+    /// What is wrong with the key.
     pub problem: Problem,
 }
 
 /// What is wrong with a key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// The text is not JSON, for this reason.
+    /// The text is not JSON; the string is the parser's message.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// The settings are another kind of value.
+    /// The settings are a JSON value other than an object.
     #[error("not an object")]
     NotAnObject,
-    /// The key is required.
+    /// A required key is missing.
     #[error("missing; add {0}")]
     Missing(Expected),
-    /// The value has another form.
-    #[error("unreadable; set it to {0}")]
-    Unreadable(Expected),
+    /// The value is not of the expected form.
+    #[error("invalid value; expected {0}")]
+    InvalidValue(Expected),
 }
 
 /// The form that a value must have.
@@ -39,15 +40,15 @@
     Objects,
     /// A number.
     Number,
-    /// An integer that is not negative.
+    /// A non-negative number; its fraction is dropped.
     Integer,
-    /// An integer from 0 to [`u32::MAX`].
+    /// A number from 0 to [`u32::MAX`]; its fraction is dropped.
     SmallInteger,
     /// `true` or `false`.
-    Flag,
-    /// A text.
-    Text,
-    /// One of these texts.
+    Boolean,
+    /// A string.
+    String,
+    /// One of the given strings.
     OneOf(&'static [&'static str]),
 }
 
@@ -58,10 +59,10 @@
             Expected::List => f.write_str("a list"),
             Expected::Objects => f.write_str("a list of objects"),
             Expected::Number => f.write_str("a number"),
-            Expected::Integer => f.write_str("a number from 0 up"),
+            Expected::Integer => f.write_str("a non-negative number"),
             Expected::SmallInteger => write!(f, "a number from 0 to {}", u32::MAX),
-            Expected::Flag => f.write_str("true or false"),
-            Expected::Text => f.write_str("a text"),
+            Expected::Boolean => f.write_str("true or false"),
+            Expected::String => f.write_str("a string"),
             Expected::OneOf(values) => write!(f, "one of {}", values.join(", ")),
         }
     }
@@ -72,7 +73,7 @@
         SettingsFormatError { path: path.into(), problem }
     }
 
-    /// The path below `root`, the name that the object has where it was found.
+    /// Returns the key's path prefixed with `root`, the name of the settings object in its document.
     #[must_use]
     pub fn key_under(&self, root: &str) -> String {
         if self.path.is_empty() {
--- a/crates/settings/src/json_object.rs
+++ b/crates/settings/src/json_object.rs
@@ -1,13 +1,13 @@
-//! A JSON object whose values are read by the form that they must have.
+//! Reads values of a JSON object and checks that each has the expected form.
 
 use crate::error::{Expected, Problem, SettingsFormatError};
 use serde_json::{Map, Value};
 
-/// A JSON object with the path that led to it, for error messages.
+/// A JSON object together with its path, which error messages name.
 pub(crate) struct JsonObject<'a> {
-    /// `None` reads as an empty object.
+    /// The object's entries; `None` is read as an empty object.
     map: Option<&'a Map<String, Value>>,
-    /// The prefix of its keys' paths.
+    /// The prefix of the keys' paths, with the separator.
     path: &'a str,
 }
 
@@ -16,16 +16,16 @@
         JsonObject { map: Some(map), path }
     }
 
-    /// The error for a value of another form.
-    pub(crate) fn unreadable(&self, key: &str, expected: Expected) -> SettingsFormatError {
-        SettingsFormatError::new(format!("{}{key}", self.path), Problem::Unreadable(expected))
+    /// Returns the error for a value that is not of the expected form.
+    pub(crate) fn invalid_value(&self, key: &str, expected: Expected) -> SettingsFormatError {
+        SettingsFormatError::new(format!("{}{key}", self.path), Problem::InvalidValue(expected))
     }
 
     pub(crate) fn get(&self, key: &str) -> Option<&'a Value> {
         self.map?.get(key)
     }
 
-    /// Reads a required value; `read` is `None` if it has another form.
+    /// Reads a required value with `read`, which returns `None` if the value is not of the expected form.
     fn require<T>(
         &self,
         key: &str,
@@ -34,7 +34,7 @@
     ) -> Result<T, SettingsFormatError> {
         let missing = || SettingsFormatError::new(format!("{}{key}", self.path), Problem::Missing(expected));
         let value = self.get(key).ok_or_else(missing)?;
-        read(value).ok_or_else(|| self.unreadable(key, expected))
+        read(value).ok_or_else(|| self.invalid_value(key, expected))
     }
 
     pub(crate) fn object(&self, key: &str, path: &'a str) -> Result<JsonObject<'a>, SettingsFormatError> {
@@ -42,12 +42,12 @@
         Ok(JsonObject::new(map, path))
     }
 
-    /// An object that may be absent; a value of another form counts as absent.
+    /// Reads an optional object; a value that is not an object counts as absent.
     pub(crate) fn optional_object(&self, key: &str, path: &'a str) -> JsonObject<'a> {
         JsonObject { map: self.get(key).and_then(Value::as_object), path }
     }
 
-    /// The entries of a list of objects; `path` is that of the entries' keys.
+    /// Reads a list of objects; `path` is the prefix of the paths of the entries' keys.
     pub(crate) fn objects<'b>(
         &'b self,
         key: &'b str,
@@ -56,7 +56,7 @@
     {
         let entries = self.require(key, Expected::List, Value::as_array)?;
         Ok(entries.iter().map(move |entry| {
-            let map = entry.as_object().ok_or_else(|| self.unreadable(key, Expected::Objects))?;
+            let map = entry.as_object().ok_or_else(|| self.invalid_value(key, Expected::Objects))?;
             Ok(JsonObject::new(map, path))
         }))
     }
@@ -69,7 +69,7 @@
         self.get(key).map_or(Ok(default), |_| self.number(key))
     }
 
-    /// An integer; a fraction is dropped.
+    /// Reads a non-negative number and drops its fraction.
     pub(crate) fn integer(&self, key: &str) -> Result<u64, SettingsFormatError> {
         self.require(key, Expected::Integer, integer)
     }
@@ -87,16 +87,16 @@
         self.require(key, Expected::SmallInteger, small)
     }
 
-    pub(crate) fn flag_or(&self, key: &str, default: bool) -> Result<bool, SettingsFormatError> {
-        self.get(key).map_or(Ok(default), |_| self.require(key, Expected::Flag, Value::as_bool))
+    pub(crate) fn boolean_or(&self, key: &str, default: bool) -> Result<bool, SettingsFormatError> {
+        self.get(key).map_or(Ok(default), |_| self.require(key, Expected::Boolean, Value::as_bool))
     }
 
-    pub(crate) fn text(&self, key: &str) -> Result<&'a str, SettingsFormatError> {
-        self.require(key, Expected::Text, Value::as_str)
+    pub(crate) fn string(&self, key: &str) -> Result<&'a str, SettingsFormatError> {
+        self.require(key, Expected::String, Value::as_str)
     }
 
-    /// A text that may be absent; a value of another form counts as absent.
-    pub(crate) fn optional_text(&self, key: &str) -> Option<&'a str> {
+    /// Reads an optional string; a value that is not a string counts as absent.
+    pub(crate) fn optional_string(&self, key: &str) -> Option<&'a str> {
         self.get(key).and_then(Value::as_str)
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the deployment's settings object, which the simulator's wire and the daemon's configuration have in common.
+//! Reads a deployment's settings object, which the simulator's protocol and the daemon's configuration share.
 //!
-//! The object's keys are mapped to the fields of [`Settings`] here and nowhere else, one module for each of its parts.
-//! Unknown keys are skipped, since new ones can appear at any time. Only the form of a value is checked here; whether
-//! values make sense together is checked by [`Settings::check`].
+//! Only this crate maps the object's keys to the fields of [`Settings`]; each part of the object has a module
+//! of its own. Unknown keys are skipped, since new keys can appear at any time. This crate checks the form of
+//! each value; [`Settings::check`] checks that the values are in range.
 //!
 //! ```
 //! let error = vetchbridge_settings::from_json(r#"{"limits": {}}"#).unwrap_err();
@@ -31,11 +31,11 @@
 const STATS_VIA_VALUES: &[&str] = &["off", "inline", "on_probe"];
 const WEIGHTS_VALUES: &[&str] = &["off", "nominal", "rough", "live"];
 
-/// Reads the settings object from its text.
+/// Reads the settings object from JSON text.
 ///
 /// # Errors
 ///
-/// The text is not JSON, or see [`from_value`].
+/// Returns an error if the text is not JSON, and the errors of [`from_value`].
 pub fn from_json(json: &str) -> Result<Settings, SettingsFormatError> {
     match serde_json::from_str(json) {
         Ok(value) => from_value(&value),
@@ -43,11 +43,11 @@
     }
 }
 
-/// Reads the settings object as part of a larger document.
+/// Reads the settings object from a JSON value, for example a part of a larger document.
 ///
 /// # Errors
 ///
-/// The first key that is missing or unreadable.
+/// Returns the first key that is missing or has an invalid value, or an error if the value is not an object.
 pub fn from_value(value: &Value) -> Result<Settings, SettingsFormatError> {
     let Some(map) = value.as_object() else {
         return Err(SettingsFormatError::new("", Problem::NotAnObject));
@@ -63,7 +63,7 @@
         scheduler_count: root.small_integer("balancers")?,
         zone: ZoneId(root.small_integer("zone")?),
         over_quota_weight: root.number_or("over_share_worth", 1.0)?,
-        weight_by_work: root.optional_text("counted_by") == Some("work"),
+        weight_by_work: root.optional_string("counted_by") == Some("work"),
         endpoint_delivery: endpoint_delivery(&root)?,
         load_report_source: load_report_source(&root)?,
         weights: weights(&root)?,
@@ -78,28 +78,28 @@
 }
 
 fn endpoint_delivery(root: &JsonObject<'_>) -> Result<EndpointDelivery, SettingsFormatError> {
-    match root.text("discovery")? {
+    match root.string("discovery")? {
         "push" => Ok(EndpointDelivery::Push),
         "ask" => Ok(EndpointDelivery::Poll),
-        _ => Err(root.unreadable("discovery", Expected::OneOf(DISCOVERY_VALUES))),
+        _ => Err(root.invalid_value("discovery", Expected::OneOf(DISCOVERY_VALUES))),
     }
 }
 
 fn load_report_source(root: &JsonObject<'_>) -> Result<LoadReportSource, SettingsFormatError> {
     let stats = root.optional_object("stats", "stats.");
-    match stats.optional_text("via") {
+    match stats.optional_string("via") {
         Some("inline") => Ok(LoadReportSource::Responses),
         Some("on_probe") => Ok(LoadReportSource::Probes),
         None | Some("off") => Ok(LoadReportSource::Never),
-        Some(_) => Err(stats.unreadable("via", Expected::OneOf(STATS_VIA_VALUES))),
+        Some(_) => Err(stats.invalid_value("via", Expected::OneOf(STATS_VIA_VALUES))),
     }
 }
 
 fn weights(root: &JsonObject<'_>) -> Result<Weights, SettingsFormatError> {
-    match root.optional_text("weights") {
+    match root.optional_string("weights") {
         None | Some("off") => Ok(Weights::Fixed),
         Some("nominal" | "rough") => Ok(Weights::Size),
         Some("live") => Ok(Weights::Live),
-        Some(_) => Err(root.unreadable("weights", Expected::OneOf(WEIGHTS_VALUES))),
+        Some(_) => Err(root.invalid_value("weights", Expected::OneOf(WEIGHTS_VALUES))),
     }
 }
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! `limits`: what a scheduler is allowed to do.
+//! Reads `limits`: what a scheduler is allowed to do.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
@@ -8,11 +8,11 @@
     Ok(Limits {
         max_attempts: limits.small_integer("max_attempts")?,
         dial_timeout: limits.integer_or("dial_timeout", 0)?,
-        hedging: limits.flag_or("second_copies", false)?,
-        may_probe: limits.flag_or("may_probe", false)?,
-        may_cancel: limits.flag_or("may_cancel", false)?,
-        retry_after: limits.flag_or("retry_after", false)?,
+        hedging: limits.boolean_or("second_copies", false)?,
+        may_probe: limits.boolean_or("may_probe", false)?,
+        may_cancel: limits.boolean_or("may_cancel", false)?,
+        retry_after: limits.boolean_or("retry_after", false)?,
         max_retry_after: limits.integer_or("max_retry_after", 0)?,
-        may_message_peers: limits.flag_or("peers", false)?,
+        may_message_peers: limits.boolean_or("peers", false)?,
     })
 }
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,4 +1,4 @@
-//! `rules`: the times and shares that the platform holds schedulers to.
+//! Reads `rules`: the times and factors of the rules that the platform imposes on schedulers.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/settings/src/specifics.rs
+++ b/crates/settings/src/specifics.rs
@@ -1,11 +1,11 @@
-//! `specifics`: what only some sites have.
+//! Reads `specifics`: settings that only some deployments have.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
 use serde_json::Value;
 use vetchbridge_scheduling::{KindId, Micros, QueueOrder};
 
-/// The site's specifics; all of them may be absent.
+/// The `specifics` object; each of its keys may be absent.
 pub(crate) struct Specifics<'a> {
     object: JsonObject<'a>,
 }
@@ -15,7 +15,7 @@
         Specifics { object }
     }
 
-    /// The number for a class in a list with one entry for each class.
+    /// Returns the number for a class from the list at `key`, which has one entry for each class.
     fn class_number(&self, key: &str, class: usize) -> Option<f64> {
         self.object
             .get(key)
@@ -28,7 +28,7 @@
         self.class_number("class_stretch", class)
     }
 
-    /// The only kind of machine that runs a class; a negative number stands for any.
+    /// Returns the only machine type that runs a class; a negative number stands for any machine type.
     pub(crate) fn kind(&self, class: usize) -> Option<KindId> {
         self.class_number("class_kind", class).filter(|kind| *kind >= 0.0).map(|kind| KindId(kind as u32))
     }
@@ -38,7 +38,7 @@
     }
 
     pub(crate) fn queue_order(&self) -> QueueOrder {
-        match self.object.optional_text("queue_order") {
+        match self.object.optional_string("queue_order") {
             Some("backfill") => QueueOrder::Backfill,
             Some("priority") => QueueOrder::Priority,
             _ => QueueOrder::Fifo,
@@ -46,10 +46,10 @@
     }
 
     pub(crate) fn reports_start(&self) -> Result<bool, SettingsFormatError> {
-        self.object.flag_or("tells_start", false)
+        self.object.boolean_or("tells_start", false)
     }
 
-    /// Interval of progress reports; 0 for none.
+    /// Returns the interval between progress reports of a job; 0 if workers send none.
     pub(crate) fn progress_interval(&self) -> Result<Micros, SettingsFormatError> {
         self.object.integer_or("progress", 0)
     }
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `accounts`: the tenants, where a site has some.
+//! Reads `accounts`: the tenants, if the deployment has any.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -1,16 +1,16 @@
-//! Reading the settings object: every key, the defaults, and the errors.
+//! Tests of reading the settings object: every key, the defaults and the errors.
 #![allow(missing_docs)]
 
 use rstest::rstest;
 use vetchbridge_scheduling::*;
 use vetchbridge_settings::{from_json, Expected, Problem, SettingsFormatError};
 
-/// Only what is required.
+/// A settings object with the required keys only.
 const MINIMAL: &str = r#"{"me": 0, "balancers": 1, "zone": 0, "discovery": "push", "services": [],
     "limits": {"max_attempts": 2},
     "rules": {"stop_sending_within": 1, "start_capacity": 0.2, "cold": 3, "tip_multiple": 2.5, "fall": 4}}"#;
 
-/// Every key, and some that are unknown.
+/// A settings object with every known key and some unknown keys.
 const FULL: &str = r#"{"me": 1, "balancers": 3, "zone": 2, "discovery": "ask", "tick": 2000, "weights": "live",
     "over_share_worth": 0.25, "counted_by": "work", "stats": {"via": "on_probe", "fields": ["x0"]},
     "future": [1, 2],
@@ -27,8 +27,8 @@
         "tip_multiple": 3, "fall": 9.9},
     "charges": {"cross_zone": 0.1, "probe": 0.2, "waste": 0.3, "handshake": 0.4}}"#;
 
-fn error_of(json: &str) -> SettingsFormatError {
-    from_json(json).expect_err("an error")
+fn read_error(json: &str) -> SettingsFormatError {
+    from_json(json).expect_err("the settings are invalid")
 }
 
 #[test]
@@ -125,7 +125,7 @@
     Idempotency::Keyed { scope: DeduplicationScope::Zone, deduplication_window: 9 }
 )]
 #[case::non_idempotent(r#""repeat": "unsafe""#, Idempotency::NonIdempotent)]
-fn a_class_has_the_idempotency_that_it_names(#[case] keys: &str, #[case] expected: Idempotency) {
+fn repeat_and_group_set_the_idempotency_of_a_class(#[case] keys: &str, #[case] expected: Idempotency) {
     let services = format!(r#""services": [{{{keys}, "aim": 1, "deadline": 2}}]"#);
     let settings = from_json(&MINIMAL.replace(r#""services": []"#, &services)).expect("settings");
     assert_eq!(settings.classes[0].idempotency, expected);
@@ -135,14 +135,14 @@
 #[case::root(r#""me": 0, "#, "me", Expected::SmallInteger)]
 #[case::limits(r#""max_attempts": 2"#, "limits.max_attempts", Expected::SmallInteger)]
 #[case::rules(r#", "fall": 4"#, "rules.fall", Expected::Integer)]
-#[case::discovery(r#""discovery": "push", "#, "discovery", Expected::Text)]
-fn a_missing_key_is_named_with_what_to_add(
+#[case::discovery(r#""discovery": "push", "#, "discovery", Expected::String)]
+fn the_error_for_a_missing_key_names_the_path_and_the_expected_form(
     #[case] removed: &str,
     #[case] path: &str,
     #[case] expected: Expected,
 ) {
     assert!(MINIMAL.contains(removed));
-    let error = error_of(&MINIMAL.replace(removed, ""));
+    let error = read_error(&MINIMAL.replace(removed, ""));
     assert_eq!((error.path.as_str(), error.problem.clone()), (path, Problem::Missing(expected)));
     assert_eq!(error.to_string(), format!("settings.{path}: missing; add {expected}"));
 }
@@ -163,24 +163,24 @@
     "a number"
 )]
 #[case::flag(r#""peers": true"#, r#""peers": 1"#, "limits.peers", "true or false")]
-#[case::integer(r#""ask_within": 7"#, r#""ask_within": -7"#, "rules.ask_within", "a number from 0 up")]
+#[case::integer(r#""ask_within": 7"#, r#""ask_within": -7"#, "rules.ask_within", "a non-negative number")]
 #[case::number(r#""waste": 0.3"#, r#""waste": null"#, "charges.waste", "a number")]
 #[case::object(r#""limits": {"#, r#""limits": 1, "unlimited": {"#, "limits", "an object")]
-fn an_unreadable_value_is_named_with_what_to_set(
+fn the_error_for_an_invalid_value_names_the_path_and_the_expected_form(
     #[case] before: &str,
     #[case] after: &str,
     #[case] path: &str,
     #[case] expected: &str,
 ) {
     assert!(FULL.contains(before));
-    let error = error_of(&FULL.replacen(before, after, 1));
+    let error = read_error(&FULL.replacen(before, after, 1));
     assert_eq!(error.path, path);
-    assert_eq!(error.to_string(), format!("settings.{path}: unreadable; set it to {expected}"));
+    assert_eq!(error.to_string(), format!("settings.{path}: invalid value; expected {expected}"));
 }
 
 #[test]
-fn what_is_no_object_at_all_is_an_error_of_the_whole() {
-    assert_eq!(error_of("[]").to_string(), "settings: not an object");
-    assert!(error_of("{").to_string().starts_with("settings: not JSON: "));
-    assert_eq!(error_of("[]").key_under("setup"), "setup");
+fn the_error_for_a_value_other_than_an_object_has_an_empty_path() {
+    assert_eq!(read_error("[]").to_string(), "settings: not an object");
+    assert!(read_error("{").to_string().starts_with("settings: not JSON: "));
+    assert_eq!(read_error("[]").key_under("setup"), "setup");
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,35 +1,36 @@
-//! The instances of the decision module, and the batch that is being handled. No decision is made here.
+//! The instances of the decision module and the current batch of messages. All decisions are made by the
+//! instances.
 
 use crate::wire::{print_actions, FieldError, FieldProblem, Message};
 use std::collections::BTreeMap;
 use vetchbridge_scheduling::Scheduler;
 use vetchbridge_scheduling::{Action, Event, Micros, Settings};
 
-/// A batch that has begun.
+/// A batch of messages that has begun and not ended.
 struct Batch {
     now: Micros,
-    /// The instance that the next messages are for.
+    /// The instance that the next messages are for; `None` until an instance is selected.
     selected: Option<u32>,
 }
 
-/// Hosts the instances; each of them owns its scheduler and nothing else.
+/// Runs the instances; each instance is one scheduler and shares no state with the others.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Scheduler>,
     batch: Option<Batch>,
-    /// The actions of one event, kept to reuse their memory.
+    /// The actions of one event; the vector is kept to reuse its memory.
     actions: Vec<Action>,
-    /// The reply to the batch.
+    /// The reply to the current batch.
     reply: Vec<u8>,
 }
 
 impl Host {
-    /// Handles a message; returns the reply when it ends a batch.
+    /// Handles a message; returns the reply to the batch if the message ends the batch.
     pub(crate) fn handle(&mut self, message: Message) -> Result<Option<&[u8]>, FieldError> {
         match message {
             Message::BeginBatch(now) => self.begin_batch(now)?,
             Message::CommitBatch => return self.commit_batch().map(Some),
-            Message::SelectInstance(instance) => self.batch()?.selected = Some(instance),
+            Message::SelectInstance(instance) => self.current_batch()?.selected = Some(instance),
             Message::StartInstance { seed, settings } => self.start_instance(seed, *settings)?,
             Message::StopInstance => self.stop_instance()?,
             Message::Event(event) => self.handle_event(event)?,
@@ -37,7 +38,7 @@
         Ok(None)
     }
 
-    /// Checks that the input may end here.
+    /// Checks that the input does not end inside a batch.
     pub(crate) fn finish(&self) -> Result<(), FieldError> {
         match self.batch {
             Some(_) => Err(FieldError::new("commit", FieldProblem::EndsInsideBatch)),
@@ -45,18 +46,18 @@
         }
     }
 
-    fn batch(&mut self) -> Result<&mut Batch, FieldError> {
+    fn current_batch(&mut self) -> Result<&mut Batch, FieldError> {
         self.batch.as_mut().ok_or_else(|| FieldError::new("begin_batch", FieldProblem::MissingBefore))
     }
 
-    fn selected(&mut self) -> Result<u32, FieldError> {
-        let selected = self.batch()?.selected;
+    fn selected_instance(&mut self) -> Result<u32, FieldError> {
+        let selected = self.current_batch()?.selected;
         selected.ok_or_else(|| FieldError::new("instance", FieldProblem::MissingBefore))
     }
 
     fn begin_batch(&mut self, now: Micros) -> Result<(), FieldError> {
         if self.batch.is_some() {
-            return Err(FieldError::new("begin_batch", FieldProblem::InsideBatch));
+            return Err(FieldError::new("begin_batch", FieldProblem::BatchNotEnded));
         }
         self.batch = Some(Batch { now, selected: None });
         self.reply.clear();
@@ -64,14 +65,14 @@
     }
 
     fn commit_batch(&mut self) -> Result<&[u8], FieldError> {
-        self.batch()?;
+        self.current_batch()?;
         self.batch = None;
         self.reply.extend_from_slice(b"end\n");
         Ok(&self.reply)
     }
 
     fn start_instance(&mut self, seed: u64, settings: Settings) -> Result<(), FieldError> {
-        let instance = self.selected()?;
+        let instance = self.selected_instance()?;
         let scheduler =
             Scheduler::new(settings, seed).map_err(|error| FieldError::new("setup", error.into()))?;
         self.instances.insert(instance, scheduler);
@@ -79,14 +80,14 @@
     }
 
     fn stop_instance(&mut self) -> Result<(), FieldError> {
-        let instance = self.selected()?;
-        self.instances.remove(&instance).map(drop).ok_or_else(never_opened)
+        let instance = self.selected_instance()?;
+        self.instances.remove(&instance).map(drop).ok_or_else(not_running)
     }
 
     fn handle_event(&mut self, event: Event) -> Result<(), FieldError> {
-        let instance = self.selected()?;
-        let now = self.batch()?.now;
-        let scheduler = self.instances.get_mut(&instance).ok_or_else(never_opened)?;
+        let instance = self.selected_instance()?;
+        let now = self.current_batch()?.now;
+        let scheduler = self.instances.get_mut(&instance).ok_or_else(not_running)?;
         self.actions.clear();
         scheduler.handle(now, event, &mut self.actions);
         if self.actions.is_empty() {
@@ -97,6 +98,6 @@
     }
 }
 
-fn never_opened() -> FieldError {
-    FieldError::new("instance", FieldProblem::NeverOpened)
+fn not_running() -> FieldError {
+    FieldError::new("instance", FieldProblem::NotRunning)
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decision module on the simulator's wire: standard input to standard output.
+//! Runs instances of the decision module over the simulator's text protocol: reads messages from standard
+//! input and writes replies to standard output.
 
 #![deny(missing_docs)]
 
@@ -13,13 +14,13 @@
 /// Size of the input buffer in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
-/// Why the adapter stops before the end of its input.
+/// An error that stops the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     /// The input is malformed.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// The output can't be written.
+    /// Standard output can't be written.
     #[error(transparent)]
     Output(#[from] io::Error),
 }
--- a/crates/simulator-adapter/src/wire/base64.rs
+++ b/crates/simulator-adapter/src/wire/base64.rs
@@ -1,4 +1,4 @@
-//! Bytes as text: base64, and `-` for none.
+//! Encodes bytes as text: base64, or `-` for an empty sequence.
 
 use ::base64::engine::general_purpose::STANDARD;
 use ::base64::Engine as _;
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,4 +1,4 @@
-//! Why the input is malformed.
+//! Errors of malformed input.
 
 use std::fmt;
 use std::io;
@@ -10,28 +10,28 @@
 pub(crate) enum FieldProblem {
     #[error("missing")]
     Missing,
-    #[error("unreadable value {0:?}")]
-    Unreadable(String),
+    #[error("invalid value {0:?}")]
+    InvalidValue(String),
     #[error("unknown value {0:?}")]
     UnknownValue(String),
     #[error("not base64")]
     NotBase64,
     #[error("not UTF-8")]
     NotUtf8,
-    #[error("outside a list")]
+    #[error("outside an endpoint list")]
     OutsideList,
-    #[error("missing: the list announced more entries")]
+    #[error("missing; the endpoint list announced more entries")]
     MissingRow,
-    #[error("input ends inside a list")]
+    #[error("missing; the input ends inside an endpoint list")]
     EndsInsideList,
-    #[error("input ends in a batch")]
+    #[error("missing; the input ends inside a batch")]
     EndsInsideBatch,
-    #[error("inside a batch")]
-    InsideBatch,
-    #[error("missing before this line")]
+    #[error("the previous batch has not ended")]
+    BatchNotEnded,
+    #[error("must precede this line")]
     MissingBefore,
-    #[error("never opened")]
-    NeverOpened,
+    #[error("the selected instance is not running")]
+    NotRunning,
     #[error("{}", .0.problem)]
     SettingsFormat(SettingsFormatError),
     #[error(transparent)]
@@ -40,12 +40,12 @@
     Io(#[from] io::Error),
 }
 
-/// A malformed field or message, before its line is known.
+/// An error in a field or message, without the number of its line.
 #[derive(Debug)]
 pub(crate) struct FieldError {
-    /// The field or message.
+    /// Name of the field or message.
     pub(crate) field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field or message.
     pub(crate) problem: FieldProblem,
 }
 
@@ -54,7 +54,7 @@
         FieldError { field: field.into(), problem }
     }
 
-    /// The error at a line.
+    /// Adds the number of the line.
     pub(crate) fn at_line(self, line: u64) -> WireError {
         WireError { line, error: self }
     }
@@ -66,10 +66,10 @@
     }
 }
 
-/// Malformed input.
+/// An error in the input, with the number of its line.
 #[derive(Debug)]
 pub(crate) struct WireError {
-    /// Line of the input, from 1.
+    /// Number of the line in the input, from 1.
     line: u64,
     error: FieldError,
 }
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,4 +1,4 @@
-//! The `name=value` fields of a line.
+//! Reads the `name=value` fields of a line.
 
 use super::error::{FieldError, FieldProblem};
 use std::str::FromStr;
@@ -8,24 +8,24 @@
 pub(super) struct Fields<'a>(pub(super) &'a str);
 
 impl<'a> Fields<'a> {
-    /// The value of a field that may be absent.
+    /// Returns the value of an optional field.
     pub(super) fn optional(&self, name: &str) -> Option<&'a str> {
         self.0.split(' ').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// The value of a required field.
+    /// Returns the value of a required field.
     pub(super) fn required(&self, name: &str) -> Result<&'a str, FieldError> {
         self.optional(name).ok_or_else(|| FieldError::new(name, FieldProblem::Missing))
     }
 
-    /// A required field, read by `parse`.
+    /// Reads a required field with `parse`, which returns `None` if the value is invalid.
     pub(super) fn parsed<T>(
         &self,
         name: &str,
         parse: impl FnOnce(&'a str) -> Option<T>,
     ) -> Result<T, FieldError> {
         let value = self.required(name)?;
-        parse(value).ok_or_else(|| FieldError::new(name, FieldProblem::Unreadable(value.to_string())))
+        parse(value).ok_or_else(|| FieldError::new(name, FieldProblem::InvalidValue(value.to_string())))
     }
 
     pub(super) fn number<T: FromStr>(&self, name: &str) -> Result<T, FieldError> {
@@ -40,16 +40,16 @@
         self.optional(name).map(|_| self.number(name)).transpose()
     }
 
-    /// A flag, `0` or `1`; false if it is absent.
+    /// Reads an optional flag, `0` or `1`; an absent flag is false.
     pub(super) fn flag(&self, name: &str) -> Result<bool, FieldError> {
         match self.optional(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(FieldError::new(name, FieldProblem::Unreadable(other.to_string()))),
+            Some(other) => Err(FieldError::new(name, FieldProblem::InvalidValue(other.to_string()))),
         }
     }
 
-    /// A required field with one of some known values; `map` is `None` for any other.
+    /// Reads a required field with `map`, which returns `None` for an unknown value.
     pub(super) fn known_value<T>(
         &self,
         name: &str,
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,7 +1,8 @@
-//! The simulator's wire: lines of text, mapped to and from the decision module's own terms.
+//! The simulator's text protocol: converts lines of text to and from the types of the decision module.
 //!
-//! The wire's names appear in [`mod@parse`] and [`mod@print`] only, and nothing is decided here. Unknown messages, fields and
-//! settings are skipped; a known message that is malformed is a [`WireError`] that names the line and the field.
+//! The names of the protocol appear in [`mod@parse`] and [`mod@print`] only. This module makes no decisions.
+//! Unknown messages, fields and settings are skipped. A known message that is malformed causes a [`WireError`]
+//! that names the line and the field.
 
 mod base64;
 mod error;
@@ -20,20 +21,20 @@
 /// One message of a batch.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Message {
-    /// A batch begins, at this time.
+    /// A batch begins; the value is the current time.
     BeginBatch(Micros),
-    /// The batch ends.
+    /// The current batch ends.
     CommitBatch,
     /// The messages that follow are for this instance.
     SelectInstance(u32),
     /// The selected instance starts.
     StartInstance {
-        /// Its random seed.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings.
+        /// The instance's settings.
         settings: Box<Settings>,
     },
-    /// The selected instance is killed.
+    /// The selected instance is killed, without a shutdown event.
     StopInstance,
     /// An event for the selected instance.
     Event(Event),
--- a/crates/simulator-adapter/src/wire/parse.rs
+++ b/crates/simulator-adapter/src/wire/parse.rs
@@ -1,4 +1,5 @@
-//! Parses lines: the names of messages and fields that the simulator sends, mapped to the decision module's terms.
+//! Parses the lines that the simulator sends: maps the names of messages and fields to the types of the
+//! decision module.
 
 use super::error::{FieldError, FieldProblem};
 use super::fields::Fields;
@@ -8,13 +9,13 @@
     LoadReport, Outcome, Request, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
 };
 
-/// What a line holds.
+/// A parsed line.
 pub(super) enum Line {
     /// A message.
     Message(Message),
-    /// The head of an endpoint list, whose entries are on lines of their own.
+    /// The first line of an endpoint list; each of the `count` entries follows on a line of its own.
     EndpointList { update: EndpointUpdate, count: usize },
-    /// A message that is not known.
+    /// An unknown message.
     Unknown,
 }
 
@@ -38,7 +39,7 @@
     Ok(Line::Message(message))
 }
 
-/// Parses an event; `None` if it is not known.
+/// Parses an event; returns `None` for an unknown event.
 fn parse_event(name: &str, fields: Fields<'_>) -> Result<Option<Event>, FieldError> {
     let event = match name {
         "req" => Event::Request(parse_request(fields)?),
@@ -61,7 +62,7 @@
     Ok(Some(event))
 }
 
-/// Parses the start of an instance. Its settings are the rest of the line, and may contain spaces.
+/// Parses the message that starts an instance. The settings are the rest of the line and may contain spaces.
 fn parse_start(rest: &str) -> Result<Message, FieldError> {
     let (head, json) =
         rest.split_once("setup=").ok_or_else(|| FieldError::new("setup", FieldProblem::Missing))?;
@@ -128,7 +129,7 @@
     })
 }
 
-/// Parses a job's progress; `None` if its sort is not known.
+/// Parses a progress report; returns `None` for an unknown kind of report.
 fn parse_progress(fields: Fields<'_>) -> Result<Option<Event>, FieldError> {
     let progress = match fields.number::<u32>("sort")? {
         1 => JobProgress::Started,
@@ -169,7 +170,7 @@
     })
 }
 
-/// Parses a load report, `name:value` pairs; pairs that are unknown or unreadable are skipped.
+/// Parses a load report of `name:value` pairs; unknown names and invalid values are skipped.
 fn parse_load(fields: Fields<'_>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in fields.optional("feedback")?.split(',') {
--- a/crates/simulator-adapter/src/wire/print.rs
+++ b/crates/simulator-adapter/src/wire/print.rs
@@ -1,4 +1,4 @@
-//! Prints actions as the simulator reads them: the decision module's terms, mapped to the wire's names.
+//! Prints actions as lines of the simulator's text protocol.
 
 use super::base64;
 use super::worker_address::WorkerAddress;
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -8,28 +8,29 @@
 
 /// Initial capacity of the line buffer in bytes.
 const LINE_CAPACITY: usize = 1 << 16;
-/// Maximum number of list entries that memory is reserved for before they have been read.
+/// Maximum number of list entries for which memory is reserved before the entries are read.
 const MAX_RESERVED_ENDPOINTS: usize = 1 << 16;
 
-/// A reader of messages.
+/// Reads messages and counts the lines.
 pub(crate) struct Reader<R> {
     input: R,
     buffer: Vec<u8>,
-    line: u64,
+    /// Number of the line that was read last, from 1.
+    line_number: u64,
 }
 
 impl<R: BufRead> Reader<R> {
-    /// A reader at the start of its input.
+    /// Creates a reader at the start of its input.
     pub(crate) fn new(input: R) -> Reader<R> {
-        Reader { input, buffer: Vec::with_capacity(LINE_CAPACITY), line: 0 }
+        Reader { input, buffer: Vec::with_capacity(LINE_CAPACITY), line_number: 0 }
     }
 
-    /// Places an error at the line that was read last.
+    /// Adds the number of the line that was read last to an error.
     pub(crate) fn error(&self, error: FieldError) -> WireError {
-        error.at_line(self.line)
+        error.at_line(self.line_number)
     }
 
-    /// The next known message; `None` at the end of the input.
+    /// Reads the next known message; returns `None` at the end of the input.
     pub(crate) fn next_message(&mut self) -> Result<Option<Message>, WireError> {
         self.read_message().map_err(|error| self.error(error))
     }
@@ -47,7 +48,7 @@
         Ok(None)
     }
 
-    /// Reads the entries that follow the head of an endpoint list.
+    /// Reads the entries that follow the first line of an endpoint list.
     fn read_endpoints(&mut self, update: EndpointUpdate, count: usize) -> Result<Message, FieldError> {
         let mut endpoints = Vec::with_capacity(count.min(MAX_RESERVED_ENDPOINTS));
         while endpoints.len() < count {
@@ -58,10 +59,10 @@
         Ok(Message::Event(Event::Endpoints { update, endpoints }))
     }
 
-    /// The next line without its end; `None` at the end of the input.
+    /// Reads the next line without its line break; returns `None` at the end of the input.
     fn next_line(&mut self) -> Result<Option<&str>, FieldError> {
         self.buffer.clear();
-        self.line += 1;
+        self.line_number += 1;
         let length = self
             .input
             .read_until(b'\n', &mut self.buffer)
--- a/crates/simulator-adapter/src/wire/worker_address.rs
+++ b/crates/simulator-adapter/src/wire/worker_address.rs
@@ -1,12 +1,13 @@
-//! Workers by their address, `a.b.c.d:port`. The number of an address is the same at every scheduler.
+//! Converts a worker's address, `a.b.c.d:port`, to and from a worker id. Every scheduler derives the same id
+//! from an address.
 
 use std::fmt;
 use vetchbridge_scheduling::WorkerId;
 
-/// Number of digits of the longest port.
+/// Maximum number of digits in a part of an address: the length of the longest port.
 const MAX_DIGITS: u32 = 5;
 
-/// A worker, displayed as its address.
+/// A worker id that is displayed as the worker's address.
 pub(super) struct WorkerAddress(pub(super) WorkerId);
 
 impl fmt::Display for WorkerAddress {
@@ -17,7 +18,7 @@
     }
 }
 
-/// Parses an address; only the form that is displayed again without a change.
+/// Parses an address. Only the canonical form, in which the address is displayed, is accepted.
 pub(super) fn parse(text: &str) -> Option<WorkerId> {
     let bytes = text.as_bytes();
     let (mut id, mut part, mut digits, mut separators) = (0u64, 0u64, 0u32, 0u32);
--- a/crates/simulator-adapter/src/wire/worker_address/tests.rs
+++ b/crates/simulator-adapter/src/wire/worker_address/tests.rs
@@ -1,4 +1,4 @@
-//! The text form of workers' addresses.
+//! Tests of parsing and displaying workers' addresses.
 
 use super::*;
 
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the simulator's wire: the adapter's replies, and its errors for malformed input.
+//! Transcripts of the simulator's text protocol: the adapter's replies, and its errors for malformed input.
 #![allow(missing_docs)]
 
 use std::io::Write;
@@ -11,7 +11,7 @@
 "importance": 1.0, "name": "c", "repeat": "unsafe"}], "stats": {"fields": ["x0"], "via": "inline"}, "tick": 2000,
 "unknown_setting": [1, 2], "weights": "rough", "zone": 0}"#;
 
-fn adapter(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_vetchbridge-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -23,7 +23,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// A batch that starts instance 3 with one worker.
+/// A batch that starts instance 3 with a stored endpoint list of one worker.
 fn started_instance() -> String {
     format!(
         "begin_batch time=5000000\ninstance who=3\nopen_instance nonce64=7 setup={}\n\
@@ -35,25 +35,25 @@
 
 const REQUEST: &str = "req req=00000000000000ab lane=0 project=0 object=k due=9000000 width=1 novel=x\n";
 
-/// Discovery's answer that nothing has changed since the list that the instance was opened with.
+/// Discovery's response that nothing has changed since the list that the instance was started with.
 const CONFIRMED: &str = "topology mode=INCREMENTAL epoch=1 nodes_list=0\n";
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let output = adapter("begin_batch time=8412250\ncommit\n");
+    let output = run_adapter("begin_batch time=8412250\ncommit\n");
     assert!(output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stdout), "end\n");
 }
 
 #[test]
-fn a_request_is_sent_once_the_endpoint_list_is_confirmed_and_finishes() {
+fn a_request_is_sent_after_the_endpoint_list_is_confirmed_and_is_finished() {
     let input = format!(
         "{}begin_batch time=5002000\ninstance who=3\nnovelty a=1\n{CONFIRMED}{REQUEST}commit\n\
          begin_batch time=5004000\ninstance who=3\nattempt_end req=00000000000000ab leg=0 runner=10.0.0.1:80 \
          state_code=200 spent=1500 terminal=1 feedback=x0:nonsense,x9:4\ncommit\n",
         started_instance()
     );
-    let output = adapter(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let lines: Vec<String> = String::from_utf8_lossy(&output.stdout).lines().map(str::to_string).collect();
     assert_eq!(lines[..3], ["from who=3", "keep_informed want=1", "end"]);
@@ -72,7 +72,7 @@
          begin_batch time=5004000\ninstance who=3\n{CONFIRMED}commit\n",
         started_instance()
     );
-    let output = adapter(&input);
+    let output = run_adapter(&input);
     let text = String::from_utf8_lossy(&output.stdout);
     let replies: Vec<&str> = text.split("end\n").collect();
     assert!(!replies[1].contains("call_out"), "{text}");
@@ -104,7 +104,7 @@
         ),
     ];
     for (input, line, field) in cases {
-        let output = adapter(&input);
+        let output = run_adapter(&input);
         let error = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success(), "{input}");
         assert_eq!(error.lines().count(), 1, "{error}");
@@ -117,7 +117,7 @@
 
 #[test]
 fn settings_out_of_range_are_rejected_with_their_field() {
-    let output = adapter(&started_instance().replace("\"balancers\": 1", "\"balancers\": 0"));
+    let output = run_adapter(&started_instance().replace("\"balancers\": 1", "\"balancers\": 0"));
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("setting me:"));
 }
