--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, workers, requests, and a driver of one scheduler.
+//! Helpers that the tests share: settings, endpoints, requests, events, and a driver of one scheduler.
 #![allow(dead_code, missing_docs)]
 
 use vetchbridge_scheduling::*;
@@ -8,6 +8,7 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
+/// A class with a latency objective of 500 ms and a deadline of 5 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 500 * MS,
@@ -22,13 +23,15 @@
     }
 }
 
+// Indices of the classes in `settings()`.
 pub const IDEMPOTENT: u32 = 0;
 pub const KEYED_ALL: u32 = 1;
 pub const KEYED_CELL: u32 = 2;
 pub const NON_IDEMPOTENT: u32 = 3;
 pub const MACHINE_BOUND: u32 = 4;
 
-/// One class for each idempotency, and an idempotent one that is bound to machine type 1.
+/// Settings of a single scheduler with the classes of the constants above. The class `MACHINE_BOUND` runs on
+/// machine type 1 only.
 pub fn settings() -> Settings {
     let deduplication_window = 2 * S;
     let mut machine_bound = class(Idempotency::Idempotent);
@@ -77,6 +80,7 @@
     }
 }
 
+/// The entry of a ready worker; its zone, machine type and cell follow from its number.
 pub fn endpoint(n: u64) -> Endpoint {
     Endpoint {
         worker: WorkerId(n),
@@ -89,10 +93,12 @@
     }
 }
 
+/// An event with entries of the endpoint list.
 pub fn list(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
     Event::Endpoints { update, endpoints: endpoints.into_iter().collect() }
 }
 
+/// An event with the complete endpoint list of workers 1 to `n`.
 pub fn fleet(n: u64) -> Event {
     list(EndpointUpdate::Snapshot, (1..=n).map(endpoint))
 }
@@ -122,6 +128,7 @@
     }
 }
 
+/// A scheduler and its clock.
 pub struct Driver {
     pub scheduler: Scheduler,
     pub now: Micros,
@@ -130,7 +137,7 @@
 impl Driver {
     pub fn new(settings: Settings) -> Driver {
         Driver {
-            scheduler: Scheduler::new(settings, 1).expect("the test's settings are sound"),
+            scheduler: Scheduler::new(settings, 1).expect("the test's settings are valid"),
             now: 100 * S,
         }
     }
@@ -141,42 +148,50 @@
         driver
     }
 
+    /// Handles an event at the current time and returns the actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, event, &mut actions);
         actions
     }
 
+    /// Sets the clock, handles an event and returns the actions.
     pub fn at(&mut self, now: Micros, event: Event) -> Vec<Action> {
         self.now = now;
         self.event(event)
     }
 
+    /// Handles a new request with a deadline in 5 s and returns the actions.
     pub fn request(&mut self, id: u64, class: u32, key: &str) -> Vec<Action> {
         let deadline = self.now + 5 * S;
         self.event(Event::Request(request(id, class, key, deadline)))
     }
 }
 
+/// The workers that the actions send attempts to.
 pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| if let Action::Send { worker, .. } = a { Some(*worker) } else { None };
     actions.iter().filter_map(send).collect()
 }
 
+/// The worker that the actions send exactly one attempt to.
 pub fn sent(actions: &[Action]) -> WorkerId {
-    let all = sends(actions);
-    assert_eq!(all.len(), 1, "one attempt expected in {actions:?}");
-    all[0]
+    let workers = sends(actions);
+    assert_eq!(workers.len(), 1, "one attempt expected in {actions:?}");
+    workers[0]
 }
 
+/// Whether the actions reject a request.
 pub fn rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
+/// Whether the actions answer a request with a failure.
 pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
+/// The times and tokens of the timers that the actions set.
 pub fn timers(actions: &[Action]) -> Vec<(Micros, TimerToken)> {
     let timer = |a: &Action| if let Action::SetTimer { at, token } = a { Some((*at, *token)) } else { None };
     actions.iter().filter_map(timer).collect()
--- a/crates/scheduling/tests/common/simulation.rs
+++ b/crates/scheduling/tests/common/simulation.rs
@@ -1,9 +1,9 @@
-//! Simulated workers behind simulated schedulers, in steps of a fixed tick.
+//! A simulation of workers and of the timers of several schedulers, in steps of a fixed tick.
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A linear congruential generator of fractions.
+/// A linear congruential generator of random fractions.
 pub struct Lcg(u64);
 
 impl Lcg {
@@ -11,7 +11,7 @@
         Lcg(seed)
     }
 
-    /// A fraction in `[0, 1)`.
+    /// Returns the next fraction, in `[0, 1)`.
     pub fn fraction(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as f64 / (1u64 << 31) as f64
@@ -20,19 +20,22 @@
 
 /// An attempt at a simulated worker.
 pub struct Job {
-    /// Index of the scheduler that sent it.
+    /// Index of the scheduler that sent the attempt.
     pub scheduler: usize,
+    /// Id of the request.
     pub id: u64,
-    /// Work that is still to be done, microseconds.
+    /// Remaining work at speed 1, in microseconds.
     pub remaining: f64,
     pub timeout_at: Micros,
 }
 
-/// Workers that run their first jobs, one for each slot, and queue the others.
+/// Workers that run one job per slot, in order of arrival, and queue the other jobs.
 pub struct Workers {
+    /// Number of slots of each worker.
     pub slots: usize,
+    /// Jobs of each worker in order of arrival.
     pub jobs: BTreeMap<u64, Vec<Job>>,
-    /// Jobs that were completed.
+    /// Number of completed jobs.
     pub served: usize,
 }
 
@@ -45,7 +48,8 @@
         self.jobs.entry(worker.0).or_default().push(job);
     }
 
-    /// Runs all workers for one tick, each at its speed; returns the ends of attempts by scheduler.
+    /// Runs all workers for one tick, each at its speed. Returns an event for each attempt that has ended,
+    /// with the index of the attempt's scheduler.
     pub fn run(&mut self, now: Micros, tick: Micros, speed: impl Fn(u64) -> f64) -> Vec<(usize, Event)> {
         let mut ended = Vec::new();
         for (worker, jobs) in &mut self.jobs {
@@ -53,20 +57,20 @@
             jobs.iter_mut().take(self.slots).for_each(|job| job.remaining -= work_done);
             jobs.retain(|job| {
                 let is_complete = job.remaining <= 0.0;
-                let is_over = is_complete || job.timeout_at <= now;
-                if is_over {
+                let is_finished = is_complete || job.timeout_at <= now;
+                if is_finished {
                     let outcome = if is_complete { Outcome::Ok } else { Outcome::Timeout };
                     ended.push((job.scheduler, attempt_finished(job.id, 0, WorkerId(*worker), outcome)));
                 }
                 self.served += usize::from(is_complete);
-                !is_over
+                !is_finished
             });
         }
         ended
     }
 }
 
-/// Timers of all schedulers in the order of their times.
+/// The timers of all schedulers in order of expiry.
 #[derive(Default)]
 pub struct Timers(BTreeSet<(Micros, usize, TimerToken)>);
 
@@ -75,16 +79,17 @@
         self.0.insert((at, scheduler, token));
     }
 
-    /// Forgets the timers of one scheduler.
+    /// Removes the timers of one scheduler.
     pub fn clear(&mut self, scheduler: usize) {
-        self.0.retain(|(_, owner, _)| *owner != scheduler);
+        self.0.retain(|(_, timer_scheduler, _)| *timer_scheduler != scheduler);
     }
 
-    /// Removes the timers that have expired, and returns their events.
+    /// Removes the timers that have expired. Returns an event for each expired timer, with the index of the
+    /// timer's scheduler.
     pub fn expired(&mut self, now: Micros) -> Vec<(usize, Event)> {
         let mut events = Vec::new();
         while self.0.first().is_some_and(|(at, ..)| *at <= now) {
-            let (_, scheduler, token) = self.0.pop_first().expect("just seen");
+            let (_, scheduler, token) = self.0.pop_first().expect("a timer has expired");
             events.push((scheduler, Event::Timer(token)));
         }
         events
--- a/crates/scheduling/tests/endpoint_list.rs
+++ b/crates/scheduling/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: draining, removed and returning workers, and requests without any worker.
+//! Changes of the endpoint list: draining, removed and returning workers, and requests without any worker.
 #![allow(missing_docs)]
 
 mod common;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_worker_missing_from_a_complete_list_is_removed_and_its_return_restores_its_keys() {
+fn a_worker_missing_from_a_complete_list_is_removed_and_gets_its_keys_back_when_listed_again() {
     let mut driver = Driver::with_fleet(settings(), 6);
     let first = sent(&driver.request(1, IDEMPOTENT, "k"));
     driver.event(attempt_finished(1, 0, first, Outcome::Ok));
@@ -34,12 +34,14 @@
 }
 
 #[test]
-fn without_any_worker_the_answer_is_a_rejection_in_time() {
+fn a_request_without_any_worker_is_rejected_by_its_deadline() {
     let mut driver = Driver::new(settings());
     let deadline = driver.now + 5 * S;
     let mut pending = timers(&driver.request(1, NON_IDEMPOTENT, "k"));
     let mut answered = false;
-    while let Some(position) = pending.iter().enumerate().min_by_key(|(_, t)| t.0).map(|(i, _)| i) {
+    while let Some(position) =
+        pending.iter().enumerate().min_by_key(|(_, timer)| timer.0).map(|(index, _)| index)
+    {
         let (at, token) = pending.swap_remove(position);
         let actions = driver.at(at, Event::Timer(token));
         assert!(!answered || actions.is_empty());
--- a/crates/scheduling/tests/restarts.rs
+++ b/crates/scheduling/tests/restarts.rs
@@ -1,5 +1,6 @@
-//! Restarted workers: which process of a worker the endpoint list names, and how old it is. Its start is
-//! dated by another machine's wall clock, which may have been stepped, forward or back.
+//! Restarted workers: how a scheduler recognises a new process of a worker and determines the process's age.
+//! The endpoint list dates the start of a process by another machine's wall clock, which may have been
+//! stepped forward or back.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,19 +9,21 @@
 
 const HOUR: Micros = 3600 * S;
 const WORKERS: u64 = 12;
+/// The worker that restarts.
 const RESTARTED: u64 = 5;
-/// When the tests' scheduler gets its first list.
+/// When the scheduler under test gets its first endpoint list, in microseconds.
 const BEGIN: Micros = 10 * HOUR;
 
-/// Workers that warm up take what they have points for, however much that is.
+/// Settings with an unlimited admission budget: a worker that warms up gets every key of its virtual points.
 fn without_admission_budget() -> Settings {
     let mut settings = settings();
     settings.rules.overload_factor = 1e9;
     settings
 }
 
-/// A scheduler that has its complete list, and a second later a response without changes.
-fn serving(started_at: Micros) -> Driver {
+/// A scheduler that got the complete list at `BEGIN` and, a second later, a response without changes.
+/// `started_at` is the listed start of all workers.
+fn driver_with_confirmed_list(started_at: Micros) -> Driver {
     let mut driver = Driver::new(without_admission_budget());
     driver.at(
         BEGIN,
@@ -30,25 +33,28 @@
     driver
 }
 
+/// Lists the restarted worker with a new start.
 fn list_start(driver: &mut Driver, started_at: Micros) {
     driver.event(list(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(RESTARTED) }]));
 }
 
-/// How many of many keys have their home at the restarted worker now. Each request is served before the next.
+/// Counts the keys, of 2000, whose requests are sent to the restarted worker. Each request is served before
+/// the next request arrives.
 fn keys_at_restarted_worker(driver: &mut Driver) -> usize {
-    let sent_there = |id: u64| {
+    let is_sent_to_restarted = |id: u64| {
         let first = sends(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
         driver.event(attempt_finished(id, 0, first[0], Outcome::Ok));
         first[0] == WorkerId(RESTARTED)
     };
-    (0..2000).map(sent_there).filter(|there| *there).count()
+    (0..2000).map(is_sent_to_restarted).filter(|is_sent| *is_sent).count()
 }
 
-/// A process is as old as this scheduler has observed; the wall clock can only make it younger.
+/// A process is at most as old as the scheduler's observations allow; the wall clock that dates the start can
+/// only lower this age.
 #[test]
-fn a_stepped_wall_clock_neither_shortens_nor_extends_a_worker_s_slow_start() {
+fn a_stepped_wall_clock_neither_shortens_nor_extends_a_slow_start() {
     let before = BEGIN - 20 * S;
-    let warm = keys_at_restarted_worker(&mut serving(before));
+    let warm = keys_at_restarted_worker(&mut driver_with_confirmed_list(before));
     let now = BEGIN + S + 500 * MS;
     for (name, started_at) in [
         ("equal clocks", now - 100 * MS),
@@ -57,25 +63,25 @@
         ("forward by an hour", now - 100 * MS + HOUR),
         ("forward by 5 s", now - 100 * MS + 5 * S),
     ] {
-        let mut driver = serving(before);
+        let mut driver = driver_with_confirmed_list(before);
         driver.now = now;
         list_start(&mut driver, started_at);
         let warming = keys_at_restarted_worker(&mut driver);
-        // A quarter of its points at the start.
+        // A worker has a quarter of its virtual points right after its start.
         assert!(
             (warm / 8..=warm / 2).contains(&warming),
             "{name}: {warming} keys of {warm} right after the start"
         );
         driver.now = now + settings().rules.slow_start_time;
         let later = keys_at_restarted_worker(&mut driver);
-        assert!(later * 10 >= warm * 9, "{name}: {later} keys of {warm} once it is warm");
+        assert!(later * 10 >= warm * 9, "{name}: {later} keys of {warm} after the slow start");
     }
 }
 
-/// A scheduler that has just started has only the wall clock to go by, but a start in the future has just
-/// been.
+/// A scheduler that has just started knows only the listed start. A listed start in the future counts as a
+/// start at the current time.
 #[test]
-fn a_start_that_the_first_list_dates_in_the_future_was_now() {
+fn a_start_in_the_future_in_the_first_list_counts_as_a_start_now() {
     let mut driver = Driver::new(without_admission_budget());
     let endpoints = (1..=WORKERS)
         .map(|n| Endpoint { started_at: if n == RESTARTED { BEGIN + HOUR } else { 0 }, ..endpoint(n) });
@@ -83,13 +89,14 @@
     let warming = keys_at_restarted_worker(&mut driver);
     driver.now = BEGIN + settings().rules.slow_start_time;
     let warm = keys_at_restarted_worker(&mut driver);
-    assert!(warming * 2 < warm, "{warming} keys, {warm} once it is warm");
+    assert!(warming * 2 < warm, "{warming} keys right after the start, {warm} after the slow start");
 }
 
-/// The same process, also in a complete list and after an outage, is as old as it was.
+/// A process keeps its age when the same start is listed again: in changes, in a complete list or in a failed
+/// update.
 #[test]
-fn a_start_that_is_listed_again_changes_nothing() {
-    let mut driver = serving(BEGIN - 20 * S);
+fn listing_the_same_start_again_does_not_restart_the_slow_start() {
+    let mut driver = driver_with_confirmed_list(BEGIN - 20 * S);
     let warm = keys_at_restarted_worker(&mut driver);
     for update in [EndpointUpdate::Changes, EndpointUpdate::Snapshot, EndpointUpdate::Failed] {
         driver.now += 60 * S;
@@ -101,26 +108,27 @@
     }
 }
 
-/// A worker's zone, machine type and cell follow the list also where its process is the same: a repeat is
-/// dropped only within its cell, and new settings may number zones and machine types in another order.
+/// The zone, machine type and cell of a worker are updated from the list even if its process is the same,
+/// since a repeat is dropped only within a cell, and new settings may number zones and machine types in
+/// another order.
 #[test]
-fn zone_kind_and_cell_follow_the_list() {
+fn zone_machine_type_and_cell_are_updated_from_the_list() {
     let mut driver = Driver::new(settings());
     driver.event(list(
         EndpointUpdate::Snapshot,
         (1..=4).map(|n| Endpoint { kind: KindId(u32::from(n > 2)), ..endpoint(n) }),
     ));
-    let machine_bound = |driver: &mut Driver, id: u64| {
+    let serve_machine_bound = |driver: &mut Driver, id: u64| {
         let worker = sent(&driver.request(id, MACHINE_BOUND, &format!("key-{id}"))).0;
         driver.event(attempt_finished(id, 0, WorkerId(worker), Outcome::Ok));
         worker
     };
-    assert!((0..20).all(|id| machine_bound(&mut driver, id) > 2));
+    assert!((0..20).all(|id| serve_machine_bound(&mut driver, id) > 2));
     driver.event(list(
         EndpointUpdate::Changes,
         (1..=4).map(|n| Endpoint { kind: KindId(u32::from(n <= 2)), ..endpoint(n) }),
     ));
-    assert!((20..40).all(|id| machine_bound(&mut driver, id) <= 2), "the machine types have changed places");
+    assert!((20..40).all(|id| serve_machine_bound(&mut driver, id) <= 2), "the machine types were swapped");
 
     let mut driver = Driver::new(settings());
     driver.event(list(
@@ -128,7 +136,8 @@
         (1..=4).map(|n| Endpoint { cell: CellId(n as u32 / 2), ..endpoint(n) }),
     ));
     let first = sent(&driver.request(1, KEYED_CELL, "k"));
-    // The other worker of its cell is in another cell now, and another worker has come to its own.
+    // The other worker in the first worker's cell moves to another cell, and a different worker moves into
+    // the first worker's cell.
     let cell = |n: u64| CellId(u32::from((n == first.0) || (n == first.0 % 4 + 1)));
     driver.event(list(EndpointUpdate::Changes, (1..=4).map(|n| Endpoint { cell: cell(n), ..endpoint(n) })));
     let next = sent(&driver.event(attempt_finished(1, 0, first, Outcome::Reset)));
--- a/crates/scheduling/tests/settings_changes.rs
+++ b/crates/scheduling/tests/settings_changes.rs
@@ -1,4 +1,4 @@
-//! New settings: what they change for pending requests, and what stays.
+//! New settings: their effect on pending requests, and the state that is kept.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,7 +6,7 @@
 use vetchbridge_scheduling::*;
 
 #[test]
-fn pending_jobs_keep_their_class_and_its_idempotency_when_the_settings_change() {
+fn pending_requests_keep_their_class_and_its_idempotency_when_the_settings_change() {
     for (before, after, resent) in [
         (Idempotency::Idempotent, Idempotency::NonIdempotent, true),
         (Idempotency::NonIdempotent, Idempotency::Idempotent, false),
@@ -20,22 +20,22 @@
             |idempotency, classes| Settings { classes: vec![class(idempotency); classes], ..settings() };
         let mut driver = Driver::with_fleet(with(before, 2), 23);
         let pending = sent(&driver.request(1, 1, "k"));
-        // The class that it was taken under is the second; there is but one now, and it is another.
+        // The pending request belongs to the second class; the new settings have only one, different class.
         driver.event(Event::Settings(Box::new(with(after, 1))));
         assert_eq!(
             sends(&driver.event(attempt_finished(1, 0, pending, Outcome::Error))).len(),
             usize::from(resent),
             "{before:?}"
         );
-        let new = sent(&driver.request(2, 0, "k"));
-        let again = sends(&driver.event(attempt_finished(2, 0, new, Outcome::Error))).len();
-        assert_eq!(again, usize::from(after == Idempotency::Idempotent), "{after:?}");
-        assert!(failed(&driver.request(3, 1, "k")), "there is no such class any more");
+        let worker = sent(&driver.request(2, 0, "k"));
+        let retries = sends(&driver.event(attempt_finished(2, 0, worker, Outcome::Error))).len();
+        assert_eq!(retries, usize::from(after == Idempotency::Idempotent), "{after:?}");
+        assert!(failed(&driver.request(3, 1, "k")), "the new settings have no class with this index");
     }
 }
 
 #[test]
-fn a_change_of_the_number_of_attempts_lowers_it_for_pending_jobs_and_never_raises_it() {
+fn a_new_maximum_of_attempts_applies_to_pending_requests_only_if_it_is_lower() {
     for (before, after) in [(4, 2), (2, 4)] {
         let with =
             |max_attempts| Settings { limits: Limits { max_attempts, ..settings().limits }, ..settings() };
@@ -57,15 +57,16 @@
 }
 
 #[test]
-fn the_ring_and_what_was_learned_survive_new_settings() {
+fn new_settings_keep_the_ring_and_what_was_learned_about_workers() {
     let mut driver = Driver::with_fleet(settings(), 12);
-    // Served at once, so that none overflows from its home for the load of the others.
-    let placed = |driver: &mut Driver, id: u64, class: u32, n: usize| {
+    // Each request is served at once, so that no home is busy when the next request arrives.
+    let serve_and_locate = |driver: &mut Driver, id: u64, class: u32, n: usize| {
         let worker = sent(&driver.request(id, class, &format!("key-{n}")));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
         worker
     };
-    let homes: Vec<WorkerId> = (0..40).map(|n| placed(&mut driver, n as u64, NON_IDEMPOTENT, n)).collect();
+    let homes: Vec<WorkerId> =
+        (0..40).map(|n| serve_and_locate(&mut driver, n as u64, NON_IDEMPOTENT, n)).collect();
     let rejecting = homes[0];
     driver.request(99, NON_IDEMPOTENT, "key-0");
     let second = sent(&driver.event(attempt_finished(99, 0, rejecting, Outcome::Rejected)));
@@ -73,7 +74,7 @@
     let fewer = Settings { classes: vec![class(Idempotency::NonIdempotent)], ..settings() };
     driver.event(Event::Settings(Box::new(fewer)));
     for (n, home) in homes.iter().enumerate() {
-        let there = placed(&mut driver, 100 + n as u64, 0, n);
-        assert_eq!(there == *home, *home != rejecting, "key-{n}");
+        let worker = serve_and_locate(&mut driver, 100 + n as u64, 0, n);
+        assert_eq!(worker == *home, *home != rejecting, "key-{n}");
     }
 }
