--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::events::{Endpoint, EndpointState, EndpointUpdate};
 use crate::ids::{Micros, WorkerId};
 use crate::ring::Ring;
-use crate::settings::Weights;
+use crate::settings::WeightSource;
 use crate::slow_start::StartBounds;
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
         now: Micros,
         update: EndpointUpdate,
         endpoints: Vec<Endpoint>,
-        weights: Weights,
+        weights: WeightSource,
     ) {
         if update.is_complete() {
             self.remove_unlisted(&endpoints);
@@ -59,7 +59,7 @@
     }
 
     /// Applies one entry of the list; returns the worker's index if its points have to be placed.
-    fn apply_entry(&mut self, now: Micros, endpoint: Endpoint, weights: Weights) -> Option<usize> {
+    fn apply_entry(&mut self, now: Micros, endpoint: Endpoint, weights: WeightSource) -> Option<usize> {
         let weight = listed_weight(&endpoint, weights);
         let is_ready = endpoint.state == EndpointState::Ready;
         let started_at = self.start_bounds.started_at(now, endpoint.started_at);
@@ -147,8 +147,8 @@
 }
 
 /// Returns the listed weight if it is a valid size, otherwise 1.
-fn listed_weight(endpoint: &Endpoint, weights: Weights) -> f64 {
-    let is_valid = weights == Weights::Size && endpoint.weight.is_finite() && endpoint.weight > 0.0;
+fn listed_weight(endpoint: &Endpoint, weights: WeightSource) -> f64 {
+    let is_valid = weights == WeightSource::Size && endpoint.weight.is_finite() && endpoint.weight > 0.0;
     if is_valid {
         endpoint.weight
     } else {
--- a/crates/scheduling/src/fleet/tests.rs
+++ b/crates/scheduling/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 use crate::worker::{AttemptId, InFlightAttempt, OccupancyReport};
 
 fn apply_change(fleet: &mut Fleet, endpoint: Endpoint) {
-    fleet.update(NOW, EndpointUpdate::Changes, vec![endpoint], Weights::Size);
+    fleet.update(NOW, EndpointUpdate::Changes, vec![endpoint], WeightSource::Size);
 }
 
 #[test]
@@ -12,7 +12,7 @@
     let mut fleet = fleet_of((1..=3).map(endpoint));
     apply_change(&mut fleet, endpoint(4));
     assert_eq!(fleet.ready_count(), 4);
-    fleet.update(NOW, EndpointUpdate::Snapshot, vec![endpoint(2)], Weights::Size);
+    fleet.update(NOW, EndpointUpdate::Snapshot, vec![endpoint(2)], WeightSource::Size);
     let ready: Vec<u64> = fleet.ready().map(|worker| worker.endpoint.worker.0).collect();
     assert_eq!(ready, [2]);
 }
@@ -29,11 +29,11 @@
 #[test]
 fn a_listed_weight_counts_only_if_it_is_a_valid_size() {
     for (weights, listed, weight) in [
-        (Weights::Size, 3.0, 3.0),
-        (Weights::Size, f64::NAN, 1.0),
-        (Weights::Size, -1.0, 1.0),
-        (Weights::Fixed, 3.0, 1.0),
-        (Weights::Live, 3.0, 1.0),
+        (WeightSource::Size, 3.0, 3.0),
+        (WeightSource::Size, f64::NAN, 1.0),
+        (WeightSource::Size, -1.0, 1.0),
+        (WeightSource::Fixed, 3.0, 1.0),
+        (WeightSource::Live, 3.0, 1.0),
     ] {
         let mut fleet = Fleet::default();
         let listed = Endpoint { weight: listed, ..endpoint(1) };
@@ -60,7 +60,7 @@
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
     let index = fleet.index_of(WorkerId(50)).expect("listed");
     fleet[index].in_flight.push(InFlightAttempt { id, sent_at: NOW, slots: 1.0 });
-    fleet.update(NOW, EndpointUpdate::Snapshot, (91..=100).map(endpoint).collect(), Weights::Size);
+    fleet.update(NOW, EndpointUpdate::Snapshot, (91..=100).map(endpoint).collect(), WeightSource::Size);
     assert_eq!((fleet.len(), fleet.ready_count()), (11, 10));
     assert!(fleet.get(WorkerId(50)).is_some() && fleet.get(WorkerId(1)).is_none());
     let points = fleet.ring().clockwise_from(0).map(super::super::ring::Point::worker_index).max();
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -24,7 +24,7 @@
 //! #         }],
 //! #         tenants: vec![], over_quota_weight: 1.0, weight_by_work: false,
 //! #         endpoint_delivery: EndpointDelivery::Push,
-//! #         load_report_source: LoadReportSource::Responses, weights: Weights::Fixed,
+//! #         load_report_source: LoadReportSource::Responses, weights: WeightSource::Fixed,
 //! #         queue_order: QueueOrder::Fifo, reports_start: false, progress_interval: 0,
 //! #         limits: Limits {
 //! #             max_attempts: 4, dial_timeout: 250_000, hedging: false, may_probe: false,
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -92,9 +92,9 @@
     Poll,
 }
 
-/// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
+/// What [`Endpoint::weight`](crate::Endpoint::weight) is derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightSource {
     /// Listed weights are ignored: every worker has weight 1.
     Fixed,
     /// The registered or approximate size of the worker.
@@ -180,8 +180,8 @@
     pub endpoint_delivery: EndpointDelivery,
     /// When workers send load reports.
     pub load_report_source: LoadReportSource,
-    /// The meaning of the weights in the endpoint list.
-    pub weights: Weights,
+    /// What the weights in the endpoint list are derived from.
+    pub weights: WeightSource,
     /// The order in which workers serve their queues.
     pub queue_order: QueueOrder,
     /// Whether workers report the start of a job.
--- a/crates/scheduling/src/test_support.rs
+++ b/crates/scheduling/src/test_support.rs
@@ -5,7 +5,7 @@
 use crate::ids::{Micros, WorkerId, ZoneId};
 use crate::settings::{
     Class, CostWeights, EndpointDelivery, Idempotency, Limits, LoadReportSource, QueueOrder, Rules, Settings,
-    Weights,
+    WeightSource,
 };
 
 /// The current time in the tests, in microseconds.
@@ -31,7 +31,7 @@
         weight_by_work: false,
         endpoint_delivery: EndpointDelivery::Push,
         load_report_source: LoadReportSource::Responses,
-        weights: Weights::Size,
+        weights: WeightSource::Size,
         queue_order: QueueOrder::Fifo,
         reports_start: false,
         progress_interval: 0,
@@ -76,6 +76,6 @@
 /// A fleet of the listed workers, in the order of the list.
 pub(crate) fn fleet_of(endpoints: impl IntoIterator<Item = Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.update(NOW, EndpointUpdate::Snapshot, endpoints.into_iter().collect(), Weights::Size);
+    fleet.update(NOW, EndpointUpdate::Snapshot, endpoints.into_iter().collect(), WeightSource::Size);
     fleet
 }
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -52,7 +52,7 @@
         weight_by_work: false,
         endpoint_delivery: EndpointDelivery::Push,
         load_report_source: LoadReportSource::Responses,
-        weights: Weights::Size,
+        weights: WeightSource::Size,
         queue_order: QueueOrder::Fifo,
         reports_start: false,
         progress_interval: 0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,7 +25,7 @@
 use json_object::JsonObject;
 use serde_json::Value;
 use specifics::Specifics;
-use vetchbridge_scheduling::{EndpointDelivery, LoadReportSource, Settings, Weights, ZoneId};
+use vetchbridge_scheduling::{EndpointDelivery, LoadReportSource, Settings, WeightSource, ZoneId};
 
 const DISCOVERY_VALUES: &[&str] = &["push", "ask"];
 const STATS_VIA_VALUES: &[&str] = &["off", "inline", "on_probe"];
@@ -95,11 +95,11 @@
     }
 }
 
-fn weights(root: &JsonObject<'_>) -> Result<Weights, SettingsFormatError> {
+fn weights(root: &JsonObject<'_>) -> Result<WeightSource, SettingsFormatError> {
     match root.optional_string("weights") {
-        None | Some("off") => Ok(Weights::Fixed),
-        Some("nominal" | "rough") => Ok(Weights::Size),
-        Some("live") => Ok(Weights::Live),
+        None | Some("off") => Ok(WeightSource::Fixed),
+        Some("nominal" | "rough") => Ok(WeightSource::Size),
+        Some("live") => Ok(WeightSource::Live),
         Some(_) => Err(root.invalid_value("weights", Expected::OneOf(WEIGHTS_VALUES))),
     }
 }
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -61,7 +61,7 @@
         weight_by_work: true,
         endpoint_delivery: EndpointDelivery::Poll,
         load_report_source: LoadReportSource::Probes,
-        weights: Weights::Live,
+        weights: WeightSource::Live,
         queue_order: QueueOrder::Priority,
         reports_start: true,
         progress_interval: 250,
@@ -96,7 +96,7 @@
     assert_eq!((settings.classes, settings.tenants, settings.tick), (vec![], vec![], 0));
     assert_eq!((settings.over_quota_weight, settings.weight_by_work), (1.0, false));
     assert_eq!(settings.load_report_source, LoadReportSource::Never);
-    assert_eq!((settings.weights, settings.queue_order), (Weights::Fixed, QueueOrder::Fifo));
+    assert_eq!((settings.weights, settings.queue_order), (WeightSource::Fixed, QueueOrder::Fifo));
     assert_eq!((settings.reports_start, settings.progress_interval), (false, 0));
     assert_eq!((settings.rules.answer_slack, settings.rules.poll_within), (0, None));
     assert_eq!(settings.cost_weights, CostWeights::default());
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -277,11 +277,11 @@
     }
 }
 
-fn weights(weights: Weights) -> vetchbridge_scheduling::Weights {
+fn weights(weights: Weights) -> vetchbridge_scheduling::WeightSource {
     match weights {
-        Weights::Off => vetchbridge_scheduling::Weights::Fixed,
-        Weights::Nominal | Weights::Rough => vetchbridge_scheduling::Weights::Size,
-        Weights::Live => vetchbridge_scheduling::Weights::Live,
+        Weights::Off => vetchbridge_scheduling::WeightSource::Fixed,
+        Weights::Nominal | Weights::Rough => vetchbridge_scheduling::WeightSource::Size,
+        Weights::Live => vetchbridge_scheduling::WeightSource::Live,
     }
 }
 
