--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -61,7 +61,8 @@
     }
 
     fn takes_class(&self, worker: &Worker) -> bool {
-        worker.is_ready && self.request.class.kind.is_none_or(|kind| kind == worker.endpoint.kind)
+        worker.is_ready
+            && self.request.class.machine_type.is_none_or(|kind| kind == worker.endpoint.machine_type)
     }
 
     /// Whether an attempt at this worker has no second effect, and the worker is healthy.
--- a/crates/scheduling/src/candidates/tests.rs
+++ b/crates/scheduling/src/candidates/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::events::Endpoint;
-use crate::ids::{CellId, KindId, WorkerId, ZoneId};
+use crate::ids::{CellId, MachineTypeId, WorkerId, ZoneId};
 use crate::request::{Attempt, AttemptState};
 use crate::settings::{Class, DeduplicationScope};
 use crate::test_support::{endpoint, fleet_of, settings, NOW};
@@ -61,9 +61,10 @@
 
 #[test]
 fn a_class_that_is_bound_to_a_machine_type_has_candidates_of_that_type_alone() {
-    let fleet = fleet_of((1..=4).map(|n| Endpoint { kind: KindId(n as u32 / 4), ..endpoint(n) }));
+    let fleet =
+        fleet_of((1..=4).map(|n| Endpoint { machine_type: MachineTypeId(n as u32 / 4), ..endpoint(n) }));
     let mut request = request(Idempotency::Idempotent);
-    request.class.kind = Some(KindId(1));
+    request.class.machine_type = Some(MachineTypeId(1));
     assert_eq!(search(&settings(), &fleet, &request), [WorkerId(4)]);
 }
 
--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -2,7 +2,7 @@
 
 use crate::actions::Action;
 use crate::events::Outcome;
-use crate::ids::{AttemptNo, KindId, Micros, RequestId, WorkerId};
+use crate::ids::{AttemptNo, MachineTypeId, Micros, RequestId, WorkerId};
 use crate::peer_message::PeerMessage;
 use crate::placement::MIN_QUEUE_PAUSE;
 use crate::request::{Attempt, AttemptState};
@@ -113,7 +113,7 @@
     /// Gives the final answer: a rejection where a retry by the client is harmless, or else a failure.
     pub(crate) fn conclude(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        let retry_after = self.retry_after(now, request.class.kind);
+        let retry_after = self.retry_after(now, request.class.machine_type);
         actions.push(if request.retry_safety().allows_client_retry(now, retry_after) {
             Action::Reject { request: id, retry_after }
         } else {
@@ -124,13 +124,13 @@
 
     /// The Retry-After of a rejected client: when the first worker for its class is expected to take jobs
     /// again, but no sooner than a queued request would try again. 0, for none, where clients are given none.
-    fn retry_after(&self, now: Micros, kind: Option<KindId>) -> Micros {
+    fn retry_after(&self, now: Micros, kind: Option<MachineTypeId>) -> Micros {
         let limits = &self.settings.limits;
         if !limits.retry_after {
             return 0;
         }
         let takes_class =
-            self.fleet.ready().filter(|worker| kind.is_none_or(|kind| kind == worker.endpoint.kind));
+            self.fleet.ready().filter(|worker| kind.is_none_or(|kind| kind == worker.endpoint.machine_type));
         let waits = takes_class.map(|worker| {
             let available_at = worker.concurrency_limit.rejecting_until().max(worker.outlier.ejected_until());
             available_at.saturating_sub(now)
--- a/crates/scheduling/src/completion/tests.rs
+++ b/crates/scheduling/src/completion/tests.rs
@@ -100,7 +100,7 @@
         scheduler.fleet.iter_mut().for_each(|worker| worker.outlier.extend_ejection(NOW, ejection));
         assert_eq!(scheduler.retry_after(NOW, None), retry_after);
     }
-    assert_eq!(scheduler.retry_after(NOW, Some(KindId(9))), 2_000_000, "no worker of this type");
+    assert_eq!(scheduler.retry_after(NOW, Some(MachineTypeId(9))), 2_000_000, "no worker of this type");
     scheduler.settings.limits.retry_after = false;
     assert_eq!(scheduler.retry_after(NOW, None), 0);
 }
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -1,7 +1,7 @@
 //! The events that a scheduler handles ([`Event`]) and the types that they carry.
 
 use crate::ids::{
-    AttemptNo, CellId, ClassId, KindId, Micros, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
+    AttemptNo, CellId, ClassId, MachineTypeId, Micros, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
 };
 use crate::settings::Settings;
 
@@ -25,7 +25,7 @@
     /// The worker's zone.
     pub zone: ZoneId,
     /// The worker's machine type.
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     /// The worker's cell.
     pub cell: CellId,
     /// The worker's state.
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -71,13 +71,14 @@
         if endpoint.state == EndpointState::Removed {
             return None;
         }
-        let (zone, kind, cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
+        let (zone, machine_type, cell) = (endpoint.zone, endpoint.machine_type, endpoint.cell);
         // Start times are compared for equality alone, since the clock that dates them may be stepped. A
         // worker that is not ready may be listed with an older start, which is ignored.
         if is_ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
             worker.restart(endpoint, weight, started_at);
         }
-        (worker.endpoint.zone, worker.endpoint.kind, worker.endpoint.cell) = (zone, kind, cell);
+        (worker.endpoint.zone, worker.endpoint.machine_type, worker.endpoint.cell) =
+            (zone, machine_type, cell);
         if (weight / worker.weight - 1.0).abs() <= MIN_WEIGHT_CHANGE {
             return None;
         }
--- a/crates/scheduling/src/ids.rs
+++ b/crates/scheduling/src/ids.rs
@@ -25,7 +25,7 @@
 
 /// Identifies a machine type.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KindId(pub u32);
+pub struct MachineTypeId(pub u32);
 
 /// Identifies a cell: a group of workers that share the idempotency keys that they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a scheduler: its index among its peers, request classes, tenants, limits and rules.
 
-use crate::ids::{KindId, Micros, ZoneId};
+use crate::ids::{MachineTypeId, Micros, ZoneId};
 
 /// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
     /// The only machine type that runs this class; `None` if every machine type does.
-    pub kind: Option<KindId>,
+    pub machine_type: Option<MachineTypeId>,
     /// Priority in the queues of workers that use [`QueueOrder::Priority`].
     pub priority: i64,
     /// Whether the answer is streamed.
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -17,7 +17,7 @@
         priority_weight: 1.0,
         late_weight: 0.3,
         idempotency,
-        kind: None,
+        machine_type: None,
         priority: 0,
         stream: false,
     }
@@ -35,7 +35,7 @@
 pub fn settings() -> Settings {
     let deduplication_window = 2 * S;
     let mut machine_bound = class(Idempotency::Idempotent);
-    machine_bound.kind = Some(KindId(1));
+    machine_bound.machine_type = Some(MachineTypeId(1));
     Settings {
         scheduler_index: 0,
         scheduler_count: 1,
@@ -85,7 +85,7 @@
     Endpoint {
         worker: WorkerId(n),
         zone: ZoneId((n % 3) as u32),
-        kind: KindId((n % 2) as u32),
+        machine_type: MachineTypeId((n % 2) as u32),
         cell: CellId((n / 4) as u32),
         state: EndpointState::Ready,
         weight: 1.0,
--- a/crates/scheduling/tests/restarts.rs
+++ b/crates/scheduling/tests/restarts.rs
@@ -116,7 +116,7 @@
     let mut driver = Driver::new(settings());
     driver.event(list(
         EndpointUpdate::Snapshot,
-        (1..=4).map(|n| Endpoint { kind: KindId(u32::from(n > 2)), ..endpoint(n) }),
+        (1..=4).map(|n| Endpoint { machine_type: MachineTypeId(u32::from(n > 2)), ..endpoint(n) }),
     ));
     let serve_machine_bound = |driver: &mut Driver, id: u64| {
         let worker = sent(&driver.request(id, MACHINE_BOUND, &format!("key-{id}"))).0;
@@ -126,7 +126,7 @@
     assert!((0..20).all(|id| serve_machine_bound(&mut driver, id) > 2));
     driver.event(list(
         EndpointUpdate::Changes,
-        (1..=4).map(|n| Endpoint { kind: KindId(u32::from(n <= 2)), ..endpoint(n) }),
+        (1..=4).map(|n| Endpoint { machine_type: MachineTypeId(u32::from(n <= 2)), ..endpoint(n) }),
     ));
     assert!((20..40).all(|id| serve_machine_bound(&mut driver, id) <= 2), "the machine types were swapped");
 
--- a/crates/scheduling/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -85,7 +85,7 @@
     let mut driver = Driver::with_fleet(settings(), 12);
     for id in 0..100 {
         let worker = sent(&driver.request(id, MACHINE_BOUND, &format!("key-{id}")));
-        assert_eq!(endpoint(worker.0).kind, KindId(1));
+        assert_eq!(endpoint(worker.0).machine_type, MachineTypeId(1));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
     }
 }
--- a/crates/settings/src/specifics.rs
+++ b/crates/settings/src/specifics.rs
@@ -3,7 +3,7 @@
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
 use serde_json::Value;
-use vetchbridge_scheduling::{KindId, Micros, QueueOrder};
+use vetchbridge_scheduling::{MachineTypeId, Micros, QueueOrder};
 
 /// The `specifics` object; each of its keys may be absent.
 pub(crate) struct Specifics<'a> {
@@ -29,8 +29,10 @@
     }
 
     /// Returns the only machine type that runs a class; a negative number stands for any machine type.
-    pub(crate) fn kind(&self, class: usize) -> Option<KindId> {
-        self.class_number("class_kind", class).filter(|kind| *kind >= 0.0).map(|kind| KindId(kind as u32))
+    pub(crate) fn machine_type(&self, class: usize) -> Option<MachineTypeId> {
+        self.class_number("class_kind", class)
+            .filter(|number| *number >= 0.0)
+            .map(|number| MachineTypeId(number as u32))
     }
 
     pub(crate) fn priority(&self, class: usize) -> i64 {
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -40,7 +40,7 @@
         priority_weight: 2.0,
         late_weight: 0.5,
         idempotency: Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window: 15 },
-        kind: Some(KindId(4)),
+        machine_type: Some(MachineTypeId(4)),
         priority: -7,
         stream: true,
     };
--- a/crates/simulator-adapter/src/wire/parse.rs
+++ b/crates/simulator-adapter/src/wire/parse.rs
@@ -5,8 +5,8 @@
 use super::fields::Fields;
 use super::{base64, worker_address, Message};
 use vetchbridge_scheduling::{
-    AttemptNo, CellId, ClassId, Endpoint, EndpointState, EndpointUpdate, Event, JobProgress, KindId,
-    LoadReport, Outcome, Request, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
+    AttemptNo, CellId, ClassId, Endpoint, EndpointState, EndpointUpdate, Event, JobProgress, LoadReport,
+    MachineTypeId, Outcome, Request, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
 };
 
 /// A parsed line.
@@ -91,7 +91,7 @@
     Ok(Endpoint {
         worker: parse_worker(fields)?,
         zone: ZoneId(fields.number_or("area", 0)?),
-        kind: KindId(fields.number_or("sku", 0)?),
+        machine_type: MachineTypeId(fields.number_or("sku", 0)?),
         cell: CellId(fields.number_or("cell", 0)?),
         state: fields.known_value("condition", |condition| match condition {
             "ready" => Some(EndpointState::Ready),
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -13,8 +13,8 @@
 use crate::workers::load_report::{self, LoadReportSettings};
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::{
-    Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings, Tenant,
-    ZoneId,
+    Class, DeduplicationScope, EndpointDelivery, Idempotency, LoadReportSource, MachineTypeId, Settings,
+    Tenant, ZoneId,
 };
 
 /// Translates a file whose text is `text`; all of its faults otherwise, in the order of their places.
@@ -185,7 +185,7 @@
             priority_weight: class.worth,
             late_weight: class.late_share,
             idempotency,
-            kind: class.kind.as_ref().map(|_| KindId(kind)),
+            machine_type: class.kind.as_ref().map(|_| MachineTypeId(kind)),
             priority: class.priority,
             stream: class.stream,
         }
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -6,7 +6,7 @@
 use crate::workers::worker_id;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use vetchbridge_scheduling::{CellId, Endpoint, EndpointState, KindId, ZoneId};
+use vetchbridge_scheduling::{CellId, Endpoint, EndpointState, MachineTypeId, ZoneId};
 
 /// The index of a zone or machine type that the settings do not name: no class or scheduler has it.
 const UNKNOWN_INDEX: u32 = u32::MAX;
@@ -92,7 +92,7 @@
         Endpoint {
             worker: worker_id(&self.instance_id),
             zone: ZoneId(index_of(&names.zones, &self.zone)),
-            kind: KindId(index_of(&names.kinds, &self.machine_type)),
+            machine_type: MachineTypeId(index_of(&names.kinds, &self.machine_type)),
             cell: CellId(self.cell),
             state: self.endpoint_state(),
             weight: self.weight,
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -306,7 +306,7 @@
     let endpoint = |name| Endpoint {
         worker: worker_id(name),
         zone: ZoneId(0),
-        kind: KindId(0),
+        machine_type: MachineTypeId(0),
         cell: CellId(0),
         state: ready,
         weight: 1.0,
