--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -23,7 +23,7 @@
     /// Time since the attempt was sent.
     pub(crate) latency: Micros,
     /// The request is complete.
-    pub(crate) closed: bool,
+    pub(crate) request_closed: bool,
 }
 
 /// Whether an outcome is a fault of the connection or of the machine.
@@ -45,7 +45,7 @@
         }
         self.record_worker_result(now, index, result, actions);
         self.record_attempt_state(result);
-        if result.closed {
+        if result.request_closed {
             return self.close(id, actions);
         }
         if outcome == Outcome::Invalid && self.requests.contains(id) {
--- a/crates/scheduling/src/completion/tests.rs
+++ b/crates/scheduling/src/completion/tests.rs
@@ -32,10 +32,15 @@
     settings
 }
 
-fn finish(scheduler: &mut Scheduler, worker: WorkerId, outcome: Outcome, closed: bool) -> Vec<Action> {
+fn finish(
+    scheduler: &mut Scheduler,
+    worker: WorkerId,
+    outcome: Outcome,
+    request_closed: bool,
+) -> Vec<Action> {
     let id = AttemptId { request: ID, number: AttemptNo(0) };
     let mut actions = Vec::new();
-    let result = AttemptResult { id, worker, outcome, latency: 1_000, closed };
+    let result = AttemptResult { id, worker, outcome, latency: 1_000, request_closed };
     scheduler.on_attempt_finished(NOW, &result, &mut actions);
     actions
 }
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -185,7 +185,7 @@
         /// Time since the attempt was sent.
         latency: Micros,
         /// Whether the request is complete and needs no further answer.
-        closed: bool,
+        request_closed: bool,
         /// The worker's load report, if the worker sent one.
         load: Option<LoadReport>,
     },
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -46,7 +46,7 @@
 //! # fn rejection(worker: WorkerId) -> Event {
 //! #     Event::AttemptFinished {
 //! #         request: RequestId(1), attempt: AttemptNo(0), worker, outcome: Outcome::Rejected,
-//! #         latency: 900, closed: false, load: None,
+//! #         latency: 900, request_closed: false, load: None,
 //! #     }
 //! # }
 //! let mut scheduler = Scheduler::new(settings(), 42)?;
--- a/crates/scheduling/src/placement/tests.rs
+++ b/crates/scheduling/src/placement/tests.rs
@@ -106,7 +106,7 @@
             worker: *worker,
             outcome: Outcome::Rejected,
             latency: 1_000,
-            closed: false,
+            request_closed: false,
             load: None,
         };
         actions.clear();
--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -55,9 +55,17 @@
         match event {
             Event::Endpoints { update, endpoints } => self.on_endpoints(now, update, endpoints, actions),
             Event::Request(request) => self.on_request(now, &request, actions),
-            Event::AttemptFinished { request, attempt, worker, outcome, latency, closed, load: _ } => {
+            Event::AttemptFinished {
+                request,
+                attempt,
+                worker,
+                outcome,
+                latency,
+                request_closed,
+                load: _,
+            } => {
                 let id = AttemptId { request, number: attempt };
-                let result = AttemptResult { id, worker, outcome, latency, closed };
+                let result = AttemptResult { id, worker, outcome, latency, request_closed };
                 self.on_attempt_finished(now, &result, actions);
             }
             Event::JobProgress { request, attempt, progress } => {
--- a/crates/scheduling/tests/combined_faults.rs
+++ b/crates/scheduling/tests/combined_faults.rs
@@ -29,7 +29,7 @@
                             worker: *worker,
                             outcome,
                             latency: if outcome == Outcome::ConnectFailed { 250 * MS } else { MS },
-                            closed: outcome == Outcome::Ok,
+                            request_closed: outcome == Outcome::Ok,
                             load: None,
                         }));
                     }
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -123,7 +123,7 @@
         worker,
         outcome,
         latency: 5 * MS,
-        closed: outcome == Outcome::Ok,
+        request_closed: outcome == Outcome::Ok,
         load: None,
     }
 }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -189,14 +189,14 @@
         let ledger = self.ledgers.get_mut(&ended.request).expect("sent before");
         ledger.attempts[ended.attempt as usize].may_have_run = Some(!outcome.never_ran());
         ledger.answered |= outcome == Outcome::Ok;
-        let closed = ledger.answered;
+        let request_closed = ledger.answered;
         self.event(Event::AttemptFinished {
             request: RequestId(ended.request),
             attempt: AttemptNo(ended.attempt),
             worker: ended.worker,
             outcome,
             latency: 5 * MS,
-            closed,
+            request_closed,
             load,
         });
     }
--- a/crates/simulator-adapter/src/wire/parse.rs
+++ b/crates/simulator-adapter/src/wire/parse.rs
@@ -124,7 +124,7 @@
         worker: parse_worker(fields)?,
         outcome: parse_outcome(fields)?,
         latency: fields.number("spent")?,
-        closed: fields.flag("terminal")?,
+        request_closed: fields.flag("terminal")?,
         load: parse_load(fields),
     })
 }
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -277,14 +277,14 @@
             latency_us = latency,
             "attempt.finished"
         );
-        let closed = self.reply.is_none();
+        let request_closed = self.reply.is_none();
         self.engine.handle(Event::AttemptFinished {
             request,
             attempt: number,
             worker,
             outcome,
             latency,
-            closed,
+            request_closed,
             load,
         });
     }
