--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -93,7 +93,8 @@
         index
     }
 
-    /// Drops removed workers once there are many, so that memory doesn't grow as machines come and go.
+    /// Drops removed workers without attempts in flight once there are many workers, so that memory doesn't
+    /// grow as machines come and go.
     fn drop_removed(&mut self) {
         if self.workers.len() < 2 * self.ready_count + MAX_REMOVED_WORKERS {
             return;
--- a/crates/scheduling/src/test_support.rs
+++ b/crates/scheduling/src/test_support.rs
@@ -11,7 +11,7 @@
 /// The current time in the tests, in microseconds.
 pub(crate) const NOW: Micros = 100_000_000;
 
-/// Settings of a single scheduler with one class of idempotent requests.
+/// Returns the settings of a single scheduler with one class of idempotent requests.
 pub(crate) fn settings() -> Settings {
     Settings {
         scheduler_index: 0,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Rules by which a worker starts with a quarter of its capacity and warms up within ten seconds.
+/// Returns rules by which a worker starts with a quarter of its capacity and warms up within ten seconds.
 pub(crate) fn rules() -> Rules {
     Rules {
         answer_slack: 8_000,
@@ -68,12 +68,12 @@
     }
 }
 
-/// The entry of a ready worker of weight 1 that started long ago.
+/// Returns the entry of a ready worker of weight 1 that started long ago.
 pub(crate) fn endpoint(n: u64) -> Endpoint {
     Endpoint { worker: WorkerId(n), weight: 1.0, ..Endpoint::default() }
 }
 
-/// A fleet of the listed workers, in the order of the list.
+/// Returns a fleet of the listed workers, in the order of the list.
 pub(crate) fn fleet_of(endpoints: impl IntoIterator<Item = Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
     fleet.update(NOW, EndpointUpdate::Snapshot, endpoints.into_iter().collect(), WeightSource::Size);
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -86,8 +86,8 @@
         Worker { endpoint, started_at, is_ready, weight, ..Worker::default() }
     }
 
-    /// Discards what was learned about the worker's earlier process. Attempts in flight are kept, since they
-    /// still end.
+    /// Discards what was learned about the worker's earlier process. Keeps the attempts in flight, whose
+    /// results still arrive.
     pub(crate) fn restart(&mut self, endpoint: Endpoint, weight: f64, started_at: Option<Micros>) {
         let (in_flight, points) = (std::mem::take(&mut self.in_flight), self.points);
         *self = Worker { points, in_flight, ..Worker::new(endpoint, weight, started_at) };
@@ -101,13 +101,13 @@
         self.warm_up_fraction(now, rules) < 1.0
     }
 
-    /// Slots of this scheduler's own attempts in flight at the worker.
+    /// Returns the slots of this scheduler's own attempts in flight at the worker.
     pub(crate) fn own_slots(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// Slots in flight at the worker: the coordinator's latest report plus what was sent since. `None` if the
-    /// report is missing or too old, or doesn't list the worker.
+    /// Returns the slots in flight at the worker: the coordinator's latest report plus what was sent since
+    /// the query. Returns `None` if the report is missing or too old, or doesn't list the worker.
     pub(crate) fn occupancy(&self, now: Micros) -> Option<f64> {
         let report =
             self.report.as_ref().filter(|report| now.saturating_sub(report.queried_at) < MAX_REPORT_AGE)?;
@@ -116,12 +116,12 @@
         report.slots.map(|slots| slots + slots_since)
     }
 
-    /// Slots in flight at the worker per unit of weight.
+    /// Returns the slots in flight at the worker per unit of weight.
     pub(crate) fn occupancy_per_unit(&self, now: Micros) -> Option<f64> {
         self.occupancy(now).map(|occupancy| occupancy / self.weight.max(MIN_WEIGHT))
     }
 
-    /// The worker's load per unit of weight: its occupancy or, if unknown, this scheduler's own slots.
+    /// Returns the worker's load per unit of weight: its occupancy or, if unknown, this scheduler's slots.
     pub(crate) fn load(&self, now: Micros) -> f64 {
         self.occupancy(now).unwrap_or(self.own_slots()) / self.weight.max(MIN_WEIGHT)
     }
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// A class with a latency objective of 500 ms and a deadline of 5 s.
+/// Returns a class with a latency objective of 500 ms and a deadline of 5 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 500 * MS,
@@ -30,8 +30,8 @@
 pub const NON_IDEMPOTENT: u32 = 3;
 pub const MACHINE_BOUND: u32 = 4;
 
-/// Settings of a single scheduler with the classes of the constants above. The class `MACHINE_BOUND` runs on
-/// machine type 1 only.
+/// Returns the settings of a single scheduler with the classes of the constants above. The class
+/// `MACHINE_BOUND` runs on machine type 1 only.
 pub fn settings() -> Settings {
     let deduplication_window = 2 * S;
     let mut machine_bound = class(Idempotency::Idempotent);
@@ -80,7 +80,7 @@
     }
 }
 
-/// The entry of a ready worker; its zone, machine type and cell follow from its number.
+/// Returns the entry of a ready worker, whose zone, machine type and cell are derived from `n`.
 pub fn endpoint(n: u64) -> Endpoint {
     Endpoint {
         worker: WorkerId(n),
@@ -93,12 +93,12 @@
     }
 }
 
-/// An event with entries of the endpoint list.
+/// Returns an event with entries of the endpoint list.
 pub fn list(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
     Event::Endpoints { update, endpoints: endpoints.into_iter().collect() }
 }
 
-/// An event with the complete endpoint list of workers 1 to `n`.
+/// Returns an event with the complete endpoint list of workers 1 to `n`.
 pub fn fleet(n: u64) -> Event {
     list(EndpointUpdate::Snapshot, (1..=n).map(endpoint))
 }
@@ -168,13 +168,13 @@
     }
 }
 
-/// The workers that the actions send attempts to.
+/// Returns the workers that the actions send attempts to.
 pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| if let Action::Send { worker, .. } = a { Some(*worker) } else { None };
     actions.iter().filter_map(send).collect()
 }
 
-/// The worker that the actions send exactly one attempt to.
+/// Returns the worker that the actions send an attempt to; panics unless they send exactly one.
 pub fn sent(actions: &[Action]) -> WorkerId {
     let workers = sends(actions);
     assert_eq!(workers.len(), 1, "one attempt expected in {actions:?}");
@@ -191,7 +191,7 @@
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// The times and tokens of the timers that the actions set.
+/// Returns the times and tokens of the timers that the actions set.
 pub fn timers(actions: &[Action]) -> Vec<(Micros, TimerToken)> {
     let timer = |a: &Action| if let Action::SetTimer { at, token } = a { Some((*at, *token)) } else { None };
     actions.iter().filter_map(timer).collect()
--- a/crates/scheduling/tests/restarts.rs
+++ b/crates/scheduling/tests/restarts.rs
@@ -14,14 +14,15 @@
 /// When the scheduler under test gets its first endpoint list, in microseconds.
 const BEGIN: Micros = 10 * HOUR;
 
-/// Settings with an unlimited admission budget: a worker that warms up gets every key of its virtual points.
+/// Returns settings with a practically unlimited admission budget: a worker that warms up gets every key of
+/// its virtual points.
 fn without_admission_budget() -> Settings {
     let mut settings = settings();
     settings.rules.overload_factor = 1e9;
     settings
 }
 
-/// A scheduler that got the complete list at `BEGIN` and, a second later, a response without changes.
+/// Returns a scheduler that got the complete list at `BEGIN` and, a second later, a response without changes.
 /// `started_at` is the listed start of all workers.
 fn driver_with_confirmed_list(started_at: Micros) -> Driver {
     let mut driver = Driver::new(without_admission_budget());
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -11,6 +11,7 @@
 "importance": 1.0, "name": "c", "repeat": "unsafe"}], "stats": {"fields": ["x0"], "via": "inline"}, "tick": 2000,
 "unknown_setting": [1, 2], "weights": "rough", "zone": 0}"#;
 
+/// Runs the adapter on this input.
 fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_vetchbridge-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -23,7 +24,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// A batch that starts instance 3 with a stored endpoint list of one worker.
+/// Returns a batch that starts instance 3 with a stored endpoint list of one worker.
 fn started_instance() -> String {
     format!(
         "begin_batch time=5000000\ninstance who=3\nopen_instance nonce64=7 setup={}\n\
