--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -2,7 +2,7 @@
 
 use crate::actions::Action;
 use crate::events::Outcome;
-use crate::ids::{AttemptNo, KindId, Micros, RequestId, WorkerId};
+use crate::ids::{AttemptNo, MachineTypeId, Micros, RequestId, WorkerId};
 use crate::peer_message::PeerMessage;
 use crate::placement::MIN_QUEUE_PAUSE;
 use crate::request::{Attempt, AttemptState};
@@ -23,7 +23,7 @@
     /// Time since the attempt was sent, in microseconds.
     pub(crate) latency: Micros,
     /// Whether the request is complete and needs no answer any more.
-    pub(crate) closed: bool,
+    pub(crate) request_closed: bool,
 }
 
 /// Whether an outcome means that the connection or the worker's machine failed.
@@ -45,7 +45,7 @@
         }
         self.record_worker_result(now, index, result, actions);
         self.record_attempt_state(result);
-        if result.closed {
+        if result.request_closed {
             return self.close(id, actions);
         }
         if outcome == Outcome::Invalid && self.requests.contains(id) {
@@ -115,7 +115,7 @@
     /// failure.
     pub(crate) fn send_final_answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        let retry_after = self.retry_after(now, request.class.kind);
+        let retry_after = self.retry_after(now, request.class.machine_type);
         actions.push(if request.retry_safety().allows_client_retry(now, retry_after) {
             Action::Reject { request: id, retry_after }
         } else {
@@ -127,13 +127,13 @@
     /// Returns the Retry-After for a rejected client, in microseconds: the time until the first worker of the
     /// machine type is expected to take jobs again, but no less than the shortest pause of a queued request
     /// and no more than the limit in the settings. Returns 0 if clients are given no Retry-After.
-    fn retry_after(&self, now: Micros, kind: Option<KindId>) -> Micros {
+    fn retry_after(&self, now: Micros, kind: Option<MachineTypeId>) -> Micros {
         let limits = &self.settings.limits;
         if !limits.retry_after {
             return 0;
         }
         let eligible =
-            self.fleet.ready().filter(|worker| kind.is_none_or(|kind| kind == worker.endpoint.kind));
+            self.fleet.ready().filter(|worker| kind.is_none_or(|kind| kind == worker.endpoint.machine_type));
         let waits = eligible.map(|worker| {
             let available_at = worker.concurrency_limit.rejecting_until().max(worker.outlier.ejected_until());
             available_at.saturating_sub(now)
--- a/crates/scheduling/src/completion/tests.rs
+++ b/crates/scheduling/src/completion/tests.rs
@@ -37,11 +37,11 @@
     scheduler: &mut Scheduler,
     worker: WorkerId,
     outcome: Outcome,
-    closed: bool,
+    request_closed: bool,
 ) -> Vec<Action> {
     let id = AttemptId { request: REQUEST, number: AttemptNo(0) };
     let mut actions = Vec::new();
-    let result = AttemptResult { id, worker, outcome, latency: 1_000, closed };
+    let result = AttemptResult { id, worker, outcome, latency: 1_000, request_closed };
     scheduler.on_attempt_finished(NOW, &result, &mut actions);
     actions
 }
@@ -110,7 +110,7 @@
         scheduler.fleet.iter_mut().for_each(|worker| worker.outlier.extend_ejection(NOW, ejection));
         assert_eq!(scheduler.retry_after(NOW, None), retry_after);
     }
-    assert_eq!(scheduler.retry_after(NOW, Some(KindId(9))), 2_000_000, "no worker of this type");
+    assert_eq!(scheduler.retry_after(NOW, Some(MachineTypeId(9))), 2_000_000, "no worker of this type");
     scheduler.settings.limits.retry_after = false;
     assert_eq!(scheduler.retry_after(NOW, None), 0);
 }
--- a/crates/scheduling/src/test_support.rs
+++ b/crates/scheduling/src/test_support.rs
@@ -1,17 +1,17 @@
-//! What the unit tests share: settings, endpoints and fleets.
+//! Settings, endpoints and fleets that the unit tests share.
 
 use crate::events::{Endpoint, EndpointUpdate};
 use crate::fleet::Fleet;
 use crate::ids::{Micros, WorkerId, ZoneId};
 use crate::settings::{
     Class, CostWeights, EndpointDelivery, Idempotency, Limits, LoadReportSource, QueueOrder, Rules, Settings,
-    Weights,
+    WeightSource,
 };
 
-/// The present moment of the tests.
+/// The current time in the tests, in microseconds.
 pub(crate) const NOW: Micros = 100_000_000;
 
-/// One scheduler alone, with one class of idempotent requests.
+/// Returns the settings of a single scheduler with one class of idempotent requests.
 pub(crate) fn settings() -> Settings {
     Settings {
         scheduler_index: 0,
@@ -31,7 +31,7 @@
         weight_by_work: false,
         endpoint_delivery: EndpointDelivery::Push,
         load_report_source: LoadReportSource::Responses,
-        weights: Weights::Size,
+        weights: WeightSource::Size,
         queue_order: QueueOrder::Fifo,
         reports_start: false,
         progress_interval: 0,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A worker starts with a quarter of its capacity and warms up within ten seconds.
+/// Returns rules by which a worker starts with a quarter of its capacity and warms up within ten seconds.
 pub(crate) fn rules() -> Rules {
     Rules {
         answer_slack: 8_000,
@@ -68,14 +68,14 @@
     }
 }
 
-/// A ready worker of weight 1 that started long ago.
+/// Returns the entry of a ready worker of weight 1 that started long ago.
 pub(crate) fn endpoint(n: u64) -> Endpoint {
     Endpoint { worker: WorkerId(n), weight: 1.0, ..Endpoint::default() }
 }
 
-/// A fleet of these workers, in this order.
+/// Returns a fleet of the listed workers, in the order of the list.
 pub(crate) fn fleet_of(endpoints: impl IntoIterator<Item = Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.update(NOW, EndpointUpdate::Snapshot, endpoints.into_iter().collect(), Weights::Size);
+    fleet.update(NOW, EndpointUpdate::Snapshot, endpoints.into_iter().collect(), WeightSource::Size);
     fleet
 }
--- a/crates/scheduling/tests/combined_faults.rs
+++ b/crates/scheduling/tests/combined_faults.rs
@@ -35,7 +35,7 @@
                             worker: *worker,
                             outcome,
                             latency: if outcome == Outcome::ConnectFailed { 250 * MS } else { MS },
-                            closed: outcome == Outcome::Ok,
+                            request_closed: outcome == Outcome::Ok,
                             load: None,
                         }));
                     }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -190,14 +190,14 @@
         let record = self.requests.get_mut(&ended.request).expect("the request of the attempt exists");
         record.attempts[ended.attempt as usize].may_have_run = Some(!outcome.never_ran());
         record.answered |= outcome == Outcome::Ok;
-        let closed = record.answered;
+        let request_closed = record.answered;
         self.event(Event::AttemptFinished {
             request: RequestId(ended.request),
             attempt: AttemptNo(ended.attempt),
             worker: ended.worker,
             outcome,
             latency: 5 * MS,
-            closed,
+            request_closed,
             load,
         });
     }
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -13,8 +13,8 @@
 use crate::workers::load_report::{self, LoadReportSettings};
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::{
-    Class, DeduplicationScope, EndpointDelivery, Idempotency, KindId, LoadReportSource, Settings, Tenant,
-    ZoneId,
+    Class, DeduplicationScope, EndpointDelivery, Idempotency, LoadReportSource, MachineTypeId, Settings,
+    Tenant, ZoneId,
 };
 
 /// Translates a file whose text is `text`; all of its faults otherwise, in the order of their places.
@@ -185,7 +185,7 @@
             priority_weight: class.worth,
             late_weight: class.late_share,
             idempotency,
-            kind: class.kind.as_ref().map(|_| KindId(kind)),
+            machine_type: class.kind.as_ref().map(|_| MachineTypeId(kind)),
             priority: class.priority,
             stream: class.stream,
         }
@@ -277,11 +277,11 @@
     }
 }
 
-fn weights(weights: Weights) -> vetchbridge_scheduling::Weights {
+fn weights(weights: Weights) -> vetchbridge_scheduling::WeightSource {
     match weights {
-        Weights::Off => vetchbridge_scheduling::Weights::Fixed,
-        Weights::Nominal | Weights::Rough => vetchbridge_scheduling::Weights::Size,
-        Weights::Live => vetchbridge_scheduling::Weights::Live,
+        Weights::Off => vetchbridge_scheduling::WeightSource::Fixed,
+        Weights::Nominal | Weights::Rough => vetchbridge_scheduling::WeightSource::Size,
+        Weights::Live => vetchbridge_scheduling::WeightSource::Live,
     }
 }
 
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -281,14 +281,14 @@
             latency_us = latency,
             "attempt.finished"
         );
-        let closed = self.answer_sender.is_none();
+        let request_closed = self.answer_sender.is_none();
         self.engine.handle(Event::AttemptFinished {
             request,
             attempt: number,
             worker,
             outcome,
             latency,
-            closed,
+            request_closed,
             load,
         });
     }
