--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! HTTP calls to the discovery service.
 //!
-//! Knows the service's paths and reads its responses. When to call, and what an answer means, is the
-//! [watcher](super::watcher)'s.
+//! This module forms the service's URIs and reads its responses. The [watcher](super::watcher) decides when
+//! to make a call and what its response means.
 
 use crate::discovery::document::EndpointDocument;
 use crate::discovery::partial::PartialDocument;
@@ -19,26 +19,28 @@
 use thiserror::Error as ThisError;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// How long a connection may take to come up.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the body may take once the head of a response has arrived. What the service has written counts as notified,
-/// so that a body that stalls must not delay the entries that have arrived.
+/// Maximum time to receive the body after the head of a response. This scheduler counts as notified of an
+/// entry once the service has written that entry, so a stalled body must not delay the entries that have
+/// arrived.
 const BODY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle connections are closed after this time.
+/// Time after which an idle connection is closed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest document that is read.
+/// Maximum length of a document in bytes.
 const MAX_DOCUMENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a call requests of the service.
+/// The part of the endpoint list that a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Query {
     /// The complete list.
     Complete,
-    /// The changes since this generation.
+    /// The changes since a generation.
     ChangesSince {
-        /// The generation that is known.
+        /// The generation that the scheduler has.
         generation: u64,
-        /// How long the service may wait for a change; zero for an answer at once.
+        /// How long the service may hold the call until the list changes; zero requests an immediate
+        /// response.
         wait: Duration,
     },
 }
@@ -55,60 +57,61 @@
     }
 }
 
-/// Why a call to the discovery service brought no document.
+/// Why a call to the discovery service returned no complete document.
 #[derive(Debug, ThisError)]
 pub(super) enum CallError {
-    /// The request could not be formed.
+    /// The HTTP request could not be built.
     #[error(transparent)]
     InvalidRequest(#[from] http::Error),
-    /// No connection came up in time.
-    #[error("no connection within {CONNECT_TIMEOUT:?}")]
+    /// No connection was established within [`CONNECT_TIMEOUT`].
+    #[error("no connection established within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
-    /// No response came in time.
-    #[error("no response within {0:?}")]
+    /// The response did not begin within this time.
+    #[error("no response received within {0:?}")]
     ResponseTimeout(Duration),
     /// The connection failed before the response began.
     #[error(transparent)]
     Transport(legacy::Error),
-    /// The service refused the call.
-    #[error("{0}")]
+    /// The service responded with a status other than 200.
+    #[error("the service responded with status {0}")]
     Status(StatusCode),
-    /// The response broke off, stalled or is no document.
+    /// The response body was truncated, stalled or malformed.
     #[error("{cause}")]
     Body {
-        /// What was wrong with it.
+        /// Why the body could not be read.
         cause: BodyError,
-        /// What can be read of it.
+        /// The parts of the document that arrived complete.
         partial: PartialDocument,
     },
 }
 
-/// What was wrong with the body of a response.
+/// Why the body of a response could not be read.
 #[derive(Debug, ThisError)]
 pub(super) enum BodyError {
-    /// The connection broke, or the document is too long.
+    /// The connection failed, or the body is longer than [`MAX_DOCUMENT_BYTES`].
     #[error("{0}")]
     Interrupted(Box<dyn Error + Send + Sync>),
-    /// The rest did not come in time.
-    #[error("the response stalled within its body")]
+    /// The body was not complete within [`BODY_TIMEOUT`].
+    #[error("the response body was not complete within {BODY_TIMEOUT:?}")]
     Stalled,
-    /// The text is no document.
-    #[error("unreadable document: {0}")]
+    /// The body is not a valid document.
+    #[error("invalid endpoint document: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
 impl CallError {
-    /// Whether nothing at all came back. A service that has too many callers answers, late, that it has.
+    /// Whether the call timed out before any response. An overloaded service still responds, with a late
+    /// refusal.
     pub(super) fn is_unanswered(&self) -> bool {
         matches!(self, CallError::ConnectTimeout | CallError::ResponseTimeout(_))
     }
 
-    /// Whether any entry of the document can be read.
+    /// Whether at least one entry of the document arrived complete.
     pub(super) fn has_instances(&self) -> bool {
         matches!(self, CallError::Body { partial, .. } if !partial.instances.is_empty())
     }
 
-    /// What can be read of the document; empty if there is none.
+    /// Returns the parts of the document that arrived complete; empty if no body was received.
     pub(super) fn into_partial(self) -> PartialDocument {
         match self {
             CallError::Body { partial, .. } => partial,
@@ -123,7 +126,7 @@
 }
 
 impl DiscoveryClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub(super) fn new() -> DiscoveryClient {
         let http = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(POOL_IDLE_TIMEOUT)
@@ -132,7 +135,7 @@
         DiscoveryClient { http }
     }
 
-    /// Makes one call; the response must begin within `response_timeout`.
+    /// Makes one call, which fails unless the response begins within `response_timeout`.
     pub(super) fn call(
         &self,
         address: SocketAddr,
@@ -159,7 +162,7 @@
     }
 }
 
-/// Reads the document in a response, or what there is of it.
+/// Reads the document in a response. The error carries the parts that arrived complete.
 async fn read_document(response: Response<Incoming>) -> Result<EndpointDocument, CallError> {
     let mut text = Vec::new();
     let read = read_body(response.into_body(), &mut text).await;
@@ -167,7 +170,7 @@
     document.map_err(|cause| CallError::Body { cause, partial: PartialDocument::parse(&text) })
 }
 
-/// Appends the body to `text`. What arrived before a failure is there as well.
+/// Appends the body to `text`. After a failure, `text` holds the part that arrived before.
 async fn read_body(body: Incoming, text: &mut Vec<u8>) -> Result<(), BodyError> {
     let mut body = Limited::new(body, MAX_DOCUMENT_BYTES);
     let deadline = Instant::now() + BODY_TIMEOUT;
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -1,6 +1,6 @@
-//! The endpoint list in the discovery service's form, and its translation into the scheduler's terms.
+//! The discovery service's endpoint document, and its conversion to the scheduler's types.
 //!
-//! The only place that knows the names of the protocol's fields.
+//! The JSON field names of the discovery protocol are defined in this module alone.
 
 use crate::snapshot::NameTables;
 use crate::workers::worker_id;
@@ -8,32 +8,32 @@
 use std::net::SocketAddr;
 use vetchbridge_scheduling::{CellId, Endpoint, EndpointState, KindId, ZoneId};
 
-/// The index of a zone or machine type that the settings do not name: no class or scheduler has it.
+/// Index of a zone or machine type that the settings do not name. No class and no scheduler has this index.
 const UNKNOWN_INDEX: u32 = u32::MAX;
-/// Microseconds in a millisecond: the protocol gives times in the latter, the scheduler takes the former.
+/// Microseconds per millisecond. The protocol's times are in milliseconds, the scheduler's in microseconds.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointSource {
-    /// A discovery service at this address.
+    /// The discovery service at this address.
     Service(SocketAddr),
-    /// The configuration; the list changes only with it.
+    /// A list in the configuration, which changes only when the configuration does.
     Fixed(EndpointDocument),
 }
 
 /// A complete endpoint list, or the changes since an earlier one.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointDocument {
-    /// The list's version; it grows with each change.
+    /// Version of the list; it grows with each change.
     pub generation: u64,
-    /// Whether this is the complete list and not changes alone.
+    /// Whether `instances` is the complete list rather than changes to an earlier one.
     pub reset: bool,
-    /// The entries.
+    /// The listed or changed workers.
     pub instances: Vec<Instance>,
 }
 
-/// One entry of an endpoint list: a worker.
+/// One worker in an endpoint document.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
@@ -45,7 +45,7 @@
     /// The worker's zone.
     #[serde(default)]
     pub zone: String,
-    /// The worker's kind of machine.
+    /// The worker's machine type.
     #[serde(default)]
     pub machine_type: String,
     /// The worker's cell.
@@ -56,20 +56,20 @@
     /// The worker's capacity relative to that of other workers.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When the worker last started, as Unix time in milliseconds; 0 for long ago.
+    /// When the worker last started, as Unix time in milliseconds; 0 if unknown or long ago.
     #[serde(default)]
     pub started_at_ms: u64,
 }
 
-/// A worker's state in the discovery service's terms.
+/// A worker's state as the discovery service reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// Takes new jobs.
+    /// The worker accepts new jobs.
     Up,
-    /// Finishes the jobs that it has and takes no new ones.
+    /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// Has left; appears among changes only.
+    /// The worker has left. This state appears only in documents that list changes.
     Removed,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Instance {
-    /// The worker's state in the scheduler's terms.
+    /// Returns the worker's state as the scheduler's type.
     pub fn endpoint_state(&self) -> EndpointState {
         match self.lifecycle {
             InstanceState::Up => EndpointState::Ready,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The entry in the scheduler's terms.
+    /// Converts the entry to the scheduler's type.
     pub fn to_endpoint(&self, names: &NameTables) -> Endpoint {
         Endpoint {
             worker: worker_id(&self.instance_id),
@@ -96,7 +96,7 @@
             cell: CellId(self.cell),
             state: self.endpoint_state(),
             weight: self.weight,
-            // The engine's clock reads Unix time.
+            // Unix time needs no conversion: the engine's clock reads Unix time too.
             started_at: self.started_at_ms.saturating_mul(MICROS_PER_MILLI),
         }
     }
--- a/crates/vetchbridge/src/discovery/endpoint_list.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! The endpoint list as last published, in the discovery service's form.
+//! The endpoint list as last published, with entries as the discovery service sent them.
 //!
-//! The [watcher](super::watcher) writes it. An upgrade hands it to the successor process, and a reload that renumbers
-//! zones or kinds translates it again.
+//! The [watcher](super::watcher) updates the list. An upgrade hands the list over to the successor process. A
+//! reload that renumbers zones or machine types converts the entries again.
 
 use crate::discovery::document::{EndpointSource, Instance, InstanceState};
 use crate::snapshot::NameTables;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use vetchbridge_scheduling::{Endpoint, EndpointUpdate};
 
-/// The complete endpoint list, with its generation at its source.
+/// The complete endpoint list and its generation.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     source: Option<SocketAddr>,
@@ -18,8 +18,8 @@
 }
 
 impl EndpointList {
-    /// Takes the list from another source from now on. The entries stay until the new source has answered; the
-    /// generation goes, since generations of two sources can't be compared.
+    /// Records that updates come from another source. Keeps the entries until the new source has answered,
+    /// and clears the generation, since generations of two sources can't be compared.
     pub fn change_source(&mut self, source: &EndpointSource) {
         self.source = match source {
             EndpointSource::Service(address) => Some(*address),
@@ -28,8 +28,8 @@
         self.generation = None;
     }
 
-    /// Applies an update. One without a generation, such as what was read of a broken document, leaves the generation
-    /// as it was.
+    /// Applies an update. An update without a generation, such as one read from a truncated document, keeps
+    /// the previous generation.
     pub fn apply(&mut self, update: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
         if update.is_complete() {
             self.instances.clear();
@@ -44,17 +44,18 @@
         self.generation = generation.or(self.generation);
     }
 
-    /// The entries, and their generation at the source if they have one.
+    /// Returns the entries, and their generation if the current source has provided one.
     pub fn snapshot(&self) -> (Vec<Instance>, Option<u64>) {
         (self.instances.values().cloned().collect(), self.generation)
     }
 
-    /// The entries in the scheduler's terms.
+    /// Returns the entries as the scheduler's type.
     pub fn endpoints(&self, names: &NameTables) -> Vec<Endpoint> {
         self.instances.values().map(|instance| instance.to_endpoint(names)).collect()
     }
 
-    /// The address of the discovery service that the list comes from, if it comes from one.
+    /// Returns the address of the discovery service that the list comes from; `None` for a list in the
+    /// configuration.
     pub fn source(&self) -> Option<SocketAddr> {
         self.source
     }
--- a/crates/vetchbridge/src/discovery/mod.rs
+++ b/crates/vetchbridge/src/discovery/mod.rs
@@ -1,14 +1,14 @@
-//! Endpoint discovery: how this scheduler learns which workers there are.
+//! Endpoint discovery: keeps this scheduler's list of workers up to date.
 //!
-//! - [`document`] is the form in which the discovery service gives the list, and `partial` what can be read of a
-//!   document that breaks off.
-//! - `client` makes the HTTP calls.
-//! - `schedule` decides when a call is made and how long it may take; it is pure.
-//! - [`watcher`] follows the service and publishes what it learns.
-//! - [`endpoint_list`] is the list as last published, which a successor process starts from.
-//! - [`request`] is what the rest of the daemon may request of the watcher.
+//! - [`document`] defines the discovery service's document; `partial` reads the complete parts of a truncated
+//!   one.
+//! - `client` makes the HTTP calls to the service.
+//! - `schedule` decides when each call is made and how long it may take. It does no I/O and reads no clock.
+//! - [`watcher`] calls the service and publishes each update.
+//! - [`endpoint_list`] holds the list as last published, which is handed over to a successor process.
+//! - [`request`] defines the requests that the rest of the daemon sends to the watcher.
 //!
-//! Nothing in this module decides about a worker or connects to one.
+//! No code in this module connects to a worker or decides which worker runs a job.
 
 mod client;
 pub mod document;
--- a/crates/vetchbridge/src/discovery/partial.rs
+++ b/crates/vetchbridge/src/discovery/partial.rs
@@ -1,12 +1,13 @@
-//! What can be read of an endpoint document that breaks off.
+//! Reads the complete parts of a truncated endpoint document.
 //!
-//! A response may end within the document: the service crashed, the connection was reset, or the rest never came. The
-//! entries that arrived complete are still valid, above all those of workers that are leaving.
+//! A response may end within the document: the service crashed, the connection was reset, or the body
+//! stalled. The entries that arrived complete are still valid, and those of workers that are leaving matter
+//! most.
 
 use crate::discovery::document::Instance;
 use serde_json::Deserializer;
 
-/// The complete parts of a document that broke off.
+/// The complete parts of a truncated document.
 #[derive(Debug, Default)]
 pub(super) struct PartialDocument {
     /// The document's generation, if it arrived complete.
@@ -16,7 +17,7 @@
 }
 
 impl PartialDocument {
-    /// Reads what is there of a document's text.
+    /// Parses the text of a document that may be truncated.
     pub(super) fn parse(text: &[u8]) -> PartialDocument {
         let generation = after_key(text, b"\"generation\"").and_then(parse_generation);
         let instances = after_key(text, b"\"instances\"").map(parse_instances).unwrap_or_default();
@@ -24,13 +25,14 @@
     }
 }
 
-/// The text that follows a quoted key.
+/// Returns the text that follows a quoted key.
 fn after_key<'a>(text: &'a [u8], key: &[u8]) -> Option<&'a [u8]> {
     let start = text.windows(key.len()).position(|window| window == key)?;
     text.get(start + key.len()..)
 }
 
-/// The number that follows a key. One that the text ends with may lack digits, and is not taken.
+/// Returns the number that follows a key. A number at the very end of the text is ignored, since it may lack
+/// digits.
 fn parse_generation(rest: &[u8]) -> Option<u64> {
     let colon = rest.iter().position(|byte| *byte == b':')?;
     let value = &rest[colon + 1..];
@@ -39,8 +41,8 @@
     (numbers.byte_offset() < value.len()).then_some(number)
 }
 
-/// The entries that follow a key, up to the one that broke off: the first begins after a bracket, each other one after
-/// a comma.
+/// Returns the entries that follow a key, up to the first that is incomplete. The first entry begins after a
+/// bracket, each further one after a comma.
 fn parse_instances(mut rest: &[u8]) -> Vec<Instance> {
     let mut instances = Vec::new();
     while let Some(separator) = rest.iter().position(|byte| matches!(byte, b'[' | b',')) {
--- a/crates/vetchbridge/src/discovery/partial/tests.rs
+++ b/crates/vetchbridge/src/discovery/partial/tests.rs
@@ -1,4 +1,4 @@
-//! Reading documents that break off; the reader is private to the crate.
+//! Unit tests of reading truncated documents; the reader is private to the discovery module.
 
 use super::*;
 use serde_json::json;
@@ -11,9 +11,10 @@
     partial.instances.iter().map(|instance| instance.instance_id.as_str()).collect()
 }
 
-/// Whatever the length to which a document was cut: what is read is a prefix of it, never a value that is not in it.
+/// Truncates a document at every length. The parser returns a prefix of the document's entries and never a
+/// value that the document does not contain.
 #[test]
-fn every_prefix_of_a_document_yields_its_complete_parts_alone() {
+fn every_prefix_of_a_document_yields_only_its_complete_parts() {
     let document =
         json!({"generation": 1234, "reset": true, "instances": [instance("w-0"), instance("w-1")]});
     let text = document.to_string();
@@ -28,13 +29,13 @@
 
 /// A number at the very end of the text may lack its last digits.
 #[test]
-fn a_generation_that_ends_the_text_is_not_taken() {
+fn a_generation_at_the_end_of_the_text_is_ignored() {
     assert_eq!(PartialDocument::parse(br#"{"generation":12"#).generation, None);
     assert_eq!(PartialDocument::parse(br#"{"generation":12,"#).generation, Some(12));
 }
 
 #[test]
-fn a_text_that_is_no_document_yields_nothing() {
+fn text_that_is_not_a_document_yields_no_parts() {
     for text in ["", "busy", r#"{"instances""#, r#"{"generation":"x","instances":7}"#] {
         let partial = PartialDocument::parse(text.as_bytes());
         assert!(partial.generation.is_none() && partial.instances.is_empty(), "{partial:?} of {text}");
--- a/crates/vetchbridge/src/discovery/request.rs
+++ b/crates/vetchbridge/src/discovery/request.rs
@@ -1,19 +1,19 @@
 //! Requests to the endpoint watcher from the rest of the daemon.
 //!
-//! A module of its own, so that the engine, which passes on the scheduler's requests, and the watcher, which gives the
-//! engine its events, need not know each other. It has no state.
+//! These requests have a module of their own so that the engine and the watcher need not depend on each
+//! other: the engine forwards the scheduler's requests, and the watcher sends events to the engine.
 
 use crate::discovery::document::EndpointSource;
 
 /// A request to the [`EndpointWatcher`](super::watcher::EndpointWatcher).
 #[derive(Debug)]
 pub enum DiscoveryRequest {
-    /// Watch the list for changes.
+    /// Watch the endpoint list for changes.
     Subscribe,
-    /// Stop watching the list.
+    /// Stop watching the endpoint list.
     Unsubscribe,
     /// Fetch the complete list once.
     Fetch,
-    /// Take the list from this source from now on. Sent by a configuration reload, never by the scheduler.
+    /// Follow this source instead. A configuration reload sends this request; the scheduler never does.
     Move(EndpointSource),
 }
--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -1,73 +1,76 @@
 //! When the discovery service is called, and how long each call may take.
 //!
-//! Pure: the time is passed in, and no call is made. How long to pause after failed calls is the scheduler's decision: its
-//! endpoint refresh subscribes again when its backoff has passed.
+//! This module makes no call and reads no clock; callers pass the time in. The scheduler decides how long to
+//! pause after failed calls: its endpoint refresh subscribes again after its backoff.
 
 use std::time::Duration;
 use tokio::time::Instant;
 use vetchbridge_scheduling::EndpointDelivery;
 
-/// The longest time that a watch waits at the service for a change. A silent connection is noticed only when this is
-/// over.
+/// Maximum time that the service holds a watch call until the list changes. A dead connection is detected
+/// only after this time.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// How much shorter a watch may wait. One change answers the watches of all schedulers together; spread waits keep
-/// them from ending together too.
+/// Range by which waits are shortened. One change makes the service answer the watches of all schedulers
+/// together; different waits keep the next calls of these schedulers from ending together.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_millis(800);
-/// How long the response to a watch may take beyond its wait (docs/design/list-refresh.md).
+/// Maximum time that the response to a watch call may take beyond its wait (docs/design/list-refresh.md).
 const WATCH_RESPONSE_MARGIN: Duration = Duration::from_secs(1);
-/// How long the response to a call that does not wait for a change may take. Longer than the service lets a call wait
-/// for its turn: a call that is abandoned sooner may cost the service its work all the same.
+/// Maximum time for the response to a call that does not wait for a change. This limit is longer than the
+/// service queues a call: a call that is abandoned sooner may still cost the service the work.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long a call that follows an unanswered one is out before it is hedged: it may have been lost as well.
+/// Time after which a call is hedged if the call before was unanswered: this call may have been lost as well.
 const HEDGE_DELAY: Duration = Duration::from_millis(1100);
-/// The largest tier in which calls are hedged. The service serves one call after another; where it is short of time,
-/// the hedged calls of many schedulers would keep all of them waiting.
+/// Number of schedulers up to which a tier hedges its calls. The service serves one call after another; when
+/// the service is overloaded, the hedged calls of many schedulers would delay all of their calls.
 const MAX_HEDGING_SCHEDULERS: u32 = 11;
-/// Pause before a watch on a service that pushes lists is opened again: such a service serves this scheduler alone.
+/// Pause before a watch on a service that pushes lists is reopened. The pause is short because such a service
+/// serves this scheduler alone.
 const PUSH_REOPEN_DELAY: Duration = Duration::from_millis(100);
-/// The golden ratio's fractional part: its multiples are spread evenly over the unit interval.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are spread evenly over the unit
+/// interval.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
 /// How the latest call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallOutcome {
-    /// With a document.
+    /// The service returned a document.
     Answered,
-    /// With an error, such as a refusal: the service or its host reacted.
+    /// The call failed with an error, such as a refusal: the service or its host reacted.
     Failed,
-    /// Nothing came back: the call may never have reached the service.
+    /// The call timed out without a response: the call may never have reached the service.
     Unanswered,
 }
 
-/// How long one call of a watch may take.
+/// The time limits of one watch call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WatchTimes {
-    /// How long the service may wait for a change; zero for an answer at once.
+    /// How long the service may hold the call until the list changes; zero requests an immediate response.
     pub(super) wait: Duration,
-    /// How long the response may take to begin.
+    /// Maximum time until the response begins.
     pub(super) timeout: Duration,
 }
 
-/// The schedule of one scheduler's calls.
+/// The schedule of one scheduler's calls to the discovery service.
 #[derive(Debug)]
 pub(super) struct DiscoverySchedule {
     last_outcome: CallOutcome,
-    /// Calls that waited for a change so far.
+    /// Number of calls so far that had a nonzero wait.
     waiting_calls: u32,
-    /// When the watcher may reopen a watch that has ended.
+    /// Earliest time at which the watcher may reopen a watch that has ended.
     reopen_at: Instant,
-    /// Whether the watcher reopens a watch that has ended, not the scheduler by a subscription.
-    reopens: bool,
+    /// Whether the watcher itself reopens a watch that has ended. Otherwise the scheduler reopens the watch
+    /// by subscribing.
+    reopens_by_itself: bool,
 }
 
 impl DiscoverySchedule {
-    /// A schedule whose first watch may be opened at once.
+    /// Creates a schedule whose first watch may be opened at once.
     pub(super) fn new(now: Instant) -> DiscoverySchedule {
         DiscoverySchedule {
             last_outcome: CallOutcome::Answered,
             waiting_calls: 0,
             reopen_at: now,
-            reopens: false,
+            reopens_by_itself: false,
         }
     }
 
@@ -81,24 +84,27 @@
         self.reopen_at = now + PUSH_REOPEN_DELAY;
     }
 
-    /// Takes note of whether a watch is open, and how lists are delivered now.
+    /// Decides whether the watcher is to reopen the watch, given whether a watch is open and how lists are
+    /// delivered now.
     ///
-    /// Where lists are pushed, the scheduler never subscribes, and the watcher opens a watch whenever there is none. It
-    /// also reopens one that ended while lists were pushed, though they are polled since: the scheduler learned of
-    /// its end at a time when it had nothing to subscribe to.
+    /// If lists are pushed, the scheduler never subscribes, and the watcher opens a watch whenever none is
+    /// open. The watcher also reopens a watch that ended while lists were pushed if lists are polled since:
+    /// with pushed lists the scheduler does not react to the end of a watch.
     pub(super) fn update_reopening(&mut self, watch_is_open: bool, delivery: EndpointDelivery) {
-        self.reopens = !watch_is_open && (self.reopens || delivery == EndpointDelivery::Push);
+        self.reopens_by_itself =
+            !watch_is_open && (self.reopens_by_itself || delivery == EndpointDelivery::Push);
     }
 
-    /// When the watcher is to open a watch; `None` while one is open or the scheduler is to subscribe.
+    /// Returns when the watcher is to open a watch; `None` while a watch is open or the scheduler is to
+    /// subscribe.
     pub(super) fn reopen_at(&self) -> Option<Instant> {
-        self.reopens.then_some(self.reopen_at)
+        self.reopens_by_itself.then_some(self.reopen_at)
     }
 
-    /// The times of the next call of a watch.
+    /// Returns the time limits of the next watch call.
     ///
-    /// Before the first answer (`confirmed` is false) and after a failed call it waits for no change: its answer is the
-    /// soonest sign that the service is there.
+    /// Before the first answer (`confirmed` is false) and after a failed call, the call requests an immediate
+    /// response, which shows soonest that the service is reachable.
     pub(super) fn next_watch_times(&mut self, scheduler_index: u32, confirmed: bool) -> WatchTimes {
         if self.last_outcome != CallOutcome::Answered || !confirmed {
             return WatchTimes { wait: Duration::ZERO, timeout: RESPONSE_TIMEOUT };
@@ -107,14 +113,15 @@
         WatchTimes { wait, timeout: wait + WATCH_RESPONSE_MARGIN }
     }
 
-    /// When a call that is made now is to be hedged; `None` for never.
+    /// Returns when a call that is made now is to be hedged; `None` if the call is not hedged.
     pub(super) fn hedge_at(&self, now: Instant, scheduler_count: u32) -> Option<Instant> {
-        let hedges =
+        let is_hedged =
             self.last_outcome == CallOutcome::Unanswered && scheduler_count <= MAX_HEDGING_SCHEDULERS;
-        hedges.then(|| now + HEDGE_DELAY)
+        is_hedged.then(|| now + HEDGE_DELAY)
     }
 
-    /// A fraction below 1 that differs by scheduler and by call, evenly spread over all of them.
+    /// Returns a fraction below 1 that differs by scheduler and by call. The fractions are spread evenly over
+    /// all schedulers and calls.
     fn next_phase(&mut self, scheduler_index: u32) -> f64 {
         self.waiting_calls += 1;
         ((scheduler_index + self.waiting_calls) as f64 * GOLDEN_RATIO_FRACTION).fract()
--- a/crates/vetchbridge/src/discovery/schedule/tests.rs
+++ b/crates/vetchbridge/src/discovery/schedule/tests.rs
@@ -1,27 +1,27 @@
-//! The schedule on its own, without a clock or a service; it is private to the discovery module.
+//! Unit tests of the schedule, without a clock or a service; the schedule is private to the discovery module.
 
 use super::*;
 use rstest::rstest;
 
-const AT_ONCE: WatchTimes = WatchTimes { wait: Duration::ZERO, timeout: RESPONSE_TIMEOUT };
+const IMMEDIATE: WatchTimes = WatchTimes { wait: Duration::ZERO, timeout: RESPONSE_TIMEOUT };
 
 #[rstest]
 #[case::before_the_first_answer(CallOutcome::Answered, false)]
 #[case::after_a_failed_call(CallOutcome::Failed, true)]
 #[case::after_an_unanswered_call(CallOutcome::Unanswered, true)]
-fn a_call_that_shows_the_service_to_be_there_waits_for_no_change(
+fn a_call_that_checks_whether_the_service_is_reachable_does_not_wait(
     #[case] outcome: CallOutcome,
     #[case] confirmed: bool,
 ) {
     let mut schedule = DiscoverySchedule::new(Instant::now());
     schedule.record_outcome(outcome);
-    assert_eq!(schedule.next_watch_times(0, confirmed), AT_ONCE);
+    assert_eq!(schedule.next_watch_times(0, confirmed), IMMEDIATE);
 }
 
-/// A change that a silent watch missed must be known 6 s after the watch fell silent, which leaves the next call time
-/// for its own answer.
+/// A scheduler must know of a change 6 s after its watch fell silent. The time limits of a watch call leave
+/// time in these 6 s for the next call and its answer.
 #[test]
-fn a_silent_watch_is_noticed_in_time_for_another_call() {
+fn a_silent_watch_is_detected_in_time_for_another_call() {
     let mut schedule = DiscoverySchedule::new(Instant::now());
     for index in 0..1000 {
         let times = schedule.next_watch_times(index, true);
@@ -33,17 +33,18 @@
 #[test]
 fn the_waits_of_the_schedulers_of_a_tier_are_spread_and_change_with_each_call() {
     let mut schedules: Vec<_> = (0..20).map(|_| DiscoverySchedule::new(Instant::now())).collect();
-    let mut previous = vec![Duration::ZERO; schedules.len()];
+    let mut previous_waits = vec![Duration::ZERO; schedules.len()];
     for _ in 0..5 {
-        let schedulers = schedules.iter_mut().zip(0..);
-        let waits: Vec<_> =
-            schedulers.map(|(schedule, index)| schedule.next_watch_times(index, true).wait).collect();
-        assert!(waits.iter().zip(&previous).all(|(wait, before)| wait != before), "{waits:?}");
-        previous.clone_from(&waits);
+        let schedules_with_index = schedules.iter_mut().zip(0..);
+        let waits: Vec<_> = schedules_with_index
+            .map(|(schedule, index)| schedule.next_watch_times(index, true).wait)
+            .collect();
+        assert!(waits.iter().zip(&previous_waits).all(|(wait, before)| wait != before), "{waits:?}");
+        previous_waits.clone_from(&waits);
         let mut sorted = waits;
         sorted.sort_unstable();
         let closest = sorted.windows(2).map(|pair| pair[1] - pair[0]).min().expect("more than one");
-        // Half of what 20 waits would be apart that share the spread evenly.
+        // 20 waits that are spread evenly over 800 ms are 40 ms apart; half of that suffices.
         assert!(closest >= Duration::from_millis(20), "{sorted:?}");
     }
 }
@@ -66,13 +67,13 @@
 }
 
 #[test]
-fn a_pushed_list_is_watched_at_once_and_again_soon_after_each_end() {
+fn a_pushed_list_is_watched_at_once_and_the_watch_is_reopened_soon_after_it_ends() {
     let start = Instant::now();
     let mut schedule = DiscoverySchedule::new(start);
     schedule.update_reopening(false, EndpointDelivery::Push);
     assert_eq!(schedule.reopen_at(), Some(start));
     schedule.update_reopening(true, EndpointDelivery::Push);
-    assert_eq!(schedule.reopen_at(), None, "it is open");
+    assert_eq!(schedule.reopen_at(), None, "a watch is open");
     let end = start + Duration::from_secs(3);
     schedule.record_watch_end(end);
     schedule.update_reopening(false, EndpointDelivery::Push);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_watch_that_ended_while_lists_were_pushed_is_opened_again_though_they_are_polled_since() {
+fn a_watch_that_ended_while_lists_were_pushed_is_reopened_after_a_change_to_polling() {
     let start = Instant::now();
     let mut schedule = DiscoverySchedule::new(start);
     schedule.update_reopening(false, EndpointDelivery::Push);
@@ -95,5 +96,5 @@
     assert_eq!(schedule.reopen_at(), Some(start));
     schedule.update_reopening(true, EndpointDelivery::Poll);
     schedule.update_reopening(false, EndpointDelivery::Poll);
-    assert_eq!(schedule.reopen_at(), None, "its next end is the scheduler's to act on");
+    assert_eq!(schedule.reopen_at(), None, "the scheduler reopens the watch by subscribing");
 }
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -1,12 +1,13 @@
-//! The endpoint watcher: follows the discovery service and publishes what it learns.
+//! The endpoint watcher: calls the discovery service and publishes each update of the endpoint list.
 //!
-//! Owns the generation last seen and the calls that are out. Each update goes to the upstream group first and to the
-//! scheduler next, in the order in which answers came. A call that fails becomes one `Failed` update and ends the watch
-//! until the scheduler subscribes again, after its backoff. Where lists are pushed the scheduler never subscribes: the
-//! watch is what pushes them, and the watcher opens it at the start and whenever it has ended.
+//! The watcher owns the last known generation and the calls in flight. It publishes updates in the order in
+//! which answers arrive, each to the upstream group first and then to the scheduler. A call that fails causes
+//! one `Failed` update and ends the watch until the scheduler subscribes again, after its backoff. If lists
+//! are pushed, the scheduler never subscribes: the watch delivers the pushed lists, and the watcher opens a
+//! watch at the start and whenever one has ended.
 //!
-//! The watcher makes no other call unasked (but after a change of the service's address), never drops the list that it
-//! has for one that it can't read, and never compares generations of two services.
+//! The watcher makes every other call at the scheduler's request, or after a change of the service's address.
+//! It never replaces a list by one that it can't read, and never compares generations of two services.
 
 use crate::discovery::client::{CallError, DiscoveryClient, Query};
 use crate::discovery::document::{EndpointDocument, EndpointSource, Instance};
@@ -27,34 +28,35 @@
 use tracing::{debug, info, warn};
 use vetchbridge_scheduling::{Endpoint, EndpointState, EndpointUpdate, Event};
 
-/// The list that a process starts from.
+/// The endpoint list that the process has at its start.
 pub struct InitialEndpoints {
-    /// The list.
+    /// The entries and their generation.
     pub document: EndpointDocument,
-    /// Whether its generation is one of the service that is followed; otherwise the complete list is fetched first.
+    /// Whether the generation was assigned by the current discovery service. Otherwise the watcher fetches
+    /// the complete list first.
     pub generation_valid: bool,
-    /// Whether the predecessor process handed it over, so that it is as recent as the predecessor's. A saved list may be
-    /// of any age.
+    /// Whether a predecessor handed over the list after the list was confirmed. Otherwise the list may be of
+    /// any age.
     pub handed_over: bool,
 }
 
-/// A call that is out.
+/// A call in flight.
 struct Call {
-    /// The generation that was known when it was made.
+    /// The watcher's generation when the call was made.
     known_generation: Option<u64>,
-    /// When it is to be hedged; `None` for never.
+    /// When the call is to be hedged; `None` if it is not hedged.
     hedge_at: Option<Instant>,
     response: Pin<Box<dyn Future<Output = Result<EndpointDocument, CallError>> + Send>>,
 }
 
-/// How a call ended.
+/// The result of a finished call.
 struct Answer {
-    /// The generation that was known when the call was made.
+    /// The watcher's generation when the call was made.
     known_generation: Option<u64>,
     result: Result<EndpointDocument, CallError>,
 }
 
-/// Follows the endpoint list of one source at a time; see the head of this file.
+/// Follows the endpoint list of one source at a time.
 pub struct EndpointWatcher {
     source: EndpointSource,
     client: DiscoveryClient,
@@ -63,18 +65,19 @@
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     endpoint_list: Arc<Mutex<EndpointList>>,
-    /// The generation last published from this source; `None` before its first complete list.
+    /// The generation last published from the current source; `None` before the first complete list of this
+    /// source.
     generation: Option<u64>,
-    /// Whether the list is known to be no older than this process.
+    /// Whether the published list is confirmed, as [`Self::confirmed`] defines it.
     confirmed: watch::Sender<bool>,
     watch: Option<Call>,
-    /// A second call while the watch's may have been lost, or after it has been.
+    /// A second call, made while the watch call may have been lost. The hedge may outlive the watch call.
     hedge: Option<Call>,
     fetch: Option<Call>,
 }
 
 impl EndpointWatcher {
-    /// Publishes the list that there is; no call is made yet.
+    /// Creates a watcher and publishes the initial list. Makes no call; [`Self::run`] does.
     pub fn start(
         source: EndpointSource,
         settings: Arc<CurrentSettings>,
@@ -104,7 +107,7 @@
 
     fn publish_initial(&mut self, initial: InitialEndpoints) {
         if let EndpointSource::Fixed(document) = &self.source {
-            // The configuration's own list is complete, and there is no service to call.
+            // The list in the configuration is complete, and no service has to be called.
             return self.accept_document(EndpointUpdate::Snapshot, document.clone());
         }
         self.generation = initial.generation_valid.then_some(initial.document.generation);
@@ -113,34 +116,35 @@
         self.confirmed.send_replace(initial.handed_over);
     }
 
-    /// Whether the list is known to be no older than this process: a call was answered, or the list was handed over.
+    /// Returns a receiver of whether the list is confirmed: a call has been answered since the start, the
+    /// list comes from the configuration, or a predecessor handed over a confirmed list.
     pub fn confirmed(&self) -> watch::Receiver<bool> {
         self.confirmed.subscribe()
     }
 
-    /// Serves requests and follows the source until the senders of requests are gone.
+    /// Handles requests and follows the source until all senders of requests are dropped.
     pub async fn run(mut self, mut requests: UnboundedReceiver<DiscoveryRequest>) {
         loop {
             let delivery = self.settings.get().settings.endpoint_delivery;
             self.schedule.update_reopening(self.watch.is_some(), delivery);
             let hedge_at = self.watch.as_ref().and_then(|watch| watch.hedge_at);
             tokio::select! {
-                () = reached(self.schedule.reopen_at()) => self.open_watch(),
+                () = wait_until(self.schedule.reopen_at()) => self.open_watch(),
                 request = requests.recv() => match request {
                     Some(request) => self.handle_request(request),
                     None => return,
                 },
-                () = reached(hedge_at), if self.hedge.is_none() => self.open_hedge(),
-                answer = answered(&mut self.watch) => self.handle_watch_answer(answer),
-                answer = answered(&mut self.hedge) => self.handle_hedge_answer(answer),
-                answer = answered(&mut self.fetch) => self.handle_fetch_answer(answer),
+                () = wait_until(hedge_at), if self.hedge.is_none() => self.open_hedge(),
+                answer = wait_for_answer(&mut self.watch) => self.handle_watch_answer(answer),
+                answer = wait_for_answer(&mut self.hedge) => self.handle_hedge_answer(answer),
+                answer = wait_for_answer(&mut self.fetch) => self.handle_fetch_answer(answer),
             }
         }
     }
 
     fn handle_request(&mut self, request: DiscoveryRequest) {
         match request {
-            // After a change of address one is open already.
+            // After a change of the source a watch is open already.
             DiscoveryRequest::Subscribe if self.watch.is_some() => {}
             DiscoveryRequest::Subscribe => self.open_watch(),
             DiscoveryRequest::Unsubscribe => (self.watch, self.hedge) = (None, None),
@@ -149,9 +153,10 @@
         }
     }
 
-    /// Follows another source. Calls to the old one are dropped; its list stands until the new one has answered.
+    /// Follows another source. Cancels calls to the previous source and keeps its list until the new source
+    /// has answered.
     fn change_source(&mut self, source: EndpointSource) {
-        if self.follows(&source) {
+        if self.is_current_service(&source) {
             return;
         }
         info!(from = ?self.source, to = ?source, "discovery.address_changed");
@@ -161,17 +166,19 @@
         self.open_watch();
     }
 
-    /// Whether this is the service that is followed already. A fixed list is always published again.
-    fn follows(&self, source: &EndpointSource) -> bool {
+    /// Whether `source` is the discovery service that the watcher already follows. False for a list in the
+    /// configuration, which is always published again.
+    fn is_current_service(&self, source: &EndpointSource) -> bool {
         use EndpointSource::Service;
         matches!((&self.source, source), (Service(current), Service(new)) if current == new)
     }
 
-    /// Makes the next call of the watch; the first one at a source takes the complete list.
+    /// Makes the next watch call. The first call to a source requests the complete list.
     fn open_watch(&mut self) {
         let call = match (self.generation, &self.source) {
             (None, _) => self.call_for_complete_list(),
-            // The list has been published and can't change.
+            // A list in the configuration has been published already and can't change, so this call never
+            // ends.
             (Some(_), EndpointSource::Fixed(_)) => self.new_call(pending()),
             (Some(generation), EndpointSource::Service(_)) => {
                 let scheduler_index = self.settings.get().settings.scheduler_index;
@@ -187,7 +194,7 @@
         self.watch = Some(Call { hedge_at, ..call });
     }
 
-    /// Makes a second call while the watch's may have been lost; it is the same but waits for no change.
+    /// Hedges the watch call: makes a second call with the same query and an immediate response.
     fn open_hedge(&mut self) {
         if let Some(watch) = &mut self.watch {
             watch.hedge_at = None;
@@ -224,7 +231,7 @@
         self.watch = None;
         self.schedule.record_watch_end(Instant::now());
         if self.handle_answer(answer) {
-            // At once: the service takes a call for the same watch only if it follows within 200 ms.
+            // The service treats a call as part of the same watch only if it arrives within 200 ms.
             self.hedge = None;
             self.open_watch();
         }
@@ -233,7 +240,7 @@
     fn handle_hedge_answer(&mut self, answer: Answer) {
         self.hedge = None;
         match &answer.result {
-            // The failure of the call that is hedged is reported by itself.
+            // The hedged watch call reports its own failure; a second report would count the failure twice.
             Err(error) if !error.has_instances() => debug!(reason = %error, "discovery.hedge_failed"),
             _ => {
                 if self.handle_answer(answer) {
@@ -248,7 +255,7 @@
         self.handle_answer(answer);
     }
 
-    /// Publishes what a call brought. Whether it was a document.
+    /// Publishes the update in an answer. Returns whether the answer was a complete document.
     fn handle_answer(&mut self, answer: Answer) -> bool {
         match answer.result {
             Ok(document) => {
@@ -257,8 +264,8 @@
                 true
             }
             Err(error) => {
-                let unanswered = error.is_unanswered();
-                let outcome = if unanswered { CallOutcome::Unanswered } else { CallOutcome::Failed };
+                let is_unanswered = error.is_unanswered();
+                let outcome = if is_unanswered { CallOutcome::Unanswered } else { CallOutcome::Failed };
                 self.schedule.record_outcome(outcome);
                 self.handle_failure(error);
                 false
@@ -267,8 +274,9 @@
     }
 
     fn handle_document(&mut self, known_generation: Option<u64>, document: EndpointDocument) {
-        // A complete list whose generation has gone back is believed only if no other call has brought a list
-        // meanwhile: the service has been reset.
+        // A complete list with a lower generation shows that the service was reset, but only if no other call
+        // has changed the watcher's generation in the meantime. Otherwise the list is older than the
+        // published one.
         let service_was_reset = document.reset && known_generation == self.generation;
         if self.is_older(document.generation) && !service_was_reset {
             debug!(generation = document.generation, "endpoints.stale_update");
@@ -281,11 +289,13 @@
     fn handle_failure(&mut self, error: CallError) {
         let reason = error.to_string();
         let PartialDocument { generation, mut instances } = error.into_partial();
-        // That a worker leaves is heeded whatever the generation; that one is ready must not be an older state.
+        // An entry of a leaving worker counts whatever the document's generation. An entry of a ready worker
+        // counts only if the document has a generation that is no lower than the published one.
         let is_recent = generation.is_some_and(|generation| !self.is_older(generation));
         instances.retain(|instance| is_recent || instance.endpoint_state() != EndpointState::Ready);
         warn!(reason, entries = instances.len(), "discovery.failed");
-        // Together with the failure and not before it: as changes they would count as an answer and end the backoff.
+        // The entries are part of the `Failed` update: a `Changes` update would count as an answer and end
+        // the scheduler's backoff.
         self.publish(EndpointUpdate::Failed, None, &instances);
     }
 
@@ -293,7 +303,7 @@
         self.generation.is_some_and(|known| generation < known)
     }
 
-    /// Publishes a document, whose generation is the one to go on from.
+    /// Publishes a document and records its generation.
     fn accept_document(&mut self, update: EndpointUpdate, document: EndpointDocument) {
         let (generation, entries) = (document.generation, document.instances.len());
         debug!(?update, generation, entries, "endpoints.updated");
@@ -302,7 +312,7 @@
         self.confirmed.send_replace(true);
     }
 
-    /// Notifies everyone who needs the list: the record for a successor, the upstream group, the scheduler.
+    /// Applies an update to the list kept for a successor, then to the upstream group, then to the scheduler.
     fn publish(&self, update: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
         self.endpoint_list().apply(update, generation, instances);
         let names = &self.settings.get().names;
@@ -323,16 +333,16 @@
     }
 }
 
-/// Resolves at this time; never if there is none.
-async fn reached(time: Option<Instant>) {
+/// Waits until `time`; forever if `time` is `None`.
+async fn wait_until(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => pending().await,
     }
 }
 
-/// Resolves when the call has ended; never if there is none.
-async fn answered(call: &mut Option<Call>) -> Answer {
+/// Waits for the answer to `call`; forever if `call` is `None`.
+async fn wait_for_answer(call: &mut Option<Call>) -> Answer {
     match call {
         Some(call) => Answer { known_generation: call.known_generation, result: (&mut call.response).await },
         None => pending().await,
