--- a/crates/vetchbridge/src/discovery/request.rs
+++ b/crates/vetchbridge/src/discovery/request.rs
@@ -15,5 +15,5 @@
     /// Fetch the complete list once.
     Fetch,
     /// Follow this source instead. A configuration reload sends this request; the scheduler never does.
-    Move(EndpointSource),
+    ChangeSource(EndpointSource),
 }
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -149,7 +149,7 @@
             DiscoveryRequest::Subscribe => self.open_watch(),
             DiscoveryRequest::Unsubscribe => (self.watch, self.hedge) = (None, None),
             DiscoveryRequest::Fetch => self.fetch = Some(self.call_for_complete_list()),
-            DiscoveryRequest::Move(source) => self.change_source(source),
+            DiscoveryRequest::ChangeSource(source) => self.change_source(source),
         }
     }
 
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -62,7 +62,7 @@
             let endpoints = endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
             engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
-        if self.discovery_requests.send(DiscoveryRequest::Move(config.source)).is_err() {
+        if self.discovery_requests.send(DiscoveryRequest::ChangeSource(config.source)).is_err() {
             error!("discovery.absent");
         }
         info!(classes = names.classes.join(","), "configuration.applied");
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -144,7 +144,7 @@
         settings.endpoint_delivery = delivery;
         self.replace_settings(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
-        self.request(DiscoveryRequest::Move(self.discovery_source()));
+        self.request(DiscoveryRequest::ChangeSource(self.discovery_source()));
     }
 
     /// Submits a job of the one class, with key `k`.
