--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -1,7 +1,8 @@
 //! Datagrams between the schedulers of one tier.
 //!
-//! Owns the UDP socket while the daemon runs. It passes the scheduler's messages on unchanged, drops those that are too
-//! long or come from an unknown address, and never answers or repeats one itself.
+//! This module owns the UDP socket while the daemon runs. Messages pass through unchanged; a datagram that is
+//! too long or comes from an unknown address is dropped. The module itself never replies to a message and
+//! never resends one.
 
 use crate::config::Peers;
 use crate::engine::Engine;
@@ -15,22 +16,23 @@
 use tracing::{debug, warn};
 use vetchbridge_scheduling::{Event, Recipient};
 
-/// The longest datagram that may be sent between schedulers.
+/// Maximum length in bytes of a datagram between schedulers.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// One byte more than the longest datagram, so that a longer one shows.
+/// Size of the receive buffer in bytes. One byte more than the maximum makes a datagram that is too long
+/// detectable.
 const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
 /// A message that the scheduler sends to its peers.
 #[derive(Debug)]
 pub struct OutgoingMessage {
-    /// Whom it is for.
+    /// The peer or peers that receive the message.
     pub to: Recipient,
-    /// The message, encoded.
+    /// The encoded message.
     pub data: Vec<u8>,
 }
 
-/// Sends and receives messages until the engine is gone. While there is a successor, this process receives none: the
-/// successor does.
+/// Prepares the socket and returns the task that sends and receives messages until the engine closes
+/// `outgoing`. While this process has a successor, the successor alone receives the peers' messages.
 pub fn run(
     config: Peers,
     socket: std::net::UdpSocket,
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -1,14 +1,14 @@
-//! The daemon from its start to its end; it must never touch a request.
+//! Runs the daemon from its start to its shutdown. This module never handles a request itself.
 //!
-//! [`run`] takes over from a predecessor if there is one, opens the sockets, wires the parts together and starts their
-//! tasks, waits for SIGTERM, and shuts down gracefully.
+//! [`run`] takes over from the predecessor process if one serves, opens the sockets, connects the daemon's
+//! components and starts their tasks, waits for SIGTERM, and shuts down gracefully.
 //!
-//! | module | job |
+//! | module | task |
 //! | --- | --- |
-//! | `sockets` | opens the sockets, or uses those of a predecessor |
-//! | `startup` | wires the parts and starts their tasks |
-//! | `reload` | applies the configuration that is read at SIGHUP |
-//! | `shutdown` | waits until everything that was accepted has its response |
+//! | `sockets` | opens the sockets, or uses those that a predecessor handed over |
+//! | `startup` | connects the components and starts their tasks |
+//! | `reload` | reads and applies the configuration at each SIGHUP |
+//! | `shutdown` | waits until every accepted request has its response |
 
 mod reload;
 mod shutdown;
@@ -32,30 +32,30 @@
 use tracing::info;
 use vetchbridge_scheduling::SettingsError;
 
-/// Why the daemon could not serve.
+/// Why the daemon failed to start serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// Signals can't be watched.
-    #[error("signals: {0}")]
+    /// The signal notifications can't be started.
+    #[error("cannot watch for signals: {0}")]
     Signals(io::Error),
     /// An address can't be bound.
-    #[error("{address}: {source}")]
+    #[error("cannot bind {address}: {source}")]
     Bind {
-        /// The address.
+        /// The address from the configuration.
         address: SocketAddr,
         /// The error of the system call.
         source: io::Error,
     },
     /// The clients' listener can't be used.
-    #[error("client listener: {0}")]
+    #[error("cannot use the client listener: {0}")]
     ClientListener(io::Error),
     /// The peers' socket can't be used.
-    #[error("peer socket: {0}")]
+    #[error("cannot use the peer socket: {0}")]
     PeerSocket(io::Error),
-    /// The hand-over socket can't be put at its path.
-    #[error("{}: {source}", path.display())]
+    /// The hand-over socket can't be published at its path.
+    #[error("cannot publish the hand-over socket at {}: {source}", path.display())]
     PublishHandover {
-        /// The path.
+        /// The path of the hand-over socket.
         path: PathBuf,
         /// The error of the system call.
         source: io::Error,
@@ -65,7 +65,7 @@
     Settings(#[from] SettingsError),
 }
 
-/// Runs the daemon in the foreground until SIGTERM, and then until all that it has accepted is complete.
+/// Runs the daemon in the foreground until SIGTERM, and then until every accepted request has its response.
 pub async fn run(
     mut config: Config,
     flags: Flags,
@@ -88,21 +88,22 @@
     Ok(())
 }
 
-/// Takes over from the process that serves as this scheduler, if there is one.
+/// Takes over from the process that serves as this scheduler; returns `None` if no process does or the
+/// take-over is rejected.
 async fn take_over(config: &mut Config) -> Option<InheritedState> {
     let path = config.handover.as_ref()?;
     match upgrade::take_over(path, &config.name, config.listen).await {
         TakeoverOutcome::Inherited(inherited) => Some(*inherited),
         TakeoverOutcome::NoPredecessor => None,
         TakeoverOutcome::Rejected => {
-            // The path is left to the process there; this one can't be taken over from.
+            // The other process keeps the hand-over path, so no successor can take over from this process.
             config.handover = None;
             None
         }
     }
 }
 
-/// Starts the admin interface, if it has an address.
+/// Starts the admin interface if the configuration has an address for it.
 async fn start_admin(
     config: &Config,
     lifecycle: &Arc<Lifecycle>,
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -1,7 +1,7 @@
-//! Configuration changes in a running daemon: each SIGHUP reads the configuration again.
+//! Reads and applies the configuration again at each SIGHUP.
 //!
-//! [`Reloader`] owns the platform's document in force, against which a new one is checked. A configuration that can't be
-//! used changes nothing at all.
+//! [`Reloader`] owns the platform's configuration document in force; a new document is checked against the
+//! document in force. An invalid configuration is rejected as a whole.
 
 use super::startup::Core;
 use crate::config::{self, Config, Flags};
@@ -15,19 +15,19 @@
 use tracing::{error, info, warn};
 use vetchbridge_scheduling::{EndpointUpdate, Event};
 
-/// Applies new configurations to the parts of the daemon that can take them at work.
+/// Applies new configurations to the components that can change their settings while the daemon runs.
 pub(super) struct Reloader {
     pub flags: Flags,
     pub logs: Logs,
-    /// The platform's document in force, where the configuration is one.
+    /// The configuration document in force; `None` if the configuration is not in the platform's format.
     pub document: Option<Value>,
     pub discovery_requests: UnboundedSender<DiscoveryRequest>,
     pub core: Core,
 }
 
 impl Reloader {
-    /// Reads the configuration again at each SIGHUP until the process ends: while it drains, the scheduler still places
-    /// jobs and needs the endpoint list.
+    /// Reads the configuration again at each SIGHUP until the process ends. A process that drains or shuts
+    /// down still places jobs and needs an up-to-date endpoint list, so SIGHUP takes effect then too.
     pub async fn run(mut self, hangup: Arc<Notify>) {
         loop {
             hangup.notified().await;
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Changes the settings, discovery and the log's filter in one step; all else takes effect at the next start.
+    /// Applies the settings, the discovery source and the log filter. All other values take effect at the
+    /// next start.
     fn apply(&mut self, config: Config) {
         let Core { engine, upstream, current, endpoint_list } = &self.core;
         if let Err(error) = self.logs.set_filter(&config.log.filter.0) {
@@ -58,7 +59,8 @@
         }
         self.document = config.document;
         if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
-            // The endpoints were announced under other indices; until they are announced anew, none may be placed on.
+            // The scheduler has the endpoints with the old indices of zones and machine types. No job may be
+            // placed by the old indices, so the endpoints are sent again with the new ones.
             let endpoints = endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
             engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
--- a/crates/vetchbridge/src/serve/shutdown.rs
+++ b/crates/vetchbridge/src/serve/shutdown.rs
@@ -1,18 +1,18 @@
-//! The graceful shutdown: everything that was accepted gets its response before the process ends.
+//! The graceful shutdown: every accepted request gets its response before the process ends.
 
 use crate::upgrade::HandoverServer;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 use vetchbridge_scheduling::Event;
 
-/// Minimum time that the listener stays after SIGTERM: new connections keep arriving.
+/// Minimum time that the listener stays open after SIGTERM, since new connections still arrive.
 const MIN_LISTEN_TIME: Duration = Duration::from_millis(900);
-/// Time without pending work before the process ends; the last responses leave the socket meanwhile.
+/// Time without pending work after which the process ends. In this time the kernel sends the last responses.
 const QUIET_TIME: Duration = Duration::from_millis(100);
-/// Interval at which pending work is checked.
+/// Interval between checks for pending work.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Further time for clients to close their side after the last responses: closing a connection with unread input would
-/// discard them.
+/// Additional time for clients to close their connections after the last responses. If the process closed a
+/// connection with unread input, the kernel would discard the response.
 const LINGER_TIME: Duration = Duration::from_millis(200);
 
 /// Starts the graceful shutdown and returns once it is complete.
@@ -21,10 +21,10 @@
     sleep(MIN_LISTEN_TIME).await;
     let mut quiet_since = Instant::now();
     let mut engine_notified = false;
-    let lingers = |quiet: Duration| {
-        server.client_server.has_lingering_connections() && quiet < QUIET_TIME + LINGER_TIME
+    let is_lingering = |quiet_time: Duration| {
+        server.client_server.has_lingering_connections() && quiet_time < QUIET_TIME + LINGER_TIME
     };
-    while quiet_since.elapsed() < QUIET_TIME || lingers(quiet_since.elapsed()) {
+    while quiet_since.elapsed() < QUIET_TIME || is_lingering(quiet_since.elapsed()) {
         sleep(CHECK_INTERVAL).await;
         if !engine_notified && !server.lifecycle.state().accepts_requests() {
             engine_notified = true;
@@ -36,10 +36,13 @@
     }
 }
 
-/// Whether a response or a message to another process is due, or clients may still send requests.
+/// Whether a response or a message to another process has yet to be sent, or clients may still send requests.
 fn has_pending_work(server: &HandoverServer) -> bool {
-    // Clients use a connection for as long as it stays open; a client without one is sent to another scheduler.
-    let serves_connections =
+    // Clients keep sending requests on an open connection. Clients without a connection are sent to another
+    // scheduler.
+    let clients_may_send_requests =
         server.client_server.connection_count() > 0 && !server.lifecycle.state().closes_idle_connections();
-    server.client_server.has_pending_responses() || server.process_links.has_queued() || serves_connections
+    server.client_server.has_pending_responses()
+        || server.process_links.has_queued()
+        || clients_may_send_requests
 }
--- a/crates/vetchbridge/src/serve/sockets.rs
+++ b/crates/vetchbridge/src/serve/sockets.rs
@@ -1,4 +1,4 @@
-//! Opens the sockets that the daemon serves on, or uses those that a predecessor has handed over.
+//! Opens the daemon's listening and peer sockets, or uses those that a predecessor handed over.
 
 use super::ServeError;
 use crate::config::Config;
@@ -11,42 +11,45 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tracing::warn;
 
-/// Connections that the kernel queues until they are accepted; it takes `net.core.somaxconn` if that is less. To exceed
-/// it, more workers than this would have to call back at the same moment.
+/// Number of connections that the kernel queues until they are accepted; a smaller `net.core.somaxconn` takes
+/// precedence. The queue overflows only if more workers than this call back at the same moment.
 const BACKLOG: u32 = 4096;
 
-/// Sockets that a predecessor has handed over.
+/// Sockets that a predecessor handed over.
 #[derive(Default)]
 pub(super) struct InheritedSockets {
     pub client_listener: Option<std::net::TcpListener>,
     pub peer_socket: Option<UdpSocket>,
 }
 
-/// The sockets that the daemon serves on.
+/// The daemon's listening and peer sockets.
 pub(super) struct Sockets {
     pub client_listener: TcpListener,
-    /// A duplicate of the clients' listener, for a successor.
+    /// A duplicate of the client listener, to be handed over to a successor.
     pub listener_duplicate: std::net::TcpListener,
-    /// Where successors connect; absent without a path or where no socket can be had there.
+    /// The listener that successors connect to; `None` if no path is configured or the socket can't be
+    /// opened.
     pub handover_listener: Option<HandoverListener>,
-    /// The peers' socket, if the configuration has peers. The daemon serves without it.
+    /// The socket for messages between schedulers; `None` if the configuration has no peers. An error here
+    /// does not keep the daemon from serving.
     pub peer_socket: Option<Result<UdpSocket, ServeError>>,
 }
 
 impl Sockets {
-    /// Opens what was not inherited. The hand-over listener is published last, so that no successor connects before
-    /// this process has the clients' listener.
+    /// Opens the sockets that were not inherited. The hand-over listener is published last, so that a
+    /// successor connects only after this process has the client listener.
     pub async fn open(config: &Config, inherited: InheritedSockets) -> Result<Sockets, ServeError> {
         let mut handover_listener = match config.handover.as_deref() {
             Some(path) => open_handover_listener(path).await,
             None => None,
         };
         let client_listener = if let Some(listener) = inherited.client_listener {
-            into_tokio(listener).map_err(ServeError::ClientListener)?
+            into_tokio_listener(listener).map_err(ServeError::ClientListener)?
         } else {
-            // Without a hand-over the next process of this scheduler can only listen beside this one.
-            let shared = config.handover.is_some() && handover_listener.is_none();
-            bind_with_retry(config.listen, || listen(config.listen, shared)).await?
+            // A successor can't inherit the listener if the hand-over socket is unavailable. SO_REUSEPORT
+            // then lets the next process of this scheduler listen at the same address.
+            let reuse_port = config.handover.is_some() && handover_listener.is_none();
+            bind_with_retry(config.listen, || listen(config.listen, reuse_port)).await?
         };
         let duplicate = retry("listener", || client_listener.as_fd().try_clone_to_owned()).await;
         let listener_duplicate = duplicate.map_err(ServeError::ClientListener)?.into();
@@ -55,8 +58,8 @@
             None => None,
         };
         if let (Some(listener), Some(path)) = (&mut handover_listener, &config.handover) {
-            let published = listener.publish(path);
-            published.map_err(|source| ServeError::PublishHandover { path: path.clone(), source })?;
+            let publish_result = listener.publish(path);
+            publish_result.map_err(|source| ServeError::PublishHandover { path: path.clone(), source })?;
         }
         Ok(Sockets { client_listener, listener_duplicate, handover_listener, peer_socket })
     }
@@ -82,25 +85,26 @@
     }
 }
 
-fn into_tokio(listener: std::net::TcpListener) -> io::Result<TcpListener> {
+fn into_tokio_listener(listener: std::net::TcpListener) -> io::Result<TcpListener> {
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// Binds an address. Retries for a while if another process has it, or the system lacks the resources at the moment.
+/// Binds an address. Retries for a limited time if another process uses the address or the system lacks
+/// resources.
 pub(super) async fn bind_with_retry<T>(
     address: SocketAddr,
     bind: impl Fn() -> io::Result<T>,
 ) -> Result<T, ServeError> {
-    let bound = retry(&address.to_string(), bind).await;
-    bound.map_err(|source| ServeError::Bind { address, source })
+    let bind_result = retry(&address.to_string(), bind).await;
+    bind_result.map_err(|source| ServeError::Bind { address, source })
 }
 
-/// Listens at an address; `shared`: another process of this scheduler may listen there too.
-pub(super) fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
+/// Listens at an address. `reuse_port` lets another process of this scheduler listen at the same address.
+pub(super) fn listen(address: SocketAddr, reuse_port: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    socket.set_reuseport(shared)?;
+    socket.set_reuseport(reuse_port)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -1,4 +1,5 @@
-//! Wires the parts of the daemon together, on top of what a predecessor has handed over, and starts their tasks.
+//! Creates the daemon's components with the state that a predecessor handed over, connects them and starts
+//! their tasks.
 
 use super::reload::Reloader;
 use super::sockets::{InheritedSockets, Sockets};
@@ -27,38 +28,39 @@
 use tracing::{error, info};
 use vetchbridge_scheduling::{Scheduler, CONFIRM_WITHIN};
 
-/// At most one descriptor in this many is used for a health check: a quarter of those that are not for client
-/// connections.
+/// Number of descriptors of the process per concurrent health check of a worker. Health checks thus use at
+/// most a quarter of the descriptors that are not reserved for client connections.
 const DESCRIPTORS_PER_PROBE: usize = 8;
 
-/// What a start begins with.
+/// The inputs of [`start`].
 pub(super) struct Startup {
     pub config: Config,
     pub flags: Flags,
     pub logs: Logs,
     /// Notified at each SIGHUP.
     pub hangup: Arc<Notify>,
-    /// What a predecessor has handed over.
+    /// The state that a predecessor handed over, if one did.
     pub inherited: Option<InheritedState>,
     pub lifecycle: Arc<Lifecycle>,
     pub process_links: Arc<ProcessLinks>,
 }
 
-/// The predecessor, once its sockets and its endpoint list are in use here.
+/// The connection to a predecessor whose sockets and endpoint list this process uses.
 struct Predecessor {
     socket: HandoverSocket,
-    /// How many client connections it had.
+    /// Number of client connections that the predecessor had.
     connections: usize,
 }
 
-/// What a process starts on: sockets and an endpoint list, of its predecessor if there is one.
-struct Foundation {
+/// The sockets and the endpoint list that the process starts with, inherited from a predecessor if one handed
+/// them over.
+struct InitialState {
     sockets: InheritedSockets,
     initial_list: InitialEndpoints,
     predecessor: Option<Predecessor>,
 }
 
-/// The decision module, and the state that other parts share with it.
+/// The engine, and the state that it shares with other components.
 #[derive(Clone)]
 pub(super) struct Core {
     pub engine: Arc<Engine>,
@@ -67,18 +69,19 @@
     pub endpoint_list: Arc<Mutex<EndpointList>>,
 }
 
-/// Opens the sockets, wires all parts together and starts their tasks.
+/// Opens the sockets, connects all components and starts their tasks.
 pub(super) async fn start(startup: Startup) -> Result<Arc<HandoverServer>, ServeError> {
     let Startup { mut config, flags, logs, hangup, inherited, lifecycle, process_links } = startup;
-    let known = std::mem::take(&mut config.known);
-    let Foundation { sockets, initial_list, predecessor } = foundation(inherited, known, &config.source);
+    let saved_list = std::mem::take(&mut config.known);
+    let InitialState { sockets, initial_list, predecessor } =
+        initial_state(inherited, saved_list, &config.source);
     let Sockets { client_listener, listener_duplicate, handover_listener, peer_socket } =
         Sockets::open(&config, sockets).await?;
     let listen = listener_duplicate.local_addr().map_err(ServeError::ClientListener)?;
     info!(name = config.name, inherited = predecessor.is_some(), address = %listen, "daemon.listening");
 
-    let (discovery_requests, discovery_queue) = unbounded_channel();
-    let (datagrams, datagram_queue) = unbounded_channel();
+    let (discovery_requests, queued_discovery_requests) = unbounded_channel();
+    let (datagrams, queued_datagrams) = unbounded_channel();
     let max_sockets = config.sockets;
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
     let core = Core::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
@@ -87,10 +90,10 @@
     tokio::spawn(reloader.run(hangup));
     tokio::spawn(core.engine.clone().run_timers());
     let peer_socket = config.peers.zip(peer_socket).and_then(|(peers, socket)| {
-        let started = start_peer_messages(peers, socket, &core, &process_links, datagram_queue);
+        let started = start_peer_messages(peers, socket, &core, &process_links, queued_datagrams);
         started.map_err(|error| error!(%error, "peer_socket.failed")).ok()
     });
-    let list_confirmed = start_discovery(config.source, initial_list, &core, discovery_queue);
+    let list_confirmed = start_discovery(config.source, initial_list, &core, queued_discovery_requests);
     let client_server = core.client_server(max_sockets, config.memory, &lifecycle, &process_links);
     tokio::spawn(client_server.clone().serve(client_listener));
     let handover_server = Arc::new(HandoverServer {
@@ -115,21 +118,26 @@
     Ok(handover_server)
 }
 
-/// Takes apart what a predecessor has handed over; without one the list is the one that was saved.
-fn foundation(
+/// Splits the state that a predecessor handed over. Without a predecessor, the endpoint list is the saved
+/// one.
+fn initial_state(
     inherited: Option<InheritedState>,
-    known: EndpointDocument,
+    saved_list: EndpointDocument,
     source: &EndpointSource,
-) -> Foundation {
+) -> InitialState {
     let Some(InheritedState { listener, peer_socket, offer, endpoints, socket }) = inherited else {
-        return Foundation {
+        return InitialState {
             sockets: InheritedSockets::default(),
-            initial_list: InitialEndpoints { document: known, generation_valid: true, handed_over: false },
+            initial_list: InitialEndpoints {
+                document: saved_list,
+                generation_valid: true,
+                handed_over: false,
+            },
             predecessor: None,
         };
     };
     let same_source = matches!(source, EndpointSource::Service(address) if Some(*address) == offer.source);
-    Foundation {
+    InitialState {
         sockets: InheritedSockets { client_listener: Some(listener), peer_socket },
         initial_list: InitialEndpoints {
             document: endpoints,
@@ -176,7 +184,8 @@
     }
 }
 
-/// Starts the exchange of datagrams with other schedulers; returns a duplicate of its socket, for a successor.
+/// Starts the exchange of datagrams with other schedulers. Returns a duplicate of the socket, to be handed
+/// over to a successor.
 fn start_peer_messages(
     peers: Peers,
     socket: Result<UdpSocket, ServeError>,
@@ -191,7 +200,8 @@
     Ok(duplicate)
 }
 
-/// Starts discovery on a list; the receiver is notified once that list is confirmed.
+/// Starts the endpoint watcher with the initial list. The returned receiver becomes true once the list is
+/// confirmed.
 fn start_discovery(
     source: EndpointSource,
     initial_list: InitialEndpoints,
@@ -211,14 +221,16 @@
     confirmed
 }
 
-/// Lets the process serve once its endpoint list is confirmed, or after the time limit for that.
+/// Makes the process ready once its endpoint list is confirmed, or after [`CONFIRM_WITHIN`] without a
+/// confirmation.
 fn start_serving(lifecycle: &Arc<Lifecycle>, mut list_confirmed: watch::Receiver<bool>) {
     if *list_confirmed.borrow() {
         return lifecycle.start_serving();
     }
     let lifecycle = lifecycle.clone();
     tokio::spawn(async move {
-        // Without a response the decision module uses the saved list from then on: there is no better one.
+        // After the time limit the decision module uses the saved list, since discovery has provided no
+        // better one.
         let time_limit = Duration::from_micros(CONFIRM_WITHIN);
         let _ = timeout(time_limit, list_confirmed.wait_for(|confirmed| *confirmed)).await;
         lifecycle.start_serving();
