--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -51,7 +51,7 @@
         let settings = config.snapshot.settings.clone();
         let dial_timeout = Duration::from_micros(settings.limits.dial_timeout);
         upstream.set_timeouts(dial_timeout, config.snapshot.worker_idle_timeout);
-        upstream.set_load_reports(config.snapshot.reports);
+        upstream.set_load_reports(config.snapshot.load_reports);
         let names = config.snapshot.names.clone();
         let old = current.swap(config.snapshot);
         if old.settings != settings {
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -159,7 +159,7 @@
         let dial_timeout = Duration::from_micros(snapshot.settings.limits.dial_timeout);
         let max_probes = (max_sockets / DESCRIPTORS_PER_PROBE).max(1);
         let upstream = Arc::new(UpstreamGroup::new(dial_timeout, snapshot.worker_idle_timeout, max_probes));
-        upstream.set_load_reports(snapshot.reports);
+        upstream.set_load_reports(snapshot.load_reports);
         let engine = Engine::new(scheduler, upstream.clone(), discovery_requests, datagrams);
         let current = Arc::new(CurrentSettings::new(snapshot));
         Core { engine, upstream, current, endpoint_list: Arc::default() }
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -30,7 +30,7 @@
     /// How long a connection may be idle before its worker closes it.
     pub worker_idle_timeout: Duration,
     /// Which load reports of workers count.
-    pub reports: LoadReportSettings,
+    pub load_reports: LoadReportSettings,
 }
 
 impl Snapshot {
@@ -40,12 +40,12 @@
         mut settings: Settings,
         names: NameTables,
         worker_idle_timeout: Duration,
-        reports: LoadReportSettings,
+        load_reports: LoadReportSettings,
     ) -> Snapshot {
         if !settings.tenants.is_empty() {
             settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
-        Snapshot { settings, names, worker_idle_timeout, reports }
+        Snapshot { settings, names, worker_idle_timeout, load_reports }
     }
 
     /// The tenant of this name; the one without a quota if there is none, 0 if no tenants are listed.
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -134,7 +134,7 @@
             settings,
             names: old.names.clone(),
             worker_idle_timeout: old.worker_idle_timeout,
-            reports: old.reports,
+            load_reports: old.load_reports,
         });
     }
 
