--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -150,7 +150,7 @@
     );
     let snapshot = read_file(&path).expect("it reads").config.snapshot;
     assert_eq!(
-        snapshot.reports,
+        snapshot.load_reports,
         LoadReportSettings { source: LoadReportSource::Probes, free_slots: FreeSlotsField::X1 }
     );
     let settings = snapshot.settings;
