--- a/crates/vetchbridge/src/admin/command.rs
+++ b/crates/vetchbridge/src/admin/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the admin interface: how one is parsed, what it does, and the response to it.
+//! The commands of the admin interface: parsing, execution and responses.
 
 use crate::lifecycle::clock::Lifecycle;
 use crate::lifecycle::state::{LifecycleState, Unavailable};
@@ -6,18 +6,18 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A command of an operator.
+/// An operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
-    /// Whether this scheduler can serve, and its state.
+    /// Report whether this scheduler can serve, and its state.
     Health,
-    /// Drain clients.
+    /// Start to drain clients.
     Quiesce,
-    /// Accept clients again.
+    /// End the drain and accept clients again.
     Resume,
 }
 
-/// Why a command was not carried out. The text is the response, after `fail`.
+/// Why a command was not carried out. The response is `fail` followed by the error's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CommandError {
     #[error("the connection broke")]
@@ -70,7 +70,7 @@
 }
 
 impl Command {
-    /// Carries the command out; the state afterwards.
+    /// Carries out the command and returns the state afterwards.
     fn execute(
         self,
         lifecycle: &Lifecycle,
@@ -88,18 +88,18 @@
     }
 }
 
-/// Carries out the command in a line; the response to it, without its line feed.
+/// Carries out the command in a line and returns the response, without a line feed.
 pub(super) fn respond(line: &[u8], lifecycle: &Lifecycle, process_links: &ProcessLinks) -> String {
     let text = std::str::from_utf8(line).map_err(|_| CommandError::NotText);
     let state =
         text.and_then(Command::from_str).and_then(|command| command.execute(lifecycle, process_links));
     match state {
         Ok(state) => format!("ok {}", state.name()),
-        Err(error) => failure(error),
+        Err(error) => failure_response(error),
     }
 }
 
-/// The response where no command was carried out.
-pub(super) fn failure(error: CommandError) -> String {
+/// Returns the response to a command that was not carried out.
+pub(super) fn failure_response(error: CommandError) -> String {
     format!("fail {error}")
 }
--- a/crates/vetchbridge/src/admin/mod.rs
+++ b/crates/vetchbridge/src/admin/mod.rs
@@ -1,15 +1,16 @@
-//! The admin interface: a listener of its own, on which each connection carries one command line and one response line.
+//! The admin interface: a separate listener, on which each connection carries one command line and one
+//! response line.
 //!
-//! Owns the listener and its connections. They are few, each has a time limit and a limit on bytes, and when there are as
-//! many as allowed, one on which nothing has arrived is closed for the next. A command only calls the lifecycle, and no
-//! connection delays another.
+//! This module owns the listener and its connections. The number of connections, the time of each and the
+//! bytes of each are limited. At the limit, a connection without input is closed in favor of the next one. A
+//! command only calls the lifecycle, and no connection delays another.
 
 mod command;
 
 use crate::lifecycle::clock::Lifecycle;
 use crate::net::RetryingStream;
 use crate::upgrade::process_links::ProcessLinks;
-use command::{failure, respond, CommandError};
+use command::{failure_response, respond, CommandError};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -20,29 +21,29 @@
 use tokio::time::timeout;
 use tracing::{debug, info, warn};
 
-/// Maximum length of a command line in bytes, with its line feed.
+/// Maximum length of a command line in bytes, including the line feed.
 pub const LINE_LIMIT: usize = 256;
-/// Time limit for reading a command and for writing its response. Some clients keep a connection for 4 s before they
-/// have sent a complete line.
+/// Time limit for reading a command, and for writing its response. Some clients take 4 s to send a complete
+/// line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long input is read and dropped after the response; closing with unread input would reset the connection and lose
-/// the response.
+/// Time for which further input is read and discarded after the response. Closing the connection with unread
+/// input would reset it and discard the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Upper limit on the number of connections.
+/// Maximum number of concurrent connections, however many descriptors the process may have.
 const MAX_CONNECTIONS: usize = 16;
-/// Descriptors of the process for each connection that is allowed.
+/// Number of the process's descriptors per allowed connection.
 const DESCRIPTORS_PER_CONNECTION: usize = 16;
 
-/// The number of connections that are allowed at once in a process that may have this many descriptors.
+/// Returns the maximum number of concurrent connections in a process that may have this many descriptors.
 pub fn max_connections(descriptors: usize) -> usize {
     (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(2, MAX_CONNECTIONS)
 }
 
 /// A connection that may still be open.
 struct OpenConnection {
-    /// Anything has arrived on it.
+    /// Whether any input has arrived on the connection.
     has_input: Arc<AtomicBool>,
     task: AbortHandle,
 }
@@ -76,7 +77,7 @@
     }
 }
 
-/// Closes the oldest connection without input, or the oldest of all.
+/// Closes the oldest connection without input; if all have input, the oldest connection.
 fn evict_one(connections: &mut VecDeque<OpenConnection>) {
     let without_input =
         connections.iter().position(|connection| !connection.has_input.load(Ordering::Relaxed));
@@ -99,8 +100,8 @@
             info!(command = %command.trim_end(), response, "admin.command_handled");
             response
         }
-        Ok(Err(error)) => failure(error),
-        Err(_) => failure(CommandError::TimedOut),
+        Ok(Err(error)) => failure_response(error),
+        Err(_) => failure_response(CommandError::TimedOut),
     };
     let written = timeout(LINE_TIMEOUT, async {
         stream.write_all(format!("{response}\n").as_bytes()).await?;
@@ -109,8 +110,8 @@
     if !matches!(written.await, Ok(Ok(()))) {
         return debug!(response, "admin.response_failed");
     }
-    let rest = async { while stream.read(&mut [0; LINE_LIMIT]).await.is_ok_and(|read| read > 0) {} };
-    let _ = timeout(LINGER_TIMEOUT, rest).await;
+    let discard_input = async { while stream.read(&mut [0; LINE_LIMIT]).await.is_ok_and(|read| read > 0) {} };
+    let _ = timeout(LINGER_TIMEOUT, discard_input).await;
 }
 
 /// Reads a command line, up to its line feed or the end of the input.
--- a/crates/vetchbridge/src/lib.rs
+++ b/crates/vetchbridge/src/lib.rs
@@ -1,10 +1,12 @@
-//! vetchbridge, the scheduler daemon: sockets around the decision module (`vetchbridge_scheduling`). Nothing in this crate
-//! decides where a job goes, when it is retried or what a client is told; [`serve::run`] is the whole program.
+//! vetchbridge, the scheduler daemon. This crate connects the decision module (`vetchbridge_scheduling`) to
+//! sockets, timers and signals. The decision module alone decides which worker gets a job, when a job is
+//! retried and what a client is told. [`serve::run`] runs the daemon.
 //!
-//! Each party that the daemon talks to has a module: [`clients`], [`workers`], [`discovery`], [`peers`] (the other
-//! schedulers), operators ([`admin`]), and the predecessor or successor of an [`upgrade`]. [`request`] carries one request
-//! from its arrival to its answer, [`engine`] the decision module's events and actions, and [`lifecycle`] has the states of
-//! the process from its start to its end.
+//! A module handles each kind of counterpart: [`clients`], [`workers`], [`discovery`], [`peers`] (the other
+//! schedulers), operators ([`admin`]), and the predecessor or successor of an [`upgrade`]. [`request`]
+//! carries one request from its arrival to its answer, [`engine`] passes events to the decision module and
+//! carries out its actions, and [`lifecycle`] defines the states of the process from its start to its
+//! shutdown.
 
 #![deny(missing_docs)]
 
--- a/crates/vetchbridge/src/lifecycle/clock.rs
+++ b/crates/vetchbridge/src/lifecycle/clock.rs
@@ -1,7 +1,7 @@
 //! Runs the lifecycle's state machine in real time and publishes its state.
 //!
-//! [`Lifecycle`] owns the one [`LifecycleMachine`] of this process. It must never decide what a state means; that is
-//! [`state`](crate::lifecycle::state)'s.
+//! [`Lifecycle`] owns the [`LifecycleMachine`] of this process. The module [`state`](crate::lifecycle::state)
+//! alone defines what each state allows.
 
 use crate::lifecycle::state::{LifecycleMachine, LifecycleState, Unavailable};
 use std::sync::{Mutex, PoisonError};
@@ -10,7 +10,7 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-/// The lifecycle of this process: calls go in, the state comes out on a watch channel.
+/// The lifecycle of this process. Its methods change the state, and a watch channel publishes each change.
 pub struct Lifecycle {
     started_at: Instant,
     machine: Mutex<LifecycleMachine>,
@@ -18,14 +18,15 @@
 }
 
 impl Lifecycle {
-    /// The lifecycle of a process that has just been started; `quiesced`: it starts with its clients drained.
+    /// Creates the lifecycle of a process in state `Starting`. If `quiesced`, the process drains its clients
+    /// as soon as it can serve.
     pub fn new(quiesced: bool) -> Lifecycle {
         let machine = LifecycleMachine::new(quiesced);
         let state = watch::Sender::new(machine.state());
         Lifecycle { started_at: Instant::now(), machine: Mutex::new(machine), state }
     }
 
-    /// The current state.
+    /// Returns the current state.
     pub fn state(&self) -> LifecycleState {
         *self.state.borrow()
     }
@@ -35,32 +36,32 @@
         self.with_machine(|machine, _| machine.is_quiesced())
     }
 
-    /// A receiver of each change of the state.
+    /// Returns a receiver that is notified of each change of the state.
     pub fn subscribe(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
 
-    /// Ends the start: the process can serve from now on.
+    /// Ends the start; from then on the process can serve.
     pub fn start_serving(&self) {
         self.with_machine(super::state::LifecycleMachine::start_serving);
     }
 
-    /// Starts to drain clients, at an operator's command.
+    /// Starts to drain clients. An operator's command calls this.
     pub fn quiesce(&self) {
         self.with_machine(super::state::LifecycleMachine::quiesce);
     }
 
-    /// Accepts clients again, at an operator's command.
+    /// Ends the drain and accepts clients again. An operator's command calls this.
     pub fn resume(&self) -> Result<(), Unavailable> {
         self.with_machine(|machine, _| machine.resume())
     }
 
-    /// Starts the graceful shutdown; no client waits longer than `longest_deadline`.
+    /// Starts the graceful shutdown. Clients wait at most `longest_deadline` for a response.
     pub fn begin_shutdown(&self, longest_deadline: Duration) {
         self.with_machine(|machine, now| machine.begin_shutdown(now, longest_deadline));
     }
 
-    /// Calls the state machine, brought up to the present, and publishes the state that it has afterwards.
+    /// Advances the state machine to the current time, calls `call` on it, and publishes the resulting state.
     fn with_machine<T>(&self, call: impl FnOnce(&mut LifecycleMachine, Duration) -> T) -> T {
         let machine = &mut *self.machine.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.started_at.elapsed();
@@ -75,7 +76,7 @@
         result
     }
 
-    /// Makes the transitions that time alone brings, and logs every one, for as long as the process lives.
+    /// Makes transitions when their time comes, and logs every change of the state, until the process ends.
     pub async fn run_transitions(&self) {
         let mut changes = self.subscribe();
         let mut logged = "";
--- a/crates/vetchbridge/src/lifecycle/state.rs
+++ b/crates/vetchbridge/src/lifecycle/state.rs
@@ -1,63 +1,68 @@
-//! The state machine of the process's lifecycle: starting, serving, draining, drained, shutting down. Pure: no clock, no
-//! socket.
+//! The state machine of the process's lifecycle: starting, serving, draining, drained, shutting down.
 //!
-//! [`LifecycleState`] answers each question that depends on the state: whether the process can serve, whether it is ready
-//! for new clients, whether a response closes its connection, whether idle connections are closed, whether requests are
-//! accepted. Times are spans from the process's start, passed in. It must never act on a state; its callers do.
+//! [`LifecycleState`] answers each question that depends on the state: whether the process can serve, whether
+//! it is ready for new clients, whether a response closes its connection, whether idle connections are
+//! closed, whether requests are accepted. Callers act on the answers; this module uses no clock and no
+//! socket. Callers pass in the time as the duration since the process started.
 
 use std::time::Duration;
 
-/// Time between the start of a drain and the closing of idle connections: a load balancer that has not seen yet that
-/// this scheduler is not ready may still send requests on them.
+/// Time between the start of a drain and the closing of idle connections. A load balancer that has not yet
+/// noticed that this scheduler is not ready may still send requests on idle connections.
 pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Upper limit on the longest deadline that counts: SIGKILL comes no sooner after SIGTERM than that deadline and 0.7 s.
-const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// Time after that deadline at which open requests get their final response, since SIGKILL would lose them.
+/// Upper limit on the longest deadline of all classes as the shutdown counts it. SIGKILL arrives at the
+/// earliest 0.7 s plus the limited deadline after SIGTERM.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+/// Time between the limited deadline and the final responses to open requests. SIGKILL, which arrives later,
+/// would discard these requests without a response.
 const FINAL_RESPONSE_DELAY: Duration = Duration::from_millis(300);
-/// Time before the final responses at which connections stop being reused; requests accepted by then have it left.
+/// Time between the last reuse of connections and the final responses. Requests accepted until then have this
+/// time to complete.
 const CONNECTION_CLOSE_LEAD: Duration = Duration::from_secs(1);
 
-/// How far a process is in its lifecycle.
+/// The state of a process in its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// It can't serve yet.
+    /// The process can't serve yet.
     Starting,
-    /// It accepts clients.
+    /// The process is ready for new clients.
     Serving,
-    /// Operators are draining it: it is not ready, and each response closes its connection. Requests that arrive are
-    /// still accepted.
+    /// An operator drains the process: the process is not ready, and each response closes its connection.
+    /// Requests that arrive are still accepted.
     Draining,
-    /// Idle connections are closed as well; it stays so until operators resume it.
+    /// As `Draining`, and idle connections are closed too. The state lasts until an operator resumes the
+    /// process or the process shuts down.
     Drained,
-    /// It is in its graceful shutdown.
+    /// The process shuts down gracefully.
     ShuttingDown(ShutdownPhase),
 }
 
-/// How far a process is in its graceful shutdown.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// Not ready for new clients; those that have a connection are still served on it, since they use it for as long as
-    /// it stays open, and another scheduler may be restarting too.
+    /// The process is not ready for new clients. Clients with a connection are still served on it: clients
+    /// keep using open connections, and the other schedulers may be restarting too.
     Draining,
-    /// As [`LifecycleState::Drained`].
+    /// Each response closes its connection, and idle connections are closed, as in
+    /// [`LifecycleState::Drained`].
     Drained,
-    /// No request is accepted any more, and those that are open get their final response.
+    /// No further request is accepted, and open requests get their final response.
     Terminating,
 }
 
 /// Why the process can't serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unavailable {
-    /// Not yet.
+    /// The process is starting.
     #[error("starting, it can't serve yet")]
     Starting,
-    /// Not any more.
+    /// The process is shutting down.
     #[error("ending")]
     ShuttingDown,
 }
 
 impl LifecycleState {
-    /// Fails unless this process can serve the requests that reach it.
+    /// Returns an error unless the process can serve requests.
     pub fn ensure_can_serve(self) -> Result<(), Unavailable> {
         match self {
             LifecycleState::Starting => Err(Unavailable::Starting),
@@ -66,12 +71,12 @@
         }
     }
 
-    /// Whether new clients may be sent here.
+    /// Whether load balancers may send new clients to this process.
     pub fn is_ready(self) -> bool {
         self == LifecycleState::Serving
     }
 
-    /// Whether a response closes its connection.
+    /// Whether each response closes its connection.
     pub fn closes_after_response(self) -> bool {
         !matches!(
             self,
@@ -90,12 +95,12 @@
         )
     }
 
-    /// Whether a request that arrives is accepted.
+    /// Whether new requests are accepted.
     pub fn accepts_requests(self) -> bool {
         self != LifecycleState::ShuttingDown(ShutdownPhase::Terminating)
     }
 
-    /// The state's name in the log and in the admin interface's responses.
+    /// Returns the state's name for the log and the admin interface's responses.
     pub fn name(self) -> &'static str {
         match self {
             LifecycleState::Starting => "starting",
@@ -107,20 +112,21 @@
     }
 }
 
-/// The state and everything that its next transition depends on.
+/// The lifecycle's state machine.
 #[derive(Debug)]
 pub struct LifecycleMachine {
     state: LifecycleState,
-    /// When the drain or the shutdown started.
+    /// When the drain or the shutdown started, as the time since the process started.
     phase_started_at: Duration,
-    /// Operators have quiesced this scheduler, perhaps before it could serve.
+    /// Whether operators have quiesced this scheduler, possibly before the process could serve.
     quiesced: bool,
-    /// Time from the start of the shutdown to the final response to what is still open.
+    /// Time from the start of the shutdown to the final responses to open requests.
     final_responses_after: Duration,
 }
 
 impl LifecycleMachine {
-    /// A process that has just been started; `quiesced`: it starts with its clients drained.
+    /// Creates a state machine in state `Starting`. If `quiesced`, the process drains its clients as soon as
+    /// it can serve.
     pub fn new(quiesced: bool) -> LifecycleMachine {
         LifecycleMachine {
             state: LifecycleState::Starting,
@@ -130,7 +136,7 @@
         }
     }
 
-    /// The current state.
+    /// Returns the current state.
     pub fn state(&self) -> LifecycleState {
         self.state
     }
@@ -140,7 +146,7 @@
         self.quiesced
     }
 
-    /// Ends the start: the process can serve from now on.
+    /// Ends the start; from then on the process can serve.
     pub fn start_serving(&mut self, now: Duration) {
         if self.state == LifecycleState::Starting {
             self.state = LifecycleState::Serving;
@@ -150,7 +156,8 @@
         }
     }
 
-    /// Starts to drain clients, at an operator's command. It is remembered while the process starts or shuts down.
+    /// Starts to drain clients, at an operator's command. While the process starts or shuts down, the command
+    /// is only recorded.
     pub fn quiesce(&mut self, now: Duration) {
         self.quiesced = true;
         if self.state == LifecycleState::Serving {
@@ -158,7 +165,7 @@
         }
     }
 
-    /// Accepts clients again, at an operator's command.
+    /// Ends the drain and accepts clients again, at an operator's command.
     pub fn resume(&mut self) -> Result<(), Unavailable> {
         if let LifecycleState::ShuttingDown(_) = self.state {
             return Err(Unavailable::ShuttingDown);
@@ -170,12 +177,13 @@
         Ok(())
     }
 
-    /// Starts the graceful shutdown; no client waits longer than `longest_deadline`. A second call changes nothing.
+    /// Starts the graceful shutdown. Clients wait at most `longest_deadline` for a response. A second call
+    /// has no effect.
     pub fn begin_shutdown(&mut self, now: Duration, longest_deadline: Duration) {
         if !matches!(self.state, LifecycleState::ShuttingDown(_)) {
             self.state = LifecycleState::ShuttingDown(ShutdownPhase::Draining);
             self.phase_started_at = now;
-            self.final_responses_after = longest_deadline.min(MAX_DEADLINE) + FINAL_RESPONSE_DELAY;
+            self.final_responses_after = longest_deadline.min(MAX_SHUTDOWN_DEADLINE) + FINAL_RESPONSE_DELAY;
         }
     }
 
@@ -184,7 +192,7 @@
         self.phase_started_at = now;
     }
 
-    /// When time alone brings the next transition, if it ever does.
+    /// Returns when the next timed transition is due; `None` if the current state has none.
     pub fn next_transition_at(&self) -> Option<Duration> {
         match self.state {
             LifecycleState::Draining => Some(self.phase_started_at + IDLE_CLOSE_DELAY),
@@ -201,7 +209,7 @@
         }
     }
 
-    /// Makes every transition whose time has come by `now`.
+    /// Makes every timed transition that is due at `now`.
     pub fn advance(&mut self, now: Duration) {
         while self.next_transition_at().is_some_and(|at| at <= now) {
             self.state = match self.state {
--- a/crates/vetchbridge/src/main.rs
+++ b/crates/vetchbridge/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's binary; everything is in the library.
+//! The daemon's executable; the library contains all of its code.
 
 fn main() -> std::process::ExitCode {
     vetchbridge::cli::main()
--- a/crates/vetchbridge/src/net/connector.rs
+++ b/crates/vetchbridge/src/net/connector.rs
@@ -1,4 +1,4 @@
-//! Connections that the daemon opens: to workers and to discovery.
+//! Opens the daemon's connections to workers and to the discovery service.
 
 use super::RetryingStream;
 use hyper::Uri;
@@ -15,7 +15,8 @@
 pub(crate) struct Connector(HttpConnector);
 
 impl Connector {
-    /// A connector whose dials time out after this long; `None`: after the kernel's own time limit.
+    /// Creates a connector with this time limit for opening a connection. `None` leaves the time limit to the
+    /// kernel.
     pub(crate) fn new(dial_timeout: Option<Duration>) -> Connector {
         let mut tcp = HttpConnector::new();
         tcp.set_nodelay(true);
--- a/crates/vetchbridge/src/net/mod.rs
+++ b/crates/vetchbridge/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets as the rest of the daemon uses them: system calls that are interrupted or transfer fewer bytes than requested
-//! are continued here, and calls that fail for a passing lack of resources are retried.
+//! Sockets that handle transient failures of system calls. Interrupted calls and calls that transfer fewer
+//! bytes than requested are continued; calls that fail for a temporary lack of resources are retried.
 
 mod connector;
 mod retry;
--- a/crates/vetchbridge/src/net/retry.rs
+++ b/crates/vetchbridge/src/net/retry.rs
@@ -1,18 +1,18 @@
-//! Retries of the calls that create something at the start of the process: which of their failures may be over in the
-//! next moment, and how long they are retried.
+//! Retries of the system calls that create resources at the start of the process: which errors are transient,
+//! and how long calls are retried.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// How long a start retries each call. An address may still be in use by the process before this one, and descriptors or
-/// memory of the kernel may be short for a moment.
+/// Maximum time for which a call is retried. The previous process may still use an address, and descriptors
+/// or kernel memory may be temporarily exhausted.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two attempts.
+/// Pause between two tries of a call.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether a call that failed with this error may succeed in the next moment.
+/// Whether a call that failed with this error may succeed if it is retried soon.
 fn is_transient(error: &io::Error) -> bool {
     let transient = [
         Errno::ADDRINUSE,
@@ -28,20 +28,20 @@
     Errno::from_io_error(error).is_some_and(|errno| transient.contains(&errno))
 }
 
-/// The attempts at one call.
-struct Attempts<'a> {
-    /// What the call creates, for the log.
+/// The retry state of one call.
+struct RetryState<'a> {
+    /// The resource that the call creates, for the log.
     subject: &'a str,
     deadline: Instant,
     logged: bool,
 }
 
-impl Attempts<'_> {
-    fn new(subject: &str) -> Attempts<'_> {
-        Attempts { subject, deadline: Instant::now() + RETRY_TIMEOUT, logged: false }
+impl RetryState<'_> {
+    fn new(subject: &str) -> RetryState<'_> {
+        RetryState { subject, deadline: Instant::now() + RETRY_TIMEOUT, logged: false }
     }
 
-    /// The result, if it is final; `None` if the call is to be retried. The first retry is logged.
+    /// Returns the result if it is final; `None` if the call is to be retried. Logs the first retry.
     fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
         match result {
             Err(error) if is_transient(&error) && Instant::now() < self.deadline => {
@@ -63,22 +63,23 @@
     }
 }
 
-/// Calls until it succeeds, fails for good, or [`RETRY_TIMEOUT`] is over.
+/// Repeats `call` until it succeeds, fails with a permanent error, or [`RETRY_TIMEOUT`] has passed. Returns
+/// the last result.
 pub(crate) async fn retry<T>(subject: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
-    let mut attempts = Attempts::new(subject);
+    let mut state = RetryState::new(subject);
     loop {
-        if let Some(result) = attempts.final_result(call()) {
+        if let Some(result) = state.final_result(call()) {
             return result;
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// The same where there is no runtime yet.
+/// Does the same as [`retry`] without an async runtime, and blocks the thread between tries.
 pub(crate) fn retry_blocking<T>(subject: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
-    let mut attempts = Attempts::new(subject);
+    let mut state = RetryState::new(subject);
     loop {
-        if let Some(result) = attempts.final_result(call()) {
+        if let Some(result) = state.final_result(call()) {
             return result;
         }
         std::thread::sleep(RETRY_DELAY);
--- a/crates/vetchbridge/src/net/stream.rs
+++ b/crates/vetchbridge/src/net/stream.rs
@@ -1,9 +1,9 @@
-//! A TCP connection whose reads and writes depend on the kernel's result of each call alone.
+//! A TCP connection that handles short and interrupted system calls correctly.
 //!
-//! The runtime's own stream takes a read or write of fewer bytes than requested as a sign that the socket's buffer is
-//! empty or full, and waits for the next edge; a call may be short for other reasons, and then no edge comes. It also
-//! returns EINTR, which its callers take for a failed connection. Here only EAGAIN clears the readiness, and a call that
-//! fails with EINTR is retried.
+//! The runtime's TCP stream assumes after a short read or write that the socket's buffer is empty or full,
+//! and waits for the next readiness edge. A call may be short for other reasons, and then no edge follows.
+//! The runtime's stream also returns EINTR, which callers treat as a failed connection. [`RetryingStream`]
+//! clears the readiness only after EAGAIN, and retries a call that fails with EINTR.
 
 use hyper_util::client::legacy::connect::{Connected, Connection};
 use std::io::{self, ErrorKind, IoSlice};
@@ -13,17 +13,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP connection that retries interrupted calls and never waits after a short one.
+/// A TCP connection that retries interrupted calls and does not wait for readiness after a short call.
 #[derive(Debug)]
 pub(crate) struct RetryingStream(TcpStream);
 
 impl RetryingStream {
-    /// Wraps a connection of the runtime.
+    /// Wraps the runtime's TCP stream.
     pub(crate) fn new(stream: TcpStream) -> RetryingStream {
         RetryingStream(stream)
     }
 
-    /// Deregisters the connection from the runtime and returns it as the standard library's.
+    /// Deregisters the connection from the runtime and returns the standard library's stream.
     pub(crate) fn into_std(self) -> io::Result<std::net::TcpStream> {
         self.0.into_std()
     }
@@ -35,7 +35,8 @@
     }
 }
 
-/// Whether a call is to be retried: after EAGAIN the runtime has cleared the readiness, and waits for the next edge.
+/// Whether a call with this result is to be retried. After EAGAIN the runtime has cleared the readiness, so
+/// the retry waits for the next readiness edge.
 fn is_retried<T>(result: &io::Result<T>) -> bool {
     let kind = result.as_ref().err().map(io::Error::kind);
     matches!(kind, Some(ErrorKind::WouldBlock | ErrorKind::Interrupted))
--- a/crates/vetchbridge/src/signals.rs
+++ b/crates/vetchbridge/src/signals.rs
@@ -1,8 +1,8 @@
 //! Signals to this process: SIGHUP reloads the configuration, SIGTERM and SIGINT start the shutdown.
 //!
-//! The runtime's own signal driver ends the process when a read of its pipe is interrupted, so signals are handled here:
-//! the handler sets a flag and wakes the reader by a socket pair. A wake that is lost is made up for by the next regular
-//! check of the flags.
+//! The runtime's own signal driver ends the process when a read of its pipe is interrupted, so this module
+//! installs handlers of its own: a handler sets a flag and wakes the watching task through a socket pair. If
+//! a wake-up is lost, the next periodic check of the flags finds the signal.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
@@ -15,52 +15,53 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// How often the flags are checked without a wake.
+/// Interval between checks of the flags without a wake-up.
 const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Installed signal handlers. Signals are remembered until [`SignalHandlers::watch`] notifies of them.
+/// Installed signal handlers. The handlers record signals until [`SignalHandlers::watch`] reports them.
 pub struct SignalHandlers {
     hangup: Arc<AtomicBool>,
     terminate: Arc<AtomicBool>,
-    wake: StdUnixStream,
+    wake_receiver: StdUnixStream,
 }
 
-/// Notifications of signals. A signal that arrives while no task waits is delivered to the next one that does.
+/// Notifications of signals. A signal that arrives while no task waits is delivered to the next task that
+/// waits.
 #[derive(Clone, Default)]
 pub struct SignalNotifications {
-    /// The configuration is to be read again.
+    /// Notified by SIGHUP: the configuration is to be read again.
     pub hangup: Arc<Notify>,
-    /// The process is to shut down.
+    /// Notified by SIGTERM and SIGINT: the process is to shut down.
     pub terminate: Arc<Notify>,
 }
 
 impl SignalHandlers {
-    /// Installs the handlers. No runtime is needed.
+    /// Installs the handlers. Needs no async runtime.
     pub fn install() -> io::Result<SignalHandlers> {
-        let (wake, waker) = StdUnixStream::pair()?;
-        wake.set_nonblocking(true)?;
+        let (wake_receiver, wake_sender) = StdUnixStream::pair()?;
+        wake_receiver.set_nonblocking(true)?;
         let hangup = Arc::<AtomicBool>::default();
         let terminate = Arc::<AtomicBool>::default();
         for (signal, received) in [(SIGHUP, &hangup), (SIGTERM, &terminate), (SIGINT, &terminate)] {
             flag::register(signal, received.clone())?;
-            // After the flag: actions run in the order of their registration.
-            pipe::register(signal, waker.try_clone()?)?;
+            // Registered after the flag, since a signal's actions run in order of registration.
+            pipe::register(signal, wake_sender.try_clone()?)?;
         }
-        Ok(SignalHandlers { hangup, terminate, wake })
+        Ok(SignalHandlers { hangup, terminate, wake_receiver })
     }
 
-    /// Notifies of signals for as long as the runtime lives.
+    /// Starts a task that reports signals until the runtime ends.
     pub fn watch(self) -> io::Result<SignalNotifications> {
         let notifications = SignalNotifications::default();
-        let wake = UnixStream::from_std(self.wake)?;
+        let wake_receiver = UnixStream::from_std(self.wake_receiver)?;
         let SignalNotifications { hangup, terminate } = notifications.clone();
         tokio::spawn(async move {
-            let mut regular = interval(FLAG_CHECK_INTERVAL);
-            regular.set_missed_tick_behavior(MissedTickBehavior::Delay);
+            let mut periodic_check = interval(FLAG_CHECK_INTERVAL);
+            periodic_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
             loop {
                 tokio::select! {
-                    _ = regular.tick() => {}
-                    () = woken(&wake) => {}
+                    _ = periodic_check.tick() => {}
+                    () = wait_for_wake_up(&wake_receiver) => {}
                 }
                 if self.hangup.swap(false, Ordering::Relaxed) {
                     hangup.notify_one();
@@ -74,18 +75,19 @@
     }
 }
 
-/// Resolves once a handler has written to the socket pair, with what it wrote read.
-async fn woken(wake: &UnixStream) {
+/// Waits until a handler has written to the socket pair, and reads the written bytes.
+async fn wait_for_wake_up(wake_receiver: &UnixStream) {
     let mut bytes = [0_u8; 64];
     loop {
-        match wake.try_read(&mut bytes) {
+        match wake_receiver.try_read(&mut bytes) {
             Ok(read) if read > 0 => return,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(error) if error.kind() == ErrorKind::WouldBlock => match wake.readable().await {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => match wake_receiver.readable().await {
                 Ok(()) => {}
                 Err(_) => return std::future::pending().await,
             },
-            // The other end lives as long as the handlers; the regular check goes on in any case.
+            // Not expected, since the handlers keep the other end open. The periodic check continues to find
+            // signals.
             _ => return std::future::pending().await,
         }
     }
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -1,23 +1,24 @@
-//! The settings in force: one immutable snapshot, replaced as a whole by a reload.
+//! The settings in force: an immutable snapshot that a reload replaces as a whole.
 //!
-//! Owns which snapshot is current. A request keeps the snapshot that it was accepted under to its end. No value is
-//! checked in this module: a snapshot has been checked before it is put in force.
+//! This module owns the current snapshot. A request uses the snapshot under which it was accepted until it
+//! ends. The configuration module validates a snapshot's values; this module does not check them again.
 
 use crate::workers::load_report::LoadReportSettings;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use vetchbridge_scheduling::{Class, Settings, Tenant, TenantId};
 
-/// The names behind the settings' indices, as the sockets use them: a name's place in its table is its index.
+/// The names that clients, workers and discovery use. The settings refer to each name by its index in the
+/// table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NameTables {
-    /// Zones.
+    /// Names of zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Names of machine types.
     pub kinds: Vec<String>,
-    /// Classes of requests.
+    /// Names of request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of tenants.
     pub tenants: Vec<String>,
 }
 
@@ -25,17 +26,17 @@
 pub struct Snapshot {
     /// The scheduler's settings.
     pub settings: Settings,
-    /// The names behind the settings' indices.
+    /// The names that the settings' indices refer to.
     pub names: NameTables,
-    /// How long a connection may be idle before its worker closes it.
+    /// Time after which a worker closes an idle connection.
     pub worker_idle_timeout: Duration,
-    /// Which load reports of workers count.
+    /// How load reports of workers are read.
     pub load_reports: LoadReportSettings,
 }
 
 impl Snapshot {
-    /// A snapshot of settings as they were read. Where they list tenants, one more is added that has neither a quota nor
-    /// a name: a request of no listed tenant must not use up another one's quota.
+    /// Creates a snapshot. If the settings list tenants, one tenant without a name and without a quota is
+    /// added for the requests of unlisted tenants, which must not use up a listed tenant's quota.
     pub fn new(
         mut settings: Settings,
         names: NameTables,
@@ -48,41 +49,42 @@
         Snapshot { settings, names, worker_idle_timeout, load_reports }
     }
 
-    /// The tenant of this name; the one without a quota if there is none, 0 if no tenants are listed.
+    /// Returns the tenant with this name. An unlisted tenant gets the added tenant without a quota; if the
+    /// settings list no tenants, every request gets tenant 0.
     pub fn tenant(&self, name: Option<&[u8]>) -> TenantId {
         let listed = self.names.tenants.iter().position(|known| Some(known.as_bytes()) == name);
         let unlisted = self.settings.tenants.len().saturating_sub(1);
         TenantId(listed.unwrap_or(unlisted) as u32)
     }
 
-    /// The class of this name, and its index.
+    /// Returns the class with this name and its index.
     pub fn class(&self, name: &str) -> Option<(u32, &Class)> {
         let index = self.names.classes.iter().position(|known| known == name)?;
         Some((index as u32, self.settings.classes.get(index)?))
     }
 
-    /// The longest deadline of all classes.
+    /// Returns the longest deadline of all classes.
     pub fn longest_deadline(&self) -> Duration {
         let longest = self.settings.classes.iter().map(|class| class.deadline).max();
         Duration::from_micros(longest.unwrap_or(0))
     }
 }
 
-/// The place of the snapshot in force.
+/// Holds the snapshot in force.
 pub struct CurrentSettings(Mutex<Arc<Snapshot>>);
 
 impl CurrentSettings {
-    /// Puts a first snapshot in force.
+    /// Creates the holder with the first snapshot.
     pub fn new(snapshot: Snapshot) -> CurrentSettings {
         CurrentSettings(Mutex::new(Arc::new(snapshot)))
     }
 
-    /// The snapshot in force now.
+    /// Returns the snapshot in force.
     pub fn get(&self) -> Arc<Snapshot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts another snapshot in force; returns the one before.
+    /// Puts another snapshot in force and returns the previous one.
     pub fn swap(&self, snapshot: Snapshot) -> Arc<Snapshot> {
         let mut current = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut *current, Arc::new(snapshot))
