--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -1,4 +1,5 @@
-//! When the discovery service is called: how long watches wait, and how soon a failed call is followed by the next.
+//! The schedule of calls to the discovery service: how long watches wait, and how soon the next call follows
+//! a failed one.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -19,16 +20,17 @@
 use vetchbridge_scheduling::EndpointDelivery;
 use vetchbridge_testbed::wire::{Message, Wire};
 
-/// One change answers the watches of all schedulers together, and then all fall silent together: they end apart, by
-/// scheduler and by call, so that the service is not called by all at once.
+/// One change makes the service answer the watches of all schedulers at the same time. If the next watches
+/// then stay without an answer, they must end at different times, so that the schedulers do not call the
+/// service all at once. The waits must differ by scheduler and by call.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn watches_that_were_answered_together_end_apart() {
+async fn watches_that_were_answered_together_end_at_different_times() {
     const SCHEDULERS: u32 = 20;
     let mut schedulers = Vec::new();
     for scheduler_index in 0..SCHEDULERS {
-        // A pushed list is watched at once; how long a call waits is the same for both deliveries.
+        // With pushed lists the watch opens at once. Both deliveries use the same waits.
         let setup = Setup {
             scheduler_index,
             scheduler_count: SCHEDULERS,
@@ -40,7 +42,7 @@
         let (wire, _) = scheduler.next_call().await;
         schedulers.push((wire, scheduler));
     }
-    let mut previous = vec![0; schedulers.len()];
+    let mut previous_waits = vec![0; schedulers.len()];
     for generation in 2..5 {
         let mut waits = Vec::new();
         for (wire, _) in &mut schedulers {
@@ -48,23 +50,24 @@
         }
         for (wire, _) in &mut schedulers {
             let call = wire.read().await.expect("the watch continues");
-            let (_, wait) = call.target().split_once("wait=").expect("a call that waits");
+            let (_, wait) = call.target().split_once("wait=").expect("a call with a wait");
             waits.push(wait.parse::<u64>().expect("milliseconds"));
         }
         assert!(
-            waits.iter().zip(&previous).all(|(wait, before)| wait != before),
-            "{waits:?} after {previous:?}"
+            waits.iter().zip(&previous_waits).all(|(wait, before)| wait != before),
+            "{waits:?} after {previous_waits:?}"
         );
-        previous.clone_from(&waits);
+        previous_waits.clone_from(&waits);
         waits.sort_unstable();
-        let closest = waits.windows(2).map(|pair| pair[1] - pair[0]).min().expect("more than one");
-        // Half of what 20 watches would be apart that share the second evenly.
-        assert!(closest >= 25, "{waits:?}");
+        let min_gap = waits.windows(2).map(|pair| pair[1] - pair[0]).min().expect("more than one");
+        // 20 watches that are spread evenly over one second are 50 ms apart; half of that suffices.
+        assert!(min_gap >= 25, "{waits:?}");
     }
 }
 
-/// An update that a silent watch missed counts as notified 6 s after its call, so that the watch has to be reopened before
-/// that, however many schedulers share the service. The watch before it was answered: no other scheduler's fails with it.
+/// A scheduler counts as notified of an update 6 s after the call of a watch that stayed without an answer.
+/// The scheduler must reopen the watch before that, in a tier of any size. The previous watch call was
+/// answered, so only one call has failed.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -76,115 +79,124 @@
     assert!(target(wire.read().await).contains("index=1&wait="));
     answer_changes(&mut wire, 2, json!([])).await;
     assert!(target(wire.read().await).contains("index=2&wait="));
-    let called = Instant::now();
-    // Not a byte more: the connection stays open and silent.
+    let called_at = Instant::now();
+    // The service sends nothing more, and the connection stays open.
     let mut next = Wire::new(scheduler.discovery.accept().await.expect("the next watch").0);
-    assert!(target(next.read().await).contains("index=2&wait="), "from the generation that is known");
-    assert!(called.elapsed() < Duration::from_secs(6), "{:?} after the call", called.elapsed());
+    assert!(target(next.read().await).contains("index=2&wait="), "the call names the last known generation");
+    assert!(called_at.elapsed() < Duration::from_secs(6), "{:?} after the call", called_at.elapsed());
 }
 
-/// How a call fails, as far as the service can make it.
+/// The ways in which the service can make a call fail.
 #[derive(Clone, Copy, Debug)]
-enum CallFails {
-    /// It is refused.
+enum CallFailure {
+    /// The service refuses the call with status 503.
     Refused,
-    /// Its connection is reset.
+    /// The service resets the connection.
     Reset,
-    /// Its response breaks off within an entry.
-    Cut,
-    /// Its response stalls within an entry, and the connection stays open.
+    /// The response ends within an entry, and the connection is closed.
+    Truncated,
+    /// The response stalls within an entry, and the connection stays open.
     Stalled,
-    /// Nothing comes, and the connection stays open.
+    /// The service sends no response, and the connection stays open.
     Silent,
 }
 
-impl CallFails {
-    /// Fails the call that was read from this connection; returns the connection where it stays open.
+impl CallFailure {
+    /// Makes the call on this connection fail. Returns the connection if it stays open.
     async fn fail(self, mut wire: Wire) -> Option<Wire> {
         let document = r#"{"generation":9,"reset":true,"instances":[{"instanceId":"s-cut"}]}"#;
         match self {
-            CallFails::Refused => refuse(&mut wire).await,
-            CallFails::Reset => wire.reset(),
-            CallFails::Cut => break_off(wire, document, "s-cut").await,
-            CallFails::Stalled => {
+            CallFailure::Refused => refuse(&mut wire).await,
+            CallFailure::Reset => wire.reset(),
+            CallFailure::Truncated => break_off(wire, document, "s-cut").await,
+            CallFailure::Stalled => {
                 answer_part(&mut wire, document, "s-cut").await;
                 return Some(wire);
             }
-            CallFails::Silent => return Some(wire),
+            CallFailure::Silent => return Some(wire),
         }
         None
     }
 }
 
-/// A change counts as notified 6 s after the service had it and could be reached, and half a second more is left to stop
-/// sending. The service may come back in the moment after a call has been lost, and may let the next one wait for its turn
-/// for two seconds: the next one must be out 3.5 s after the lost one at the latest, whatever became of that and of those
-/// before.
+/// A scheduler counts as notified of a change 6 s after the service has the change and can be reached, and
+/// has half a second more to stop sending. The service may recover just after a call was lost, and may queue
+/// the next call for two seconds. The next call must therefore follow within 3.5 s of a failed call, however
+/// that call and the calls before failed.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_failed_call_is_followed_by_the_next_one_in_time(
-    #[values(CallFails::Refused, CallFails::Reset, CallFails::Cut, CallFails::Stalled, CallFails::Silent)]
-    fails: CallFails,
+    #[values(
+        CallFailure::Refused,
+        CallFailure::Reset,
+        CallFailure::Truncated,
+        CallFailure::Stalled,
+        CallFailure::Silent
+    )]
+    call_failure: CallFailure,
     #[values(1, 3, 300)] scheduler_count: u32,
     #[values(1, 7)] seed: u64,
 ) {
     let mut scheduler = TestScheduler::new(Setup { scheduler_count, seed, ..Setup::default() }).await;
     scheduler.watch_endpoints(json!([]));
     let mut wire = scheduler.confirm_saved_list().await;
-    let mut open = Vec::new();
+    let mut open_connections = Vec::new();
     for number in 0..6 {
-        let called = Instant::now();
-        open.extend(fails.fail(wire).await);
+        let called_at = Instant::now();
+        open_connections.extend(call_failure.fail(wire).await);
         wire = scheduler.next_call().await.0;
-        let apart = called.elapsed();
-        assert!(apart <= Duration::from_millis(3_500), "call {number} was followed after {apart:?}");
+        let elapsed = called_at.elapsed();
+        assert!(
+            elapsed <= Duration::from_millis(3_500),
+            "the call after call {number} followed after {elapsed:?}"
+        );
     }
 }
 
-/// The local ports of the connections to this address that have been dialled and have not come up.
+/// Returns the local addresses of connections to this address that are dialled but not yet established.
 fn pending_dials(address: SocketAddr) -> Vec<String> {
     const SYN_SENT: &str = "02";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of connections");
     let port = format!(":{:04X}", address.port());
-    // Few lines have the port; the table may be long, and is read at each step.
+    // The table may be long and is read repeatedly, so lines without the port are dropped before the split.
     let entries = table.lines().filter(|line| line.contains(&port));
     let entries = entries.map(|line| line.split_whitespace().collect::<Vec<_>>());
     let dials = entries.filter(|entry| entry.len() > 3 && entry[2].ends_with(&port) && entry[3] == SYN_SENT);
     dials.map(|entry| entry[1].to_string()).collect()
 }
 
-/// A first call whose connection never comes up is a lost one, too.
+/// The first call counts as lost also if its connection is never established.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn a_dial_that_is_lost_is_followed_by_the_next_one_in_time() {
+async fn a_lost_dial_is_followed_by_the_next_call_in_time() {
     let mut scheduler = TestScheduler::in_tier_of(1).await;
-    // A dial to a listener whose backlog is full gets no answer.
+    // The kernel does not answer a dial to a listener whose backlog is full.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    scheduler.discovery = socket.listen(0).expect("it listens");
+    scheduler.discovery = socket.listen(0).expect("the socket listens");
     let address = scheduler.discovery.local_addr().expect("bound");
-    let _filler = TcpStream::connect(address).await.expect("the one that the backlog takes");
-    let began = Instant::now();
+    let _filler = TcpStream::connect(address).await.expect("the backlog accepts one connection");
+    let started = Instant::now();
     scheduler.watch_endpoints(json!([]));
-    // The clock is paused: this is no wait, but lets it move on, by less than the pause before the next call.
+    // Advances the paused clock by less than the pause before the next call; no real time passes.
     let advance = || sleep(Duration::from_millis(25));
     while pending_dials(address).is_empty() {
         advance().await;
     }
-    // Others may be out beside it when it is abandoned.
+    // When the first dial is abandoned, other dials may be pending too.
     let first = pending_dials(address).remove(0);
     while pending_dials(address).contains(&first) {
         advance().await;
     }
-    scheduler.discovery.accept().await.expect("the filler");
+    scheduler.discovery.accept().await.expect("the connection that fills the backlog");
     let _next = scheduler.next_call().await;
-    assert!(began.elapsed() <= Duration::from_millis(3_500), "{:?} after the start", began.elapsed());
+    assert!(started.elapsed() <= Duration::from_millis(3_500), "{:?} after the start", started.elapsed());
 }
 
-/// After a call that failed, the next one must not wait for a change: that it is answered shows that the service is back.
-/// A subscription while a watch is open does not open another.
+/// The call after a failed one must not wait for a change, since its answer shows that the service is
+/// reachable again. A subscription while a watch is open must not open a second watch.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -198,29 +210,32 @@
     scheduler.request(DiscoveryRequest::Subscribe);
     scheduler.request(DiscoveryRequest::Fetch);
     let (_fetch, target) = scheduler.next_call().await;
-    assert_eq!(target, "/registry/instances", "and not the watch once more");
+    assert_eq!(target, "/registry/instances", "the subscription opened a second watch");
     answer_changes(&mut wire, 2, json!([])).await;
     let target = wire.read().await.expect("the watch continues").target().to_string();
     assert!(target.contains("index=2&wait=") && !target.ends_with("wait=0"), "{target}");
 }
 
-/// The part of a document before it breaks off is no answer: where every document breaks off, hundreds of schedulers that
-/// called again at once each time would keep the service from recovering.
+/// A truncated document must not count as an answer. If every document were truncated and hundreds of
+/// schedulers called again at once each time, the service would not recover.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn documents_that_keep_breaking_off_are_polled_with_growing_pauses() {
+async fn polls_that_return_truncated_documents_back_off() {
     let mut scheduler = TestScheduler::in_tier_of(300).await;
     scheduler.watch_endpoints(json!([]));
     let entries = json!([instance("s-a", unused_address()), {"instanceId": "s-b"}]);
     let document = json!({"generation": 2, "instances": entries, "reset": false}).to_string();
     let (mut wire, _) = scheduler.next_call().await;
     for pause_ms in [0, 0, 1_000, 1_000] {
-        let broke_off = Instant::now();
+        let truncated_at = Instant::now();
         break_off(wire, &document, "s-b").await;
         (wire, _) = scheduler.next_call().await;
-        let waited = broke_off.elapsed();
-        assert!(waited >= Duration::from_millis(pause_ms), "{waited:?} after one of them broke off");
+        let waited = truncated_at.elapsed();
+        assert!(
+            waited >= Duration::from_millis(pause_ms),
+            "the next call followed {waited:?} after a truncated document"
+        );
     }
     assert_eq!(scheduler.listed_workers(), [("s-a".into(), InstanceState::Up)]);
 }
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -1,4 +1,4 @@
-//! Lists that are pushed and lists that are polled: who opens the watch, and when.
+//! Pushed and polled endpoint lists: whether the watcher or the scheduler opens the watch, and when.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -12,22 +12,23 @@
 use vetchbridge_scheduling::EndpointDelivery;
 use vetchbridge_testbed::wire::Wire;
 
-/// A scheduler that has not called discovery again by then is not going to.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
-/// A large tier, where the pause after a second failure in a row is long.
+/// Time after which a scheduler that has not called discovery again counts as having stopped.
+const MAX_PAUSE: Duration = Duration::from_secs(10);
+/// Number of schedulers in a large tier, where the pause after a second failure in a row is long.
 const LARGE_TIER: u32 = 300;
 
-/// How a watch ends.
+/// The ways in which a watch ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchEnd {
     Refusal,
     Reset,
-    Silence,
+    NoAnswer,
     Answer,
 }
 
-/// Where lists are pushed the scheduler never subscribes: the watch that pushes them is open from the first moment,
-/// whatever the saved list holds, and is reopened at once after an answer, a refusal, a reset or silence.
+/// If lists are pushed, the scheduler never subscribes. The watcher must open the watch at the start,
+/// whatever the saved list contains, and must reopen the watch promptly after an answer, a refusal, a reset
+/// or a call without an answer.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -37,23 +38,23 @@
     scheduler.watch_endpoints(json!([]));
     let accept = || async { Wire::new(scheduler.discovery.accept().await.expect("the watch").0) };
     let mut wire = accept().await;
-    // How the watch ends, and how soon after its call the next one is there, in milliseconds.
+    // How the watch ends, and the maximum time from its call to the next call, in milliseconds.
     let ends = [
         (WatchEnd::Refusal, 200),
         (WatchEnd::Reset, 200),
-        (WatchEnd::Silence, 5_500),
+        (WatchEnd::NoAnswer, 5_500),
         (WatchEnd::Answer, 10),
     ];
-    for (end, within_ms) in ends {
+    for (end, max_ms) in ends {
         let call = wire.read().await.expect("a call");
         assert!(call.target().contains("index=1&wait="), "{} before {end:?}", call.target());
-        let called = Instant::now();
-        let mut silent = None;
+        let called_at = Instant::now();
+        let mut unanswered = None;
         match end {
             WatchEnd::Refusal => refuse(&mut wire).await,
             WatchEnd::Reset => wire.reset(),
-            // Its connection stays open, and not a byte comes.
-            WatchEnd::Silence => silent = Some(wire),
+            // The connection stays open without a response.
+            WatchEnd::NoAnswer => unanswered = Some(wire),
             WatchEnd::Answer => {
                 answer_changes(&mut wire, 2, json!([])).await;
                 let call = wire.read().await.expect("the next call");
@@ -62,14 +63,19 @@
             }
         }
         wire = accept().await;
-        drop(silent);
-        assert!(called.elapsed() <= Duration::from_millis(within_ms), "{:?} after {end:?}", called.elapsed());
+        drop(unanswered);
+        assert!(
+            called_at.elapsed() <= Duration::from_millis(max_ms),
+            "{:?} after {end:?}",
+            called_at.elapsed()
+        );
     }
 }
 
-/// A reload may change lists from polled to pushed, or back, while a watch is open or just after one has failed. An open
-/// one goes on, and the next one is opened by the delivery then in force: polls of a large tier back off for long from a
-/// second failure in a row on; a service that pushes lists serves this scheduler alone.
+/// A reload may change the delivery between polled and pushed lists while a watch is open or just after a
+/// watch has failed. An open watch continues. The delivery in force decides how soon the next watch opens:
+/// polls in a large tier back off for a long time after the second failure in a row, while the watch of a
+/// pushed list reopens promptly, since a service that pushes lists serves this scheduler alone.
 #[rstest]
 #[case::pushed_while_a_watch_is_open(EndpointDelivery::Poll, EndpointDelivery::Push, true)]
 #[case::pushed_after_a_failure(EndpointDelivery::Poll, EndpointDelivery::Push, false)]
@@ -77,7 +83,7 @@
 #[case::polled_after_a_failure(EndpointDelivery::Push, EndpointDelivery::Poll, false)]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn after_a_reload_the_next_watch_is_opened_by_the_delivery_in_force(
+async fn a_reload_of_the_delivery_applies_to_the_next_watch(
     #[case] from: EndpointDelivery,
     #[case] to: EndpointDelivery,
     #[case] watch_is_open: bool,
@@ -97,14 +103,15 @@
     let mut waited = Duration::ZERO;
     // Two of the failures come after the reload.
     for failure in 0..if watch_is_open { 2 } else { 3 } {
-        let failed = Instant::now();
+        let failed_at = Instant::now();
         refuse(&mut wire).await;
         if !watch_is_open && failure == 0 {
             settle().await;
             scheduler.reload(to);
         }
-        (wire, _) = timeout(LONGEST_PAUSE, scheduler.next_call()).await.expect("the list is still followed");
-        waited = failed.elapsed();
+        (wire, _) =
+            timeout(MAX_PAUSE, scheduler.next_call()).await.expect("the scheduler calls discovery again");
+        waited = failed_at.elapsed();
     }
     let pushed = waited <= Duration::from_millis(200);
     assert!(
--- a/crates/vetchbridge/tests/discovery_documents.rs
+++ b/crates/vetchbridge/tests/discovery_documents.rs
@@ -1,4 +1,5 @@
-//! Which parts of the discovery service's documents are published: of those that break off, and of those that are late.
+//! Which entries of the discovery service's documents are published if a document is truncated or out of
+//! date.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -12,17 +13,18 @@
 use vetchbridge::discovery::document::InstanceState;
 use vetchbridge::discovery::request::DiscoveryRequest;
 
-/// That a worker is draining is heeded whatever the generation; that one is up, or up again as another process, only if
-/// the document is no older than the list.
+/// The truncated document lists s-a as up and s-b as draining. A draining entry is published whatever the
+/// document's generation. An entry of a worker that is up, possibly as a new process, is published only if
+/// the document is no older than the published list.
 #[rstest]
 #[case::newer(6, InstanceState::Up)]
-#[case::as_old(5, InstanceState::Up)]
+#[case::same(5, InstanceState::Up)]
 #[case::older(4, InstanceState::Draining)]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn the_complete_entries_of_a_document_that_breaks_off_are_published(
+async fn the_complete_entries_of_a_truncated_document_are_published(
     #[case] generation: u32,
-    #[case] first: InstanceState,
+    #[case] expected_state: InstanceState,
 ) {
     let mut scheduler = TestScheduler::in_tier_of(1).await;
     scheduler.watch_endpoints(json!([]));
@@ -30,22 +32,23 @@
     let (a, b) = (instance("s-a", unused_address()), instance("s-b", unused_address()));
     answer_complete_list(&mut wire, 5, json!([draining(a.clone()), b])).await;
     wire.read().await.expect("the watch continues");
-    // Indented, and cut within its third entry.
+    // An indented document that ends within its third entry.
     let entries = json!([a, draining(b), {"instanceId": "s-c"}]);
     let document = json!({"generation": generation, "reset": false, "instances": entries});
-    let text = serde_json::to_string_pretty(&document).expect("JSON");
+    let text = serde_json::to_string_pretty(&document).expect("the document is valid JSON");
     break_off(wire, &text, "s-c").await;
     let _next = scheduler.next_call().await;
-    let expected = [("s-a".into(), first), ("s-b".into(), InstanceState::Draining)];
+    let expected = [("s-a".into(), expected_state), ("s-b".into(), InstanceState::Draining)];
     assert_eq!(scheduler.listed_workers(), expected);
 }
 
-/// The complete list was fetched, and before it is here the watch brings newer changes: they stand. A generation that goes
-/// back in the order of the calls is another matter: the service has been reset.
+/// A complete list that arrives after newer updates of the watch must not undo these updates. If no other
+/// call was answered in the meantime, a complete list with a lower generation shows that the service was
+/// reset, and is published.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn a_complete_list_that_was_overtaken_by_newer_changes_does_not_undo_them() {
+async fn a_fetched_list_does_not_undo_newer_updates_of_the_watch() {
     let mut scheduler = TestScheduler::in_tier_of(1).await;
     scheduler.watch_endpoints(json!([]));
     let up = instance("s-a", unused_address());
--- a/crates/vetchbridge/tests/discovery_hedge.rs
+++ b/crates/vetchbridge/tests/discovery_hedge.rs
@@ -1,4 +1,4 @@
-//! Hedged calls: a second call while one is out that may have been lost.
+//! Hedged calls: a second call while the first is in flight and may have been lost.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -14,57 +14,58 @@
 use tokio::time::Instant;
 use vetchbridge::discovery::document::InstanceState;
 
-/// Two calls that are lost in a row while the service can be reached leave time for the answer to the third, in tiers
-/// whose service can bear hedged calls. The worst moment for the service to come back is the one after a call.
+/// In tiers that hedge calls, two lost calls in a row must leave time for the answer to the third. The worst
+/// case is a service that recovers just after a call was made.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn two_unanswered_calls_in_a_row_leave_time_for_the_third() {
     for (scheduler_count, seed) in [(1, 1), (1, 7), (3, 1), (3, 7), (11, 1), (11, 7)] {
-        every_third_call_is_in_time(scheduler_count, seed).await;
+        assert_third_calls_in_time(scheduler_count, seed).await;
     }
 }
 
-async fn every_third_call_is_in_time(scheduler_count: u32, seed: u64) {
-    /// An update counts as notified after 6 s, and sends may go on for half a second; a second and more is left for the
-    /// answer.
-    const THIRD_CALL_WITHIN: Duration = Duration::from_millis(4_900);
+async fn assert_third_calls_in_time(scheduler_count: u32, seed: u64) {
+    /// Maximum time from a failed call to the third call after it. A scheduler counts as notified of an
+    /// update after 6 s and may keep sending for half a second more, so this limit leaves over a second for
+    /// the answer.
+    const MAX_TIME_TO_THIRD_CALL: Duration = Duration::from_millis(4_900);
     let mut scheduler = TestScheduler::new(Setup { scheduler_count, seed, ..Setup::default() }).await;
     scheduler.watch_endpoints(json!([]));
     let watch = scheduler.confirm_saved_list().await;
-    let began = Instant::now();
+    let reset_at = Instant::now();
     watch.reset();
-    let (mut unanswered, mut calls) = (Vec::new(), vec![began]);
+    let (mut unanswered, mut calls) = (Vec::new(), vec![reset_at]);
     for _ in 0..20 {
         unanswered.push(scheduler.next_call().await.0);
         calls.push(Instant::now());
     }
     let assert_in_time = |from: usize, to: usize| {
-        let apart = calls[to].duration_since(calls[from]);
+        let elapsed = calls[to].duration_since(calls[from]);
         assert!(
-            apart <= THIRD_CALL_WITHIN,
-            "{scheduler_count} schedulers: {apart:?} from call {from} to {to}: {calls:?}"
+            elapsed <= MAX_TIME_TO_THIRD_CALL,
+            "{scheduler_count} schedulers: {elapsed:?} from call {from} to {to}: {calls:?}"
         );
     };
-    // The watch is reset, and the two calls after that are lost.
+    // The watch is reset, and the next two calls are lost.
     assert_in_time(0, 3);
-    // The watch is silent, or a call before was lost: two more are.
+    // A call stays without an answer, and the next two calls are lost too.
     (2..calls.len() - 3).for_each(|call| assert_in_time(call, call + 3));
 }
 
-/// A service that has too many callers answers, late, that it has: hedged calls would keep all of them waiting.
+/// An overloaded service refuses calls, but late. Hedged calls would add to its load and delay every caller.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn a_service_that_has_too_many_callers_gets_no_hedged_calls() {
-    const TURN_WITHIN: Duration = Duration::from_millis(2_000);
+async fn calls_that_an_overloaded_service_refuses_are_not_hedged() {
+    const REFUSAL_DELAY: Duration = Duration::from_millis(2_000);
     let mut scheduler = TestScheduler::in_tier_of(3).await;
     scheduler.watch_endpoints(json!([]));
     let mut wire = scheduler.confirm_saved_list().await;
     for number in 0..6 {
         tokio::select! {
-            _ = scheduler.discovery.accept() => panic!("a second call beside number {number}"),
-            () = tokio::time::sleep(TURN_WITHIN) => {}
+            _ = scheduler.discovery.accept() => panic!("a hedged call while call {number} is in flight"),
+            () = tokio::time::sleep(REFUSAL_DELAY) => {}
         }
         refuse(&mut wire).await;
         wire = scheduler.next_call().await.0;
@@ -74,14 +75,14 @@
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn the_answer_to_a_hedged_call_is_published_and_the_watch_goes_on_from_it() {
+async fn the_answer_to_a_hedged_call_is_published_and_the_watch_continues_from_it() {
     let mut scheduler = TestScheduler::in_tier_of(3).await;
     scheduler.watch_endpoints(json!([]));
-    let _silent = scheduler.confirm_saved_list().await;
-    let _lost = scheduler.next_call().await;
-    let called = Instant::now();
+    let _unanswered_watch = scheduler.confirm_saved_list().await;
+    let _lost_call = scheduler.next_call().await;
+    let called_at = Instant::now();
     let (mut hedge, target) = scheduler.next_call().await;
-    assert!(called.elapsed() < Duration::from_millis(1_500), "{:?}", called.elapsed());
+    assert!(called_at.elapsed() < Duration::from_millis(1_500), "{:?}", called_at.elapsed());
     assert_eq!(target, "/registry/instances?index=1&wait=0");
     answer_changes(&mut hedge, 2, json!([instance("s-new", unused_address())])).await;
     let next = hedge.read().await.expect("the watch continues");
@@ -92,12 +93,12 @@
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
-async fn the_complete_entries_of_a_hedged_answer_that_breaks_off_are_published() {
+async fn the_complete_entries_of_a_truncated_hedged_answer_are_published() {
     let mut scheduler = TestScheduler::in_tier_of(3).await;
     let (a, b) = (instance("s-a", unused_address()), instance("s-b", unused_address()));
     scheduler.watch_endpoints(json!([a, b]));
-    let _silent = scheduler.confirm_saved_list().await;
-    let _lost = scheduler.next_call().await;
+    let _unanswered_watch = scheduler.confirm_saved_list().await;
+    let _lost_call = scheduler.next_call().await;
     let (hedge, _) = scheduler.next_call().await;
     let document = json!({"generation": 2, "reset": false, "instances": [draining(a), b]}).to_string();
     break_off(hedge, &document, "s-b").await;
--- a/crates/vetchbridge/tests/endpoint_updates.rs
+++ b/crates/vetchbridge/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! How the daemon as a process follows the endpoint list of discovery.
+//! Endpoint updates from discovery in the daemon as a process.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,8 +8,8 @@
 use serde_json::json;
 use vetchbridge_testbed::wire::Wire;
 
-/// The watch continues from the version last received, a list that can't be parsed changes nothing, and a draining worker
-/// gets nothing new.
+/// The watch continues from the generation last received. A list that can't be parsed changes nothing. A
+/// draining worker gets no new job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -19,31 +19,32 @@
     let lists =
         [json!([instance(0, address(0, &harness), "up")]), json!([{"instanceId": "s-0", "lifecycle": "?"}])];
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
-    for (list, version) in lists.into_iter().zip([1, 5]) {
+    for (list, generation) in lists.into_iter().zip([1, 5]) {
         let target = watch.read_target().await;
-        assert!(target.starts_with(&format!("/registry/instances?index={version}&wait=")), "{target}");
+        assert!(target.starts_with(&format!("/registry/instances?index={generation}&wait=")), "{target}");
         watch.send_endpoints(5, list).await;
     }
-    // The invalid list ended the watch; the decision module opens the next one from the version that it has.
+    // The invalid list ended the watch. The decision module opens the next watch from the last known
+    // generation.
     assert!(watch.read_target().await.contains("index=5&"));
     harness.serve_at_worker_0("safe").await;
 }
 
-/// A list that is incomplete is not applied, but a worker that it calls draining is.
+/// A truncated list is not applied, except for its entries of draining workers.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn an_incomplete_endpoint_list_still_names_draining_workers() {
+async fn draining_entries_of_a_truncated_endpoint_list_apply() {
     let mut harness = Harness::start(2).await;
-    let drains = instance(1, harness.workers[1].local_addr().unwrap(), "draining");
+    let draining = instance(1, harness.workers[1].local_addr().unwrap(), "draining");
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
-    let part = format!(
-        "{{\"generation\": 5, \"reset\": true, \"instances\": [{drains}, {{\"instanceId\": \"s-0\", "
+    let truncated_document = format!(
+        "{{\"generation\": 5, \"reset\": true, \"instances\": [{draining}, {{\"instanceId\": \"s-0\", "
     );
-    watch.send(&format!("HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n{part}")).await;
+    watch.send(&format!("HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n{truncated_document}")).await;
     drop(watch);
-    // The version is what it was.
+    // The generation is unchanged.
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the next watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
     harness.serve_at_worker_0("safe").await;
