--- a/crates/vetchbridge/tests/admin.rs
+++ b/crates/vetchbridge/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface on a socket: the response to each command, and connections that send nothing.
+//! The admin interface on a socket: the response to each command, and the eviction of silent connections.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 }
 
 async fn send_command(address: SocketAddr, line: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
+    let mut stream = TcpStream::connect(address).await.expect("the admin interface listens");
     stream.write_all(line).await.expect("written");
     if !line.contains(&b'\n') {
         stream.shutdown().await.expect("half closed");
@@ -27,14 +27,14 @@
     response
 }
 
-/// Every kind of line has its documented response, and the lifecycle has the state that it names.
+/// Each kind of command line gets its documented response, and the lifecycle's state matches the response.
 #[tokio::test]
 async fn each_command_has_its_response() {
     let lifecycle = Arc::new(Lifecycle::new(false));
     let address = start_admin(&lifecycle, 4).await;
     assert_eq!(send_command(address, b"health\n").await, "fail starting, it can't serve yet\n");
     lifecycle.start_serving();
-    let long = [b"health".as_slice(), &[b' '; LINE_LIMIT], b"\n"].concat();
+    let too_long = [b"health".as_slice(), &[b' '; LINE_LIMIT], b"\n"].concat();
     let cases: [(&[u8], &str, bool); 15] = [
         (b"health\n", "ok serving\n", true),
         (b"health\r\n", "ok serving\n", true),
@@ -48,7 +48,7 @@
         (b"\n", "fail empty call; say health, quiesce or resume\n", false),
         (b"", "fail empty call; say health, quiesce or resume\n", false),
         (b"h\xffalth\n", "fail not text; say health, quiesce or resume\n", false),
-        (&long, "fail the line is too long\n", false),
+        (&too_long, "fail the line is too long\n", false),
         (b"resume\n", "ok serving\n", true),
         (b"resume\n", "ok serving\n", true),
     ];
@@ -62,22 +62,22 @@
     assert_eq!(send_command(address, b"quiesce\n").await, "ok ending\n");
 }
 
-/// Connections on which nothing or half a command has arrived keep out no other client.
+/// Connections without a complete command must not keep other clients out.
 #[tokio::test]
 async fn silent_connections_are_evicted_for_the_next_one() {
     let lifecycle = Arc::new(Lifecycle::new(false));
     lifecycle.start_serving();
     let address = start_admin(&lifecycle, 4).await;
-    let mut half = TcpStream::connect(address).await.expect("it listens");
-    half.write_all(b"hea").await.expect("written");
+    let mut incomplete = TcpStream::connect(address).await.expect("the admin interface listens");
+    incomplete.write_all(b"hea").await.expect("written");
     assert_eq!(send_command(address, b"health\n").await, "ok serving\n");
     let mut silent = Vec::new();
     for _ in 0..40 {
-        silent.push(TcpStream::connect(address).await.expect("it listens"));
+        silent.push(TcpStream::connect(address).await.expect("the admin interface listens"));
     }
     assert_eq!(send_command(address, b"health\n").await, "ok serving\n");
-    half.write_all(b"lth\n").await.expect("written");
+    incomplete.write_all(b"lth\n").await.expect("written");
     let mut response = String::new();
-    half.read_to_string(&mut response).await.expect("it was not evicted");
+    incomplete.read_to_string(&mut response).await.expect("a connection with input is not evicted");
     assert_eq!(response, "ok serving\n");
 }
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Violations of invariants are counted. One test, since the count is that of the process.
+//! Violations of invariants are counted. The file has a single test, since the process has a single counter.
 #![allow(missing_docs)]
 
 use bytes::Bytes;
@@ -34,10 +34,10 @@
 fn violations_of_invariants_are_counted() {
     runtime().block_on(start_a_second_attempt_at_the_same_worker());
     let answer = abort_an_open_request(true);
-    assert_eq!(violation_count(), 2, "its client waits");
+    assert_eq!(violation_count(), 2, "the client of the aborted request waits");
     drop(answer);
     abort_an_open_request(false);
-    assert_eq!(violation_count(), 2, "its client has disconnected");
+    assert_eq!(violation_count(), 2, "the client of the aborted request has disconnected");
 }
 
 async fn start_a_second_attempt_at_the_same_worker() {
@@ -65,13 +65,13 @@
         futures_util::poll!(&mut first).is_pending()
             && futures_util::poll!(&mut of_another_request).is_pending()
     );
-    assert_eq!(violation_count(), 0, "each request has one attempt there");
+    assert_eq!(violation_count(), 0, "each request has one attempt at the worker");
     let mut second = attempt(0xab, second);
     assert!(futures_util::poll!(&mut second).is_pending());
     assert_eq!(violation_count(), 1);
 }
 
-/// Submits a request for which there is no worker, and ends the runtime that carries it.
+/// Submits a request while no worker is known, and then drops the runtime that runs the request.
 fn abort_an_open_request(client_waits: bool) -> Option<oneshot::Receiver<Answer>> {
     let class = json!({"name": "safe", "repeat": "safe", "aim": 500_000, "deadline": 60_000_000});
     let document = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "discovery": "127.0.0.1:1",
@@ -79,8 +79,8 @@
             "discovery": "ask", "services": [class], "limits": {"max_attempts": 2},
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
-    let config = read_text("invariants", &document.to_string()).expect("it reads").config;
-    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("sound settings");
+    let config = read_text("invariants", &document.to_string()).expect("a valid configuration").config;
+    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("valid settings");
     let runtime = runtime();
     let answer = runtime.block_on(async {
         let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
--- a/crates/vetchbridge/tests/lifecycle.rs
+++ b/crates/vetchbridge/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle's state machine: its transitions, and what each state allows.
+//! The transitions of the lifecycle's state machine, and what each state allows.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
@@ -10,7 +10,8 @@
     Duration::from_millis(ms)
 }
 
-/// From start to shutdown: a process is ready neither before it can serve, nor while it drains, nor while it shuts down.
+/// Follows a process from its start to its shutdown. The process is not ready before it can serve, while it
+/// drains, or while it shuts down.
 #[test]
 fn a_drain_can_be_resumed_and_a_shutdown_cannot() {
     let mut machine = LifecycleMachine::new(false);
@@ -38,7 +39,7 @@
     assert!(!machine.state().accepts_requests() && machine.state().closes_idle_connections());
 }
 
-/// Commands given before the process can serve take effect once it can.
+/// An operator's commands during the start take effect once the process can serve.
 #[test]
 fn a_process_quiesced_while_it_starts_drains_as_soon_as_it_serves() {
     for (calls, ready) in [("q", false), ("qr", true), ("rq", false), ("", true)] {
@@ -46,7 +47,7 @@
         for call in calls.chars() {
             match call {
                 'q' => machine.quiesce(at(1)),
-                _ => machine.resume().expect("it is not shutting down"),
+                _ => machine.resume().expect("the process is not shutting down"),
             }
         }
         machine.start_serving(at(2));
@@ -57,21 +58,22 @@
     assert_eq!(successor.state(), LifecycleState::Draining);
 }
 
-/// SIGKILL comes 0.7 s after the longest deadline, or after 3 s; clients use open connections until shortly before.
+/// SIGKILL arrives 0.7 s after the longest deadline, of which at most 3 s count. The final responses must
+/// precede SIGKILL. Clients may use open connections until 1 s before the final responses.
 #[test]
 fn a_shutdown_serves_open_connections_and_is_complete_before_sigkill() {
-    for (deadline, closes_connections, terminates) in
+    for (deadline_ms, connections_close_ms, terminates_ms) in
         [(60_000, 2_300, 3_300), (3_000, 2_300, 3_300), (1_500, 800, 1_800), (200, 0, 500)]
     {
         let mut machine = LifecycleMachine::new(false);
         machine.start_serving(at(10));
-        machine.begin_shutdown(at(20), at(deadline));
+        machine.begin_shutdown(at(20), at(deadline_ms));
         let mut state = |ms: u64| {
             machine.advance(at(20 + ms));
             machine.state()
         };
-        if closes_connections > 0 {
-            let serving = state(closes_connections - 1);
+        if connections_close_ms > 0 {
+            let serving = state(connections_close_ms - 1);
             assert!(
                 !serving.is_ready()
                     && serving.accepts_requests()
@@ -79,16 +81,16 @@
                     && !serving.closes_idle_connections()
             );
         }
-        let closing = state(closes_connections);
+        let closing = state(connections_close_ms);
         assert!(
             closing.accepts_requests()
                 && closing.closes_after_response()
                 && closing.closes_idle_connections(),
-            "{deadline}"
+            "{deadline_ms}"
         );
         assert!(
-            state(terminates - 1).accepts_requests() && !state(terminates).accepts_requests(),
-            "{deadline}"
+            state(terminates_ms - 1).accepts_requests() && !state(terminates_ms).accepts_requests(),
+            "{deadline_ms}"
         );
     }
 }
@@ -100,8 +102,9 @@
         ..Config::default()
     })]
 
-    /// Whatever is called in whatever order: a shutdown is final and only advances, a process is ready exactly
-    /// when it can serve and is not quiesced, and time leads to a state that lasts.
+    /// For calls in any order: a shutdown is final and its phase never goes back, a process is ready exactly
+    /// when it can serve and is not quiesced, and without further calls the process reaches a state without a
+    /// timed transition.
     #[test]
     fn no_order_of_calls_breaks_the_lifecycle(calls in prop::collection::vec((0..5u8, 0..900u64), 1..40)) {
         let mut machine = LifecycleMachine::new(false);
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration changes by SIGHUP in the daemon as a process: during its start, and at work.
+//! Configuration reloads by SIGHUP in the daemon as a process: during its start, and while it serves.
 #![allow(missing_docs)]
 
 mod common;
@@ -16,14 +16,14 @@
 use tokio::task::spawn_blocking;
 use vetchbridge_testbed::wire::Wire;
 
-/// How far a start has come when the signal arrives.
+/// What the starting process does when the signal arrives.
 #[derive(Clone, Copy, PartialEq)]
-enum Moment {
+enum StartPhase {
     ReadingConfiguration,
     WaitingForAddress,
 }
 
-/// A process that is starting; killed when dropped.
+/// A process that is starting. Dropping the value kills the process.
 struct StartingProcess {
     child: Child,
     log: UnboundedReceiver<String>,
@@ -40,9 +40,9 @@
     fn spawn(command: &mut Command) -> StartingProcess {
         let mut child = {
             let _lock = spawn_lock();
-            command.spawn().expect("it starts")
+            command.spawn().expect("the daemon starts")
         };
-        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let (sender, log) = unbounded_channel();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(sender.send(line))));
         StartingProcess { child, log }
@@ -56,15 +56,15 @@
             }
             seen.push(line);
         }
-        panic!("it ended before {event}: {seen:?}");
+        panic!("the process ended before it logged {event}: {seen:?}");
     }
 }
 
-/// Puts a file in another's place in one step.
+/// Replaces the contents of the file atomically.
 fn replace(path: &Path, text: &str) {
-    let fresh = path.with_extension("fresh");
-    fs::write(&fresh, text).expect("written");
-    fs::rename(fresh, path).expect("replaced");
+    let temporary = path.with_extension("fresh");
+    fs::write(&temporary, text).expect("written");
+    fs::rename(temporary, path).expect("replaced");
 }
 
 fn run(program: &str, arguments: &[&str]) {
@@ -72,64 +72,67 @@
         let _lock = spawn_lock();
         Command::new(program).args(arguments).spawn()
     };
-    assert!(started.and_then(|mut child| child.wait()).expect("it runs").success(), "{program}");
+    assert!(started.and_then(|mut child| child.wait()).expect("the program runs").success(), "{program}");
 }
 
-/// Whoever changes the configuration sends SIGHUP, and can't know that a process is only starting: it must neither end by
-/// that, nor keep what it read before.
+/// An operator who changes the configuration sends SIGHUP without knowing that the process is still starting.
+/// The signal must not end the process, and the process must not keep the configuration that it read before
+/// the signal.
 #[rstest]
-#[case::reading_configuration(Moment::ReadingConfiguration)]
-#[case::waiting_for_address(Moment::WaitingForAddress)]
+#[case::reading_configuration(StartPhase::ReadingConfiguration)]
+#[case::waiting_for_address(StartPhase::WaitingForAddress)]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_sighup_during_the_start_takes_effect_once_the_daemon_listens(#[case] moment: Moment) {
+async fn a_sighup_during_the_start_takes_effect_once_the_daemon_listens(#[case] phase: StartPhase) {
     let bind = || async { TcpListener::bind("127.0.0.1:0").await.expect("a port") };
-    let (before, after, other) = (bind().await, bind().await, bind().await);
+    let (old_discovery, new_discovery, address_holder) = (bind().await, bind().await, bind().await);
     let address = |listener: &TcpListener| listener.local_addr().expect("bound");
-    let listen: SocketAddr = address(&other);
+    let listen: SocketAddr = address(&address_holder);
     let text = |discovery: &TcpListener| {
         let mut config = config(address(discovery), json!([]));
         config["listen"] = listen.to_string().into();
         config.to_string()
     };
     let folder = tempfile::tempdir().expect("a folder");
-    let (mut command, path) = daemon_command(&text(&before));
-    command.env("BALANCER_DISCOVERY", address(&before).to_string()).env("TMPDIR", folder.path());
-    let mut process = match moment {
-        Moment::ReadingConfiguration => {
-            // The process reads from a pipe, whose writer is there once it has begun to.
-            fs::remove_file(&path).expect("it is there");
-            run("mkfifo", &[path.to_str().expect("text")]);
+    let (mut command, path) = daemon_command(&text(&old_discovery));
+    command.env("BALANCER_DISCOVERY", address(&old_discovery).to_string()).env("TMPDIR", folder.path());
+    let mut process = match phase {
+        StartPhase::ReadingConfiguration => {
+            // The configuration file is a named pipe. Opening its write end succeeds once the process has
+            // opened the file.
+            fs::remove_file(&path).expect("the file exists");
+            run("mkfifo", &[path.to_str().expect("a UTF-8 path")]);
             let process = StartingProcess::spawn(&mut command);
             let pipe = path.clone();
             let opened = spawn_blocking(move || fs::OpenOptions::new().write(true).open(pipe));
-            let mut writer = opened.await.expect("no panic").expect("it is opened");
-            replace(&path, &text(&after));
+            let mut writer = opened.await.expect("no panic").expect("the pipe opens");
+            replace(&path, &text(&new_discovery));
             run("kill", &["-HUP", &process.child.id().to_string()]);
-            writer.write_all(text(&before).as_bytes()).expect("it reads on");
+            writer.write_all(text(&old_discovery).as_bytes()).expect("the process reads the pipe");
             process
         }
-        Moment::WaitingForAddress => {
+        StartPhase::WaitingForAddress => {
             let mut process = StartingProcess::spawn(&mut command);
             process.wait_for_log("address.in_use").await;
-            replace(&path, &text(&after));
+            replace(&path, &text(&new_discovery));
             run("kill", &["-HUP", &process.child.id().to_string()]);
             process
         }
     };
-    drop(other);
+    drop(address_holder);
     process.wait_for_log("daemon.listening").await;
     process.wait_for_log("configuration.applied").await;
-    let mut wire = Wire::new(after.accept().await.expect("a call").0);
+    let mut wire = Wire::new(new_discovery.accept().await.expect("a call").0);
     assert_eq!(
         wire.read_target().await,
         "/registry/instances",
-        "it follows the discovery service that is named now"
+        "the daemon calls the discovery service of the new configuration"
     );
 }
 
-/// The settings number zones and machine types, and may renumber them. The endpoint list follows in the same step, also while
-/// discovery sends nothing: a job bound to a machine type must not go to the other one.
+/// The settings refer to zones and machine types by index, and a reload may change the indices. The endpoint
+/// list must be converted in the same step, even if discovery sends no update. Otherwise a job bound to one
+/// machine type would be sent to the other one.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -143,8 +146,8 @@
         instance["machineType"] = kind.into();
         instance
     };
-    let known: Vec<_> = ["small", "large"].into_iter().enumerate().map(listed).collect();
-    let mut config = config("127.0.0.1:1".parse().expect("an address"), json!(known));
+    let endpoints: Vec<_> = ["small", "large"].into_iter().enumerate().map(listed).collect();
+    let mut config = config("127.0.0.1:1".parse().expect("an address"), json!(endpoints));
     config["settings"]["kinds"] = json!(["small", "large"]);
     config["settings"]["specifics"] = json!({"class_kind": [1, -1, -1]});
     let folder = tempfile::tempdir().expect("a folder");
@@ -160,7 +163,7 @@
                 accepted = workers[0].accept() => (0, accepted),
                 accepted = workers[1].accept() => (1, accepted),
             };
-            assert_eq!(worker, 1, "round {round}, job {number}: it is bound to large machines");
+            assert_eq!(worker, 1, "round {round}, job {number}: the job is bound to large machines");
             let mut wire = Wire::new(accepted.expect("a connection").0);
             wire.read().await.expect("the job");
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
@@ -176,9 +179,10 @@
     }
 }
 
-/// SIGHUP moves the watch to the discovery service that the file now names, whatever the environment says. Versions of two
-/// services can't be compared: the new one's complete list is fetched first, also under a lower version. A file that can't be
-/// used changes nothing, and a job in flight is not affected.
+/// After SIGHUP the daemon watches the discovery service that the file names, whatever the environment says.
+/// Generations of two services can't be compared, so the daemon first fetches the new service's complete list
+/// and accepts it even with a lower generation. An invalid file changes nothing, and a job in flight is not
+/// affected.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -196,27 +200,27 @@
 
     std::fs::write(&harness.daemon.config, "{").expect("written");
     harness.daemon.signal("-HUP");
-    for version in [3, 2] {
-        let moved = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = moved.local_addr().unwrap();
+    for generation in [3, 2] {
+        let new_service = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = new_service.local_addr().unwrap();
         let file = config(address, json!([])).to_string();
         std::fs::write(&harness.daemon.config, file).expect("written");
         harness.daemon.signal("-HUP");
-        let mut watch = Wire::new(moved.accept().await.expect("the new watch").0);
+        let mut watch = Wire::new(new_service.accept().await.expect("the new watch").0);
         assert_eq!(watch.read_target().await, "/registry/instances");
-        watch.send_endpoints(version, json!([instance(0, worker_address, "up")])).await;
-        assert!(watch.read_target().await.contains(&format!("index={version}&")));
+        watch.send_endpoints(generation, json!([instance(0, worker_address, "up")])).await;
+        assert!(watch.read_target().await.contains(&format!("index={generation}&")));
     }
 
     harness.daemon.signal("-TERM");
     harness.daemon.signal("-HUP");
     harness.send_callback(&id, number, "done").await;
     assert_eq!(status(client.read().await.as_ref()), "200");
-    assert!(harness.daemon.child.wait().expect("it ends").success());
+    assert!(harness.daemon.child.wait().expect("the daemon ends").success());
 }
 
-/// New settings apply at SIGHUP, also where a class has another's number now. An open request keeps the class that it was
-/// accepted under, through its retries, also when there is no such class any more.
+/// New settings apply at SIGHUP, even if they renumber classes. An open request keeps the class under which
+/// it was accepted, including in its retries, even if the new settings no longer have this class.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -226,13 +230,13 @@
     let (removed_class_worker, mut wire) = harness.accept_worker().await;
     wire.read().await.expect("the job");
     wire.send(ACCEPTED).await;
-    let (mut once_safe, once_safe_id) = harness.submit_job("safe", "k").await;
+    let (mut accepted_as_safe, accepted_as_safe_id) = harness.submit_job("safe", "k").await;
     let (_, mut second) = harness.accept_worker().await;
-    second.read().await.expect("the job, at the worker that has none yet");
+    second.read().await.expect("the job, at the idle worker");
 
-    let mut other = config(harness.discovery.local_addr().unwrap(), json!(harness.known));
-    let services = other["settings"]["services"].as_array_mut().expect("classes");
-    // safe, unsafe, keyed become keyed, fresh, safe; and safe may not be retried any more.
+    let mut new_config = config(harness.discovery.local_addr().unwrap(), json!(harness.known));
+    let services = new_config["settings"]["services"].as_array_mut().expect("classes");
+    // The classes safe, unsafe, keyed become keyed, fresh, safe. Jobs of class safe may no longer be retried.
     services.rotate_right(1);
     services[1] = services[2].clone();
     services[1]["name"] = "fresh".into();
@@ -240,26 +244,27 @@
     services[2]["repeat"] = "unsafe".into();
     services[0].as_object_mut().expect("a class").remove("window");
     services[0]["repeat"] = "safe".into();
-    std::fs::write(&harness.daemon.config, other.to_string()).expect("written");
+    std::fs::write(&harness.daemon.config, new_config.to_string()).expect("written");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("configuration.applied").await.contains("keyed,fresh,safe"));
 
-    let mut gone = dial(harness.daemon.address).await;
-    gone.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
-    assert_eq!(status(gone.read().await.as_ref()), "400", "there is no such class any more");
-    // The connection fails before the 202: a job that was accepted as safe is retried, a new one is not.
+    let mut removed_class_client = dial(harness.daemon.address).await;
+    removed_class_client.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
+    assert_eq!(status(removed_class_client.read().await.as_ref()), "400", "the class no longer exists");
+    // The connection fails before the 202. The job that was accepted when class safe allowed retries is
+    // retried; a job of the new class safe is not.
     drop(second);
     wire.read().await.expect("the job again");
     wire.send(ACCEPTED).await;
-    harness.send_callback(&once_safe_id, removed_class_worker, "done").await;
-    assert_eq!(status(once_safe.read().await.as_ref()), "200");
-    let (mut now_unsafe, _) = harness.submit_job("safe", "k").await;
+    harness.send_callback(&accepted_as_safe_id, removed_class_worker, "done").await;
+    assert_eq!(status(accepted_as_safe.read().await.as_ref()), "200");
+    let (mut new_safe, _) = harness.submit_job("safe", "k").await;
     let (_, mut second) = harness.accept_worker().await;
     second.read().await.expect("the job");
     drop(second);
-    assert_eq!(status(now_unsafe.read().await.as_ref()), "502");
+    assert_eq!(status(new_safe.read().await.as_ref()), "502");
     let (mut fresh, fresh_id) = harness.submit_job("fresh", "k").await;
-    wire.read().await.expect("the job, where the other worker has broken off twice");
+    wire.read().await.expect("the job, since the other worker has failed twice");
     wire.send(ACCEPTED).await;
     harness.send_callback(&fresh_id, removed_class_worker, "done").await;
     assert_eq!(status(fresh.read().await.as_ref()), "200");
@@ -267,15 +272,16 @@
     assert_eq!(status(removed_class.read().await.as_ref()), "200");
 }
 
-/// A file that can't be used is rejected completely, `discovery` and classes included, and each fault is named.
+/// An invalid file is rejected as a whole, including its valid `discovery` address and classes, and the log
+/// names each fault.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn an_invalid_configuration_is_rejected_completely() {
     let mut harness = Harness::start(0).await;
-    let mut other = config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
-    other["settings"]["services"][1]["name"] = "fresh".into();
-    for (invalid, key) in invalid_configurations(&other) {
+    let mut new_config = config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
+    new_config["settings"]["services"][1]["name"] = "fresh".into();
+    for (invalid, key) in invalid_configurations(&new_config) {
         std::fs::write(&harness.daemon.config, &invalid).expect("written");
         harness.daemon.signal("-HUP");
         let mut logged = harness.daemon.wait_for_log("configuration.").await;
@@ -288,8 +294,8 @@
     let mut client = dial(harness.daemon.address).await;
     client.post_request("/fresh/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(client.read().await.as_ref()), "400");
-    // Two faults, two lines.
-    let both = with(&other, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
+    // A file with two faults causes two log lines.
+    let both = with(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
     std::fs::write(&harness.daemon.config, both).expect("written");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("no number above 0"));
@@ -299,14 +305,14 @@
 const DEADLINE: &str = "/settings/services/2/deadline";
 const MAX_ATTEMPTS: &str = "/settings/limits/max_attempts";
 
-/// The configuration with another value of a key.
+/// Returns the configuration with the value at `path` replaced.
 fn with(config: &Value, path: &str, value: Value) -> String {
     let mut invalid = config.clone();
     *invalid.pointer_mut(path).expect("a key") = value;
     invalid.to_string()
 }
 
-/// The configuration without a key of an object.
+/// Returns the configuration without `key` of the object at `path`.
 fn without(config: &Value, path: &str, key: &str) -> String {
     let mut invalid = config.clone();
     let object = invalid.pointer_mut(path).and_then(Value::as_object_mut).expect("an object");
@@ -314,7 +320,7 @@
     invalid.to_string()
 }
 
-/// Texts that are no valid configuration, each with what the log must name.
+/// Returns invalid configuration texts, each with the key or fault that the log must name.
 fn invalid_configurations(valid: &Value) -> Vec<(String, &'static str)> {
     let text = valid.to_string();
     let without = |path: &str, key: &str| without(valid, path, key);
--- a/crates/vetchbridge/tests/shutdown.rs
+++ b/crates/vetchbridge/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Draining by operators and the graceful shutdown of the daemon as a process.
+//! Drains by operators, and the graceful shutdown of the daemon as a process.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,8 +6,9 @@
 use common::*;
 use rstest::rstest;
 
-/// A graceful shutdown loses nothing that was accepted: the process is not ready, still serves clients that have a connection,
-/// since the other schedulers may be restarting too, then closes connections, then ends.
+/// A graceful shutdown must not lose an accepted request. After SIGTERM the process is not ready, but still
+/// serves clients that have a connection, since the other schedulers may be restarting too. Later the
+/// process closes the connections and ends.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -17,18 +18,19 @@
     let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
-    // Never complete, so never accepted: it must not delay the end, not even until it times out.
-    let mut half = dial(harness.daemon.address).await;
-    half.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nwork").await;
+    // An incomplete request is never accepted. It must not delay the shutdown, not even until the request
+    // times out.
+    let mut incomplete = dial(harness.daemon.address).await;
+    incomplete.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nwork").await;
     harness.daemon.signal("-TERM");
-    // Readiness is polled until the signal has arrived.
-    let closed = loop {
+    // The daemon may not have received the signal yet, so its readiness is polled.
+    let not_ready = loop {
         let answer = harness.readiness().await;
         if answer.status() == "503" {
             break answer;
         }
     };
-    assert_eq!(closed.header("connection"), None);
+    assert_eq!(not_ready.header("connection"), None);
     let (mut late, late_id) = harness.submit_job("safe", "k").await;
     worker.read().await.expect("the late job");
     worker.send(ACCEPTED).await;
@@ -37,19 +39,23 @@
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), ("200", None));
     }
-    // A client goes on using its connection.
+    // A client sends a further request on its connection.
     early.post_request("/safe/k", "X-Trace-Id: 00000000000000aa\r\n", "work").await;
     worker.read().await.expect("the next job");
     worker.send(ACCEPTED).await;
     harness.send_callback("00000000000000aa", number, "done").await;
     assert_eq!(status(early.read().await.as_ref()), "200");
-    assert!(early.read().await.is_none() && late.read().await.is_none(), "closed late in the shutdown");
-    assert!(harness.daemon.child.wait().expect("it ends").success());
-    drop(half);
+    assert!(
+        early.read().await.is_none() && late.read().await.is_none(),
+        "connections are closed late in the shutdown"
+    );
+    assert!(harness.daemon.child.wait().expect("the daemon ends").success());
+    drop(incomplete);
 }
 
-/// Operators drain a scheduler: it is not ready, idle connections are closed, requests that arrive all the same are served and
-/// their connections closed, callbacks are accepted, and the process keeps running. It can be resumed, also in the middle.
+/// A scheduler that operators drain is not ready and closes idle connections. It still serves requests that
+/// arrive and then closes their connections, accepts callbacks, and keeps running. Operators can resume it at
+/// any time, also during the drain.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -59,7 +65,7 @@
     let mut idle = dial(harness.daemon.address).await;
     idle.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert_eq!(status(idle.read().await.as_ref()), "200");
-    // Connected and silent so far: whenever its job arrives, it gets a response.
+    // A client that has connected but sent nothing must get a response to a job that it sends later.
     let mut slow = dial(harness.daemon.address).await;
     let (mut early, early_id) = harness.submit_job("safe", "k").await;
     let (number, mut worker) = harness.accept_worker().await;
@@ -83,17 +89,21 @@
         assert_eq!((answer.status(), answer.header("connection")), ("200", Some("close")));
         assert!(client.read().await.is_none());
     }
-    for call in ["resume", "quiesce", "resume"] {
-        harness.daemon.admin_command(call).await;
+    for command in ["resume", "quiesce", "resume"] {
+        harness.daemon.admin_command(command).await;
     }
     let ready = harness.readiness().await;
     assert_eq!((ready.status(), ready.header("connection")), ("200", None));
     harness.daemon.admin_command("quiesce").await;
     harness.daemon.signal("-TERM");
-    assert!(harness.daemon.child.wait().expect("it ends").success(), "a drained scheduler ends as any other");
+    assert!(
+        harness.daemon.child.wait().expect("the daemon ends").success(),
+        "a drained scheduler shuts down"
+    );
 }
 
-/// A request that can't be completed before the end gets a response all the same, and its attempt is canceled.
+/// A request that can't be completed before the process ends must get a final response, and its attempt must
+/// be canceled.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -106,6 +116,6 @@
     harness.send_callback(&id, number, "started").await;
     harness.daemon.signal("-TERM");
     assert_eq!(status(client.read().await.as_ref()), "503");
-    assert_eq!(worker.read().await.expect("a call").line, format!("DELETE /jobs/{id} HTTP/1.1"));
-    assert!(harness.daemon.child.wait().expect("it ends").success());
+    assert_eq!(worker.read().await.expect("the cancellation").line, format!("DELETE /jobs/{id} HTTP/1.1"));
+    assert!(harness.daemon.child.wait().expect("the daemon ends").success());
 }
