--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -1,4 +1,4 @@
-//! When the discovery service is called, and how long each call may take.
+//! The schedule of calls to the discovery service, and their time limits.
 //!
 //! This module makes no call and reads no clock; callers pass the time in. The scheduler decides how long to
 //! pause after failed calls: its endpoint refresh subscribes again after its backoff.
--- a/crates/vetchbridge/src/discovery/schedule/tests.rs
+++ b/crates/vetchbridge/src/discovery/schedule/tests.rs
@@ -43,7 +43,7 @@
         previous_waits.clone_from(&waits);
         let mut sorted = waits;
         sorted.sort_unstable();
-        let closest = sorted.windows(2).map(|pair| pair[1] - pair[0]).min().expect("more than one");
+        let closest = sorted.windows(2).map(|pair| pair[1] - pair[0]).min().expect("at least two waits");
         // 20 waits that are spread evenly over 800 ms are 40 ms apart; half of that suffices.
         assert!(closest >= Duration::from_millis(20), "{sorted:?}");
     }
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -46,10 +46,10 @@
         /// The error of the system call.
         source: io::Error,
     },
-    /// The clients' listener can't be used.
+    /// The client listener can't be used.
     #[error("cannot use the client listener: {0}")]
     ClientListener(io::Error),
-    /// The peers' socket can't be used.
+    /// The socket for messages between schedulers can't be used.
     #[error("cannot use the peer socket: {0}")]
     PeerSocket(io::Error),
     /// The hand-over socket can't be published at its path.
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -3,7 +3,7 @@
 //! [`Reloader`] owns the platform's configuration document in force; a new document is checked against the
 //! document in force. An invalid configuration is rejected as a whole.
 
-use super::startup::Core;
+use super::startup::SharedState;
 use crate::config::{self, Config, Flags};
 use crate::discovery::request::DiscoveryRequest;
 use crate::logs::Logs;
@@ -22,7 +22,7 @@
     /// The configuration document in force; `None` if the configuration is not in the platform's format.
     pub document: Option<Value>,
     pub discovery_requests: UnboundedSender<DiscoveryRequest>,
-    pub core: Core,
+    pub shared: SharedState,
 }
 
 impl Reloader {
@@ -44,7 +44,7 @@
     /// Applies the settings, the discovery source and the log filter. All other values take effect at the
     /// next start.
     fn apply(&mut self, config: Config) {
-        let Core { engine, upstream, current, endpoint_list } = &self.core;
+        let SharedState { engine, upstream, current_settings, endpoint_list } = &self.shared;
         if let Err(error) = self.logs.set_filter(&config.log.filter.0) {
             error!(%error, "log.filter_invalid");
         }
@@ -53,7 +53,7 @@
         upstream.set_timeouts(dial_timeout, config.snapshot.worker_idle_timeout);
         upstream.set_load_reports(config.snapshot.load_reports);
         let names = config.snapshot.names.clone();
-        let old = current.swap(config.snapshot);
+        let old = current_settings.swap(config.snapshot);
         if old.settings != settings {
             engine.handle(Event::Settings(Box::new(settings)));
         }
--- a/crates/vetchbridge/src/serve/shutdown.rs
+++ b/crates/vetchbridge/src/serve/shutdown.rs
@@ -15,7 +15,7 @@
 /// connection with unread input, the kernel would discard the response.
 const LINGER_TIME: Duration = Duration::from_millis(200);
 
-/// Starts the graceful shutdown and returns once it is complete.
+/// Starts the graceful shutdown and returns once the shutdown is complete.
 pub(super) async fn shut_down(server: &HandoverServer) {
     server.lifecycle.begin_shutdown(server.client_server.longest_deadline());
     sleep(MIN_LISTEN_TIME).await;
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -60,12 +60,12 @@
     predecessor: Option<Predecessor>,
 }
 
-/// The engine, and the state that it shares with other components.
+/// The engine and the state that several components share.
 #[derive(Clone)]
-pub(super) struct Core {
+pub(super) struct SharedState {
     pub engine: Arc<Engine>,
     pub upstream: Arc<UpstreamGroup>,
-    pub current: Arc<CurrentSettings>,
+    pub current_settings: Arc<CurrentSettings>,
     pub endpoint_list: Arc<Mutex<EndpointList>>,
 }
 
@@ -84,27 +84,28 @@
     let (datagrams, queued_datagrams) = unbounded_channel();
     let max_sockets = config.sockets;
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
-    let core = Core::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
+    let shared =
+        SharedState::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
     let reloader =
-        Reloader { flags, logs, document: config.document, discovery_requests, core: core.clone() };
+        Reloader { flags, logs, document: config.document, discovery_requests, shared: shared.clone() };
     tokio::spawn(reloader.run(hangup));
-    tokio::spawn(core.engine.clone().run_timers());
+    tokio::spawn(shared.engine.clone().run_timers());
     let peer_socket = config.peers.zip(peer_socket).and_then(|(peers, socket)| {
-        let started = start_peer_messages(peers, socket, &core, &process_links, queued_datagrams);
+        let started = start_peer_messages(peers, socket, &shared, &process_links, queued_datagrams);
         started.map_err(|error| error!(%error, "peer_socket.failed")).ok()
     });
-    let list_confirmed = start_discovery(config.source, initial_list, &core, queued_discovery_requests);
-    let client_server = core.client_server(max_sockets, config.memory, &lifecycle, &process_links);
+    let list_confirmed = start_discovery(config.source, initial_list, &shared, queued_discovery_requests);
+    let client_server = shared.client_server(max_sockets, config.memory, &lifecycle, &process_links);
     tokio::spawn(client_server.clone().serve(client_listener));
     let handover_server = Arc::new(HandoverServer {
         name: config.name,
         listen,
         listener: listener_duplicate,
         peer_socket,
-        endpoint_list: core.endpoint_list,
+        endpoint_list: shared.endpoint_list,
         lifecycle,
-        engine: core.engine,
-        upstream: core.upstream,
+        engine: shared.engine,
+        upstream: shared.upstream,
         client_server,
         process_links,
     });
@@ -148,21 +149,21 @@
     }
 }
 
-impl Core {
+impl SharedState {
     fn new(
         scheduler: Scheduler,
         snapshot: Snapshot,
         max_sockets: usize,
         discovery_requests: UnboundedSender<DiscoveryRequest>,
         datagrams: UnboundedSender<OutgoingMessage>,
-    ) -> Core {
+    ) -> SharedState {
         let dial_timeout = Duration::from_micros(snapshot.settings.limits.dial_timeout);
         let max_probes = (max_sockets / DESCRIPTORS_PER_PROBE).max(1);
         let upstream = Arc::new(UpstreamGroup::new(dial_timeout, snapshot.worker_idle_timeout, max_probes));
         upstream.set_load_reports(snapshot.load_reports);
         let engine = Engine::new(scheduler, upstream.clone(), discovery_requests, datagrams);
-        let current = Arc::new(CurrentSettings::new(snapshot));
-        Core { engine, upstream, current, endpoint_list: Arc::default() }
+        let current_settings = Arc::new(CurrentSettings::new(snapshot));
+        SharedState { engine, upstream, current_settings, endpoint_list: Arc::default() }
     }
 
     fn client_server(
@@ -175,7 +176,7 @@
         ClientServer::new(
             self.engine.clone(),
             self.upstream.clone(),
-            self.current.clone(),
+            self.current_settings.clone(),
             max_sockets,
             max_memory,
             lifecycle.clone(),
@@ -189,13 +190,13 @@
 fn start_peer_messages(
     peers: Peers,
     socket: Result<UdpSocket, ServeError>,
-    core: &Core,
+    shared: &SharedState,
     process_links: &Arc<ProcessLinks>,
     datagrams: UnboundedReceiver<OutgoingMessage>,
 ) -> Result<UdpSocket, ServeError> {
     let socket = socket?;
     let duplicate = socket.try_clone().map_err(ServeError::PeerSocket)?;
-    let messages = peers::run(peers, socket, core.engine.clone(), process_links.clone(), datagrams);
+    let messages = peers::run(peers, socket, shared.engine.clone(), process_links.clone(), datagrams);
     tokio::spawn(messages.map_err(ServeError::PeerSocket)?);
     Ok(duplicate)
 }
@@ -205,16 +206,16 @@
 fn start_discovery(
     source: EndpointSource,
     initial_list: InitialEndpoints,
-    core: &Core,
+    shared: &SharedState,
     requests: UnboundedReceiver<DiscoveryRequest>,
 ) -> watch::Receiver<bool> {
     let discovery = EndpointWatcher::start(
         source,
-        core.current.clone(),
+        shared.current_settings.clone(),
         initial_list,
-        core.engine.clone(),
-        core.upstream.clone(),
-        core.endpoint_list.clone(),
+        shared.engine.clone(),
+        shared.upstream.clone(),
+        shared.endpoint_list.clone(),
     );
     let confirmed = discovery.confirmed();
     tokio::spawn(discovery.run(requests));
--- a/crates/vetchbridge/tests/admin.rs
+++ b/crates/vetchbridge/tests/admin.rs
@@ -10,17 +10,17 @@
 use vetchbridge::lifecycle::clock::Lifecycle;
 
 async fn start_admin(lifecycle: &Arc<Lifecycle>, max_connections: usize) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound listener");
     tokio::spawn(serve(listener, lifecycle.clone(), Arc::default(), max_connections));
     address
 }
 
 async fn send_command(address: SocketAddr, line: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the admin interface listens");
-    stream.write_all(line).await.expect("written");
+    stream.write_all(line).await.expect("the write succeeds");
     if !line.contains(&b'\n') {
-        stream.shutdown().await.expect("half closed");
+        stream.shutdown().await.expect("the write half closes");
     }
     let mut response = String::new();
     stream.read_to_string(&mut response).await.expect("a response");
@@ -69,14 +69,14 @@
     lifecycle.start_serving();
     let address = start_admin(&lifecycle, 4).await;
     let mut incomplete = TcpStream::connect(address).await.expect("the admin interface listens");
-    incomplete.write_all(b"hea").await.expect("written");
+    incomplete.write_all(b"hea").await.expect("the write succeeds");
     assert_eq!(send_command(address, b"health\n").await, "ok serving\n");
     let mut silent = Vec::new();
     for _ in 0..40 {
         silent.push(TcpStream::connect(address).await.expect("the admin interface listens"));
     }
     assert_eq!(send_command(address, b"health\n").await, "ok serving\n");
-    incomplete.write_all(b"lth\n").await.expect("written");
+    incomplete.write_all(b"lth\n").await.expect("the write succeeds");
     let mut response = String::new();
     incomplete.read_to_string(&mut response).await.expect("a connection with input is not evicted");
     assert_eq!(response, "ok serving\n");
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -51,7 +51,7 @@
         for (wire, _) in &mut schedulers {
             let call = wire.read().await.expect("the watch continues");
             let (_, wait) = call.target().split_once("wait=").expect("a call with a wait");
-            waits.push(wait.parse::<u64>().expect("milliseconds"));
+            waits.push(wait.parse::<u64>().expect("a wait in milliseconds"));
         }
         assert!(
             waits.iter().zip(&previous_waits).all(|(wait, before)| wait != before),
@@ -59,7 +59,7 @@
         );
         previous_waits.clone_from(&waits);
         waits.sort_unstable();
-        let min_gap = waits.windows(2).map(|pair| pair[1] - pair[0]).min().expect("more than one");
+        let min_gap = waits.windows(2).map(|pair| pair[1] - pair[0]).min().expect("at least two waits");
         // 20 watches that are spread evenly over one second are 50 ms apart; half of that suffices.
         assert!(min_gap >= 25, "{waits:?}");
     }
@@ -75,7 +75,7 @@
     let mut scheduler = TestScheduler::in_tier_of(300).await;
     scheduler.watch_endpoints(json!([]));
     let mut wire = Wire::new(scheduler.discovery.accept().await.expect("the watch").0);
-    let target = |call: Option<Message>| call.expect("a call").target().to_string();
+    let target = |call: Option<Message>| call.expect("a call to discovery").target().to_string();
     assert!(target(wire.read().await).contains("index=1&wait="));
     answer_changes(&mut wire, 2, json!([])).await;
     assert!(target(wire.read().await).contains("index=2&wait="));
@@ -174,9 +174,9 @@
     let mut scheduler = TestScheduler::in_tier_of(1).await;
     // The kernel does not answer a dial to a listener whose backlog is full.
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    socket.bind("127.0.0.1:0".parse().expect("a valid address")).expect("a free port");
     scheduler.discovery = socket.listen(0).expect("the socket listens");
-    let address = scheduler.discovery.local_addr().expect("bound");
+    let address = scheduler.discovery.local_addr().expect("a bound listener");
     let _filler = TcpStream::connect(address).await.expect("the backlog accepts one connection");
     let started = Instant::now();
     scheduler.watch_endpoints(json!([]));
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -46,7 +46,7 @@
         (WatchEnd::Answer, 10),
     ];
     for (end, max_ms) in ends {
-        let call = wire.read().await.expect("a call");
+        let call = wire.read().await.expect("a call to discovery");
         assert!(call.target().contains("index=1&wait="), "{} before {end:?}", call.target());
         let called_at = Instant::now();
         let mut unanswered = None;
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -41,8 +41,8 @@
 }
 
 async fn start_a_second_attempt_at_the_same_worker() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound listener").to_string();
     let group = UpstreamGroup::new(MINUTE, MINUTE, 1);
     let (worker, name, state) = (worker_id("s-0"), "s-0", EndpointState::Ready);
     let endpoint = WorkerEndpoint { worker_id: worker, name, address: &address, state, started_at: 0 };
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -63,8 +63,8 @@
 /// Replaces the contents of the file atomically.
 fn replace(path: &Path, text: &str) {
     let temporary = path.with_extension("fresh");
-    fs::write(&temporary, text).expect("written");
-    fs::rename(temporary, path).expect("replaced");
+    fs::write(&temporary, text).expect("the write succeeds");
+    fs::rename(temporary, path).expect("the rename succeeds");
 }
 
 fn run(program: &str, arguments: &[&str]) {
@@ -84,16 +84,16 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_sighup_during_the_start_takes_effect_once_the_daemon_listens(#[case] phase: StartPhase) {
-    let bind = || async { TcpListener::bind("127.0.0.1:0").await.expect("a port") };
+    let bind = || async { TcpListener::bind("127.0.0.1:0").await.expect("a free port") };
     let (old_discovery, new_discovery, address_holder) = (bind().await, bind().await, bind().await);
-    let address = |listener: &TcpListener| listener.local_addr().expect("bound");
+    let address = |listener: &TcpListener| listener.local_addr().expect("a bound listener");
     let listen: SocketAddr = address(&address_holder);
     let text = |discovery: &TcpListener| {
         let mut config = config(address(discovery), json!([]));
         config["listen"] = listen.to_string().into();
         config.to_string()
     };
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let (mut command, path) = daemon_command(&text(&old_discovery));
     command.env("BALANCER_DISCOVERY", address(&old_discovery).to_string()).env("TMPDIR", folder.path());
     let mut process = match phase {
@@ -105,7 +105,7 @@
             let process = StartingProcess::spawn(&mut command);
             let pipe = path.clone();
             let opened = spawn_blocking(move || fs::OpenOptions::new().write(true).open(pipe));
-            let mut writer = opened.await.expect("no panic").expect("the pipe opens");
+            let mut writer = opened.await.expect("the task does not panic").expect("the pipe opens");
             replace(&path, &text(&new_discovery));
             run("kill", &["-HUP", &process.child.id().to_string()]);
             writer.write_all(text(&old_discovery).as_bytes()).expect("the process reads the pipe");
@@ -122,7 +122,7 @@
     drop(address_holder);
     process.wait_for_log("daemon.listening").await;
     process.wait_for_log("configuration.applied").await;
-    let mut wire = Wire::new(new_discovery.accept().await.expect("a call").0);
+    let mut wire = Wire::new(new_discovery.accept().await.expect("a call to discovery").0);
     assert_eq!(
         wire.read_target().await,
         "/registry/instances",
@@ -139,18 +139,18 @@
 async fn renumbered_machine_types_apply_without_an_update_from_discovery() {
     let mut workers = Vec::new();
     for _ in 0..2 {
-        workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+        workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a free port"));
     }
     let listed = |(number, kind): (usize, &str)| {
-        let mut instance = instance(number, workers[number].local_addr().expect("bound"), "up");
+        let mut instance = instance(number, workers[number].local_addr().expect("a bound listener"), "up");
         instance["machineType"] = kind.into();
         instance
     };
     let endpoints: Vec<_> = ["small", "large"].into_iter().enumerate().map(listed).collect();
-    let mut config = config("127.0.0.1:1".parse().expect("an address"), json!(endpoints));
+    let mut config = config("127.0.0.1:1".parse().expect("a valid address"), json!(endpoints));
     config["settings"]["kinds"] = json!(["small", "large"]);
     config["settings"]["specifics"] = json!({"class_kind": [1, -1, -1]});
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let (mut daemon, _silent) = Process::start_serving(&mut config, folder.path()).await;
     config["settings"]["kinds"] = json!(["large", "small"]);
     config["settings"]["specifics"] = json!({"class_kind": [0, -1, -1]});
@@ -198,13 +198,13 @@
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
 
-    std::fs::write(&harness.daemon.config, "{").expect("written");
+    std::fs::write(&harness.daemon.config, "{").expect("the write succeeds");
     harness.daemon.signal("-HUP");
     for generation in [3, 2] {
-        let new_service = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let new_service = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = new_service.local_addr().unwrap();
         let file = config(address, json!([])).to_string();
-        std::fs::write(&harness.daemon.config, file).expect("written");
+        std::fs::write(&harness.daemon.config, file).expect("the write succeeds");
         harness.daemon.signal("-HUP");
         let mut watch = Wire::new(new_service.accept().await.expect("the new watch").0);
         assert_eq!(watch.read_target().await, "/registry/instances");
@@ -235,16 +235,16 @@
     second.read().await.expect("the job, at the idle worker");
 
     let mut new_config = config(harness.discovery.local_addr().unwrap(), json!(harness.known));
-    let services = new_config["settings"]["services"].as_array_mut().expect("classes");
+    let services = new_config["settings"]["services"].as_array_mut().expect("a list of classes");
     // The classes safe, unsafe, keyed become keyed, fresh, safe. Jobs of class safe may no longer be retried.
     services.rotate_right(1);
     services[1] = services[2].clone();
     services[1]["name"] = "fresh".into();
     services[2]["name"] = "safe".into();
     services[2]["repeat"] = "unsafe".into();
-    services[0].as_object_mut().expect("a class").remove("window");
+    services[0].as_object_mut().expect("a class object").remove("window");
     services[0]["repeat"] = "safe".into();
-    std::fs::write(&harness.daemon.config, new_config.to_string()).expect("written");
+    std::fs::write(&harness.daemon.config, new_config.to_string()).expect("the write succeeds");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("configuration.applied").await.contains("keyed,fresh,safe"));
 
@@ -254,7 +254,7 @@
     // The connection fails before the 202. The job that was accepted when class safe allowed retries is
     // retried; a job of the new class safe is not.
     drop(second);
-    wire.read().await.expect("the job again");
+    wire.read().await.expect("the retried job");
     wire.send(ACCEPTED).await;
     harness.send_callback(&accepted_as_safe_id, removed_class_worker, "done").await;
     assert_eq!(status(accepted_as_safe.read().await.as_ref()), "200");
@@ -282,7 +282,7 @@
     let mut new_config = config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
     new_config["settings"]["services"][1]["name"] = "fresh".into();
     for (invalid, key) in invalid_configurations(&new_config) {
-        std::fs::write(&harness.daemon.config, &invalid).expect("written");
+        std::fs::write(&harness.daemon.config, &invalid).expect("the write succeeds");
         harness.daemon.signal("-HUP");
         let mut logged = harness.daemon.wait_for_log("configuration.").await;
         while !logged.contains("configuration.unchanged") {
@@ -296,7 +296,7 @@
     assert_eq!(status(client.read().await.as_ref()), "400");
     // A file with two faults causes two log lines.
     let both = with(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
-    std::fs::write(&harness.daemon.config, both).expect("written");
+    std::fs::write(&harness.daemon.config, both).expect("the write succeeds");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("no number above 0"));
     assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("no number above 0"));
@@ -308,7 +308,7 @@
 /// Returns the configuration with the value at `path` replaced.
 fn with(config: &Value, path: &str, value: Value) -> String {
     let mut invalid = config.clone();
-    *invalid.pointer_mut(path).expect("a key") = value;
+    *invalid.pointer_mut(path).expect("the configuration has the key") = value;
     invalid.to_string()
 }
 
@@ -316,7 +316,7 @@
 fn without(config: &Value, path: &str, key: &str) -> String {
     let mut invalid = config.clone();
     let object = invalid.pointer_mut(path).and_then(Value::as_object_mut).expect("an object");
-    object.remove(key).expect("a key");
+    object.remove(key).expect("the configuration has the key");
     invalid.to_string()
 }
 
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -17,10 +17,10 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_start_waits_for_an_address_in_use() {
-    let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = other.local_addr().expect("bound");
-    let folder = tempfile::tempdir().expect("a folder");
-    let mut config = config("127.0.0.1:1".parse().expect("an address"), json!([]));
+    let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = other.local_addr().expect("a bound listener");
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let mut config = config("127.0.0.1:1".parse().expect("a valid address"), json!([]));
     config["listen"] = address.to_string().into();
     let (mut command, _) = daemon_command(&config.to_string());
     let mut child = command.env("TMPDIR", folder.path()).spawn().expect("the daemon starts");
@@ -41,10 +41,10 @@
 /// Starts a daemon with this saved endpoint list. Returns the listener of its discovery service, which does
 /// not answer by itself, the daemon, and the daemon's folder.
 async fn start_unconfirmed(delivery: &str, saved: Value) -> (TcpListener, Process, tempfile::TempDir) {
-    let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let mut config = config(discovery.local_addr().expect("bound"), saved);
+    let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let mut config = config(discovery.local_addr().expect("a bound listener"), saved);
     config["settings"]["discovery"] = delivery.into();
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let daemon = Process::start(&config, folder.path());
     (discovery, daemon, folder)
 }
@@ -75,8 +75,8 @@
 const JOB_ID: &str = "00000000000000ab";
 
 async fn bind_worker() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound listener");
     (listener, address)
 }
 
@@ -140,7 +140,7 @@
 #[tokio::test]
 async fn a_successor_of_a_process_with_an_unconfirmed_list_waits_for_confirmation_too() {
     let (discovery, first, folder) = start_unconfirmed("ask", json!([])).await;
-    let mut config = config(discovery.local_addr().expect("bound"), json!([]));
+    let mut config = config(discovery.local_addr().expect("a bound listener"), json!([]));
     config["listen"] = first.address.to_string().into();
     let successor = Process::start(&config, folder.path());
     assert!(successor.admin_command("health").await.starts_with("fail"));
