--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -45,7 +45,7 @@
     pub process_links: Arc<ProcessLinks>,
 }
 
-/// The connection to a predecessor whose sockets and endpoint list this process uses.
+/// The connection to a predecessor after this process has started to use the predecessor's sockets and list.
 struct Predecessor {
     socket: HandoverSocket,
     /// Number of client connections that the predecessor had.
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -67,7 +67,8 @@
 
 /// A scheduler counts as notified of an update 6 s after the call of a watch that stayed without an answer.
 /// The scheduler must reopen the watch before that, in a tier of any size. The previous watch call was
-/// answered, so only one call has failed.
+/// answered, so the failure counts as one of this scheduler alone, and the next call need not be spread over
+/// the tier.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
