--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -134,7 +134,7 @@
             settings,
             names: old.names.clone(),
             worker_idle_timeout: old.worker_idle_timeout,
-            reports: old.reports,
+            load_reports: old.load_reports,
         });
     }
 
@@ -144,7 +144,7 @@
         settings.endpoint_delivery = delivery;
         self.replace_settings(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
-        self.request(DiscoveryRequest::Move(self.discovery_source()));
+        self.request(DiscoveryRequest::ChangeSource(self.discovery_source()));
     }
 
     /// Submits a job of the one class, with key `k`.
