--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -63,7 +63,8 @@
     }
 
     fn serves_class(&self, worker: &Worker) -> bool {
-        worker.is_ready && self.request.class.machine_type.is_none_or(|kind| kind == worker.endpoint.machine_type)
+        worker.is_ready
+            && self.request.class.machine_type.is_none_or(|kind| kind == worker.endpoint.machine_type)
     }
 
     /// Whether the worker is healthy and an attempt there can't cause a second effect of the job.
--- a/crates/scheduling/src/candidates/tests.rs
+++ b/crates/scheduling/src/candidates/tests.rs
@@ -62,7 +62,8 @@
 
 #[test]
 fn a_class_that_is_bound_to_a_machine_type_has_only_candidates_of_that_type() {
-    let fleet = fleet_of((1..=4).map(|n| Endpoint { machine_type: MachineTypeId(n as u32 / 4), ..endpoint(n) }));
+    let fleet =
+        fleet_of((1..=4).map(|n| Endpoint { machine_type: MachineTypeId(n as u32 / 4), ..endpoint(n) }));
     let mut request = request(Idempotency::Idempotent);
     request.class.machine_type = Some(MachineTypeId(1));
     assert_eq!(search(&settings(), &fleet, &request), [WorkerId(4)]);
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -77,7 +77,8 @@
         if is_ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
             worker.restart(endpoint, weight, started_at);
         }
-        (worker.endpoint.zone, worker.endpoint.machine_type, worker.endpoint.cell) = (zone, machine_type, cell);
+        (worker.endpoint.zone, worker.endpoint.machine_type, worker.endpoint.cell) =
+            (zone, machine_type, cell);
         if (weight / worker.weight - 1.0).abs() <= MIN_WEIGHT_CHANGE {
             return None;
         }
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -73,7 +73,8 @@
 pub(super) async fn start(startup: Startup) -> Result<Arc<HandoverServer>, ServeError> {
     let Startup { mut config, flags, logs, hangup, inherited, lifecycle, process_links } = startup;
     let saved_list = std::mem::take(&mut config.known);
-    let InitialState { sockets, initial_list, predecessor } = initial_state(inherited, saved_list, &config.source);
+    let InitialState { sockets, initial_list, predecessor } =
+        initial_state(inherited, saved_list, &config.source);
     let Sockets { client_listener, listener_duplicate, handover_listener, peer_socket } =
         Sockets::open(&config, sockets).await?;
     let listen = listener_duplicate.local_addr().map_err(ServeError::ClientListener)?;
@@ -83,7 +84,8 @@
     let (datagrams, queued_datagrams) = unbounded_channel();
     let max_sockets = config.sockets;
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
-    let shared = SharedState::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
+    let shared =
+        SharedState::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
     let reloader =
         Reloader { flags, logs, document: config.document, discovery_requests, shared: shared.clone() };
     tokio::spawn(reloader.run(hangup));
@@ -127,7 +129,11 @@
     let Some(InheritedState { listener, peer_socket, offer, endpoints, socket }) = inherited else {
         return InitialState {
             sockets: InheritedSockets::default(),
-            initial_list: InitialEndpoints { document: saved_list, generation_valid: true, handed_over: false },
+            initial_list: InitialEndpoints {
+                document: saved_list,
+                generation_valid: true,
+                handed_over: false,
+            },
             predecessor: None,
         };
     };
