--- a/crates/vetchbridge/src/clients/body.rs
+++ b/crates/vetchbridge/src/clients/body.rs
@@ -1,6 +1,6 @@
-//! Reads the bodies of jobs and callbacks: their maximum length, their time limit and the memory that they take.
+//! Reads the bodies of jobs and callbacks, within a maximum length, a time limit and a memory limit.
 //!
-//! Memory is reserved before a body is read, never waited for.
+//! Memory is reserved before a body is read. If not enough memory is free, the request is rejected at once.
 
 use super::connection::ClientConnection;
 use axum::body::{to_bytes, Body, HttpBody};
@@ -15,44 +15,47 @@
 
 /// Maximum length of a body in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A late body is rejected this long before its connection would be closed without a response.
+/// How long before the close of the connection a late body is rejected, so that the client gets a response.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
-/// Granularity of memory reservations in bytes.
+/// Unit of memory reservations, in bytes.
 const BLOCK_BYTES: usize = 1024;
-/// Share of the process's memory that the bodies of one kind may take, as a divisor.
+/// Divisor for the share of the process's memory that the bodies of one kind may use.
 const MEMORY_DIVISOR: usize = 8;
 
-/// Memory for the bodies of one kind.
+/// The memory for the bodies of one kind: jobs or callbacks.
 pub(super) struct BodyMemory {
     blocks: Arc<Semaphore>,
 }
 
 impl BodyMemory {
-    /// The memory for bodies in a process that may take `process_bytes` in all; at least one body fits.
+    /// Creates the memory for bodies in a process that may use `process_bytes` of memory. At least one body
+    /// of the maximum length fits.
     pub(super) fn new(process_bytes: usize) -> BodyMemory {
         let bytes = (process_bytes / MEMORY_DIVISOR).clamp(MAX_BODY_BYTES, usize::MAX >> 4);
         BodyMemory { blocks: Arc::new(Semaphore::new(bytes / BLOCK_BYTES)) }
     }
 
-    /// Reserves memory for a body; it is released when the permit is dropped.
+    /// Reserves memory for a body of `bytes` bytes; dropping the permit releases the memory.
     fn reserve(&self, bytes: usize) -> Result<OwnedSemaphorePermit, BodyError> {
         let blocks = bytes.div_ceil(BLOCK_BYTES) as u32;
         self.blocks.clone().try_acquire_many_owned(blocks).map_err(|_| BodyError::NoMemory)
     }
 }
 
-/// Why a body was not read. The connection closes after the response, since the rest of the body may still arrive.
+/// Why a body was not read. The connection closes after the response, since the rest of the body may still
+/// arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
-    /// It exceeds [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     TooLong,
-    /// The memory for bodies is used up.
+    /// Not enough memory for bodies is free.
     NoMemory,
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     Timeout,
 }
 
 impl BodyError {
+    /// Returns the status code of the response.
     fn status(self) -> StatusCode {
         match self {
             BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// The text of the response.
+    /// Returns the body of the response.
     fn text(self) -> &'static str {
         match self {
             BodyError::TooLong => "a body holds no more than 64 KiB\n",
@@ -83,17 +86,18 @@
     }
 }
 
-/// Reads a whole body, with the memory reserved for it. From then on the connection awaits a response.
+/// Reads a whole body, and marks the connection as awaiting a response. Returns the body and the permit for
+/// its memory.
 pub(super) async fn read(
     body: Body,
     connection: &ClientConnection,
     memory: &BodyMemory,
 ) -> Result<(Bytes, OwnedSemaphorePermit), BodyError> {
-    let expected = body.size_hint();
-    if expected.lower() > MAX_BODY_BYTES as u64 {
+    let size_hint = body.size_hint();
+    if size_hint.lower() > MAX_BODY_BYTES as u64 {
         return Err(BodyError::TooLong);
     }
-    let permit = memory.reserve(expected.exact().map_or(MAX_BODY_BYTES, |bytes| bytes as usize))?;
+    let permit = memory.reserve(size_hint.exact().map_or(MAX_BODY_BYTES, |bytes| bytes as usize))?;
     let deadline = connection.request_arrival_deadline() - TIMEOUT_MARGIN;
     match tokio::time::timeout_at(deadline, to_bytes(body, MAX_BODY_BYTES)).await {
         Ok(Ok(body)) => {
--- a/crates/vetchbridge/src/clients/budget.rs
+++ b/crates/vetchbridge/src/clients/budget.rs
@@ -1,73 +1,81 @@
-//! How the process's file descriptors are divided between client connections, connections to workers and everything else.
+//! The division of the process's file descriptors among client connections, worker connections and the rest.
 
 use crate::workers::ConnectionCount;
 
-/// Descriptors that a process needs for itself: standard streams, runtime, listeners, signals, peers, discovery and a
-/// handover. One at rest has 14.
+/// Number of descriptors that a process needs in addition to client and worker connections: for standard
+/// streams, the runtime, listeners, signals, peers, discovery and a handover. An idle process has 14 of them
+/// open.
 pub(super) const PROCESS_DESCRIPTORS: usize = 24;
-/// Share of the limit that is left free for new connections to workers, as a divisor.
+/// Divisor for the share of the descriptor limit that is kept free for new connections to workers.
 const FREE_DIVISOR: usize = 8;
-/// Minimum share of the limit for clients, as a divisor.
+/// Divisor for the minimum share of the descriptor limit that client connections get.
 const MIN_CLIENTS_DIVISOR: usize = 4;
-/// Minimum share of the limit for connections to workers, as a divisor.
+/// Divisor for the minimum share of the descriptor limit that connections to workers get.
 const MIN_WORKERS_DIVISOR: usize = 4;
-/// Share of the limit for callbacks beyond the clients' share, as a divisor; it comes out of what is left free.
+/// Divisor for the share of the descriptor limit that callback connections may use beyond the clients' share.
+/// The share for callbacks is part of the share that is kept free.
 const EXTRA_CALLBACKS_DIVISOR: usize = 32;
-/// Minimum number of such callbacks.
+/// Minimum for the number of callback connections that may be open beyond the clients' share.
 const MIN_EXTRA_CALLBACKS: usize = 2;
 
-/// What the other processes of this scheduler take of the same budget during an upgrade.
+/// The use of the descriptor budget by the other processes of this scheduler during an upgrade.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OtherProcesses {
-    /// Number of processes.
+    /// Number of other processes.
     pub(super) count: usize,
-    /// Number of their client connections.
-    pub(super) connections: usize,
+    /// Number of client connections of all other processes together.
+    pub(super) client_connections: usize,
 }
 
-/// The division of the process's descriptors.
+/// The budget that divides the descriptors of the process.
 pub(super) struct DescriptorBudget {
-    /// Maximum number of descriptors of the process.
-    limit: usize,
-    /// Descriptors reserved beside [`PROCESS_DESCRIPTORS`].
-    reserved: usize,
-    /// Connections to workers.
+    /// Maximum number of descriptors that the process may have open.
+    max_descriptors: usize,
+    /// Number of descriptors reserved for other uses in addition to [`PROCESS_DESCRIPTORS`].
+    reserved_descriptors: usize,
+    /// Number of open connections to workers.
     worker_connections: ConnectionCount,
 }
 
 impl DescriptorBudget {
-    /// The budget of a process that may have `limit` descriptors.
+    /// Creates the budget of a process that may have `max_descriptors` descriptors open.
     pub(super) fn new(
-        limit: usize,
-        reserved: usize,
+        max_descriptors: usize,
+        reserved_descriptors: usize,
         worker_connections: ConnectionCount,
     ) -> DescriptorBudget {
-        DescriptorBudget { limit, reserved, worker_connections }
+        DescriptorBudget { max_descriptors, reserved_descriptors, worker_connections }
     }
 
-    /// Descriptors that serve neither clients nor workers.
+    /// Returns the number of descriptors that are reserved, needed by the processes themselves, or kept free.
     fn overhead(&self, others: OtherProcesses) -> usize {
-        self.reserved + PROCESS_DESCRIPTORS * (1 + others.count) + self.limit / FREE_DIVISOR
+        self.reserved_descriptors
+            + PROCESS_DESCRIPTORS * (1 + others.count)
+            + self.max_descriptors / FREE_DIVISOR
     }
 
-    /// Maximum number of client connections of this process: what the connections to workers leave.
+    /// Returns the maximum number of client connections of this process. The clients of all processes
+    /// together get the descriptors that connections to workers leave, and at least their minimum share.
     pub(super) fn max_client_connections(&self, others: OtherProcesses) -> usize {
         let taken = self.overhead(others) + self.worker_connections.get();
-        let clients = self.limit.saturating_sub(taken).max(self.limit / MIN_CLIENTS_DIVISOR);
-        clients.saturating_sub(others.connections)
+        let clients =
+            self.max_descriptors.saturating_sub(taken).max(self.max_descriptors / MIN_CLIENTS_DIVISOR);
+        clients.saturating_sub(others.client_connections)
     }
 
-    /// Maximum number of connections to workers beyond which idle ones are closed: what the clients leave, with some
-    /// spare for more of them.
+    /// Returns the number of connections to workers above which idle ones are closed. Connections to workers
+    /// get the descriptors that client connections leave, less some headroom for more client connections, and
+    /// at least their minimum share.
     pub(super) fn max_worker_connections(&self, client_connections: usize, others: OtherProcesses) -> usize {
-        let growing = client_connections + others.connections + self.limit / FREE_DIVISOR;
-        let clients = growing.max(self.limit / MIN_CLIENTS_DIVISOR);
+        let clients_with_headroom =
+            client_connections + others.client_connections + self.max_descriptors / FREE_DIVISOR;
+        let clients = clients_with_headroom.max(self.max_descriptors / MIN_CLIENTS_DIVISOR);
         let taken = self.overhead(others) + clients;
-        self.limit.saturating_sub(taken).max(self.limit / MIN_WORKERS_DIVISOR)
+        self.max_descriptors.saturating_sub(taken).max(self.max_descriptors / MIN_WORKERS_DIVISOR)
     }
 
-    /// Maximum number of callback connections beyond the client connections.
+    /// Returns the maximum number of callback connections beyond the clients' share.
     pub(super) fn max_extra_callbacks(&self) -> usize {
-        (self.limit / EXTRA_CALLBACKS_DIVISOR).max(MIN_EXTRA_CALLBACKS)
+        (self.max_descriptors / EXTRA_CALLBACKS_DIVISOR).max(MIN_EXTRA_CALLBACKS)
     }
 }
--- a/crates/vetchbridge/src/clients/chunked_body.rs
+++ b/crates/vetchbridge/src/clients/chunked_body.rs
@@ -1,50 +1,51 @@
-//! Follows a chunked body (RFC 9112, section 7.1) to its last byte, without keeping its content.
+//! Finds the last byte of a chunked body (RFC 9112, section 7.1), without keeping the content of the body.
 //!
-//! It accepts what hyper accepts: a body that hyper would read on must not count as ended here.
+//! The module accepts the syntax that hyper accepts. A body that hyper would continue to read must not count
+//! as complete here.
 
-/// The result of advancing over some bytes.
+/// The result of advancing over received bytes.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// All bytes belong to the body, and more is to come.
+    /// All bytes belong to the body, and the body is not complete.
     Incomplete,
-    /// The body ended after this many of the bytes.
+    /// The body is complete.
     Complete {
-        /// Number of bytes.
+        /// Number of the bytes that belong to the body.
         length: usize,
     },
-    /// This is no chunked body.
+    /// The bytes are not a valid chunked body.
     Malformed,
 }
 
-/// What the next byte of a body belongs to.
+/// The part of a chunked body that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Position {
-    /// The size of a chunk; `has_digits`: some of it has arrived.
+    /// The size of a chunk. `has_digits`: whether at least one digit has arrived.
     Size { size: u64, has_digits: bool },
-    /// What follows the size on its line.
+    /// The chunk extension, between the size and the end of its line.
     Extension { size: u64 },
-    /// The line feed of that line.
+    /// The line feed at the end of the line with the size.
     SizeLineFeed { size: u64 },
-    /// The data of a chunk, of which this many bytes are still to come.
+    /// The data of a chunk; `remaining` is the number of its bytes that have not arrived.
     Data { remaining: u64 },
-    /// The carriage return after the data.
-    DataReturn,
-    /// The line feed after the data.
+    /// The carriage return after the data of a chunk.
+    DataCarriageReturn,
+    /// The line feed after the data of a chunk.
     DataLineFeed,
-    /// A line after the last chunk; `is_empty`: nothing of it has arrived.
+    /// A line after the last chunk. `is_empty`: whether no byte of the line has arrived.
     Trailer { is_empty: bool },
-    /// The line feed of that line.
+    /// The line feed at the end of a line after the last chunk. `is_empty`: whether the line is empty.
     TrailerLineFeed { is_empty: bool },
 }
 
-/// A chunked body, as far as it has arrived.
+/// A chunked body, of which a part may have arrived.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct ChunkedBody {
     position: Position,
 }
 
 impl ChunkedBody {
-    /// A body of which nothing has arrived.
+    /// Creates a body of which nothing has arrived.
     pub(super) fn new() -> ChunkedBody {
         ChunkedBody { position: Position::Size { size: 0, has_digits: false } }
     }
@@ -58,7 +59,7 @@
                 let consumed = usize::try_from(remaining).unwrap_or(usize::MAX).min(available);
                 offset += consumed;
                 self.position = match remaining - consumed as u64 {
-                    0 => Position::DataReturn,
+                    0 => Position::DataCarriageReturn,
                     remaining => Position::Data { remaining },
                 };
                 continue;
@@ -68,7 +69,7 @@
             if self.position == (Position::TrailerLineFeed { is_empty: true }) && byte == b'\n' {
                 return Progress::Complete { length: offset };
             }
-            let Some(next) = self.position.after(byte) else { return Progress::Malformed };
+            let Some(next) = self.position.after_byte(byte) else { return Progress::Malformed };
             self.position = next;
         }
         Progress::Incomplete
@@ -76,8 +77,9 @@
 }
 
 impl Position {
-    /// The position after a byte that is not data; `None` if the byte is not allowed here.
-    fn after(self, byte: u8) -> Option<Position> {
+    /// Returns the position after a byte that is not chunk data; `None` if the byte is not allowed at this
+    /// position.
+    fn after_byte(self, byte: u8) -> Option<Position> {
         match (self, byte) {
             (Position::Size { size, has_digits: true }, b'\r') => Some(Position::SizeLineFeed { size }),
             (Position::Size { size, has_digits: true }, b';' | b' ' | b'\t') => {
@@ -93,14 +95,14 @@
             (Position::Extension { .. }, _) => Some(self),
             (Position::SizeLineFeed { size: 0 }, b'\n') => Some(Position::Trailer { is_empty: true }),
             (Position::SizeLineFeed { size }, b'\n') => Some(Position::Data { remaining: size }),
-            (Position::DataReturn, b'\r') => Some(Position::DataLineFeed),
+            (Position::DataCarriageReturn, b'\r') => Some(Position::DataLineFeed),
             (Position::DataLineFeed, b'\n') => Some(Position::Size { size: 0, has_digits: false }),
             (Position::Trailer { is_empty }, b'\r') => Some(Position::TrailerLineFeed { is_empty }),
             (Position::Trailer { .. }, _) => Some(Position::Trailer { is_empty: false }),
             (Position::TrailerLineFeed { .. }, b'\n') => Some(Position::Trailer { is_empty: true }),
             (
                 Position::SizeLineFeed { .. }
-                | Position::DataReturn
+                | Position::DataCarriageReturn
                 | Position::DataLineFeed
                 | Position::TrailerLineFeed { .. }
                 | Position::Data { .. },
--- a/crates/vetchbridge/src/clients/chunked_body/tests.rs
+++ b/crates/vetchbridge/src/clients/chunked_body/tests.rs
@@ -1,10 +1,11 @@
-//! Chunked bodies, whatever pieces they arrive in.
+//! Chunked bodies, with every split of their bytes into two reads.
 
 use super::*;
 use rstest::rstest;
 
-/// The result after the bytes before `cut` and then, if more is to come, after the others.
-fn progress(bytes: &[u8], cut: usize) -> Progress {
+/// Returns the result of reading the bytes before `cut` and, if the body is incomplete by then, the bytes
+/// after it.
+fn read_in_two_pieces(bytes: &[u8], cut: usize) -> Progress {
     let mut body = ChunkedBody::new();
     match body.advance(&bytes[..cut]) {
         Progress::Incomplete => match body.advance(&bytes[cut..]) {
@@ -25,12 +26,12 @@
     let bytes = format!("{body}GET / HTTP/1.1\r\n");
     for cut in 0..=bytes.len() {
         assert_eq!(
-            progress(bytes.as_bytes(), cut),
+            read_in_two_pieces(bytes.as_bytes(), cut),
             Progress::Complete { length: body.len() },
             "cut at {cut}"
         );
     }
-    assert_eq!(progress(&body.as_bytes()[..body.len() - 1], 0), Progress::Incomplete);
+    assert_eq!(read_in_two_pieces(&body.as_bytes()[..body.len() - 1], 0), Progress::Incomplete);
 }
 
 #[rstest]
@@ -40,8 +41,8 @@
 #[case::line_feed_alone("3\nabc")]
 #[case::line_feed_in_an_extension("3;a\n")]
 #[case::too_much_data("3\r\nabcd\r\n0\r\n\r\n")]
-fn a_malformed_body_is_noticed(#[case] body: &str) {
+fn a_malformed_body_is_detected(#[case] body: &str) {
     for cut in 0..=body.len() {
-        assert_eq!(progress(body.as_bytes(), cut), Progress::Malformed, "cut at {cut}");
+        assert_eq!(read_in_two_pieces(body.as_bytes(), cut), Progress::Malformed, "cut at {cut}");
     }
 }
--- a/crates/vetchbridge/src/clients/connection/lingering_close.rs
+++ b/crates/vetchbridge/src/clients/connection/lingering_close.rs
@@ -8,16 +8,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Maximum number of bytes that are read and dropped.
+/// Maximum number of bytes that are read and dropped before the close.
 const MAX_DROPPED_BYTES: usize = 1 << 20;
 
-/// Closes this side, then reads and drops what the client still sends until it closes its side too, the time limit has
-/// passed, or another connection needs the descriptor.
+/// Closes this side, then reads and drops further input until the client closes its side too, the limit on
+/// time or on bytes is reached, or another connection needs the descriptor.
 pub(crate) async fn lingering_close(stream: RequestStream) {
     let RequestStream { mut socket, connection } = stream;
     connection.start_lingering();
     tokio::select! {
-        // Neither result changes anything: there is no more to send.
+        // The result is ignored, since there is no more to send.
         _ = timeout(LINGER_TIMEOUT, shut_down_and_drop_input(&mut socket)) => {}
         () = connection.wait_for_forced_close() => {}
     }
@@ -29,7 +29,7 @@
     while remaining > 0 {
         match socket.read(&mut buffer).await? {
             0 => break,
-            read => remaining = remaining.saturating_sub(read),
+            length => remaining = remaining.saturating_sub(length),
         }
     }
     Ok(())
--- a/crates/vetchbridge/src/clients/connection/mod.rs
+++ b/crates/vetchbridge/src/clients/connection/mod.rs
@@ -1,6 +1,6 @@
-//! One client connection: its state, its time limits, its place in the eviction order, and how it is closed.
+//! One client connection: its state, its time limits, its rank in the eviction order, and how it is closed.
 //!
-//! A connection is never offered for eviction while it awaits a response or brings a callback.
+//! A connection can't be evicted while it receives a callback, awaits a response or sends one.
 
 mod lingering_close;
 mod request_stream;
@@ -12,7 +12,7 @@
 pub(super) use state::CloseReason;
 
 use super::eviction::{ConnectionId, EvictionOrder};
-use super::lock;
+use super::lock_ignoring_poison;
 use state::{ConnectionState, Phase};
 use std::sync::{Arc, Mutex};
 use time_limits::REQUEST_TIMEOUT;
@@ -20,22 +20,23 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// One accepted connection.
+/// One client connection that has been accepted.
 pub(super) struct ClientConnection {
     id: ConnectionId,
     state: Mutex<ConnectionState>,
     eviction_order: Arc<Mutex<EvictionOrder>>,
-    /// Notified when an eviction or a time limit may close the connection.
+    /// Notified when an eviction or a time limit may require the connection to close.
     close_check: Notify,
     /// Notified when a response has been sent.
     response_sent: Notify,
 }
 
 impl ClientConnection {
-    /// A connection that has just been made; its id is unique within the eviction order.
+    /// Creates the state of a connection that has just been accepted. The id must be unique within the
+    /// eviction order.
     pub(super) fn new(id: ConnectionId, eviction_order: Arc<Mutex<EvictionOrder>>) -> ClientConnection {
         let state = ConnectionState::new(Instant::now());
-        lock(&eviction_order).update(id, None, state.eviction_rank());
+        lock_ignoring_poison(&eviction_order).update(id, None, state.eviction_rank());
         ClientConnection {
             id,
             state: Mutex::new(state),
@@ -45,48 +46,49 @@
         }
     }
 
-    /// Changes the state, and the eviction order accordingly.
+    /// Changes the state, and updates the eviction order accordingly.
     fn update<T>(&self, change: impl FnOnce(&mut ConnectionState) -> T) -> T {
-        let state = &mut *lock(&self.state);
+        let state = &mut *lock_ignoring_poison(&self.state);
         let (rank_before, was_evicted) = (state.eviction_rank(), state.is_evicted());
         let result = change(state);
         let (rank, is_evicted) = (state.eviction_rank(), state.is_evicted());
         if (rank_before, was_evicted) != (rank, is_evicted) {
-            let order = &mut *lock(&self.eviction_order);
+            let order = &mut *lock_ignoring_poison(&self.eviction_order);
             order.update(self.id, rank_before, rank);
-            order.evicting = order.evicting + usize::from(is_evicted) - usize::from(was_evicted);
+            order.pending_evictions =
+                order.pending_evictions + usize::from(is_evicted) - usize::from(was_evicted);
         }
         result
     }
 
-    /// Resolves when an eviction or a time limit closes the connection.
+    /// Resolves when the connection must close because of an eviction or a time limit.
     pub(super) async fn wait_for_forced_close(&self) {
         loop {
             self.close_check.notified().await;
-            if lock(&self.state).must_close(Instant::now()) {
+            if lock_ignoring_poison(&self.state).must_close(Instant::now()) {
                 return;
             }
         }
     }
 
-    /// Lets [`ClientConnection::wait_for_forced_close`] check its conditions.
-    pub(super) fn check_close(&self) {
+    /// Makes [`ClientConnection::wait_for_forced_close`] check whether the connection must close.
+    pub(super) fn trigger_close_check(&self) {
         self.close_check.notify_one();
     }
 
-    /// Chooses the connection for eviction.
+    /// Chooses the connection for eviction; a request that awaits its response is still answered.
     pub(super) fn evict(&self) {
-        self.update(|state| state.evicted_in = Some(state.phase));
-        self.check_close();
+        self.update(|state| state.evicted_in_phase = Some(state.phase));
+        self.trigger_close_check();
     }
 
-    /// Resolves while the connection is between requests, no byte of the next one having been read.
+    /// Resolves when the connection is between requests and no byte of the next request has been read.
     pub(super) async fn wait_until_between_requests(&self) {
         self.wait_for_phase(|phase| matches!(phase, Phase::New | Phase::Idle)).await;
     }
 
-    /// Resolves while the connection is between requests and has had a response. Until then its first request may be on
-    /// the way.
+    /// Resolves when the connection is between requests and has had a response. Before the first response,
+    /// the first request may be in transit.
     pub(super) async fn wait_until_idle(&self) {
         self.wait_for_phase(|phase| phase == Phase::Idle).await;
     }
@@ -94,42 +96,42 @@
     async fn wait_for_phase(&self, is_reached: impl Fn(Phase) -> bool) {
         loop {
             let response_sent = self.response_sent.notified();
-            if is_reached(lock(&self.state).phase) {
+            if is_reached(lock_ignoring_poison(&self.state).phase) {
                 return;
             }
             response_sent.await;
         }
     }
 
-    /// When the request that is being received must be complete.
+    /// Returns when the request that is being received must be complete.
     pub(super) fn request_arrival_deadline(&self) -> Instant {
-        lock(&self.state).since + REQUEST_TIMEOUT
+        lock_ignoring_poison(&self.state).phase_started_at + REQUEST_TIMEOUT
     }
 
     /// Whether a request's body may conceal another request.
     pub(super) fn has_ambiguous_framing(&self) -> bool {
-        lock(&self.state).framing.is_ambiguous
+        lock_ignoring_poison(&self.state).framing.is_ambiguous
     }
 
-    /// Whether the connection closes after the current response: the next request could not be followed or kept, or the
-    /// connection has been chosen for eviction.
+    /// Whether the connection closes after the current response, because the next request can't be tracked or
+    /// stored or because the connection is chosen for eviction.
     pub(super) fn closes_after_response(&self) -> bool {
-        lock(&self.state).closes_after_response()
+        lock_ignoring_poison(&self.state).closes_after_response()
     }
 
-    /// Records that this side has been closed.
+    /// Records that this side closes the connection.
     pub(super) fn start_lingering(&self) {
         self.update(|state| state.start_lingering(Instant::now()));
     }
 
     /// Records that another process has sent a response on the connection.
     pub(super) fn mark_kept_alive(&self) {
-        self.update(|state| (state.phase, state.responses) = (Phase::Idle, 1));
+        self.update(|state| (state.phase, state.response_count) = (Phase::Idle, 1));
     }
 
     /// Whether the connection has had a response.
     pub(super) fn is_kept_alive(&self) -> bool {
-        lock(&self.state).responses > 0
+        lock_ignoring_poison(&self.state).response_count > 0
     }
 
     /// Records that the request is complete and awaits its response.
@@ -137,11 +139,11 @@
         self.update(|state| state.phase = Phase::AwaitingResponse);
     }
 
-    /// Records that the response has been made.
+    /// Records that the response is ready and is sent from now on.
     pub(super) fn mark_sending_response(&self) {
         self.update(|state| {
             state.enter(Phase::SendingResponse, Instant::now());
-            state.responses += 1;
+            state.response_count += 1;
         });
     }
 
@@ -150,31 +152,35 @@
         self.update(|state| state.record_received(bytes, Instant::now()))
     }
 
-    /// Whether the current request is complete, so that nothing may be passed on until its response is out.
+    /// Whether the current request is complete. hyper must not get further input before the response is sent.
     fn is_request_complete(&self) -> bool {
-        lock(&self.state).is_request_complete
+        lock_ignoring_poison(&self.state).is_request_complete
     }
 
-    /// Puts pipelined input into `buffer`, at most to the end of one request; false if there is none.
-    fn take_pipelined(&self, buffer: &mut ReadBuf<'_>) -> bool {
+    /// Moves stored pipelined input into `buffer`, at most to the end of one request; returns `false` if no
+    /// input is stored.
+    fn read_pipelined_input(&self, buffer: &mut ReadBuf<'_>) -> bool {
         self.update(|state| {
-            let has_pipelined = state.has_pipelined();
-            if has_pipelined {
-                state.take_pipelined(buffer, Instant::now());
+            let has_pipelined_input = state.has_pipelined_input();
+            if has_pipelined_input {
+                state.read_pipelined_input(buffer, Instant::now());
             }
-            has_pipelined
+            has_pipelined_input
         })
     }
 
-    fn accepts_pipelined(&self) -> bool {
-        lock(&self.state).accepts_pipelined()
+    /// Whether more pipelined input can be read.
+    fn accepts_pipelined_input(&self) -> bool {
+        lock_ignoring_poison(&self.state).accepts_pipelined_input()
     }
 
-    fn store_pipelined(&self, bytes: &[u8]) {
-        lock(&self.state).store_pipelined(bytes);
+    /// Stores input that follows the current request.
+    fn store_pipelined_input(&self, bytes: &[u8]) {
+        lock_ignoring_poison(&self.state).store_pipelined_input(bytes);
     }
 
-    /// Records that all output has been flushed; returns whether the next request has begun already.
+    /// Records that all output has been flushed. Returns whether that completed a response and input of the
+    /// next request is stored.
     pub(super) fn record_flush(&self) -> bool {
         let sent = self.update(|state| {
             let is_response = state.phase == Phase::SendingResponse;
@@ -183,43 +189,43 @@
         let Some(sent) = sent else { return false };
         self.response_sent.notify_waiters();
         if sent.is_evicted {
-            self.check_close();
+            self.trigger_close_check();
         }
         sent.has_pipelined_input
     }
 
     /// Whether the connection has exceeded a time limit.
     pub(super) fn has_timed_out(&self, now: Instant) -> bool {
-        lock(&self.state).has_timed_out(now)
+        lock_ignoring_poison(&self.state).has_timed_out(now)
     }
 
-    /// Whether this side is closed and the client's close is awaited.
+    /// Whether this side is closed and the client has not closed its side yet.
     pub(super) fn is_lingering(&self) -> bool {
-        lock(&self.state).phase == Phase::Lingering
+        lock_ignoring_poison(&self.state).phase == Phase::Lingering
     }
 
-    /// Why this side closes the connection now.
+    /// Returns why this side closes the connection now.
     pub(super) fn close_reason(&self) -> CloseReason {
-        lock(&self.state).close_reason(Instant::now())
+        lock_ignoring_poison(&self.state).close_reason(Instant::now())
     }
 
     /// Whether a complete request awaits its response.
     pub(super) fn is_awaiting_response(&self) -> bool {
-        lock(&self.state).phase == Phase::AwaitingResponse
+        lock_ignoring_poison(&self.state).phase == Phase::AwaitingResponse
     }
 
-    /// Whether a response is awaited or may still be on its way out.
+    /// Whether the connection awaits a response or may still be sending one.
     pub(super) fn has_pending_response(&self, now: Instant) -> bool {
-        lock(&self.state).has_pending_response(now)
+        lock_ignoring_poison(&self.state).has_pending_response(now)
     }
 }
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        let state = lock(&self.state);
-        let order = &mut *lock(&self.eviction_order);
+        let state = lock_ignoring_poison(&self.state);
+        let order = &mut *lock_ignoring_poison(&self.eviction_order);
         order.update(self.id, state.eviction_rank(), None);
-        order.evicting -= usize::from(state.is_evicted());
+        order.pending_evictions -= usize::from(state.is_evicted());
     }
 }
 
--- a/crates/vetchbridge/src/clients/connection/request_stream.rs
+++ b/crates/vetchbridge/src/clients/connection/request_stream.rs
@@ -1,7 +1,8 @@
-//! The socket of a client connection as hyper sees it: one request at a time.
+//! The socket of a client connection, from which hyper reads one request at a time.
 //!
-//! Until the response is out, hyper sees of what follows only the end of the stream. With a byte of another request in
-//! its buffer it would not notice that the client has disconnected.
+//! Until the response to the current request is sent, hyper reads no further input, only the end of the
+//! stream. If hyper had a byte of the next request in its buffer, it would not notice that the client has
+//! disconnected.
 
 use super::ClientConnection;
 use crate::net::RetryingStream;
@@ -11,38 +12,38 @@
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Pipelined input is read in pieces of this many bytes.
+/// Maximum number of bytes of pipelined input that are read at once.
 const PIPELINED_READ_BYTES: usize = 512;
 
-/// A client's socket, whose input is recorded in the connection's state.
+/// A client's socket. The connection's state records the input that is read from the socket.
 pub(crate) struct RequestStream {
     pub(super) socket: RetryingStream,
     pub(super) connection: Arc<ClientConnection>,
 }
 
 impl RequestStream {
-    /// The stream of a connection.
+    /// Creates the stream of a connection.
     pub(crate) fn new(socket: RetryingStream, connection: Arc<ClientConnection>) -> RequestStream {
         RequestStream { socket, connection }
     }
 
-    /// The socket, for a connection that goes on elsewhere.
+    /// Returns the socket, for a connection that another process takes over.
     pub(crate) fn into_socket(self) -> RetryingStream {
         self.socket
     }
 
-    /// Resolves when the client has disconnected; pipelined input is kept meanwhile.
+    /// Resolves when the client has disconnected; stores pipelined input meanwhile.
     fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut bytes = [0; PIPELINED_READ_BYTES];
-        while self.connection.accepts_pipelined() {
+        while self.connection.accepts_pipelined_input() {
             let mut piece = ReadBuf::new(&mut bytes);
             ready!(Pin::new(&mut self.socket).poll_read(cx, &mut piece))?;
             if piece.filled().is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            self.connection.store_pipelined(piece.filled());
+            self.connection.store_pipelined_input(piece.filled());
         }
-        // Woken by the flush of the response.
+        // The flush of the response wakes this task.
         Poll::Pending
     }
 }
@@ -56,7 +57,7 @@
         if self.connection.is_request_complete() {
             return self.poll_disconnected(cx);
         }
-        if self.connection.take_pipelined(buffer) {
+        if self.connection.read_pipelined_input(buffer) {
             return Poll::Ready(Ok(()));
         }
         let filled_before = buffer.filled().len();
@@ -64,7 +65,7 @@
         if buffer.filled().len() > filled_before {
             let received = &buffer.filled()[filled_before..];
             let length = self.connection.record_received(received);
-            self.connection.store_pipelined(&received[length..]);
+            self.connection.store_pipelined_input(&received[length..]);
             buffer.set_filled(filled_before + length);
         }
         result
@@ -79,7 +80,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.socket).poll_flush(cx);
         if matches!(result, Poll::Ready(Ok(()))) && self.connection.record_flush() {
-            // hyper waits for the socket, which may have nothing more to deliver.
+            // Wakes this task to read the stored input, since the socket may not become readable again.
             cx.waker().wake_by_ref();
         }
         result
--- a/crates/vetchbridge/src/clients/connection/state.rs
+++ b/crates/vetchbridge/src/clients/connection/state.rs
@@ -1,4 +1,4 @@
-//! What a connection is doing. Plain state: time is passed in, and nothing is read or written here.
+//! The state of a client connection. This module performs no I/O, and callers pass in the current time.
 
 use super::super::eviction::{EvictionGroup, EvictionRank};
 use super::super::framing::{RequestFraming, MAX_HEAD_BYTES};
@@ -7,33 +7,33 @@
 use tokio::io::ReadBuf;
 use tokio::time::Instant;
 
-/// What a connection is doing.
+/// The phases of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No byte has been received.
+    /// No byte has been received on the connection.
     New,
-    /// A request has begun and is not complete.
+    /// A request has arrived in part.
     ReceivingRequest,
     /// A complete request awaits its response.
     AwaitingResponse,
     /// The response is being sent.
     SendingResponse,
-    /// Kept alive between requests.
+    /// The connection is kept alive between requests.
     Idle,
-    /// Closed by this side; what the client still sends is dropped.
+    /// This side has closed the connection; further input is dropped.
     Lingering,
 }
 
 /// Why this side closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// Another connection needs its descriptor.
+    /// Another connection needs the descriptor.
     Evicted,
-    /// The client does not read its response.
+    /// The client has not read the response in time.
     ResponseTimeout,
-    /// The request did not arrive in time.
+    /// The request has not arrived in time.
     RequestTimeout,
-    /// None of the others applies any longer.
+    /// None of the other reasons applies any longer.
     Other,
 }
 
@@ -48,58 +48,59 @@
     }
 }
 
-/// How a connection stands after a response.
+/// What follows a response that has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ResponseSent {
-    /// Bytes of the next request have been received already.
+    /// Whether input of the next request is stored already.
     pub(super) has_pipelined_input: bool,
-    /// The connection has been chosen for eviction.
+    /// Whether the connection is chosen for eviction.
     pub(super) is_evicted: bool,
 }
 
 /// The state of a connection.
 pub(super) struct ConnectionState {
     pub(super) phase: Phase,
-    /// Start of the phase; for the first request, the time of connecting.
-    pub(super) since: Instant,
-    /// Number of responses so far.
-    pub(super) responses: u32,
-    /// The phase in which the connection was chosen for eviction, if it was.
-    pub(super) evicted_in: Option<Phase>,
+    /// When the phase began. While the first request arrives, when the connection was accepted.
+    pub(super) phase_started_at: Instant,
+    /// Number of responses on the connection so far.
+    pub(super) response_count: u32,
+    /// The phase in which the connection was chosen for eviction; `None` if the connection is not chosen.
+    pub(super) evicted_in_phase: Option<Phase>,
     pub(super) framing: RequestFraming,
-    /// The current request has been read to its last byte.
+    /// Whether the current request has been read to its last byte.
     pub(super) is_request_complete: bool,
-    /// Input after the current request, kept until its response is out.
-    pipelined: Vec<u8>,
-    /// There was more such input than is kept: the current response is the last.
+    /// Input after the current request, stored until the response is sent.
+    pipelined_input: Vec<u8>,
+    /// Whether more pipelined input has arrived than can be stored. The current response is then the last.
     pipelined_overflow: bool,
 }
 
 impl ConnectionState {
-    /// The state of a connection that has just been made.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new(now: Instant) -> ConnectionState {
         ConnectionState {
             phase: Phase::New,
-            since: now,
-            responses: 0,
-            evicted_in: None,
+            phase_started_at: now,
+            response_count: 0,
+            evicted_in_phase: None,
             framing: RequestFraming::new(),
             is_request_complete: false,
-            pipelined: Vec::new(),
+            pipelined_input: Vec::new(),
             pipelined_overflow: false,
         }
     }
 
+    /// Starts a phase.
     pub(super) fn enter(&mut self, phase: Phase, now: Instant) {
         self.phase = phase;
-        self.since = now;
+        self.phase_started_at = now;
     }
 
     pub(super) fn is_evicted(&self) -> bool {
-        self.evicted_in.is_some()
+        self.evicted_in_phase.is_some()
     }
 
-    /// The rank in the eviction order; `None` if the connection can't be evicted.
+    /// Returns the rank in the eviction order; `None` if the connection can't be evicted.
     pub(super) fn eviction_rank(&self) -> Option<EvictionRank> {
         if self.is_evicted() {
             return None;
@@ -109,11 +110,11 @@
             Phase::New => EvictionGroup::New,
             Phase::ReceivingRequest if !self.framing.is_callback => EvictionGroup::ReceivingRequest,
             Phase::Idle if self.framing.is_callback => EvictionGroup::IdleCallback,
-            Phase::Idle if self.responses <= 1 => EvictionGroup::IdleAfterOneResponse,
+            Phase::Idle if self.response_count <= 1 => EvictionGroup::IdleAfterOneResponse,
             Phase::Idle => EvictionGroup::IdleKeepAlive,
             Phase::ReceivingRequest | Phase::AwaitingResponse | Phase::SendingResponse => return None,
         };
-        Some(EvictionRank { group, since: self.since })
+        Some(EvictionRank { group, since: self.phase_started_at })
     }
 
     /// Records received bytes; returns how many of them belong to the current request.
@@ -121,7 +122,7 @@
         let length = self.framing.advance(bytes);
         self.is_request_complete = length > 0 && self.framing.is_request_complete();
         match self.phase {
-            // The time counts from connecting.
+            // The time of the first request counts from the connect, so the start of the phase is kept.
             Phase::New => self.phase = Phase::ReceivingRequest,
             Phase::Idle => self.enter(Phase::ReceivingRequest, now),
             Phase::ReceivingRequest | Phase::AwaitingResponse | Phase::SendingResponse | Phase::Lingering => {
@@ -130,81 +131,82 @@
         length
     }
 
-    /// Whether input of the next request has been kept.
-    pub(super) fn has_pipelined(&self) -> bool {
-        !self.pipelined.is_empty()
+    /// Whether pipelined input is stored.
+    pub(super) fn has_pipelined_input(&self) -> bool {
+        !self.pipelined_input.is_empty()
     }
 
-    /// Puts pipelined input into `buffer`, at most to the end of one request.
-    pub(super) fn take_pipelined(&mut self, buffer: &mut ReadBuf<'_>, now: Instant) {
-        let mut pipelined = std::mem::take(&mut self.pipelined);
+    /// Moves stored pipelined input into `buffer`, at most to the end of one request.
+    pub(super) fn read_pipelined_input(&mut self, buffer: &mut ReadBuf<'_>, now: Instant) {
+        let mut pipelined = std::mem::take(&mut self.pipelined_input);
         let available = pipelined.len().min(buffer.remaining());
         let length = self.record_received(&pipelined[..available], now);
         buffer.put_slice(&pipelined[..length]);
         pipelined.drain(..length);
-        self.pipelined = pipelined;
+        self.pipelined_input = pipelined;
     }
 
-    /// Whether further pipelined input can be read.
-    pub(super) fn accepts_pipelined(&self) -> bool {
-        // The response's head is already written, and can't announce that it is the last.
-        self.phase != Phase::SendingResponse || self.pipelined.len() < MAX_HEAD_BYTES
+    /// Whether more pipelined input can be read.
+    pub(super) fn accepts_pipelined_input(&self) -> bool {
+        // Once the head of the response is written, it can't announce that the connection closes. Reading
+        // therefore pauses when `MAX_HEAD_BYTES` are stored.
+        self.phase != Phase::SendingResponse || self.pipelined_input.len() < MAX_HEAD_BYTES
     }
 
-    /// Keeps input that follows the current request.
-    pub(super) fn store_pipelined(&mut self, bytes: &[u8]) {
-        let exceeds_limit = self.pipelined.len() + bytes.len() > MAX_HEAD_BYTES;
+    /// Stores input that follows the current request.
+    pub(super) fn store_pipelined_input(&mut self, bytes: &[u8]) {
+        let exceeds_limit = self.pipelined_input.len() + bytes.len() > MAX_HEAD_BYTES;
         self.pipelined_overflow |= self.phase != Phase::SendingResponse && exceeds_limit;
         if self.pipelined_overflow {
-            self.pipelined = Vec::new();
+            self.pipelined_input = Vec::new();
         } else {
-            self.pipelined.extend_from_slice(bytes);
+            self.pipelined_input.extend_from_slice(bytes);
         }
     }
 
     /// Records that the response has been sent.
     pub(super) fn record_response_sent(&mut self, now: Instant) -> ResponseSent {
-        let has_pipelined_input = self.has_pipelined();
+        let has_pipelined_input = self.has_pipelined_input();
         let is_idle = self.framing.is_between_requests() && !has_pipelined_input;
         self.enter(if is_idle { Phase::Idle } else { Phase::ReceivingRequest }, now);
         self.is_request_complete = false;
         ResponseSent { has_pipelined_input, is_evicted: self.is_evicted() }
     }
 
-    /// Records that this side has been closed. The connection counts against the budget until the client closes too,
-    /// even if it has been chosen for eviction.
+    /// Records that this side closes the connection. The connection counts against the budget until the
+    /// client closes its side too, even if the connection was chosen for eviction.
     pub(super) fn start_lingering(&mut self, now: Instant) {
         self.enter(Phase::Lingering, now);
-        self.evicted_in = None;
-        self.pipelined = Vec::new();
+        self.evicted_in_phase = None;
+        self.pipelined_input = Vec::new();
     }
 
-    /// Whether no response but the current one can follow.
+    /// Whether the connection closes after the current response.
     pub(super) fn closes_after_response(&self) -> bool {
         self.framing.is_last_request() || self.pipelined_overflow || self.is_evicted()
     }
 
     /// Whether the connection has exceeded the time limit of its phase.
     pub(super) fn has_timed_out(&self, now: Instant) -> bool {
-        self.phase.time_limit().is_some_and(|limit| now >= self.since + limit)
+        self.phase.time_limit().is_some_and(|limit| now >= self.phase_started_at + limit)
     }
 
-    /// Whether an eviction or a time limit closes the connection now. One whose request became complete after it was
-    /// chosen for eviction closes with its response.
+    /// Whether an eviction or a time limit closes the connection now. If a request became complete after the
+    /// connection was chosen for eviction, the connection closes after the response to that request.
     pub(super) fn must_close(&self, now: Instant) -> bool {
         match self.phase {
             Phase::New | Phase::Idle => true,
-            // Chosen since it lingers: a notification that came before then no longer counts.
+            // Only an eviction chosen after lingering began counts; an earlier notification does not.
             Phase::Lingering => self.is_evicted(),
             Phase::ReceivingRequest => {
-                self.has_timed_out(now) || self.evicted_in == Some(Phase::ReceivingRequest)
+                self.has_timed_out(now) || self.evicted_in_phase == Some(Phase::ReceivingRequest)
             }
             Phase::SendingResponse => self.has_timed_out(now),
             Phase::AwaitingResponse => false,
         }
     }
 
-    /// Why this side closes the connection now.
+    /// Returns why this side closes the connection now.
     pub(super) fn close_reason(&self, now: Instant) -> CloseReason {
         match (self.has_timed_out(now), self.phase) {
             _ if self.is_evicted() => CloseReason::Evicted,
@@ -214,11 +216,11 @@
         }
     }
 
-    /// Whether a response is awaited or may still be on its way out.
+    /// Whether the connection awaits a response or may still be sending one.
     pub(super) fn has_pending_response(&self, now: Instant) -> bool {
         match self.phase {
             Phase::AwaitingResponse => true,
-            Phase::SendingResponse => now < self.since + RESPONSE_SEND_TIME,
+            Phase::SendingResponse => now < self.phase_started_at + RESPONSE_SEND_TIME,
             Phase::New | Phase::ReceivingRequest | Phase::Idle | Phase::Lingering => false,
         }
     }
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -1,12 +1,13 @@
-//! All client connections of the process, those of workers' callbacks included.
+//! All client connections of the process, including the connections on which workers send callbacks.
 //!
-//! Admits new connections within the descriptor budget, evicts others for them, and closes those that exceed their time
-//! limits. A connection that may not be evicted is never closed for another one.
+//! Admits new connections within the descriptor budget, evicts other connections for them, and closes
+//! connections that exceed their time limits. A connection that must not be evicted is never closed to make
+//! room for another.
 
 use super::budget::{DescriptorBudget, OtherProcesses};
 use super::connection::ClientConnection;
 use super::eviction::{ConnectionId, EvictionOrder, NewConnections};
-use super::lock;
+use super::lock_ignoring_poison;
 use crate::workers::{ConnectionCount, ConnectionGuard};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,70 +21,75 @@
 }
 
 impl ConnectionTable {
-    /// Number of connections without those that have been chosen for eviction.
-    fn remaining(&self) -> usize {
-        self.open.len().saturating_sub(lock(&self.eviction_order).evicting)
+    /// Returns the number of open connections that are not chosen for eviction.
+    fn non_evicted_count(&self) -> usize {
+        self.open.len().saturating_sub(lock_ignoring_poison(&self.eviction_order).pending_evictions)
     }
 
-    /// Evicts the next connection of the eviction order; false if there is none.
+    /// Evicts the next connection of the eviction order; returns `false` if no connection can be evicted.
     fn evict_next(&self, new_connections: NewConnections, now: Instant) -> bool {
-        let next = lock(&self.eviction_order).next(new_connections, now);
+        let next = lock_ignoring_poison(&self.eviction_order).next_to_evict(new_connections, now);
         let Some(connection) = next.and_then(|id| self.open.get(&id)) else { return false };
         connection.evict();
         true
     }
 }
 
-/// The client connections of the process.
+/// The client connections of the process, and their budget.
 pub(super) struct ClientConnections {
     budget: DescriptorBudget,
     table: Mutex<ConnectionTable>,
+    /// The callback connections that are open beyond the clients' share of the budget.
     extra_callbacks: ConnectionCount,
 }
 
-/// A connection's slot in the budget, released when it is dropped.
+/// The place of one connection in the budget, released when the slot is dropped.
 pub(super) struct ConnectionSlot<'a> {
     connections: &'a ClientConnections,
     id: ConnectionId,
-    /// The connection that takes the slot.
+    /// The connection that occupies the slot.
     pub(super) connection: Arc<ClientConnection>,
 }
 
 impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
-        lock(&self.connections.table).open.remove(&self.id);
+        lock_ignoring_poison(&self.connections.table).open.remove(&self.id);
     }
 }
 
 impl ClientConnections {
-    /// The connections of a process with this budget.
+    /// Creates an empty set of connections with this budget.
     pub(super) fn new(budget: DescriptorBudget) -> ClientConnections {
         ClientConnections { budget, table: Mutex::default(), extra_callbacks: ConnectionCount::default() }
     }
 
-    /// Number of connections.
+    /// Returns the number of open connections.
     pub(super) fn count(&self) -> usize {
-        lock(&self.table).open.len()
+        lock_ignoring_poison(&self.table).open.len()
     }
 
-    /// Maximum number of connections to workers beyond which idle ones are closed.
+    /// Returns the number of connections to workers above which idle ones are closed.
     pub(super) fn max_worker_connections(&self, others: OtherProcesses) -> usize {
         self.budget.max_worker_connections(self.count(), others)
     }
 
-    /// When a connection that is too new to be evicted can be, if a new connection has to wait for that.
+    /// Returns when the next recently accepted connection becomes old enough to be evicted. Returns `None` if
+    /// a new connection need not wait for that.
     pub(super) fn next_eviction_at(&self, others: OtherProcesses) -> Option<Instant> {
-        let (now, table) = (Instant::now(), lock(&self.table));
-        let excess = (table.remaining() + 1).saturating_sub(self.budget.max_client_connections(others));
-        let order = lock(&table.eviction_order);
-        order.next_new_connection_at(now).filter(|_| !order.can_evict(excess, now))
+        let (now, table) = (Instant::now(), lock_ignoring_poison(&self.table));
+        let excess =
+            (table.non_evicted_count() + 1).saturating_sub(self.budget.max_client_connections(others));
+        let order = lock_ignoring_poison(&table.eviction_order);
+        order.next_new_connection_evictable_at(now).filter(|_| !order.can_evict(excess, now))
     }
 
-    /// Admits a new connection, evicting others if need be; `None` if too few can be evicted.
+    /// Admits a new connection, and evicts others if the budget is used up; returns `None` if too few can be
+    /// evicted.
     pub(super) fn admit(&self, others: OtherProcesses) -> Option<ConnectionSlot<'_>> {
-        let table = &mut *lock(&self.table);
-        // Connections that were evicted before and have not closed yet take descriptors as well.
-        while table.remaining() >= self.budget.max_client_connections(others) {
+        let table = &mut *lock_ignoring_poison(&self.table);
+        // One eviction may not be enough: a connection that was evicted earlier counts again while it
+        // lingers, since it still has its descriptor.
+        while table.non_evicted_count() >= self.budget.max_client_connections(others) {
             if !table.evict_next(NewConnections::Evictable, Instant::now()) {
                 return None;
             }
@@ -95,8 +101,8 @@
         Some(ConnectionSlot { connections: self, id, connection })
     }
 
-    /// Admits a connection beyond the clients' share for one callback, which pending requests may be waiting for; `None`
-    /// if there are too many already.
+    /// Admits a connection beyond the clients' share for one callback, since a pending request may be waiting
+    /// for the callback. Returns `None` if too many such connections are open.
     pub(super) fn admit_extra_callback(&self) -> Option<ConnectionGuard> {
         (self.extra_callbacks.get() < self.budget.max_extra_callbacks())
             .then(|| self.extra_callbacks.register())
@@ -105,23 +111,25 @@
     /// Whether any connection awaits a response or may still be sending one.
     pub(super) fn has_pending_response(&self) -> bool {
         let now = Instant::now();
-        lock(&self.table).open.values().any(|connection| connection.has_pending_response(now))
+        lock_ignoring_poison(&self.table).open.values().any(|connection| connection.has_pending_response(now))
     }
 
-    /// Whether any connection is closed on this side, and its client may not have read the last response.
+    /// Whether any connection is closed on this side while its client may not have read the last response
+    /// yet.
     pub(super) fn has_lingering(&self) -> bool {
-        lock(&self.table).open.values().any(|connection| connection.is_lingering())
+        lock_ignoring_poison(&self.table).open.values().any(|connection| connection.is_lingering())
     }
 
-    /// Closes the connections that exceed a time limit, and evicts those whose descriptors the workers need.
+    /// Closes the connections that exceed a time limit, and evicts connections if their descriptors are
+    /// needed for connections to workers.
     pub(super) fn enforce_limits(&self, others: OtherProcesses) {
-        let (now, table) = (Instant::now(), lock(&self.table));
+        let (now, table) = (Instant::now(), lock_ignoring_poison(&self.table));
         table
             .open
             .values()
             .filter(|connection| connection.has_timed_out(now))
-            .for_each(|connection| connection.check_close());
-        let excess = table.remaining().saturating_sub(self.budget.max_client_connections(others));
+            .for_each(|connection| connection.trigger_close_check());
+        let excess = table.non_evicted_count().saturating_sub(self.budget.max_client_connections(others));
         let _ = (0..excess).all(|_| table.evict_next(NewConnections::Protected, now));
     }
 }
--- a/crates/vetchbridge/src/clients/eviction.rs
+++ b/crates/vetchbridge/src/clients/eviction.rs
@@ -1,42 +1,46 @@
-//! The order in which client connections are evicted when a new one needs a descriptor.
+//! The order in which client connections are evicted when another connection needs a descriptor.
 //!
-//! The order is updated as connections change, so that the cost of an eviction does not grow with their number. Within a
-//! group the connection goes first that has been in its state for longest.
+//! The order is updated whenever a connection changes its state, so that the cost of an eviction does not
+//! grow with the number of connections. Connections are divided into groups. Within a group, the connection
+//! that has been in its state for longest is evicted first.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Identifies a connection within the process.
+/// The id of a connection, unique within the process.
 pub(super) type ConnectionId = u64;
 
-/// Minimum time before a connection without a complete request may be evicted: its bytes may be on the way.
+/// How long a connection without a complete request is safe from eviction: the rest of the request may be in
+/// transit.
 pub(super) const MIN_AGE: Duration = Duration::from_millis(250);
-/// Minimum age before a new connection may be evicted for another new one; younger ones had no time to send anything.
+/// How long a new connection is safe from eviction for another new connection. A younger connection has had
+/// no time to send anything.
 const MIN_AGE_FOR_NEW_CONNECTION: Duration = Duration::from_millis(10);
 
-/// Connections that are alike to eviction, in the order in which they are evicted.
+/// The groups of connections, in the order in which the groups are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvictionGroup {
-    /// The last response is out, and the client's close is awaited.
+    /// This side has closed the connection after the last response; the client has not closed its side yet.
     Lingering,
-    /// No byte has been received.
+    /// No byte has been received on the connection.
     New,
-    /// A request other than a callback has begun and is not complete.
+    /// A request other than a callback has arrived in part.
     ReceivingRequest,
-    /// Idle after at most one response; clients that reuse their connection are preferred.
+    /// Idle after at most one response. Connections that clients have reused are kept longer.
     IdleAfterOneResponse,
     /// Idle after several responses.
     IdleKeepAlive,
-    /// A worker's connection between callbacks, which is needed more than a client's, who can connect again.
+    /// A worker's connection that is idle between callbacks. It is needed more than a client's connection,
+    /// since the client can connect again.
     IdleCallback,
 }
 
 impl EvictionGroup {
-    /// Number of groups.
+    /// The number of groups.
     const COUNT: usize = 6;
 
-    /// Groups whose connections may be evicted at any age.
+    /// The groups whose connections may be evicted at any age.
     const AT_ANY_AGE: [EvictionGroup; 4] = [
         EvictionGroup::Lingering,
         EvictionGroup::IdleAfterOneResponse,
@@ -49,16 +53,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct EvictionRank {
     pub(super) group: EvictionGroup,
-    /// When the connection entered its state.
+    /// When the connection entered its current state.
     pub(super) since: Instant,
 }
 
-/// Whether new connections may be evicted when no others are left.
+/// Whether new connections younger than [`MIN_AGE`] may be evicted when no other connection can be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NewConnections {
-    /// For another new connection they may.
+    /// They may be evicted, since the descriptor is for another new connection.
     Evictable,
-    /// For a connection to a worker they may not.
+    /// They must not be evicted, since the descriptor is for a connection to a worker.
     Protected,
 }
 
@@ -66,8 +70,8 @@
 #[derive(Debug, Default)]
 pub(super) struct EvictionOrder {
     groups: [BTreeSet<(Instant, ConnectionId)>; EvictionGroup::COUNT],
-    /// Number of connections that have been chosen for eviction and have not closed yet.
-    pub(super) evicting: usize,
+    /// Number of connections that are chosen for eviction and that this side has not closed yet.
+    pub(super) pending_evictions: usize,
 }
 
 impl EvictionOrder {
@@ -75,7 +79,7 @@
         &self.groups[group as usize]
     }
 
-    /// Moves a connection from one rank to another; without a rank it can't be evicted.
+    /// Moves a connection from one rank to another. A connection without a rank can't be evicted.
     pub(super) fn update(
         &mut self,
         connection: ConnectionId,
@@ -90,14 +94,19 @@
         }
     }
 
-    /// The connection that has been in the group for longest, if for at least `min_age`.
+    /// Returns the connection of the group that has been in its state for longest, provided that its time in
+    /// the state is at least `min_age`.
     fn oldest(&self, group: EvictionGroup, min_age: Duration, now: Instant) -> Option<ConnectionId> {
         let oldest = self.group(group).first().filter(|(since, _)| now >= *since + min_age);
         oldest.map(|(_, connection)| *connection)
     }
 
-    /// The connection to evict next.
-    pub(super) fn next(&self, new_connections: NewConnections, now: Instant) -> Option<ConnectionId> {
+    /// Returns the connection to evict next; `None` if no connection can be evicted.
+    pub(super) fn next_to_evict(
+        &self,
+        new_connections: NewConnections,
+        now: Instant,
+    ) -> Option<ConnectionId> {
         let new_connection = || match new_connections {
             NewConnections::Evictable => self.oldest(EvictionGroup::New, MIN_AGE_FOR_NEW_CONNECTION, now),
             NewConnections::Protected => None,
@@ -111,7 +120,7 @@
             .or_else(new_connection)
     }
 
-    /// Whether this many connections can be evicted now.
+    /// Whether `count` connections can be evicted for new connections now.
     pub(super) fn can_evict(&self, count: usize, now: Instant) -> bool {
         let at_any_age: usize = EvictionGroup::AT_ANY_AGE.iter().map(|group| self.group(*group).len()).sum();
         let old_enough = |group, min_age| {
@@ -123,8 +132,8 @@
         at_any_age + new + receiving >= count
     }
 
-    /// When the next new connection reaches the age at which it can be evicted.
-    pub(super) fn next_new_connection_at(&self, now: Instant) -> Option<Instant> {
+    /// Returns when the next new connection becomes old enough to be evicted for another new one.
+    pub(super) fn next_new_connection_evictable_at(&self, now: Instant) -> Option<Instant> {
         let new = self.group(EvictionGroup::New);
         let youngest_evictable = now.checked_sub(MIN_AGE_FOR_NEW_CONNECTION);
         let next = match youngest_evictable {
--- a/crates/vetchbridge/src/clients/eviction/tests.rs
+++ b/crates/vetchbridge/src/clients/eviction/tests.rs
@@ -1,8 +1,8 @@
-//! The eviction order by itself, without connections.
+//! The eviction order without connections.
 
 use super::*;
 
-/// The groups, in the order in which they are evicted.
+/// All groups, in the order in which they are evicted.
 const GROUPS: [EvictionGroup; EvictionGroup::COUNT] = [
     EvictionGroup::Lingering,
     EvictionGroup::New,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn groups_are_evicted_in_order_and_the_oldest_of_a_group_first() {
+fn groups_are_evicted_in_order_and_the_oldest_connection_of_a_group_first() {
     let since = Instant::now();
     let younger = since + Duration::from_millis(1);
     let ranks: Vec<EvictionRank> = GROUPS
@@ -31,7 +31,7 @@
     let mut order = order_of(&ranks);
     let now = younger + MIN_AGE;
     let mut evicted = Vec::new();
-    while let Some(id) = order.next(NewConnections::Protected, now) {
+    while let Some(id) = order.next_to_evict(NewConnections::Protected, now) {
         order.update(id, Some(ranks[id as usize - 1]), None);
         evicted.push(id);
     }
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn a_new_connection_is_evicted_early_only_for_another_new_one() {
+fn a_young_connection_is_evicted_only_for_another_new_connection() {
     let since = Instant::now();
     let order = order_of(&[EvictionRank { group: EvictionGroup::New, since }]);
     let eviction_at = since + MIN_AGE_FOR_NEW_CONNECTION;
-    assert_eq!(order.next_new_connection_at(since), Some(eviction_at));
-    assert_eq!(order.next(NewConnections::Evictable, since), None);
+    assert_eq!(order.next_new_connection_evictable_at(since), Some(eviction_at));
+    assert_eq!(order.next_to_evict(NewConnections::Evictable, since), None);
     assert!(!order.can_evict(1, since));
-    assert_eq!(order.next(NewConnections::Evictable, eviction_at), Some(1));
-    assert_eq!(order.next(NewConnections::Protected, eviction_at), None);
+    assert_eq!(order.next_to_evict(NewConnections::Evictable, eviction_at), Some(1));
+    assert_eq!(order.next_to_evict(NewConnections::Protected, eviction_at), None);
     assert!(order.can_evict(1, eviction_at) && !order.can_evict(2, eviction_at));
-    assert_eq!(order.next_new_connection_at(eviction_at), None);
-    assert_eq!(order.next(NewConnections::Protected, since + MIN_AGE), Some(1));
+    assert_eq!(order.next_new_connection_evictable_at(eviction_at), None);
+    assert_eq!(order.next_to_evict(NewConnections::Protected, since + MIN_AGE), Some(1));
 }
--- a/crates/vetchbridge/src/clients/framing.rs
+++ b/crates/vetchbridge/src/clients/framing.rs
@@ -1,64 +1,68 @@
-//! Follows the requests of one connection: where one ends and the next one begins, which hyper does not report.
+//! Tracks the requests of one connection: where one request ends and the next one begins. hyper does not
+//! report this.
 //!
-//! Heads are parsed with the parser and the limits of hyper, so that both see the same requests. Of a request only the
-//! path, the length and the transfer encoding are read.
+//! Heads are parsed with hyper's parser and hyper's limits, so that this module and hyper find the same
+//! requests. Of each request, only the path, the length and the transfer encoding are read.
 
 use super::chunked_body::{ChunkedBody, Progress};
 use super::protocol::{CALLBACK_PATH, CALLBACK_REQUEST_LINE};
 
-/// Maximum length of a head in bytes; also the size of hyper's read buffer, which bounds the memory of a connection.
+/// Maximum length of a request's head in bytes. Also the size of hyper's read buffer, which bounds the memory
+/// of a connection.
 pub(super) const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Maximum number of header lines, hyper's default.
+/// Maximum number of header lines of a request; equal to hyper's default.
 const MAX_HEADERS: usize = 100;
 
-/// Position within the bytes that a client sends.
+/// A position in the byte stream from a client.
 #[derive(Debug, PartialEq, Eq)]
 enum Position {
-    /// In a head, of which these bytes have arrived.
+    /// In a head; contains the bytes of the head that have arrived.
     Head(Vec<u8>),
-    /// In a body of known length, of which this many bytes are still to come.
+    /// In a body of known length; `remaining` is the number of its bytes that have not arrived.
     Body { remaining: u64 },
     /// In a chunked body.
     Chunked(ChunkedBody),
-    /// After a chunked body. The connection closes after the pending response, so nothing that follows is read.
+    /// After a chunked body. The connection closes after the pending response, so further input is not read.
     Ended,
-    /// Beyond what can be followed; the connection closes after the pending response.
+    /// After input in which the end of a request can't be found. The connection closes after the pending
+    /// response.
     Untracked,
 }
 
-/// What the framing of a connection's requests shows.
+/// The framing of a connection's requests, as far as they have arrived.
 #[derive(Debug)]
 pub(super) struct RequestFraming {
     position: Position,
-    /// A request had both a `Content-Length` and a `Transfer-Encoding`: its body may conceal another request.
+    /// Whether any request had both a `Content-Length` and a `Transfer-Encoding`, so that its body may
+    /// conceal another request.
     pub(super) is_ambiguous: bool,
-    /// The current request is a callback.
+    /// Whether the current request is a callback.
     pub(super) is_callback: bool,
 }
 
 impl RequestFraming {
-    /// The framing of a connection at its first byte.
+    /// Creates the framing of a connection on which nothing has arrived.
     pub(super) fn new() -> RequestFraming {
         RequestFraming { position: Position::Head(Vec::new()), is_ambiguous: false, is_callback: false }
     }
 
-    /// Whether the current request has arrived to its last byte.
+    /// Whether the last byte of the current request has arrived.
     pub(super) fn is_request_complete(&self) -> bool {
         self.position == Position::Ended || self.is_between_requests()
     }
 
-    /// Whether no further request can be followed after the current one.
+    /// Whether requests after the current one can't be tracked.
     pub(super) fn is_last_request(&self) -> bool {
         matches!(self.position, Position::Chunked(_) | Position::Ended | Position::Untracked)
     }
 
-    /// Whether no byte of the next request has arrived.
+    /// Whether the position is between two requests: no byte of the next request has arrived.
     pub(super) fn is_between_requests(&self) -> bool {
         matches!(&self.position, Position::Head(head) if head.is_empty())
     }
 
-    /// Advances over received bytes, at most to the end of one request. Returns how many bytes belong to it; what
-    /// follows is another request.
+    /// Advances over received bytes, at most to the end of the current request. Returns how many of the bytes
+    /// belong to the current request; the other bytes belong to the next request.
     pub(super) fn advance(&mut self, received: &[u8]) -> usize {
         let mut consumed = 0;
         while consumed < received.len() {
@@ -70,7 +74,8 @@
         consumed
     }
 
-    /// Advances within the current part of the request, at most to its end.
+    /// Advances within the current part of the request, at most to the end of that part. Returns the number
+    /// of bytes that belong to the part.
     fn advance_position(&mut self, bytes: &[u8]) -> usize {
         match &mut self.position {
             Position::Head(_) => self.advance_head(bytes),
@@ -88,7 +93,7 @@
                     self.position = Position::Ended;
                     length
                 }
-                // hyper finds the same fault, responds and closes.
+                // hyper finds the same error, responds to it and closes the connection.
                 Progress::Malformed => {
                     self.position = Position::Untracked;
                     bytes.len()
@@ -99,7 +104,7 @@
         }
     }
 
-    /// Advances within a head, at most to its end.
+    /// Advances within a head, at most to its end. Returns the number of bytes that belong to the head.
     fn advance_head(&mut self, bytes: &[u8]) -> usize {
         let Position::Head(head) = &mut self.position else { return 0 };
         let already_received = head.len();
@@ -115,7 +120,7 @@
                 self.position = next;
                 length - already_received
             }
-            // hyper responds to that itself and closes.
+            // hyper responds to an invalid head itself and closes the connection.
             ParsedHead::Invalid => {
                 self.position = Position::Untracked;
                 bytes.len()
@@ -124,25 +129,26 @@
     }
 }
 
-/// The result of parsing what has arrived of a head.
+/// The result of parsing the part of a head that has arrived.
 enum ParsedHead {
-    /// More of it is to come.
+    /// The head has not arrived completely.
     Incomplete,
-    /// A whole head.
+    /// The head has arrived completely.
     Complete {
-        /// Its length in bytes.
+        /// Length of the head in bytes.
         length: usize,
-        /// It begins a callback.
+        /// Whether the request is a callback.
         is_callback: bool,
-        /// It has both a `Content-Length` and a `Transfer-Encoding`.
+        /// Whether the head has both a `Content-Length` and a `Transfer-Encoding`.
         is_ambiguous: bool,
-        /// The position after it.
+        /// The position after the head.
         next: Position,
     },
-    /// Too long, or not a head.
+    /// The head is too long or malformed.
     Invalid,
 }
 
+/// Parses the part of a head that has arrived.
 fn parse_head(head: &[u8]) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -164,12 +170,12 @@
     }
 }
 
-/// The first header of a name.
+/// Returns the value of the first header with this name.
 fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
     headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
 
-/// The position after a head without a `Transfer-Encoding`.
+/// Returns the position after a head without a `Transfer-Encoding`.
 fn position_after_head(content_length: Option<&[u8]>) -> Position {
     let content_length = content_length.and_then(|value| std::str::from_utf8(value).ok());
     match content_length.map_or(Ok(0), |value| value.trim().parse()) {
--- a/crates/vetchbridge/src/clients/framing/tests.rs
+++ b/crates/vetchbridge/src/clients/framing/tests.rs
@@ -1,4 +1,4 @@
-//! The framing of requests, whatever pieces their bytes arrive in.
+//! The framing of requests, with every split of their bytes into two reads.
 
 use super::*;
 
@@ -13,9 +13,10 @@
     framing
 }
 
-/// hyper drops the length where both stand; an intermediary that trusts it would see another request in the body.
+/// If a request has both headers, hyper ignores the length. An intermediary that trusts the length would see
+/// another request in the body.
 #[test]
-fn a_content_length_beside_a_transfer_encoding_is_ambiguous_in_either_order() {
+fn a_request_with_content_length_and_transfer_encoding_is_ambiguous_in_either_order() {
     let (length, chunked) = ("Content-Length: 4\r\n", "transfer-encoding: chunked\r\n");
     for (headers, is_ambiguous) in [
         (format!("{length}{chunked}"), true),
@@ -39,12 +40,12 @@
 #[test]
 fn a_request_ends_where_the_next_one_begins() {
     let requests = ["GET /a HTTP/1.1\r\n\r\n", "POST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", "GET /"];
-    let all = requests.concat();
-    for cut in 0..=all.len() {
+    let stream = requests.concat();
+    for cut in 0..=stream.len() {
         let (mut framing, mut offset, mut ends) = (RequestFraming::new(), 0, Vec::new());
-        while offset < all.len() {
-            let end = if offset < cut { cut } else { all.len() };
-            offset += framing.advance(&all.as_bytes()[offset..end]);
+        while offset < stream.len() {
+            let end = if offset < cut { cut } else { stream.len() };
+            offset += framing.advance(&stream.as_bytes()[offset..end]);
             if framing.is_between_requests() {
                 ends.push(offset);
             }
--- a/crates/vetchbridge/src/clients/handler.rs
+++ b/crates/vetchbridge/src/clients/handler.rs
@@ -1,7 +1,7 @@
-//! The HTTP of clients and callbacks: from a request to a [`Job`](crate::request::Job), and from an [`Answer`] to a
-//! response.
+//! The HTTP of clients and callbacks: turns a request into a [`Job`](crate::request::Job), and an [`Answer`]
+//! into a response.
 //!
-//! A malformed request is rejected before the decision module knows of it.
+//! A malformed request is rejected before it reaches the decision module.
 
 use super::body::{self, BodyError};
 use super::connection::ClientConnection;
@@ -24,7 +24,7 @@
 use tower_service::Service;
 use tracing::{debug, warn};
 
-/// The routes of a server.
+/// Returns the routes of a server.
 pub(super) fn router(server: Arc<ClientServer>) -> Router {
     Router::new()
         .route(READINESS_PATH, get(readiness))
@@ -34,7 +34,7 @@
 }
 
 impl ClientServer {
-    /// Makes the response to a request, with `Connection: close` where it is the last.
+    /// Returns the response to a request, with `Connection: close` if the connection closes after it.
     pub(super) async fn respond(
         &self,
         mut request: hyper::Request<Incoming>,
@@ -58,7 +58,8 @@
 }
 
 async fn readiness(State(server): State<Arc<ClientServer>>) -> StatusCode {
-    // A successor serves on whatever happens to this process, unless operators have quiesced the scheduler.
+    // A successor continues to serve clients when this process ends, unless operators have quiesced the
+    // scheduler.
     let successor_serves = server.process_links.has_successor() && !server.lifecycle.is_quiesced();
     if successor_serves || server.lifecycle.state().is_ready() {
         StatusCode::OK
@@ -85,7 +86,8 @@
     }
 }
 
-/// Passes a callback to its attempt, in this process or in another one of this scheduler.
+/// Passes a callback to the attempt that waits for it, in this process or in another process of this
+/// scheduler.
 async fn deliver_callback(server: &ClientServer, callback: &Callback) -> Response {
     if server.upstream.dispatch_callback(callback) {
         return StatusCode::OK.into_response();
@@ -126,20 +128,23 @@
         Err(error) => return reject_malformed(&error),
     };
     let answer = submit(server.engine.clone(), server.upstream.clone(), server.process_links.clone(), job);
-    // hyper drops this future when the client disconnects, and the receiver with it.
+    // When the client disconnects, hyper drops this future and thereby the receiver `answer`.
     render(answer.await.unwrap_or(Answer::Failed))
 }
 
+/// Returns the response to a request whose body was not read.
 fn reject_body(error: BodyError) -> Response {
     debug!(reason = %error, "request.rejected");
     error.into_response()
 }
 
+/// Returns the response to a malformed request.
 fn reject_malformed(error: &MalformedRequest) -> Response {
     debug!(reason = %error, "request.malformed");
     (StatusCode::BAD_REQUEST, format!("{error}\n")).into_response()
 }
 
+/// Returns the response that carries an answer.
 fn render(answer: Answer) -> Response {
     match answer {
         Answer::Served(result) => (StatusCode::OK, result).into_response(),
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -1,6 +1,6 @@
 //! Reads a job from the path and headers of its HTTP request.
 //!
-//! A request that could be read in two ways is malformed. The body is passed on unopened.
+//! A request that can be read in two ways is malformed. The body is passed on unparsed.
 
 use super::protocol::{
     is_slots_property, CLASS, EXPECTED_WORK, HOST, IDEMPOTENCY_KEY, PROPERTIES, REQUEST_ID, RETRY, TENANT,
@@ -17,47 +17,47 @@
 use tokio::sync::OwnedSemaphorePermit;
 use vetchbridge_scheduling::{Class, ClassId, Idempotency, Micros, Request};
 
-/// Why a request can't be accepted as it is; the text is part of the response.
+/// Why a request is malformed. The text is the body of the response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum MalformedRequest {
-    /// A header's value is not printable ASCII.
+    /// The value of a header is not printable ASCII.
     #[error("{0}: not plain text")]
     HeaderNotText(&'static str),
-    /// A header is repeated, and neither value can be trusted.
+    /// A header is repeated, so that its value is ambiguous.
     #[error("{0}: given more than once")]
     RepeatedHeader(&'static str),
     /// The request has no id.
     #[error("{}: missing", REQUEST_ID)]
     MissingRequestId,
-    /// The request's id has another form.
+    /// The request's id is not 16 hex digits.
     #[error("{}: not 16 hex digits", REQUEST_ID)]
     InvalidRequestId,
-    /// The target is no path, or has characters that need escaping.
+    /// The target is not a path, or contains characters that need escaping.
     #[error("not a path of plain characters")]
     InvalidPath,
-    /// The path and the header name different classes.
+    /// The path and the class header name different classes.
     #[error("{}: not the class in the path", CLASS)]
     ClassMismatch,
-    /// The settings have no such class.
+    /// The settings have no class of this name.
     #[error("no class {0:?}")]
     UnknownClass(String),
-    /// Requests of this class need an idempotency key.
+    /// The class requires an idempotency key, and the request has none.
     #[error("{}: missing, its class needs one", IDEMPOTENCY_KEY)]
     MissingIdempotencyKey,
-    /// The client's timeout can't be read.
+    /// The client's timeout is not a number with the unit `m` or `u`.
     #[error("{}: not a number with unit m or u", TIMEOUT)]
     InvalidTimeout,
-    /// The expected work can't be read.
+    /// The expected work is not a number.
     #[error("{}: unreadable", EXPECTED_WORK)]
     InvalidExpectedWork,
 }
 
-/// Reads a job. Its deadline counts from `now` (microseconds), when its last byte has arrived; `memory` is held until
-/// the job ends.
+/// Reads a job. `now` is when the last byte of the request arrived, in microseconds; the job's deadline
+/// counts from then. The job holds `body_permit` until it ends.
 pub(super) fn read(
     parts: &Parts,
     body: Bytes,
-    memory: OwnedSemaphorePermit,
+    body_permit: OwnedSemaphorePermit,
     settings: Arc<Snapshot>,
     now: Micros,
 ) -> Result<Job, MalformedRequest> {
@@ -86,10 +86,10 @@
         retry: single_header(headers, RETRY)? == Some("1"),
     };
     let payload = Payload { id: id_text.to_string(), target: target.clone(), idempotency_key, body };
-    Ok(Job { request, payload, settings, body_permit: Some(memory) })
+    Ok(Job { request, payload, settings, body_permit: Some(body_permit) })
 }
 
-/// The value of a header that may stand once; `None` if it is absent.
+/// Returns the value of a header that must not be repeated; `None` if the header is absent.
 fn single_header<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -103,6 +103,7 @@
     }
 }
 
+/// Returns the path and query of a request's target.
 fn target(uri: &Uri) -> Result<&PathAndQuery, MalformedRequest> {
     let is_plain = |target: &&PathAndQuery| {
         target.as_str().starts_with('/') && target.as_str().bytes().all(|byte| byte.is_ascii_graphic())
@@ -110,6 +111,7 @@
     uri.path_and_query().filter(is_plain).ok_or(MalformedRequest::InvalidPath)
 }
 
+/// Returns the idempotency key; an error if the class requires one and the request has none.
 fn idempotency_key(headers: &HeaderMap, class: &Class) -> Result<Option<String>, MalformedRequest> {
     let key = single_header(headers, IDEMPOTENCY_KEY)?.map(str::to_string);
     if key.is_none() && matches!(class.idempotency, Idempotency::Keyed { .. }) {
@@ -118,13 +120,14 @@
     Ok(key)
 }
 
-/// The tenant's name. It affects only the priority, so a repeated header means no tenant rather than a rejection.
+/// Returns the tenant's name. The tenant affects only the priority: a request with a repeated tenant
+/// header has no tenant, and is not rejected.
 fn tenant_name(headers: &HeaderMap) -> Option<&[u8]> {
     let mut names = headers.get_all(TENANT).iter();
     names.next().filter(|_| names.next().is_none()).map(HeaderValue::as_bytes)
 }
 
-/// How long the client waits, at most as long as the deadline of its class.
+/// Returns how long the client waits for the response, in microseconds, limited to the deadline of the class.
 fn timeout(headers: &HeaderMap, class: &Class) -> Result<Micros, MalformedRequest> {
     let timeout = match single_header(headers, TIMEOUT)? {
         Some(value) => parse_duration(value).ok_or(MalformedRequest::InvalidTimeout)?,
@@ -133,13 +136,15 @@
     Ok(timeout.min(class.deadline))
 }
 
+/// Returns the expected work in microseconds; `None` if the request does not state any.
 fn expected_work(headers: &HeaderMap) -> Result<Option<Micros>, MalformedRequest> {
     let Some(value) = single_header(headers, EXPECTED_WORK)? else { return Ok(None) };
     let work = parse_number(value).ok_or(MalformedRequest::InvalidExpectedWork)?;
     Ok(Some(work as Micros))
 }
 
-/// The number of worker slots that the request takes, 1 unless a property gives a positive number.
+/// Returns the number of worker slots that the request takes: the first positive number in a slots property,
+/// or 1.
 fn slots(headers: &HeaderMap) -> Result<f64, MalformedRequest> {
     let properties = single_header(headers, PROPERTIES)?.unwrap_or("");
     let mut values = properties
@@ -150,13 +155,14 @@
     Ok(slots.unwrap_or(1.0))
 }
 
-/// Parses digits with or without a fraction; signs, exponents and names such as `inf` are not accepted.
+/// Parses a decimal number with an optional fraction. Signs, exponents and names such as `inf` are not
+/// accepted.
 fn parse_number(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse::<f64>().ok().filter(|number| is_plain && number.is_finite())
 }
 
-/// Parses a duration such as `480m` (milliseconds) or `480000u` (microseconds).
+/// Parses a duration such as `480m` (milliseconds) or `480000u` (microseconds). Returns microseconds.
 fn parse_duration(text: &str) -> Option<Micros> {
     let (number, micros_per_unit) = match text.strip_suffix('m') {
         Some(number) => (number, 1000.0),
--- a/crates/vetchbridge/src/clients/job/tests.rs
+++ b/crates/vetchbridge/src/clients/job/tests.rs
@@ -1,4 +1,4 @@
-//! Jobs as clients send them: every header that is read, well-formed and malformed.
+//! Reading jobs with valid and invalid values of each header.
 
 use super::*;
 use crate::config::read_text;
@@ -6,7 +6,7 @@
 
 const NOW: Micros = 1_000_000;
 
-/// Settings with one class and these tenants, as the keys of the protocol have them.
+/// Returns settings with one class and these tenants; `accounts` is the JSON list of the configuration file.
 fn settings(accounts: &str) -> Arc<Snapshot> {
     let text = format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
@@ -15,7 +15,7 @@
         "services": [{{"name": "safe", "repeat": "safe", "aim": 1000, "deadline": 9000000}}],
         "rules": {{"stop_sending_within": 1, "start_capacity": 0.2, "cold": 1, "tip_multiple": 2.5, "fall": 1}}}}}}"#
     );
-    Arc::new(read_text("test", &text).expect("it reads").config.snapshot)
+    Arc::new(read_text("test", &text).expect("a valid configuration").config.snapshot)
 }
 
 fn job(settings: &Arc<Snapshot>, headers: &[(&str, &[u8])]) -> Result<Job, MalformedRequest> {
@@ -31,9 +31,9 @@
 
 #[test]
 fn a_tenant_is_identified_by_its_name_and_an_unknown_one_has_no_quota() {
-    let named =
+    let with_tenants =
         settings(r#"[{"name": "acme", "allowance_per_s": 5}, {"name": "caf\u00e9", "allowance_per_s": 3}]"#);
-    let tenants = named.settings.tenants.clone();
+    let tenants = with_tenants.settings.tenants.clone();
     assert_eq!(tenants.iter().map(|t| t.quota_per_second).collect::<Vec<_>>(), [5.0, 3.0, 0.0]);
     let cases: [(&[&[u8]], u32); 7] = [
         (&[b"acme"], 0),
@@ -46,12 +46,12 @@
     ];
     for (names, tenant) in cases {
         let headers: Vec<(&str, &[u8])> = names.iter().map(|name| ("x-customer", *name)).collect();
-        let request = job(&named, &headers).expect("a job").request;
+        let request = job(&with_tenants, &headers).expect("a job").request;
         assert_eq!(request.tenant.0, tenant, "{names:?}");
     }
-    let without = settings("[]");
-    assert_eq!(job(&without, &[("x-customer", b"acme")]).expect("a job").request.tenant.0, 0);
-    assert!(without.settings.tenants.is_empty());
+    let without_tenants = settings("[]");
+    assert_eq!(job(&without_tenants, &[("x-customer", b"acme")]).expect("a job").request.tenant.0, 0);
+    assert!(without_tenants.settings.tenants.is_empty());
 }
 
 #[test]
--- a/crates/vetchbridge/src/clients/mod.rs
+++ b/crates/vetchbridge/src/clients/mod.rs
@@ -1,6 +1,7 @@
-//! The clients' side: the listener, the connections that it accepts, and the HTTP on them.
+//! The server for clients and for workers' callbacks: the listener, its connections, and the HTTP on them.
 //!
-//! Everything that a client or a worker's callback can see of the daemon is here. No worker is chosen or contacted.
+//! This module contains everything of the daemon that clients and workers' callbacks can observe. It neither
+//! chooses nor contacts workers.
 
 mod body;
 mod budget;
@@ -17,6 +18,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks a mutex, also after a thread has panicked while it held the lock.
+fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -1,4 +1,5 @@
-//! Accepts client connections, from the listener and from the predecessor, and owns what they share.
+//! Accepts client connections from the listener and from other processes of this scheduler, and owns the
+//! state that the connections share.
 
 use super::body::BodyMemory;
 use super::budget::{DescriptorBudget, OtherProcesses};
@@ -20,15 +21,15 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::warn;
 
-/// Pause after a failed accept; descriptors are released as responses are sent.
+/// How long to wait after a failed accept. Responses that are sent meanwhile release descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often the limits of all connections are enforced.
+/// How often the time limits of connections and the descriptor budget are enforced.
 const ENFORCEMENT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A client connection that another process has served so far.
+/// A client connection that another process of this scheduler served before.
 struct HandedOverConnection {
     descriptor: OwnedFd,
-    /// It has had a response.
+    /// Whether a response has been sent on the connection.
     is_kept_alive: bool,
 }
 
@@ -39,10 +40,10 @@
     }
 }
 
-/// The queue of handed-over connections that have not been taken over yet.
+/// The queue of handed-over connections that this process does not serve yet.
 struct HandoverQueue {
     sender: UnboundedSender<HandedOverConnection>,
-    /// Taken by the accept loop.
+    /// The receiving end; `None` once the accept loop has it.
     receiver: Mutex<Option<UnboundedReceiver<HandedOverConnection>>>,
 }
 
@@ -61,15 +62,17 @@
     pub(super) lifecycle: Arc<Lifecycle>,
     pub(super) process_links: Arc<ProcessLinks>,
     pub(super) connections: ClientConnections,
-    /// Memory for the bodies of jobs, from their arrival to their end.
+    /// Memory for the bodies of jobs. A job holds its share until the job ends.
     pub(super) job_memory: BodyMemory,
-    /// Memory for the bodies of callbacks, which jobs must not use up.
+    /// Memory for the bodies of callbacks. It is separate because jobs must not use it up.
     pub(super) callback_memory: BodyMemory,
-    handover_queue: HandoverQueue,
+    /// The connections that other processes of this scheduler have handed over.
+    handovers: HandoverQueue,
 }
 
 impl ClientServer {
-    /// A server in a process that may have `max_descriptors` open and take `memory_bytes`.
+    /// Creates the server of a process that may have `max_descriptors` descriptors open and use
+    /// `memory_bytes` of memory.
     pub fn new(
         engine: Arc<Engine>,
         upstream: Arc<UpstreamGroup>,
@@ -79,8 +82,8 @@
         lifecycle: Arc<Lifecycle>,
         process_links: Arc<ProcessLinks>,
     ) -> Arc<ClientServer> {
-        let reserved = admin::max_connections(max_descriptors);
-        let budget = DescriptorBudget::new(max_descriptors, reserved, upstream.connections());
+        let reserved_descriptors = admin::max_connections(max_descriptors);
+        let budget = DescriptorBudget::new(max_descriptors, reserved_descriptors, upstream.connections());
         Arc::new(ClientServer {
             engine,
             upstream,
@@ -90,59 +93,63 @@
             connections: ClientConnections::new(budget),
             job_memory: BodyMemory::new(memory_bytes),
             callback_memory: BodyMemory::new(memory_bytes),
-            handover_queue: HandoverQueue::new(),
+            handovers: HandoverQueue::new(),
         })
     }
 
-    /// Whether any complete request awaits its response.
+    /// Whether any request is open, or any response is still awaited or being sent.
     pub fn has_pending_responses(&self) -> bool {
         self.connections.has_pending_response() || self.engine.open_request_count() > 0
     }
 
-    /// Whether a response has been sent whose client may not have read it.
+    /// Whether any connection is closed on this side while its client may not have read the last response
+    /// yet.
     pub fn has_lingering_connections(&self) -> bool {
         self.connections.has_lingering()
     }
 
-    /// The longest deadline of all classes in the current settings.
+    /// Returns the longest deadline of all classes in the current settings.
     pub fn longest_deadline(&self) -> Duration {
         self.settings.get().longest_deadline()
     }
 
-    /// Number of client connections.
+    /// Returns the number of client connections.
     pub fn connection_count(&self) -> usize {
         self.connections.count()
     }
 
-    /// Takes over a client connection that another process has served so far; `is_kept_alive` if it has had a response.
+    /// Takes over a client connection that another process served before. `is_kept_alive`: whether a response
+    /// has been sent on the connection.
     pub fn take_over_connection(&self, descriptor: OwnedFd, is_kept_alive: bool) {
-        // The receiver is gone only once the process ends.
-        let _ = self.handover_queue.sender.send(HandedOverConnection { descriptor, is_kept_alive });
+        // Sending fails only when the process ends: the accept loop keeps the receiver until then.
+        let _ = self.handovers.sender.send(HandedOverConnection { descriptor, is_kept_alive });
     }
 
+    /// Returns what the other processes of this scheduler use of the descriptor budget.
     pub(super) fn other_processes(&self) -> OtherProcesses {
         OtherProcesses {
             count: self.process_links.processes(),
-            connections: self.process_links.connections(),
+            client_connections: self.process_links.connections(),
         }
     }
 
-    /// Accepts connections until the process ends, except while a successor accepts them.
+    /// Accepts connections until the process ends, but not while a successor accepts them.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
-        let Some(mut handed_over) = super::lock(&self.handover_queue.receiver).take() else { return };
+        let Some(mut receiver) = super::lock_ignoring_poison(&self.handovers.receiver).take() else { return };
         let router = handler::router(self.clone());
         let mut enforcement = tokio::time::interval(ENFORCEMENT_INTERVAL);
         let mut successor = self.process_links.successor();
         loop {
             let has_successor = successor.borrow_and_update().is_some();
-            // Until then new connections wait in the listener's queue: earlier ones had no time to send a request.
+            // Until `eviction_at`, new connections wait in the listener's queue: the connections that were
+            // accepted before them have had no time to send a request.
             let eviction_at = self.connections.next_eviction_at(self.other_processes());
             let incoming = tokio::select! {
                 () = sleep_until(eviction_at.unwrap_or_else(Instant::now)), if eviction_at.is_some() => continue,
                 accepted = listener.accept(), if !has_successor && eviction_at.is_none() => {
                     accepted.map(|(stream, _)| IncomingConnection { stream, is_kept_alive: false })
                 }
-                Some(connection) = handed_over.recv() => connection.into_incoming(),
+                Some(connection) = receiver.recv() => connection.into_incoming(),
                 _ = enforcement.tick() => {
                     self.enforce_limits();
                     continue;
@@ -152,7 +159,7 @@
             match incoming {
                 Ok(incoming) => {
                     tokio::spawn(self.clone().serve_connection(incoming, router.clone()));
-                    // In a burst, each connection is read from before the next one may evict it.
+                    // In a burst of connections, lets this one be read from before the next one may evict it.
                     tokio::task::yield_now().await;
                 }
                 Err(error) => {
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -1,4 +1,4 @@
-//! The life of one client connection in this process: to its end, or until the successor takes it over.
+//! Serves one client connection in this process, until the connection ends or the successor takes it over.
 
 use super::connection::{lingering_close, ClientConnection, RequestStream};
 use super::framing::MAX_HEAD_BYTES;
@@ -19,37 +19,37 @@
 use tokio::time::{sleep, timeout};
 use tracing::debug;
 
-/// How long a connection beyond the budget has to show that it brings a callback.
+/// How long a connection beyond the budget may take to send the start of a callback.
 const CALLBACK_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long such a callback may take, forwarding it to another process included.
+/// Time limit for a callback on a connection beyond the budget, including the forwarding to another process.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Interval between checks of a request line that has arrived in part.
+/// Interval between checks of a request line that has arrived only in part.
 const CALLBACK_PEEK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a connection beyond the budget is rejected, for the log.
+/// The logged reason for the rejection of a connection beyond the budget.
 const NO_EVICTION_POSSIBLE: &str = "no connection can be evicted";
 
-/// A connection that this process begins to serve.
+/// A connection that this process starts to serve.
 pub(super) struct IncomingConnection {
     pub(super) stream: TcpStream,
-    /// Another process has sent a response on it.
+    /// Whether another process has sent a response on the connection.
     pub(super) is_kept_alive: bool,
 }
 
-/// Why serving a connection ended.
+/// Why this process stopped serving a connection.
 enum ServingEnd {
-    /// hyper has finished, because of the client or after the last response.
+    /// hyper has finished: the client has disconnected, or the last response has been sent.
     Finished(hyper::Result<()>),
-    /// An eviction or a time limit closes it.
+    /// An eviction or a time limit closes the connection.
     ClosedByLimit,
-    /// It waits for a request, and the successor takes it over.
+    /// The connection waits for a request, and the successor takes the connection over.
     HandedOver,
-    /// It is idle, and the process is draining.
+    /// The connection is idle, and the process is draining.
     Drained,
 }
 
 impl ClientServer {
-    /// Serves a connection to its end in this process.
+    /// Serves a connection until the connection ends or another process takes it over.
     pub(super) async fn serve_connection(self: Arc<Self>, incoming: IncomingConnection, router: Router) {
         let IncomingConnection { stream, is_kept_alive } = incoming;
         let Some(slot) = &self.connections.admit(self.other_processes()) else {
@@ -66,7 +66,7 @@
         let io = TokioIo::new(RequestStream::new(RetryingStream::new(stream), connection.clone()));
         let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let end = tokio::select! {
-            // What has been read comes first: an evicted connection may have received a request.
+            // hyper comes first, since an evicted connection may have received a request.
             biased;
             result = Pin::new(&mut serving) => ServingEnd::Finished(result),
             () = connection.wait_for_forced_close() => ServingEnd::ClosedByLimit,
@@ -92,21 +92,22 @@
         lingering_close(serving.into_parts().io.into_inner()).await;
     }
 
-    /// Resolves when a successor is there and the connection is between requests.
+    /// Resolves when this process has a successor and the connection is between requests.
     async fn wait_for_handover(&self, connection: &ClientConnection) {
         let mut successor = self.process_links.successor();
         loop {
             drop(successor.wait_for(Option::is_some).await);
             connection.wait_until_between_requests().await;
-            // The successor may have gone again while a request was in flight.
+            // The successor may have ended while a request was in flight.
             if self.process_links.has_successor() {
                 return;
             }
         }
     }
 
-    /// Resolves when the process is draining and the connection is idle. One that has had no response may have its
-    /// request on the way; that response closes it.
+    /// Resolves when the process is draining and the connection is idle. A connection without a response so
+    /// far is not idle, since its first request may be in transit; the response to that request closes the
+    /// connection.
     async fn wait_for_drain(&self, connection: &ClientConnection) {
         let mut state = self.lifecycle.subscribe();
         loop {
@@ -118,13 +119,14 @@
         }
     }
 
-    /// Serves a connection for which no other can be evicted: one that brings a callback is served and closes with its
-    /// response, any other is closed unread.
+    /// Serves a connection for which no other connection can be evicted. If the connection starts with a
+    /// callback, the callback is served and its response closes the connection. Otherwise the connection is
+    /// closed unread.
     async fn serve_extra_callback(&self, stream: TcpStream, router: Router) {
         let Some(_slot) = self.connections.admit_extra_callback() else {
             return debug!(reason = NO_EVICTION_POSSIBLE, "connection.rejected");
         };
-        if !timeout(CALLBACK_ARRIVAL_TIMEOUT, brings_callback(&stream)).await.unwrap_or(false) {
+        if !timeout(CALLBACK_ARRIVAL_TIMEOUT, starts_with_callback(&stream)).await.unwrap_or(false) {
             return debug!(reason = NO_EVICTION_POSSIBLE, "connection.rejected");
         }
         let connection = Arc::new(ClientConnection::new(0, Arc::default()));
@@ -133,30 +135,33 @@
         let io = TokioIo::new(RequestStream::new(RetryingStream::new(stream), connection.clone()));
         let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let result = timeout(CALLBACK_TIMEOUT, Pin::new(&mut serving)).await;
-        // No lingering close: a worker sends nothing before it has read the response, and the slot is needed.
+        // A lingering close is not needed, since a worker sends nothing before it has read the response. It
+        // would also occupy a slot that other callbacks need.
         debug!(?result, "callback.served_beyond_budget");
     }
 
-    /// Passes a connection between two requests to the successor. What the client sends meanwhile stays in the socket.
-    fn hand_over(&self, socket: RetryingStream, kept: bool) {
+    /// Passes a connection that is between requests to the successor. Input that arrives meanwhile stays in
+    /// the socket's receive buffer.
+    fn hand_over(&self, socket: RetryingStream, is_kept_alive: bool) {
         let (successor, descriptor) = (self.process_links.successor().borrow().clone(), socket.into_std());
         let is_sent = descriptor.map(|stream| {
             successor.is_some_and(|to| {
-                to.send(HandoverMessage::ClientConnection { reused: kept }, vec![stream.into()])
+                to.send(HandoverMessage::ClientConnection { reused: is_kept_alive }, vec![stream.into()])
             })
         });
         debug!(sent = ?is_sent, "connection.handed_over");
     }
 }
 
+/// Records a violation if a complete request on the connection still awaits its response.
 fn check_not_awaiting_response(connection: &ClientConnection) {
     if connection.is_awaiting_response() {
         record_violation(Invariant::UnansweredConnectionStaysOpen, None, "closed by this side");
     }
 }
 
-/// Whether the input of a connection begins as a callback does; none of it is consumed.
-async fn brings_callback(stream: &TcpStream) -> bool {
+/// Whether the input of a connection starts with the request line of a callback. The input is not consumed.
+async fn starts_with_callback(stream: &TcpStream) -> bool {
     let mut head = [0; CALLBACK_REQUEST_LINE.len()];
     loop {
         match stream.peek(&mut head).await {
