--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -156,7 +156,11 @@
 /// Records a violation if a complete request on the connection still awaits its response.
 fn check_not_awaiting_response(connection: &ClientConnection) {
     if connection.is_awaiting_response() {
-        record_violation(Invariant::UnansweredConnectionStaysOpen, None, "closed by this side");
+        record_violation(
+            Invariant::UnansweredConnectionStaysOpen,
+            None,
+            "the daemon closed the connection before its response",
+        );
     }
 }
 
--- a/crates/vetchbridge/tests/client_connection_limits.rs
+++ b/crates/vetchbridge/tests/client_connection_limits.rs
@@ -1,4 +1,5 @@
-//! The limits on connections: idle clients take no descriptor from a callback, a readiness check or a job.
+//! The limits on client connections: idle clients leave enough descriptors for callbacks, readiness checks
+//! and jobs.
 #![allow(missing_docs)]
 
 mod common;
@@ -12,32 +13,34 @@
 use tokio::net::TcpListener;
 use vetchbridge_testbed::wire::Wire;
 
-const READY: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
+const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
 
 impl Harness {
-    /// Limits the daemon's descriptors from now on, whatever its configuration says.
+    /// Sets the limit on the descriptors of the running daemon, independently of its configuration.
     fn limit_descriptors(&self, max: u64) {
         let pid = Pid::from_raw(self.daemon.child.id() as i32).expect("a process");
         let limit = Rlimit { current: Some(max), maximum: Some(1024) };
         prlimit(Some(pid), Resource::Nofile, limit).expect("the limit is set");
     }
 
-    /// Takes the last descriptor of the daemon; a connection waits that could not be accepted.
+    /// Connects clients until the daemon has no free descriptor and fails to accept a connection. Returns the
+    /// clients.
     async fn use_up_descriptors(&mut self) -> Vec<Wire> {
         const DESCRIPTORS: u64 = 40;
         self.limit_descriptors(DESCRIPTORS);
         let mut clients = Vec::new();
         for _ in 0..=DESCRIPTORS {
             let mut client = dial(self.daemon.address).await;
-            // A client with a response may stay idle; one that sends nothing times out.
-            client.send(READY).await;
+            // A client that has had a response may stay idle; a client that sends nothing times out.
+            client.send(READINESS_REQUEST).await;
             clients.push(client);
         }
         self.daemon.wait_for_log("accept.failed").await;
         clients
     }
 
-    /// Sends the endpoint list once and stops discovery: no call to it takes a descriptor from then on.
+    /// Sends the endpoint list once and stops discovery, so that calls to discovery no longer use a
+    /// descriptor.
     async fn stop_discovery(&mut self) {
         let mut watch = Wire::new(self.discovery.accept().await.expect("the watch").0);
         watch.read_target().await;
@@ -49,8 +52,9 @@
     }
 }
 
-/// Idle connections of clients and callbacks fill the budget, discovery is down and no connection to a worker is left: a
-/// job still gets its dial, its callback and its response, and the readiness check its answer.
+/// Idle connections of clients and callbacks use up the budget, discovery is down, and no connection to a
+/// worker is open. The daemon still dials a worker for a job, accepts the callback, answers the job and
+/// answers readiness checks.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -64,7 +68,7 @@
     for number in 0..4 * DESCRIPTOR_LIMIT {
         let mut client = dial(harness.daemon.address).await;
         if number % 2 == 0 {
-            client.send(READY).await;
+            client.send(READINESS_REQUEST).await;
         } else {
             let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
             client.post_request("/callback", "", &body).await;
@@ -78,7 +82,8 @@
     }
 }
 
-/// With fewer descriptors than configured, accepting pauses and resumes once there are some again.
+/// When no descriptor is free because the process has fewer than configured, accepting pauses. Accepting
+/// resumes once descriptors are free again.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -94,32 +99,36 @@
     for _ in 0..FAILURES {
         harness.daemon.wait_for_log("accept.failed").await;
     }
-    assert!(start.elapsed() >= (FAILURES - 1) * Duration::from_millis(20), "it pauses after each");
+    assert!(
+        start.elapsed() >= (FAILURES - 1) * Duration::from_millis(20),
+        "the daemon pauses after each failure"
+    );
     drop(clients);
     assert_eq!(harness.readiness().await.status(), "200");
 }
 
-/// An attempt without a descriptor for its dial never ran, and its worker is not at fault: even a non-idempotent job is
-/// rejected at once with a short Retry-After, which does not grow with repetition, and succeeds once there are descriptors
-/// again.
+/// If no descriptor is free for the dial, the attempt never ran and does not count as a failure of the
+/// worker. Even a non-idempotent job is rejected at once with a short Retry-After that does not grow with
+/// repetition. A job succeeds once descriptors are free again.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_dial_without_a_descriptor_is_no_failure_of_its_worker() {
     const REPETITIONS: usize = 2;
-    // An ejected worker is used if there is no other, and Retry-After shows for how long it would be ejected.
+    // An ejected worker is used if there is no other one. Retry-After would show for how long the worker is
+    // ejected.
     let mut harness = Harness::start_with_limit(1, &[], 1024).await;
     harness.stop_discovery().await;
     let mut client = dial(harness.daemon.address).await;
-    client.send(READY).await;
+    client.send(READINESS_REQUEST).await;
     assert_eq!(status(client.read().await.as_ref()), "200");
     let clients = harness.use_up_descriptors().await;
     for id in 0..REPETITIONS {
         client.post_request("/unsafe/k", &format!("X-Trace-Id: {id:016x}\r\n"), "work").await;
         let answer = client.read().await.expect("an answer");
-        assert_eq!(answer.status(), "503", "it never ran: {answer:?}");
+        assert_eq!(answer.status(), "503", "the attempt never ran: {answer:?}");
         let retry_after: f64 = answer.header("retry-after").expect("a Retry-After").parse().expect("seconds");
-        assert!(retry_after <= 0.6, "{retry_after} after {id} of them");
+        assert!(retry_after <= 0.6, "Retry-After {retry_after} after {id} earlier jobs");
     }
     harness.limit_descriptors(1024);
     client.post_request("/unsafe/k", "X-Trace-Id: 00000000000000ab\r\n", "work").await;
@@ -128,8 +137,8 @@
     drop(clients);
 }
 
-/// Submits jobs for the one worker until a new connection is rejected: the connections of all others, which await their
-/// responses, and their ids.
+/// Submits jobs for the only worker until a new connection is rejected. Returns the connections that await a
+/// response, and the ids of their jobs.
 async fn fill_budget_with_pending_requests(harness: &mut Harness) -> Vec<(Wire, String)> {
     let mut pending = Vec::new();
     loop {
@@ -142,7 +151,7 @@
             }
             (_, mut worker) = harness.accept_worker() => {
                 let job = worker.read().await.expect("the job");
-                assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "and not one that was rejected");
+                assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "the job is not a rejected one");
                 worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
                 worker.closed().await;
                 pending.push((client, id));
@@ -151,8 +160,8 @@
     }
 }
 
-/// If every connection awaits a response, none is evicted: a new one is closed at once and unread, and the others are not
-/// affected.
+/// If every connection awaits a response, none can be evicted. A new connection is closed at once and unread,
+/// and the other connections are not affected.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -160,11 +169,14 @@
     let mut harness = Harness::start(1).await;
     let mut pending = fill_budget_with_pending_requests(&mut harness).await;
     for (client, _) in &mut pending {
-        assert!(futures_util::poll!(std::pin::pin!(client.read())).is_pending(), "it still waits");
+        assert!(
+            futures_util::poll!(std::pin::pin!(client.read())).is_pending(),
+            "the client still waits for its response"
+        );
     }
 }
 
-/// A callback is served where no other new connection is, since pending requests may wait for it.
+/// A callback is served even if no other new connection is admitted, since pending requests may wait for it.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -173,7 +185,7 @@
     let pending = fill_budget_with_pending_requests(&mut harness).await;
     let mut callbacks = Vec::new();
     for (_, id) in &pending {
-        // A worker that keeps its connection open must not block the next callback.
+        // A callback must be served even if workers keep the connections of earlier callbacks open.
         let mut callback = dial(harness.daemon.address).await;
         let body = json!({"id": id, "from": "s-0", "state": "started"}).to_string();
         callback.post_request("/callback", "", &body).await;
@@ -186,8 +198,8 @@
     }
 }
 
-/// However many requests are pipelined on one connection, those of others are served; if their client disconnects, none
-/// of them is sent to a worker.
+/// Any number of pipelined requests on one connection does not block requests on other connections. If the
+/// client disconnects, none of its requests is sent to a worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -205,10 +217,11 @@
         wait_until_delivered(&mut client).await;
         harness.daemon.resume();
         clients.push(client);
-        // Its first job may have caused a dial if the disconnect was noticed a moment later; nothing is written.
+        // The client's first job may have caused a dial if the daemon noticed the disconnect a moment later.
+        // No request is written on that connection.
         harness.assert_only_next_job_arrives().await;
     }
     for client in &mut clients {
-        assert!(client.read().await.is_none(), "its connection is closed without a response");
+        assert!(client.read().await.is_none(), "the connection is closed without a response");
     }
 }
--- a/crates/vetchbridge/tests/client_input.rs
+++ b/crates/vetchbridge/tests/client_input.rs
@@ -1,4 +1,4 @@
-//! Invalid and incomplete input of clients, and connections that stay silent.
+//! Invalid and incomplete input from clients, and connections without any input.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,7 +6,7 @@
 use common::*;
 use rstest::rstest;
 
-/// No input ends the process or reaches a worker half parsed.
+/// Invalid requests get an error response, do not stop the daemon, and are not sent to a worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -17,23 +17,23 @@
         client.post_request(target, &headers, &body).await;
         assert_eq!(status(client.read().await.as_ref()), expected, "{target} {headers}");
     }
-    // Rejected by its length alone: not one byte of the body is sent here.
-    let mut huge = dial(harness.daemon.address).await;
-    huge.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n").await;
-    assert_eq!(status(huge.read().await.as_ref()), "413");
+    // The request is rejected because of its length: no byte of the body is sent.
+    let mut too_large = dial(harness.daemon.address).await;
+    too_large.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n").await;
+    assert_eq!(status(too_large.read().await.as_ref()), "413");
     let (mut client, id) = harness.submit_job("safe", "k").await;
     let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
-    // A second request with an id that is still open would get the first one's response.
-    let mut twin = dial(harness.daemon.address).await;
-    twin.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
-    assert_eq!(status(twin.read().await.as_ref()), "409");
+    // A second request with the id of an open request is rejected, since it can't have a response of its own.
+    let mut duplicate = dial(harness.daemon.address).await;
+    duplicate.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
+    assert_eq!(status(duplicate.read().await.as_ref()), "409");
     worker.send(ACCEPTED).await;
     harness.send_callback(&id, number, "done").await;
     assert_eq!(status(client.read().await.as_ref()), "200");
 }
 
-/// Requests by target, headers and body, with the status that each must get.
+/// Returns invalid requests as target, headers, body and the expected status of the response.
 fn invalid_requests() -> Vec<(&'static str, String, String, &'static str)> {
     let id = "X-Trace-Id: 00000000000000ab\r\n";
     let too_long = "x".repeat(64 * 1024 + 1);
@@ -64,39 +64,40 @@
     cases.map(|(target, headers, body, status)| (target, headers, body.to_string(), status)).to_vec()
 }
 
-/// A connection that stays silent or stops half-way is closed; for a late body there is a response.
+/// A connection without a complete request is closed at the time limit. An incomplete body gets a response
+/// before the close.
 #[rstest]
 #[case::silent("", None)]
 #[case::half_a_head("POST /safe/k HTTP/1.1\r\nX-Tr", None)]
 #[case::half_a_body("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nwork", Some("408"))]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn an_incomplete_request_times_out(#[case] sent: &str, #[case] answer: Option<&str>) {
+async fn an_incomplete_request_times_out(#[case] input: &str, #[case] expected: Option<&str>) {
     let harness = Harness::start(1).await;
     let mut client = dial(harness.daemon.address).await;
-    client.send(sent).await;
-    let last = client.read().await;
-    assert_eq!(last.is_some().then(|| status(last.as_ref())), answer);
-    assert!(client.read().await.is_none(), "and the connection is closed");
+    client.send(input).await;
+    let response = client.read().await;
+    assert_eq!(response.is_some().then(|| status(response.as_ref())), expected);
+    assert!(client.read().await.is_none(), "the connection is closed");
 }
 
-/// Silent connections take a descriptor from no client, no worker and no callback, however many there are.
+/// Any number of connections without input leaves enough descriptors for a client, a worker and a callback.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn silent_connections_keep_out_no_client() {
+async fn connections_without_input_do_not_block_a_client() {
     let mut harness = Harness::start(1).await;
-    let mut silent = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..2 * DESCRIPTOR_LIMIT {
-        silent.push(dial(harness.daemon.address).await);
+        connections.push(dial(harness.daemon.address).await);
     }
     let (mut client, id) = harness.submit_job("safe", "k").await;
     harness.serve_next_attempt(&id).await;
     assert_eq!(status(client.read().await.as_ref()), "200");
 }
 
-/// More than half of the descriptors are the clients' when the workers need few: jobs in flight, idle connections and
-/// incomplete requests keep out no further job, however many they are.
+/// Clients get more than half of the descriptors when workers need few of them. Any number of jobs in flight,
+/// idle connections and incomplete requests leaves enough descriptors for a further job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -109,14 +110,14 @@
         assert_eq!(status(idle.read().await.as_ref()), "200");
         evictable.push(idle);
         if round % 16 == 0 {
-            let mut half = dial(harness.daemon.address).await;
-            half.send("POST /safe/k HTTP/1.1\r\nX-Tr").await;
-            evictable.push(half);
+            let mut incomplete = dial(harness.daemon.address).await;
+            incomplete.send("POST /safe/k HTTP/1.1\r\nX-Tr").await;
+            evictable.push(incomplete);
         }
         in_flight.push(harness.submit_job("safe", "k").await);
         let (_, mut worker) = harness.accept_worker().await;
         worker.read().await.expect("the job");
-        // So that the next job needs a new connection.
+        // The worker closes its connection, so that the next job needs a new one.
         worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     }
     for (client, id) in &mut in_flight {
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -1,4 +1,4 @@
-//! The limit on connections to workers.
+//! The limit on the number of connections to workers.
 #![allow(missing_docs)]
 
 mod common;
@@ -17,8 +17,8 @@
 use vetchbridge_scheduling::{EndpointState, EndpointUpdate, Outcome};
 use vetchbridge_testbed::wire::Wire;
 
-/// A worker that rejects every job and keeps the connection open; sends its number to `closed` for each connection that the
-/// other side closes.
+/// Runs a worker that rejects every job and keeps its connections open. Sends the worker's number to `closed`
+/// for each connection that the other side closes.
 async fn reject_jobs(number: usize, listener: TcpListener, closed: UnboundedSender<usize>) {
     loop {
         let (mut wire, closed) =
@@ -27,19 +27,20 @@
             while wire.read().await.is_some() {
                 wire.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
             }
-            closed.send(number).expect("the test runs");
+            closed.send(number).expect("the test receives");
         });
     }
 }
 
-/// Beyond the limit, idle connections to the least recently used workers are closed, and those of the others are kept.
+/// Beyond the limit, idle connections to the least recently used workers are closed. Connections to other
+/// workers stay open.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn idle_connections_of_the_least_recently_used_workers_are_evicted() {
     const MAX_CONNECTIONS: usize = 8;
     const OTHER_WORKERS: usize = 12;
-    // No connection expires within the test.
+    // The idle timeout is longer than the test, so that no connection expires.
     let group = UpstreamGroup::new(TEST_TIMEOUT, 10 * TEST_TIMEOUT, 1);
     group.set_max_connections(MAX_CONNECTIONS);
     let (closed_sender, mut closed_connections) = unbounded_channel();
@@ -52,7 +53,7 @@
         group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(endpoint));
         tokio::spawn(reject_jobs(number, listener, closed_sender.clone()));
     }
-    // Worker 0 is used again after each of the others, which are used once.
+    // Each of the other workers gets one job. Worker 0 gets a job after each of them.
     for number in (1..=OTHER_WORKERS).flat_map(|number| [number, 0]) {
         let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
         let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect: once a client's connection has ended, no attempt is started for the job on it.
+//! Clients that disconnect: once a client's connection has ended, no attempt is started for the client's job.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,11 +10,11 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use vetchbridge_testbed::wire::Wire;
 
-/// The next request of a client that doesn't wait for the response to the first.
-const NEXT: &str =
+/// A pipelined request: the client sends it before the response to its first request.
+const PIPELINED_REQUEST: &str =
     "POST /safe/x HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cc\r\ncontent-length: 4\r\n\r\nnext";
 
-/// The kernel's codes of the states of a connection.
+/// The kernel's codes for states of a connection.
 const ESTABLISHED: &str = "01";
 const SYN_SENT: &str = "02";
 
@@ -26,7 +26,8 @@
 }
 
 impl Disconnect {
-    /// Disconnects, and waits until the daemon's kernel knows, whatever the daemon does.
+    /// Disconnects, and waits until the kernel has registered the disconnect at the daemon's end of the
+    /// connection.
     async fn run(self, mut client: Wire) {
         let (here, there) = addresses(&mut client);
         {
@@ -42,39 +43,40 @@
     }
 }
 
-/// A job whose client disconnects before the first endpoint is listed is sent to no worker, whatever the client wrote after it.
-/// `at_once`: list and disconnect reach the daemon in this order, and before it can read either.
+/// A queued job is not sent to a worker if its client disconnects before the first endpoint is listed,
+/// whatever input follows the job. `while_suspended`: the daemon is suspended while first the endpoint list
+/// and then the disconnect arrive.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_queued_job_ends_with_its_clients_connection(
-    #[values("", "\r\n", NEXT, &NEXT.repeat(2000))] after: &str,
-    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
-    #[values(true, false)] at_once: bool,
+async fn a_queued_job_is_not_sent_once_its_client_has_disconnected(
+    #[values("", "\r\n", PIPELINED_REQUEST, &PIPELINED_REQUEST.repeat(2000))] pipelined: &str,
+    #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
+    #[values(true, false)] while_suspended: bool,
 ) {
     let mut harness = Harness::start(0).await;
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    client.send(after).await;
-    let mut twin = dial(harness.daemon.address).await;
-    twin.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
-    assert_eq!(status(twin.read().await.as_ref()), "409", "the job is open");
+    client.send(pipelined).await;
+    let mut duplicate = dial(harness.daemon.address).await;
+    duplicate.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
+    assert_eq!(status(duplicate.read().await.as_ref()), "409", "the job is open");
 
     harness.workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
     let list = json!([instance(0, harness.workers[0].local_addr().expect("bound"), "up")]);
-    if at_once {
+    if while_suspended {
         harness.daemon.suspend().await;
         watch.send_endpoints(5, list).await;
         wait_until_delivered(&mut watch).await;
-        how.run(client).await;
+        disconnect.run(client).await;
         harness.daemon.resume();
     } else {
-        how.run(client).await;
+        disconnect.run(client).await;
         watch.send_endpoints(5, list).await;
     }
     watch.read_target().await;
-    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for it");
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
 /// A job whose client has disconnected when its first attempt fails is not retried.
@@ -82,42 +84,43 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_failed_attempt_is_not_retried_once_the_client_has_disconnected(
-    #[values("", NEXT)] after: &str,
-    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+    #[values("", PIPELINED_REQUEST)] pipelined: &str,
+    #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
 ) {
     let mut harness = Harness::start(2).await;
     let (mut client, _) = harness.submit_job("unsafe", "k").await;
-    client.send(after).await;
+    client.send(pipelined).await;
     let (_, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
     harness.daemon.suspend().await;
     worker.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     wait_until_delivered(&mut worker).await;
-    how.run(client).await;
+    disconnect.run(client).await;
     harness.daemon.resume();
     worker.closed().await;
-    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for it");
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// A client that pipelines and disconnects has its attempt canceled as any other.
+/// A client's disconnect cancels its attempt, even if pipelined input follows the job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn pipelined_input_after_a_job_hides_no_disconnect(
-    #[values("\r\n", NEXT, &NEXT.repeat(2000))] after: &str,
-    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+    #[values("\r\n", PIPELINED_REQUEST, &PIPELINED_REQUEST.repeat(2000))] pipelined: &str,
+    #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
 ) {
     let mut harness = Harness::start(1).await;
     let (mut client, _) = harness.submit_job("safe", "k").await;
-    client.send(after).await;
+    client.send(pipelined).await;
     let (_, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
-    how.run(client).await;
+    disconnect.run(client).await;
     assert!(worker.read().await.is_none(), "the attempt is canceled by closing its connection");
-    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for it");
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// The same for a job in chunks, however they are written.
+/// A client's disconnect cancels its attempt, even if pipelined input follows a chunked job. The client sends
+/// the job in one write or in pieces.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -128,33 +131,33 @@
         "0\r\n\r\n"
     )]
     body: &str,
-    #[values("\r\n", NEXT, &NEXT.repeat(2000))] after: &str,
-    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
-    #[values(true, false)] at_once: bool,
+    #[values("\r\n", PIPELINED_REQUEST, &PIPELINED_REQUEST.repeat(2000))] pipelined: &str,
+    #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
+    #[values(true, false)] in_one_write: bool,
 ) {
     let mut harness = Harness::start(1).await;
     let mut client = dial(harness.daemon.address).await;
     let head = "POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cd\r\ntransfer-encoding: chunked\r\n\r\n";
-    if at_once {
-        client.send(&format!("{head}{body}{after}")).await;
+    if in_one_write {
+        client.send(&format!("{head}{body}{pipelined}")).await;
     } else {
-        client.write_in_pieces(&format!("{head}{body}")).await.expect("the daemon reads");
-        client.send(after).await;
+        client.write_in_pieces(&format!("{head}{body}")).await.expect("the daemon reads the job");
+        client.send(pipelined).await;
     }
     let (number, mut worker) = harness.accept_worker().await;
     let job = worker.read().await.expect("the job");
     assert_eq!(job.text(), if body.len() > 5 { "work" } else { "" });
-    // Once it is accepted, nothing but its client's disconnect cancels the attempt.
+    // Once the worker has accepted the job, only the client's disconnect cancels the attempt.
     worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     harness.send_callback("00000000000000cd", number, "started").await;
-    how.run(client).await;
+    disconnect.run(client).await;
     let (_, mut worker) = harness.accept_worker().await;
-    assert_eq!(worker.read().await.expect("a call").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
+    assert_eq!(worker.read().await.expect("a request").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
     drop(worker);
-    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for it");
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// A job whose client disconnects before its last byte, or together with it, is not accepted at all.
+/// A job is not accepted if its client disconnects before the last byte of the job, or together with it.
 #[rstest]
 #[case::half_a_head("POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cd\r\ncont")]
 #[case::half_a_body(
@@ -163,35 +166,35 @@
 #[case::complete(
     "POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cd\r\ncontent-length: 4\r\n\r\nwork"
 )]
-#[case::many(&NEXT.repeat(50))]
+#[case::many(&PIPELINED_REQUEST.repeat(50))]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_that_arrives_together_with_its_clients_disconnect_is_not_accepted(
-    #[case] sent: &str,
-    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+    #[case] input: &str,
+    #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
 ) {
     let mut harness = Harness::start(1).await;
     let mut client = dial(harness.daemon.address).await;
     client.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert_eq!(status(client.read().await.as_ref()), "200");
     harness.daemon.suspend().await;
-    client.send(sent).await;
-    how.run(client).await;
+    client.send(input).await;
+    disconnect.run(client).await;
     harness.daemon.resume();
-    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for it");
+    assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// Pipelined requests get their responses in turn, with one job in flight at a time.
+/// Pipelined requests are answered in the order of their arrival, with one job in flight at a time.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn pipelined_requests_are_served_in_turn() {
+async fn pipelined_requests_are_answered_in_order() {
     let harness = Harness::start(1).await;
     let mut client = dial(harness.daemon.address).await;
-    let post =
+    let job_request =
         |id: u32| format!("POST /safe/k HTTP/1.1\r\nx-trace-id: {id:016x}\r\ncontent-length: 4\r\n\r\nwork");
-    let all: String = (1..=20).map(post).collect();
-    client.send(&all).await;
+    let requests: String = (1..=20).map(job_request).collect();
+    client.send(&requests).await;
     for id in 1..=20 {
         let id = format!("{id:016x}");
         let (number, mut worker) = harness.accept_worker().await;
@@ -204,32 +207,34 @@
     assert_eq!(status(client.read().await.as_ref()), "200", "the connection is reused");
 }
 
-/// A job whose client disconnects while it waits for a connection to the worker is written to none.
+/// A job that waits for a connection to its worker is not sent if the client disconnects before the
+/// connection is established.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_connection_established_after_the_disconnect_carries_no_job(
-    #[values("", NEXT)] after: &str,
-    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+    #[values("", PIPELINED_REQUEST)] pipelined: &str,
+    #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
 ) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let full = socket.listen(1).expect("it listens");
-    let address = full.local_addr().expect("bound");
+    let full_listener = socket.listen(1).expect("a listener");
+    let address = full_listener.local_addr().expect("bound");
     let mut harness = Harness::start_with_listed(0, &[address]).await;
-    // As many as the kernel queues; the next one is not established until one of them is accepted.
-    let filling = [TcpStream::connect(address).await, TcpStream::connect(address).await];
+    // These connections fill the accept queue. No other connection is established until one of them is
+    // accepted.
+    let queue_fillers = [TcpStream::connect(address).await, TcpStream::connect(address).await];
     let (mut client, _) = harness.submit_job("safe", "k").await;
-    client.send(after).await;
-    let dialling = format!(":{:04X} {SYN_SENT} ", address.port());
-    while !std::fs::read_to_string("/proc/net/tcp").expect("read").contains(&dialling) {
+    client.send(pipelined).await;
+    let dial_in_progress = format!(":{:04X} {SYN_SENT} ", address.port());
+    while !std::fs::read_to_string("/proc/net/tcp").expect("a connection table").contains(&dial_in_progress) {
         tokio::task::yield_now().await;
     }
-    how.run(client).await;
-    for _ in &filling {
-        drop(full.accept().await.expect("one of those that fill it"));
+    disconnect.run(client).await;
+    for _ in &queue_fillers {
+        drop(full_listener.accept().await.expect("a connection that fills the queue"));
     }
-    harness.workers.push(full);
-    // The dial that was in progress may have succeeded.
+    harness.workers.push(full_listener);
+    // The dial that was in progress may have succeeded; no request may be sent on that connection.
     assert!(harness.assert_only_next_job_arrives().await <= 1);
 }
