--- a/crates/vetchbridge/src/clients/connection/state.rs
+++ b/crates/vetchbridge/src/clients/connection/state.rs
@@ -60,7 +60,7 @@
 /// The state of a connection.
 pub(super) struct ConnectionState {
     pub(super) phase: Phase,
-    /// When the phase began. While the first request arrives, when the connection was accepted.
+    /// When the phase began; for the phase that receives the first request, when the connection was accepted.
     pub(super) phase_started_at: Instant,
     /// Number of responses on the connection so far.
     pub(super) response_count: u32,
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -13,8 +13,10 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
 
+/// The open connections, and the order of their eviction.
 #[derive(Default)]
 struct ConnectionTable {
+    /// The open connections, including connections that are chosen for eviction.
     open: BTreeMap<ConnectionId, Arc<ClientConnection>>,
     last_id: ConnectionId,
     eviction_order: Arc<Mutex<EvictionOrder>>,
--- a/crates/vetchbridge/src/clients/eviction.rs
+++ b/crates/vetchbridge/src/clients/eviction.rs
@@ -57,18 +57,19 @@
     pub(super) since: Instant,
 }
 
-/// Whether new connections younger than [`MIN_AGE`] may be evicted when no other connection can be.
+/// Whether a new connection younger than [`MIN_AGE`] may be evicted when no other connection can be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NewConnections {
-    /// They may be evicted, since the descriptor is for another new connection.
+    /// New connections may be evicted, since the descriptor is for another new connection.
     Evictable,
-    /// They must not be evicted, since the descriptor is for a connection to a worker.
+    /// New connections must not be evicted, since the descriptor is for a connection to a worker.
     Protected,
 }
 
 /// The eviction order of all connections.
 #[derive(Debug, Default)]
 pub(super) struct EvictionOrder {
+    /// The connections that can be evicted, by group and by the time when they entered their state.
     groups: [BTreeSet<(Instant, ConnectionId)>; EvictionGroup::COUNT],
     /// Number of connections that are chosen for eviction and that this side has not closed yet.
     pub(super) pending_evictions: usize,
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -66,7 +66,7 @@
         let io = TokioIo::new(RequestStream::new(RetryingStream::new(stream), connection.clone()));
         let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let end = tokio::select! {
-            // hyper comes first, since an evicted connection may have received a request.
+            // hyper is polled first, since a connection chosen for eviction may have received a request.
             biased;
             result = Pin::new(&mut serving) => ServingEnd::Finished(result),
             () = connection.wait_for_forced_close() => ServingEnd::ClosedByLimit,
--- a/crates/vetchbridge/tests/client_input.rs
+++ b/crates/vetchbridge/tests/client_input.rs
@@ -24,7 +24,8 @@
     let (mut client, id) = harness.submit_job("safe", "k").await;
     let (number, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
-    // A second request with the id of an open request is rejected, since it can't have a response of its own.
+    // A second request with the id of an open request is rejected. Otherwise its client would get the
+    // response to the open request.
     let mut duplicate = dial(harness.daemon.address).await;
     duplicate.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
     assert_eq!(status(duplicate.read().await.as_ref()), "409");
