--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of messages between two linked processes, the same in both directions, until either of them ends.
+//! Exchanges messages between two linked processes until either of them ends. Both processes run this code.
 
 use super::message::{Envelope, HandoverMessage};
 use super::predecessor::HandoverServer;
@@ -13,12 +13,13 @@
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 
-/// Interval at which a change of the number of client connections is sent.
+/// Interval at which the number of client connections is checked and, if it has changed, sent.
 const CONNECTION_COUNT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl HandoverServer {
-    /// Announces to the predecessor at the other end, which had this many client connections, that this process serves
-    /// from now on, and keeps the link to it.
+    /// Announces to the predecessor, connected through `socket`, that this process serves from now on, and
+    /// keeps the link to it. `predecessor_connections` is the number of client connections that the
+    /// predecessor had.
     pub fn announce_takeover(self: &Arc<Self>, socket: HandoverSocket, predecessor_connections: usize) {
         let (link, outgoing) = Link::new();
         link.record(&HandoverMessage::ConnectionCount(predecessor_connections));
@@ -28,7 +29,8 @@
         tokio::spawn(async move { server.run_link(socket, link, outgoing).await });
     }
 
-    /// Adds a link. The process there is sent the ids of the requests that are open, and later each change.
+    /// Adds a link, and sends the ids of this process's open requests to the process at the other end.
+    /// Requests that open or close later are sent to all linked processes.
     pub(super) fn register(&self, link: &Arc<Link>) {
         self.process_links.add(link.clone());
         for id in self.engine.open_request_ids() {
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Carries messages both ways until one side ends, and removes the link then.
+    /// Sends and receives the messages of a link until either process ends, then removes the link.
     pub(super) async fn run_link(
         &self,
         socket: HandoverSocket,
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Passes a forwarded callback to its attempt, here or in a third process, and replies.
+    /// Passes a forwarded callback to its attempt, in this process or in a third one, and sends the reply.
     fn handle_callback(&self, link: Arc<Link>, number: u64, callback: Callback) {
         let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
         tokio::spawn(async move {
@@ -112,7 +114,8 @@
             } else {
                 process_links.forward(&callback, Some(&link)).await
             };
-            // No reply is sent where none came: the sender's own time limit makes it unanswered there as well.
+            // If a third process did not reply, no reply is sent either: the sender's own time limit expires,
+            // and the callback counts as unanswered there too.
             if forwarded != Forwarded::Unanswered {
                 let known = forwarded == Forwarded::Known;
                 link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -1,8 +1,8 @@
 //! The messages between two processes of one scheduler, and their encoding.
 //!
-//! Owns the messages and their form: one JSON object a message, with descriptors beside it where a message brings some.
-//! The JSON names are those of version 1 of the hand-over and stay as they are; the Rust names are mapped to them here.
-//! A message that can't be decoded ends the link, as another version's would.
+//! Each message is encoded as one JSON value; some messages also carry file descriptors. The JSON names are
+//! those of version 1 of the hand-over and must not change; this module maps the Rust names to them. A
+//! message that can't be decoded, such as one of another version, ends the link.
 
 use crate::discovery::document::Instance;
 use crate::workers::Callback;
@@ -10,87 +10,90 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// The version of these messages; processes of different versions don't take over from one another.
+/// The version of the hand-over messages. A process does not take over from one that uses another version.
 pub const VERSION: u32 = 1;
-/// Maximum length of a message in bytes; a callback's body of 64 KiB fits, encoded as JSON.
+/// Maximum length of an encoded message, in bytes. A callback with a body of 64 KiB fits, encoded as JSON.
 pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Endpoints share a message up to this length in bytes; a longer one has a message of its own.
+/// Maximum length of a message with several endpoints, in bytes. A longer endpoint gets a message of its own.
 const MAX_BATCH_BYTES: usize = 32 * 1024;
 
 /// A message from one process of a scheduler to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// From the successor: it wants to take over from the scheduler of this name and address.
+    /// From the successor: asks to take over from the process of the scheduler with this name and address.
     Hello {
-        /// [`VERSION`].
+        /// The sender's message version; [`VERSION`] in this build.
         version: u32,
         /// The scheduler's name.
         name: String,
-        /// Where its clients connect.
+        /// The address at which clients connect to the scheduler.
         listen: SocketAddr,
     },
-    /// From the predecessor: its state. Brings the clients' listener and, if there is one, the peers' socket.
+    /// From the predecessor: its state. Carries the descriptors of the listener for clients and, if there is
+    /// one, of the socket for messages between schedulers.
     Offer(Offer),
-    /// From the predecessor: a part of its endpoint list; the last message has none.
+    /// From the predecessor: a part of its endpoint list. An empty message marks the end of the list.
     #[serde(rename = "Entries")]
     Endpoints(Vec<Instance>),
-    /// From the predecessor: it does not hand over, for this reason.
+    /// From the predecessor: rejects the hand-over for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// From the successor: it serves from now on.
+    /// From the successor: announces that it serves from now on.
     #[serde(rename = "Taken")]
     TookOver,
-    /// A client connection between two requests, whose descriptor comes along.
+    /// Passes on a client connection that is between two requests. Carries the connection's descriptor.
     #[serde(rename = "Connection")]
     ClientConnection {
-        /// It has carried a response already.
+        /// Whether the connection has already carried a response.
         #[serde(rename = "kept")]
         reused: bool,
     },
-    /// How many client connections the sender has.
+    /// The number of client connections that the sender has.
     #[serde(rename = "Holds")]
     ConnectionCount(usize),
-    /// The request of this id is open at the sender.
+    /// The request with this id is now open at the sender.
     #[serde(rename = "Opened")]
     RequestOpened(u64),
-    /// It is not open any more.
+    /// The request with this id is no longer open at the sender.
     #[serde(rename = "Closed")]
     RequestClosed(u64),
-    /// A callback for which the sender has no attempt.
+    /// Forwards a callback for which the sender has no attempt.
     #[serde(rename = "Callback")]
     ForwardedCallback {
-        /// Comes back in [`HandoverMessage::CallbackReply`].
+        /// Identifies the callback in its [`HandoverMessage::CallbackReply`].
         number: u64,
         /// The callback.
         callback: Callback,
     },
-    /// What became of a forwarded callback.
+    /// Replies to a forwarded callback.
     #[serde(rename = "Heard")]
     CallbackReply {
-        /// Its number.
+        /// The `number` of the forwarded callback.
         number: u64,
-        /// Whether an attempt was found for it.
+        /// Whether an attempt was found for the callback.
         known: bool,
     },
 }
 
-/// The state that a successor starts with.
+/// The predecessor's state, from which the successor starts.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Offer {
-    /// Operators have quiesced the scheduler.
+    /// Whether an operator has quiesced the scheduler.
     pub quiesced: bool,
-    /// The discovery service that the endpoint list is from.
+    /// The address of the discovery service from which the endpoint list was received.
     pub source: Option<SocketAddr>,
-    /// The list's version there, if it has one.
+    /// The generation of the endpoint list at that discovery service, if it has one.
     pub generation: Option<u64>,
-    /// Discovery has confirmed the list to the sender, or the sender serves without that.
+    /// Whether discovery has confirmed the endpoint list to the predecessor, or the predecessor already
+    /// serves without a confirmation.
     #[serde(default = "confirmed_by_default")]
     pub confirmed: bool,
-    /// How many client connections the sender has.
+    /// The number of client connections that the predecessor has.
     pub connections: usize,
 }
 
-/// The value in an offer that lacks it: processes of before that field served from their first moment.
+/// Returns the value of `confirmed` for an offer without that field: older versions, which don't send it,
+/// serve immediately after their start.
 fn confirmed_by_default() -> bool {
     true
 }
@@ -100,14 +103,15 @@
 pub struct Envelope {
     /// The message.
     pub message: HandoverMessage,
-    /// Its descriptors.
+    /// The descriptors.
     pub descriptors: Vec<OwnedFd>,
 }
 
 impl HandoverMessage {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // It has neither a map with keys other than strings nor a type that can fail.
+        // Encoding can't fail: a message has no map with keys other than strings and no type whose encoding
+        // can fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
@@ -117,14 +121,14 @@
     }
 }
 
-/// Splits an endpoint list into the parts for one [`HandoverMessage::Endpoints`] each. An entry that is too long for
-/// any message is left out.
+/// Splits an endpoint list into batches, one for each [`HandoverMessage::Endpoints`]. Omits an endpoint that
+/// is too long for any message.
 pub fn batch_endpoints(instances: Vec<Instance>) -> Vec<Vec<Instance>> {
     let overhead = HandoverMessage::Endpoints(Vec::new()).encode().len();
     let mut batches: Vec<Vec<Instance>> = Vec::new();
     let mut bytes_left = 0;
     for instance in instances {
-        // With the comma before the next one.
+        // The 1 is for the comma before the next endpoint.
         let length = serde_json::to_vec(&instance).map_or(MAX_MESSAGE_BYTES, |entry| entry.len()) + 1;
         if overhead + length > MAX_MESSAGE_BYTES {
             continue;
--- a/crates/vetchbridge/src/upgrade/message/tests.rs
+++ b/crates/vetchbridge/src/upgrade/message/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_longest_callback_fits_into_one_message() {
+fn a_callback_of_maximum_size_fits_into_one_message() {
     let result = "\\".repeat(64 * 1024 - 130);
     let text = format!(
         "{{\"id\":\"00000000000000ab\",\"from\":\"s\",\"state\":\"done\",\"load\":{{\"queue\":1e999}},\"result\":{result:?}}}"
@@ -16,7 +16,7 @@
     );
 }
 
-/// A message decodes to what was encoded, and no part of one decodes.
+/// Decoding an encoded message returns the same message; an incomplete message is not decoded.
 #[test]
 fn a_message_is_decoded_completely_or_not_at_all() {
     let offer = Offer { quiesced: true, source: None, generation: Some(7), confirmed: false, connections: 3 };
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -1,23 +1,25 @@
-//! Upgrades: the old and the new process of one scheduler, working as one.
+//! Upgrades: a new process of a scheduler (the successor) takes over from the old one (the predecessor).
 //!
-//! A process that starts first connects to the process that serves as this scheduler, if there is one, and takes over
-//! from it: it inherits the clients' listener itself, so that no connection queued there is lost, the peers' socket,
-//! and the endpoint list as last received. Once the successor has announced [`TookOver`](HandoverMessage::TookOver),
-//! its predecessor accepts nothing; each of its client connections follows as soon as it is between two requests.
-//! Callbacks reach whichever process has the attempt, and a request id that is open in either process is open in both.
+//! A process that starts first connects to the process that already serves as the same scheduler, if there is
+//! one. The successor inherits the listener for clients, the socket for messages between schedulers, and the
+//! endpoint list that the predecessor received last. The listener's descriptor itself is passed, so
+//! connections queued there are not lost. Once the successor has sent
+//! [`TookOver`](HandoverMessage::TookOver), the predecessor accepts no connections; it passes on each client
+//! connection as soon as the connection is between two requests. A callback is forwarded to the process that
+//! has its attempt, and both processes treat a request id as open while it is open in either.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | [`successor`] | connects to a predecessor and inherits from it |
 //! | [`predecessor`] | accepts a successor and sends it the offer |
-//! | `exchange` | carries messages between the two until one of them ends |
-//! | [`process_links`] | what is known of the other process, and the queue of messages to it |
+//! | `exchange` | carries messages between the two processes until one of them ends |
+//! | [`process_links`] | the state of the other process, and the queue of messages to it |
 //! | [`message`] | the messages and their JSON |
 //! | `reader` | reads messages from a socket |
 //! | [`socket`] | the Unix sockets that carry messages and descriptors |
 //!
-//! Nothing here ends a process: after a successor that fails the predecessor serves as before, and it ends at its own
-//! SIGTERM.
+//! This module never ends a process. If the successor fails, the predecessor continues to serve; the
+//! predecessor ends when it receives SIGTERM.
 
 mod exchange;
 pub mod message;
@@ -33,5 +35,5 @@
 
 use std::time::Duration;
 
-/// Time limit for sending and for receiving a complete offer. A new process has 6 s for its whole start.
+/// Time limit for sending or receiving the offer and the endpoint list. A new process has 6 s to start.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -1,6 +1,6 @@
-//! The predecessor's side of an upgrade: a process at work hands over to its successor.
+//! The predecessor's side of an upgrade: the process that serves hands over to its successor.
 //!
-//! Owns the hand-over listener. A successor that fails leaves this process as it was.
+//! Owns the hand-over listener. If a successor fails, this process continues to serve as before.
 
 use super::message::{batch_endpoints, HandoverMessage, Offer, VERSION};
 use super::process_links::{Link, ProcessLinks};
@@ -22,45 +22,45 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Time limit for the first message of a process that connects, and for sending it a rejection.
+/// Time limit for the first message of a process that has connected, and for sending a rejection to it.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a failed accept.
+/// Delay after an accept on the hand-over listener fails.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a process that has connected is no successor. The text is sent to it.
+/// Why a process that has connected is rejected as a successor. The text is sent to that process.
 #[derive(Debug, thiserror::Error)]
 enum Rejection {
-    #[error("it has handed over already")]
+    #[error("the process has already handed over to another successor")]
     AlreadyHandedOver,
-    #[error("this is {name} at {listen}")]
+    #[error("the process serves as scheduler {name} at {listen}")]
     OtherScheduler { name: String, listen: SocketAddr },
-    #[error("hand-over messages of version {0} are not understood, only {VERSION}")]
+    #[error("unsupported hand-over message version {0}; the supported version is {VERSION}")]
     UnsupportedVersion(u32),
     #[error("unexpected message {0:?}")]
     UnexpectedMessage(Box<HandoverMessage>),
-    #[error("no message came in time")]
+    #[error("no message received within the time limit")]
     NoHello,
     #[error(transparent)]
     Receive(#[from] ReceiveError),
 }
 
-/// A process at work, with everything that a successor takes over from it.
+/// Hands over to successors, and holds everything that a successor takes over.
 pub struct HandoverServer {
     /// The scheduler's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The clients' listener.
+    /// The listener for clients.
     pub listener: TcpListener,
-    /// The peers' socket.
+    /// The socket for messages between schedulers, if there is one.
     pub peer_socket: Option<UdpSocket>,
     /// The endpoint list.
     pub endpoint_list: Arc<Mutex<EndpointList>>,
-    /// The lifecycle.
+    /// The lifecycle of this process.
     pub lifecycle: Arc<Lifecycle>,
-    /// The decision module at work.
+    /// The engine, which runs the decision module.
     pub engine: Arc<Engine>,
-    /// The upstream group.
+    /// The connections to workers.
     pub upstream: Arc<UpstreamGroup>,
     /// The server of client connections.
     pub client_server: Arc<ClientServer>,
@@ -69,8 +69,8 @@
 }
 
 impl HandoverServer {
-    /// Hands over to each successor that connects to the listener, published at `path`, for as long as the process
-    /// lives.
+    /// Hands over to each successor that connects to the listener, which is published at `path`. Runs until
+    /// the process ends.
     pub async fn run(self: Arc<Self>, path: PathBuf, mut listener: HandoverListener) {
         loop {
             tokio::select! {
@@ -81,7 +81,7 @@
                         sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
-                // A successor may have published its own listener at the path before it ended.
+                // A successor that has ended may have published its own listener at the path.
                 () = self.process_links.link_closed() => if !self.process_links.has_successor() {
                     match publish_listener(&path) {
                         Ok(published) => listener = published,
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Hands over to the process at the other end, if it is this scheduler's successor, and keeps the link to it.
+    /// Hands over to the process that has connected, if it is a successor of this scheduler, and keeps the
+    /// link to it.
     async fn hand_over(self: Arc<Self>, socket: HandoverSocket) {
         match self.receive_hello(&socket).await {
             Ok(true) => {}
@@ -114,7 +115,8 @@
         self.run_link(socket, link, outgoing).await;
     }
 
-    /// Whether the process at the other end is a successor; `false` if it has closed the connection.
+    /// Receives the first message of the process that has connected. Returns `true` if that process is a
+    /// successor, `false` if it has closed the connection.
     async fn receive_hello(&self, socket: &HandoverSocket) -> Result<bool, Rejection> {
         let received = timeout(HELLO_TIMEOUT, MessageReader::new(socket).next()).await;
         let Some(envelope) = received.map_err(|_| Rejection::NoHello)?? else { return Ok(false) };
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Sends the offer with the sockets, then the endpoint list and the empty message that ends it.
+    /// Sends the offer with the sockets, then the endpoint list and the empty message that marks its end.
     async fn send_offer(&self, socket: &HandoverSocket) -> io::Result<()> {
         let ((instances, generation), source) = {
             let endpoint_list = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner);
@@ -141,7 +143,8 @@
         };
         let total = instances.len();
         let batches = batch_endpoints(instances);
-        // A successor that can't be sent all of the list fetches it from discovery.
+        // If an endpoint is too long to be sent, the offer has no generation, and the successor fetches the
+        // complete list from discovery.
         let complete = batches.iter().map(Vec::len).sum::<usize>() == total;
         let offer = HandoverMessage::Offer(Offer {
             quiesced: self.lifecycle.is_quiesced(),
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -1,8 +1,8 @@
-//! The links to the other processes of this scheduler, while there are any: a successor that takes over, a predecessor
-//! that is ending.
+//! The links to the other processes of this scheduler: to a successor, or to a predecessor that is ending.
 //!
-//! Owns what is known of each process and the queue of messages to it; `exchange` carries the messages. No call here
-//! waits for a process that has ended, nor delays a request where there is no other process.
+//! A link holds the reported state of the other process and the queue of messages to it; `exchange` sends the
+//! messages. No call waits for a process that has ended, and requests are not delayed if there is no other
+//! process.
 
 use crate::upgrade::message::{Envelope, HandoverMessage};
 use crate::workers::Callback;
@@ -15,32 +15,34 @@
 use tracing::warn;
 use vetchbridge_scheduling::RequestId;
 
-/// Messages that may be queued for one process; further ones are dropped, as for a process that hangs.
+/// Maximum number of messages that are queued for one process. Further messages are dropped: a process that
+/// is this far behind is treated as one that hangs.
 const QUEUE_CAPACITY: usize = 8192;
-/// Time limit for the reply to a forwarded callback. The worker retries a callback that gets no response.
+/// Time limit for the reply to a forwarded callback. A worker retries a callback that gets no successful
+/// response.
 const CALLBACK_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What forwarding a callback to other processes came to.
+/// The result of forwarding a callback to the other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Forwarded {
-    /// One of them has its attempt.
+    /// One of the processes has the callback's attempt.
     Known,
-    /// None of them has it.
+    /// No other process has the callback's attempt.
     Unknown,
-    /// One that may have it did not reply.
+    /// A process that may have the callback's attempt did not reply in time.
     Unanswered,
 }
 
-/// What is known of another process.
+/// The reported state of another process.
 #[derive(Default)]
 struct RemoteState {
-    /// The requests that are open there.
+    /// The ids of the requests that are open in that process.
     open_requests: HashSet<u64>,
-    /// Its client connections.
+    /// The number of client connections of that process.
     connections: usize,
-    /// Callbacks forwarded to it that await its reply, by number.
+    /// The forwarded callbacks that await a reply, by their number.
     pending_callbacks: HashMap<u64, oneshot::Sender<bool>>,
-    /// The number of the last callback that was forwarded to it.
+    /// The number of the last callback that was forwarded.
     last_callback: u64,
 }
 
@@ -50,32 +52,34 @@
     remote: Mutex<RemoteState>,
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks a mutex, also after a thread has panicked while it held the lock.
+fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Link {
-    /// A link, and the messages that are to be carried to the other side.
+    /// Returns a new link and the queue of messages to send to the other process.
     pub fn new() -> (Arc<Link>, mpsc::Receiver<Envelope>) {
         let (outgoing, queue) = mpsc::channel(QUEUE_CAPACITY);
         (Arc::new(Link { outgoing, remote: Mutex::default() }), queue)
     }
 
-    /// Queues a message with its descriptors; `false` if the other process hangs or has ended.
+    /// Queues a message with its descriptors. Returns `false` if the queue is full or the link has ended; the
+    /// message is then dropped.
     pub fn send(&self, message: HandoverMessage, descriptors: Vec<OwnedFd>) -> bool {
         self.outgoing.try_send(Envelope { message, descriptors }).is_ok()
     }
 
-    /// Whether messages are still queued.
+    /// Whether messages to the other process are still queued.
     pub fn has_queued(&self) -> bool {
         self.outgoing.capacity() < QUEUE_CAPACITY
     }
 
-    /// Forwards a callback and waits for the reply.
+    /// Forwards a callback to the other process and waits for the reply.
     async fn forward(&self, callback: Callback) -> Forwarded {
         let (reply_sender, reply) = oneshot::channel();
         let number = {
-            let remote = &mut *lock(&self.remote);
+            let remote = &mut *lock_ignoring_poison(&self.remote);
             remote.last_callback += 1;
             remote.pending_callbacks.insert(remote.last_callback, reply_sender);
             remote.last_callback
@@ -89,13 +93,13 @@
         } else {
             Forwarded::Unknown
         };
-        lock(&self.remote).pending_callbacks.remove(&number);
+        lock_ignoring_poison(&self.remote).pending_callbacks.remove(&number);
         forwarded
     }
 
-    /// Records what a message from the other process states about that process.
+    /// Updates the reported state of the other process from a message that it sent.
     pub fn record(&self, message: &HandoverMessage) {
-        let remote = &mut *lock(&self.remote);
+        let remote = &mut *lock_ignoring_poison(&self.remote);
         match message {
             HandoverMessage::RequestOpened(id) => drop(remote.open_requests.insert(*id)),
             HandoverMessage::RequestClosed(id) => drop(remote.open_requests.remove(id)),
@@ -105,7 +109,7 @@
             }
             HandoverMessage::CallbackReply { number, known } => {
                 if let Some(reply_sender) = remote.pending_callbacks.remove(number) {
-                    // It fails if the wait for the reply has timed out.
+                    // Sending fails if the wait for the reply has timed out.
                     let _ = reply_sender.send(*known);
                 }
             }
@@ -114,7 +118,7 @@
     }
 }
 
-/// All links of this process, and which of them leads to its successor.
+/// All links of this process, and the link to its successor if there is one.
 pub struct ProcessLinks {
     links: Mutex<Vec<Arc<Link>>>,
     successor: watch::Sender<Option<Arc<Link>>>,
@@ -134,12 +138,12 @@
 impl ProcessLinks {
     /// Adds the link to another process.
     pub fn add(&self, link: Arc<Link>) {
-        lock(&self.links).push(link);
+        lock_ignoring_poison(&self.links).push(link);
     }
 
-    /// Removes the link to a process that has ended. If that was the successor, this process serves alone again.
+    /// Removes the link to a process that has ended. If it was the successor, this process serves again.
     pub fn remove(&self, link: &Arc<Link>) {
-        lock(&self.links).retain(|other| !Arc::ptr_eq(other, link));
+        lock_ignoring_poison(&self.links).retain(|other| !Arc::ptr_eq(other, link));
         let was_successor = self.successor.send_if_modified(|successor| {
             let is_same = successor.as_ref().is_some_and(|successor| Arc::ptr_eq(successor, link));
             if is_same {
@@ -153,29 +157,30 @@
         self.link_closed.notify_one();
     }
 
-    /// Resolves once a link has been removed.
+    /// Waits until a link has been removed.
     pub async fn link_closed(&self) {
         self.link_closed.notified().await;
     }
 
-    /// Notes that the process at the other end of a link serves in this process's place.
+    /// Marks the process at the other end of `link` as the successor, which serves instead of this process.
     pub fn set_successor(&self, link: Arc<Link>) {
         self.successor.send_replace(Some(link));
     }
 
-    /// A receiver of each change of the successor.
+    /// Returns a receiver that is notified when the successor changes.
     pub fn successor(&self) -> watch::Receiver<Option<Arc<Link>>> {
         self.successor.subscribe()
     }
 
-    /// Whether another process serves in this one's place.
+    /// Whether this process has handed over to a successor that is still linked.
     pub fn has_successor(&self) -> bool {
         self.successor.borrow().is_some()
     }
 
-    /// Forwards a callback to the process that has its attempt, except to the one that it came from.
+    /// Forwards a callback to the other processes, one after the other, until one has its attempt. Skips the
+    /// process at the other end of `from`, which sent the callback.
     pub async fn forward(&self, callback: &Callback, from: Option<&Arc<Link>>) -> Forwarded {
-        let links = lock(&self.links).clone();
+        let links = lock_ignoring_poison(&self.links).clone();
         let mut result = Forwarded::Unknown;
         for link in links {
             if from.is_some_and(|from| Arc::ptr_eq(from, &link)) {
@@ -192,29 +197,34 @@
 
     /// Whether a request with this id is open in another process.
     pub fn has_open_request(&self, id: RequestId) -> bool {
-        lock(&self.links).iter().any(|link| lock(&link.remote).open_requests.contains(&id.0))
+        lock_ignoring_poison(&self.links)
+            .iter()
+            .any(|link| lock_ignoring_poison(&link.remote).open_requests.contains(&id.0))
     }
 
-    /// The number of client connections of all other processes.
+    /// Returns the total number of client connections of the other processes.
     pub fn connections(&self) -> usize {
-        lock(&self.links).iter().map(|link| lock(&link.remote).connections).sum()
+        lock_ignoring_poison(&self.links)
+            .iter()
+            .map(|link| lock_ignoring_poison(&link.remote).connections)
+            .sum()
     }
 
-    /// The number of other processes.
+    /// Returns the number of other processes.
     pub fn processes(&self) -> usize {
-        lock(&self.links).len()
+        lock_ignoring_poison(&self.links).len()
     }
 
-    /// Queues a message for every other process.
+    /// Queues a message to every other process.
     pub fn broadcast(&self, message: impl Fn() -> HandoverMessage) {
-        for link in lock(&self.links).iter() {
+        for link in lock_ignoring_poison(&self.links).iter() {
             link.send(message(), Vec::new());
         }
     }
 
-    /// Whether messages to another process are still queued.
+    /// Whether messages to any other process are still queued.
     pub fn has_queued(&self) -> bool {
-        lock(&self.links).iter().any(|link| link.has_queued())
+        lock_ignoring_poison(&self.links).iter().any(|link| link.has_queued())
     }
 }
 
--- a/crates/vetchbridge/src/upgrade/process_links/tests.rs
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -1,4 +1,4 @@
-//! What is known of other processes, and the forwarding of callbacks to them.
+//! Tests of the reported state of other processes and of forwarding callbacks to them.
 
 use super::*;
 use crate::workers::CallbackState;
@@ -8,9 +8,10 @@
     Callback { id, worker, state: CallbackState::Started, fraction: 0.0, result: String::new(), load: None }
 }
 
-/// What is known of another process is dropped with its link, and without its successor this process serves alone.
+/// Removing a link drops the state of the process at the other end; removing the successor's link also clears
+/// the successor.
 #[test]
-fn a_process_that_has_ended_has_no_requests_and_no_connections() {
+fn removing_a_link_drops_the_requests_and_connections_of_its_process() {
     let process_links = ProcessLinks::default();
     let ((old, _old_queue), (new, _new_queue)) = (Link::new(), Link::new());
     process_links.add(old.clone());
@@ -47,10 +48,10 @@
     assert_eq!((process_links.connections(), process_links.has_successor()), (0, false));
 }
 
-/// A callback is forwarded to each process but the one that it came from; a process that hangs or has ended delays it no
-/// longer than the time limit.
+/// A callback is forwarded to each process except the one that sent it. A process that hangs delays it only
+/// until the time limit; a process that has ended does not delay it.
 #[tokio::test(start_paused = true)]
-async fn a_callback_is_forwarded_to_each_process_in_turn() {
+async fn a_callback_is_forwarded_to_each_other_process_in_turn() {
     let process_links = ProcessLinks::default();
     assert_eq!(
         process_links.forward(&callback(), None).await,
@@ -63,7 +64,7 @@
         process_links.add(link.clone());
         queues.push((link, Some(queue)));
     }
-    // The first has ended, the second hangs, from the third it came, the fourth has the attempt.
+    // The first process has ended, the second hangs, the third sent the callback, the fourth has the attempt.
     queues[0].1 = None;
     let (with_attempt, mut forwarded) = (queues[3].0.clone(), queues[3].1.take().expect("a queue"));
     let replying = async {
@@ -76,8 +77,11 @@
     let callback = callback();
     let (known, ()) = tokio::join!(process_links.forward(&callback, Some(&queues[2].0)), replying);
     assert_eq!(known, Forwarded::Known);
-    assert!(queues[2].1.as_mut().expect("a queue").try_recv().is_err(), "it came from there");
-    // From the fourth it came this time; the second may have it, and does not reply.
+    assert!(
+        queues[2].1.as_mut().expect("a queue").try_recv().is_err(),
+        "the callback is not sent back to the third process"
+    );
+    // Now the fourth process sent the callback; the second may have the attempt and does not reply.
     let unanswered = process_links.forward(&callback, Some(&queues[3].0)).await;
-    assert_eq!(unanswered, Forwarded::Unanswered, "the worker is to retry");
+    assert_eq!(unanswered, Forwarded::Unanswered, "no reply from the second process");
 }
--- a/crates/vetchbridge/src/upgrade/reader.rs
+++ b/crates/vetchbridge/src/upgrade/reader.rs
@@ -10,24 +10,24 @@
     /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// What came is no message of this version.
+    /// The received bytes are not a message of this version.
     #[error(transparent)]
     Decode(#[from] serde_json::Error),
 }
 
-/// A reader of one socket's messages, with the buffer that it needs.
+/// Reads the messages that arrive at one socket.
 pub struct MessageReader<'a> {
     socket: &'a HandoverSocket,
     buffer: Vec<u8>,
 }
 
 impl<'a> MessageReader<'a> {
-    /// A reader of what arrives at `socket`.
+    /// Returns a reader of the messages that arrive at `socket`.
     pub fn new(socket: &'a HandoverSocket) -> MessageReader<'a> {
         MessageReader { socket, buffer: vec![0; MAX_MESSAGE_BYTES] }
     }
 
-    /// The next message; `None` once the other process has closed the connection.
+    /// Reads the next message; returns `None` once the other process has closed the connection.
     pub async fn next(&mut self) -> Result<Option<Envelope>, ReceiveError> {
         let Some(received) = self.socket.receive(&mut self.buffer).await? else { return Ok(None) };
         let message = HandoverMessage::decode(&self.buffer[..received.length])?;
--- a/crates/vetchbridge/src/upgrade/socket.rs
+++ b/crates/vetchbridge/src/upgrade/socket.rs
@@ -1,8 +1,8 @@
-//! Unix sockets that carry messages, each complete or not at all, and descriptors (`SOCK_SEQPACKET`, `SCM_RIGHTS`).
+//! Unix sockets that carry whole messages (`SOCK_SEQPACKET`) and file descriptors (`SCM_RIGHTS`).
 //!
-//! Owns the sockets' system calls. The runtime knows no such sockets; they are registered with it as stream sockets,
-//! whose readiness is the same, and are read and written here alone. A descriptor that was received is owned by its
-//! receiver. The content of a message does not matter here.
+//! This module makes the system calls and does not interpret the messages. Tokio does not support such
+//! sockets, so they are registered with it as stream sockets, whose readiness works in the same way; only
+//! this module reads and writes them. The process that receives a descriptor owns it.
 
 use rustix::cmsg_space;
 use rustix::io::{retry_on_intr, Errno};
@@ -20,48 +20,51 @@
 
 /// Maximum number of descriptors in one message.
 const MAX_DESCRIPTORS: usize = 2;
-/// Maximum number of successors that wait to be accepted.
+/// Maximum number of successors that may wait in the listener's queue.
 const ACCEPT_BACKLOG: i32 = 4;
 
-fn socket() -> io::Result<OwnedFd> {
+fn new_socket() -> io::Result<OwnedFd> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     Ok(socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// A socket that successors connect to.
+/// The socket to which successors connect.
 pub struct HandoverListener {
     socket: UnixListener,
-    /// Its own path until it is published.
+    /// The temporary path of the socket; `None` once the socket has been published.
     unpublished_path: Option<PathBuf>,
 }
 
 impl HandoverListener {
-    /// Listens at a path of its own beside `path`, to which nobody connects yet.
+    /// Listens at a temporary path in the same directory as `path`, to which no process connects.
     pub fn open(path: &Path) -> io::Result<HandoverListener> {
-        let own_path = path.with_extension(std::process::id().to_string());
-        let _ = std::fs::remove_file(&own_path);
-        let socket = socket()?;
-        bind(&socket, &SocketAddrUnix::new(&own_path)?)?;
+        let temporary_path = path.with_extension(std::process::id().to_string());
+        let _ = std::fs::remove_file(&temporary_path);
+        let socket = new_socket()?;
+        bind(&socket, &SocketAddrUnix::new(&temporary_path)?)?;
         listen(&socket, ACCEPT_BACKLOG)?;
         Ok(HandoverListener {
             socket: UnixListener::from_std(socket.into())?,
-            unpublished_path: Some(own_path),
+            unpublished_path: Some(temporary_path),
         })
     }
 
-    /// Moves to `path`. A socket that is there, of a process that has ended or has handed over, is replaced.
+    /// Moves the socket to `path`. Replaces the socket of a process that has ended or has handed over.
     pub fn publish(&mut self, path: &Path) -> io::Result<()> {
         match self.unpublished_path.take() {
-            Some(own_path) => std::fs::rename(own_path, path),
+            Some(temporary_path) => std::fs::rename(temporary_path, path),
             None => Ok(()),
         }
     }
 
-    /// Accepts the next process that connects. One of another user is rejected.
+    /// Accepts the next connection. Returns an error if the process that connected belongs to another user.
     pub async fn accept(&self) -> io::Result<HandoverSocket> {
         let (accepted, _) = self.socket.accept().await?;
         if accepted.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
-            return Err(io::Error::new(io::ErrorKind::PermissionDenied, "a process of another user"));
+            return Err(io::Error::new(
+                io::ErrorKind::PermissionDenied,
+                "connection from a process of another user",
+            ));
         }
         Ok(HandoverSocket(accepted))
     }
@@ -69,15 +72,15 @@
 
 impl Drop for HandoverListener {
     fn drop(&mut self) {
-        if let Some(own_path) = self.unpublished_path.take() {
-            let _ = std::fs::remove_file(own_path);
+        if let Some(temporary_path) = self.unpublished_path.take() {
+            let _ = std::fs::remove_file(temporary_path);
         }
     }
 }
 
 /// A message that was received into a caller's buffer.
 pub struct ReceivedMessage {
-    /// Its length in bytes.
+    /// The length of the message, in bytes.
     pub length: usize,
     /// The descriptors that came with it.
     pub descriptors: Vec<OwnedFd>,
@@ -87,9 +90,9 @@
 pub struct HandoverSocket(UnixStream);
 
 impl HandoverSocket {
-    /// Connects to the process that listens at a path.
+    /// Connects to the process that listens at `path`.
     pub fn connect(path: &Path) -> io::Result<HandoverSocket> {
-        let socket = socket()?;
+        let socket = new_socket()?;
         connect(&socket, &SocketAddrUnix::new(path)?)?;
         Ok(HandoverSocket(UnixStream::from_std(socket.into())?))
     }
@@ -108,7 +111,8 @@
         sent.await.map(drop)
     }
 
-    /// Receives the next message into `buffer`; `None` once the other process has closed the connection.
+    /// Receives the next message into `buffer`; returns `None` once the other process has closed the
+    /// connection.
     pub async fn receive(&self, buffer: &mut [u8]) -> io::Result<Option<ReceivedMessage>> {
         let received = self.0.async_io(Interest::READABLE, || {
             let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -1,7 +1,7 @@
-//! The successor's side of an upgrade: a process that starts takes over from the one that serves.
+//! The successor's side of an upgrade: a process that starts takes over from the process that serves.
 //!
-//! Owns the connection to the predecessor until everything has been inherited. Whatever goes wrong, the start goes on
-//! without a predecessor.
+//! Owns the connection to the predecessor until everything has been inherited. If the take-over fails, the
+//! process starts without a predecessor.
 
 use super::message::{Envelope, HandoverMessage, Offer, VERSION};
 use super::reader::{MessageReader, ReceiveError};
@@ -14,11 +14,11 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-/// What a predecessor hands over.
+/// The sockets and the state that a successor inherits from its predecessor.
 pub struct InheritedState {
-    /// The clients' listener.
+    /// The listener for clients.
     pub listener: TcpListener,
-    /// The peers' socket.
+    /// The socket for messages between schedulers, if the predecessor has one.
     pub peer_socket: Option<UdpSocket>,
     /// The predecessor's state.
     pub offer: Offer,
@@ -28,13 +28,13 @@
     pub socket: HandoverSocket,
 }
 
-/// What an attempt to take over came to.
+/// The result of an attempt to take over.
 pub enum TakeoverOutcome {
-    /// A process of this scheduler has handed over.
+    /// A process of the same scheduler has handed over.
     Inherited(Box<InheritedState>),
-    /// No process listens at the path, or the one that does failed or did not respond in time.
+    /// No process listens at the path, or the process there failed or did not respond in time.
     NoPredecessor,
-    /// The process at the path runs and has rejected this one as its successor.
+    /// The process at the path is running and has rejected this process as its successor.
     Rejected,
 }
 
@@ -43,11 +43,11 @@
 enum TakeoverError {
     #[error("{0}")]
     Rejected(String),
-    #[error("the other process closed the connection")]
+    #[error("the predecessor closed the connection")]
     Closed,
     #[error("unexpected message {0:?}")]
     UnexpectedMessage(Box<HandoverMessage>),
-    #[error("the offer came without a listener")]
+    #[error("the offer carries no descriptor of the listener for clients")]
     MissingListener,
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -60,7 +60,8 @@
     let socket = match HandoverSocket::connect(path) {
         Ok(socket) => socket,
         Err(error) => {
-            // A file that a crash or anyone else left behind is logged; that there is none is the usual case.
+            // A missing file is the usual case and is not logged. Any other error is: for example, a crashed
+            // process may have left its socket file behind.
             if error.kind() != io::ErrorKind::NotFound {
                 info!(path = %path.display(), %error, "upgrade.no_predecessor");
             }
@@ -73,7 +74,7 @@
             warn!(path = %path.display(), reason, "upgrade.takeover_rejected");
             TakeoverOutcome::Rejected
         }
-        // The process there may have died meanwhile; its place is free then.
+        // The process may have ended since it was connected to; this process can then use the path.
         Ok(Err(error)) => {
             warn!(path = %path.display(), reason = %error, "upgrade.takeover_failed");
             TakeoverOutcome::NoPredecessor
@@ -85,7 +86,7 @@
     }
 }
 
-/// Introduces this process and receives everything that the other one hands over.
+/// Sends the hello message and receives everything that the predecessor hands over.
 async fn inherit(
     socket: HandoverSocket,
     name: &str,
@@ -107,7 +108,7 @@
     Ok(InheritedState { listener, peer_socket, offer, endpoints, socket })
 }
 
-/// Receives the endpoint list, up to the empty message that ends it.
+/// Receives the endpoint list, up to the empty message that marks its end.
 async fn receive_endpoints(
     reader: &mut MessageReader<'_>,
     generation: u64,
