--- a/crates/vetchbridge/src/clients/handler.rs
+++ b/crates/vetchbridge/src/clients/handler.rs
@@ -9,7 +9,7 @@
 use super::protocol::{CALLBACK_PATH, READINESS_PATH};
 use super::server::ClientServer;
 use crate::request::{submit, Answer};
-use crate::upgrade::process_links::Forwarded;
+use crate::upgrade::process_links::ForwardOutcome;
 use crate::workers::Callback;
 use axum::body::Body;
 use axum::extract::{Extension, Request as HttpRequest, State};
@@ -91,12 +91,12 @@
         return StatusCode::OK.into_response();
     }
     match server.process_links.forward(callback, None).await {
-        Forwarded::Known => StatusCode::OK.into_response(),
-        Forwarded::Unknown => {
+        ForwardOutcome::Known => StatusCode::OK.into_response(),
+        ForwardOutcome::Unknown => {
             debug!(request = callback.id, worker = callback.worker, "callback.unmatched");
             StatusCode::OK.into_response()
         }
-        Forwarded::Unanswered => {
+        ForwardOutcome::Unanswered => {
             warn!(request = callback.id, worker = callback.worker, "callback.forward_failed");
             (StatusCode::SERVICE_UNAVAILABLE, "say it again\n").into_response()
         }
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::message::{Envelope, HandoverMessage};
 use super::predecessor::HandoverServer;
-use super::process_links::{Forwarded, Link};
+use super::process_links::{ForwardOutcome, Link};
 use super::reader::{MessageReader, ReceiveError};
 use super::socket::HandoverSocket;
 use crate::workers::Callback;
@@ -110,14 +110,14 @@
         let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
         tokio::spawn(async move {
             let forwarded = if upstream.dispatch_callback(&callback) {
-                Forwarded::Known
+                ForwardOutcome::Known
             } else {
                 process_links.forward(&callback, Some(&link)).await
             };
             // If a third process did not reply, no reply is sent either: the sender's own time limit expires,
             // and the callback counts as unanswered there too.
-            if forwarded != Forwarded::Unanswered {
-                let known = forwarded == Forwarded::Known;
+            if forwarded != ForwardOutcome::Unanswered {
+                let known = forwarded == ForwardOutcome::Known;
                 link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
             }
         });
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -24,7 +24,7 @@
 
 /// The result of forwarding a callback to the other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Forwarded {
+pub enum ForwardOutcome {
     /// One of the processes has the callback's attempt.
     Known,
     /// No other process has the callback's attempt.
@@ -76,7 +76,7 @@
     }
 
     /// Forwards a callback to the other process and waits for the reply.
-    async fn forward(&self, callback: Callback) -> Forwarded {
+    async fn forward(&self, callback: Callback) -> ForwardOutcome {
         let (reply_sender, reply) = oneshot::channel();
         let number = {
             let remote = &mut *lock_ignoring_poison(&self.remote);
@@ -86,12 +86,12 @@
         };
         let forwarded = if self.send(HandoverMessage::ForwardedCallback { number, callback }, Vec::new()) {
             match timeout(CALLBACK_REPLY_TIMEOUT, reply).await {
-                Ok(Ok(true)) => Forwarded::Known,
-                Ok(Ok(false)) => Forwarded::Unknown,
-                Ok(Err(_)) | Err(_) => Forwarded::Unanswered,
+                Ok(Ok(true)) => ForwardOutcome::Known,
+                Ok(Ok(false)) => ForwardOutcome::Unknown,
+                Ok(Err(_)) | Err(_) => ForwardOutcome::Unanswered,
             }
         } else {
-            Forwarded::Unknown
+            ForwardOutcome::Unknown
         };
         lock_ignoring_poison(&self.remote).pending_callbacks.remove(&number);
         forwarded
@@ -179,17 +179,17 @@
 
     /// Forwards a callback to the other processes, one after the other, until one has its attempt. Skips the
     /// process at the other end of `from`, which sent the callback.
-    pub async fn forward(&self, callback: &Callback, from: Option<&Arc<Link>>) -> Forwarded {
+    pub async fn forward(&self, callback: &Callback, from: Option<&Arc<Link>>) -> ForwardOutcome {
         let links = lock_ignoring_poison(&self.links).clone();
-        let mut result = Forwarded::Unknown;
+        let mut result = ForwardOutcome::Unknown;
         for link in links {
             if from.is_some_and(|from| Arc::ptr_eq(from, &link)) {
                 continue;
             }
             match link.forward(callback.clone()).await {
-                Forwarded::Known => return Forwarded::Known,
-                Forwarded::Unanswered => result = Forwarded::Unanswered,
-                Forwarded::Unknown => {}
+                ForwardOutcome::Known => return ForwardOutcome::Known,
+                ForwardOutcome::Unanswered => result = ForwardOutcome::Unanswered,
+                ForwardOutcome::Unknown => {}
             }
         }
         result
--- a/crates/vetchbridge/src/upgrade/process_links/tests.rs
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -55,7 +55,7 @@
     let process_links = ProcessLinks::default();
     assert_eq!(
         process_links.forward(&callback(), None).await,
-        Forwarded::Unknown,
+        ForwardOutcome::Unknown,
         "there is no other process"
     );
     let links: Vec<_> = (0..4).map(|_| Link::new()).collect();
@@ -76,12 +76,12 @@
     };
     let callback = callback();
     let (known, ()) = tokio::join!(process_links.forward(&callback, Some(&queues[2].0)), replying);
-    assert_eq!(known, Forwarded::Known);
+    assert_eq!(known, ForwardOutcome::Known);
     assert!(
         queues[2].1.as_mut().expect("a queue").try_recv().is_err(),
         "the callback is not sent back to the third process"
     );
     // Now the fourth process sent the callback; the second may have the attempt and does not reply.
     let unanswered = process_links.forward(&callback, Some(&queues[3].0)).await;
-    assert_eq!(unanswered, Forwarded::Unanswered, "no reply from the second process");
+    assert_eq!(unanswered, ForwardOutcome::Unanswered, "no reply from the second process");
 }
