--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -122,8 +122,8 @@
 
     pub(super) fn other_processes(&self) -> OtherProcesses {
         OtherProcesses {
-            count: self.process_links.processes(),
-            connections: self.process_links.connections(),
+            count: self.process_links.process_count(),
+            connections: self.process_links.connection_count(),
         }
     }
 
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -82,7 +82,7 @@
                     }
                 },
                 // A successor that has ended may have published its own listener at the path.
-                () = self.process_links.link_closed() => if !self.process_links.has_successor() {
+                () = self.process_links.wait_for_removed_link() => if !self.process_links.has_successor() {
                     match publish_listener(&path) {
                         Ok(published) => listener = published,
                         Err(error) => warn!(path = %path.display(), %error, "upgrade.unavailable"),
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -122,7 +122,7 @@
 pub struct ProcessLinks {
     links: Mutex<Vec<Arc<Link>>>,
     successor: watch::Sender<Option<Arc<Link>>>,
-    link_closed: Notify,
+    link_removed: Notify,
 }
 
 impl Default for ProcessLinks {
@@ -130,7 +130,7 @@
         ProcessLinks {
             links: Mutex::default(),
             successor: watch::Sender::new(None),
-            link_closed: Notify::new(),
+            link_removed: Notify::new(),
         }
     }
 }
@@ -154,12 +154,12 @@
         if was_successor {
             warn!("upgrade.successor_lost");
         }
-        self.link_closed.notify_one();
+        self.link_removed.notify_one();
     }
 
     /// Waits until a link has been removed.
-    pub async fn link_closed(&self) {
-        self.link_closed.notified().await;
+    pub async fn wait_for_removed_link(&self) {
+        self.link_removed.notified().await;
     }
 
     /// Marks the process at the other end of `link` as the successor, which serves instead of this process.
@@ -203,7 +203,7 @@
     }
 
     /// Returns the total number of client connections of the other processes.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         lock_ignoring_poison(&self.links)
             .iter()
             .map(|link| lock_ignoring_poison(&link.remote).connections)
@@ -211,7 +211,7 @@
     }
 
     /// Returns the number of other processes.
-    pub fn processes(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         lock_ignoring_poison(&self.links).len()
     }
 
--- a/crates/vetchbridge/src/upgrade/process_links/tests.rs
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -31,7 +31,7 @@
         (
             process_links.has_open_request(RequestId(1)),
             process_links.has_open_request(RequestId(2)),
-            process_links.connections()
+            process_links.connection_count()
         ),
         (false, true, 7)
     );
@@ -39,13 +39,13 @@
     assert_eq!(
         (
             process_links.has_open_request(RequestId(2)),
-            process_links.connections(),
+            process_links.connection_count(),
             process_links.has_successor()
         ),
         (false, 3, true)
     );
     process_links.remove(&new);
-    assert_eq!((process_links.connections(), process_links.has_successor()), (0, false));
+    assert_eq!((process_links.connection_count(), process_links.has_successor()), (0, false));
 }
 
 /// A callback is forwarded to each process except the one that sent it. A process that hangs delays it only
