--- a/crates/vetchbridge/tests/client_connection_limits.rs
+++ b/crates/vetchbridge/tests/client_connection_limits.rs
@@ -41,7 +41,7 @@
     async fn stop_discovery(&mut self) {
         let mut watch = Wire::new(self.discovery.accept().await.expect("the watch").0);
         watch.read_target().await;
-        watch.send_endpoints(5, json!(self.known)).await;
+        watch.send_endpoints(5, json!(self.instances)).await;
         watch.read_target().await;
         drop(std::mem::replace(&mut self.discovery, TcpListener::bind("127.0.0.1:0").await.expect("a port")));
         drop(watch);
@@ -74,7 +74,7 @@
     }
     for _ in 0..DESCRIPTOR_LIMIT {
         assert_eq!(harness.assert_only_next_job_arrives().await, 0);
-        assert_eq!(harness.readiness().await.status(), "200");
+        assert_eq!(harness.get_readiness().await.status(), "200");
     }
 }
 
@@ -84,7 +84,7 @@
 #[tokio::test]
 async fn accepting_resumes_after_the_last_descriptor_was_taken() {
     const FAILURES: u32 = 10;
-    let mut harness = Harness::start_with_limit(0, &[], 1024).await;
+    let mut harness = Harness::start_with_descriptor_limit(0, &[], 1024).await;
     harness.limit_descriptors(40);
     let start = Instant::now();
     let mut clients: Vec<Wire> = Vec::new();
@@ -96,7 +96,7 @@
     }
     assert!(start.elapsed() >= (FAILURES - 1) * Duration::from_millis(20), "it pauses after each");
     drop(clients);
-    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
 /// An attempt without a descriptor for its dial never ran, and its worker is not at fault: even a non-idempotent job is
@@ -108,7 +108,7 @@
 async fn a_dial_without_a_descriptor_is_no_failure_of_its_worker() {
     const REPETITIONS: usize = 2;
     // An ejected worker is used if there is no other, and Retry-After shows for how long it would be ejected.
-    let mut harness = Harness::start_with_limit(1, &[], 1024).await;
+    let mut harness = Harness::start_with_descriptor_limit(1, &[], 1024).await;
     harness.stop_discovery().await;
     let mut client = dial(harness.daemon.address).await;
     client.send(READY).await;
@@ -140,7 +140,7 @@
                 assert!(pending.len() >= DESCRIPTOR_LIMIT as usize / 4, "{} connections", pending.len());
                 return pending;
             }
-            (_, mut worker) = harness.accept_worker() => {
+            (_, mut worker) = harness.accept_worker_connection() => {
                 let job = worker.read().await.expect("the job");
                 assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "and not one that was rejected");
                 worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
--- a/crates/vetchbridge/tests/client_input.rs
+++ b/crates/vetchbridge/tests/client_input.rs
@@ -22,7 +22,7 @@
     huge.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n").await;
     assert_eq!(status(huge.read().await.as_ref()), "413");
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     // A second request with an id that is still open would get the first one's response.
     let mut twin = dial(harness.daemon.address).await;
@@ -101,7 +101,7 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn one_more_job_is_accepted_when_all_connections_are_in_use() {
-    let mut harness = Harness::start_with_limit(1, &[], 2 * DESCRIPTOR_LIMIT).await;
+    let mut harness = Harness::start_with_descriptor_limit(1, &[], 2 * DESCRIPTOR_LIMIT).await;
     let (mut in_flight, mut evictable) = (Vec::new(), Vec::new());
     for round in 0..68 {
         let mut idle = dial(harness.daemon.address).await;
@@ -114,7 +114,7 @@
             evictable.push(half);
         }
         in_flight.push(harness.submit_job("safe", "k").await);
-        let (_, mut worker) = harness.accept_worker().await;
+        let (_, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
         // So that the next job needs a new connection.
         worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -27,13 +27,13 @@
 /// `daemon`: it keeps running, and has answered another request after that; a reset would have arrived by then.
 async fn closes_without_reset(client: &mut Wire, daemon: Option<&Harness>) {
     let mut unread = Vec::new();
-    let (here, there) = addresses(client);
+    let (here, there) = local_and_peer_addresses(client);
     client.socket().read_to_end(&mut unread).await.expect("no reset");
     assert!(unread.is_empty(), "{}", unread.escape_ascii());
     if let Some(harness) = daemon {
-        harness.readiness().await;
+        harness.get_readiness().await;
     }
-    let state = kernel_connection(here, there).map(|connection| connection.state);
+    let state = tcp_table_entry(here, there).map(|connection| connection.state);
     assert_eq!(state.as_deref(), Some(CLOSE_WAIT), "only the other side has closed");
 }
 
@@ -57,7 +57,7 @@
     harness.daemon.resume();
     assert_eq!(status(client.read().await.as_ref()), expected);
     closes_without_reset(&mut client, Some(&harness)).await;
-    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
 /// Nothing after a request whose response closes the connection reaches a worker, whether it was read before or after.
@@ -69,7 +69,7 @@
     harness.daemon.admin_command("quiesce").await;
     let mut client = dial(harness.daemon.address).await;
     client.send(&job_request("00000000000000a1", 4)).await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     client.send(&job_request("00000000000000a2", length)).await;
     worker.send(ACCEPTED_AND_CLOSE).await;
@@ -95,7 +95,7 @@
     } else {
         client.write_in_pieces(&requests).await.expect("the daemon reads");
     }
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     assert_eq!(worker.read().await.expect("the job").text(), "work");
     worker.send(ACCEPTED_AND_CLOSE).await;
     harness.send_callback("00000000000000a1", number, "done").await;
@@ -124,7 +124,7 @@
     closes_without_reset(&mut idle, Some(&harness)).await;
     client.send(&job[received..]).await;
     let (number, mut worker) = tokio::select! {
-        dialled = harness.accept_worker() => dialled,
+        dialled = harness.accept_worker_connection() => dialled,
         response = client.read() => panic!("it was closed after {response:?}"),
     };
     worker.read().await.expect("the job");
@@ -153,7 +153,7 @@
     wait_until_delivered(&mut client).await;
     harness.daemon.resume();
     let served = async {
-        let (number, mut worker) = harness.accept_worker().await;
+        let (number, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
         worker.send(ACCEPTED_AND_CLOSE).await;
         harness.send_callback("00000000000000a1", number, "done").await;
@@ -179,7 +179,7 @@
     let (mut before, _) = harness.submit_job("safe", "k").await;
     let (mut after, _) = harness.submit_job("safe", "k").await;
     for _ in 0..2 {
-        let (_, mut worker) = harness.accept_worker().await;
+        let (_, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
     }
     before.send(&job_request("00000000000000a2", 20_000)).await;
@@ -221,8 +221,12 @@
     } else {
         // A connection dialled for the request would come before this one.
         let mut marker = dial(harness.workers[0].local_addr().expect("bound")).await;
-        let (_, mut first) = harness.accept_worker().await;
-        assert_eq!(addresses(&mut first).1, addresses(&mut marker).0, "nothing was forwarded");
+        let (_, mut first) = harness.accept_worker_connection().await;
+        assert_eq!(
+            local_and_peer_addresses(&mut first).1,
+            local_and_peer_addresses(&mut marker).0,
+            "nothing was forwarded"
+        );
     }
 }
 
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -65,14 +65,14 @@
 }
 
 /// The kernel's entry of a connection, in hexadecimal numbers.
-pub struct KernelConnection {
+pub struct TcpTableEntry {
     pub state: String,
     /// Bytes that are written and not yet acknowledged.
     pub unacknowledged: String,
 }
 
 /// The kernel's entry of a connection, by the ports of this end and the other.
-pub fn kernel_connection(here: SocketAddr, there: SocketAddr) -> Option<KernelConnection> {
+pub fn tcp_table_entry(here: SocketAddr, there: SocketAddr) -> Option<TcpTableEntry> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
     let ports = [here, there].map(|end| format!(":{:04X}", end.port()));
     // The table has the connections of the whole machine: only lines that name both ports are taken apart.
@@ -80,7 +80,7 @@
     candidates.find_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         let found = columns.get(1)?.ends_with(&ports[0]) && columns.get(2)?.ends_with(&ports[1]);
-        found.then(|| KernelConnection {
+        found.then(|| TcpTableEntry {
             state: columns[3].to_string(),
             unacknowledged: columns[4].split(':').next().unwrap_or_default().to_string(),
         })
@@ -88,16 +88,16 @@
 }
 
 /// The addresses of both ends of a connection, this one first.
-pub fn addresses(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
+pub fn local_and_peer_addresses(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
     let socket = wire.socket();
     (socket.local_addr().expect("bound"), socket.peer_addr().expect("connected"))
 }
 
 /// Waits until the other side's kernel has what was written, whatever its process does.
 pub async fn wait_until_delivered(wire: &mut Wire) {
-    let (here, there) = addresses(wire);
-    let is_pending = |connection: KernelConnection| !connection.unacknowledged.trim_matches('0').is_empty();
-    while kernel_connection(here, there).is_some_and(is_pending) {
+    let (here, there) = local_and_peer_addresses(wire);
+    let is_pending = |connection: TcpTableEntry| !connection.unacknowledged.trim_matches('0').is_empty();
+    while tcp_table_entry(here, there).is_some_and(is_pending) {
         tokio::task::yield_now().await;
     }
 }
@@ -117,7 +117,7 @@
 
 /// Answers the first call of a daemon that has just started: its saved list is as it was. Its next call comes on a
 /// connection of its own.
-pub async fn confirm_list(discovery: &TcpListener) {
+pub async fn confirm_endpoint_list(discovery: &TcpListener) {
     let mut wire = Wire::new(discovery.accept().await.expect("the first call").0);
     assert_eq!(wire.read_target().await, "/registry/instances?index=1&wait=0");
     let unchanged = r#"{"generation":1,"reset":false,"instances":[]}"#;
@@ -125,7 +125,7 @@
 }
 
 /// A configuration with two attempts for each request and one class of each idempotency.
-pub fn config(discovery: SocketAddr, instances: Value) -> Value {
+pub fn daemon_config(discovery: SocketAddr, instances: Value) -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "repeat": repeat, "group": "all", "window": 5_000_000, "aim": 500_000,
                "deadline": 60_000_000, "importance": 1.0, "late_share": 0.5})
@@ -155,7 +155,7 @@
     let parsed: Value = serde_json::from_str(config).unwrap_or_default();
     let sockets = parsed["limits"]["sockets"].as_u64().unwrap_or(DESCRIPTOR_LIMIT.into());
     let mut command = Command::new("sh");
-    let preload = if faults.is_empty() { String::new() } else { preload(faults) };
+    let preload = if faults.is_empty() { String::new() } else { preload_prefix(faults) };
     command
         .args(["-c", &format!("ulimit -n {sockets}; exec {preload} {}", env!("CARGO_BIN_EXE_vetchbridge"))]);
     command.env_clear().env("BALANCER_CONFIG", &path).stderr(Stdio::piped());
@@ -163,7 +163,7 @@
 }
 
 /// The prefix of a shell command whose system calls are to fail.
-fn preload(faults: &str) -> String {
+fn preload_prefix(faults: &str) -> String {
     let library = std::env::current_exe().expect("a path").with_file_name("libsyscall_faults.so");
     assert!(library.is_file(), "{}: built with the tests of the workspace", library.display());
     format!("env LD_PRELOAD={} SYSCALL_FAULTS={faults}", library.display())
@@ -172,7 +172,7 @@
 /// One process of the daemon; killed when dropped.
 pub struct Process {
     pub child: Child,
-    pub config: PathBuf,
+    pub config_path: PathBuf,
     pub address: SocketAddr,
     pub admin: SocketAddr,
     pub log: UnboundedReceiver<String>,
@@ -212,7 +212,7 @@
         let (admin, address) = (address_in("admin.listening"), address_in("daemon.listening"));
         let (sender, log) = unbounded_channel();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(sender.send(line))));
-        Process { child, config: path, address, admin, log }
+        Process { child, config_path: path, address, admin, log }
     }
 
     /// Starts the daemon and waits until it serves, its list confirmed by a discovery of its own that sends nothing more.
@@ -220,7 +220,7 @@
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         config["discovery"] = discovery.local_addr().expect("bound").to_string().into();
         let mut process = Process::start(config, folder);
-        confirm_list(&discovery).await;
+        confirm_endpoint_list(&discovery).await;
         process.wait_for_log("serving").await;
         (process, discovery)
     }
@@ -275,24 +275,24 @@
 pub struct Harness {
     pub daemon: Process,
     pub folder: tempfile::TempDir,
-    pub known: Vec<Value>,
+    pub instances: Vec<Value>,
     pub discovery: TcpListener,
     pub workers: Vec<TcpListener>,
-    pub next_id: u64,
+    pub last_request_id: u64,
 }
 
 impl Harness {
     pub async fn start(workers: usize) -> Harness {
-        Harness::start_with_listed(workers, &[]).await
+        Harness::start_with_other_workers(workers, &[]).await
     }
 
     /// The same; `others` are listed after the scripted workers.
-    pub async fn start_with_listed(workers: usize, others: &[SocketAddr]) -> Harness {
-        Harness::start_with_limit(workers, others, DESCRIPTOR_LIMIT).await
+    pub async fn start_with_other_workers(workers: usize, others: &[SocketAddr]) -> Harness {
+        Harness::start_with_descriptor_limit(workers, others, DESCRIPTOR_LIMIT).await
     }
 
     /// The same with this limit on descriptors.
-    pub async fn start_with_limit(workers: usize, others: &[SocketAddr], sockets: u32) -> Harness {
+    pub async fn start_with_descriptor_limit(workers: usize, others: &[SocketAddr], sockets: u32) -> Harness {
         Harness::start_configured(workers, others, sockets, "").await
     }
 
@@ -310,32 +310,32 @@
         }
         let scripted = listeners.iter().map(|listener| listener.local_addr().expect("bound"));
         let addresses = scripted.chain(others.iter().copied()).enumerate();
-        let known: Vec<Value> = addresses.map(|(n, address)| instance(n, address, "up")).collect();
+        let instances: Vec<Value> = addresses.map(|(n, address)| instance(n, address, "up")).collect();
         let folder = tempfile::tempdir().expect("a folder");
-        let mut config = config(discovery.local_addr().unwrap(), known.clone().into());
+        let mut config = daemon_config(discovery.local_addr().unwrap(), instances.clone().into());
         config["limits"]["sockets"] = sockets.into();
         let mut daemon = Process::start_with_faults(&config, folder.path(), faults);
-        confirm_list(&discovery).await;
+        confirm_endpoint_list(&discovery).await;
         daemon.wait_for_log("serving").await;
-        Harness { daemon, folder, known, discovery, workers: listeners, next_id: 0xab00 }
+        Harness { daemon, folder, instances, discovery, workers: listeners, last_request_id: 0xab00 }
     }
 
     /// Starts the next process of the scheduler beside the one that serves. Its own list is empty.
     pub fn start_successor(&self) -> Process {
-        let mut config = config(self.discovery.local_addr().unwrap(), json!([]));
+        let mut config = daemon_config(self.discovery.local_addr().unwrap(), json!([]));
         config["listen"] = self.daemon.address.to_string().into();
         Process::start(&config, self.folder.path())
     }
 
     /// The response to `/health/ready` on a connection of its own.
-    pub async fn readiness(&self) -> Message {
+    pub async fn get_readiness(&self) -> Message {
         let mut load_balancer = dial(self.daemon.address).await;
         load_balancer.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
         load_balancer.read().await.expect("an answer")
     }
 
     /// Accepts the next connection to any worker.
-    pub async fn accept_worker(&self) -> (usize, Wire) {
+    pub async fn accept_worker_connection(&self) -> (usize, Wire) {
         let accepts = self.workers.iter().map(|worker| Box::pin(worker.accept()));
         let (accepted, number, _) = select_all(accepts).await;
         (number, Wire::new(accepted.expect("a connection").0))
@@ -343,8 +343,8 @@
 
     /// Sends a job of a class; its connection and its id.
     pub async fn submit_job(&mut self, class: &str, key: &str) -> (Wire, String) {
-        self.next_id += 1;
-        let id = format!("{:016x}", self.next_id);
+        self.last_request_id += 1;
+        let id = format!("{:016x}", self.last_request_id);
         let mut client = dial(self.daemon.address).await;
         client
             .post_request(
@@ -366,7 +366,7 @@
     }
 
     /// Sends jobs of many keys, and has worker 0 and no other serve them.
-    pub async fn serve_at_worker_0(&mut self, class: &str) {
+    pub async fn serve_jobs_at_worker_0(&mut self, class: &str) {
         for key in 0..8 {
             let (mut client, id) = self.submit_job(class, &key.to_string()).await;
             let mut worker = Wire::new(self.workers[0].accept().await.expect("worker 0 is dialled").0);
@@ -387,7 +387,7 @@
         loop {
             let read_request = async |(number, mut wire): (usize, Wire)| (number, wire.read().await, wire);
             let (number, call, mut wire) = tokio::select! {
-                dialled = self.accept_worker() => {
+                dialled = self.accept_worker_connection() => {
                     calls.push(read_request(dialled));
                     continue;
                 }
@@ -407,7 +407,7 @@
 
     /// Has whichever worker is dialled next serve the job.
     pub async fn serve_next_attempt(&self, id: &str) {
-        let (number, mut worker) = self.accept_worker().await;
+        let (number, mut worker) = self.accept_worker_connection().await;
         worker.read().await.expect("the job");
         worker.send(ACCEPTED).await;
         self.send_callback(id, number, "done").await;
--- a/crates/vetchbridge/tests/endpoint_updates.rs
+++ b/crates/vetchbridge/tests/endpoint_updates.rs
@@ -26,7 +26,7 @@
     }
     // The invalid list ended the watch; the decision module opens the next one from the version that it has.
     assert!(watch.read_target().await.contains("index=5&"));
-    harness.serve_at_worker_0("safe").await;
+    harness.serve_jobs_at_worker_0("safe").await;
 }
 
 /// A list that is incomplete is not applied, but a worker that it calls draining is.
@@ -46,5 +46,5 @@
     // The version is what it was.
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the next watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
-    harness.serve_at_worker_0("safe").await;
+    harness.serve_jobs_at_worker_0("safe").await;
 }
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -253,7 +253,7 @@
     let per_socket = SCHEDULERS / peers.len();
     let mut each: Vec<String> = (0..SCHEDULERS).map(|n| peers[n / per_socket].to_string()).collect();
     each[SCHEDULERS - 1] = own.to_string();
-    let mut config = config(discovery, json!([]));
+    let mut config = daemon_config(discovery, json!([]));
     config["limits"]["sockets"] = 1024.into();
     config["peer_listen"] = own.to_string().into();
     config["peers"] = json!(each);
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -28,7 +28,7 @@
 impl Disconnect {
     /// Disconnects, and waits until the daemon's kernel knows, whatever the daemon does.
     async fn run(self, mut client: Wire) {
-        let (here, there) = addresses(&mut client);
+        let (here, there) = local_and_peer_addresses(&mut client);
         {
             let _lock = spawn_lock();
             match self {
@@ -36,7 +36,7 @@
                 Disconnect::Reset => client.reset(),
             }
         }
-        while kernel_connection(there, here).is_some_and(|connection| connection.state == ESTABLISHED) {
+        while tcp_table_entry(there, here).is_some_and(|connection| connection.state == ESTABLISHED) {
             tokio::task::yield_now().await;
         }
     }
@@ -88,7 +88,7 @@
     let mut harness = Harness::start(2).await;
     let (mut client, _) = harness.submit_job("unsafe", "k").await;
     client.send(after).await;
-    let (_, mut worker) = harness.accept_worker().await;
+    let (_, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     harness.daemon.suspend().await;
     worker.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
@@ -110,7 +110,7 @@
     let mut harness = Harness::start(1).await;
     let (mut client, _) = harness.submit_job("safe", "k").await;
     client.send(after).await;
-    let (_, mut worker) = harness.accept_worker().await;
+    let (_, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     how.run(client).await;
     assert!(worker.read().await.is_none(), "the attempt is canceled by closing its connection");
@@ -141,14 +141,14 @@
         client.write_in_pieces(&format!("{head}{body}")).await.expect("the daemon reads");
         client.send(after).await;
     }
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     let job = worker.read().await.expect("the job");
     assert_eq!(job.text(), if body.len() > 5 { "work" } else { "" });
     // Once it is accepted, nothing but its client's disconnect cancels the attempt.
     worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     harness.send_callback("00000000000000cd", number, "started").await;
     how.run(client).await;
-    let (_, mut worker) = harness.accept_worker().await;
+    let (_, mut worker) = harness.accept_worker_connection().await;
     assert_eq!(worker.read().await.expect("a call").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
     drop(worker);
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for it");
@@ -194,7 +194,7 @@
     client.send(&all).await;
     for id in 1..=20 {
         let id = format!("{id:016x}");
-        let (number, mut worker) = harness.accept_worker().await;
+        let (number, mut worker) = harness.accept_worker_connection().await;
         assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
         worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         harness.send_callback(&id, number, "done").await;
@@ -216,7 +216,7 @@
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let full = socket.listen(1).expect("it listens");
     let address = full.local_addr().expect("bound");
-    let mut harness = Harness::start_with_listed(0, &[address]).await;
+    let mut harness = Harness::start_with_other_workers(0, &[address]).await;
     // As many as the kernel queues; the next one is not established until one of them is accepted.
     let filling = [TcpStream::connect(address).await, TcpStream::connect(address).await];
     let (mut client, _) = harness.submit_job("safe", "k").await;
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -88,7 +88,7 @@
     let address = |listener: &TcpListener| listener.local_addr().expect("bound");
     let listen: SocketAddr = address(&other);
     let text = |discovery: &TcpListener| {
-        let mut config = config(address(discovery), json!([]));
+        let mut config = daemon_config(address(discovery), json!([]));
         config["listen"] = listen.to_string().into();
         config.to_string()
     };
@@ -144,7 +144,7 @@
         instance
     };
     let known: Vec<_> = ["small", "large"].into_iter().enumerate().map(listed).collect();
-    let mut config = config("127.0.0.1:1".parse().expect("an address"), json!(known));
+    let mut config = daemon_config("127.0.0.1:1".parse().expect("an address"), json!(known));
     config["settings"]["kinds"] = json!(["small", "large"]);
     config["settings"]["specifics"] = json!({"class_kind": [1, -1, -1]});
     let folder = tempfile::tempdir().expect("a folder");
@@ -170,7 +170,7 @@
             assert_eq!(status(callback.read().await.as_ref()), "200");
             assert_eq!(status(client.read().await.as_ref()), "200");
         }
-        replace(&daemon.config, &config.to_string());
+        replace(&daemon.config_path, &config.to_string());
         daemon.signal("-HUP");
         daemon.wait_for_log("configuration.applied").await;
     }
@@ -190,17 +190,17 @@
     watch.send_endpoints(70, json!([instance(0, worker_address, "up")])).await;
     assert!(watch.read_target().await.contains("index=70&"));
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
 
-    std::fs::write(&harness.daemon.config, "{").expect("written");
+    std::fs::write(&harness.daemon.config_path, "{").expect("written");
     harness.daemon.signal("-HUP");
     for version in [3, 2] {
         let moved = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = moved.local_addr().unwrap();
-        let file = config(address, json!([])).to_string();
-        std::fs::write(&harness.daemon.config, file).expect("written");
+        let file = daemon_config(address, json!([])).to_string();
+        std::fs::write(&harness.daemon.config_path, file).expect("written");
         harness.daemon.signal("-HUP");
         let mut watch = Wire::new(moved.accept().await.expect("the new watch").0);
         assert_eq!(watch.read_target().await, "/registry/instances");
@@ -223,14 +223,14 @@
 async fn new_settings_apply_and_open_requests_keep_their_class() {
     let mut harness = Harness::start(2).await;
     let (mut removed_class, removed_class_id) = harness.submit_job("unsafe", "k").await;
-    let (removed_class_worker, mut wire) = harness.accept_worker().await;
+    let (removed_class_worker, mut wire) = harness.accept_worker_connection().await;
     wire.read().await.expect("the job");
     wire.send(ACCEPTED).await;
     let (mut once_safe, once_safe_id) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker().await;
+    let (_, mut second) = harness.accept_worker_connection().await;
     second.read().await.expect("the job, at the worker that has none yet");
 
-    let mut other = config(harness.discovery.local_addr().unwrap(), json!(harness.known));
+    let mut other = daemon_config(harness.discovery.local_addr().unwrap(), json!(harness.instances));
     let services = other["settings"]["services"].as_array_mut().expect("classes");
     // safe, unsafe, keyed become keyed, fresh, safe; and safe may not be retried any more.
     services.rotate_right(1);
@@ -240,7 +240,7 @@
     services[2]["repeat"] = "unsafe".into();
     services[0].as_object_mut().expect("a class").remove("window");
     services[0]["repeat"] = "safe".into();
-    std::fs::write(&harness.daemon.config, other.to_string()).expect("written");
+    std::fs::write(&harness.daemon.config_path, other.to_string()).expect("written");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("configuration.applied").await.contains("keyed,fresh,safe"));
 
@@ -254,7 +254,7 @@
     harness.send_callback(&once_safe_id, removed_class_worker, "done").await;
     assert_eq!(status(once_safe.read().await.as_ref()), "200");
     let (mut now_unsafe, _) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker().await;
+    let (_, mut second) = harness.accept_worker_connection().await;
     second.read().await.expect("the job");
     drop(second);
     assert_eq!(status(now_unsafe.read().await.as_ref()), "502");
@@ -273,10 +273,10 @@
 #[tokio::test]
 async fn an_invalid_configuration_is_rejected_completely() {
     let mut harness = Harness::start(0).await;
-    let mut other = config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
+    let mut other = daemon_config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
     other["settings"]["services"][1]["name"] = "fresh".into();
     for (invalid, key) in invalid_configurations(&other) {
-        std::fs::write(&harness.daemon.config, &invalid).expect("written");
+        std::fs::write(&harness.daemon.config_path, &invalid).expect("written");
         harness.daemon.signal("-HUP");
         let mut logged = harness.daemon.wait_for_log("configuration.").await;
         while !logged.contains("configuration.unchanged") {
@@ -290,7 +290,7 @@
     assert_eq!(status(client.read().await.as_ref()), "400");
     // Two faults, two lines.
     let both = with(&other, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
-    std::fs::write(&harness.daemon.config, both).expect("written");
+    std::fs::write(&harness.daemon.config_path, both).expect("written");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("no number above 0"));
     assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("no number above 0"));
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -21,7 +21,7 @@
     let headers =
         "X-Trace-Id: 00000000000000ab\r\nX-Qos: safe\r\nX-Expires-In: 30000m\r\nIdempotency-Key: 5c0f\r\n";
     client.post_request("/safe/a%2Fb?q=%20", headers, "some work").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     let job = worker.read().await.expect("the job");
     assert_eq!(job.line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
     assert_eq!(job.header("x-trace-id"), Some("00000000000000ab"));
@@ -48,7 +48,7 @@
 async fn a_response_and_a_callback_may_arrive_a_byte_at_a_time() {
     let mut harness = Harness::start(1).await;
     let (mut client, id) = harness.submit_job("unsafe", "k").await;
-    let (_, mut worker) = harness.accept_worker().await;
+    let (_, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.write_in_pieces(ACCEPTED).await.expect("the daemon reads");
     let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
@@ -68,7 +68,7 @@
 async fn a_client_that_disconnects_has_its_attempt_cancelled(#[values(true, false)] accepted: bool) {
     let mut harness = Harness::start(1).await;
     let (client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     if accepted {
         worker.send(ACCEPTED).await;
@@ -88,7 +88,7 @@
     let mut harness = Harness::start(2).await;
     let (mut client, _) = harness.submit_job("unsafe", "k").await;
     for _ in 0..2 {
-        let (_, mut worker) = harness.accept_worker().await;
+        let (_, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
         worker.send("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
     }
--- a/crates/vetchbridge/tests/shutdown.rs
+++ b/crates/vetchbridge/tests/shutdown.rs
@@ -14,7 +14,7 @@
 async fn a_graceful_shutdown_responds_to_every_accepted_request() {
     let mut harness = Harness::start(1).await;
     let (mut early, early_id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
     // Never complete, so never accepted: it must not delay the end, not even until it times out.
@@ -23,7 +23,7 @@
     harness.daemon.signal("-TERM");
     // Readiness is polled until the signal has arrived.
     let closed = loop {
-        let answer = harness.readiness().await;
+        let answer = harness.get_readiness().await;
         if answer.status() == "503" {
             break answer;
         }
@@ -62,11 +62,11 @@
     // Connected and silent so far: whenever its job arrives, it gets a response.
     let mut slow = dial(harness.daemon.address).await;
     let (mut early, early_id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
     assert_eq!(harness.daemon.admin_command("quiesce").await, "ok draining\n");
-    let not_ready = harness.readiness().await;
+    let not_ready = harness.get_readiness().await;
     assert_eq!((not_ready.status(), not_ready.header("connection")), ("503", Some("close")));
     assert!(idle.read().await.is_none(), "an idle connection is closed");
     assert_eq!(harness.daemon.admin_command("health").await, "ok drained\n");
@@ -86,7 +86,7 @@
     for call in ["resume", "quiesce", "resume"] {
         harness.daemon.admin_command(call).await;
     }
-    let ready = harness.readiness().await;
+    let ready = harness.get_readiness().await;
     assert_eq!((ready.status(), ready.header("connection")), ("200", None));
     harness.daemon.admin_command("quiesce").await;
     harness.daemon.signal("-TERM");
@@ -100,7 +100,7 @@
 async fn a_request_open_at_the_end_of_a_shutdown_gets_a_final_response() {
     let mut harness = Harness::start(1).await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
     harness.send_callback(&id, number, "started").await;
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -20,7 +20,7 @@
     let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = other.local_addr().expect("bound");
     let folder = tempfile::tempdir().expect("a folder");
-    let mut config = config("127.0.0.1:1".parse().expect("an address"), json!([]));
+    let mut config = daemon_config("127.0.0.1:1".parse().expect("an address"), json!([]));
     config["listen"] = address.to_string().into();
     let (mut command, _) = daemon_command(&config.to_string());
     let mut child = command.env("TMPDIR", folder.path()).spawn().expect("it starts");
@@ -41,7 +41,7 @@
 /// A daemon that has just started, with a saved list of these workers, and its discovery, which sends nothing by itself.
 async fn start_unconfirmed(delivery: &str, saved: Value) -> (TcpListener, Process, tempfile::TempDir) {
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let mut config = config(discovery.local_addr().expect("bound"), saved);
+    let mut config = daemon_config(discovery.local_addr().expect("bound"), saved);
     config["settings"]["discovery"] = delivery.into();
     let folder = tempfile::tempdir().expect("a folder");
     let daemon = Process::start(&config, folder.path());
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn a_successor_of_a_process_with_an_unconfirmed_list_waits_for_confirmation_too() {
     let (discovery, first, folder) = start_unconfirmed("ask", json!([])).await;
-    let mut config = config(discovery.local_addr().expect("bound"), json!([]));
+    let mut config = daemon_config(discovery.local_addr().expect("bound"), json!([]));
     config["listen"] = first.address.to_string().into();
     let successor = Process::start(&config, folder.path());
     assert!(successor.admin_command("health").await.starts_with("fail"));
@@ -155,7 +155,7 @@
 #[case::class("/settings/services/0/name", Value::Null, "settings.services[].name")]
 fn an_invalid_key_is_named(#[case] path: &str, #[case] value: Value, #[case] key: &str) {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut config = config(nowhere, json!([]));
+    let mut config = daemon_config(nowhere, json!([]));
     match config.pointer_mut(path) {
         Some(old) => *old = value,
         None => config[&path[1..]] = value,
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -88,13 +88,13 @@
 async fn daemon_starts(seed: u32) {
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let peers = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let mut config = config(discovery.local_addr().expect("bound"), json!([]));
+    let mut config = daemon_config(discovery.local_addr().expect("bound"), json!([]));
     config["peer_listen"] = peers.to_string().into();
     config["peers"] = json!([peers.to_string()]);
     let folder = tempfile::tempdir().expect("a folder");
     let faults = format!("seed={seed},socket.failed=0.5,connect.failed=0.3");
     let mut process = Process::start_with_faults(&config, folder.path(), &faults);
-    confirm_list(&discovery).await;
+    confirm_endpoint_list(&discovery).await;
     process.wait_for_log("serving").await;
     assert_eq!(process.admin_command("health").await, "ok serving\n");
 }
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -19,14 +19,14 @@
     let mut harness = Harness::start(1).await;
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
-    watch.send_endpoints(70, json!(harness.known)).await;
+    watch.send_endpoints(70, json!(harness.instances)).await;
     assert!(watch.read_target().await.contains("index=70&"));
     let mut idle = dial(harness.daemon.address).await;
     idle.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert_eq!(status(idle.read().await.as_ref()), "200");
     let mut fresh = dial(harness.daemon.address).await;
     let (mut early, early_id) = harness.submit_job("unsafe", "k").await;
-    let (number, mut old_worker) = harness.accept_worker().await;
+    let (number, mut old_worker) = harness.accept_worker_connection().await;
     old_worker.read().await.expect("the job");
     old_worker.send(ACCEPTED).await;
     harness.send_callback(&early_id, number, "started").await;
@@ -37,7 +37,7 @@
     assert!(watch.read_target().await.contains("index=70&"), "it goes on from the list that it was given");
     // The old process knows of its successor once it hands connections over.
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut new_worker) = harness.accept_worker().await;
+    let (number, mut new_worker) = harness.accept_worker_connection().await;
     assert_eq!(new_worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
     new_worker.send(ACCEPTED).await;
     let mut twin = dial(harness.daemon.address).await;
@@ -68,7 +68,7 @@
 async fn a_connection_stays_if_the_successor_dies_before_it_is_handed_over() {
     let mut harness = Harness::start(1).await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
     let mut successor = harness.start_successor();
@@ -93,7 +93,7 @@
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let peers = reserved.local_addr().expect("bound");
     drop(reserved);
-    let mut config = config(harness.discovery.local_addr().unwrap(), json!([]));
+    let mut config = daemon_config(harness.discovery.local_addr().unwrap(), json!([]));
     config["name"] = "n1".into();
     config["peer_listen"] = peers.to_string().into();
     config["peers"] = json!([peers.to_string()]);
@@ -120,12 +120,12 @@
         assert_eq!(successor.admin_command("health").await, "ok serving\n");
         successor.child.kill().expect("killed");
         // Connections queue at the listener, which both had, until the old process has noticed.
-        assert_eq!(harness.readiness().await.status(), "200");
+        assert_eq!(harness.get_readiness().await.status(), "200");
     }
     harness.daemon.admin_command("quiesce").await;
     let second = harness.start_successor();
     assert!(second.admin_command("health").await.starts_with("ok drain"));
-    assert_eq!(harness.readiness().await.status(), "503");
+    assert_eq!(harness.get_readiness().await.status(), "503");
     second.admin_command("resume").await;
     let third = harness.start_successor();
     // Its state would not be the scheduler's any more.
@@ -133,7 +133,7 @@
     assert_eq!(third.admin_command("health").await, "ok serving\n");
     second.signal("-TERM");
     harness.daemon.signal("-TERM");
-    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
 /// Whatever is at the path where a predecessor would listen, a process starts all the same.
@@ -148,7 +148,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     leave(&folder.join(HANDOVER_SOCKET));
-    let mut config = config(harness.discovery.local_addr().unwrap(), json!([]));
+    let mut config = daemon_config(harness.discovery.local_addr().unwrap(), json!([]));
     let (first, _discovery) = Process::start_serving(&mut config, folder).await;
     let mut next = config.clone();
     next["listen"] = first.address.to_string().into();
@@ -178,7 +178,7 @@
         .expect("it does not close the connection first");
     let message = String::from_utf8_lossy(&buffer[..received.length]).into_owned();
     assert!(message.starts_with(&format!("{{\"{expected}\"")), "{message}");
-    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.get_readiness().await.status(), "200");
     assert_eq!(harness.start_successor().admin_command("health").await, "ok serving\n");
 }
 
@@ -193,12 +193,12 @@
 async fn without_a_hand_over_socket_two_processes_still_share_the_address() {
     let mut harness = Harness::start(0).await;
     let nowhere = harness.folder.path().join("not-there");
-    let mut config = config(harness.discovery.local_addr().unwrap(), json!([]));
+    let mut config = daemon_config(harness.discovery.local_addr().unwrap(), json!([]));
     let (first, _discovery) = Process::start_serving(&mut config, &nowhere).await;
     config["listen"] = first.address.to_string().into();
     let (second, _discovery) = Process::start_serving(&mut config, &nowhere).await;
     assert_eq!(second.admin_command("health").await, "ok serving\n");
     drop(first);
     harness.daemon = second;
-    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.get_readiness().await.status(), "200");
 }
--- a/crates/vetchbridge/tests/worker_failures.rs
+++ b/crates/vetchbridge/tests/worker_failures.rs
@@ -30,7 +30,7 @@
 ) {
     let mut harness = Harness::start(2).await;
     let (mut client, id) = harness.submit_job(class, "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(answer).await;
     if callback.is_empty() {
@@ -57,13 +57,13 @@
 ) {
     let mut harness = Harness::start(2).await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (first, mut worker) = harness.accept_worker().await;
+    let (first, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(answer).await;
     if answer == ACCEPTED {
         harness.send_callback(&id, first, "failed").await;
     }
-    let (second, mut worker) = harness.accept_worker().await;
+    let (second, mut worker) = harness.accept_worker_connection().await;
     assert_ne!(first, second);
     worker.read().await.expect("the job again");
     worker.send(ACCEPTED).await;
@@ -83,7 +83,7 @@
 async fn an_attempt_at_an_unresponsive_worker_times_out(#[values("safe", "unsafe")] class: &str) {
     let mut harness = Harness::start(2).await;
     let (mut client, id) = harness.submit_job(class, "k").await;
-    let (_, mut unresponsive) = harness.accept_worker().await;
+    let (_, mut unresponsive) = harness.accept_worker_connection().await;
     unresponsive.read().await.expect("the job");
     if class == "safe" {
         harness.serve_next_attempt(&id).await;
@@ -102,7 +102,7 @@
     let mut first = None;
     for _ in 0..3 {
         let (mut client, _) = harness.submit_job("safe", "k").await;
-        let (number, mut worker) = harness.accept_worker().await;
+        let (number, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
         worker.send("HTTP/1.1 400 No\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         assert_eq!(status(client.read().await.as_ref()), "502");
@@ -119,8 +119,8 @@
     // other test.
     let refusing = TcpSocket::new_v4().expect("a socket");
     refusing.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let mut harness = Harness::start_with_listed(1, &[refusing.local_addr().expect("bound")]).await;
-    harness.serve_at_worker_0("unsafe").await;
+    let mut harness = Harness::start_with_other_workers(1, &[refusing.local_addr().expect("bound")]).await;
+    harness.serve_jobs_at_worker_0("unsafe").await;
 }
 
 /// A connection that the worker closed while the connection was idle is never written to.
@@ -130,7 +130,7 @@
 async fn a_connection_closed_by_the_worker_is_not_reused() {
     let mut harness = Harness::start(1).await;
     let (mut client, id) = harness.submit_job("unsafe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
     harness.send_callback(&id, number, "done").await;
