--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -33,7 +33,7 @@
 const DEADLINE_US: u64 = 60_000_000;
 
 /// What differs between the schedulers of the tests.
-pub struct Setup {
+pub struct SchedulerSetup {
     pub scheduler_index: u32,
     pub scheduler_count: u32,
     pub delivery: EndpointDelivery,
@@ -41,9 +41,14 @@
     pub seed: u64,
 }
 
-impl Default for Setup {
-    fn default() -> Setup {
-        Setup { scheduler_index: 0, scheduler_count: 1, delivery: EndpointDelivery::Poll, seed: 0x5eed }
+impl Default for SchedulerSetup {
+    fn default() -> SchedulerSetup {
+        SchedulerSetup {
+            scheduler_index: 0,
+            scheduler_count: 1,
+            delivery: EndpointDelivery::Poll,
+            seed: 0x5eed,
+        }
     }
 }
 
@@ -53,40 +58,40 @@
     pub upstream: Arc<UpstreamGroup>,
     pub settings: Arc<CurrentSettings>,
     pub discovery: TcpListener,
-    pub discovery_requests: UnboundedSender<DiscoveryRequest>,
-    received_requests: Option<UnboundedReceiver<DiscoveryRequest>>,
+    pub discovery_request_sender: UnboundedSender<DiscoveryRequest>,
+    discovery_request_receiver: Option<UnboundedReceiver<DiscoveryRequest>>,
     endpoint_list: Arc<Mutex<EndpointList>>,
 }
 
 impl TestScheduler {
     /// One of so many schedulers; it polls its list.
-    pub async fn in_tier_of(scheduler_count: u32) -> TestScheduler {
-        TestScheduler::new(Setup { scheduler_count, ..Setup::default() }).await
+    pub async fn with_scheduler_count(scheduler_count: u32) -> TestScheduler {
+        TestScheduler::new(SchedulerSetup { scheduler_count, ..SchedulerSetup::default() }).await
     }
 
-    pub async fn new(setup: Setup) -> TestScheduler {
+    pub async fn new(setup: SchedulerSetup) -> TestScheduler {
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let document = configuration(&setup, discovery.local_addr().expect("bound"));
         let config = read_text("test", &document.to_string()).expect("a configuration").config;
         let scheduler = Scheduler::new(config.snapshot.settings.clone(), setup.seed).expect("valid settings");
         let upstream = Arc::new(UpstreamGroup::new(TEST_TIMEOUT, TEST_TIMEOUT, 1));
-        let (discovery_requests, received_requests) = unbounded_channel();
+        let (discovery_request_sender, discovery_request_receiver) = unbounded_channel();
         let engine =
-            Engine::new(scheduler, upstream.clone(), discovery_requests.clone(), unbounded_channel().0);
+            Engine::new(scheduler, upstream.clone(), discovery_request_sender.clone(), unbounded_channel().0);
         tokio::spawn(engine.clone().run_timers());
         TestScheduler {
             engine,
             upstream,
             settings: Arc::new(CurrentSettings::new(config.snapshot)),
             discovery,
-            discovery_requests,
-            received_requests: Some(received_requests),
+            discovery_request_sender,
+            discovery_request_receiver: Some(discovery_request_receiver),
             endpoint_list: Arc::default(),
         }
     }
 
     /// Starts the endpoint watcher with this saved list, of generation 1.
-    pub fn watch_endpoints(&mut self, instances: Value) {
+    pub fn start_endpoint_watcher(&mut self, instances: Value) {
         let saved = json!({"generation": 1, "reset": true, "instances": instances});
         let document = serde_json::from_value(saved).expect("a document");
         let initial = InitialEndpoints { document, generation_valid: true, handed_over: false };
@@ -98,11 +103,11 @@
             self.upstream.clone(),
             self.endpoint_list.clone(),
         );
-        tokio::spawn(watcher.run(self.received_requests.take().expect("started once")));
+        tokio::spawn(watcher.run(self.discovery_request_receiver.take().expect("started once")));
     }
 
     /// The next connection to the discovery service, and the target of the call on it.
-    pub async fn next_call(&self) -> (Wire, String) {
+    pub async fn accept_call(&self) -> (Wire, String) {
         let mut wire = Wire::new(self.discovery.accept().await.expect("a call").0);
         let target = wire.read().await.expect("a call").target().to_string();
         (wire, target)
@@ -110,15 +115,15 @@
 
     /// Answers the first call: the saved list is current. Returns the connection with the watch that follows.
     pub async fn confirm_saved_list(&self) -> Wire {
-        let (mut wire, _) = self.next_call().await;
+        let (mut wire, _) = self.accept_call().await;
         answer_changes(&mut wire, 1, json!([])).await;
         wire.read().await.expect("the watch continues");
         wire
     }
 
     /// Sends a request to the endpoint watcher.
-    pub fn request(&self, request: DiscoveryRequest) {
-        self.discovery_requests.send(request).expect("the watcher runs");
+    pub fn send_discovery_request(&self, request: DiscoveryRequest) {
+        self.discovery_request_sender.send(request).expect("the watcher runs");
     }
 
     /// Name and state of each worker as last published.
@@ -139,12 +144,12 @@
     }
 
     /// What a reload does that names the same discovery service and this delivery.
-    pub fn reload(&self, delivery: EndpointDelivery) {
+    pub fn reload_with_delivery(&self, delivery: EndpointDelivery) {
         let mut settings = self.settings.get().settings.clone();
         settings.endpoint_delivery = delivery;
         self.replace_settings(settings.clone());
         self.engine.handle(Event::Settings(Box::new(settings)));
-        self.request(DiscoveryRequest::Move(self.discovery_source()));
+        self.send_discovery_request(DiscoveryRequest::Move(self.discovery_source()));
     }
 
     /// Submits a job of the one class, with key `k`.
@@ -171,7 +176,7 @@
 }
 
 /// A configuration with one class, which is not idempotent.
-fn configuration(setup: &Setup, discovery: SocketAddr) -> Value {
+fn configuration(setup: &SchedulerSetup, discovery: SocketAddr) -> Value {
     let delivery = match setup.delivery {
         EndpointDelivery::Push => "push",
         EndpointDelivery::Poll => "ask",
@@ -191,7 +196,7 @@
 }
 
 /// The same worker while it is draining.
-pub fn draining(mut instance: Value) -> Value {
+pub fn as_draining(mut instance: Value) -> Value {
     instance["lifecycle"] = "draining".into();
     instance
 }
@@ -214,7 +219,7 @@
 }
 
 /// Refuses a call, as a service with too many callers does.
-pub async fn refuse(wire: &mut Wire) {
+pub async fn reject_call(wire: &mut Wire) {
     wire.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
 }
 
@@ -226,11 +231,11 @@
 }
 
 /// Answers a call with the part of a document before `cut`, and closes the connection.
-pub async fn break_off(mut wire: Wire, document: &str, cut: &str) {
+pub async fn answer_part_and_close(mut wire: Wire, document: &str, cut: &str) {
     answer_part(&mut wire, document, cut).await;
 }
 
 /// Resolves once everything has been read and acted on: a paused clock moves only when nothing is left to do.
-pub async fn settle() {
+pub async fn wait_until_idle() {
     tokio::time::sleep(Duration::from_millis(1)).await;
 }
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -5,8 +5,8 @@
 mod in_process;
 
 use in_process::{
-    answer_changes, answer_part, break_off, instance, refuse, unused_address, Setup, TestScheduler,
-    TEST_TIMEOUT,
+    answer_changes, answer_part, answer_part_and_close, instance, reject_call, unused_address,
+    SchedulerSetup, TestScheduler, TEST_TIMEOUT,
 };
 use rstest::rstest;
 use serde_json::json;
@@ -29,15 +29,15 @@
     let mut schedulers = Vec::new();
     for scheduler_index in 0..SCHEDULERS {
         // A pushed list is watched at once; how long a call waits is the same for both deliveries.
-        let setup = Setup {
+        let setup = SchedulerSetup {
             scheduler_index,
             scheduler_count: SCHEDULERS,
             delivery: EndpointDelivery::Push,
-            ..Setup::default()
+            ..SchedulerSetup::default()
         };
         let mut scheduler = TestScheduler::new(setup).await;
-        scheduler.watch_endpoints(json!([]));
-        let (wire, _) = scheduler.next_call().await;
+        scheduler.start_endpoint_watcher(json!([]));
+        let (wire, _) = scheduler.accept_call().await;
         schedulers.push((wire, scheduler));
     }
     let mut previous = vec![0; schedulers.len()];
@@ -69,8 +69,8 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_silent_watch_is_reopened_before_its_updates_count_as_notified() {
-    let mut scheduler = TestScheduler::in_tier_of(300).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(300).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let mut wire = Wire::new(scheduler.discovery.accept().await.expect("the watch").0);
     let target = |call: Option<Message>| call.expect("a call").target().to_string();
     assert!(target(wire.read().await).contains("index=1&wait="));
@@ -103,9 +103,9 @@
     async fn fail(self, mut wire: Wire) -> Option<Wire> {
         let document = r#"{"generation":9,"reset":true,"instances":[{"instanceId":"s-cut"}]}"#;
         match self {
-            CallFails::Refused => refuse(&mut wire).await,
+            CallFails::Refused => reject_call(&mut wire).await,
             CallFails::Reset => wire.reset(),
-            CallFails::Cut => break_off(wire, document, "s-cut").await,
+            CallFails::Cut => answer_part_and_close(wire, document, "s-cut").await,
             CallFails::Stalled => {
                 answer_part(&mut wire, document, "s-cut").await;
                 return Some(wire);
@@ -129,14 +129,15 @@
     #[values(1, 3, 300)] scheduler_count: u32,
     #[values(1, 7)] seed: u64,
 ) {
-    let mut scheduler = TestScheduler::new(Setup { scheduler_count, seed, ..Setup::default() }).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler =
+        TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let mut wire = scheduler.confirm_saved_list().await;
     let mut open = Vec::new();
     for number in 0..6 {
         let called = Instant::now();
         open.extend(fails.fail(wire).await);
-        wire = scheduler.next_call().await.0;
+        wire = scheduler.accept_call().await.0;
         let apart = called.elapsed();
         assert!(apart <= Duration::from_millis(3_500), "call {number} was followed after {apart:?}");
     }
@@ -159,7 +160,7 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_dial_that_is_lost_is_followed_by_the_next_one_in_time() {
-    let mut scheduler = TestScheduler::in_tier_of(1).await;
+    let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     // A dial to a listener whose backlog is full gets no answer.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -167,7 +168,7 @@
     let address = scheduler.discovery.local_addr().expect("bound");
     let _filler = TcpStream::connect(address).await.expect("the one that the backlog takes");
     let began = Instant::now();
-    scheduler.watch_endpoints(json!([]));
+    scheduler.start_endpoint_watcher(json!([]));
     // The clock is paused: this is no wait, but lets it move on, by less than the pause before the next call.
     let advance = || sleep(Duration::from_millis(25));
     while pending_dials(address).is_empty() {
@@ -179,7 +180,7 @@
         advance().await;
     }
     scheduler.discovery.accept().await.expect("the filler");
-    let _next = scheduler.next_call().await;
+    let _next = scheduler.accept_call().await;
     assert!(began.elapsed() <= Duration::from_millis(3_500), "{:?} after the start", began.elapsed());
 }
 
@@ -189,15 +190,15 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn the_call_after_a_failure_waits_for_no_change_and_is_made_once() {
-    let mut scheduler = TestScheduler::in_tier_of(1).await;
-    scheduler.watch_endpoints(json!([]));
-    let (mut wire, _) = scheduler.next_call().await;
-    refuse(&mut wire).await;
-    let (mut wire, target) = scheduler.next_call().await;
+    let mut scheduler = TestScheduler::with_scheduler_count(1).await;
+    scheduler.start_endpoint_watcher(json!([]));
+    let (mut wire, _) = scheduler.accept_call().await;
+    reject_call(&mut wire).await;
+    let (mut wire, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances?index=1&wait=0");
-    scheduler.request(DiscoveryRequest::Subscribe);
-    scheduler.request(DiscoveryRequest::Fetch);
-    let (_fetch, target) = scheduler.next_call().await;
+    scheduler.send_discovery_request(DiscoveryRequest::Subscribe);
+    scheduler.send_discovery_request(DiscoveryRequest::Fetch);
+    let (_fetch, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances", "and not the watch once more");
     answer_changes(&mut wire, 2, json!([])).await;
     let target = wire.read().await.expect("the watch continues").target().to_string();
@@ -210,15 +211,15 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn documents_that_keep_breaking_off_are_polled_with_growing_pauses() {
-    let mut scheduler = TestScheduler::in_tier_of(300).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(300).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let entries = json!([instance("s-a", unused_address()), {"instanceId": "s-b"}]);
     let document = json!({"generation": 2, "instances": entries, "reset": false}).to_string();
-    let (mut wire, _) = scheduler.next_call().await;
+    let (mut wire, _) = scheduler.accept_call().await;
     for pause_ms in [0, 0, 1_000, 1_000] {
         let broke_off = Instant::now();
-        break_off(wire, &document, "s-b").await;
-        (wire, _) = scheduler.next_call().await;
+        answer_part_and_close(wire, &document, "s-b").await;
+        (wire, _) = scheduler.accept_call().await;
         let waited = broke_off.elapsed();
         assert!(waited >= Duration::from_millis(pause_ms), "{waited:?} after one of them broke off");
     }
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -4,7 +4,10 @@
 #[path = "common/in_process.rs"]
 mod in_process;
 
-use in_process::{answer_changes, answer_complete_list, refuse, settle, Setup, TestScheduler, TEST_TIMEOUT};
+use in_process::{
+    answer_changes, answer_complete_list, reject_call, wait_until_idle, SchedulerSetup, TestScheduler,
+    TEST_TIMEOUT,
+};
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
@@ -32,9 +35,13 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_pushed_list_is_watched_from_the_start_and_after_every_end_of_its_watch() {
-    let setup = Setup { scheduler_count: LARGE_TIER, delivery: EndpointDelivery::Push, ..Setup::default() };
+    let setup = SchedulerSetup {
+        scheduler_count: LARGE_TIER,
+        delivery: EndpointDelivery::Push,
+        ..SchedulerSetup::default()
+    };
     let mut scheduler = TestScheduler::new(setup).await;
-    scheduler.watch_endpoints(json!([]));
+    scheduler.start_endpoint_watcher(json!([]));
     let accept = || async { Wire::new(scheduler.discovery.accept().await.expect("the watch").0) };
     let mut wire = accept().await;
     // How the watch ends, and how soon after its call the next one is there, in milliseconds.
@@ -50,7 +57,7 @@
         let called = Instant::now();
         let mut silent = None;
         match end {
-            WatchEnd::Refusal => refuse(&mut wire).await,
+            WatchEnd::Refusal => reject_call(&mut wire).await,
             WatchEnd::Reset => wire.reset(),
             // Its connection stays open, and not a byte comes.
             WatchEnd::Silence => silent = Some(wire),
@@ -82,15 +89,15 @@
     #[case] to: EndpointDelivery,
     #[case] watch_is_open: bool,
 ) {
-    let setup = Setup { scheduler_count: LARGE_TIER, delivery: from, ..Setup::default() };
+    let setup = SchedulerSetup { scheduler_count: LARGE_TIER, delivery: from, ..SchedulerSetup::default() };
     let mut scheduler = TestScheduler::new(setup).await;
-    scheduler.watch_endpoints(json!([]));
-    let (mut wire, _) = scheduler.next_call().await;
+    scheduler.start_endpoint_watcher(json!([]));
+    let (mut wire, _) = scheduler.accept_call().await;
     answer_complete_list(&mut wire, 2, json!([])).await;
     assert!(wire.read().await.expect("the watch continues").target().contains("index=2&"));
     if watch_is_open {
-        scheduler.reload(to);
-        settle().await;
+        scheduler.reload_with_delivery(to);
+        wait_until_idle().await;
         answer_complete_list(&mut wire, 3, json!([])).await;
         assert!(wire.read().await.expect("the same watch continues").target().contains("index=3&"));
     }
@@ -98,12 +105,13 @@
     // Two of the failures come after the reload.
     for failure in 0..if watch_is_open { 2 } else { 3 } {
         let failed = Instant::now();
-        refuse(&mut wire).await;
+        reject_call(&mut wire).await;
         if !watch_is_open && failure == 0 {
-            settle().await;
-            scheduler.reload(to);
+            wait_until_idle().await;
+            scheduler.reload_with_delivery(to);
         }
-        (wire, _) = timeout(LONGEST_PAUSE, scheduler.next_call()).await.expect("the list is still followed");
+        (wire, _) =
+            timeout(LONGEST_PAUSE, scheduler.accept_call()).await.expect("the list is still followed");
         waited = failed.elapsed();
     }
     let pushed = waited <= Duration::from_millis(200);
--- a/crates/vetchbridge/tests/discovery_documents.rs
+++ b/crates/vetchbridge/tests/discovery_documents.rs
@@ -5,7 +5,8 @@
 mod in_process;
 
 use in_process::{
-    answer_complete_list, break_off, draining, instance, settle, unused_address, TestScheduler, TEST_TIMEOUT,
+    answer_complete_list, answer_part_and_close, as_draining, instance, unused_address, wait_until_idle,
+    TestScheduler, TEST_TIMEOUT,
 };
 use rstest::rstest;
 use serde_json::json;
@@ -24,18 +25,18 @@
     #[case] generation: u32,
     #[case] first: InstanceState,
 ) {
-    let mut scheduler = TestScheduler::in_tier_of(1).await;
-    scheduler.watch_endpoints(json!([]));
-    let (mut wire, _) = scheduler.next_call().await;
+    let mut scheduler = TestScheduler::with_scheduler_count(1).await;
+    scheduler.start_endpoint_watcher(json!([]));
+    let (mut wire, _) = scheduler.accept_call().await;
     let (a, b) = (instance("s-a", unused_address()), instance("s-b", unused_address()));
-    answer_complete_list(&mut wire, 5, json!([draining(a.clone()), b])).await;
+    answer_complete_list(&mut wire, 5, json!([as_draining(a.clone()), b])).await;
     wire.read().await.expect("the watch continues");
     // Indented, and cut within its third entry.
-    let entries = json!([a, draining(b), {"instanceId": "s-c"}]);
+    let entries = json!([a, as_draining(b), {"instanceId": "s-c"}]);
     let document = json!({"generation": generation, "reset": false, "instances": entries});
     let text = serde_json::to_string_pretty(&document).expect("JSON");
-    break_off(wire, &text, "s-c").await;
-    let _next = scheduler.next_call().await;
+    answer_part_and_close(wire, &text, "s-c").await;
+    let _next = scheduler.accept_call().await;
     let expected = [("s-a".into(), first), ("s-b".into(), InstanceState::Draining)];
     assert_eq!(scheduler.listed_workers(), expected);
 }
@@ -46,21 +47,21 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_complete_list_that_was_overtaken_by_newer_changes_does_not_undo_them() {
-    let mut scheduler = TestScheduler::in_tier_of(1).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(1).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let up = instance("s-a", unused_address());
-    let (mut watch, _) = scheduler.next_call().await;
-    scheduler.request(DiscoveryRequest::Fetch);
-    let (mut fetch, target) = scheduler.next_call().await;
+    let (mut watch, _) = scheduler.accept_call().await;
+    scheduler.send_discovery_request(DiscoveryRequest::Fetch);
+    let (mut fetch, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances");
-    answer_complete_list(&mut watch, 7, json!([draining(up.clone())])).await;
+    answer_complete_list(&mut watch, 7, json!([as_draining(up.clone())])).await;
     watch.read().await.expect("the watch continues");
     answer_complete_list(&mut fetch, 6, json!([up])).await;
-    settle().await;
+    wait_until_idle().await;
     assert_eq!(scheduler.listed_workers(), [("s-a".into(), InstanceState::Draining)]);
-    scheduler.request(DiscoveryRequest::Fetch);
+    scheduler.send_discovery_request(DiscoveryRequest::Fetch);
     fetch.read().await.expect("the next call");
     answer_complete_list(&mut fetch, 3, json!([up])).await;
-    settle().await;
+    wait_until_idle().await;
     assert_eq!(scheduler.listed_workers(), [("s-a".into(), InstanceState::Up)]);
 }
--- a/crates/vetchbridge/tests/discovery_hedge.rs
+++ b/crates/vetchbridge/tests/discovery_hedge.rs
@@ -5,8 +5,8 @@
 mod in_process;
 
 use in_process::{
-    answer_changes, break_off, draining, instance, refuse, settle, unused_address, Setup, TestScheduler,
-    TEST_TIMEOUT,
+    answer_changes, answer_part_and_close, as_draining, instance, reject_call, unused_address,
+    wait_until_idle, SchedulerSetup, TestScheduler, TEST_TIMEOUT,
 };
 use rstest::rstest;
 use serde_json::json;
@@ -29,14 +29,15 @@
     /// An update counts as notified after 6 s, and sends may go on for half a second; a second and more is left for the
     /// answer.
     const THIRD_CALL_WITHIN: Duration = Duration::from_millis(4_900);
-    let mut scheduler = TestScheduler::new(Setup { scheduler_count, seed, ..Setup::default() }).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler =
+        TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let watch = scheduler.confirm_saved_list().await;
     let began = Instant::now();
     watch.reset();
     let (mut unanswered, mut calls) = (Vec::new(), vec![began]);
     for _ in 0..20 {
-        unanswered.push(scheduler.next_call().await.0);
+        unanswered.push(scheduler.accept_call().await.0);
         calls.push(Instant::now());
     }
     let assert_in_time = |from: usize, to: usize| {
@@ -58,16 +59,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_service_that_has_too_many_callers_gets_no_hedged_calls() {
     const TURN_WITHIN: Duration = Duration::from_millis(2_000);
-    let mut scheduler = TestScheduler::in_tier_of(3).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(3).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let mut wire = scheduler.confirm_saved_list().await;
     for number in 0..6 {
         tokio::select! {
             _ = scheduler.discovery.accept() => panic!("a second call beside number {number}"),
             () = tokio::time::sleep(TURN_WITHIN) => {}
         }
-        refuse(&mut wire).await;
-        wire = scheduler.next_call().await.0;
+        reject_call(&mut wire).await;
+        wire = scheduler.accept_call().await.0;
     }
 }
 
@@ -75,12 +76,12 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn the_answer_to_a_hedged_call_is_published_and_the_watch_goes_on_from_it() {
-    let mut scheduler = TestScheduler::in_tier_of(3).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(3).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let _silent = scheduler.confirm_saved_list().await;
-    let _lost = scheduler.next_call().await;
+    let _lost = scheduler.accept_call().await;
     let called = Instant::now();
-    let (mut hedge, target) = scheduler.next_call().await;
+    let (mut hedge, target) = scheduler.accept_call().await;
     assert!(called.elapsed() < Duration::from_millis(1_500), "{:?}", called.elapsed());
     assert_eq!(target, "/registry/instances?index=1&wait=0");
     answer_changes(&mut hedge, 2, json!([instance("s-new", unused_address())])).await;
@@ -93,15 +94,15 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn the_complete_entries_of_a_hedged_answer_that_breaks_off_are_published() {
-    let mut scheduler = TestScheduler::in_tier_of(3).await;
+    let mut scheduler = TestScheduler::with_scheduler_count(3).await;
     let (a, b) = (instance("s-a", unused_address()), instance("s-b", unused_address()));
-    scheduler.watch_endpoints(json!([a, b]));
+    scheduler.start_endpoint_watcher(json!([a, b]));
     let _silent = scheduler.confirm_saved_list().await;
-    let _lost = scheduler.next_call().await;
-    let (hedge, _) = scheduler.next_call().await;
-    let document = json!({"generation": 2, "reset": false, "instances": [draining(a), b]}).to_string();
-    break_off(hedge, &document, "s-b").await;
-    settle().await;
+    let _lost = scheduler.accept_call().await;
+    let (hedge, _) = scheduler.accept_call().await;
+    let document = json!({"generation": 2, "reset": false, "instances": [as_draining(a), b]}).to_string();
+    answer_part_and_close(hedge, &document, "s-b").await;
+    wait_until_idle().await;
     let listed = scheduler.listed_workers();
     assert!(listed.contains(&("s-a".to_string(), InstanceState::Draining)), "{listed:?}");
 }
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -32,10 +32,10 @@
 
 impl TwoWorkers {
     async fn start() -> TwoWorkers {
-        let mut scheduler = TestScheduler::in_tier_of(1).await;
+        let mut scheduler = TestScheduler::with_scheduler_count(1).await;
         let a = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let b = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        scheduler.watch_endpoints(json!([
+        scheduler.start_endpoint_watcher(json!([
             instance("s-a", a.local_addr().expect("bound")),
             instance("s-b", b.local_addr().expect("bound"))
         ]));
@@ -149,7 +149,7 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_job_waiting_for_a_connection_is_placed_again_when_its_worker_restarts() {
-    let mut scheduler = TestScheduler::in_tier_of(1).await;
+    let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     // The accept queue holds one connection; while it is full, no other connection is established.
@@ -157,8 +157,8 @@
     let full_address = full_listener.local_addr().expect("bound");
     let _filler = TcpStream::connect(full_address).await.expect("the connection that fills the queue");
     let warm_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    scheduler.watch_endpoints(json!([]));
-    let (mut watch, _) = scheduler.next_call().await;
+    scheduler.start_endpoint_watcher(json!([]));
+    let (mut watch, _) = scheduler.accept_call().await;
     answer_changes(&mut watch, 2, json!([instance("s-a", full_address)])).await;
     watch.read().await.expect("the watch continues");
     let _answer = scheduler.submit(REQUEST_ID, Bytes::from_static(b"work"));
