--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -31,7 +31,7 @@
 /// Where the scheduler under test listens; a restart changes it.
 pub type SchedulerAddress = Arc<Mutex<Option<SocketAddr>>>;
 
-pub fn current_address(scheduler: &SchedulerAddress) -> SocketAddr {
+pub fn scheduler_address(scheduler: &SchedulerAddress) -> SocketAddr {
     scheduler.lock().unwrap_or_else(PoisonError::into_inner).expect("a scheduler runs")
 }
 
@@ -66,7 +66,7 @@
         wire.send(ACCEPTED).await;
         let callback = json!({"id": id, "from": worker_name(number, name_length), "state": "done",
                               "result": number.to_string()});
-        let mut connection = dial(current_address(&scheduler)).await;
+        let mut connection = dial(scheduler_address(&scheduler)).await;
         connection.post_request("/callback", "", &callback.to_string()).await;
         assert_eq!(status(connection.read().await.as_ref()), "200");
     }
@@ -153,13 +153,13 @@
     /// The scheduler's configuration, without an endpoint list.
     pub config: Value,
     /// The complete endpoint list.
-    pub list: Value,
+    pub endpoint_list: Value,
     pub scheduler: SchedulerAddress,
     /// The targets of the requests that discovery received.
-    pub calls: UnboundedReceiver<String>,
+    pub discovery_calls: UnboundedReceiver<String>,
     /// The numbers of the sockets at which peers received datagrams.
-    pub datagrams: UnboundedReceiver<usize>,
-    pub jobs: u64,
+    pub datagram_sockets: UnboundedReceiver<usize>,
+    pub last_job: u64,
 }
 
 impl Fleet {
@@ -174,21 +174,21 @@
                 entry
             })
             .collect();
-        let list = json!({"generation": GENERATION, "reset": true, "instances": instances});
+        let endpoint_list = json!({"generation": GENERATION, "reset": true, "instances": instances});
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (datagram_sender, datagrams) = unbounded_channel();
+        let (datagram_sender, datagram_sockets) = unbounded_channel();
         let mut peers = Vec::new();
         for number in 0..PEER_SOCKETS {
             let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
             peers.push(socket.local_addr().expect("bound"));
             tokio::spawn(run_peers(number, socket, datagram_sender.clone()));
         }
-        let config = large_config(discovery.local_addr().expect("bound"), &peers);
-        let (scheduler, (call_sender, calls)) = (SchedulerAddress::default(), unbounded_channel());
+        let config = large_deployment_config(discovery.local_addr().expect("bound"), &peers);
+        let (scheduler, (call_sender, discovery_calls)) = (SchedulerAddress::default(), unbounded_channel());
         tokio::spawn(run_workers(workers, name_length, scheduler.clone()));
-        tokio::spawn(run_discovery(discovery, list.clone(), format, call_sender));
+        tokio::spawn(run_discovery(discovery, endpoint_list.clone(), format, call_sender));
         let folder = tempfile::tempdir().expect("a directory");
-        Fleet { folder, config, list, scheduler, calls, datagrams, jobs: 0 }
+        Fleet { folder, config, endpoint_list, scheduler, discovery_calls, datagram_sockets, last_job: 0 }
     }
 
     /// Starts the scheduler with this endpoint list cached from an earlier run.
@@ -203,7 +203,7 @@
 
     /// Starts it with the complete list.
     pub fn start_with_list(&mut self) -> Process {
-        self.start(&self.list.clone())
+        self.start(&self.endpoint_list.clone())
     }
 
     /// Starts it with an empty list.
@@ -212,28 +212,28 @@
     }
 
     /// Submits jobs of different keys, one after the other on one connection; the workers that served them.
-    pub async fn serve(&mut self, jobs: u64) -> BTreeSet<usize> {
-        let first = self.jobs + 1;
-        self.jobs += jobs;
-        serve_jobs(current_address(&self.scheduler), first..=self.jobs).await
+    pub async fn submit_jobs(&mut self, jobs: u64) -> BTreeSet<usize> {
+        let first = self.last_job + 1;
+        self.last_job += jobs;
+        submit_jobs_to(scheduler_address(&self.scheduler), first..=self.last_job).await
     }
 
     /// Submits jobs, and checks that the scheduler uses the list from its start to its end.
-    pub async fn serve_from_the_complete_list(&mut self) {
-        let workers = self.serve(100).await;
+    pub async fn assert_complete_list_is_used(&mut self) {
+        let workers = self.submit_jobs(100).await;
         assert!(workers.len() > 80, "100 keys are spread over the list: {workers:?}");
         assert!(workers.first() < Some(&(WORKERS / 12)), "its start is reached: {workers:?}");
         assert!(workers.last() >= Some(&(WORKERS - WORKERS / 12)), "its end is reached: {workers:?}");
     }
 
     /// The target of the next request that discovery receives.
-    pub async fn next_call(&mut self) -> String {
-        self.calls.recv().await.expect("discovery runs")
+    pub async fn next_discovery_call(&mut self) -> String {
+        self.discovery_calls.recv().await.expect("discovery runs")
     }
 }
 
 /// Submits the jobs of these numbers to a scheduler, one after the other on one connection; the workers that served them.
-pub async fn serve_jobs(scheduler: SocketAddr, jobs: RangeInclusive<u64>) -> BTreeSet<usize> {
+pub async fn submit_jobs_to(scheduler: SocketAddr, jobs: RangeInclusive<u64>) -> BTreeSet<usize> {
     let mut client = dial(scheduler).await;
     let mut workers = BTreeSet::new();
     for job in jobs {
@@ -247,7 +247,7 @@
 }
 
 /// The configuration of the last of 1,200 schedulers that exchange datagrams; `peers` are the others' sockets.
-pub fn large_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
+pub fn large_deployment_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let own = reserved.local_addr().expect("bound");
     let per_socket = SCHEDULERS / peers.len();
@@ -264,7 +264,7 @@
 }
 
 /// Waits until the scheduler is ready.
-pub async fn until_ready(process: &Process) {
+pub async fn wait_until_ready(process: &Process) {
     loop {
         let mut client = dial(process.address).await;
         client.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
--- a/crates/vetchbridge/tests/large_configuration.rs
+++ b/crates/vetchbridge/tests/large_configuration.rs
@@ -35,7 +35,7 @@
 async fn its_configuration_is_valid() {
     let fleet = Fleet::new(8, ListFormat::Compact).await;
     let mut document = fleet.config.clone();
-    document["known"] = fleet.list.clone();
+    document["known"] = fleet.endpoint_list.clone();
     run_check("large.json", &document.to_string());
 
     run_check("large.toml", &configuration_file(WORKERS));
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -23,19 +23,19 @@
 async fn a_scheduler_starts_serves_is_handed_over_and_restarts(#[case] name_length: usize) {
     let mut fleet = Fleet::new(name_length, ListFormat::Compact).await;
     let mut first = fleet.start_with_list();
-    until_ready(&first).await;
-    fleet.serve_from_the_complete_list().await;
+    wait_until_ready(&first).await;
+    fleet.assert_complete_list_is_used().await;
     // The list's version is handed over once discovery itself has confirmed it.
-    while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
+    while !fleet.next_discovery_call().await.contains(&format!("index={GENERATION}&")) {}
 
     let mut successor = fleet.start_without_list();
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
     first.signal("-TERM");
     assert!(first.child.wait().expect("it ends").success());
-    until_ready(&successor).await;
-    fleet.serve_from_the_complete_list().await;
-    fleet.calls.close();
-    while let Some(call) = fleet.calls.recv().await {
+    wait_until_ready(&successor).await;
+    fleet.assert_complete_list_is_used().await;
+    fleet.discovery_calls.close();
+    while let Some(call) = fleet.discovery_calls.recv().await {
         assert!(
             call.contains(&format!("index={GENERATION}&")),
             "the complete list is not requested again: {call}"
@@ -45,11 +45,11 @@
     successor.signal("-TERM");
     assert!(successor.child.wait().expect("it ends").success());
     let restarted = fleet.start_with_list();
-    until_ready(&restarted).await;
-    fleet.serve_from_the_complete_list().await;
-    fleet.datagrams.close();
+    wait_until_ready(&restarted).await;
+    fleet.assert_complete_list_is_used().await;
+    fleet.datagram_sockets.close();
     let mut queried = BTreeSet::new();
-    while let Some(socket) = fleet.datagrams.recv().await {
+    while let Some(socket) = fleet.datagram_sockets.recv().await {
         queried.insert(socket);
     }
     assert_eq!(queried.len(), PEER_SOCKETS, "schedulers of all numbers coordinate some worker: {queried:?}");
@@ -67,8 +67,8 @@
     fleet.config["settings"]["me"] = 0.into();
     fleet.config["settings"]["balancers"] = 1.into();
     let process = fleet.start_without_list();
-    until_ready(&process).await;
-    fleet.serve_from_the_complete_list().await;
+    wait_until_ready(&process).await;
+    fleet.assert_complete_list_is_used().await;
 }
 
 /// Connections to workers are pooled, but fewer than there are descriptors: neither a dial to another worker nor a callback nor
@@ -85,13 +85,13 @@
     fleet.config["settings"]["services"][0]["deadline"] = 5_000_000.into();
     fleet.config["settings"]["limits"]["max_attempts"] = 1.into();
     let process = fleet.start_with_list();
-    until_ready(&process).await;
-    let workers = fleet.serve(400).await;
+    wait_until_ready(&process).await;
+    let workers = fleet.submit_jobs(400).await;
     assert!(workers.len() > 300, "only {} workers were tried", workers.len());
     // Also with many clients at once, each of which waits for its answer.
     let clients = (0..CLIENTS).map(|client| {
-        let first = fleet.jobs + 1 + client * JOBS_EACH;
-        serve_jobs(process.address, first..=first + JOBS_EACH - 1)
+        let first = fleet.last_job + 1 + client * JOBS_EACH;
+        submit_jobs_to(process.address, first..=first + JOBS_EACH - 1)
     });
     assert_eq!(join_all(clients).await.len() as u64, CLIENTS);
 }
@@ -110,7 +110,7 @@
         fleet.config["peer_listen"] = reserved.local_addr().expect("bound").to_string().into();
         drop(reserved);
         let process = fleet.start_without_list();
-        until_ready(&process).await;
+        wait_until_ready(&process).await;
         started.push((process, fleet.config.clone()));
     }
     for (process, config) in started {
@@ -128,15 +128,15 @@
 #[tokio::test]
 async fn a_list_that_can_not_be_handed_over_is_requested_from_discovery() {
     let mut fleet = Fleet::new(8, ListFormat::Compact).await;
-    let mut known = fleet.list.clone();
+    let mut known = fleet.endpoint_list.clone();
     known["instances"][0]["zone"] = "z".repeat(MAX_MESSAGE_BYTES).into();
     let first = fleet.start(&known);
-    until_ready(&first).await;
-    while !fleet.next_call().await.contains(&format!("index={GENERATION}&")) {}
+    wait_until_ready(&first).await;
+    while !fleet.next_discovery_call().await.contains(&format!("index={GENERATION}&")) {}
     let successor = fleet.start_without_list();
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
-    while fleet.next_call().await != "/registry/instances" {}
-    fleet.serve_from_the_complete_list().await;
+    while fleet.next_discovery_call().await != "/registry/instances" {}
+    fleet.assert_complete_list_is_used().await;
 }
 
 /// Entries of all lengths are divided into handover messages; no message is longer than allowed, and no entry is lost.
