--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -1,7 +1,9 @@
-//! A scheduler without its process: engine, upstream group and endpoint watcher, with a scripted discovery service.
+//! A scheduler within the test process: engine, upstream group and endpoint watcher, with a scripted
+//! discovery service.
 //!
-//! For what can't be shown with the daemon as a process: because time would have to pass, which a paused clock spares, or
-//! because the kernel would buffer a complete body. Each test file uses the part of it that it needs.
+//! Used where the daemon can't be tested as a process: because the test would have to wait, which a paused
+//! clock avoids, or because the kernel would buffer a complete body. Each test file uses only some of these
+//! helpers.
 #![allow(dead_code, missing_docs)]
 
 use bytes::Bytes;
@@ -27,12 +29,12 @@
 use vetchbridge_scheduling::{ClassId, EndpointDelivery, Event, Request, Settings, TenantId};
 use vetchbridge_testbed::wire::Wire;
 
-/// A test that makes no progress fails after this time.
+/// Time limit of a test, so that a test that hangs fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The deadline of the one class, in microseconds.
+/// The deadline of the class `receipt`, in microseconds.
 const DEADLINE_US: u64 = 60_000_000;
 
-/// What differs between the schedulers of the tests.
+/// The properties in which the schedulers of the tests differ.
 pub struct SchedulerSetup {
     pub scheduler_index: u32,
     pub scheduler_count: u32,
@@ -64,7 +66,7 @@
 }
 
 impl TestScheduler {
-    /// One of so many schedulers; it polls its list.
+    /// Creates a scheduler, which polls discovery, in a tier of `scheduler_count` schedulers.
     pub async fn with_scheduler_count(scheduler_count: u32) -> TestScheduler {
         TestScheduler::new(SchedulerSetup { scheduler_count, ..SchedulerSetup::default() }).await
     }
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Starts the endpoint watcher with this saved list, of generation 1.
+    /// Starts the endpoint watcher with `instances` as its saved list, of generation 1.
     pub fn start_endpoint_watcher(&mut self, instances: Value) {
         let saved = json!({"generation": 1, "reset": true, "instances": instances});
         let document = serde_json::from_value(saved).expect("a document");
@@ -106,14 +108,16 @@
         tokio::spawn(watcher.run(self.discovery_request_receiver.take().expect("started once")));
     }
 
-    /// The next connection to the discovery service, and the target of the call on it.
+    /// Accepts the next connection to the discovery service; returns the connection and the target of its
+    /// request.
     pub async fn accept_call(&self) -> (Wire, String) {
         let mut wire = Wire::new(self.discovery.accept().await.expect("a call").0);
         let target = wire.read().await.expect("a call").target().to_string();
         (wire, target)
     }
 
-    /// Answers the first call: the saved list is current. Returns the connection with the watch that follows.
+    /// Answers the first call: the saved list is current. Returns the connection after reading the watch that
+    /// follows on it.
     pub async fn confirm_saved_list(&self) -> Wire {
         let (mut wire, _) = self.accept_call().await;
         answer_changes(&mut wire, 1, json!([])).await;
@@ -126,13 +130,13 @@
         self.discovery_request_sender.send(request).expect("the watcher runs");
     }
 
-    /// Name and state of each worker as last published.
+    /// Returns the name and state of each worker in the endpoint list.
     pub fn listed_workers(&self) -> Vec<(String, InstanceState)> {
         let (instances, _) = self.endpoint_list.lock().expect("no panic").snapshot();
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
     }
 
-    /// Puts other settings in force, without an event to the scheduler.
+    /// Replaces the current settings without an event to the scheduler.
     pub fn replace_settings(&self, settings: Settings) {
         let old = self.settings.get();
         self.settings.swap(Snapshot {
@@ -143,7 +147,8 @@
         });
     }
 
-    /// What a reload does that names the same discovery service and this delivery.
+    /// Applies settings as a reload does. The discovery service stays the same; `delivery` becomes the way in
+    /// which endpoint lists are delivered.
     pub fn reload_with_delivery(&self, delivery: EndpointDelivery) {
         let mut settings = self.settings.get().settings.clone();
         settings.endpoint_delivery = delivery;
@@ -152,7 +157,7 @@
         self.send_discovery_request(DiscoveryRequest::Move(self.discovery_source()));
     }
 
-    /// Submits a job of the one class, with key `k`.
+    /// Submits a request of the class `receipt` with the key `k`.
     pub fn submit(&self, id: &str, body: Bytes) -> oneshot::Receiver<Answer> {
         let request = Request {
             id: parse_request_id(id).expect("an id"),
@@ -175,7 +180,7 @@
     }
 }
 
-/// A configuration with one class, which is not idempotent.
+/// Returns a configuration with one class, `receipt`, which is not idempotent.
 fn configuration(setup: &SchedulerSetup, discovery: SocketAddr) -> Value {
     let delivery = match setup.delivery {
         EndpointDelivery::Push => "push",
@@ -190,18 +195,18 @@
                       "tip_multiple": 2.5, "fall": 2_000_000}}})
 }
 
-/// A worker that is up, as the discovery service lists it.
+/// Returns the discovery service's entry for a worker that is up.
 pub fn instance(name: &str, address: SocketAddr) -> Value {
     json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "lifecycle": "up"})
 }
 
-/// The same worker while it is draining.
+/// Returns a worker's entry with its state changed to draining.
 pub fn as_draining(mut instance: Value) -> Value {
     instance["lifecycle"] = "draining".into();
     instance
 }
 
-/// An address that no test connects to.
+/// Returns an address for workers to which the scheduler makes no connection in a test.
 pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
@@ -218,14 +223,15 @@
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Refuses a call, as a service with too many callers does.
+/// Rejects a call with status 503, as an overloaded service does.
 pub async fn reject_call(wire: &mut Wire) {
     wire.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
 }
 
-/// Answers a call with the part of a document before `cut`; the caller decides what becomes of the connection.
+/// Answers a call with the part of a document before `cut`. The connection stays open until the caller drops
+/// it.
 pub async fn answer_part(wire: &mut Wire, document: &str, cut: &str) {
-    let (part, _) = document.split_once(cut).expect("it is in the document");
+    let (part, _) = document.split_once(cut).expect("`cut` is in the document");
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{part}", document.len());
     wire.write(&answer).await.expect("the scheduler reads");
 }
@@ -235,7 +241,8 @@
     answer_part(&mut wire, document, cut).await;
 }
 
-/// Resolves once everything has been read and acted on: a paused clock moves only when nothing is left to do.
+/// Waits until every task is idle: a paused clock advances, and so ends the sleep, only once no task has
+/// anything left to do.
 pub async fn wait_until_idle() {
     tokio::time::sleep(Duration::from_millis(1)).await;
 }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! The harness of the tests of the daemon as a process: it runs among scripted workers, discovery and clients.
+//! The harness for tests that run the daemon as a process, with scripted workers, discovery and clients.
 //!
-//! Owns the process and the listeners of one test. It never waits for time to pass, and checks a response only where its
-//! own next step depends on it. Each test file uses the part of it that it needs.
+//! Owns the processes and the listeners of one test. The harness never waits for a fixed time, and checks a
+//! response only where its own next step depends on the response. Each test file uses only some of these
+//! helpers.
 #![allow(dead_code, missing_docs)]
 
 use futures_util::future::select_all;
@@ -19,39 +20,40 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use vetchbridge_testbed::wire::{Message, Wire};
 
-/// A test that hangs fails after this long; none of them measures time.
+/// Time limit of a test, so that a test that hangs fails. No test measures time.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The limit on descriptors that the daemon runs with.
+/// The number of file descriptors that the daemon may open, unless a test sets another limit.
 pub const DESCRIPTOR_LIMIT: u32 = 64;
-/// The hand-over socket of this scheduler, within its folder.
+/// The file name of the hand-over socket of the scheduler `n0`.
 pub const HANDOVER_SOCKET: &str = "vetchbridge-n0.handover";
-/// A worker's response that accepts a job.
+/// The response with which a worker accepts a job.
 pub const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
 
-/// Between fork and exec a child of another test has a copy of every socket here, and one that is closed meanwhile stays
-/// open. This lock is held while a child is started, and while a socket is closed whose end has to be seen before
-/// something else.
+/// Locks the start of child processes. Between fork and exec, a child that another test starts holds a copy
+/// of every socket of this process, so a socket that is closed at that moment stays open. Tests hold this
+/// lock while they start a child, and while they close a socket whose end the daemon must see before another
+/// event.
 pub fn spawn_lock() -> MutexGuard<'static, ()> {
     static SPAWN_LOCK: Mutex<()> = Mutex::new(());
     SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What the tests write to and read from a connection; whatever fails fails the test.
+/// Reads and writes on a connection; each method panics if the operation fails.
 pub trait WireExt {
     async fn send(&mut self, text: &str);
     async fn post_request(&mut self, target: &str, headers: &str, body: &str);
-    /// Reads a call to discovery; its target.
+    /// Reads a request and returns its target.
     async fn read_target(&mut self) -> String;
     async fn send_endpoints(&mut self, generation: u32, instances: Value);
 }
 
 impl WireExt for Wire {
     async fn send(&mut self, text: &str) {
-        self.write(text).await.expect("the other side reads");
+        self.write(text).await.expect("the peer reads");
     }
 
     async fn post_request(&mut self, target: &str, headers: &str, body: &str) {
-        self.post(target, headers, body).await.expect("the other side reads");
+        self.post(target, headers, body).await.expect("the peer reads");
     }
 
     async fn read_target(&mut self) -> String {
@@ -60,22 +62,22 @@
 
     async fn send_endpoints(&mut self, generation: u32, instances: Value) {
         let body = json!({"generation": generation, "reset": true, "instances": instances}).to_string();
-        self.answer(200, "", &body).await.expect("the other side reads");
+        self.answer(200, "", &body).await.expect("the peer reads");
     }
 }
 
-/// The kernel's entry of a connection, in hexadecimal numbers.
+/// A connection's entry in `/proc/net/tcp`; the numbers are hexadecimal.
 pub struct TcpTableEntry {
     pub state: String,
-    /// Bytes that are written and not yet acknowledged.
+    /// Number of bytes that are written and not yet acknowledged.
     pub unacknowledged: String,
 }
 
-/// The kernel's entry of a connection, by the ports of this end and the other.
+/// Returns the entry in `/proc/net/tcp` of the connection between these ports, as the end at `here` sees it.
 pub fn tcp_table_entry(here: SocketAddr, there: SocketAddr) -> Option<TcpTableEntry> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
     let ports = [here, there].map(|end| format!(":{:04X}", end.port()));
-    // The table has the connections of the whole machine: only lines that name both ports are taken apart.
+    // The table lists the connections of the whole machine; only lines that contain both ports are parsed.
     let mut candidates = table.lines().filter(|line| ports.iter().all(|port| line.contains(port)));
     candidates.find_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
@@ -87,13 +89,13 @@
     })
 }
 
-/// The addresses of both ends of a connection, this one first.
+/// Returns the local address and the peer address of a connection.
 pub fn local_and_peer_addresses(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
     let socket = wire.socket();
     (socket.local_addr().expect("bound"), socket.peer_addr().expect("connected"))
 }
 
-/// Waits until the other side's kernel has what was written, whatever its process does.
+/// Waits until the peer's kernel has acknowledged all bytes written; the peer's process need not read them.
 pub async fn wait_until_delivered(wire: &mut Wire) {
     let (here, there) = local_and_peer_addresses(wire);
     let is_pending = |connection: TcpTableEntry| !connection.unacknowledged.trim_matches('0').is_empty();
@@ -115,16 +117,16 @@
            "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// Answers the first call of a daemon that has just started: its saved list is as it was. Its next call comes on a
-/// connection of its own.
+/// Answers the first discovery request of a daemon that has just started: the saved endpoint list is
+/// unchanged. Closes the connection, so the daemon sends its next request on a new one.
 pub async fn confirm_endpoint_list(discovery: &TcpListener) {
     let mut wire = Wire::new(discovery.accept().await.expect("the first call").0);
     assert_eq!(wire.read_target().await, "/registry/instances?index=1&wait=0");
     let unchanged = r#"{"generation":1,"reset":false,"instances":[]}"#;
-    wire.answer(200, "connection: close\r\n", unchanged).await.expect("the other side reads");
+    wire.answer(200, "connection: close\r\n", unchanged).await.expect("the peer reads");
 }
 
-/// A configuration with two attempts for each request and one class of each idempotency.
+/// Returns a configuration with up to two attempts per request and one class of each idempotency.
 pub fn daemon_config(discovery: SocketAddr, instances: Value) -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "repeat": repeat, "group": "all", "window": 5_000_000, "aim": 500_000,
@@ -140,12 +142,13 @@
                       "tip_multiple": 2.5, "fall": 2_000_000}}})
 }
 
-/// A command that starts the daemon, and the path of its configuration.
+/// Returns a command that starts the daemon, and the path of its configuration file.
 pub fn daemon_command(config: &str) -> (Command, PathBuf) {
     daemon_command_with_faults(config, "")
 }
 
-/// The same with system calls that fail, in the form of `SYSCALL_FAULTS`.
+/// Returns the command and path as [`daemon_command`] does, with failing system calls. `faults` has the
+/// format of `SYSCALL_FAULTS`.
 pub fn daemon_command_with_faults(config: &str, faults: &str) -> (Command, PathBuf) {
     static FILES: AtomicU32 = AtomicU32::new(0);
     let number = FILES.fetch_add(1, Ordering::Relaxed);
@@ -162,14 +165,14 @@
     (command, path)
 }
 
-/// The prefix of a shell command whose system calls are to fail.
+/// Returns the prefix of a shell command that makes system calls of the command fail.
 fn preload_prefix(faults: &str) -> String {
     let library = std::env::current_exe().expect("a path").with_file_name("libsyscall_faults.so");
-    assert!(library.is_file(), "{}: built with the tests of the workspace", library.display());
+    assert!(library.is_file(), "{}: missing; it is built with the tests of the workspace", library.display());
     format!("env LD_PRELOAD={} SYSCALL_FAULTS={faults}", library.display())
 }
 
-/// One process of the daemon; killed when dropped.
+/// A process of the daemon; killed when dropped.
 pub struct Process {
     pub child: Child,
     pub config_path: PathBuf,
@@ -186,15 +189,18 @@
 }
 
 impl Process {
-    /// Starts the daemon and waits until it listens; in `folder` it finds a predecessor.
+    /// Starts the daemon and waits until it listens. The daemon takes over from a predecessor whose hand-over
+    /// socket is in `folder`, if there is one.
     pub fn start(config: &Value, folder: &Path) -> Process {
         Process::start_with_faults(config, folder, "")
     }
 
-    /// The same with system calls that fail, in the form of `SYSCALL_FAULTS`.
+    /// Starts the daemon as [`Process::start`] does, with failing system calls. `faults` has the format of
+    /// `SYSCALL_FAULTS`.
     pub fn start_with_faults(config: &Value, folder: &Path, faults: &str) -> Process {
         let (mut command, path) = daemon_command_with_faults(&config.to_string(), faults);
-        // As on the platform: the variable is as old as the process, and must not take effect at a reload.
+        // As on the platform, the variable is set when the process starts and never changes; a reload must
+        // ignore it.
         let discovery = config["discovery"].as_str().expect("an address");
         command.env("BALANCER_DISCOVERY", discovery).env("TMPDIR", folder);
         let started = {
@@ -203,10 +209,10 @@
         };
         let mut child = started.expect("the daemon starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let mut seen = Vec::new();
+        let mut lines_read = Vec::new();
         let mut address_in = |event: &str| -> SocketAddr {
-            let line = lines.by_ref().map_while(Result::ok).inspect(|line| seen.push(line.clone()));
-            let line = { line }.find(|line| line.contains(event)).unwrap_or_else(|| panic!("{seen:?}"));
+            let line = lines.by_ref().map_while(Result::ok).inspect(|line| lines_read.push(line.clone()));
+            let line = { line }.find(|line| line.contains(event)).unwrap_or_else(|| panic!("{lines_read:?}"));
             line.rsplit("address=").next().expect("an address").parse().expect("an address")
         };
         let (admin, address) = (address_in("admin.listening"), address_in("daemon.listening"));
@@ -215,7 +221,8 @@
         Process { child, config_path: path, address, admin, log }
     }
 
-    /// Starts the daemon and waits until it serves, its list confirmed by a discovery of its own that sends nothing more.
+    /// Starts the daemon with a discovery service of its own and waits until the daemon serves. The discovery
+    /// service confirms the saved list and then sends nothing more.
     pub async fn start_serving(config: &mut Value, folder: &Path) -> (Process, TcpListener) {
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         config["discovery"] = discovery.local_addr().expect("bound").to_string().into();
@@ -225,19 +232,19 @@
         (process, discovery)
     }
 
-    /// Sends a command to the admin interface; its response.
+    /// Sends a command to the admin interface and returns the response.
     pub async fn admin_command(&self, command: &str) -> String {
-        let mut stream = TcpStream::connect(self.admin).await.expect("it listens");
+        let mut stream = TcpStream::connect(self.admin).await.expect("the admin interface listens");
         stream.write_all(format!("{command}\n").as_bytes()).await.expect("written");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.expect("an answer");
         answer
     }
 
-    /// Waits for the next line of the log with this event.
+    /// Waits for the next log line that contains `event` and returns the line.
     pub async fn wait_for_log(&mut self, event: &str) -> String {
         loop {
-            let line = self.log.recv().await.expect("it runs");
+            let line = self.log.recv().await.expect("the daemon runs");
             if line.contains(event) {
                 return line;
             }
@@ -253,14 +260,16 @@
         assert!(started.and_then(|mut kill| kill.wait()).expect("kill runs").success());
     }
 
-    /// Suspends the process: what happens until [`Process::resume`] it finds all at once, in the order of its arrival.
+    /// Suspends the process until [`Process::resume`]. Events that occur meanwhile are all pending when the
+    /// process resumes, in their order of arrival.
     pub async fn suspend(&self) {
         self.signal("-STOP");
         let threads = || {
-            let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it lives");
+            let tasks =
+                std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the process runs");
             tasks.map(|task| task.expect("a thread").path().join("stat"))
         };
-        // A thread that has not stopped yet may still read a part of what happens next.
+        // A thread that has not stopped yet could still read some of the events that follow.
         while !threads().all(|stat| std::fs::read_to_string(stat).is_ok_and(|stat| stat.contains(") T "))) {
             tokio::task::yield_now().await;
         }
@@ -271,7 +280,7 @@
     }
 }
 
-/// The daemon among scripted workers and a scripted discovery.
+/// A daemon with scripted workers and a scripted discovery service.
 pub struct Harness {
     pub daemon: Process,
     pub folder: tempfile::TempDir,
@@ -286,17 +295,20 @@
         Harness::start_with_other_workers(workers, &[]).await
     }
 
-    /// The same; `others` are listed after the scripted workers.
+    /// Starts a daemon as [`Harness::start`] does. The endpoint list also contains `others`, after the
+    /// scripted workers.
     pub async fn start_with_other_workers(workers: usize, others: &[SocketAddr]) -> Harness {
         Harness::start_with_descriptor_limit(workers, others, DESCRIPTOR_LIMIT).await
     }
 
-    /// The same with this limit on descriptors.
+    /// Starts a daemon as [`Harness::start_with_other_workers`] does, with `sockets` as its limit on
+    /// descriptors.
     pub async fn start_with_descriptor_limit(workers: usize, others: &[SocketAddr], sockets: u32) -> Harness {
         Harness::start_configured(workers, others, sockets, "").await
     }
 
-    /// The same with system calls of the daemon that fail, in the form of `SYSCALL_FAULTS`.
+    /// Starts a daemon as [`Harness::start`] does, with failing system calls. `faults` has the format of
+    /// `SYSCALL_FAULTS`.
     pub async fn start_with_faults(workers: usize, faults: &str) -> Harness {
         Harness::start_configured(workers, &[], DESCRIPTOR_LIMIT, faults).await
     }
@@ -320,28 +332,28 @@
         Harness { daemon, folder, instances, discovery, workers: listeners, last_request_id: 0xab00 }
     }
 
-    /// Starts the next process of the scheduler beside the one that serves. Its own list is empty.
+    /// Starts a successor of the daemon. The successor's saved endpoint list is empty.
     pub fn start_successor(&self) -> Process {
         let mut config = daemon_config(self.discovery.local_addr().unwrap(), json!([]));
         config["listen"] = self.daemon.address.to_string().into();
         Process::start(&config, self.folder.path())
     }
 
-    /// The response to `/health/ready` on a connection of its own.
+    /// Requests `/health/ready` on a new connection and returns the response.
     pub async fn get_readiness(&self) -> Message {
         let mut load_balancer = dial(self.daemon.address).await;
         load_balancer.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
         load_balancer.read().await.expect("an answer")
     }
 
-    /// Accepts the next connection to any worker.
+    /// Accepts the next connection to any worker; returns the worker's number and the connection.
     pub async fn accept_worker_connection(&self) -> (usize, Wire) {
         let accepts = self.workers.iter().map(|worker| Box::pin(worker.accept()));
         let (accepted, number, _) = select_all(accepts).await;
         (number, Wire::new(accepted.expect("a connection").0))
     }
 
-    /// Sends a job of a class; its connection and its id.
+    /// Sends a request of this class on a new connection; returns the connection and the request's id.
     pub async fn submit_job(&mut self, class: &str, key: &str) -> (Wire, String) {
         self.last_request_id += 1;
         let id = format!("{:016x}", self.last_request_id);
@@ -356,7 +368,7 @@
         (client, id)
     }
 
-    /// Sends a worker's callback for a job; it must be acknowledged whatever its state.
+    /// Sends a worker's callback for a job. The daemon must acknowledge the callback whatever its `state`.
     pub async fn send_callback(&self, id: &str, worker: usize, state: &str) {
         let mut wire = dial(self.daemon.address).await;
         let body =
@@ -365,23 +377,24 @@
         assert_eq!(status(wire.read().await.as_ref()), "200");
     }
 
-    /// Sends jobs of many keys, and has worker 0 and no other serve them.
+    /// Sends requests with several keys; worker 0 must receive and serve all of them.
     pub async fn serve_jobs_at_worker_0(&mut self, class: &str) {
         for key in 0..8 {
             let (mut client, id) = self.submit_job(class, &key.to_string()).await;
-            let mut worker = Wire::new(self.workers[0].accept().await.expect("worker 0 is dialled").0);
+            let mut worker = Wire::new(self.workers[0].accept().await.expect("a connection to worker 0").0);
             worker.read().await.expect("the job");
-            // Closes the connection after each job, so that the next one needs a new connection.
+            // The worker closes the connection after each job, so that the next job needs a new connection.
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             self.send_callback(&id, 0, "done").await;
             assert_eq!(status(client.read().await.as_ref()), "200");
         }
     }
 
-    /// Sends one more job, and shows that no other has been sent to a worker by then. The workers' earlier connections must
-    /// have ended, so that each job needs a new one. Returns how many connections came and ended without a request.
+    /// Sends one more request, and checks that no other job reaches a worker before it. All earlier
+    /// connections to workers must have ended, so that each job needs a new one. Returns the number of
+    /// connections that ended without a request.
     pub async fn assert_only_next_job_arrives(&mut self) -> usize {
-        let mut empty = 0;
+        let mut empty_connections = 0;
         let (mut client, next) = self.submit_job("safe", "k").await;
         let mut calls = FuturesUnordered::new();
         loop {
@@ -394,18 +407,18 @@
                 Some(received) = calls.next() => received,
             };
             let Some(call) = call else {
-                empty += 1;
+                empty_connections += 1;
                 continue;
             };
             assert_eq!(call.header("x-trace-id"), Some(next.as_str()), "{call:?}");
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             self.send_callback(&next, number, "done").await;
             assert_eq!(status(client.read().await.as_ref()), "200");
-            return empty;
+            return empty_connections;
         }
     }
 
-    /// Has whichever worker is dialled next serve the job.
+    /// Serves the job at the worker that the daemon connects to next.
     pub async fn serve_next_attempt(&self, id: &str) {
         let (number, mut worker) = self.accept_worker_connection().await;
         worker.read().await.expect("the job");
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! The workers, peers and discovery of a large deployment around one scheduler: 1,200 workers and 1,200 schedulers.
+//! The 1,200 workers, the peers and the discovery service of a large deployment of 1,200 schedulers; one
+//! scheduler is under test.
 //!
-//! Each worker has a loopback address of its own (from 127.1.0.0) behind one listener, which distinguishes the workers by the
-//! address that was dialled.
+//! Each worker has its own loopback address (from 127.1.0.0). One listener accepts the connections to all
+//! workers and distinguishes the workers by the local address of the connection.
 #![allow(dead_code, missing_docs)]
 
 use crate::common::*;
@@ -21,21 +22,23 @@
 pub const SCHEDULERS: usize = 1200;
 /// The number of sockets that the peers share.
 pub const PEER_SOCKETS: usize = 12;
-/// The version of the endpoint list.
+/// The generation of the endpoint list.
 pub const GENERATION: u32 = 70;
-/// The length of names of which a hundred entries are longer than one handover message, in bytes.
+/// Length of a long worker name, in bytes: a hundred entries with such names do not fit into one hand-over
+/// message.
 pub const LONG_NAME_BYTES: usize = 2000;
-/// The length of one piece of an endpoint list that is written in pieces, in bytes.
+/// Length of each piece of an endpoint list that is written in pieces, in bytes.
 pub const PIECE_BYTES: usize = 1024;
 
-/// Where the scheduler under test listens; a restart changes it.
+/// The current listen address of the scheduler under test, shared with the workers and updated at each start;
+/// `None` before the first start.
 pub type SchedulerAddress = Arc<Mutex<Option<SocketAddr>>>;
 
 pub fn scheduler_address(scheduler: &SchedulerAddress) -> SocketAddr {
     scheduler.lock().unwrap_or_else(PoisonError::into_inner).expect("a scheduler runs")
 }
 
-/// A worker's name; the numbers of two workers sort as their names do.
+/// Returns a worker's name. Names sort in the order of the workers' numbers.
 pub fn worker_name(number: usize, length: usize) -> String {
     format!("w-{number:04}-{}", "x".repeat(length))
 }
@@ -50,7 +53,8 @@
     (address.to_bits() - Ipv4Addr::new(127, 1, 0, 0).to_bits()) as usize
 }
 
-/// All workers: each accepts every job at once and keeps the connection open. The result of a job is its worker's number.
+/// Runs all workers. Each worker accepts every job at once and keeps the connection open; the result of a job
+/// is the worker's number.
 pub async fn run_workers(listener: TcpListener, name_length: usize, scheduler: SchedulerAddress) {
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
@@ -72,15 +76,15 @@
     }
 }
 
-/// How discovery writes the endpoint list.
+/// The way in which discovery writes the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFormat {
     Compact,
     IndentedInPieces,
 }
 
-/// Discovery: answers a request for the complete list with `list`, and a watch, after its wait, with no changes. The target of
-/// each request is sent to `calls`.
+/// Runs the discovery service. Answers a request for the complete list with `list`, and a watch with no
+/// changes once its wait time has passed. Sends the target of each request to `calls`.
 pub async fn run_discovery(
     listener: TcpListener,
     list: Value,
@@ -125,14 +129,14 @@
     wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
     for piece in body.as_bytes().chunks(PIECE_BYTES) {
         wire.write(std::str::from_utf8(piece).expect("ASCII")).await?;
-        // The daemon gets the chance to read this piece alone.
+        // Yields so that the daemon can read this piece before the next one is written.
         tokio::task::yield_now().await;
     }
     Ok(())
 }
 
-/// The peers behind one socket: each answers an occupancy query with no occupancy. The socket's number is sent to `datagrams`
-/// for each datagram.
+/// Runs the peers that share one socket. Answers each occupancy query with an occupancy of zero, and sends
+/// the socket's number to `datagrams` for each datagram received.
 pub async fn run_peers(number: usize, socket: UdpSocket, datagrams: UnboundedSender<usize>) {
     let mut buffer = [0; 256];
     loop {
@@ -147,10 +151,10 @@
     }
 }
 
-/// The workers, the peers and discovery around one scheduler.
+/// A large deployment: the scheduler under test with its workers, peers and discovery service.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
-    /// The scheduler's configuration, without an endpoint list.
+    /// The configuration of the scheduler under test, without an endpoint list.
     pub config: Value,
     /// The complete endpoint list.
     pub endpoint_list: Value,
@@ -163,7 +167,8 @@
 }
 
 impl Fleet {
-    /// A fleet whose workers' names are longer than `name_length`, and whose discovery writes its list in this format.
+    /// Creates a deployment whose workers have names slightly longer than `name_length`, and whose discovery
+    /// service writes its list in `format`.
     pub async fn new(name_length: usize, format: ListFormat) -> Fleet {
         let workers = TcpListener::bind("0.0.0.0:0").await.expect("a port");
         let port = workers.local_addr().expect("bound").port();
@@ -191,7 +196,7 @@
         Fleet { folder, config, endpoint_list, scheduler, discovery_calls, datagram_sockets, last_job: 0 }
     }
 
-    /// Starts the scheduler with this endpoint list cached from an earlier run.
+    /// Starts the scheduler with `known` as the endpoint list saved by an earlier run.
     pub fn start(&mut self, known: &Value) -> Process {
         let mut config = self.config.clone();
         config["known"] = known.clone();
@@ -201,38 +206,43 @@
         process
     }
 
-    /// Starts it with the complete list.
+    /// Starts the scheduler with the complete endpoint list.
     pub fn start_with_list(&mut self) -> Process {
         self.start(&self.endpoint_list.clone())
     }
 
-    /// Starts it with an empty list.
+    /// Starts the scheduler with an empty endpoint list.
     pub fn start_without_list(&mut self) -> Process {
         self.start(&json!({"generation": 1, "reset": true, "instances": []}))
     }
 
-    /// Submits jobs of different keys, one after the other on one connection; the workers that served them.
+    /// Submits jobs with different keys, one after the other on one connection. Returns the numbers of the
+    /// workers that served them.
     pub async fn submit_jobs(&mut self, jobs: u64) -> BTreeSet<usize> {
         let first = self.last_job + 1;
         self.last_job += jobs;
         submit_jobs_to(scheduler_address(&self.scheduler), first..=self.last_job).await
     }
 
-    /// Submits jobs, and checks that the scheduler uses the list from its start to its end.
+    /// Submits jobs, and checks that the workers that serve them are spread over the whole endpoint list.
     pub async fn assert_complete_list_is_used(&mut self) {
         let workers = self.submit_jobs(100).await;
         assert!(workers.len() > 80, "100 keys are spread over the list: {workers:?}");
-        assert!(workers.first() < Some(&(WORKERS / 12)), "its start is reached: {workers:?}");
-        assert!(workers.last() >= Some(&(WORKERS - WORKERS / 12)), "its end is reached: {workers:?}");
+        assert!(workers.first() < Some(&(WORKERS / 12)), "the start of the list is used: {workers:?}");
+        assert!(
+            workers.last() >= Some(&(WORKERS - WORKERS / 12)),
+            "the end of the list is used: {workers:?}"
+        );
     }
 
-    /// The target of the next request that discovery receives.
+    /// Waits for the next request to discovery and returns its target.
     pub async fn next_discovery_call(&mut self) -> String {
         self.discovery_calls.recv().await.expect("discovery runs")
     }
 }
 
-/// Submits the jobs of these numbers to a scheduler, one after the other on one connection; the workers that served them.
+/// Submits the jobs with these numbers to a scheduler, one after the other on one connection. Returns the
+/// numbers of the workers that served them.
 pub async fn submit_jobs_to(scheduler: SocketAddr, jobs: RangeInclusive<u64>) -> BTreeSet<usize> {
     let mut client = dial(scheduler).await;
     let mut workers = BTreeSet::new();
@@ -246,7 +256,8 @@
     workers
 }
 
-/// The configuration of the last of 1,200 schedulers that exchange datagrams; `peers` are the others' sockets.
+/// Returns the configuration of the last of 1,200 schedulers that exchange datagrams. The other schedulers
+/// share the sockets at `peers`.
 pub fn large_deployment_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let own = reserved.local_addr().expect("bound");
@@ -263,7 +274,7 @@
     config
 }
 
-/// Waits until the scheduler is ready.
+/// Waits until the scheduler reports that it is ready.
 pub async fn wait_until_ready(process: &Process) {
     loop {
         let mut client = dial(process.address).await;
