--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! What processes of two versions say to one another, as literals: a hand-over, a callback and the numbers that all
-//! schedulers of a tier derive from names. A change of any of them would keep two versions from working side by side.
+//! Compatibility between versions: the JSON of hand-over messages and callbacks, the numbers that all
+//! schedulers of a tier derive from names, and configuration files, compared with literals. If a name or
+//! number changes, two versions can't work side by side.
 
 use serde_json::{json, Value};
 use std::process::Command;
@@ -20,7 +21,7 @@
     }
 }
 
-fn entry() -> Value {
+fn instance_json() -> Value {
     json!({
         "instanceId": "s-1", "hostPort": "127.0.0.1:8081", "zone": "north", "machineType": "plain", "cell": 3,
         "lifecycle": "draining", "weight": 1.5, "startedAtMs": 1_700_000_000_123u64,
@@ -28,10 +29,10 @@
 }
 
 fn callback() -> Callback {
-    let (id, from) = ("00000000000000ab".to_string(), "s-1".to_string());
+    let (id, worker_name) = ("00000000000000ab".to_string(), "s-1".to_string());
     Callback {
         id,
-        worker: from,
+        worker: worker_name,
         state: CallbackState::Done,
         fraction: 0.5,
         result: "ok".to_string(),
@@ -39,7 +40,7 @@
     }
 }
 
-fn written_callback() -> Value {
+fn callback_json() -> Value {
     json!({"id": "00000000000000ab", "from": "s-1", "state": "done", "share": 0.5, "result": "ok"})
 }
 
@@ -57,13 +58,13 @@
         name: "n-0".to_string(),
         listen: "127.0.0.1:8080".parse().expect("an address"),
     };
-    let offered = json!({
+    let offer_json = json!({
         "quiesced": true, "source": "127.0.0.1:9000", "generation": 7, "confirmed": false, "connections": 2,
     });
     let messages = [
         (hello, json!({"Hello": {"version": 1, "name": "n-0", "listen": "127.0.0.1:8080"}})),
-        (HandoverMessage::Offer(offer), json!({"Offer": offered})),
-        (HandoverMessage::Endpoints(vec![instance()]), json!({"Entries": [entry()]})),
+        (HandoverMessage::Offer(offer), json!({"Offer": offer_json})),
+        (HandoverMessage::Endpoints(vec![instance()]), json!({"Entries": [instance_json()]})),
         (HandoverMessage::Rejected("no".to_string()), json!({"Refused": "no"})),
         (HandoverMessage::TookOver, json!("Taken")),
         (HandoverMessage::ClientConnection { reused: true }, json!({"Connection": {"kept": true}})),
@@ -72,7 +73,7 @@
         (HandoverMessage::RequestClosed(12), json!({"Closed": 12})),
         (
             HandoverMessage::ForwardedCallback { number: 4, callback: callback() },
-            json!({"Callback": {"number": 4, "callback": written_callback()}}),
+            json!({"Callback": {"number": 4, "callback": callback_json()}}),
         ),
         (
             HandoverMessage::CallbackReply { number: 4, known: true },
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn an_offer_of_a_process_that_says_nothing_of_confirmation_counts_as_confirmed() {
+fn an_offer_without_the_confirmed_field_counts_as_confirmed() {
     let literal = br#"{"Offer":{"quiesced":false,"source":null,"generation":null,"connections":0}}"#;
     let Ok(HandoverMessage::Offer(offer)) = HandoverMessage::decode(literal) else { panic!("an offer") };
     assert!(offer.confirmed);
@@ -112,15 +113,16 @@
 }
 
 #[test]
-fn names_and_ids_become_the_same_numbers_at_every_version() {
+fn names_and_ids_map_to_the_same_numbers_in_every_version() {
     assert_eq!(worker_id("s-1").0, 0x817c_da19_5c3f_bf24);
     assert_eq!(worker_id("cell-7/worker-12").0, 0x90c1_cae9_1af4_46a8);
     assert_eq!(parse_request_id("00000000000000ab").map(|id| id.0), Some(0xab));
 }
 
-/// The configuration that another version's `config default` printed, and the values that its `check` found in it.
+/// The fixtures are a configuration that `config default` of version e0ba539 printed, another configuration
+/// of that version, and the values that its `check` printed for each.
 #[test]
-fn a_configuration_file_of_version_e0ba539_means_what_it_meant() {
+fn configuration_files_of_version_e0ba539_keep_their_values() {
     let fixtures = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures");
     for name in ["config-default-e0ba539", "lima-callao-e0ba539"] {
         let output = Command::new(env!("CARGO_BIN_EXE_vetchbridge"))
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A scheduler of a large deployment: 1,200 workers in its list and 1,200 schedulers beside it. It starts, serves, is
-//! handed over and restarts with all of them, also with fewer descriptors than workers.
+//! A scheduler in a large deployment of 1,200 workers and 1,200 schedulers starts, serves, is upgraded and
+//! restarts, also with fewer file descriptors than workers.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,8 +13,9 @@
 use vetchbridge::discovery::document::Instance;
 use vetchbridge::upgrade::message::{batch_endpoints, HandoverMessage, MAX_MESSAGE_BYTES};
 
-/// It starts with a cached list, serves, hands the complete list over to a successor, which resumes from its version, and
-/// restarts.
+/// The scheduler starts with a saved list, serves, and hands the complete list over to a successor. The
+/// successor continues to watch from the list's generation. Another process then restarts with the saved
+/// list.
 #[rstest]
 #[case::names_of_usual_length(8)]
 #[case::long_names(LONG_NAME_BYTES)]
@@ -25,13 +26,13 @@
     let mut first = fleet.start_with_list();
     wait_until_ready(&first).await;
     fleet.assert_complete_list_is_used().await;
-    // The list's version is handed over once discovery itself has confirmed it.
+    // The list's generation is handed over only once discovery has confirmed the list.
     while !fleet.next_discovery_call().await.contains(&format!("index={GENERATION}&")) {}
 
     let mut successor = fleet.start_without_list();
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
     first.signal("-TERM");
-    assert!(first.child.wait().expect("it ends").success());
+    assert!(first.child.wait().expect("the process ends").success());
     wait_until_ready(&successor).await;
     fleet.assert_complete_list_is_used().await;
     fleet.discovery_calls.close();
@@ -43,7 +44,7 @@
     }
 
     successor.signal("-TERM");
-    assert!(successor.child.wait().expect("it ends").success());
+    assert!(successor.child.wait().expect("the process ends").success());
     let restarted = fleet.start_with_list();
     wait_until_ready(&restarted).await;
     fleet.assert_complete_list_is_used().await;
@@ -52,10 +53,10 @@
     while let Some(socket) = fleet.datagram_sockets.recv().await {
         queried.insert(socket);
     }
-    assert_eq!(queried.len(), PEER_SOCKETS, "schedulers of all numbers coordinate some worker: {queried:?}");
+    assert_eq!(queried.len(), PEER_SOCKETS, "every range of schedulers coordinates some worker: {queried:?}");
 }
 
-/// A list of 1,200 workers is read from discovery, however it is written.
+/// A list of 1,200 workers is read from discovery, in each format and with long entries.
 #[rstest]
 #[case::indented_in_pieces(8, ListFormat::IndentedInPieces)]
 #[case::long_names(LONG_NAME_BYTES, ListFormat::Compact)]
@@ -63,7 +64,7 @@
 #[tokio::test]
 async fn a_large_list_is_read_from_discovery(#[case] name_length: usize, #[case] format: ListFormat) {
     let mut fleet = Fleet::new(name_length, format).await;
-    // A single scheduler polls at once; each of many waits for its turn.
+    // A single scheduler polls at once; with many schedulers, each waits for its turn.
     fleet.config["settings"]["me"] = 0.into();
     fleet.config["settings"]["balancers"] = 1.into();
     let process = fleet.start_without_list();
@@ -71,8 +72,8 @@
     fleet.assert_complete_list_is_used().await;
 }
 
-/// Connections to workers are pooled, but fewer than there are descriptors: neither a dial to another worker nor a callback nor
-/// a client fails for want of one.
+/// Pooled connections to workers do not use up the descriptors: no connection to another worker, no callback
+/// and no client fails for lack of a descriptor.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -81,14 +82,15 @@
     const JOBS_EACH: u64 = 8;
     let mut fleet = Fleet::new(8, ListFormat::Compact).await;
     fleet.config["limits"]["sockets"] = 256.into();
-    // A failed dial is concealed neither by a retry nor by waiting until idle connections have expired.
+    // With one attempt and a short deadline, neither a retry nor a wait for the expiry of idle connections
+    // can hide a failed connection.
     fleet.config["settings"]["services"][0]["deadline"] = 5_000_000.into();
     fleet.config["settings"]["limits"]["max_attempts"] = 1.into();
     let process = fleet.start_with_list();
     wait_until_ready(&process).await;
     let workers = fleet.submit_jobs(400).await;
     assert!(workers.len() > 300, "only {} workers were tried", workers.len());
-    // Also with many clients at once, each of which waits for its answer.
+    // Now many clients send jobs at once, and each waits for its responses.
     let clients = (0..CLIENTS).map(|client| {
         let first = fleet.last_job + 1 + client * JOBS_EACH;
         submit_jobs_to(process.address, first..=first + JOBS_EACH - 1)
@@ -96,11 +98,12 @@
     assert_eq!(join_all(clients).await.len() as u64, CLIENTS);
 }
 
-/// Many schedulers may share a directory. Each is found by its own successor only, even where long names begin alike.
+/// Many schedulers may share a directory for their hand-over sockets. Each is found only by its own
+/// successor, even if the schedulers' long names have the same beginning.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn schedulers_whose_long_names_begin_alike_are_each_handed_over_to_their_own_successor() {
+async fn schedulers_with_a_common_long_name_prefix_are_handed_over_to_their_own_successors() {
     let mut fleet = Fleet::new(8, ListFormat::Compact).await;
     let mut started = Vec::new();
     for number in [SCHEDULERS - 2, SCHEDULERS - 1] {
@@ -122,11 +125,12 @@
     }
 }
 
-/// An entry that is too long for a handover message costs the successor no worker: it requests the complete list.
+/// If an entry is too long for a hand-over message, the successor requests the complete list from discovery,
+/// and no worker is missing.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_list_that_can_not_be_handed_over_is_requested_from_discovery() {
+async fn a_list_with_an_entry_too_long_to_hand_over_is_requested_from_discovery() {
     let mut fleet = Fleet::new(8, ListFormat::Compact).await;
     let mut known = fleet.endpoint_list.clone();
     known["instances"][0]["zone"] = "z".repeat(MAX_MESSAGE_BYTES).into();
@@ -139,17 +143,18 @@
     fleet.assert_complete_list_is_used().await;
 }
 
-/// Entries of all lengths are divided into handover messages; no message is longer than allowed, and no entry is lost.
+/// Entries of various lengths are split into hand-over messages. No message exceeds the maximum length, and
+/// no entry that fits into a message is lost.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[test]
-fn every_entry_that_fits_a_message_is_in_one() {
+fn every_entry_that_fits_into_a_message_is_sent() {
     let entry = |length: usize| -> Instance {
         let mut entry = instance(0, worker_address(0, 1), "up");
         entry["instanceId"] = "\"".repeat(length).into();
         serde_json::from_value(entry).expect("an entry")
     };
-    // Quotes are written as two characters each.
+    // Each quote in a name takes two bytes in JSON.
     let lengths =
         (0..WORKERS)
             .map(|number| if number % 100 == 0 { MAX_MESSAGE_BYTES / 2 - 200 } else { number % 97 * 11 });
@@ -159,7 +164,7 @@
     let messages = batch_endpoints(entries.clone());
     assert_eq!(names(&messages.concat()), names(&entries));
     for message in messages {
-        assert!(!message.is_empty(), "an empty message would end the list");
+        assert!(!message.is_empty(), "an empty message marks the end of the list");
         let length = HandoverMessage::Endpoints(message).encode().len();
         assert!(length <= MAX_MESSAGE_BYTES, "{length}");
     }
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -1,4 +1,5 @@
-//! System calls of the daemon fail in the ways that Linux documents, from a seed, and no response is lost.
+//! The daemon loses no response when its system calls fail in ways that Linux documents. A seed selects which
+//! calls fail.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,14 +12,15 @@
 use tokio::time::timeout;
 use vetchbridge_testbed::wire::Wire;
 
-/// Far more than a job takes here, and less than its deadline.
+/// Time limit after which a test counts as stuck. Far longer than a job takes, and shorter than a job's
+/// deadline.
 const STUCK_AFTER: Duration = Duration::from_secs(20);
 
-/// Jobs sent to one daemon, in turn on one reused connection and each on its own.
+/// Number of jobs sent on one reused connection; after each, one more job is sent on a connection of its own.
 const JOBS: usize = 40;
 
-/// Faults of reads and writes, alone and together.
-const TRANSFERS: [&str; 5] = [
+/// The faults of reads and writes, separately and combined.
+const TRANSFER_FAULTS: [&str; 5] = [
     "recv.interrupted=0.2",
     "send.interrupted=0.2",
     "recv.short=0.5",
@@ -26,15 +28,18 @@
     "recv.interrupted=0.1,send.interrupted=0.1,recv.short=0.3,send.short=0.3,wait.interrupted=0.1",
 ];
 
-/// A call that is interrupted, or transfers fewer bytes than requested, neither ends nor delays a transfer.
+/// A system call that is interrupted, or that transfers fewer bytes than requested, neither ends nor delays a
+/// transfer.
 #[tokio::test]
 async fn no_job_is_lost_to_calls_that_are_interrupted_or_cut_short() {
-    for faults in TRANSFERS {
-        timeout(STUCK_AFTER, jobs_are_served(faults)).await.unwrap_or_else(|_| panic!("stuck: {faults}"));
+    for faults in TRANSFER_FAULTS {
+        timeout(STUCK_AFTER, assert_jobs_are_served(faults))
+            .await
+            .unwrap_or_else(|_| panic!("stuck: {faults}"));
     }
 }
 
-async fn jobs_are_served(faults: &str) {
+async fn assert_jobs_are_served(faults: &str) {
     let mut harness = Harness::start_with_faults(1, &format!("seed=11,{faults}")).await;
     let mut reused = dial(harness.daemon.address).await;
     for number in 0..JOBS {
@@ -57,12 +62,16 @@
         );
         let (mut client, id) = harness.submit_job("safe", "k").await;
         harness.serve_next_attempt(&id).await;
-        assert_eq!(status(client.read().await.as_ref()), "200", "{faults}: job {number} on its own");
+        assert_eq!(
+            status(client.read().await.as_ref()),
+            "200",
+            "{faults}: job {number} on a connection of its own"
+        );
     }
     assert_eq!(harness.daemon.admin_command("health").await, "ok serving\n");
 }
 
-/// The runtime's own reading of a signal is a call that may be interrupted as any other.
+/// Tokio reads signal notifications from a socket, and this read may be interrupted like any other.
 #[rstest]
 #[timeout(STUCK_AFTER)]
 #[tokio::test]
@@ -74,18 +83,21 @@
     }
     harness.daemon.signal("-TERM");
     harness.daemon.wait_for_log("daemon.stopped").await;
-    assert!(harness.daemon.child.wait().expect("it ends").success());
+    assert!(harness.daemon.child.wait().expect("the daemon ends").success());
 }
 
-/// Resources that are short at one moment may be available at the next: a start that has time left retries.
+/// Resources that are unavailable at one moment may be available at the next: the daemon retries while it
+/// starts.
 #[tokio::test]
-async fn a_start_retries_sockets_that_can_not_be_created_for_a_moment() {
+async fn a_start_retries_to_create_sockets() {
     for seed in 1..=8 {
-        timeout(STUCK_AFTER, daemon_starts(seed)).await.unwrap_or_else(|_| panic!("stuck: seed {seed}"));
+        timeout(STUCK_AFTER, assert_daemon_starts(seed))
+            .await
+            .unwrap_or_else(|_| panic!("stuck: seed {seed}"));
     }
 }
 
-async fn daemon_starts(seed: u32) {
+async fn assert_daemon_starts(seed: u32) {
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let peers = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let mut config = daemon_config(discovery.local_addr().expect("bound"), json!([]));
