--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -128,8 +128,8 @@
     /// Returns what the other processes of this scheduler use of the descriptor budget.
     pub(super) fn other_processes(&self) -> OtherProcesses {
         OtherProcesses {
-            count: self.process_links.processes(),
-            client_connections: self.process_links.connections(),
+            count: self.process_links.process_count(),
+            client_connections: self.process_links.connection_count(),
         }
     }
 
--- a/crates/vetchbridge/tests/client_connection_limits.rs
+++ b/crates/vetchbridge/tests/client_connection_limits.rs
@@ -44,7 +44,7 @@
     async fn stop_discovery(&mut self) {
         let mut watch = Wire::new(self.discovery.accept().await.expect("the watch").0);
         watch.read_target().await;
-        watch.send_endpoints(5, json!(self.known)).await;
+        watch.send_endpoints(5, json!(self.instances)).await;
         watch.read_target().await;
         drop(std::mem::replace(&mut self.discovery, TcpListener::bind("127.0.0.1:0").await.expect("a port")));
         drop(watch);
@@ -78,7 +78,7 @@
     }
     for _ in 0..DESCRIPTOR_LIMIT {
         assert_eq!(harness.assert_only_next_job_arrives().await, 0);
-        assert_eq!(harness.readiness().await.status(), "200");
+        assert_eq!(harness.get_readiness().await.status(), "200");
     }
 }
 
@@ -89,7 +89,7 @@
 #[tokio::test]
 async fn accepting_resumes_after_the_last_descriptor_was_taken() {
     const FAILURES: u32 = 10;
-    let mut harness = Harness::start_with_limit(0, &[], 1024).await;
+    let mut harness = Harness::start_with_descriptor_limit(0, &[], 1024).await;
     harness.limit_descriptors(40);
     let start = Instant::now();
     let mut clients: Vec<Wire> = Vec::new();
@@ -104,7 +104,7 @@
         "the daemon pauses after each failure"
     );
     drop(clients);
-    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
 /// If no descriptor is free for the dial, the attempt never ran and does not count as a failure of the
@@ -117,7 +117,7 @@
     const REPETITIONS: usize = 2;
     // An ejected worker is used if there is no other one. Retry-After would show for how long the worker is
     // ejected.
-    let mut harness = Harness::start_with_limit(1, &[], 1024).await;
+    let mut harness = Harness::start_with_descriptor_limit(1, &[], 1024).await;
     harness.stop_discovery().await;
     let mut client = dial(harness.daemon.address).await;
     client.send(READINESS_REQUEST).await;
@@ -149,7 +149,7 @@
                 assert!(pending.len() >= DESCRIPTOR_LIMIT as usize / 4, "{} connections", pending.len());
                 return pending;
             }
-            (_, mut worker) = harness.accept_worker() => {
+            (_, mut worker) = harness.accept_worker_connection() => {
                 let job = worker.read().await.expect("the job");
                 assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "the job is not a rejected one");
                 worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
--- a/crates/vetchbridge/tests/client_input.rs
+++ b/crates/vetchbridge/tests/client_input.rs
@@ -22,7 +22,7 @@
     too_large.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n").await;
     assert_eq!(status(too_large.read().await.as_ref()), "413");
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     // A second request with the id of an open request is rejected. Otherwise its client would get the
     // response to the open request.
@@ -103,7 +103,7 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn one_more_job_is_accepted_when_all_connections_are_in_use() {
-    let mut harness = Harness::start_with_limit(1, &[], 2 * DESCRIPTOR_LIMIT).await;
+    let mut harness = Harness::start_with_descriptor_limit(1, &[], 2 * DESCRIPTOR_LIMIT).await;
     let (mut in_flight, mut evictable) = (Vec::new(), Vec::new());
     for round in 0..68 {
         let mut idle = dial(harness.daemon.address).await;
@@ -116,7 +116,7 @@
             evictable.push(incomplete);
         }
         in_flight.push(harness.submit_job("safe", "k").await);
-        let (_, mut worker) = harness.accept_worker().await;
+        let (_, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
         // The worker closes its connection, so that the next job needs a new one.
         worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -31,13 +31,13 @@
 /// a reset would have arrived by then.
 async fn assert_closed_without_reset(client: &mut Wire, running: Option<&Harness>) {
     let mut unread = Vec::new();
-    let (here, there) = addresses(client);
+    let (here, there) = local_and_peer_addresses(client);
     client.socket().read_to_end(&mut unread).await.expect("no reset");
     assert!(unread.is_empty(), "{}", unread.escape_ascii());
     if let Some(harness) = running {
-        harness.readiness().await;
+        harness.get_readiness().await;
     }
-    let state = kernel_connection(here, there).map(|connection| connection.state);
+    let state = tcp_table_entry(here, there).map(|connection| connection.state);
     assert_eq!(state.as_deref(), Some(CLOSE_WAIT), "only the daemon has closed the connection");
 }
 
@@ -61,7 +61,7 @@
     harness.daemon.resume();
     assert_eq!(status(client.read().await.as_ref()), expected);
     assert_closed_without_reset(&mut client, Some(&harness)).await;
-    assert_eq!(harness.readiness().await.status(), "200");
+    assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
 /// After a request whose response closes the connection, no further request reaches a worker, whether it
@@ -74,7 +74,7 @@
     harness.daemon.admin_command("quiesce").await;
     let mut client = dial(harness.daemon.address).await;
     client.send(&job_request("00000000000000a1", 4)).await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     client.send(&job_request("00000000000000a2", length)).await;
     worker.send(ACCEPTED_AND_CLOSE).await;
@@ -101,7 +101,7 @@
     } else {
         client.write_in_pieces(&requests).await.expect("the daemon reads the request");
     }
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     assert_eq!(worker.read().await.expect("the job").text(), "work");
     worker.send(ACCEPTED_AND_CLOSE).await;
     harness.send_callback("00000000000000a1", number, "done").await;
@@ -131,7 +131,7 @@
     assert_closed_without_reset(&mut idle, Some(&harness)).await;
     client.send(&job[received..]).await;
     let (number, mut worker) = tokio::select! {
-        dialled = harness.accept_worker() => dialled,
+        dialled = harness.accept_worker_connection() => dialled,
         response = client.read() => panic!("the connection was closed after {response:?}"),
     };
     worker.read().await.expect("the job");
@@ -160,7 +160,7 @@
     wait_until_delivered(&mut client).await;
     harness.daemon.resume();
     let serve_job = async {
-        let (number, mut worker) = harness.accept_worker().await;
+        let (number, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
         worker.send(ACCEPTED_AND_CLOSE).await;
         harness.send_callback("00000000000000a1", number, "done").await;
@@ -187,7 +187,7 @@
     let (mut wrote_before, _) = harness.submit_job("safe", "k").await;
     let (mut wrote_after, _) = harness.submit_job("safe", "k").await;
     for _ in 0..2 {
-        let (_, mut worker) = harness.accept_worker().await;
+        let (_, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
     }
     wrote_before.send(&job_request("00000000000000a2", 20_000)).await;
@@ -229,10 +229,10 @@
     } else {
         // A connection that the daemon had dialled for the request would be accepted before this one.
         let mut marker = dial(harness.workers[0].local_addr().expect("bound")).await;
-        let (_, mut first) = harness.accept_worker().await;
+        let (_, mut first) = harness.accept_worker_connection().await;
         assert_eq!(
-            addresses(&mut first).1,
-            addresses(&mut marker).0,
+            local_and_peer_addresses(&mut first).1,
+            local_and_peer_addresses(&mut marker).0,
             "no connection was dialled for the request"
         );
     }
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -6,7 +6,7 @@
 mod in_process;
 
 use in_process::{
-    answer_changes, answer_part, break_off, instance, refuse, unused_address, Setup, TestScheduler,
+    answer_changes, answer_part, answer_part_and_close, instance, reject_call, unused_address, SchedulerSetup, TestScheduler,
     TEST_TIMEOUT,
 };
 use rstest::rstest;
@@ -31,15 +31,15 @@
     let mut schedulers = Vec::new();
     for scheduler_index in 0..SCHEDULERS {
         // With pushed lists the watch opens at once. Both deliveries use the same waits.
-        let setup = Setup {
+        let setup = SchedulerSetup {
             scheduler_index,
             scheduler_count: SCHEDULERS,
             delivery: EndpointDelivery::Push,
-            ..Setup::default()
+            ..SchedulerSetup::default()
         };
         let mut scheduler = TestScheduler::new(setup).await;
-        scheduler.watch_endpoints(json!([]));
-        let (wire, _) = scheduler.next_call().await;
+        scheduler.start_endpoint_watcher(json!([]));
+        let (wire, _) = scheduler.accept_call().await;
         schedulers.push((wire, scheduler));
     }
     let mut previous_waits = vec![0; schedulers.len()];
@@ -73,8 +73,8 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_silent_watch_is_reopened_before_its_updates_count_as_notified() {
-    let mut scheduler = TestScheduler::in_tier_of(300).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(300).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let mut wire = Wire::new(scheduler.discovery.accept().await.expect("the watch").0);
     let target = |call: Option<Message>| call.expect("a call to discovery").target().to_string();
     assert!(target(wire.read().await).contains("index=1&wait="));
@@ -107,9 +107,9 @@
     async fn fail(self, mut wire: Wire) -> Option<Wire> {
         let document = r#"{"generation":9,"reset":true,"instances":[{"instanceId":"s-cut"}]}"#;
         match self {
-            CallFailure::Refused => refuse(&mut wire).await,
+            CallFailure::Refused => reject_call(&mut wire).await,
             CallFailure::Reset => wire.reset(),
-            CallFailure::Truncated => break_off(wire, document, "s-cut").await,
+            CallFailure::Truncated => answer_part_and_close(wire, document, "s-cut").await,
             CallFailure::Stalled => {
                 answer_part(&mut wire, document, "s-cut").await;
                 return Some(wire);
@@ -139,14 +139,14 @@
     #[values(1, 3, 300)] scheduler_count: u32,
     #[values(1, 7)] seed: u64,
 ) {
-    let mut scheduler = TestScheduler::new(Setup { scheduler_count, seed, ..Setup::default() }).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let mut wire = scheduler.confirm_saved_list().await;
     let mut open_connections = Vec::new();
     for number in 0..6 {
         let called_at = Instant::now();
         open_connections.extend(call_failure.fail(wire).await);
-        wire = scheduler.next_call().await.0;
+        wire = scheduler.accept_call().await.0;
         let elapsed = called_at.elapsed();
         assert!(
             elapsed <= Duration::from_millis(3_500),
@@ -172,7 +172,7 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_lost_dial_is_followed_by_the_next_call_in_time() {
-    let mut scheduler = TestScheduler::in_tier_of(1).await;
+    let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     // The kernel does not answer a dial to a listener whose backlog is full.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("a valid address")).expect("a free port");
@@ -180,7 +180,7 @@
     let address = scheduler.discovery.local_addr().expect("a bound listener");
     let _filler = TcpStream::connect(address).await.expect("the backlog accepts one connection");
     let started = Instant::now();
-    scheduler.watch_endpoints(json!([]));
+    scheduler.start_endpoint_watcher(json!([]));
     // Advances the paused clock by less than the pause before the next call; no real time passes.
     let advance = || sleep(Duration::from_millis(25));
     while pending_dials(address).is_empty() {
@@ -192,7 +192,7 @@
         advance().await;
     }
     scheduler.discovery.accept().await.expect("the connection that fills the backlog");
-    let _next = scheduler.next_call().await;
+    let _next = scheduler.accept_call().await;
     assert!(started.elapsed() <= Duration::from_millis(3_500), "{:?} after the start", started.elapsed());
 }
 
@@ -202,15 +202,15 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn the_call_after_a_failure_waits_for_no_change_and_is_made_once() {
-    let mut scheduler = TestScheduler::in_tier_of(1).await;
-    scheduler.watch_endpoints(json!([]));
-    let (mut wire, _) = scheduler.next_call().await;
-    refuse(&mut wire).await;
-    let (mut wire, target) = scheduler.next_call().await;
+    let mut scheduler = TestScheduler::with_scheduler_count(1).await;
+    scheduler.start_endpoint_watcher(json!([]));
+    let (mut wire, _) = scheduler.accept_call().await;
+    reject_call(&mut wire).await;
+    let (mut wire, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances?index=1&wait=0");
-    scheduler.request(DiscoveryRequest::Subscribe);
-    scheduler.request(DiscoveryRequest::Fetch);
-    let (_fetch, target) = scheduler.next_call().await;
+    scheduler.send_discovery_request(DiscoveryRequest::Subscribe);
+    scheduler.send_discovery_request(DiscoveryRequest::Fetch);
+    let (_fetch, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances", "the subscription opened a second watch");
     answer_changes(&mut wire, 2, json!([])).await;
     let target = wire.read().await.expect("the watch continues").target().to_string();
@@ -223,15 +223,15 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn polls_that_return_truncated_documents_back_off() {
-    let mut scheduler = TestScheduler::in_tier_of(300).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(300).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let entries = json!([instance("s-a", unused_address()), {"instanceId": "s-b"}]);
     let document = json!({"generation": 2, "instances": entries, "reset": false}).to_string();
-    let (mut wire, _) = scheduler.next_call().await;
+    let (mut wire, _) = scheduler.accept_call().await;
     for pause_ms in [0, 0, 1_000, 1_000] {
         let truncated_at = Instant::now();
-        break_off(wire, &document, "s-b").await;
-        (wire, _) = scheduler.next_call().await;
+        answer_part_and_close(wire, &document, "s-b").await;
+        (wire, _) = scheduler.accept_call().await;
         let waited = truncated_at.elapsed();
         assert!(
             waited >= Duration::from_millis(pause_ms),
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -4,7 +4,7 @@
 #[path = "common/in_process.rs"]
 mod in_process;
 
-use in_process::{answer_changes, answer_complete_list, refuse, settle, Setup, TestScheduler, TEST_TIMEOUT};
+use in_process::{answer_changes, answer_complete_list, reject_call, wait_until_idle, SchedulerSetup, TestScheduler, TEST_TIMEOUT};
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
@@ -33,9 +33,9 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_pushed_list_is_watched_from_the_start_and_after_every_end_of_its_watch() {
-    let setup = Setup { scheduler_count: LARGE_TIER, delivery: EndpointDelivery::Push, ..Setup::default() };
+    let setup = SchedulerSetup { scheduler_count: LARGE_TIER, delivery: EndpointDelivery::Push, ..SchedulerSetup::default() };
     let mut scheduler = TestScheduler::new(setup).await;
-    scheduler.watch_endpoints(json!([]));
+    scheduler.start_endpoint_watcher(json!([]));
     let accept = || async { Wire::new(scheduler.discovery.accept().await.expect("the watch").0) };
     let mut wire = accept().await;
     // How the watch ends, and the maximum time from its call to the next call, in milliseconds.
@@ -51,7 +51,7 @@
         let called_at = Instant::now();
         let mut unanswered = None;
         match end {
-            WatchEnd::Refusal => refuse(&mut wire).await,
+            WatchEnd::Refusal => reject_call(&mut wire).await,
             WatchEnd::Reset => wire.reset(),
             // The connection stays open without a response.
             WatchEnd::NoAnswer => unanswered = Some(wire),
@@ -88,15 +88,15 @@
     #[case] to: EndpointDelivery,
     #[case] watch_is_open: bool,
 ) {
-    let setup = Setup { scheduler_count: LARGE_TIER, delivery: from, ..Setup::default() };
+    let setup = SchedulerSetup { scheduler_count: LARGE_TIER, delivery: from, ..SchedulerSetup::default() };
     let mut scheduler = TestScheduler::new(setup).await;
-    scheduler.watch_endpoints(json!([]));
-    let (mut wire, _) = scheduler.next_call().await;
+    scheduler.start_endpoint_watcher(json!([]));
+    let (mut wire, _) = scheduler.accept_call().await;
     answer_complete_list(&mut wire, 2, json!([])).await;
     assert!(wire.read().await.expect("the watch continues").target().contains("index=2&"));
     if watch_is_open {
-        scheduler.reload(to);
-        settle().await;
+        scheduler.reload_with_delivery(to);
+        wait_until_idle().await;
         answer_complete_list(&mut wire, 3, json!([])).await;
         assert!(wire.read().await.expect("the same watch continues").target().contains("index=3&"));
     }
@@ -104,13 +104,13 @@
     // Two of the failures come after the reload.
     for failure in 0..if watch_is_open { 2 } else { 3 } {
         let failed_at = Instant::now();
-        refuse(&mut wire).await;
+        reject_call(&mut wire).await;
         if !watch_is_open && failure == 0 {
-            settle().await;
-            scheduler.reload(to);
+            wait_until_idle().await;
+            scheduler.reload_with_delivery(to);
         }
         (wire, _) =
-            timeout(MAX_PAUSE, scheduler.next_call()).await.expect("the scheduler calls discovery again");
+            timeout(MAX_PAUSE, scheduler.accept_call()).await.expect("the scheduler calls discovery again");
         waited = failed_at.elapsed();
     }
     let pushed = waited <= Duration::from_millis(200);
--- a/crates/vetchbridge/tests/discovery_hedge.rs
+++ b/crates/vetchbridge/tests/discovery_hedge.rs
@@ -5,7 +5,7 @@
 mod in_process;
 
 use in_process::{
-    answer_changes, break_off, draining, instance, refuse, settle, unused_address, Setup, TestScheduler,
+    answer_changes, answer_part_and_close, as_draining, instance, reject_call, unused_address, wait_until_idle, SchedulerSetup, TestScheduler,
     TEST_TIMEOUT,
 };
 use rstest::rstest;
@@ -30,14 +30,14 @@
     /// update after 6 s and may keep sending for half a second more, so this limit leaves over a second for
     /// the answer.
     const MAX_TIME_TO_THIRD_CALL: Duration = Duration::from_millis(4_900);
-    let mut scheduler = TestScheduler::new(Setup { scheduler_count, seed, ..Setup::default() }).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let watch = scheduler.confirm_saved_list().await;
     let reset_at = Instant::now();
     watch.reset();
     let (mut unanswered, mut calls) = (Vec::new(), vec![reset_at]);
     for _ in 0..20 {
-        unanswered.push(scheduler.next_call().await.0);
+        unanswered.push(scheduler.accept_call().await.0);
         calls.push(Instant::now());
     }
     let assert_in_time = |from: usize, to: usize| {
@@ -60,16 +60,16 @@
 #[tokio::test(start_paused = true)]
 async fn calls_that_an_overloaded_service_refuses_are_not_hedged() {
     const REFUSAL_DELAY: Duration = Duration::from_millis(2_000);
-    let mut scheduler = TestScheduler::in_tier_of(3).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(3).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let mut wire = scheduler.confirm_saved_list().await;
     for number in 0..6 {
         tokio::select! {
             _ = scheduler.discovery.accept() => panic!("a hedged call while call {number} is in flight"),
             () = tokio::time::sleep(REFUSAL_DELAY) => {}
         }
-        refuse(&mut wire).await;
-        wire = scheduler.next_call().await.0;
+        reject_call(&mut wire).await;
+        wire = scheduler.accept_call().await.0;
     }
 }
 
@@ -77,12 +77,12 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn the_answer_to_a_hedged_call_is_published_and_the_watch_continues_from_it() {
-    let mut scheduler = TestScheduler::in_tier_of(3).await;
-    scheduler.watch_endpoints(json!([]));
+    let mut scheduler = TestScheduler::with_scheduler_count(3).await;
+    scheduler.start_endpoint_watcher(json!([]));
     let _unanswered_watch = scheduler.confirm_saved_list().await;
-    let _lost_call = scheduler.next_call().await;
+    let _lost_call = scheduler.accept_call().await;
     let called_at = Instant::now();
-    let (mut hedge, target) = scheduler.next_call().await;
+    let (mut hedge, target) = scheduler.accept_call().await;
     assert!(called_at.elapsed() < Duration::from_millis(1_500), "{:?}", called_at.elapsed());
     assert_eq!(target, "/registry/instances?index=1&wait=0");
     answer_changes(&mut hedge, 2, json!([instance("s-new", unused_address())])).await;
@@ -95,15 +95,15 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn the_complete_entries_of_a_truncated_hedged_answer_are_published() {
-    let mut scheduler = TestScheduler::in_tier_of(3).await;
+    let mut scheduler = TestScheduler::with_scheduler_count(3).await;
     let (a, b) = (instance("s-a", unused_address()), instance("s-b", unused_address()));
-    scheduler.watch_endpoints(json!([a, b]));
+    scheduler.start_endpoint_watcher(json!([a, b]));
     let _unanswered_watch = scheduler.confirm_saved_list().await;
-    let _lost_call = scheduler.next_call().await;
-    let (hedge, _) = scheduler.next_call().await;
-    let document = json!({"generation": 2, "reset": false, "instances": [draining(a), b]}).to_string();
-    break_off(hedge, &document, "s-b").await;
-    settle().await;
+    let _lost_call = scheduler.accept_call().await;
+    let (hedge, _) = scheduler.accept_call().await;
+    let document = json!({"generation": 2, "reset": false, "instances": [as_draining(a), b]}).to_string();
+    answer_part_and_close(hedge, &document, "s-b").await;
+    wait_until_idle().await;
     let listed = scheduler.listed_workers();
     assert!(listed.contains(&("s-a".to_string(), InstanceState::Draining)), "{listed:?}");
 }
--- a/crates/vetchbridge/tests/endpoint_updates.rs
+++ b/crates/vetchbridge/tests/endpoint_updates.rs
@@ -27,7 +27,7 @@
     // The invalid list ended the watch. The decision module opens the next watch from the last known
     // generation.
     assert!(watch.read_target().await.contains("index=5&"));
-    harness.serve_at_worker_0("safe").await;
+    harness.serve_jobs_at_worker_0("safe").await;
 }
 
 /// A truncated list is not applied, except for its entries of draining workers.
@@ -47,5 +47,5 @@
     // The generation is unchanged.
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the next watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
-    harness.serve_at_worker_0("safe").await;
+    harness.serve_jobs_at_worker_0("safe").await;
 }
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -29,7 +29,7 @@
     /// Disconnects, and waits until the kernel has registered the disconnect at the daemon's end of the
     /// connection.
     async fn run(self, mut client: Wire) {
-        let (here, there) = addresses(&mut client);
+        let (here, there) = local_and_peer_addresses(&mut client);
         {
             let _lock = spawn_lock();
             match self {
@@ -37,7 +37,7 @@
                 Disconnect::Reset => client.reset(),
             }
         }
-        while kernel_connection(there, here).is_some_and(|connection| connection.state == ESTABLISHED) {
+        while tcp_table_entry(there, here).is_some_and(|connection| connection.state == ESTABLISHED) {
             tokio::task::yield_now().await;
         }
     }
@@ -90,7 +90,7 @@
     let mut harness = Harness::start(2).await;
     let (mut client, _) = harness.submit_job("unsafe", "k").await;
     client.send(pipelined).await;
-    let (_, mut worker) = harness.accept_worker().await;
+    let (_, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     harness.daemon.suspend().await;
     worker.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
@@ -112,7 +112,7 @@
     let mut harness = Harness::start(1).await;
     let (mut client, _) = harness.submit_job("safe", "k").await;
     client.send(pipelined).await;
-    let (_, mut worker) = harness.accept_worker().await;
+    let (_, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     disconnect.run(client).await;
     assert!(worker.read().await.is_none(), "the attempt is canceled by closing its connection");
@@ -144,14 +144,14 @@
         client.write_in_pieces(&format!("{head}{body}")).await.expect("the daemon reads the job");
         client.send(pipelined).await;
     }
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     let job = worker.read().await.expect("the job");
     assert_eq!(job.text(), if body.len() > 5 { "work" } else { "" });
     // Once the worker has accepted the job, only the client's disconnect cancels the attempt.
     worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     harness.send_callback("00000000000000cd", number, "started").await;
     disconnect.run(client).await;
-    let (_, mut worker) = harness.accept_worker().await;
+    let (_, mut worker) = harness.accept_worker_connection().await;
     assert_eq!(worker.read().await.expect("a request").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
     drop(worker);
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
@@ -197,7 +197,7 @@
     client.send(&requests).await;
     for id in 1..=20 {
         let id = format!("{id:016x}");
-        let (number, mut worker) = harness.accept_worker().await;
+        let (number, mut worker) = harness.accept_worker_connection().await;
         assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
         worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
         harness.send_callback(&id, number, "done").await;
@@ -220,7 +220,7 @@
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let full_listener = socket.listen(1).expect("a listener");
     let address = full_listener.local_addr().expect("bound");
-    let mut harness = Harness::start_with_listed(0, &[address]).await;
+    let mut harness = Harness::start_with_other_workers(0, &[address]).await;
     // These connections fill the accept queue. No other connection is established until one of them is
     // accepted.
     let queue_fillers = [TcpStream::connect(address).await, TcpStream::connect(address).await];
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -89,7 +89,7 @@
     let address = |listener: &TcpListener| listener.local_addr().expect("a bound listener");
     let listen: SocketAddr = address(&address_holder);
     let text = |discovery: &TcpListener| {
-        let mut config = config(address(discovery), json!([]));
+        let mut config = daemon_config(address(discovery), json!([]));
         config["listen"] = listen.to_string().into();
         config.to_string()
     };
@@ -147,7 +147,7 @@
         instance
     };
     let endpoints: Vec<_> = ["small", "large"].into_iter().enumerate().map(listed).collect();
-    let mut config = config("127.0.0.1:1".parse().expect("a valid address"), json!(endpoints));
+    let mut config = daemon_config("127.0.0.1:1".parse().expect("a valid address"), json!(endpoints));
     config["settings"]["kinds"] = json!(["small", "large"]);
     config["settings"]["specifics"] = json!({"class_kind": [1, -1, -1]});
     let folder = tempfile::tempdir().expect("a temporary folder");
@@ -173,7 +173,7 @@
             assert_eq!(status(callback.read().await.as_ref()), "200");
             assert_eq!(status(client.read().await.as_ref()), "200");
         }
-        replace(&daemon.config, &config.to_string());
+        replace(&daemon.config_path, &config.to_string());
         daemon.signal("-HUP");
         daemon.wait_for_log("configuration.applied").await;
     }
@@ -194,17 +194,17 @@
     watch.send_endpoints(70, json!([instance(0, worker_address, "up")])).await;
     assert!(watch.read_target().await.contains("index=70&"));
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let (number, mut worker) = harness.accept_worker().await;
+    let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
 
-    std::fs::write(&harness.daemon.config, "{").expect("the write succeeds");
+    std::fs::write(&harness.daemon.config_path, "{").expect("the write succeeds");
     harness.daemon.signal("-HUP");
     for generation in [3, 2] {
         let new_service = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = new_service.local_addr().unwrap();
-        let file = config(address, json!([])).to_string();
-        std::fs::write(&harness.daemon.config, file).expect("the write succeeds");
+        let file = daemon_config(address, json!([])).to_string();
+        std::fs::write(&harness.daemon.config_path, file).expect("the write succeeds");
         harness.daemon.signal("-HUP");
         let mut watch = Wire::new(new_service.accept().await.expect("the new watch").0);
         assert_eq!(watch.read_target().await, "/registry/instances");
@@ -227,14 +227,14 @@
 async fn new_settings_apply_and_open_requests_keep_their_class() {
     let mut harness = Harness::start(2).await;
     let (mut removed_class, removed_class_id) = harness.submit_job("unsafe", "k").await;
-    let (removed_class_worker, mut wire) = harness.accept_worker().await;
+    let (removed_class_worker, mut wire) = harness.accept_worker_connection().await;
     wire.read().await.expect("the job");
     wire.send(ACCEPTED).await;
     let (mut accepted_as_safe, accepted_as_safe_id) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker().await;
+    let (_, mut second) = harness.accept_worker_connection().await;
     second.read().await.expect("the job, at the idle worker");
 
-    let mut new_config = config(harness.discovery.local_addr().unwrap(), json!(harness.known));
+    let mut new_config = daemon_config(harness.discovery.local_addr().unwrap(), json!(harness.instances));
     let services = new_config["settings"]["services"].as_array_mut().expect("a list of classes");
     // The classes safe, unsafe, keyed become keyed, fresh, safe. Jobs of class safe may no longer be retried.
     services.rotate_right(1);
@@ -244,7 +244,7 @@
     services[2]["repeat"] = "unsafe".into();
     services[0].as_object_mut().expect("a class object").remove("window");
     services[0]["repeat"] = "safe".into();
-    std::fs::write(&harness.daemon.config, new_config.to_string()).expect("the write succeeds");
+    std::fs::write(&harness.daemon.config_path, new_config.to_string()).expect("the write succeeds");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("configuration.applied").await.contains("keyed,fresh,safe"));
 
@@ -259,7 +259,7 @@
     harness.send_callback(&accepted_as_safe_id, removed_class_worker, "done").await;
     assert_eq!(status(accepted_as_safe.read().await.as_ref()), "200");
     let (mut new_safe, _) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker().await;
+    let (_, mut second) = harness.accept_worker_connection().await;
     second.read().await.expect("the job");
     drop(second);
     assert_eq!(status(new_safe.read().await.as_ref()), "502");
@@ -279,10 +279,10 @@
 #[tokio::test]
 async fn an_invalid_configuration_is_rejected_completely() {
     let mut harness = Harness::start(0).await;
-    let mut new_config = config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
+    let mut new_config = daemon_config(SocketAddr::from(([127, 0, 0, 1], 9)), json!([]));
     new_config["settings"]["services"][1]["name"] = "fresh".into();
     for (invalid, key) in invalid_configurations(&new_config) {
-        std::fs::write(&harness.daemon.config, &invalid).expect("the write succeeds");
+        std::fs::write(&harness.daemon.config_path, &invalid).expect("the write succeeds");
         harness.daemon.signal("-HUP");
         let mut logged = harness.daemon.wait_for_log("configuration.").await;
         while !logged.contains("configuration.unchanged") {
@@ -296,7 +296,7 @@
     assert_eq!(status(client.read().await.as_ref()), "400");
     // A file with two faults causes two log lines.
     let both = with(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
-    std::fs::write(&harness.daemon.config, both).expect("the write succeeds");
+    std::fs::write(&harness.daemon.config_path, both).expect("the write succeeds");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("no number above 0"));
     assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("no number above 0"));
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -20,7 +20,7 @@
     let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = other.local_addr().expect("a bound listener");
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let mut config = config("127.0.0.1:1".parse().expect("a valid address"), json!([]));
+    let mut config = daemon_config("127.0.0.1:1".parse().expect("a valid address"), json!([]));
     config["listen"] = address.to_string().into();
     let (mut command, _) = daemon_command(&config.to_string());
     let mut child = command.env("TMPDIR", folder.path()).spawn().expect("the daemon starts");
@@ -42,7 +42,7 @@
 /// not answer by itself, the daemon, and the daemon's folder.
 async fn start_unconfirmed(delivery: &str, saved: Value) -> (TcpListener, Process, tempfile::TempDir) {
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let mut config = config(discovery.local_addr().expect("a bound listener"), saved);
+    let mut config = daemon_config(discovery.local_addr().expect("a bound listener"), saved);
     config["settings"]["discovery"] = delivery.into();
     let folder = tempfile::tempdir().expect("a temporary folder");
     let daemon = Process::start(&config, folder.path());
@@ -140,7 +140,7 @@
 #[tokio::test]
 async fn a_successor_of_a_process_with_an_unconfirmed_list_waits_for_confirmation_too() {
     let (discovery, first, folder) = start_unconfirmed("ask", json!([])).await;
-    let mut config = config(discovery.local_addr().expect("a bound listener"), json!([]));
+    let mut config = daemon_config(discovery.local_addr().expect("a bound listener"), json!([]));
     config["listen"] = first.address.to_string().into();
     let successor = Process::start(&config, folder.path());
     assert!(successor.admin_command("health").await.starts_with("fail"));
@@ -159,7 +159,7 @@
 #[case::class("/settings/services/0/name", Value::Null, "settings.services[].name")]
 fn an_invalid_key_is_named(#[case] path: &str, #[case] value: Value, #[case] key: &str) {
     let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut config = config(unused_address, json!([]));
+    let mut config = daemon_config(unused_address, json!([]));
     match config.pointer_mut(path) {
         Some(old) => *old = value,
         None => config[&path[1..]] = value,
