--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -45,7 +45,12 @@
 
 impl Default for SchedulerSetup {
     fn default() -> SchedulerSetup {
-        SchedulerSetup { scheduler_index: 0, scheduler_count: 1, delivery: EndpointDelivery::Poll, seed: 0x5eed }
+        SchedulerSetup {
+            scheduler_index: 0,
+            scheduler_count: 1,
+            delivery: EndpointDelivery::Poll,
+            seed: 0x5eed,
+        }
     }
 }
 
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -6,8 +6,8 @@
 mod in_process;
 
 use in_process::{
-    answer_changes, answer_part, answer_part_and_close, instance, reject_call, unused_address, SchedulerSetup, TestScheduler,
-    TEST_TIMEOUT,
+    answer_changes, answer_part, answer_part_and_close, instance, reject_call, unused_address,
+    SchedulerSetup, TestScheduler, TEST_TIMEOUT,
 };
 use rstest::rstest;
 use serde_json::json;
@@ -139,7 +139,8 @@
     #[values(1, 3, 300)] scheduler_count: u32,
     #[values(1, 7)] seed: u64,
 ) {
-    let mut scheduler = TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
+    let mut scheduler =
+        TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
     scheduler.start_endpoint_watcher(json!([]));
     let mut wire = scheduler.confirm_saved_list().await;
     let mut open_connections = Vec::new();
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -4,7 +4,10 @@
 #[path = "common/in_process.rs"]
 mod in_process;
 
-use in_process::{answer_changes, answer_complete_list, reject_call, wait_until_idle, SchedulerSetup, TestScheduler, TEST_TIMEOUT};
+use in_process::{
+    answer_changes, answer_complete_list, reject_call, wait_until_idle, SchedulerSetup, TestScheduler,
+    TEST_TIMEOUT,
+};
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
@@ -33,7 +36,11 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
 async fn a_pushed_list_is_watched_from_the_start_and_after_every_end_of_its_watch() {
-    let setup = SchedulerSetup { scheduler_count: LARGE_TIER, delivery: EndpointDelivery::Push, ..SchedulerSetup::default() };
+    let setup = SchedulerSetup {
+        scheduler_count: LARGE_TIER,
+        delivery: EndpointDelivery::Push,
+        ..SchedulerSetup::default()
+    };
     let mut scheduler = TestScheduler::new(setup).await;
     scheduler.start_endpoint_watcher(json!([]));
     let accept = || async { Wire::new(scheduler.discovery.accept().await.expect("the watch").0) };
--- a/crates/vetchbridge/tests/discovery_documents.rs
+++ b/crates/vetchbridge/tests/discovery_documents.rs
@@ -6,7 +6,8 @@
 mod in_process;
 
 use in_process::{
-    answer_complete_list, answer_part_and_close, as_draining, instance, unused_address, wait_until_idle, TestScheduler, TEST_TIMEOUT,
+    answer_complete_list, answer_part_and_close, as_draining, instance, unused_address, wait_until_idle,
+    TestScheduler, TEST_TIMEOUT,
 };
 use rstest::rstest;
 use serde_json::json;
--- a/crates/vetchbridge/tests/discovery_hedge.rs
+++ b/crates/vetchbridge/tests/discovery_hedge.rs
@@ -5,8 +5,8 @@
 mod in_process;
 
 use in_process::{
-    answer_changes, answer_part_and_close, as_draining, instance, reject_call, unused_address, wait_until_idle, SchedulerSetup, TestScheduler,
-    TEST_TIMEOUT,
+    answer_changes, answer_part_and_close, as_draining, instance, reject_call, unused_address,
+    wait_until_idle, SchedulerSetup, TestScheduler, TEST_TIMEOUT,
 };
 use rstest::rstest;
 use serde_json::json;
@@ -30,7 +30,8 @@
     /// update after 6 s and may keep sending for half a second more, so this limit leaves over a second for
     /// the answer.
     const MAX_TIME_TO_THIRD_CALL: Duration = Duration::from_millis(4_900);
-    let mut scheduler = TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
+    let mut scheduler =
+        TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
     scheduler.start_endpoint_watcher(json!([]));
     let watch = scheduler.confirm_saved_list().await;
     let reset_at = Instant::now();
