--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -1,11 +1,12 @@
-//! The daemon's cost: a closed loop against one scheduler whose workers finish at once, and against the bare relay, in turns
-//! within one run. The ratio between them is what counts; the other figures depend on the machine.
+//! Measures the daemon's cost by a closed loop against one scheduler whose workers finish at once, compared
+//! with the plain relay under the same load. The targets are measured in turn within one run, because only
+//! the ratio between them is comparable: the other figures depend on the machine.
 
 use crate::deployment::Deployment;
 use crate::plan::Plan;
 use crate::report::new_table;
 use crate::scheduler::{cpu_time, find_daemon, resident_memory_kib, LaunchOptions, Scheduler};
-use crate::{machine, relay, Failure};
+use crate::{io_failure, relay, Failure};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,61 +18,61 @@
 use vetchbridge_testbed::client::{Clients, JobRecord, LoadRecord, Outcome};
 use vetchbridge_testbed::{wire::Wire, Owned, Port};
 
-/// A way to run the daemon.
+/// A way to run the daemon: a set of log options.
 struct Variant {
     name: &'static str,
     arguments: &'static [&'static str],
 }
 
-/// The ways in which the daemon is measured.
+/// The variants of the daemon that are measured.
 const VARIANTS: [Variant; 4] = [
     Variant { name: "daemon, no log", arguments: &["--log-filter", "off"] },
     Variant { name: "daemon, text at info", arguments: &["--log-filter", "info"] },
     Variant { name: "daemon, JSON at info", arguments: &["--log-filter", "info", "--log-format", "json"] },
     Variant { name: "daemon, JSON at debug", arguments: &["--log-filter", "debug", "--log-format", "json"] },
 ];
-/// Slots and queue places of a worker: more than any load of a bench takes.
+/// The number of slots and of queue places of a worker: more than any load of a benchmark takes.
 const UNLIMITED_JOBS: usize = 1 << 16;
-/// The least share of jobs, in percent, that must be served for a turn to count.
+/// The smallest share of jobs, in percent, that must be served for a turn to count.
 const MIN_SERVED_PERCENT: usize = 99;
-/// Between two attempts to connect to the relay while it starts.
+/// The interval between two attempts to connect to the relay while the relay starts.
 const RELAY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Attempts to connect to the relay until its start has failed.
+/// The number of attempts to connect to the relay before its start counts as failed.
 const RELAY_POLLS: usize = 500;
 
-/// One contender's figures; medians over the rounds.
+/// The figures of one target: medians over the rounds.
 #[derive(Debug, Serialize)]
 pub struct Figures {
-    /// Its name.
+    /// The name of the target.
     pub name: String,
-    /// Requests a second.
+    /// Served requests per second.
     pub per_second: f64,
-    /// Processor time a request, in microseconds.
+    /// Processor time per request, in microseconds.
     pub cpu_us: f64,
-    /// That over the relay's.
+    /// The processor time per request, divided by the relay's.
     pub ratio: f64,
     /// Resident memory before the load, in KiB.
     pub idle_kib: u64,
-    /// Resident memory after it, in KiB.
+    /// Resident memory after the load, in KiB.
     pub loaded_kib: u64,
 }
 
-/// What was measured.
+/// The result of a benchmark.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
     /// The relay's figures, then those of each variant of the daemon.
     pub figures: Vec<Figures>,
-    /// Connections that were busy.
+    /// The number of connections that were kept busy.
     pub connections: usize,
-    /// Turns of each contender.
+    /// The number of measured turns of each target.
     pub rounds: usize,
 }
 
 impl Comparison {
-    /// As a table.
+    /// Returns the result as a table.
     pub fn text(&self) -> String {
         let mut table = new_table();
-        let header = ["", "requests/s", "CPU us/request", "of the relay's", "idle KiB", "loaded KiB"];
+        let header = ["", "requests/s", "CPU us/request", "ratio to relay", "idle KiB", "loaded KiB"];
         table.set_header(header.to_vec());
         for figures in &self.figures {
             table.add_row(vec![
@@ -83,11 +84,11 @@
                 figures.loaded_kib.to_string(),
             ]);
         }
-        format!("{table}\n{} connections, medians of {} rounds, in turns\n", self.connections, self.rounds)
+        format!("{table}\n{} connections, medians of {} rounds\n", self.connections, self.rounds)
     }
 }
 
-/// Measures the relay and each variant of the daemon in turns.
+/// Measures the relay and each variant of the daemon, in turn, for a number of rounds.
 pub async fn compare(
     plan: &Plan,
     daemon: Option<&Path>,
@@ -102,26 +103,27 @@
     deployment.wait_until_ready().await?;
     relay.wait_until_ready().await?;
 
-    let mut contenders = vec![Contender::new("relay", relay.address, relay.process.id())?];
+    let mut targets = vec![Target::new("relay", relay.address, relay.process.id())?];
     for (variant, scheduler) in VARIANTS.iter().zip(&deployment.schedulers) {
-        contenders.push(Contender::new(variant.name, scheduler.address(), scheduler.pid())?);
+        targets.push(Target::new(variant.name, scheduler.address(), scheduler.pid())?);
     }
-    // The first round warms up and does not count.
+    // The first round is a warm-up and is not measured.
     for round in 0..=rounds {
-        eprintln!("round {round} of {rounds}{}", if round == 0 { ", which warms up" } else { "" });
-        for contender in &mut contenders {
-            let measured = contender.take_turn(&plan, connections, turn).await?;
+        eprintln!("round {round} of {rounds}{}", if round == 0 { " (warm-up)" } else { "" });
+        for target in &mut targets {
+            let measured = target.run_turn(&plan, connections, turn).await?;
             if round > 0 {
-                contender.turns.push(measured);
+                target.turns.push(measured);
             }
         }
     }
-    let relay_cpu_us = contenders[0].median_cpu_us();
-    let figures = contenders.iter().map(|contender| contender.figures(relay_cpu_us)).collect();
+    let relay_cpu_us = targets[0].median_cpu_us();
+    let figures = targets.iter().map(|target| target.figures(relay_cpu_us)).collect();
     Ok(Comparison { figures, connections, rounds })
 }
 
-/// The plan with a scheduler for each variant, jobs that need no work, and workers that never reject one.
+/// Returns the plan changed for the benchmark: one scheduler for each variant, jobs without work, and workers
+/// that never reject a job.
 fn bench_plan(plan: &Plan) -> Plan {
     let mut plan = plan.clone();
     plan.schedulers.count = VARIANTS.len();
@@ -135,7 +137,7 @@
     plan
 }
 
-/// Starts each scheduler again with the arguments of its variant; its configuration and address stay.
+/// Restarts each scheduler with the arguments of its variant, with the same configuration and address.
 async fn restart_as_variants(deployment: &mut Deployment, binary: &Path) -> Result<(), Failure> {
     let directory = deployment.directory().to_path_buf();
     for (number, variant) in VARIANTS.iter().enumerate() {
@@ -149,7 +151,7 @@
     Ok(())
 }
 
-/// The bare relay as a process of its own, with its worker.
+/// The plain relay as a child process, and its worker.
 struct Relay {
     process: Child,
     address: SocketAddr,
@@ -159,17 +161,17 @@
 
 impl Relay {
     fn start() -> Result<Relay, Failure> {
-        let worker_port = Port::reserve().map_err(machine("a port for the relay's worker"))?;
-        let listener = worker_port.listen().map_err(machine("the relay's worker"))?;
+        let worker_port = Port::reserve().map_err(io_failure("a port for the relay's worker"))?;
+        let listener = worker_port.listen().map_err(io_failure("the relay's worker"))?;
         let worker = Owned::spawn(relay::answer_at_once(listener));
-        let port = Port::reserve().map_err(machine("a port for the relay"))?;
+        let port = Port::reserve().map_err(io_failure("a port for the relay"))?;
         let address = port.address();
-        let binary = std::env::current_exe().map_err(machine("the kit's own path"))?;
+        let binary = std::env::current_exe().map_err(io_failure("path of the kit's executable"))?;
         let (listen, to) = (address.to_string(), worker_port.address().to_string());
         let mut command = Command::new(binary);
         command.args(["relay", "--listen", &listen, "--to", &to]);
         command.stdin(Stdio::null()).stdout(Stdio::null()).process_group(0).kill_on_drop(true);
-        let process = command.spawn().map_err(machine("the relay"))?;
+        let process = command.spawn().map_err(io_failure("the relay"))?;
         Ok(Relay { process, address, _worker: worker, _ports: [worker_port, port] })
     }
 
@@ -181,18 +183,18 @@
                 return Ok(());
             }
         }
-        Err(Failure::Machine("the relay did not come up".to_string()))
+        Err(Failure::System("the relay did not start in time".to_string()))
     }
 }
 
-/// What was measured in one turn of a contender.
+/// The figures of one turn of a target.
 struct Turn {
     per_second: f64,
     cpu_us: f64,
 }
 
-/// The relay or a variant of the daemon, and its turns.
-struct Contender {
+/// A target of the measurement (the relay or a variant of the daemon), and its turns.
+struct Target {
     name: &'static str,
     address: SocketAddr,
     pid: u32,
@@ -200,18 +202,18 @@
     turns: Vec<Turn>,
 }
 
-impl Contender {
-    fn new(name: &'static str, address: SocketAddr, pid: Option<u32>) -> Result<Contender, Failure> {
-        let pid = pid.ok_or_else(|| Failure::Machine("a process ended early".to_string()))?;
+impl Target {
+    fn new(name: &'static str, address: SocketAddr, pid: Option<u32>) -> Result<Target, Failure> {
+        let pid = pid.ok_or_else(|| Failure::System("a measured process exited early".to_string()))?;
         let idle_kib = resident_memory_kib(pid).unwrap_or_default();
-        Ok(Contender { name, address, pid, idle_kib, turns: Vec::new() })
+        Ok(Target { name, address, pid, idle_kib, turns: Vec::new() })
     }
 
-    async fn take_turn(&self, plan: &Plan, connections: usize, turn: Duration) -> Result<Turn, Failure> {
+    async fn run_turn(&self, plan: &Plan, connections: usize, duration: Duration) -> Result<Turn, Failure> {
         let clients = Clients::new(plan.load_spec(), vec![self.address]);
         let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
         let (started, cpu_before) = (Instant::now(), self.cpu_time()?);
-        let load = clients.run_closed_loop(connections, turn).await;
+        let load = clients.run_closed_loop(connections, duration).await;
         let load = load.map_err(|error| Failure::BadInput(error.to_string()))?;
         let (elapsed, used) = (started.elapsed(), self.cpu_time()?.saturating_sub(cpu_before));
         let served = self.count_served(&load)?.max(1) as f64;
@@ -219,10 +221,10 @@
     }
 
     fn cpu_time(&self) -> Result<Duration, Failure> {
-        cpu_time(self.pid).ok_or_else(|| Failure::Machine(format!("{} ended early", self.name)))
+        cpu_time(self.pid).ok_or_else(|| Failure::System(format!("{} exited early", self.name)))
     }
 
-    /// The jobs that were served; fails if these were too few.
+    /// Returns the number of served jobs; fails if fewer than [`MIN_SERVED_PERCENT`] were served.
     fn count_served(&self, load: &LoadRecord) -> Result<usize, Failure> {
         let (served, jobs) = (load.jobs.iter().filter(|job| job.served()).count(), load.jobs.len());
         if served * 100 >= jobs * MIN_SERVED_PERCENT {
@@ -230,7 +232,10 @@
         }
         let mut requests = load.jobs.iter().flat_map(|job: &JobRecord| &job.attempts);
         let other = requests.find(|request| !matches!(request.outcome, Outcome::Served(_)));
-        Err(Failure::Missed(format!("{}: only {served} of {jobs} were served: {other:?}", self.name)))
+        Err(Failure::CheckFailed(format!(
+            "{}: only {served} of {jobs} jobs were served; the first other outcome: {other:?}",
+            self.name
+        )))
     }
 
     fn median_cpu_us(&self) -> f64 {
@@ -250,7 +255,7 @@
     }
 }
 
-/// The upper median of values, of which there is at least one.
+/// Returns the upper median of `values`, which must not be empty.
 fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/testkit/src/cli/bench.rs
+++ b/crates/testkit/src/cli/bench.rs
@@ -1,4 +1,4 @@
-//! `bench`: the daemon's cost beside a bare relay's.
+//! `bench`: measures the daemon's processor time per request compared with a plain relay's.
 
 use super::options::ensure_descriptors;
 use super::output::{print, to_json};
@@ -8,26 +8,26 @@
 use std::path::PathBuf;
 use vetchbridge::config::units::Span;
 
-/// Descriptors for each connection, over all contenders.
+/// File descriptors per connection, over all targets.
 const DESCRIPTORS_PER_CONNECTION: u64 = 8;
-/// Descriptors beside those of connections.
+/// File descriptors for everything but connections.
 const SPARE_DESCRIPTORS: u64 = 256;
 
 #[derive(Debug, Args)]
 pub(super) struct BenchCommand {
-    /// Connections to keep busy
+    /// The number of connections to keep busy
     #[arg(long, default_value_t = 32)]
     connections: usize,
-    /// How long a turn takes
-    #[arg(long, default_value = "3s", value_name = "SPAN")]
+    /// How long each turn lasts, such as 3s
+    #[arg(long, default_value = "3s", value_name = "DURATION")]
     turn: Span,
-    /// Turns of each
+    /// The number of turns of the relay and of each daemon variant
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// The daemon's binary; the one beside this program where it is absent
+    /// The daemon's binary [default: the one beside this program]
     #[arg(long, value_name = "FILE")]
     daemon: Option<PathBuf>,
-    /// Print JSON
+    /// Print the result as JSON
     #[arg(long)]
     json: bool,
 }
--- a/crates/testkit/src/cli/demo.rs
+++ b/crates/testkit/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a deployment under load, with faults, and the report of what came of it.
+//! `demo`: starts a deployment, sends it load with faults, and prints a report.
 
 use super::options::{ensure_descriptors, override_load, DeploymentOptions};
 use super::output::finish;
@@ -12,34 +12,34 @@
 use vetchbridge::config::units::Span;
 use vetchbridge_testbed::client::Clients;
 
-/// Descriptors for each job a second of the load.
+/// File descriptors per job per second of the load.
 const DESCRIPTORS_PER_RATE: f64 = 4.0;
-/// Descriptors for each worker.
+/// File descriptors per worker.
 const DESCRIPTORS_PER_WORKER: u64 = 64;
 
 #[derive(Debug, Args)]
 pub(super) struct DemoCommand {
-    /// The plan: a file, or the name of a built-in one (demo, scans); `demo` where it is absent
+    /// The plan: a file, or the name of a built-in plan (demo, scans) [default: demo]
     plan: Option<PathBuf>,
-    /// Kill so many schedulers by SIGKILL along the load; each is back after 2 s
+    /// Number of schedulers to kill by SIGKILL during the load; each is restarted after 2 s
     #[arg(long, default_value_t = 0)]
     kill: usize,
-    /// Replace so many schedulers by a process that takes over, which no client may notice
+    /// Number of schedulers to upgrade during the load: a new process takes over, and no client request fails
     #[arg(long, default_value_t = 0)]
     upgrade: usize,
-    /// Drain so many schedulers, each for 2 s
+    /// Number of schedulers to drain during the load, each for 2 s
     #[arg(long, default_value_t = 0)]
     drain: usize,
-    /// End each replaced process by SIGKILL: what is lost then is to show in the account
+    /// Kill the old process of each upgrade by SIGKILL; the report must then list the lost requests
     #[arg(long, requires = "upgrade")]
     careless: bool,
-    /// For how long; the plan's where it is absent
-    #[arg(long = "for", value_name = "SPAN")]
+    /// How long the load lasts, such as 30s [default: as in the plan]
+    #[arg(long = "for", value_name = "DURATION")]
     duration: Option<Span>,
-    /// Jobs a second; the plan's where it is absent
+    /// Jobs per second [default: as in the plan]
     #[arg(long)]
     rate: Option<f64>,
-    /// Print JSON
+    /// Print the report as JSON
     #[arg(long)]
     json: bool,
     #[command(flatten)]
@@ -73,7 +73,7 @@
         finish(&report, self.json, &failed_shutdowns)
     }
 
-    /// The faults in their order: drains, upgrades, kills.
+    /// Returns the scheduler faults in order: drains, upgrades, kills.
     fn scheduler_faults(&self) -> Vec<SchedulerFault> {
         let upgrade = if self.careless { SchedulerFault::AbruptUpgrade } else { SchedulerFault::Upgrade };
         let drains = repeat_n(SchedulerFault::Drain, self.drain);
--- a/crates/testkit/src/cli/load.rs
+++ b/crates/testkit/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load`: sends a load to given addresses.
+//! `load`: sends a load to given addresses and prints a report.
 
 use super::options::{ensure_descriptors, override_load};
 use super::output::finish;
@@ -13,27 +13,28 @@
 use vetchbridge::config::units::Span;
 use vetchbridge_testbed::client::Clients;
 
-/// Descriptors beside those of connections.
+/// File descriptors for everything but connections.
 const SPARE_DESCRIPTORS: u64 = 64;
 
 #[derive(Debug, Args)]
 pub(super) struct LoadCommand {
-    /// Where to; several are taken in turn
+    /// Address to send the load to; repeat for several addresses, which are used in turn
     #[arg(long, required = true, value_name = "ADDRESS")]
     to: Vec<SocketAddr>,
-    /// Jobs a second, as an open loop; the plan's where it is absent
+    /// Jobs per second, as an open loop [default: as in the plan]
     #[arg(long, conflicts_with = "connections")]
     rate: Option<f64>,
-    /// Keep so many connections busy instead
+    /// Number of connections to keep busy, as a closed loop instead of a rate
     #[arg(long)]
     connections: Option<usize>,
-    /// For how long; the plan's where it is absent
-    #[arg(long = "for", value_name = "SPAN")]
+    /// How long the load lasts, such as 30s [default: as in the plan]
+    #[arg(long = "for", value_name = "DURATION")]
     duration: Option<Span>,
-    /// Classes and their jobs come from this plan
+    /// The plan that defines the classes and their jobs: a file, or the name of a built-in plan [default:
+    /// demo]
     #[arg(long, value_name = "FILE")]
     plan: Option<PathBuf>,
-    /// Print JSON
+    /// Print the report as JSON
     #[arg(long)]
     json: bool,
 }
@@ -42,16 +43,19 @@
     pub(super) async fn run(self) -> Result<(), Failure> {
         let mut plan = Plan::read(self.plan.as_deref())?;
         override_load(&mut plan, self.rate, self.duration)?;
-        // An open loop has at least as many connections as jobs in flight: about a second's.
+        // An open loop has about as many connections as jobs in flight; the estimate is the jobs of one
+        // second.
         let connections = self.connections.map_or(plan.load.rate.ceil() as u64, |count| count as u64);
         ensure_descriptors(connections + SPARE_DESCRIPTORS)?;
         let clients = Clients::new(plan.load_spec(), self.to);
         let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
         let (interrupt, duration) = (Interrupt::listen()?, plan.load.duration.duration());
         let record = match self.connections {
-            Some(0) => return Err(Failure::BadInput("--connections 0: at least 1".to_string())),
+            Some(0) => return Err(Failure::BadInput("--connections 0: must be at least 1".to_string())),
             Some(connections) => {
-                interrupt.or_stop(async { Ok(clients.run_closed_loop(connections, duration).await) }).await?
+                interrupt
+                    .run_unless_stopped(async { Ok(clients.run_closed_loop(connections, duration).await) })
+                    .await?
             }
             None => {
                 let mut progress = Progress::new(duration);
--- a/crates/testkit/src/cli/mod.rs
+++ b/crates/testkit/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The kit's command line: its commands, one a file, and its exit codes.
+//! The kit's command line: one file for each command, and the exit codes.
 
 mod bench;
 mod demo;
@@ -25,21 +25,23 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  vetchbridge-testkit demo                                   a whole platform under load for 20 s, and what came of it
-  vetchbridge-testkit demo --kill 2                          the same while two schedulers are killed
-  vetchbridge-testkit demo --upgrade 2 --drain 1             the same while two are replaced and one is drained
-  vetchbridge-testkit demo scans                             the same on a second deployment, whose workers are probed
-  vetchbridge-testkit plan default > plan.toml               the plan of that platform, to change
-  vetchbridge-testkit up plan.toml                           the platform alone, until Ctrl-C
-  vetchbridge-testkit load --to 127.0.0.1:8080 --rate 100    a load on addresses of yours
-  vetchbridge-testkit bench                                  the daemon's cost beside a bare relay's
+  vetchbridge-testkit demo                                   run a local deployment under load for 20 s
+  vetchbridge-testkit demo --kill 2                          the same, and kill two schedulers during the load
+  vetchbridge-testkit demo --upgrade 2 --drain 1             upgrade two schedulers and drain one
+  vetchbridge-testkit demo scans                             use the plan `scans`, whose workers are probed
+  vetchbridge-testkit plan default > plan.toml               write the default plan to a file
+  vetchbridge-testkit up plan.toml                           run the deployment without load until Ctrl-C
+  vetchbridge-testkit load --to 127.0.0.1:8080 --rate 100    send load to an address
+  vetchbridge-testkit bench                                  compare the daemon's cost with a plain relay's
 
 Exit codes:
-  0  held                         2  bad input: nothing was started
-  1  a rule or goal was missed    3  the machine could not do it
-  130  ended at once by a second Ctrl-C";
+  0  success
+  1  a check failed or a goal was not reached
+  2  invalid input; nothing was started
+  3  the machine or its setup prevented the command from completing
+  130  exited immediately after a second Ctrl-C";
 
-/// The kit that ships with the daemon: stand-in platform, load, demonstration, measurements.
+/// Testing kit for the daemon: runs local deployments, sends load, injects faults and measures
 #[derive(Debug, Parser)]
 #[command(name = "vetchbridge-testkit", version, after_help = EXAMPLES)]
 struct Cli {
@@ -49,57 +51,57 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Start a platform and its schedulers, and keep them until Ctrl-C
+    /// Start a deployment with simulated workers, and keep it running until Ctrl-C
     #[command(after_help = "Example:\n  vetchbridge-testkit up plan.toml --logs logs")]
     Up(UpCommand),
     /// Send a load to given addresses and report the answers
     #[command(after_help = "\
 Examples:
   vetchbridge-testkit load --to 127.0.0.1:8080 --to 127.0.0.1:8081 --rate 200 --for 30s
-  vetchbridge-testkit load --to 127.0.0.1:8080 --connections 64 --for 10s     a closed loop instead")]
+  vetchbridge-testkit load --to 127.0.0.1:8080 --connections 64 --for 10s     use a closed loop")]
     Load(LoadCommand),
-    /// Start a platform, send it its load, and compare the clients' answers with the workers' runs
+    /// Start a deployment, send it load, and check that each job was answered exactly once
     #[command(after_help = "Example:\n  vetchbridge-testkit demo --for 60s --kill 2 --logs logs")]
     Demo(DemoCommand),
-    /// Inject overlapping faults into real schedulers whose system calls fail, and check their invariants
+    /// Inject overlapping faults into real schedulers whose system calls fail, and check invariants
     #[command(after_help = "\
 Examples:
   vetchbridge-testkit soak --seed 7 --for 60s
-  vetchbridge-testkit soak --seed 7 --for 10s --schedulers 6 --logs logs     shorter and smaller, with what it leaves
+  vetchbridge-testkit soak --for 10s --schedulers 6 --logs logs     a smaller run that keeps its logs
 
-The last line counts troubles, overlaps, faults and violations; exit code 0 only if every invariant held and, from 30 s on,
-every kind of trouble and of fault has happened.")]
+The last line contains the totals. The exit code is 0 only if no invariant was violated and, in a test of
+at least 30 s, every kind of platform fault and of system call fault happened.")]
     Soak(SoakCommand),
-    /// Measure the daemon's processor time a request beside a bare relay's, in turns
+    /// Measure the daemon's processor time per request compared with a plain relay's
     #[command(after_help = "Example:\n  vetchbridge-testkit bench --connections 32 --turn 3s --rounds 5")]
     Bench(BenchCommand),
-    /// Pass every request on to one address, deciding nothing: what `bench` compares with
+    /// Forward every request to one address; `bench` runs this relay for comparison
     Relay {
-        /// Where clients connect
+        /// The address to listen on
         #[arg(long, value_name = "ADDRESS")]
         listen: SocketAddr,
-        /// Where requests go
+        /// The address to forward requests to
         #[arg(long, value_name = "ADDRESS")]
         to: SocketAddr,
     },
-    /// Print what plans look like
+    /// Print and check plans, the descriptions of deployments
     Plan {
         #[command(subcommand)]
         command: PlanCommand,
     },
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions {
-        /// The shell
+        /// The shell to print completions for
         shell: Shell,
     },
 }
 
-/// Runs the program.
+/// Parses the command line, runs the command and returns its exit code.
 pub fn main() -> ExitCode {
     let command = Cli::parse().command;
     let result = match runtime(&command) {
         Ok(runtime) => runtime.block_on(run(command)),
-        Err(error) => Err(Failure::Machine(error.to_string())),
+        Err(error) => Err(Failure::System(error.to_string())),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -110,7 +112,8 @@
     }
 }
 
-/// One thread for the relay, as the daemon has; a thread for each processor for everything else.
+/// Returns a runtime with one thread for the relay, as in the daemon, and with one thread per processor for
+/// other commands.
 fn runtime(command: &Command) -> io::Result<Runtime> {
     let mut builder = match command {
         Command::Relay { .. } => Builder::new_current_thread(),
--- a/crates/testkit/src/cli/options.rs
+++ b/crates/testkit/src/cli/options.rs
@@ -1,4 +1,4 @@
-//! What several commands share: options, and the limit on descriptors.
+//! Options that several commands share, and the limit on file descriptors.
 
 use crate::deployment::Deployment;
 use crate::plan::Plan;
@@ -9,29 +9,29 @@
 use std::path::PathBuf;
 use vetchbridge::config::units::Span;
 
-/// The highest rate of a load, in jobs a second.
+/// The highest rate of a load, in jobs per second.
 const MAX_RATE: f64 = 1e6;
 
-/// Options of every command that starts schedulers.
+/// Options of the commands that start schedulers.
 #[derive(Debug, Args)]
 pub(super) struct DeploymentOptions {
-    /// The daemon's binary; the one beside this program where it is absent
+    /// The daemon's binary [default: the one beside this program]
     #[arg(long, value_name = "FILE")]
     pub(super) daemon: Option<PathBuf>,
     /// Keep the schedulers' configurations and logs in this folder
     #[arg(long, value_name = "FOLDER")]
     pub(super) logs: Option<PathBuf>,
-    /// What the schedulers log, as in `RUST_LOG`
+    /// The schedulers' log filter, in the format of `RUST_LOG`
     #[arg(long, value_name = "FILTER")]
     pub(super) log_filter: Option<String>,
 }
 
 impl DeploymentOptions {
-    /// Starts a deployment, unless it is interrupted meanwhile.
+    /// Starts a deployment, or fails if a signal interrupts the start.
     pub(super) async fn start(&self, plan: &Plan, interrupt: &Interrupt) -> Result<Deployment, Failure> {
         let arguments = self.scheduler_arguments();
         let starting = Deployment::start(plan, self.daemon.as_deref(), self.logs.as_deref(), &arguments);
-        interrupt.or_stop(starting).await
+        interrupt.run_unless_stopped(starting).await
     }
 
     fn scheduler_arguments(&self) -> Vec<String> {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Replaces the rate and the duration of a plan's load by those of the command line.
+/// Replaces the rate and the duration of a plan's load by the command line's values, if given.
 pub(super) fn override_load(
     plan: &mut Plan,
     rate: Option<f64>,
@@ -49,7 +49,7 @@
     if let Some(rate) = rate {
         if !(rate > 0.0 && rate <= MAX_RATE) {
             return Err(Failure::BadInput(format!(
-                "--rate {rate}: from just above 0 to {MAX_RATE} jobs a second"
+                "--rate {rate}: must be above 0 and at most {MAX_RATE} jobs per second"
             )));
         }
         plan.load.rate = rate;
@@ -58,16 +58,17 @@
     Ok(())
 }
 
-/// Raises the limit on descriptors as far as possible, and fails if it stays too low.
+/// Raises the limit on file descriptors as far as possible, and fails if the limit stays below `needed`.
 pub(super) fn ensure_descriptors(needed: u64) -> Result<(), Failure> {
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_some_and(|current| current < needed) {
-        // A limit that can't be raised is found below.
+        // The check below finds a limit that could not be raised.
         let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
     }
     match getrlimit(Resource::Nofile).current {
-        Some(current) if current < needed => Err(Failure::Machine(format!(
-            "{needed} descriptors are needed and the limit is {current}: raise it (ulimit -n) or ask for less"
+        Some(current) if current < needed => Err(Failure::System(format!(
+            "{needed} file descriptors are needed, but the limit is {current}: raise it \
+             (ulimit -n) or lower the load"
         ))),
         _ => Ok(()),
     }
--- a/crates/testkit/src/cli/plan.rs
+++ b/crates/testkit/src/cli/plan.rs
@@ -8,18 +8,18 @@
 
 #[derive(Debug, Subcommand)]
 pub(super) enum PlanCommand {
-    /// The plan of the demonstration
+    /// Print the demonstration's plan
     Default,
-    /// A built-in plan by its name: demo, or scans
+    /// Print a built-in plan
     Show {
-        /// Its name
+        /// The plan's name: demo, scans or soak
         name: String,
     },
-    /// The JSON Schema of the format, for editors
+    /// Print the JSON Schema of plans, for editors
     Schema,
-    /// Read plans and report every fault
+    /// Check plans and report all faults
     Check {
-        /// The plans
+        /// The plans to check: files, or names of built-in plans
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
@@ -39,7 +39,9 @@
 fn show(name: &str) -> Result<(), Failure> {
     let Some((_, text)) = plan::BUILT_IN.iter().find(|(known, _)| *known == name) else {
         let names = plan::BUILT_IN.map(|(known, _)| known).join(", ");
-        return Err(Failure::BadInput(format!("{name}: no plan of this name; one of {names}")));
+        return Err(Failure::BadInput(format!(
+            "{name}: no built-in plan has this name; choose one of {names}"
+        )));
     };
     print(text)
 }
@@ -48,7 +50,7 @@
     let errors = files.iter().filter_map(|file| Plan::read(Some(file)).err());
     let errors: Vec<String> = errors.map(|failure| failure.to_string()).collect();
     if errors.is_empty() {
-        return print("held\n");
+        return print("valid\n");
     }
     Err(Failure::BadInput(errors.join("\n")))
 }
--- a/crates/testkit/src/cli/soak.rs
+++ b/crates/testkit/src/cli/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: many schedulers under overlapping faults.
+//! `soak`: runs many schedulers under overlapping faults.
 
 use super::options::{ensure_descriptors, DeploymentOptions};
 use super::output::print;
@@ -7,9 +7,10 @@
 use clap::Args;
 use vetchbridge::config::units::Span;
 
-/// Listeners of each worker for each scheduler, connection floods, the load and what is in flight.
+/// The number of file descriptors for each worker's listeners (one per scheduler), connection floods, the
+/// load and jobs in flight.
 const DESCRIPTORS: u64 = 8192;
-/// What the schedulers log unless the user says otherwise.
+/// The schedulers' log filter unless the user specifies one.
 const DEFAULT_LOG_FILTER: &str = "info";
 
 #[derive(Debug, Args)]
@@ -17,10 +18,10 @@
     /// The seed of all faults
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// For how long
-    #[arg(long = "for", default_value = "30s", value_name = "SPAN")]
+    /// How long the load lasts, such as 60s
+    #[arg(long = "for", default_value = "30s", value_name = "DURATION")]
     duration: Span,
-    /// How many schedulers; 24 where it is absent
+    /// The number of schedulers [default: 24]
     #[arg(long, value_parser = clap::value_parser!(u64).range(3..=48))]
     schedulers: Option<u64>,
     #[command(flatten)]
@@ -42,6 +43,6 @@
         if report.passed() {
             return Ok(());
         }
-        Err(Failure::Missed("an invariant was violated, or a kind of fault did not happen".to_string()))
+        Err(Failure::CheckFailed("an invariant was violated, or a kind of fault did not happen".to_string()))
     }
 }
--- a/crates/testkit/src/cli/up.rs
+++ b/crates/testkit/src/cli/up.rs
@@ -1,4 +1,4 @@
-//! `up`: starts a deployment and leaves it running.
+//! `up`: starts a deployment and keeps it running until Ctrl-C.
 
 use super::options::DeploymentOptions;
 use super::output::{check_shutdowns, print};
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::time::interval;
 
-/// Between two checks that every scheduler still runs.
+/// The interval between two checks that every scheduler still runs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Args)]
 pub(super) struct UpCommand {
-    /// The plan: a file, or the name of a built-in one; `demo` where it is absent
+    /// The plan: a file, or the name of a built-in plan (demo, scans) [default: demo]
     plan: Option<PathBuf>,
     #[command(flatten)]
     deployment: DeploymentOptions,
@@ -39,21 +39,23 @@
     }
 }
 
-/// The addresses of a deployment's parts, and how to send it a load.
+/// Returns a text with the addresses of the deployment's parts and a command that sends a load.
 fn describe(deployment: &Deployment) -> String {
-    let front = deployment.front.address();
-    let mut text = format!("front       {front}\n");
+    let load_balancer = deployment.front.address();
+    let mut text = format!("load balancer {load_balancer}\n");
     for (number, scheduler) in deployment.schedulers.iter().enumerate() {
         let (address, log) = (scheduler.address(), scheduler.log_path().display());
-        let admin = scheduler.admin_address().map(|address| format!("  operators {address}"));
+        let admin = scheduler.admin_address().map(|address| format!("  admin {address}"));
         let admin = admin.unwrap_or_default();
-        text.push_str(&format!("scheduler {number} {address}{admin}  log {log}\n"));
+        text.push_str(&format!("scheduler {number:<3} {address}{admin}  log {log}\n"));
     }
     for worker in &deployment.workers {
         let (spec, addresses) = (worker.spec(), worker.addresses());
         let first = addresses.first().map(ToString::to_string).unwrap_or_default();
-        text.push_str(&format!("worker      {first}  {} {} {}\n", spec.name, spec.zone, spec.kind));
+        text.push_str(&format!("worker        {first}  {} {} {}\n", spec.name, spec.zone, spec.kind));
     }
-    text.push_str(&format!("\nvetchbridge-testkit load --to {front}   sends it jobs; Ctrl-C ends\n"));
+    text.push_str(&format!(
+        "\nTo send a load: vetchbridge-testkit load --to {load_balancer}\nTo stop: Ctrl-C\n"
+    ));
     text
 }
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -1,10 +1,12 @@
-//! A whole deployment on one machine: stand-ins for everything round the schedulers, and the schedulers as child processes.
+//! A deployment on one machine: schedulers as child processes, with simulated workers, discovery and load
+//! balancer.
 //!
-//! Owns everything that it started; dropping it ends all of it. What happens in it is judged elsewhere.
+//! [`Deployment`] owns everything that it starts and ends all of it when dropped. It does not judge what
+//! happens in the deployment.
 
 use crate::plan::{KnownWorker, Plan, SchedulerSpec};
 use crate::scheduler::{find_daemon, LaunchOptions, Scheduler};
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,22 +22,22 @@
 
 /// How long the schedulers may take until all of them are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Between two looks at the schedulers' readiness.
+/// The interval between two checks of the schedulers' readiness.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Schedulers, workers, discovery and the front that clients connect to.
+/// Schedulers, workers, discovery and the load balancer that clients connect to.
 pub struct Deployment {
     /// The schedulers, by their number.
     pub schedulers: Vec<Scheduler>,
-    /// The workers.
+    /// The simulated workers.
     pub workers: Vec<Worker>,
-    /// Discovery.
+    /// The simulated discovery service.
     pub discovery: Discovery,
-    /// What the workers ran.
+    /// The jobs that the workers ran.
     pub runs: Runs,
-    /// Where clients connect.
+    /// The load balancer in front of the schedulers, which clients connect to.
     pub front: LoadBalancer,
-    /// The time from which the workers' records count.
+    /// The instant from which the workers' records count times.
     pub epoch: Instant,
     directory: WorkingDirectory,
     _ports: Vec<Port>,
@@ -45,16 +47,18 @@
 enum WorkingDirectory {
     /// Given by the user, and left in place.
     Given(PathBuf),
-    /// Removed with the deployment.
+    /// A temporary directory that is removed with the deployment.
     Temporary(tempfile::TempDir),
 }
 
 impl WorkingDirectory {
     fn create(given: Option<&Path>) -> Result<WorkingDirectory, Failure> {
         let Some(path) = given else {
-            return tempfile::tempdir().map(Self::Temporary).map_err(machine("a folder for logs"));
+            return tempfile::tempdir()
+                .map(Self::Temporary)
+                .map_err(io_failure("a temporary folder for logs"));
         };
-        std::fs::create_dir_all(path).map_err(machine("the folder for logs"))?;
+        std::fs::create_dir_all(path).map_err(io_failure("the folder for logs"))?;
         Ok(Self::Given(path.to_path_buf()))
     }
 
@@ -69,9 +73,9 @@
 /// A scheduler that did not shut down cleanly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedShutdown {
-    /// Its number.
+    /// The scheduler's number.
     pub scheduler: usize,
-    /// How it exited.
+    /// The exit status.
     pub status: ExitStatus,
 }
 
@@ -82,7 +86,8 @@
 }
 
 impl Deployment {
-    /// Starts a deployment, each scheduler with the same further arguments, and waits until every scheduler is ready.
+    /// Starts a deployment whose schedulers all get the same additional arguments, and waits until every
+    /// scheduler is ready.
     pub async fn start(
         plan: &Plan,
         daemon: Option<&Path>,
@@ -94,7 +99,8 @@
         Deployment::start_with(plan, daemon, logs, options).await
     }
 
-    /// The same, where the options of each scheduler depend on its number and the directory of its files.
+    /// Starts a deployment as [`Deployment::start`] does; `options` returns a scheduler's options from its
+    /// number and the directory of its files.
     pub async fn start_with(
         plan: &Plan,
         daemon: Option<&Path>,
@@ -105,19 +111,19 @@
         let directory = WorkingDirectory::create(logs)?;
         let (runs, epoch, count) = (Runs::default(), Instant::now(), plan.schedulers.count);
         let ports = (0..count).map(|_| Port::reserve()).collect::<Result<Vec<_>, _>>();
-        let ports = ports.map_err(machine("ports for the schedulers"))?;
+        let ports = ports.map_err(io_failure("ports for the schedulers"))?;
         let addresses: Vec<SocketAddr> = ports.iter().map(Port::address).collect();
-        let discovery = Discovery::start(count).await.map_err(machine("discovery"))?;
+        let discovery = Discovery::start(count).await.map_err(io_failure("discovery"))?;
         let mut workers = Vec::new();
         for spec in plan.worker_specs() {
             let worker = Worker::start_at(spec, runs.clone(), &addresses, epoch).await;
-            let worker = worker.map_err(machine("a worker"))?;
+            let worker = worker.map_err(io_failure("a worker"))?;
             discovery.up(&worker);
             workers.push(worker);
         }
         discovery.set_update_delay(plan.schedulers.publication_delay.duration());
         let front = LoadBalancer::start(&addresses, plan.schedulers.detection_delay.duration()).await;
-        let front = front.map_err(machine("the front"))?;
+        let front = front.map_err(io_failure("the load balancer"))?;
         let schedulers = Vec::new();
         let mut deployment =
             Deployment { schedulers, workers, discovery, runs, front, epoch, directory, _ports: ports };
@@ -143,14 +149,14 @@
                 known: &self.known_workers(number),
                 handover: Some(path.with_extension("handover")),
             });
-            std::fs::write(&path, text).map_err(machine("a scheduler's configuration"))?;
+            std::fs::write(&path, text).map_err(io_failure("a scheduler's configuration"))?;
             let options = options(number, self.directory());
             self.schedulers.push(Scheduler::start(binary, &path, listen, options)?);
         }
         Ok(())
     }
 
-    /// The workers as one scheduler knows them at its start.
+    /// Returns the workers with the addresses at which one scheduler reaches them.
     fn known_workers(&self, scheduler: usize) -> Vec<KnownWorker> {
         let known = |worker: &Worker| KnownWorker {
             spec: worker.spec().clone(),
@@ -159,12 +165,13 @@
         self.workers.iter().map(known).collect()
     }
 
-    /// The directory of configurations and logs.
+    /// Returns the directory of configurations and logs.
     pub fn directory(&self) -> &Path {
         self.directory.path()
     }
 
-    /// Hands over a temporary directory, so that it outlives the deployment; `None` if the user gave one.
+    /// Returns the temporary directory, which then outlives the deployment; `None` if the user specified a
+    /// directory.
     pub fn take_temporary_directory(&mut self) -> Option<tempfile::TempDir> {
         let path = self.directory().to_path_buf();
         match std::mem::replace(&mut self.directory, WorkingDirectory::Given(path)) {
@@ -173,7 +180,7 @@
         }
     }
 
-    /// Waits until the front has found every scheduler ready.
+    /// Waits until the load balancer has found every scheduler ready.
     pub async fn wait_until_ready(&mut self) -> Result<(), Failure> {
         let (started, mut poll) = (Instant::now(), interval(READY_POLL_INTERVAL));
         while self.front.ready_schedulers() < self.schedulers.len() {
@@ -181,27 +188,27 @@
             self.check_running()?;
             if started.elapsed() > READY_TIMEOUT {
                 let (ready, count) = (self.front.ready_schedulers(), self.schedulers.len());
-                let text = format!("{ready} of {count} schedulers ready after {READY_TIMEOUT:?}");
-                return Err(Failure::Machine(text));
+                let text = format!("only {ready} of {count} schedulers were ready after {READY_TIMEOUT:?}");
+                return Err(Failure::System(text));
             }
         }
         Ok(())
     }
 
-    /// Fails if a scheduler has exited by itself.
+    /// Fails if a scheduler has exited on its own.
     pub fn check_running(&mut self) -> Result<(), Failure> {
         for (number, scheduler) in self.schedulers.iter_mut().enumerate() {
             if let Some(status) = scheduler.try_exit_status() {
                 let log = scheduler.log_tail();
-                return Err(Failure::Machine(format!(
-                    "scheduler {number} exited by itself, {status}:\n{log}"
+                return Err(Failure::System(format!(
+                    "scheduler {number} exited on its own ({status}):\n{log}"
                 )));
             }
         }
         Ok(())
     }
 
-    /// Shuts down every scheduler gracefully, all at once; returns those that did not exit cleanly.
+    /// Shuts down all schedulers at once, gracefully; returns those that did not exit cleanly.
     pub async fn shut_down(mut self) -> Vec<FailedShutdown> {
         let mut shutdowns = JoinSet::new();
         for (number, mut scheduler) in self.schedulers.drain(..).enumerate() {
--- a/crates/testkit/src/failure.rs
+++ b/crates/testkit/src/failure.rs
@@ -1,26 +1,26 @@
-//! How a command of the kit fails, and the exit code of each kind of failure.
+//! Failures of the kit's commands, and the exit code of each kind of failure.
 
 use std::fmt;
 use std::io;
 
-/// How a command of the kit failed.
+/// The failure of a command.
 #[derive(Debug)]
 pub enum Failure {
-    /// A rule or a goal was missed.
-    Missed(String),
-    /// Bad input; nothing was started.
+    /// A checked rule was violated or a goal was not reached.
+    CheckFailed(String),
+    /// The input is invalid; no process was started.
     BadInput(String),
-    /// The machine could not do it.
-    Machine(String),
+    /// The machine, the operating system or the installation prevented the command from completing.
+    System(String),
 }
 
 impl Failure {
-    /// The exit code.
+    /// Returns the exit code.
     pub fn code(&self) -> u8 {
         match self {
-            Failure::Missed(_) => 1,
+            Failure::CheckFailed(_) => 1,
             Failure::BadInput(_) => 2,
-            Failure::Machine(_) => 3,
+            Failure::System(_) => 3,
         }
     }
 }
@@ -28,14 +28,15 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Missed(text) | Failure::BadInput(text) | Failure::Machine(text) => f.write_str(text),
+            Failure::CheckFailed(text) | Failure::BadInput(text) | Failure::System(text) => f.write_str(text),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// Converts an error of the operating system into a [`Failure::Machine`] that names what it concerns.
-pub fn machine(subject: &str) -> impl FnOnce(io::Error) -> Failure + '_ {
-    move |error| Failure::Machine(format!("{subject}: {error}"))
+/// Returns a function that converts an I/O error into a [`Failure::System`]. `subject` names what the
+/// error concerns.
+pub fn io_failure(subject: &str) -> impl FnOnce(io::Error) -> Failure + '_ {
+    move |error| Failure::System(format!("{subject}: {error}"))
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,15 +1,16 @@
-//! vetchbridge-testkit, the kit that ships with the daemon: a local deployment of real schedulers as child processes and
-//! stand-ins for everything round them, a load, a demonstration and measurements.
+//! vetchbridge-testkit, the command-line kit that ships with the daemon. It starts a local deployment of real
+//! schedulers (as child processes) with simulated workers, discovery and load balancer, sends load to it,
+//! injects faults, and measures the daemon.
 //!
-//! Nothing depends on this crate. From a command to its result:
+//! No other crate depends on this crate. The modules, from a command to its result:
 //!
-//! - [`cli`] parses a command and runs it;
-//! - [`plan`] reads what a deployment consists of;
-//! - [`deployment`] starts it, with each [`scheduler`] as a child process;
-//! - [`runner`] runs a load against it and injects faults;
-//! - [`report`] summarizes and judges the load;
-//! - [`soak`] does all of that under many overlapping faults;
-//! - [`mod@bench`] compares the daemon's cost with that of a bare [`relay`].
+//! - [`cli`] parses and runs a command;
+//! - [`plan`] reads the description of a deployment;
+//! - [`deployment`] starts a deployment, with each [`scheduler`] as a child process;
+//! - [`runner`] runs a load against the deployment and injects faults;
+//! - [`report`] summarizes the load and checks its rules;
+//! - [`soak`] runs a load under many overlapping faults and checks invariants;
+//! - [`mod@bench`] compares the daemon's processor time with that of a plain [`relay`].
 
 #![deny(missing_docs)]
 
@@ -24,4 +25,4 @@
 pub mod scheduler;
 pub mod soak;
 
-pub use failure::{machine, Failure};
+pub use failure::{io_failure, Failure};
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The kit's program: everything is the library's.
+//! The kit's executable; the library implements everything.
 
 fn main() -> std::process::ExitCode {
     vetchbridge_testkit::cli::main()
--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -1,4 +1,5 @@
-//! Checks of a plan beyond its schema: names that refer to other tables, and what the daemon would reject.
+//! Checks of a plan beyond its schema: references to names in other tables, and values that the daemon would
+//! reject.
 
 use super::fault::PlannedFaultKind;
 use super::scheduler::SchedulerSpec;
@@ -10,22 +11,23 @@
 use vetchbridge::config::Fault;
 use vetchbridge_testbed::arrivals::Arrivals;
 
-/// An address for a configuration that is only checked, never used.
+/// An address for a configuration that is checked but never used.
 const PLACEHOLDER: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 1);
 
-/// The failure that lists faults, one a line.
+/// Returns a failure that lists the faults, one per line.
 pub(super) fn bad_input(faults: &[Fault]) -> Failure {
     let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
     Failure::BadInput(lines.join("\n"))
 }
 
-/// Every reference of a plan to a name that does not exist, or exists twice.
-pub(super) fn references(plan: &Plan, source: &str, text: &str) -> Vec<Fault> {
+/// Returns a fault for each reference to an undefined name, each prefix that is used twice, and an empty list
+/// of workers.
+pub(super) fn check_references(plan: &Plan, source: &str, text: &str) -> Vec<Fault> {
     let (text, _) = Text::parse(source, text);
-    let mut faults = workers(plan, &text);
-    faults.extend(classes(plan, &text));
-    faults.extend(tenants(plan, &text));
-    faults.extend(planned_faults(plan, &text));
+    let mut faults = check_workers(plan, &text);
+    faults.extend(check_classes(plan, &text));
+    faults.extend(check_tenants(plan, &text));
+    faults.extend(check_planned_faults(plan, &text));
     if plan.workers.is_empty() {
         let remedy = "add a [[peers]] with prefix, count, kind and slots";
         faults.push(text.fault("peers", "the list of workers is empty", remedy));
@@ -33,8 +35,8 @@
     faults
 }
 
-/// What the daemon or the clients would reject, found before anything is started.
-pub(super) fn dry_run(plan: &Plan, source: &str) -> Result<(), Failure> {
+/// Checks the plan as the daemon and the clients would, before any process is started.
+pub(super) fn check_as_daemon(plan: &Plan, source: &str) -> Result<(), Failure> {
     let address = SocketAddr::from(PLACEHOLDER);
     let first = SchedulerSpec { number: 0, listen: address, discovery: address, known: &[], handover: None };
     let config = plan.scheduler_config(first);
@@ -49,60 +51,64 @@
     format!("one of {}", names.join(", "))
 }
 
-fn workers(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
+fn check_workers(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let (zones, kinds) = (&plan.daemon.fleet.zones, &plan.daemon.fleet.kinds);
     let mut faults = Vec::new();
-    for (at, workers) in plan.workers.iter().enumerate() {
+    for (index, workers) in plan.workers.iter().enumerate() {
         if !kinds.contains(&workers.kind) {
-            let key = format!("peers[{at}].kind");
+            let key = format!("peers[{index}].kind");
             faults.push(text.fault(&key, "not in daemon.fleet.kinds", one_of(kinds)));
         }
         if workers.zone.as_ref().is_some_and(|zone| !zones.contains(zone)) {
-            let key = format!("peers[{at}].zone");
+            let key = format!("peers[{index}].zone");
             faults.push(text.fault(&key, "not in daemon.fleet.zones", one_of(zones)));
         }
-        if plan.workers[..at].iter().any(|other| other.prefix == workers.prefix) {
-            let key = format!("peers[{at}].prefix");
-            faults.push(text.fault(&key, "is there already", "a prefix of its own"));
+        if plan.workers[..index].iter().any(|other| other.prefix == workers.prefix) {
+            let key = format!("peers[{index}].prefix");
+            faults.push(text.fault(
+                &key,
+                "another table of [[peers]] has this prefix",
+                "choose a unique prefix",
+            ));
         }
     }
     faults
 }
 
-fn classes(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
+fn check_classes(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let known: Vec<String> = plan.daemon.class.iter().map(|class| class.name.clone()).collect();
-    let named = plan.load.classes.iter().map(|class| class.name.as_str());
-    unknown_names(text, "load.class", named, "daemon.class", &known)
+    let names = plan.load.classes.iter().map(|class| class.name.as_str());
+    unknown_names(text, "load.class", names, "daemon.class", &known)
 }
 
-fn tenants(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
+fn check_tenants(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let known: Vec<String> = plan.daemon.tenant.iter().map(|tenant| tenant.name.clone()).collect();
-    let named = plan.load.tenants.iter().map(|tenant| tenant.name.as_str());
-    unknown_names(text, "load.tenant", named, "daemon.tenant", &known)
+    let names = plan.load.tenants.iter().map(|tenant| tenant.name.as_str());
+    unknown_names(text, "load.tenant", names, "daemon.tenant", &known)
 }
 
-/// Each entry of a list whose name is not among those that another list defines.
+/// Returns a fault for each name in `list` that is not among the `known` names, which `table` defines.
 fn unknown_names<'n>(
     text: &Text<'_>,
     list: &str,
-    named: impl Iterator<Item = &'n str>,
-    defined_in: &str,
+    names: impl Iterator<Item = &'n str>,
+    table: &str,
     known: &[String],
 ) -> Vec<Fault> {
-    let unknown = named.enumerate().filter(|(_, name)| known.iter().all(|known| known != name));
+    let unknown = names.enumerate().filter(|(_, name)| known.iter().all(|known| known != name));
     let fault =
-        |(at, _)| text.fault(&format!("{list}[{at}].name"), format!("not in {defined_in}"), one_of(known));
+        |(index, _)| text.fault(&format!("{list}[{index}].name"), format!("not in {table}"), one_of(known));
     unknown.map(fault).collect()
 }
 
-fn planned_faults(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
+fn check_planned_faults(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
     let names: Vec<String> = plan.workers.iter().flat_map(WorkerGroup::names).collect();
     let mut faults = Vec::new();
-    for (at, fault) in plan.faults.iter().enumerate() {
-        let named = fault.worker.as_ref().is_some_and(|worker| names.contains(worker));
-        if fault.kind == PlannedFaultKind::WorkerCrash && !named {
+    for (index, fault) in plan.faults.iter().enumerate() {
+        let worker_exists = fault.worker.as_ref().is_some_and(|worker| names.contains(worker));
+        if fault.kind == PlannedFaultKind::WorkerCrash && !worker_exists {
             let remedy = "a prefix of [[peers]] and a number, such as prefix-0";
-            faults.push(text.fault(&format!("trouble[{at}].peer"), "no such worker", remedy));
+            faults.push(text.fault(&format!("trouble[{index}].peer"), "no such worker", remedy));
         }
     }
     faults
--- a/crates/testkit/src/plan/defaults.rs
+++ b/crates/testkit/src/plan/defaults.rs
@@ -1,11 +1,11 @@
-//! Defaults of the format that several tables share, as functions for serde.
+//! Default values that several tables of the plan's format share, as functions for serde.
 
-/// A factor or share that changes nothing.
+/// Returns the default of factors and shares.
 pub(super) fn unit() -> f64 {
     1.0
 }
 
-/// A switch that is on.
+/// Returns the default of switches that are on unless a plan turns them off.
 pub(super) fn enabled() -> bool {
     true
 }
--- a/crates/testkit/src/plan/fault.rs
+++ b/crates/testkit/src/plan/fault.rs
@@ -1,30 +1,30 @@
-//! Faults that a plan injects at set times.
+//! The faults that a plan injects at configured times.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use vetchbridge::config::units::Span;
 use vetchbridge_testbed::discovery::Health;
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[schemars(rename = "TroubleKind")]
 pub enum PlannedFaultKind {
-    /// Discovery answers 503 to every call.
+    /// Discovery answers every request with status 503.
     #[serde(rename = "list-refuses")]
     DiscoveryError,
-    /// Discovery resets every call.
+    /// Discovery resets the connection of every request.
     #[serde(rename = "list-resets")]
     DiscoveryReset,
-    /// Workers' load reports are older than otherwise.
+    /// Workers' load reports are older than usual.
     #[serde(rename = "stats-late")]
     LoadReportDelay,
-    /// A worker crashes, and restarts without what it had cached.
+    /// A worker crashes, and restarts with an empty cache.
     #[serde(rename = "peer-dies")]
     WorkerCrash,
 }
 
 impl PlannedFaultKind {
-    /// How discovery answers meanwhile, if it is discovery that fails.
+    /// Returns how discovery responds during the fault; `None` if the fault does not affect discovery.
     pub fn discovery_health(self) -> Option<Health> {
         match self {
             PlannedFaultKind::DiscoveryError => Some(Health::Failing),
@@ -34,23 +34,23 @@
     }
 }
 
-/// A fault that is injected at a set time.
+/// A fault that is injected at a configured time.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Trouble")]
 pub struct PlannedFault {
-    /// list-refuses, list-resets, stats-late or peer-dies.
+    /// The kind of fault: list-refuses, list-resets, stats-late or peer-dies.
     #[serde(rename = "what")]
     pub kind: PlannedFaultKind,
-    /// When it begins, from the start of the load.
+    /// When the fault begins, counted from the start of the load.
     pub at: Span,
-    /// How long it lasts.
+    /// How long the fault lasts.
     #[serde(rename = "lasts")]
     pub duration: Span,
-    /// Of stats-late: how old load reports are.
+    /// For stats-late: how old load reports are.
     #[serde(default, rename = "late")]
     pub delay: Span,
-    /// Of peer-dies: the name of the worker.
+    /// For peer-dies: the name of the worker.
     #[serde(default, rename = "peer", skip_serializing_if = "Option::is_none")]
     pub worker: Option<String>,
 }
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -1,4 +1,4 @@
-//! The load of a plan: its tables in the format, and the clients' load that is made of them.
+//! The load of a plan: its tables in the plan's format, and their conversion to the clients' configuration.
 
 use super::defaults::{enabled, unit};
 use super::Plan;
@@ -9,51 +9,51 @@
 use vetchbridge::config::units::Span;
 use vetchbridge_testbed::arrivals::{ClassLoad, Idempotency, LoadSpec, TenantLoad};
 
-/// The load: an open loop.
+/// The load, an open loop: jobs arrive at a given rate, independent of the answers.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Jobs a second.
+    /// The rate of jobs, per second.
     #[schemars(range(min = 0.001, max = 1_000_000.0))]
     pub rate: f64,
-    /// For how long.
+    /// How long the load lasts.
     pub duration: Span,
-    /// How often a client retries.
+    /// How often a client retries a job at most.
     #[serde(default, rename = "retries")]
     #[schemars(range(max = 100))]
     pub max_retries: u32,
-    /// How long it waits before the first retry, unless the answer says otherwise.
+    /// How long a client waits before each retry, unless the client follows the Retry-After of the answer.
     #[serde(default, rename = "pause")]
     pub retry_delay: Span,
-    /// The share of refused clients that wait as long as the answer says instead.
+    /// The share of clients that follow the Retry-After of an answer.
     #[serde(default = "unit", rename = "heeds")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub retry_after_share: f64,
-    /// Whether a retry is marked as one.
+    /// Whether retries are marked as retries.
     #[serde(default = "enabled")]
     pub marks_retries: bool,
-    /// Whether clients give a hint of the work.
+    /// Whether clients send a hint of a job's work.
     #[serde(default = "enabled")]
     pub hints: bool,
-    /// How far hints are off: the sigma of a log-normal factor.
+    /// How inaccurate hints are: the sigma of a log-normal factor.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 5.0))]
     pub hint_spread: f64,
-    /// The tenants, of daemon.tenant; jobs belong to no tenant where there are none.
+    /// The tenants that send jobs, by their names in daemon.tenant. Without any, jobs belong to no tenant.
     #[serde(default, rename = "tenant", skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<LoadTenant>,
-    /// What is sent of each class of daemon.class.
+    /// The jobs of each class in daemon.class.
     #[serde(rename = "class")]
     pub classes: Vec<LoadClass>,
 }
 
-/// What is sent for a tenant.
+/// The share of the load that belongs to a tenant.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct LoadTenant {
-    /// Its name in daemon.tenant.
+    /// The tenant's name in daemon.tenant.
     pub name: String,
-    /// Its share of the jobs, relative to the others'.
+    /// The tenant's share of the jobs, relative to the other tenants' shares.
     #[serde(default = "unit")]
     #[schemars(range(min = 0.0))]
     pub share: f64,
@@ -65,31 +65,31 @@
     }
 }
 
-/// What is sent of a class.
+/// The jobs of one class.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct LoadClass {
-    /// Its name in daemon.class.
+    /// The class's name in daemon.class.
     pub name: String,
-    /// Its share of the jobs, relative to the others'.
+    /// The class's share of the jobs, relative to the other classes' shares.
     #[serde(default = "unit")]
     #[schemars(range(min = 0.0))]
     pub share: f64,
-    /// The mean of its work at speed 1.
+    /// The mean work of a job: its run time in a slot at speed 1.
     pub work: Span,
-    /// How widely work varies: the sigma of a log-normal distribution.
+    /// How much the work of jobs varies: the sigma of a log-normal distribution.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 5.0))]
     pub spread: f64,
-    /// How many objects its jobs are about.
+    /// The number of objects that the class's jobs refer to.
     #[serde(default = "default_objects")]
     #[schemars(range(min = 1))]
     pub objects: u64,
-    /// How unevenly these are requested: the exponent of a Zipf distribution.
+    /// How unevenly objects are requested: the exponent of a Zipf distribution.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 10.0))]
     pub zipf: f64,
-    /// Slots that a job takes at a worker.
+    /// The number of slots that a job occupies at a worker.
     #[serde(default = "default_slots")]
     #[schemars(range(min = 1))]
     pub slots: usize,
@@ -104,7 +104,8 @@
 }
 
 impl LoadClass {
-    /// The load of this class, with the objectives of its class in the daemon's configuration.
+    /// Returns the load of this class, with the objectives of `class`, the same class in the daemon's
+    /// configuration.
     fn spec(&self, class: &file::Class) -> ClassLoad {
         ClassLoad {
             name: self.name.clone(),
@@ -130,7 +131,7 @@
 }
 
 impl Plan {
-    /// The load as the clients' configuration.
+    /// Returns the load as the clients' configuration.
     pub fn load_spec(&self) -> LoadSpec {
         let class = |load: &LoadClass| {
             let class = self.daemon.class.iter().find(|class| class.name == load.name)?;
--- a/crates/testkit/src/plan/mod.rs
+++ b/crates/testkit/src/plan/mod.rs
@@ -1,6 +1,7 @@
-//! The plan of a deployment on one machine: schedulers, workers, load and faults. Reads the format, checks it, and translates
-//! it for the stand-ins and the schedulers; it starts nothing. The keys of the format are those of the users' files; where the
-//! Rust name of a field differs, serde maps it.
+//! The plan of a deployment on one machine: schedulers, workers, load and faults. This module reads and
+//! checks plans and translates them to the configuration of the schedulers and of the simulated workers. It
+//! starts no process. The keys are part of the users' file format; serde attributes map them to fields of
+//! other names.
 
 mod check;
 mod defaults;
@@ -21,17 +22,17 @@
 use vetchbridge::config::file::File;
 use vetchbridge::config::schema::{self, schema_of};
 
-/// The plan of the demonstration.
+/// The text of the demonstration's plan.
 pub const DEMO: &str = include_str!("../../plans/demo.toml");
 
-/// The plan of the soak test.
+/// The text of the soak test's plan.
 pub const SOAK: &str = include_str!("../../plans/soak.toml");
 
-/// The built-in plans by their names; a file of such a name is given as `./demo`.
+/// The built-in plans by their names. A plan file of the same name is given as a path, such as `./demo`.
 pub const BUILT_IN: [(&str, &str); 3] =
     [("demo", DEMO), ("scans", include_str!("../../plans/scans.toml")), ("soak", SOAK)];
 
-/// A platform on one machine.
+/// A deployment on one machine, and its load.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
@@ -40,34 +41,36 @@
     pub seed: u64,
     /// The schedulers.
     pub schedulers: Schedulers,
-    /// The configuration of every scheduler, in the daemon's own format; name, addresses, number and zone are filled in.
+    /// The configuration of every scheduler, in the daemon's own format. The kit sets each scheduler's name,
+    /// addresses, number and zone.
     pub daemon: File,
-    /// How workers report their load; they report nothing where it is absent.
+    /// How workers report their load; without this table, workers send no load reports.
     #[serde(default, rename = "stats", skip_serializing_if = "Option::is_none")]
     pub load_reports: Option<LoadReports>,
-    /// How workers answer probes; they answer none where it is absent.
+    /// How workers answer probes; without this table, workers don't answer probes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub probes: Option<Probes>,
-    /// What jobs need before they can run; nothing where it is absent.
+    /// What a worker must fetch before jobs can run; without this table, jobs need no setup.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub setup: Option<Setup>,
     /// The workers.
     #[serde(rename = "peers")]
     pub workers: Vec<WorkerGroup>,
-    /// Faults that are injected at set times.
+    /// Faults that are injected at configured times.
     #[serde(default, rename = "trouble", skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<PlannedFault>,
     /// The load.
     pub load: Load,
 }
 
-/// The JSON Schema of the format.
+/// Returns the JSON Schema of the format.
 pub fn schema() -> serde_json::Value {
     schema_of::<Plan>()
 }
 
 impl Plan {
-    /// Reads a plan, from its file or by its name if it is built in; all of its faults at once.
+    /// Reads a plan from its file, or by its name if it is built in; `None` means the demonstration's plan.
+    /// An error lists all faults of the plan.
     pub fn read(path: Option<&Path>) -> Result<Plan, Failure> {
         let Some(path) = path else { return Plan::parse("the built-in plan", DEMO) };
         if let Some((name, text)) = BUILT_IN.iter().find(|(name, _)| path == Path::new(name)) {
@@ -79,15 +82,15 @@
         Plan::parse(&source, &text)
     }
 
-    /// Reads the text of a plan.
+    /// Parses and checks the text of a plan. `source` names the text in errors.
     pub fn parse(source: &str, text: &str) -> Result<Plan, Failure> {
         let plan: Plan =
             schema::parse(source, text, &schema()).map_err(|faults| check::bad_input(&faults))?;
-        let faults = check::references(&plan, source, text);
+        let faults = check::check_references(&plan, source, text);
         if !faults.is_empty() {
             return Err(check::bad_input(&faults));
         }
-        check::dry_run(&plan, source)?;
+        check::check_as_daemon(&plan, source)?;
         Ok(plan)
     }
 }
--- a/crates/testkit/src/plan/scheduler.rs
+++ b/crates/testkit/src/plan/scheduler.rs
@@ -1,4 +1,4 @@
-//! The schedulers of a plan: their table in the format, and the configuration file of each.
+//! The schedulers of a plan: their table in the plan's format, and the configuration file of each scheduler.
 
 use super::Plan;
 use schemars::JsonSchema;
@@ -9,20 +9,20 @@
 use vetchbridge::config::units::{Address, Seed, Span};
 use vetchbridge_testbed::worker::WorkerSpec;
 
-/// An odd constant that spreads the plan's seed over its schedulers: 2^64 divided by the golden ratio.
+/// An odd constant that derives distinct seeds from the plan's seed: 2^64 divided by the golden ratio.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The schedulers.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Schedulers {
-    /// How many.
+    /// The number of schedulers.
     #[schemars(range(min = 1, max = 10000))]
     pub count: usize,
-    /// How late the front notices that one has gone.
+    /// How long the load balancer takes to detect that a scheduler no longer answers.
     #[serde(default = "default_detection_delay", rename = "notice")]
     pub detection_delay: Span,
-    /// How late discovery learns of changes.
+    /// How long discovery takes to publish a change.
     #[serde(default, rename = "lateness")]
     pub publication_delay: Span,
 }
@@ -31,11 +31,12 @@
     Span::s(2)
 }
 
-/// A worker that a scheduler knows before it polls discovery.
+/// A worker that is listed in a scheduler's configuration, so that the scheduler knows it before the first
+/// poll of discovery.
 pub struct KnownWorker {
     /// The worker's configuration.
     pub spec: WorkerSpec,
-    /// Where this scheduler reaches it.
+    /// The address at which this scheduler reaches the worker.
     pub address: SocketAddr,
 }
 
@@ -52,22 +53,22 @@
     }
 }
 
-/// What the configuration of one scheduler needs beyond the plan.
+/// The values in one scheduler's configuration that are not in the plan.
 pub struct SchedulerSpec<'a> {
-    /// Its number, from 0.
+    /// The scheduler's number, from 0.
     pub number: usize,
-    /// Where it listens.
+    /// The address on which the scheduler listens.
     pub listen: SocketAddr,
-    /// Where it reaches discovery.
+    /// The address at which the scheduler reaches discovery.
     pub discovery: SocketAddr,
-    /// The workers that it knows at its start.
+    /// The workers that the scheduler knows when it starts.
     pub known: &'a [KnownWorker],
-    /// The socket at which a successor takes over; none if absent.
+    /// The path of the socket at which a successor takes over; `None` disables upgrades.
     pub handover: Option<PathBuf>,
 }
 
 impl Plan {
-    /// The text of one scheduler's configuration file.
+    /// Returns the text of one scheduler's configuration file.
     pub fn scheduler_config(&self, spec: SchedulerSpec<'_>) -> String {
         let mut file = self.daemon.clone();
         let seed = self.seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(spec.number as u64);
@@ -85,7 +86,7 @@
         toml::to_string(&file).unwrap_or_default()
     }
 
-    /// The name of a scheduler's configuration file.
+    /// Returns the file name of a scheduler's configuration.
     pub fn file_name(number: usize) -> PathBuf {
         PathBuf::from(format!("n{number}.toml"))
     }
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -1,4 +1,5 @@
-//! The workers of a plan: their tables in the format, and the stand-ins' configuration that is made of them.
+//! The workers of a plan: their tables in the plan's format, and their conversion to the configuration of the
+//! simulated workers.
 
 use super::defaults::unit;
 use super::Plan;
@@ -11,23 +12,23 @@
 use vetchbridge_testbed::store::{CacheSpec, Store};
 use vetchbridge_testbed::worker::{ProbeSpec, WorkerSpec};
 
-/// How long repeats of a keyed job are deduplicated if no class defines it.
+/// How long repeats of a keyed job are deduplicated if no class of the plan defines a window.
 const DEFAULT_DEDUPLICATION_WINDOW: Span = Span::s(15);
 
 /// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[schemars(rename = "StatsField")]
 pub enum LoadReportField {
-    /// Requests that a worker has accepted and not finished.
+    /// The number of requests that a worker has accepted and not finished.
     #[serde(rename = "inflight")]
     InFlight,
-    /// Requests that wait at it.
+    /// The number of requests that wait for a slot.
     #[serde(rename = "queue")]
     Queued,
-    /// Its free slots.
+    /// The number of free slots.
     #[serde(rename = "x0")]
     FreeSlots,
-    /// The share of its slots that is taken.
+    /// The share of slots that are occupied.
     #[serde(rename = "util")]
     Utilization,
 }
@@ -51,13 +52,13 @@
     /// The fields of a report: inflight, queue, x0 and util.
     #[schemars(length(min = 1))]
     pub fields: Vec<LoadReportField>,
-    /// How often a report is refreshed.
+    /// The interval at which a report is refreshed.
     #[serde(default, rename = "every")]
     pub interval: Span,
-    /// How old a report is.
+    /// The age of a report when it is sent.
     #[serde(default, rename = "late")]
     pub delay: Span,
-    /// Whether answers and callbacks that end an attempt carry a report, too.
+    /// Whether responses and callbacks that end an attempt carry a load report, too.
     #[serde(default, rename = "in_answers")]
     pub in_responses: bool,
 }
@@ -80,7 +81,7 @@
     /// Whether a probe waits for a slot as a request does.
     #[serde(default)]
     pub deep: bool,
-    /// Its work at speed 1.
+    /// The work of a probe: its run time in a slot at speed 1.
     #[serde(default)]
     pub work: Span,
 }
@@ -91,44 +92,44 @@
     }
 }
 
-/// What jobs need before they can run, for each object: workers cache it, or fetch it from one store.
+/// The setup of jobs: each job needs its object, which a worker has cached or fetches from a common store.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Setup {
     /// How long a fetch takes.
     #[serde(rename = "fetch")]
     pub fetch_time: Span,
-    /// How many fetches the store serves at once.
+    /// The number of fetches that the store serves at once.
     #[serde(rename = "room")]
     #[schemars(range(min = 1))]
     pub store_capacity: usize,
-    /// How many objects a worker caches.
+    /// The number of objects that a worker caches.
     #[serde(rename = "kept")]
     #[schemars(range(min = 1))]
     pub cached_objects: usize,
 }
 
-/// Workers of one configuration.
+/// A group of workers with the same configuration.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerGroup {
-    /// Their names are this and a number.
+    /// The prefix of the workers' names; a worker's name is the prefix, a hyphen and a number from 0.
     pub prefix: String,
-    /// How many.
+    /// The number of workers.
     #[schemars(range(min = 1, max = 10000))]
     pub count: usize,
-    /// Their zone; distributed over daemon.fleet.zones in turn where it is absent.
+    /// The workers' zone. Without it, the workers are distributed over daemon.fleet.zones in turn.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Their kind of machine, one of daemon.fleet.kinds.
+    /// The workers' kind of machine, one of daemon.fleet.kinds.
     pub kind: String,
-    /// Jobs that one runs at once.
+    /// The number of slots: the jobs that a worker runs at once.
     #[schemars(range(min = 1))]
     pub slots: usize,
-    /// Jobs that may wait beyond those.
+    /// The number of jobs that may wait for a slot.
     #[serde(default)]
     pub queue: usize,
-    /// Work that a slot does in a second, in seconds of a slot at speed 1.
+    /// The speed of a slot: the seconds of work, measured at speed 1, that the slot does per second.
     #[serde(default = "unit")]
     #[schemars(range(min = 0.001))]
     pub speed: f64,
@@ -136,11 +137,11 @@
     #[serde(default = "unit")]
     #[schemars(range(min = 0.0))]
     pub weight: f64,
-    /// The share of its speed with which one starts to warm up after a crash.
+    /// The share of its speed with which a worker starts after a crash.
     #[serde(default = "slow_start_floor", rename = "cold_share")]
     #[schemars(range(min = 0.01, max = 1.0))]
     pub slow_start_floor: f64,
-    /// How long it takes to warm up.
+    /// How long a worker takes to reach its full speed after a crash.
     #[serde(default = "slow_start_time", rename = "cold_time")]
     pub slow_start_time: Span,
 }
@@ -154,12 +155,13 @@
 }
 
 impl WorkerGroup {
-    /// The names of these workers.
+    /// Returns the names of the group's workers.
     pub(super) fn names(&self) -> impl Iterator<Item = String> + '_ {
         (0..self.count).map(|number| format!("{}-{number}", self.prefix))
     }
 
-    /// The configuration of one of these workers, over what all workers of the plan have in common.
+    /// Returns the configuration of one worker of the group. `common` holds the values that all workers of
+    /// the plan share.
     fn spec(&self, name: String, zone: &str, common: &WorkerSpec) -> WorkerSpec {
         WorkerSpec {
             name,
@@ -177,7 +179,7 @@
 }
 
 impl Plan {
-    /// The configuration of each worker, in the order of the plan.
+    /// Returns the configuration of each worker, in the order of the plan.
     pub fn worker_specs(&self) -> Vec<WorkerSpec> {
         let (zones, common) = (&self.daemon.fleet.zones, self.common_worker_spec());
         let named = self.workers.iter().flat_map(|workers| workers.names().map(move |name| (workers, name)));
@@ -186,7 +188,7 @@
         named.zip(zones.iter().cycle()).map(spec).collect()
     }
 
-    /// What all workers have in common.
+    /// Returns the configuration that all workers share.
     fn common_worker_spec(&self) -> WorkerSpec {
         let fleet = &self.daemon.fleet;
         let windows = self.daemon.class.iter().filter_map(|class| class.window);
@@ -197,7 +199,7 @@
             idle_timeout: fleet.conn_idle.duration(),
             deduplication_window: windows.max().unwrap_or(DEFAULT_DEDUPLICATION_WINDOW).duration(),
             order: match fleet.queue_order {
-                // The stand-ins have no priorities; they serve in order.
+                // The simulated workers have no priorities; they serve jobs in the order of arrival.
                 QueueOrder::Fifo | QueueOrder::Priority => Order::Fifo,
                 QueueOrder::Backfill => Order::Backfill,
             },
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -1,7 +1,7 @@
-//! The bare relay that the daemon's cost is compared with: the same axum as its server and hyper-util's client towards its
-//! worker, without decisions, callbacks or records.
+//! The plain relay that the daemon's cost is compared with: the same HTTP server (axum) and client
+//! (hyper-util) as the daemon, without scheduling, callbacks or records.
 
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use axum::body::Body;
 use axum::extract::{Request, State};
 use axum::http::StatusCode;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// The largest body of a request, in bytes.
+/// The largest accepted request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// How long an unused connection to the worker stays open.
@@ -24,14 +24,14 @@
 /// The path of the readiness check, which the relay answers itself.
 const READY_PATH: &str = "/health/ready";
 
-/// What each request needs.
+/// The state that all requests share.
 #[derive(Clone)]
 struct Relay {
     client: Client<HttpConnector, Full<Bytes>>,
     worker: SocketAddr,
 }
 
-/// Forwards every request to one address, and its response back, until the process ends.
+/// Forwards every request to `worker`, and the response back, until the process ends.
 pub async fn serve(listen: SocketAddr, worker: SocketAddr) -> Result<(), Failure> {
     let mut tcp = HttpConnector::new();
     tcp.set_nodelay(true);
@@ -40,8 +40,8 @@
         .pool_timer(TokioTimer::new())
         .build(tcp);
     let router = Router::new().fallback(forward).with_state(Relay { client, worker });
-    let listener = TcpListener::bind(listen).await.map_err(machine("the relay's address"))?;
-    axum::serve(listener, router).await.map_err(machine("the relay"))
+    let listener = TcpListener::bind(listen).await.map_err(io_failure("the relay's listener"))?;
+    axum::serve(listener, router).await.map_err(io_failure("the relay"))
 }
 
 async fn forward(State(relay): State<Relay>, request: Request) -> Response {
@@ -64,10 +64,10 @@
     }
 }
 
-/// The relay's worker: answers every request at once.
+/// Serves as the relay's worker: answers every request at once.
 pub async fn answer_at_once(listener: TcpListener) {
     let router = Router::new()
         .fallback(|body: Bytes| async move { (StatusCode::OK, format!("made of {}", body.len())) });
-    // It ends only with its task.
+    // The server runs until its task is cancelled.
     let _ = axum::serve(listener, router).await;
 }
--- a/crates/testkit/src/report/mod.rs
+++ b/crates/testkit/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The result of a load, as a table for people and as JSON for programs. Nothing is measured here.
+//! The result of a load, as a table for people and as JSON for programs.
 
 mod summary;
 mod tables;
@@ -14,67 +14,69 @@
 use vetchbridge_testbed::client::{JobRecord, LoadRecord, Outcome};
 use vetchbridge_testbed::runs::Run;
 
-/// The longest time by which a load may run late. Beyond it the machine, not the schedulers, makes clients wait.
+/// The longest delay with which the load may be sent. Beyond it, the load generator rather than the
+/// schedulers delays clients.
 pub const MAX_LAG: Duration = Duration::from_millis(100);
-/// How the operating system's error for "too many open files" (EMFILE) is printed.
+/// The text in the operating system's error for "too many open files" (EMFILE).
 const NO_DESCRIPTOR_ERROR: &str = "os error 24";
 
 /// The result of a load.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Jobs that clients had.
+    /// The number of jobs.
     pub jobs: u64,
-    /// Requests that they sent for these, retries included.
+    /// The number of requests for these jobs, retries included.
     #[serde(rename = "tries")]
     pub requests: u64,
-    /// Answers to the requests.
+    /// The number of requests by how they ended.
     pub answers: Answers,
-    /// Attempts that reached workers, for each job; absent where the workers are not the kit's.
+    /// The number of attempts that reached workers, per job; absent if the workers are not the kit's own.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempts_per_job: Option<f64>,
-    /// Repeats of keyed jobs that workers dropped.
+    /// The number of repeats of keyed jobs that workers dropped.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub repeats_dropped: Option<u64>,
-    /// The share of an object's jobs at the worker that ran most of them.
+    /// The share of an object's jobs that ran at the worker that ran most of them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub affinity: Option<f64>,
     /// The share of the requested priority weight that was served in time.
     pub service: f64,
-    /// Probes that workers received, for each job.
+    /// The number of probes that workers received, per job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probes_per_job: Option<f64>,
-    /// Figures of each class.
+    /// The results of each class.
     pub classes: Vec<ClassSummary>,
-    /// Figures of each tenant.
+    /// The results of each tenant.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<TenantSummary>,
-    /// The longest time by which the load itself ran late.
+    /// The longest delay with which the load was sent, in milliseconds.
     pub lag_ms: f64,
-    /// Requests without an answer, by the error of their connections.
+    /// The number of requests without an answer, by the error of their connections.
     pub causes: BTreeMap<String, u64>,
-    /// Violated rules; if there is none, each job had exactly one final answer.
+    /// The violations that the audit found; if there are none, each job had exactly one final answer.
     pub violations: Vec<String>,
 }
 
-/// To two decimals.
+/// Returns a duration in milliseconds, rounded to two decimals.
 fn milliseconds(time: Duration) -> f64 {
     (time.as_secs_f64() * 1e5).round() / 1e2
 }
 
-/// What the workers of a deployment recorded.
+/// The records of a deployment's workers.
 pub struct WorkerRecord {
-    /// What they ran.
+    /// The runs of jobs.
     pub runs: Vec<Run>,
-    /// Attempts that arrived.
+    /// The number of attempts that arrived.
     pub attempts: u64,
-    /// Repeats that they dropped.
+    /// The number of repeats that workers dropped.
     pub repeats_dropped: u64,
-    /// Probes that arrived; absent where workers answer none.
+    /// The number of probes that arrived; `None` if the workers don't answer probes.
     pub probes: Option<u64>,
 }
 
 impl Report {
-    /// Summarizes and judges a load; without a record of the workers, from the clients' side alone.
+    /// Summarizes a load and audits it. Without records of the workers, the report covers only what the
+    /// clients observed.
     pub fn new(
         spec: &LoadSpec,
         load: &LoadRecord,
@@ -106,25 +108,27 @@
         }
     }
 
-    /// Why the machine could not generate the load as planned, so that its latencies mean little; `None` if it could.
-    pub fn machine_fault(&self) -> Option<String> {
+    /// Returns why the load could not be generated as planned, in which case the latencies are not the
+    /// schedulers' alone; `None` if it could.
+    pub fn load_generation_error(&self) -> Option<String> {
         let causes = self.causes.iter().filter(|(cause, _)| cause.contains(NO_DESCRIPTOR_ERROR));
         let without_descriptor: u64 = causes.map(|(_, count)| count).sum();
         if without_descriptor > 0 {
-            let text = "tries found no descriptor: raise the limit (ulimit -n) or lower the load";
+            let text =
+                "requests found no free file descriptor: raise the limit (ulimit -n) or lower the load";
             return Some(format!("{without_descriptor} {text}"));
         }
         (self.lag_ms > milliseconds(MAX_LAG)).then(|| {
             format!(
-                "the load ran up to {:.0} ms late: this machine cannot sustain the rate, and the latencies are not the \
-                 schedulers' alone",
+                "the load was sent up to {:.0} ms late: this machine cannot sustain the rate, and the \
+                 latencies are not the schedulers' alone",
                 self.lag_ms
             )
         })
     }
 }
 
-/// Requests whose connection failed, by its error.
+/// Counts the requests whose connection failed, by the connection's error.
 fn count_causes(jobs: &[JobRecord]) -> BTreeMap<String, u64> {
     let mut causes = BTreeMap::new();
     for request in jobs.iter().flat_map(|job| &job.attempts) {
--- a/crates/testkit/src/report/summary.rs
+++ b/crates/testkit/src/report/summary.rs
@@ -1,4 +1,4 @@
-//! The figures of one class and of one tenant of a load.
+//! The results of one class and of one tenant of a load.
 
 use super::milliseconds;
 use hdrhistogram::Histogram;
@@ -7,32 +7,32 @@
 use vetchbridge_testbed::arrivals::ClassLoad;
 use vetchbridge_testbed::client::JobRecord;
 
-/// The shortest latency that is distinguished, in microseconds.
+/// The shortest latency that the histogram resolves, in microseconds.
 const MIN_LATENCY_MICROS: u64 = 1;
-/// The longest latency that is distinguished, in microseconds: an hour.
+/// The longest latency that the histogram resolves, in microseconds: one hour.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
-/// Significant decimal digits of a latency.
+/// The number of significant decimal digits of a latency.
 const LATENCY_DIGITS: u8 = 3;
 
-/// One class's figures; latencies in milliseconds, from when a job should have been sent.
+/// The results of one class. Latencies are in milliseconds and count from when a job should have been sent.
 #[derive(Debug, Serialize)]
 pub struct ClassSummary {
-    /// Its name.
+    /// The name of the class.
     #[serde(rename = "class")]
     pub name: String,
-    /// Jobs.
+    /// The number of jobs.
     pub jobs: u64,
-    /// Jobs served in the end.
+    /// The number of jobs that were finally served.
     pub served: u64,
-    /// Of those, in time.
+    /// The number of served jobs that were served in time.
     pub in_time: u64,
-    /// The median of the time until they were served.
+    /// The median latency of served jobs.
     pub p50_ms: f64,
-    /// Its 90th percentile.
+    /// The 90th percentile of the latency.
     pub p90_ms: f64,
-    /// Its 99th percentile.
+    /// The 99th percentile of the latency.
     pub p99_ms: f64,
-    /// Its maximum.
+    /// The maximum latency.
     pub max_ms: f64,
 }
 
@@ -66,17 +66,17 @@
         .unwrap_or_else(|error| unreachable!("these constant bounds are valid: {error}"))
 }
 
-/// One tenant's figures.
+/// The results of one tenant.
 #[derive(Debug, Serialize)]
 pub struct TenantSummary {
-    /// Its name.
+    /// The name of the tenant.
     #[serde(rename = "tenant")]
     pub name: String,
-    /// Jobs.
+    /// The number of jobs.
     pub jobs: u64,
-    /// Jobs served in the end.
+    /// The number of jobs that were finally served.
     pub served: u64,
-    /// Of those, in time.
+    /// The number of served jobs that were served in time.
     pub in_time: u64,
 }
 
--- a/crates/testkit/src/report/tables.rs
+++ b/crates/testkit/src/report/tables.rs
@@ -1,27 +1,30 @@
-//! A report as tables for people.
+//! Formats a report as tables for people.
 
 use super::{ClassSummary, Report, TenantSummary};
 use comfy_table::{presets, Table};
 use vetchbridge_testbed::audit::Answers;
 
-/// Violations that the text lists one by one.
+/// The number of violations that the text lists.
 const MAX_LISTED_VIOLATIONS: usize = 10;
 
 impl Report {
-    /// As tables, followed by the causes of broken connections and the violations.
+    /// Returns the report as tables, followed by the connection errors and the violations.
     pub fn text(&self) -> String {
         let mut text = format!("{}\n{}\n", self.totals_table(), classes_table(&self.classes));
         if !self.tenants.is_empty() {
             text.push_str(&format!("{}\n", tenants_table(&self.tenants)));
         }
         for (cause, count) in &self.causes {
-            text.push_str(&format!("{count} times: {cause}\n"));
+            text.push_str(&format!("connection error, {count} times: {cause}\n"));
         }
         for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
-            text.push_str(&format!("broken: {violation}\n"));
+            text.push_str(&format!("violation: {violation}\n"));
         }
         if self.violations.len() > MAX_LISTED_VIOLATIONS {
-            text.push_str(&format!("and {} more\n", self.violations.len() - MAX_LISTED_VIOLATIONS));
+            text.push_str(&format!(
+                "and {} more violations\n",
+                self.violations.len() - MAX_LISTED_VIOLATIONS
+            ));
         }
         text
     }
@@ -33,32 +36,32 @@
         };
         let Answers { served, rejected, failed, lost, unreachable, none } = self.answers;
         row("jobs", self.jobs.to_string());
-        row("tries", self.requests.to_string());
-        row("answers", format!("{served} served, {rejected} refused, {failed} failed"));
-        row("without an answer", format!("{lost} lost, {unreachable} unreachable, {none} timed out"));
+        row("requests", self.requests.to_string());
+        row("answers", format!("{served} served, {rejected} rejected, {failed} failed"));
+        row("unanswered", format!("{lost} lost, {unreachable} unreachable, {none} timed out"));
         row("exactly once", exactly_once_text(self.violations.len()));
-        row("service", format!("{:.3} of the priority weight requested, in time", self.service));
+        row("service", format!("{:.3} of the requested priority weight was served in time", self.service));
         if let Some(attempts) = self.attempts_per_job {
-            row("attempts a job", format!("{attempts:.3}"));
+            row("attempts per job", format!("{attempts:.3}"));
         }
         if let Some(dropped) = self.repeats_dropped {
             row("keyed repeats dropped", dropped.to_string());
         }
         if let Some(affinity) = self.affinity {
-            row("affinity", format!("{affinity:.3} of an object's jobs at its first worker"));
+            row("affinity", format!("{affinity:.3} of an object's jobs ran at the same worker"));
         }
         if let Some(probes) = self.probes_per_job {
-            row("probes a job", format!("{probes:.3}"));
+            row("probes per job", format!("{probes:.3}"));
         }
-        row("load ran late by", format!("{:.1} ms at most", self.lag_ms));
+        row("load sent late by", format!("{:.1} ms at most", self.lag_ms));
         table
     }
 }
 
 fn exactly_once_text(violations: usize) -> String {
     match violations {
-        0 => "held: one final answer each".to_string(),
-        count => format!("BROKEN, {count} times"),
+        0 => "yes: each job had one final answer".to_string(),
+        count => format!("VIOLATED {count} times"),
     }
 }
 
@@ -86,7 +89,7 @@
     table
 }
 
-/// An empty table in the kit's style.
+/// Returns an empty table in the kit's style.
 pub(crate) fn new_table() -> Table {
     let mut table = Table::new();
     table.load_style(presets::UTF8_BORDERS_ONLY);
--- a/crates/testkit/src/runner/faults.rs
+++ b/crates/testkit/src/runner/faults.rs
@@ -1,9 +1,9 @@
-//! Faults during a load: those of schedulers at even distances, and those of the plan at their set times.
+//! Faults during a load: scheduler faults at even intervals, and the plan's faults at their configured times.
 
 use super::{DETECTION_SLACK, RESTART_DELAY};
 use crate::plan::{PlannedFault, PlannedFaultKind};
 use crate::scheduler::{PredecessorEnd, Scheduler};
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use futures_util::future::try_join_all;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -11,24 +11,25 @@
 use vetchbridge_testbed::discovery::Discovery;
 use vetchbridge_testbed::worker::Worker;
 
-/// How long a scheduler stays drained.
+/// How long a drained scheduler waits before it resumes.
 const DRAINED_TIME: Duration = Duration::from_secs(2);
 
-/// A fault of one scheduler.
+/// A fault of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerFault {
-    /// It is killed by SIGKILL, and restarted after [`RESTART_DELAY`].
+    /// The scheduler is killed by SIGKILL and restarted after [`RESTART_DELAY`].
     Kill,
-    /// A successor takes over.
+    /// A successor takes over, and the predecessor shuts down gracefully.
     Upgrade,
-    /// The same, but the predecessor is killed as soon as its successor is ready.
+    /// A successor takes over, and the predecessor is killed as soon as the successor is ready.
     AbruptUpgrade,
-    /// It is drained, and resumes.
+    /// The scheduler is drained and then resumes.
     Drain,
 }
 
-/// Injects the faults at even distances along a load, each into the next scheduler in turn. Adds the times, since the load's
-/// start, in which attempts may be lost: only a kill excuses any. These stay when the load ends before the last fault does.
+/// Injects the faults at even intervals during a load, into the schedulers in turn. Pushes to `outages` the
+/// periods, counted from the load's start, in which attempts may be lost: only a kill excuses a loss.
+/// `outages` stays valid when the load ends before the last fault does.
 pub(super) async fn inject_scheduler_faults(
     faults: &[SchedulerFault],
     schedulers: &mut [Scheduler],
@@ -57,7 +58,7 @@
     Ok(())
 }
 
-/// Injects the faults of a plan at their times. They excuse nothing of the schedulers.
+/// Injects the faults of a plan at their times. These faults excuse no lost attempt.
 pub(super) async fn inject_planned_faults(
     faults: &[PlannedFault],
     discovery: &Discovery,
@@ -103,7 +104,7 @@
     worker.kill(true).await;
     discovery.remove(worker);
     sleep(duration).await;
-    worker.restart().map_err(machine("a worker"))?;
+    worker.restart().map_err(io_failure("a worker"))?;
     discovery.up(worker);
     Ok(())
 }
--- a/crates/testkit/src/runner/interrupt.rs
+++ b/crates/testkit/src/runner/interrupt.rs
@@ -1,26 +1,27 @@
-//! Ctrl-C and SIGTERM: the first ends the work cleanly, the second ends the program at once.
+//! Ctrl-C and SIGTERM: the first signal ends the work cleanly, the second exits the program immediately.
 
 use crate::scheduler::kill_all;
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use std::future::Future;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 use vetchbridge_testbed::Owned;
 
-/// The exit code of a program that was ended by a second signal.
+/// The exit code after a second signal.
 const EXIT_CODE_INTERRUPTED: i32 = 130;
 
-/// Turns the first signal into a request to stop; the second ends the program, and its children with it.
+/// Turns the first signal into a request to stop. The second signal kills the child processes and exits the
+/// program.
 pub struct Interrupt {
     stop: watch::Sender<bool>,
     _listener: Owned,
 }
 
 impl Interrupt {
-    /// Listens for Ctrl-C and SIGTERM from now on; every child is killed when the program ends at once.
+    /// Starts to listen for Ctrl-C and SIGTERM.
     pub fn listen() -> Result<Interrupt, Failure> {
-        let mut interrupt = signal(SignalKind::interrupt()).map_err(machine("signals"))?;
-        let mut terminate = signal(SignalKind::terminate()).map_err(machine("signals"))?;
+        let mut interrupt = signal(SignalKind::interrupt()).map_err(io_failure("signal handlers"))?;
+        let mut terminate = signal(SignalKind::terminate()).map_err(io_failure("signal handlers"))?;
         let stop = watch::Sender::new(false);
         let stop_sender = stop.clone();
         let listener = Owned::spawn(async move {
@@ -33,27 +34,30 @@
                     kill_all();
                     std::process::exit(EXIT_CODE_INTERRUPTED);
                 }
-                eprintln!("stopping; once more ends at once");
+                eprintln!("stopping; press Ctrl-C again to exit immediately");
                 stop_sender.send_replace(true);
             }
         });
         Ok(Interrupt { stop, _listener: listener })
     }
 
-    /// Resolves once a signal has come.
+    /// Waits until the first signal has come.
     pub async fn requested(&self) {
         let _ = self.stop.subscribe().wait_for(|stop| *stop).await;
     }
 
-    /// Completes some work, or fails if a signal comes first.
-    pub async fn or_stop<T>(&self, work: impl Future<Output = Result<T, Failure>>) -> Result<T, Failure> {
+    /// Runs `work` to its end, or fails if a signal comes first.
+    pub async fn run_unless_stopped<T>(
+        &self,
+        work: impl Future<Output = Result<T, Failure>>,
+    ) -> Result<T, Failure> {
         tokio::select! {
-            done = work => done,
-            () = self.requested() => Err(Failure::Missed("stopped".to_string())),
+            result = work => result,
+            () = self.requested() => Err(Failure::CheckFailed("stopped".to_string())),
         }
     }
 
-    /// A receiver of the request to stop, for a task that ends by itself.
+    /// Returns a receiver of the request to stop, for a task that ends on its own after the request.
     pub fn subscribe(&self) -> watch::Receiver<bool> {
         self.stop.subscribe()
     }
--- a/crates/testkit/src/runner/mod.rs
+++ b/crates/testkit/src/runner/mod.rs
@@ -1,5 +1,5 @@
-//! Runs a load against a deployment, shows its progress, and injects faults meanwhile. Whether the load went well is judged
-//! elsewhere.
+//! Runs a load against a deployment, shows the progress, and injects faults during the load. Does not judge
+//! the result.
 
 mod faults;
 mod interrupt;
@@ -20,31 +20,31 @@
 
 /// How long a killed scheduler stays down.
 pub const RESTART_DELAY: Duration = Duration::from_secs(2);
-/// How long, beyond the front's detection delay, clients may still be sent to a scheduler that was killed: its last health
-/// check and the answer.
+/// How long, beyond the load balancer's detection delay, clients may still be sent to a killed scheduler: the
+/// time of the last readiness check and of its answer.
 pub const DETECTION_SLACK: Duration = Duration::from_millis(700);
 
-/// What happens during a load.
+/// The duration of a load and the faults during it.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPlan<'a> {
     /// How long the load lasts.
     pub duration: Duration,
-    /// Faults of schedulers, at even distances.
+    /// Faults of schedulers, injected at even intervals.
     pub scheduler_faults: &'a [SchedulerFault],
-    /// Faults at set times.
+    /// Faults of the plan, injected at their times.
     pub planned_faults: &'a [PlannedFault],
 }
 
-/// What a load recorded; times count from the deployment's epoch.
+/// The record of a load; times count from the deployment's epoch.
 #[derive(Debug)]
 pub struct LoadRun {
-    /// Its jobs.
+    /// The jobs and their requests.
     pub record: LoadRecord,
-    /// The times in which attempts may be lost.
+    /// The periods in which attempts may be lost.
     pub outages: Vec<Outage>,
 }
 
-/// Runs a load to its end.
+/// Runs a load to its end and returns its record.
 pub async fn run(
     deployment: &mut Deployment,
     clients: Clients,
@@ -84,7 +84,8 @@
     Ok(LoadRun { record, outages })
 }
 
-/// Makes a record's times count from the deployment's epoch, which was `offset` before the load's start.
+/// Shifts a record's times, which count from the load's start, to count from the deployment's epoch. The load
+/// started `offset` after the epoch.
 pub fn shift_times(record: &mut LoadRecord, offset: Duration) {
     for job in &mut record.jobs {
         job.arrival.at += offset;
--- a/crates/testkit/src/runner/progress.rs
+++ b/crates/testkit/src/runner/progress.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use vetchbridge_testbed::client::LoadProgress;
 
-/// Between two lines of progress where there is no terminal.
+/// The interval between two lines of progress if standard error is no terminal.
 const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Progress as a bar on a terminal and as plain lines elsewhere, on standard error.
+/// Shows progress on standard error: as a bar on a terminal, as plain lines elsewhere.
 pub struct Progress {
     bar: Option<ProgressBar>,
     total: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl Progress {
-    /// For work that takes this long.
+    /// Creates the progress display of a load that lasts `total`.
     pub fn new(total: Duration) -> Progress {
         let bar = std::io::stderr().is_terminal().then(|| {
             let bar = ProgressBar::new(total.as_millis() as u64);
@@ -31,7 +31,7 @@
     /// Shows the progress of a load.
     pub fn show(&mut self, at: LoadProgress) {
         let text = format!(
-            "{:.0} of {:.0} s, {} sent, {} out",
+            "{:.0} of {:.0} s, {} sent, {} in flight",
             at.elapsed.as_secs_f64(),
             self.total.as_secs_f64(),
             at.sent,
--- a/crates/testkit/src/scheduler/admin.rs
+++ b/crates/testkit/src/scheduler/admin.rs
@@ -1,4 +1,4 @@
-//! A client of the schedulers' admin interface: one command a connection, one line in answer.
+//! A client of the schedulers' admin interface: each connection carries one command and one line of answer.
 
 use crate::Failure;
 use std::io;
@@ -8,14 +8,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a scheduler may take to reach a state that is waited for: ready after its start, or drained.
+/// How long a scheduler may take to reach an awaited state: ready after its start, or drained.
 const STATE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long one answer may take.
+/// How long the answer to one command may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two commands while a state is waited for.
+/// The interval between two commands while a state is awaited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sends a command again and again until its answer is as wanted.
+/// Sends a command repeatedly until `is_wanted` accepts the answer; fails after [`STATE_TIMEOUT`].
 pub(super) async fn wait_for_answer(
     address: SocketAddr,
     command: &str,
@@ -27,10 +27,12 @@
             Ok(Ok(answer)) if is_wanted(answer.trim_end()) => return Ok(()),
             Ok(Ok(answer)) => answer.trim_end().to_string(),
             Ok(Err(error)) => error.to_string(),
-            Err(_) => "nothing".to_string(),
+            Err(_) => "no answer in time".to_string(),
         };
         if started.elapsed() > STATE_TIMEOUT {
-            return Err(Failure::Missed(format!("{command}: the admin interface answers {answer:?}")));
+            return Err(Failure::CheckFailed(format!(
+                "{command}: unexpected last answer of the admin interface: {answer:?}"
+            )));
         }
         sleep(POLL_INTERVAL).await;
     }
--- a/crates/testkit/src/scheduler/mod.rs
+++ b/crates/testkit/src/scheduler/mod.rs
@@ -1,6 +1,7 @@
-//! A scheduler as a child process: the daemon's own binary, its configuration and its log.
+//! Runs a scheduler as a child process: the daemon's binary with a configuration and a log file.
 //!
-//! Owns the child; dropping it kills the child. The state of a scheduler is known from its admin interface alone.
+//! [`Scheduler`] owns the child process and kills it when dropped. The scheduler's state is read from its
+//! admin interface only.
 
 mod admin;
 mod process;
@@ -9,7 +10,7 @@
 pub use process::kill_all;
 pub use usage::{cpu_time, resident_memory_kib};
 
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use process::Process;
 use rustix::process::Signal;
 use std::net::SocketAddr;
@@ -19,30 +20,30 @@
 use tokio::process::Command;
 use vetchbridge_testbed::Port;
 
-/// The environment variable with the address of the daemon's admin interface.
+/// The environment variable that holds the address of the daemon's admin interface.
 const ADMIN_ADDRESS_VARIABLE: &str = "BALANCER_ADMIN";
-/// Lines of a log that a message about an exit repeats.
+/// The number of log lines that an error message about an exit contains.
 const LOG_TAIL_LINES: usize = 3;
 
-/// What a scheduler is started with beside its configuration.
+/// The options of a scheduler's process beside its configuration.
 #[derive(Clone, Debug, Default)]
 pub struct LaunchOptions {
-    /// Further arguments of its command line.
+    /// Additional command-line arguments.
     pub arguments: Vec<String>,
-    /// Its environment.
+    /// Environment variables; the process inherits none from the kit.
     pub environment: Vec<(String, String)>,
 }
 
-/// How the predecessor ends in an upgrade, once its successor is ready.
+/// How the predecessor ends in an upgrade, once the successor is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorEnd {
     /// By a graceful shutdown.
     Graceful,
-    /// By SIGKILL, which loses all requests that it has.
+    /// By SIGKILL, which loses all of the predecessor's requests.
     Killed,
 }
 
-/// A scheduler's process, or the means to start one.
+/// A scheduler, whether its process currently runs or not.
 pub struct Scheduler {
     binary: PathBuf,
     config: PathBuf,
@@ -52,21 +53,23 @@
     process: Option<Process>,
 }
 
-/// The daemon's binary: the given one, or the one beside the kit's own.
+/// Returns the path of the daemon's binary: the given one, or the one beside the kit's executable.
 pub fn find_daemon(given: Option<&Path>) -> Result<PathBuf, Failure> {
     let path = match given {
         Some(path) => path.to_path_buf(),
-        None => std::env::current_exe().map_err(machine("the kit's own path"))?.with_file_name("vetchbridge"),
+        None => std::env::current_exe()
+            .map_err(io_failure("path of the kit's executable"))?
+            .with_file_name("vetchbridge"),
     };
     if path.is_file() {
         return Ok(path);
     }
-    let remedy = "build it with `make build`, or name it with --daemon FILE";
-    Err(Failure::Machine(format!("{}: there is no daemon here; {remedy}", path.display())))
+    let remedy = "build it with `make build`, or specify it with --daemon FILE";
+    Err(Failure::System(format!("{}: the daemon's binary was not found; {remedy}", path.display())))
 }
 
 impl Scheduler {
-    /// Starts a scheduler; its log goes to a file beside its configuration.
+    /// Starts a scheduler, which logs to a file beside its configuration.
     pub fn start(
         binary: &Path,
         config: &Path,
@@ -85,19 +88,19 @@
         Ok(scheduler)
     }
 
-    /// Starts it again after its exit, at its address; the log is continued.
+    /// Starts the scheduler's process again after its exit, at the same address. The log file is continued.
     pub fn restart(&mut self) -> Result<(), Failure> {
         self.process = Some(self.launch()?);
         Ok(())
     }
 
     fn launch(&self) -> Result<Process, Failure> {
-        let admin = Port::reserve().map_err(machine("a port for the admin interface"))?;
+        let admin = Port::reserve().map_err(io_failure("a port for the admin interface"))?;
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
-        let log = log.map_err(machine("a scheduler's log"))?;
+        let log = log.map_err(io_failure("a scheduler's log"))?;
         let mut command = Command::new(&self.binary);
         command.arg("serve").arg("--config").arg(&self.config).args(&self.options.arguments);
-        // A process group of its own, so that Ctrl-C reaches the kit alone.
+        // The child has its own process group, so that Ctrl-C reaches only the kit.
         command
             .env_clear()
             .envs(self.options.environment.iter().map(|(name, value)| (name, value)))
@@ -107,7 +110,7 @@
             .stderr(log)
             .process_group(0);
         let child = command.kill_on_drop(true).spawn();
-        let child = child.map_err(|error| Failure::Machine(format!("{}: {error}", self.binary.display())))?;
+        let child = child.map_err(|error| Failure::System(format!("{}: {error}", self.binary.display())))?;
         Ok(Process::new(child, admin))
     }
 
@@ -125,13 +128,13 @@
             PredecessorEnd::Graceful => match predecessor.shut_down().await {
                 Some(status) if status.success() => Ok(()),
                 status => {
-                    Err(Failure::Missed(format!("the predecessor did not shut down cleanly: {status:?}")))
+                    Err(Failure::CheckFailed(format!("the predecessor did not exit cleanly: {status:?}")))
                 }
             },
         }
     }
 
-    /// Drains it, leaves it drained for a while, and has it serve clients again.
+    /// Drains the scheduler, waits for `drained_for`, and resumes the scheduler.
     pub async fn drain(&mut self, drained_for: Duration) -> Result<(), Failure> {
         let Some(admin) = self.admin_address() else { return Ok(()) };
         admin::wait_for_answer(admin, "quiesce", |answer| answer.starts_with("ok")).await?;
@@ -140,56 +143,56 @@
         admin::wait_for_answer(admin, "resume", |answer| answer == "ok serving").await
     }
 
-    /// Has it reload its configuration.
+    /// Makes the scheduler reload its configuration.
     pub fn reload(&self) {
         if let Some(process) = &self.process {
             process.signal(Signal::HUP);
         }
     }
 
-    /// The path of its configuration.
+    /// Returns the path of the scheduler's configuration.
     pub fn config_path(&self) -> &Path {
         &self.config
     }
 
-    /// Where clients reach it.
+    /// Returns the address at which clients reach the scheduler.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The address of its admin interface, while it runs.
+    /// Returns the address of the admin interface, or `None` if the scheduler does not run.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.process.as_ref().map(|process| process.admin.address())
     }
 
-    /// The path of its log.
+    /// Returns the path of the scheduler's log.
     pub fn log_path(&self) -> &Path {
         &self.log
     }
 
-    /// The id of its process, while it runs.
+    /// Returns the process id, or `None` if the scheduler does not run.
     pub fn pid(&self) -> Option<u32> {
         self.process.as_ref().and_then(Process::pid)
     }
 
-    /// How it exited, if it has exited by itself.
+    /// Returns the exit status if the process has exited on its own.
     pub fn try_exit_status(&mut self) -> Option<ExitStatus> {
         self.process.as_mut()?.try_exit_status()
     }
 
-    /// Kills it by SIGKILL.
+    /// Kills the process by SIGKILL.
     pub async fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             process.kill().await;
         }
     }
 
-    /// Shuts it down gracefully and returns how it exited; `None` if it did not run.
+    /// Shuts the scheduler down gracefully and returns the exit status; `None` if the scheduler did not run.
     pub async fn shut_down(&mut self) -> Option<ExitStatus> {
         self.process.take()?.shut_down().await
     }
 
-    /// The last lines of its log, for a message about its exit.
+    /// Returns the last lines of the log, for an error message about an exit.
     pub fn log_tail(&self) -> String {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
--- a/crates/testkit/src/scheduler/process.rs
+++ b/crates/testkit/src/scheduler/process.rs
@@ -1,4 +1,4 @@
-//! The child processes: signals to one of them, and the registry of all that run.
+//! Child processes: signals to one of them, and the registry of all running ones.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
@@ -10,17 +10,18 @@
 use tokio::time::timeout;
 use vetchbridge_testbed::Port;
 
-/// How long a scheduler may take to exit after SIGTERM; it closes what is still open after 3.3 s.
+/// How long a scheduler may take to exit after SIGTERM. The daemon closes connections that are still open
+/// after 3.3 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Every child that runs, for an exit that can't wait for destructors.
+/// The process ids of all running children, for an exit that can't wait for destructors.
 static CHILDREN: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn children() -> MutexGuard<'static, BTreeSet<u32>> {
     CHILDREN.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Kills every child at once; the program is about to exit.
+/// Kills every child process by SIGKILL; for use just before the program exits.
 pub fn kill_all() {
     for pid in children().iter() {
         send_signal(*pid, Signal::KILL);
@@ -29,12 +30,13 @@
 
 fn send_signal(pid: u32, signal: Signal) {
     if let Some(pid) = Pid::from_raw(pid as i32) {
-        // A process that has exited meanwhile needs no signal.
+        // A process that has exited in the meantime needs no signal.
         let _ = kill_process(pid, signal);
     }
 }
 
-/// A running child and the port of its admin interface. Registered from its creation until it is dropped.
+/// A child process and the reserved port of its admin interface. The child is registered until this value is
+/// dropped.
 pub(super) struct Process {
     child: Child,
     registered_pid: u32,
@@ -48,30 +50,30 @@
         Process { child, registered_pid, admin }
     }
 
-    /// Its id; `None` once it has exited and been waited for.
+    /// Returns the process id; `None` once the process has exited and its status has been collected.
     pub(super) fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends it a signal, unless it has exited.
+    /// Sends a signal to the process, unless it has exited.
     pub(super) fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
             send_signal(pid, signal);
         }
     }
 
-    /// How it exited, if it has.
+    /// Returns the exit status if the process has exited.
     pub(super) fn try_exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Kills it by SIGKILL.
+    /// Kills the process by SIGKILL.
     pub(super) async fn kill(&mut self) {
-        // Fails only if it has exited already.
+        // `Child::kill` fails only if the process has already exited.
         let _ = self.child.kill().await;
     }
 
-    /// Has it shut down gracefully, and kills it if that takes too long.
+    /// Shuts the process down gracefully, or kills it after [`SHUTDOWN_TIMEOUT`]. Returns the exit status.
     pub(super) async fn shut_down(&mut self) -> Option<ExitStatus> {
         self.signal(Signal::TERM);
         if let Ok(status) = timeout(SHUTDOWN_TIMEOUT, self.child.wait()).await {
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -1,4 +1,5 @@
-//! The invariants that a soak test is judged by, beside the account of answers and runs: pure functions of the evidence.
+//! The invariants of the soak test, beside those of the exactly-once audit, as pure functions of the
+//! evidence.
 
 use super::fault::{FaultKind, InjectedFault};
 use super::{DisconnectedClient, StalledClient};
@@ -11,63 +12,63 @@
 use vetchbridge_testbed::client::JobRecord;
 use vetchbridge_testbed::runs::AttemptArrival;
 
-/// Schedulers learn of a published change within this time, as long as discovery is available.
+/// The time within which schedulers learn of a published change, as long as discovery is available.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// Attempts may still be sent to a draining worker for so long after that.
+/// How long attempts may still be sent to a worker after schedulers must know that the worker is draining.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has disconnected.
+/// How long after a client's disconnect an attempt for this client may begin.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// By how much the expiry that a worker is given may exceed the client's deadline.
+/// By how much the expiry in an attempt may exceed the client's deadline.
 const EXPIRY_TOLERANCE: Duration = Duration::from_millis(150);
-/// A client that stalls in a request gets an error or is disconnected within this time.
+/// The time within which a client that stalls in a request gets an error or is disconnected.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// The longest delay between a scheduler's decision and its write.
 const SCHEDULER_DELAY: Duration = Duration::from_millis(150);
 /// The longest delay that a busy machine adds between two processes.
 const MACHINE_DELAY: Duration = Duration::from_millis(250);
 
-/// An invariant that was violated.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum InvariantViolation {
-    /// A violation that the account of answers and runs found.
-    Account(Violation),
-    /// A scheduler exited by itself; the text has its status and the end of its log.
+    /// A violation that the exactly-once audit found.
+    Audit(Violation),
+    /// A scheduler exited on its own; the text contains its exit status and the last lines of its log.
     EarlyExit(String),
     /// A scheduler did not shut down cleanly.
     FailedShutdown(FailedShutdown),
-    /// An attempt came to a worker that schedulers had long known to be draining.
+    /// An attempt reached a worker long after schedulers must have known that the worker is draining.
     AttemptWhileDraining {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The worker's name.
         worker: String,
-        /// The time since it began to drain.
+        /// The time since the worker began to drain.
         after: Duration,
     },
-    /// An attempt came to a worker after its client had disconnected.
+    /// An attempt reached a worker after its client had disconnected.
     AttemptAfterDisconnect {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The worker's name.
         worker: String,
         /// The time since the client disconnected.
         after: Duration,
     },
-    /// A worker was given an expiry beyond its client's deadline.
+    /// An attempt reached a worker with an expiry after the client's deadline.
     ExpiryAfterDeadline {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The time from the deadline to the expiry.
         excess: Duration,
     },
-    /// A client that stalled in a request was left connected.
+    /// A client that stalled in a request was neither answered nor disconnected in time.
     StalledClientKept(StalledClient),
-    /// A scheduler logged a violated invariant of its own, or a panic.
+    /// A scheduler logged a violated invariant or a panic.
     LoggedError {
         /// The scheduler's number.
         scheduler: usize,
-        /// The line of its log.
+        /// The logged line.
         line: String,
     },
 }
@@ -75,47 +76,55 @@
 impl fmt::Display for InvariantViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Account(violation) => write!(f, "account: {violation}"),
+            Self::Audit(violation) => write!(f, "audit: {violation}"),
             Self::EarlyExit(text) => write!(f, "process: {text}"),
             Self::FailedShutdown(failure) => write!(f, "process: {failure}"),
             Self::AttemptWhileDraining { request_id, worker, after } => {
-                write!(f, "drained: {request_id:016x} came to {worker} {after:?} after it began to drain")
+                write!(
+                    f,
+                    "draining worker: request {request_id:016x} reached {worker} {after:?} after the drain \
+                     began"
+                )
             }
             Self::AttemptAfterDisconnect { request_id, worker, after } => {
-                write!(f, "client gone: {request_id:016x} came to {worker} {after:?} after its client")
+                write!(
+                    f,
+                    "disconnected client: request {request_id:016x} reached {worker} {after:?} after the \
+                     disconnect"
+                )
             }
             Self::ExpiryAfterDeadline { request_id, excess } => {
-                write!(f, "expiry: {request_id:016x} was given {excess:?} more than its client had left")
+                write!(f, "expiry: request {request_id:016x} expires {excess:?} after its client's deadline")
             }
             Self::StalledClientKept(StalledClient { stalled_at, ended_after }) => {
-                write!(f, "stopped: at {stalled_at:?}: ended after {ended_after:?}")
+                write!(f, "stalled client: stalled at {stalled_at:?}, ended after {ended_after:?}")
             }
             Self::LoggedError { scheduler, line } => write!(f, "log: scheduler {scheduler}: {line}"),
         }
     }
 }
 
-/// What was observed; times count from the deployment's epoch.
+/// The observations of a run; times count from the deployment's epoch.
 pub struct Evidence<'a> {
     /// The injected faults.
     pub faults: &'a [InjectedFault],
-    /// Attempts that arrived at workers.
+    /// The attempts that arrived at workers.
     pub arrivals: &'a [AttemptArrival],
     /// The load's jobs.
     pub jobs: &'a [JobRecord],
-    /// Its classes.
+    /// The load's classes, which jobs refer to by index.
     pub classes: &'a [ClassLoad],
     /// Clients that disconnected before their response.
     pub disconnected: &'a [DisconnectedClient],
-    /// Clients that stalled in a request.
+    /// Clients that stalled in the middle of a request.
     pub stalled: &'a [StalledClient],
-    /// The schedulers' logs.
+    /// The text of each scheduler's log, by the scheduler's number.
     pub logs: &'a [String],
-    /// The longest delay after which discovery publishes a change.
+    /// The longest delay with which discovery publishes a change.
     pub publication_delay: Duration,
 }
 
-/// Runs every check.
+/// Runs all checks and returns the violations.
 pub fn check_all(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
     let found = [
         check_draining_workers(evidence),
@@ -127,8 +136,9 @@
     found.into_iter().flatten().collect()
 }
 
-/// When every scheduler must know of a change: discovery has been available for long enough without a break.
-fn known_by(published: Duration, faults: &[InjectedFault]) -> Duration {
+/// Returns when every scheduler must know of a change published at `published`: once discovery has been
+/// available for [`PROPAGATION_TIMEOUT`] without interruption.
+fn propagation_deadline(published: Duration, faults: &[InjectedFault]) -> Duration {
     let mut available_since = published;
     for outage in faults.iter().filter(|fault| fault.kind.is_discovery_outage()) {
         if outage.started < available_since + PROPAGATION_TIMEOUT && outage.ended > available_since {
@@ -144,8 +154,8 @@
 }
 
 fn attempts_while_draining(drain: &InjectedFault, evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
-    let known = known_by(drain.started + evidence.publication_delay, evidence.faults);
-    let forbidden = known + DRAIN_GRACE + SCHEDULER_DELAY + MACHINE_DELAY..drain.ended;
+    let known_at = propagation_deadline(drain.started + evidence.publication_delay, evidence.faults);
+    let forbidden = known_at + DRAIN_GRACE + SCHEDULER_DELAY + MACHINE_DELAY..drain.ended;
     let is_late =
         |arrival: &&AttemptArrival| arrival.worker == drain.target && forbidden.contains(&arrival.at);
     let violation = |arrival: &AttemptArrival| InvariantViolation::AttemptWhileDraining {
--- a/crates/testkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -69,21 +69,22 @@
     check_all(&evidence)
 }
 
-/// Each check reports evidence just beyond its limit, and accepts what is just within it.
+/// Each check reports a violation for evidence just beyond its limit, and none for evidence just within the
+/// limit.
 #[test]
 fn each_check_finds_its_violation_and_nothing_else() {
     let drain = fault(FaultKind::WorkerDrain, 10.0, 23.0);
     let outage = fault(FaultKind::DiscoveryError, 12.0, 14.0);
-    let drained = |faults: &[InjectedFault], at: f64| check(faults, &[arrival(9, at, 1.0)], &[], &[], "");
-    let alone = std::slice::from_ref(&drain);
-    assert!(drained(alone, 16.8).is_empty());
-    assert!(matches!(drained(alone, 17.0)[..], [InvariantViolation::AttemptWhileDraining { .. }]));
-    assert!(drained(&[drain.clone(), outage.clone()], 20.8).is_empty());
+    let attempt_at = |faults: &[InjectedFault], at: f64| check(faults, &[arrival(9, at, 1.0)], &[], &[], "");
+    let drain_only = std::slice::from_ref(&drain);
+    assert!(attempt_at(drain_only, 16.8).is_empty());
+    assert!(matches!(attempt_at(drain_only, 17.0)[..], [InvariantViolation::AttemptWhileDraining { .. }]));
+    assert!(attempt_at(&[drain.clone(), outage.clone()], 20.8).is_empty());
     assert!(matches!(
-        drained(&[drain.clone(), outage], 21.0)[..],
+        attempt_at(&[drain.clone(), outage], 21.0)[..],
         [InvariantViolation::AttemptWhileDraining { .. }]
     ));
-    assert!(drained(alone, 23.1).is_empty());
+    assert!(attempt_at(drain_only, 23.1).is_empty());
 
     let disconnected = [DisconnectedClient { request_id: 9, closed_at: seconds(5.0) }];
     assert!(check(&[], &[arrival(9, 5.4, 1.0)], &disconnected, &[], "").is_empty());
--- a/crates/testkit/src/soak/fault.rs
+++ b/crates/testkit/src/soak/fault.rs
@@ -1,46 +1,47 @@
-//! The faults that a soak test injects into the platform, and the log of those that were injected.
+//! The platform faults that a soak test injects, and the log of injected faults.
 
 use std::fmt;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One kind of injected fault.
+/// A kind of platform fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// A scheduler shuts down gracefully and is started again.
+    /// A scheduler shuts down gracefully and is restarted.
     SchedulerRestart,
     /// A successor takes over from a scheduler's process.
     SchedulerUpgrade,
-    /// A scheduler is drained and resumes.
+    /// A scheduler is drained and then resumes.
     SchedulerDrain,
-    /// A scheduler reads its configuration again, several times in a row.
+    /// A scheduler reloads its configuration several times in a row.
     SchedulerReload,
-    /// A scheduler's discovery moves to another address, which a reload makes known.
+    /// A scheduler's discovery moves to another address, which the scheduler learns by a configuration
+    /// reload.
     DiscoveryMove,
-    /// A scheduler is killed by SIGKILL and is started again.
+    /// A scheduler is killed by SIGKILL and restarted.
     SchedulerCrash,
     /// A worker crashes and restarts.
     WorkerCrash,
     /// A worker is published as draining.
     WorkerDrain,
-    /// A worker answers some attempts in ways that a broken program might.
+    /// A worker handles some attempts as a broken program might.
     WorkerMisbehavior,
     /// A worker runs its jobs many times slower.
     WorkerSlowdown,
     /// A worker refuses connections.
     WorkerRefusal,
-    /// Discovery answers 503.
+    /// Discovery answers with status 503.
     DiscoveryError,
     /// Discovery resets connections.
     DiscoveryReset,
     /// Discovery accepts requests and never answers.
     DiscoveryTimeout,
-    /// Discovery breaks its answers off.
+    /// Discovery truncates its responses.
     DiscoveryTruncation,
-    /// Discovery publishes changes late.
+    /// Discovery publishes changes with a delay.
     DiscoveryDelay,
-    /// Clients disconnect before their response.
+    /// Clients disconnect before the response.
     ClientDisconnect,
     /// A client stalls in the middle of a request.
     ClientStall,
@@ -49,7 +50,7 @@
 }
 
 impl FaultKind {
-    /// Each kind, in the order of the report.
+    /// All kinds, in the order of the report.
     pub const ALL: &'static [FaultKind] = &[
         FaultKind::SchedulerRestart,
         FaultKind::SchedulerUpgrade,
@@ -72,7 +73,7 @@
         FaultKind::ConnectionFlood,
     ];
 
-    /// Whether schedulers can't poll discovery while the fault lasts.
+    /// Whether schedulers can't poll discovery during the fault.
     pub fn is_discovery_outage(self) -> bool {
         matches!(
             self,
@@ -84,7 +85,7 @@
     }
 }
 
-/// The name in the printed report, which scripts may read.
+/// Writes the kind's name in the printed report. Scripts may match these names.
 impl fmt::Display for FaultKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -111,27 +112,28 @@
     }
 }
 
-/// One fault that was injected; times count from the deployment's epoch.
+/// A fault that was injected; times count from the deployment's epoch.
 #[derive(Clone, Debug)]
 pub struct InjectedFault {
-    /// What it was.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// What it was injected into: a worker's name, a scheduler's number or address; empty for discovery.
+    /// What the fault was injected into: a worker's name, a scheduler's number or address; empty for
+    /// discovery.
     pub target: String,
-    /// When it began.
+    /// When the fault began.
     pub started: Duration,
-    /// When it was over.
+    /// When the fault ended.
     pub ended: Duration,
 }
 
 impl InjectedFault {
-    /// Whether both lasted at a common time.
+    /// Whether the two faults overlapped in time.
     pub fn overlaps(&self, other: &InjectedFault) -> bool {
         self.started < other.ended && other.started < self.ended
     }
 }
 
-/// Records each fault once it is over.
+/// Records each fault once it has ended.
 pub(super) struct FaultLog {
     epoch: Instant,
     faults: Mutex<Vec<InjectedFault>>,
@@ -142,25 +144,25 @@
         FaultLog { epoch, faults: Mutex::default() }
     }
 
-    /// The time from which the log counts.
+    /// Returns the instant from which the log counts times.
     pub(super) fn epoch(&self) -> Instant {
         self.epoch
     }
 
-    /// Records a fault that began at `started` and is over now.
+    /// Records a fault that began at `started` and has just ended.
     pub(super) fn record(&self, kind: FaultKind, target: &str, started: Instant) {
         let (started, ended) = (started.duration_since(self.epoch), self.epoch.elapsed());
-        self.lock().push(InjectedFault { kind, target: target.to_string(), started, ended });
+        self.locked_faults().push(InjectedFault { kind, target: target.to_string(), started, ended });
     }
 
-    /// The recorded faults by the time of their beginning.
+    /// Returns the recorded faults, sorted by their start.
     pub(super) fn faults(&self) -> Vec<InjectedFault> {
-        let mut faults = self.lock().clone();
+        let mut faults = self.locked_faults().clone();
         faults.sort_by_key(|fault| fault.started);
         faults
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<InjectedFault>> {
+    fn locked_faults(&self) -> MutexGuard<'_, Vec<InjectedFault>> {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/testkit/src/soak/faulty_clients.rs
+++ b/crates/testkit/src/soak/faulty_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that misbehave: they disconnect before their response, stall in the middle of a request, or open many connections
-//! and send nothing. What they observed is recorded for the checks.
+//! Faulty clients: they disconnect before the response, stall in the middle of a request, or open many
+//! connections and send nothing. Their observations are recorded for the checks.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,30 +8,31 @@
 use tokio::time::{sleep, timeout, Instant};
 use vetchbridge_testbed::wire::Wire;
 
-/// The prefix of these clients' request ids; no request of the load has it.
+/// The prefix of the faulty clients' request ids; no request of the load has it.
 const ID_PREFIX: u64 = 0xdead_0000_0000_0000;
-/// How long a stalled client waits for the end of its connection.
+/// How long a stalled client waits for its connection to end.
 const STALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A client that closed its connection before its response.
+/// A client that closed its connection before the response.
 #[derive(Clone, Copy, Debug)]
 pub struct DisconnectedClient {
-    /// Its request.
+    /// The request's id.
     pub request_id: u64,
-    /// When its connection was closed, since the epoch.
+    /// When the connection was closed, counted from the epoch.
     pub closed_at: Duration,
 }
 
 /// A client that stalled in the middle of a request and kept its connection open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StalledClient {
-    /// When it sent its last byte, since the epoch.
+    /// When the client sent its last byte, counted from the epoch.
     pub stalled_at: Duration,
-    /// How long it took until a response came or its connection was closed; `None` if neither came before its timeout.
+    /// How long after the last byte a response came or the connection was closed; `None` if neither happened
+    /// before the client's timeout.
     pub ended_after: Option<Duration>,
 }
 
-/// Sends what such clients send, and records what they observe.
+/// Sends the requests of faulty clients and records what the clients observe.
 #[derive(Debug, Default)]
 pub(super) struct FaultyClients(Mutex<Observations>);
 
@@ -43,30 +44,30 @@
 }
 
 impl FaultyClients {
-    fn lock(&self) -> MutexGuard<'_, Observations> {
+    fn observations(&self) -> MutexGuard<'_, Observations> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn next_id(&self) -> u64 {
-        let mut observations = self.lock();
+        let mut observations = self.observations();
         observations.requests += 1;
         ID_PREFIX | observations.requests
     }
 
-    /// The ids of all of their requests.
+    /// Returns the ids of all requests that faulty clients have sent.
     pub(super) fn request_ids(&self) -> BTreeSet<u64> {
-        (1..=self.lock().requests).map(|number| ID_PREFIX | number).collect()
+        (1..=self.observations().requests).map(|number| ID_PREFIX | number).collect()
     }
 
     pub(super) fn disconnected(&self) -> Vec<DisconnectedClient> {
-        self.lock().disconnected.clone()
+        self.observations().disconnected.clone()
     }
 
     pub(super) fn stalled(&self) -> Vec<StalledClient> {
-        self.lock().stalled.clone()
+        self.observations().stalled.clone()
     }
 
-    /// Submits a long job and disconnects after this time.
+    /// Submits a long job and disconnects `after` the request was sent.
     pub(super) async fn disconnect(&self, address: SocketAddr, after: Duration, epoch: Instant) {
         let Ok(mut wire) = Wire::dial(address).await else { return };
         let id = self.next_id();
@@ -76,10 +77,13 @@
         }
         sleep(after).await;
         drop(wire);
-        self.lock().disconnected.push(DisconnectedClient { request_id: id, closed_at: epoch.elapsed() });
+        self.observations()
+            .disconnected
+            .push(DisconnectedClient { request_id: id, closed_at: epoch.elapsed() });
     }
 
-    /// Sends the beginning of a request, up to within its head or its body, and waits.
+    /// Sends the beginning of a request, which ends within the body or within the headers, and waits for the
+    /// response or the end of the connection.
     pub(super) async fn stall(&self, address: SocketAddr, within_body: bool, epoch: Instant) {
         let Ok(mut wire) = Wire::dial(address).await else { return };
         let id = self.next_id();
@@ -91,18 +95,18 @@
             return;
         }
         let stalled = Instant::now();
-        let ended = timeout(STALL_TIMEOUT, wire.read()).await;
-        let ended_after = ended.is_ok().then(|| stalled.elapsed());
+        let response = timeout(STALL_TIMEOUT, wire.read()).await;
+        let ended_after = response.is_ok().then(|| stalled.elapsed());
         let stalled_at = stalled.duration_since(epoch);
-        self.lock().stalled.push(StalledClient { stalled_at, ended_after });
+        self.observations().stalled.push(StalledClient { stalled_at, ended_after });
     }
 
-    /// Opens many connections, sends nothing, and closes them after this time.
-    pub(super) async fn flood(&self, address: SocketAddr, count: usize, lasts: Duration) {
+    /// Opens `count` connections, sends nothing, and closes the connections after `duration`.
+    pub(super) async fn flood(&self, address: SocketAddr, count: usize, duration: Duration) {
         let mut open = Vec::with_capacity(count);
         for _ in 0..count {
             open.extend(Wire::dial(address).await.ok());
         }
-        sleep(lasts).await;
+        sleep(duration).await;
     }
 }
--- a/crates/testkit/src/soak/inject/clients.rs
+++ b/crates/testkit/src/soak/inject/clients.rs
@@ -1,4 +1,4 @@
-//! Faults of clients: disconnects, stalled requests and connection floods.
+//! Faults that clients cause: disconnects, stalled requests and connection floods.
 
 use super::super::fault::FaultKind;
 use super::super::faulty_clients::FaultyClients;
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// Clients that disconnect at about the same time.
+/// The number of clients that disconnect at about the same time.
 const DISCONNECTS: usize = 8;
-/// Connections of a flood: more than a scheduler of the plan accepts.
+/// The number of connections in a flood: more than a scheduler of the plan accepts.
 const FLOOD_CONNECTIONS: usize = 300;
 
 impl FaultInjector<'_> {
-    pub(super) async fn disturb_with_clients(
+    pub(super) async fn inject_client_faults(
         &self,
         index: u64,
         addresses: &[SocketAddr],
--- a/crates/testkit/src/soak/inject/discovery.rs
+++ b/crates/testkit/src/soak/inject/discovery.rs
@@ -1,4 +1,4 @@
-//! Faults of discovery: outages, and changes that are published late.
+//! Faults of discovery: outages and delayed publication of changes.
 
 use super::super::fault::FaultKind;
 use super::{track, FaultInjector};
@@ -7,11 +7,11 @@
 use tokio::time::{sleep, Instant};
 use vetchbridge_testbed::discovery::Health;
 
-/// By how much discovery publishes changes late during [`FaultKind::DiscoveryDelay`].
+/// By how much discovery delays the publication of changes during a [`FaultKind::DiscoveryDelay`].
 pub(in crate::soak) const PUBLICATION_DELAY: Duration = Duration::from_millis(800);
 
 impl FaultInjector<'_> {
-    pub(super) async fn disturb_discovery(&self) -> Result<(), Failure> {
+    pub(super) async fn inject_discovery_faults(&self) -> Result<(), Failure> {
         let kinds = [
             FaultKind::DiscoveryError,
             FaultKind::DiscoveryReset,
@@ -21,15 +21,15 @@
         ];
         let mut schedule = self.schedule(track::DISCOVERY, &kinds);
         while let Some(kind) = schedule.next().await {
-            let (lasts, started) = (schedule.duration(0.3, 3.0), Instant::now());
+            let (duration, started) = (schedule.duration(0.3, 3.0), Instant::now());
             match kind {
-                FaultKind::DiscoveryError => self.discovery.fail_for(Health::Failing, lasts).await,
-                FaultKind::DiscoveryReset => self.discovery.fail_for(Health::Resetting, lasts).await,
-                FaultKind::DiscoveryTimeout => self.discovery.fail_for(Health::Unresponsive, lasts).await,
-                FaultKind::DiscoveryTruncation => self.discovery.fail_for(Health::Truncating, lasts).await,
+                FaultKind::DiscoveryError => self.discovery.fail_for(Health::Failing, duration).await,
+                FaultKind::DiscoveryReset => self.discovery.fail_for(Health::Resetting, duration).await,
+                FaultKind::DiscoveryTimeout => self.discovery.fail_for(Health::Unresponsive, duration).await,
+                FaultKind::DiscoveryTruncation => self.discovery.fail_for(Health::Truncating, duration).await,
                 _ => {
                     self.discovery.set_update_delay(PUBLICATION_DELAY);
-                    sleep(lasts).await;
+                    sleep(duration).await;
                     self.discovery.set_update_delay(Duration::ZERO);
                 }
             }
--- a/crates/testkit/src/soak/inject/mod.rs
+++ b/crates/testkit/src/soak/inject/mod.rs
@@ -1,5 +1,6 @@
-//! Injects faults into the platform, on several tracks at once: each track cycles through its own kinds in an order drawn
-//! from the seed, so that each kind happens and any two may overlap.
+//! Injects faults into the platform on several tracks at once. A track injects one fault at a time and cycles
+//! through its own kinds in an order drawn from the seed. Thus every kind happens, and faults of different
+//! tracks overlap.
 
 mod clients;
 mod discovery;
@@ -19,8 +20,8 @@
 
 pub(super) use discovery::PUBLICATION_DELAY;
 
-/// Numbers of the tracks, each with a random sequence of its own. Where a number is the first of several, the track's index
-/// is added to it.
+/// The numbers of the tracks, from which each track derives its own random sequence. For a constant named
+/// `FIRST_...`, the track's index is added to the number.
 mod track {
     pub(super) const FIRST_SCHEDULERS: u64 = 1;
     pub(super) const WORKER_CRASHES: u64 = 10;
@@ -30,10 +31,10 @@
     pub(super) const FIRST_CLIENTS: u64 = 50;
 }
 
-/// Tracks that divide the schedulers among them.
+/// The number of tracks that inject faults into schedulers. Each track has its own share of the schedulers.
 const SCHEDULER_TRACKS: usize = 3;
 
-/// What the tracks share.
+/// The state that all tracks share.
 pub(super) struct FaultInjector<'a> {
     pub(super) seed: u64,
     pub(super) until: Instant,
@@ -43,7 +44,7 @@
 }
 
 impl FaultInjector<'_> {
-    /// Runs all tracks to their end.
+    /// Runs all tracks until the end of the load.
     pub(super) async fn run(
         &self,
         schedulers: &mut [Scheduler],
@@ -52,18 +53,18 @@
     ) -> Result<(), Failure> {
         let per_track = schedulers.len().div_ceil(SCHEDULER_TRACKS).max(1);
         let scheduler_tracks = schedulers.chunks_mut(per_track).enumerate();
-        let scheduler_tracks =
-            scheduler_tracks.map(|(track, chunk)| self.disturb_schedulers(track, track * per_track, chunk));
+        let scheduler_tracks = scheduler_tracks
+            .map(|(track, chunk)| self.inject_scheduler_faults(track, track * per_track, chunk));
         let (crashing, others) = self.workers.split_at(self.workers.len() / 3);
         let (draining, misbehaving) = others.split_at(others.len() / 2);
         tokio::try_join!(
             futures_util::future::try_join_all(scheduler_tracks),
             self.crash_workers(crashing),
             self.drain_workers(draining),
-            self.disturb_workers(misbehaving),
-            self.disturb_discovery(),
-            self.disturb_with_clients(0, addresses, clients),
-            self.disturb_with_clients(1, addresses, clients),
+            self.inject_worker_faults(misbehaving),
+            self.inject_discovery_faults(),
+            self.inject_client_faults(0, addresses, clients),
+            self.inject_client_faults(1, addresses, clients),
         )?;
         Ok(())
     }
--- a/crates/testkit/src/soak/inject/schedule.rs
+++ b/crates/testkit/src/soak/inject/schedule.rs
@@ -1,4 +1,4 @@
-//! When a track injects its next fault, and of which kind.
+//! Chooses when a track injects its next fault, and of which kind.
 
 use super::super::fault::FaultKind;
 use rand::seq::SliceRandom;
@@ -10,7 +10,8 @@
 /// The longest pause between two faults of a track, in seconds.
 const MAX_PAUSE_SECONDS: f64 = 0.8;
 
-/// Cycles through a track's kinds, shuffled anew for each cycle, and draws the details of each fault.
+/// Cycles through a track's kinds of faults, shuffled anew for each cycle, and draws the parameters of each
+/// fault.
 pub(super) struct FaultSchedule {
     pub(super) random: Pcg64,
     kinds: Vec<FaultKind>,
@@ -26,7 +27,7 @@
         FaultSchedule { random, kinds, next: 0, until }
     }
 
-    /// The next kind, after a pause; `None` once the time is over.
+    /// Waits for a random pause and returns the next kind; `None` once the end of the load is reached.
     pub(super) async fn next(&mut self) -> Option<FaultKind> {
         let pause = Duration::from_secs_f64(self.random.random_range(0.0..MAX_PAUSE_SECONDS));
         sleep(pause).await;
@@ -41,12 +42,12 @@
         Some(self.kinds[self.next - 1])
     }
 
-    /// One element of a slice that is not empty.
-    pub(super) fn choose<'a, T>(&mut self, all: &'a [T]) -> &'a T {
-        &all[self.random.random_range(0..all.len())]
+    /// Returns a random element of a slice that is not empty.
+    pub(super) fn choose<'a, T>(&mut self, items: &'a [T]) -> &'a T {
+        &items[self.random.random_range(0..items.len())]
     }
 
-    /// A duration between two numbers of seconds.
+    /// Returns a random duration between two numbers of seconds.
     pub(super) fn duration(&mut self, min_seconds: f64, max_seconds: f64) -> Duration {
         Duration::from_secs_f64(self.random.random_range(min_seconds..max_seconds))
     }
--- a/crates/testkit/src/soak/inject/schedulers.rs
+++ b/crates/testkit/src/soak/inject/schedulers.rs
@@ -5,13 +5,14 @@
 use super::{track, FaultInjector};
 use crate::runner::RESTART_DELAY;
 use crate::scheduler::{PredecessorEnd, Scheduler};
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use rand::RngExt;
 use tokio::time::{sleep, Instant};
 
 impl FaultInjector<'_> {
-    /// One track over some of the schedulers; `first` is the number of the first of them.
-    pub(super) async fn disturb_schedulers(
+    /// Injects faults into some of the schedulers, on one track. `first` is the number of the first scheduler
+    /// in `schedulers`.
+    pub(super) async fn inject_scheduler_faults(
         &self,
         index: usize,
         first: usize,
@@ -24,7 +25,7 @@
             FaultKind::SchedulerReload,
             FaultKind::DiscoveryMove,
         ];
-        // One track alone, so that no two schedulers crash at once.
+        // Only one track crashes schedulers, so that no two schedulers are down at once.
         if index == 0 {
             kinds.push(FaultKind::SchedulerCrash);
         }
@@ -32,13 +33,13 @@
         while let Some(kind) = schedule.next().await {
             let index = schedule.random.random_range(0..schedulers.len());
             let (number, started) = (first + index, Instant::now());
-            self.disturb_scheduler(kind, number, &mut schedulers[index], &mut schedule).await?;
+            self.inject_scheduler_fault(kind, number, &mut schedulers[index], &mut schedule).await?;
             self.log.record(kind, &number.to_string(), started);
         }
         Ok(())
     }
 
-    async fn disturb_scheduler(
+    async fn inject_scheduler_fault(
         &self,
         kind: FaultKind,
         number: usize,
@@ -65,25 +66,28 @@
         Ok(())
     }
 
-    /// Moves a scheduler's discovery to another address, which the scheduler learns from its configuration.
+    /// Moves the discovery of one scheduler to another address, writes the address to the scheduler's
+    /// configuration and makes the scheduler reload it.
     fn move_discovery(&self, scheduler: &Scheduler, number: usize) -> Result<(), Failure> {
         let old = self.discovery.address(number).to_string();
-        let new = self.discovery.move_to_new_port(number).map_err(machine("another address of discovery"))?;
+        let new =
+            self.discovery.move_to_new_port(number).map_err(io_failure("a new address of discovery"))?;
         let path = scheduler.config_path();
-        let text = std::fs::read_to_string(path).map_err(machine("a scheduler's configuration"))?;
-        let fresh = path.with_extension("fresh");
-        std::fs::write(&fresh, text.replace(&old, &new.to_string())).map_err(machine("a configuration"))?;
-        std::fs::rename(&fresh, path).map_err(machine("a configuration"))?;
+        let text = std::fs::read_to_string(path).map_err(io_failure("a scheduler's configuration"))?;
+        let new_file = path.with_extension("fresh");
+        std::fs::write(&new_file, text.replace(&old, &new.to_string()))
+            .map_err(io_failure("a configuration"))?;
+        std::fs::rename(&new_file, path).map_err(io_failure("a configuration"))?;
         scheduler.reload();
         Ok(())
     }
 }
 
 async fn restart(number: usize, scheduler: &mut Scheduler) -> Result<(), Failure> {
-    let ended = scheduler.shut_down().await;
-    if !ended.is_some_and(|status| status.success()) {
-        return Err(Failure::Missed(format!(
-            "scheduler {number} did not shut down cleanly: {ended:?}\n{}",
+    let status = scheduler.shut_down().await;
+    if !status.is_some_and(|status| status.success()) {
+        return Err(Failure::CheckFailed(format!(
+            "scheduler {number} did not shut down cleanly: {status:?}\n{}",
             scheduler.log_tail()
         )));
     }
--- a/crates/testkit/src/soak/inject/workers.rs
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -1,18 +1,20 @@
-//! Faults of workers: crashes, drains, and answers that a broken or overloaded program might give.
+//! Faults of workers: crashes, drains, slowdowns, refused connections, and responses of a broken or
+//! overloaded program.
 
 use super::super::fault::FaultKind;
 use super::{track, FaultInjector};
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use futures_util::future::join_all;
 use rand::RngExt;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 use vetchbridge_testbed::worker::{Act, Worker};
 
-/// How long a worker is published as draining: long enough for schedulers to learn of it in spite of an outage.
+/// How long a worker is published as draining: long enough for schedulers to learn of the drain despite an
+/// outage.
 const DRAIN_TIME: Duration = Duration::from_secs(13);
 
-/// Each way in which a worker mistreats an attempt.
+/// The faulty ways in which a worker may handle an attempt.
 const MISBEHAVIOR: [Act; 15] = [
     Act::Answer { status: 500, never_ran: false },
     Act::Answer { status: 503, never_ran: true },
@@ -32,7 +34,7 @@
 ];
 
 impl FaultInjector<'_> {
-    /// Crashes workers one after another; discovery learns of about half of the crashes.
+    /// Crashes workers one after another. About half of the crashes are published by discovery.
     pub(super) async fn crash_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
         let mut schedule = self.schedule(track::WORKER_CRASHES, &[FaultKind::WorkerCrash]);
         while let Some(kind) = schedule.next().await {
@@ -43,14 +45,14 @@
                 self.discovery.remove(worker);
             }
             sleep(schedule.duration(0.2, 3.0)).await;
-            worker.restart().map_err(machine("a worker"))?;
+            worker.restart().map_err(io_failure("a worker"))?;
             self.discovery.up(worker);
             self.log.record(kind, &worker.spec().name, started);
         }
         Ok(())
     }
 
-    /// Drains half of the workers again and again, each on a track of its own.
+    /// Drains half of the workers repeatedly, each on its own track.
     pub(super) async fn drain_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
         let half = workers.iter().take(workers.len().div_ceil(2)).enumerate();
         join_all(half.map(|(index, worker)| self.drain_worker(index as u64, worker))).await;
@@ -62,7 +64,7 @@
         while let Some(kind) = schedule.next().await {
             let started = Instant::now();
             self.discovery.draining(worker);
-            // The worker goes on accepting attempts, so that those that come too late are recorded.
+            // The worker keeps accepting attempts, so that attempts that come too late are recorded.
             sleep_until((started + DRAIN_TIME).min(self.until)).await;
             self.log.record(kind, &worker.spec().name, started);
             self.discovery.up(worker);
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Slows workers down, has them refuse connections, and has them mistreat attempts.
-    pub(super) async fn disturb_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
+    /// Slows workers down, makes them refuse connections, and makes them mishandle attempts.
+    pub(super) async fn inject_worker_faults(&self, workers: &[Worker]) -> Result<(), Failure> {
         let kinds = [FaultKind::WorkerMisbehavior, FaultKind::WorkerSlowdown, FaultKind::WorkerRefusal];
         let mut schedule = self.schedule(track::WORKER_MISBEHAVIOR, &kinds);
         while let Some(kind) = schedule.next().await {
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -1,10 +1,10 @@
-//! The soak test: a few dozen real schedulers under load, with faults that overlap in time and system calls that fail, all
-//! drawn from one seed, judged by invariants.
+//! The soak test: a few dozen real schedulers under load, with platform faults that overlap in time and with
+//! failing system calls. One seed determines all faults. Invariants decide whether the test passes.
 //!
-//! - [`fault`]: the kinds of faults, and the log of those that were injected;
-//! - `inject`: injects them into schedulers, workers and discovery, and by `faulty_clients`;
-//! - `syscall_faults`: the system calls that fail within the schedulers' own processes;
-//! - [`checks`]: compares what was observed with the invariants;
+//! - [`fault`]: the kinds of platform faults, and the log of injected faults;
+//! - `inject`: injects faults into schedulers, workers and discovery, and through `faulty_clients`;
+//! - `syscall_faults`: failing system calls in the schedulers' processes;
+//! - [`checks`]: compares the observations with the invariants;
 //! - [`report`]: the result.
 
 pub mod checks;
@@ -36,21 +36,21 @@
 use vetchbridge_testbed::audit::{audit_jobs, Outage, Violation};
 use vetchbridge_testbed::client::{Clients, LoadRecord};
 
-/// From this duration on, each kind of fault must have happened.
+/// The shortest duration in which every kind of fault must happen.
 const FULL_LENGTH: Duration = Duration::from_secs(30);
 
-/// What is to be tested, and for how long.
+/// The parameters of a soak test.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSpec {
     /// The seed of all faults.
     pub seed: u64,
     /// How long the load lasts.
     pub duration: Duration,
-    /// How many schedulers there are; the plan's number where it is absent.
+    /// The number of schedulers; `None` means the plan's number.
     pub schedulers: Option<usize>,
 }
 
-/// Runs the test.
+/// Runs a soak test and returns its report.
 pub async fn run(
     spec: SoakSpec,
     daemon: Option<&Path>,
@@ -65,13 +65,14 @@
         arguments: vec!["--log-filter".to_string(), log_filter.to_string()],
         environment: SyscallFaultPlan::draw(spec.seed, number).environment(&library, directory, number),
     };
-    let mut deployment = interrupt.or_stop(Deployment::start_with(&plan, daemon, logs, launch)).await?;
+    let mut deployment =
+        interrupt.run_unless_stopped(Deployment::start_with(&plan, daemon, logs, launch)).await?;
     let observed = run_load(spec, &plan, &mut deployment, &interrupt).await?;
     let early_exit = deployment.check_running().err().map(|failure| failure.to_string());
     Ok(judge_run(spec, deployment, observed, early_exit).await)
 }
 
-/// What was observed from outside the schedulers while they ran.
+/// Observations from outside the schedulers while they ran.
 struct Observed {
     faults: Vec<InjectedFault>,
     load: LoadRecord,
@@ -79,7 +80,7 @@
     clients: FaultyClients,
 }
 
-/// Sends the load and injects the faults meanwhile.
+/// Sends the load and injects faults until both end.
 async fn run_load(
     spec: SoakSpec,
     plan: &Plan,
@@ -107,14 +108,14 @@
     let injected = injector.run(&mut deployment.schedulers, &addresses, &faulty_clients);
     let (mut record, ()) = tokio::try_join!(
         async { load_run.await.map_err(|error| bad_load(&error)) },
-        interrupt.or_stop(injected)
+        interrupt.run_unless_stopped(injected)
     )?;
     shift_times(&mut record, offset);
     Ok(Observed { faults: log.faults(), load: record, classes: load.classes, clients: faulty_clients })
 }
 
-/// Shuts the deployment down and judges the run. `early_exit` names a scheduler that had exited by itself. Logs are read
-/// after the shutdown, which logs violations too.
+/// Shuts the deployment down and judges the run. `early_exit` describes a scheduler that exited on its own.
+/// Reads the logs after the shutdown, because schedulers log violations during the shutdown too.
 async fn judge_run(
     spec: SoakSpec,
     mut deployment: Deployment,
@@ -123,17 +124,17 @@
 ) -> SoakReport {
     let log_paths: Vec<_> =
         deployment.schedulers.iter().map(|scheduler| scheduler.log_path().to_path_buf()).collect();
-    let (directory, runs, notice) =
+    let (directory, runs, detection_delay) =
         (deployment.directory().to_path_buf(), deployment.runs.clone(), deployment.front.detection_delay());
-    // Removed at the end of this function, after its logs and counts have been read.
+    // The directory is removed at the end of this function, after its logs and counts have been read.
     let _temporary = deployment.take_temporary_directory();
     let failed_shutdowns = deployment.shut_down().await;
-    let outages = outages(&observed.faults, notice);
+    let outages = outages(&observed.faults, detection_delay);
     let jobs = &observed.load.jobs;
     let verdict = audit_jobs(&observed.classes, jobs, Some(&runs.all()), &outages);
     let logs: Vec<String> =
         log_paths.iter().map(|path| std::fs::read_to_string(path).unwrap_or_default()).collect();
-    let mut violations = account_violations(verdict.violations, &observed.clients);
+    let mut violations = audit_violations(verdict.violations, &observed.clients);
     violations.extend(early_exit.map(InvariantViolation::EarlyExit));
     violations.extend(failed_shutdowns.into_iter().map(InvariantViolation::FailedShutdown));
     violations.extend(checks::check_all(&Evidence {
@@ -157,21 +158,22 @@
     }
 }
 
-/// The account's violations, without runs of the faulty clients' requests, which the account doesn't know.
-fn account_violations(found: Vec<Violation>, clients: &FaultyClients) -> Vec<InvariantViolation> {
+/// Returns the audit's violations except runs of requests that the faulty clients sent: the audit knows only
+/// the load's requests.
+fn audit_violations(found: Vec<Violation>, clients: &FaultyClients) -> Vec<InvariantViolation> {
     let ids = clients.request_ids();
     let is_of_faulty_client =
         |violation: &Violation| matches!(violation, Violation::UnknownRequest(id) if ids.contains(id));
     let found = found.into_iter().filter(|violation| !is_of_faulty_client(violation));
-    found.map(InvariantViolation::Account).collect()
+    found.map(InvariantViolation::Audit).collect()
 }
 
-/// The times in which attempts may be lost, since a scheduler had been killed.
-fn outages(faults: &[InjectedFault], notice: Duration) -> Vec<Outage> {
+/// Returns the periods in which attempts may be lost because a scheduler was killed.
+fn outages(faults: &[InjectedFault], detection_delay: Duration) -> Vec<Outage> {
     let crashes = faults.iter().filter(|fault| fault.kind == FaultKind::SchedulerCrash);
     let outage = |fault: &InjectedFault| Outage {
         from: fault.started,
-        until: fault.started + notice + DETECTION_SLACK,
+        until: fault.started + detection_delay + DETECTION_SLACK,
     };
     crashes.map(outage).collect()
 }
--- a/crates/testkit/src/soak/report.rs
+++ b/crates/testkit/src/soak/report.rs
@@ -6,30 +6,30 @@
 use std::collections::BTreeSet;
 use vetchbridge_testbed::audit::Answers;
 
-/// Violations that the text lists one by one.
+/// The number of violations that the text lists.
 const MAX_LISTED_VIOLATIONS: usize = 20;
 
-/// What was injected, and which invariants were violated.
+/// The injected faults and the violated invariants.
 #[derive(Debug)]
 pub struct SoakReport {
     /// The seed of all faults.
     pub seed: u64,
-    /// Whether the test lasted long enough for each kind of fault to happen.
+    /// Whether the test lasted long enough for every kind of fault to happen.
     pub is_full_length: bool,
-    /// Jobs of the load.
+    /// The number of jobs in the load.
     pub jobs: usize,
-    /// Answers to their attempts.
+    /// The number of requests by how they ended.
     pub answers: Answers,
-    /// Each injected fault, with its time.
+    /// The injected platform faults, in the order of their start.
     pub faults: Vec<InjectedFault>,
-    /// System calls that failed, by fault.
+    /// The number of injected system call faults, by fault.
     pub syscall_faults: Vec<SyscallFaultCount>,
-    /// Violated invariants.
+    /// The violations of invariants.
     pub violations: Vec<InvariantViolation>,
 }
 
 impl SoakReport {
-    /// Pairs of injected faults that overlapped in time.
+    /// Returns the number of pairs of platform faults that overlapped in time.
     pub fn overlaps(&self) -> usize {
         let pairs_with_later = |(index, fault): (usize, &InjectedFault)| {
             self.faults[index + 1..].iter().filter(|other| fault.overlaps(other)).count()
@@ -37,37 +37,40 @@
         self.faults.iter().enumerate().map(pairs_with_later).sum()
     }
 
-    /// What should have happened in a test of full length and did not.
+    /// Returns a line for each kind of fault that never happened; empty if the test was too short to require
+    /// all kinds.
     pub fn missing(&self) -> Vec<String> {
         if !self.is_full_length {
             return Vec::new();
         }
         let injected: BTreeSet<FaultKind> = self.faults.iter().map(|fault| fault.kind).collect();
         let kinds = FaultKind::ALL.iter().filter(|kind| !injected.contains(*kind));
-        let kinds = kinds.map(|kind| format!("no trouble {kind} happened"));
+        let kinds = kinds.map(|kind| format!("fault {kind} was never injected"));
         let syscalls = self.syscall_faults.iter().filter(|fault| fault.count == 0);
-        kinds.chain(syscalls.map(|fault| format!("no fault {} was made", fault.name))).collect()
+        kinds
+            .chain(syscalls.map(|fault| format!("system call fault {} was never injected", fault.name)))
+            .collect()
     }
 
-    /// As text; the last line holds the totals.
+    /// Returns the report as text; the last line contains the totals.
     pub fn text(&self) -> String {
         let mut text = format!("answers   {}\n", self.answers_text());
         for kind in FaultKind::ALL {
             let count = self.faults.iter().filter(|fault| fault.kind == *kind).count();
-            text.push_str(&format!("trouble   {kind} {count}\n"));
+            text.push_str(&format!("injected  {kind} {count}\n"));
         }
         for fault in &self.syscall_faults {
-            text.push_str(&format!("fault     {} at least {}\n", fault.name, fault.count));
+            text.push_str(&format!("syscall   {} at least {}\n", fault.name, fault.count));
         }
         for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
-            text.push_str(&format!("broken    {violation}\n"));
+            text.push_str(&format!("violation {violation}\n"));
         }
         for missing in self.missing() {
             text.push_str(&format!("missing   {missing}\n"));
         }
         let syscall_faults: u64 = self.syscall_faults.iter().map(|fault| fault.count).sum();
         text.push_str(&format!(
-            "seed {}: {} troubles, {} overlaps, {syscall_faults} faults, {} violations\n",
+            "seed {}: {} platform faults, {} overlaps, {syscall_faults} system call faults, {} violations\n",
             self.seed,
             self.faults.len(),
             self.overlaps(),
@@ -76,7 +79,7 @@
         text
     }
 
-    /// Whether every invariant held and everything happened that was to.
+    /// Whether no invariant was violated and every required kind of fault happened.
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.missing().is_empty()
     }
@@ -85,8 +88,8 @@
         let Answers { served, rejected, failed, lost, unreachable, none } = self.answers;
         let jobs = self.jobs;
         format!(
-            "{jobs} jobs: {served} served, {rejected} refused, {failed} failed, {lost} lost, {unreachable} unreachable, \
-             {none} timed out"
+            "{jobs} jobs: {served} served, {rejected} rejected, {failed} failed, {lost} lost, \
+             {unreachable} unreachable, {none} timed out"
         )
     }
 }
--- a/crates/testkit/src/soak/syscall_faults.rs
+++ b/crates/testkit/src/soak/syscall_faults.rs
@@ -1,23 +1,24 @@
-//! System calls that fail in each scheduler: which of them, at which rates, and how often they did.
+//! System call faults in the schedulers: which calls fail, at which rates, and how often they failed.
 //!
-//! The library that injects these faults is beside the kit's program; it is preloaded into the schedulers alone.
+//! The library that injects these faults lies beside the kit's executable and is preloaded into the
+//! schedulers only.
 
-use crate::{machine, Failure};
+use crate::{io_failure, Failure};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::path::{Path, PathBuf};
 
 /// The file name of the library.
 const LIBRARY: &str = "libsyscall_faults.so";
-/// Fault kinds that the library counts, in its order.
+/// The number of fault kinds that the library counts.
 const FAULT_KINDS: usize = 14;
-/// The fault that has a step and a time in place of a rate.
+/// The fault that is configured by a step and a time instead of a rate.
 const CLOCK_STEPPED: &str = "clock.stepped";
 
-/// A fault of the library.
+/// A fault that the library can inject.
 struct SyscallFault {
     name: &'static str,
-    /// The highest rate, as a share of calls, that is drawn; 0 if the soak test never injects it.
+    /// The highest rate that may be drawn, as a share of calls; 0 if the soak test never injects the fault.
     max_rate: f64,
 }
 
@@ -25,7 +26,8 @@
     SyscallFault { name, max_rate }
 }
 
-/// The faults in the library's order. Writes to files never fail, since violations are known from the logs.
+/// The faults in the library's order. Writes to files never fail, because violations are read from the log
+/// files.
 const FAULTS: [SyscallFault; FAULT_KINDS] = [
     fault("recv.interrupted", 0.05),
     fault("recv.short", 0.2),
@@ -42,25 +44,26 @@
     fault("file.sync", 0.0),
     fault(CLOCK_STEPPED, 0.0),
 ];
-/// Steps of the wall clock, in seconds.
+/// The possible steps of the wall clock, in seconds.
 const CLOCK_STEPS_SECONDS: [f64; 4] = [-3600.0, -5.0, 5.0, 3600.0];
-/// The latest time of such a step, in seconds after a scheduler's start.
+/// The latest time of a clock step, in seconds after a scheduler's start.
 const MAX_CLOCK_STEP_DELAY_SECONDS: f64 = 6.0;
 
-/// How often a fault was injected.
+/// The number of times a fault was injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SyscallFaultCount {
     /// The fault's name.
     pub name: &'static str,
-    /// A lower bound of its occurrences.
+    /// A lower bound of the number of injections.
     pub count: u64,
 }
 
-/// The faults of one scheduler, in the library's format.
+/// The faults of one scheduler, in the library's configuration format.
 pub(super) struct SyscallFaultPlan(String);
 
 impl SyscallFaultPlan {
-    /// Draws each fault with even odds, at a rate up to its highest, and a step of the clock with even odds.
+    /// Draws the faults of one scheduler. Each fault is included with a probability of one half, at a random
+    /// rate up to its maximum; a clock step is included with a probability of one half.
     pub(super) fn draw(seed: u64, scheduler: usize) -> SyscallFaultPlan {
         let mut random = Pcg64::seed_from_u64(seed ^ ((scheduler as u64 + 1) << 32));
         let mut text = format!("seed={}", seed.wrapping_mul(1000).wrapping_add(scheduler as u64));
@@ -78,7 +81,7 @@
         SyscallFaultPlan(text)
     }
 
-    /// The environment that injects them into a scheduler's process.
+    /// Returns the environment variables that make the library inject the faults into a scheduler's process.
     pub(super) fn environment(
         &self,
         library: &Path,
@@ -95,19 +98,19 @@
     }
 }
 
-/// The library beside this program, or in cargo's folder of dependencies.
+/// Finds the library beside this executable or in cargo's `deps` folder.
 pub(super) fn find_library() -> Result<PathBuf, Failure> {
-    let program = std::env::current_exe().map_err(machine("the kit's own path"))?;
+    let program = std::env::current_exe().map_err(io_failure("path of the kit's executable"))?;
     let beside = [program.with_file_name(LIBRARY), program.with_file_name("deps").join(LIBRARY)];
     let found = beside.iter().find(|path| path.is_file()).cloned();
     let remedy = "build it with `make kit`";
     found.ok_or_else(|| {
-        Failure::Machine(format!("{}: there is no such library; {remedy}", beside[0].display()))
+        Failure::System(format!("{}: the library was not found; {remedy}", beside[0].display()))
     })
 }
 
-/// How often each fault that may be drawn was injected. A successor's counts replace its predecessor's, so that these are
-/// lower bounds.
+/// Returns how often each fault that may be drawn was injected. The counts are lower bounds, because a
+/// successor's counts replace those of its predecessor.
 pub(super) fn read_counts(directory: &Path) -> Vec<SyscallFaultCount> {
     let mut sums = [0; FAULT_KINDS];
     let entries = std::fs::read_dir(directory).into_iter().flatten().flatten();
--- a/crates/testkit/tests/commands.rs
+++ b/crates/testkit/tests/commands.rs
@@ -1,4 +1,5 @@
-//! The kit's commands as a user runs them: real schedulers under load and SIGKILL, bad input, limits of the machine, Ctrl-C.
+//! The kit's commands as a user runs them: real schedulers under load, killed schedulers, invalid input,
+//! limits of the machine, and Ctrl-C.
 #![allow(missing_docs)]
 
 mod common;
@@ -15,7 +16,7 @@
 }
 
 fn run(arguments: &[&str]) -> Output {
-    testkit(arguments).output().expect("it runs")
+    testkit(arguments).output().expect("the kit runs")
 }
 
 fn stderr(output: &Output) -> String {
@@ -27,7 +28,7 @@
     assert!(Command::new("kill").args(["-INT", &pid]).status().expect("kill runs").success());
 }
 
-/// Whether a process runs; a zombie does not.
+/// Whether a process runs; a zombie process does not.
 fn is_running(pid: &str) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     status.lines().any(|line| line.starts_with("State:") && !line.contains('Z'))
@@ -41,12 +42,13 @@
     let report: Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(report["violations"], serde_json::json!([]), "{report:#}");
     assert!(report["jobs"].as_u64().expect("jobs") > 200, "{report:#}");
-    // Each had at least one attempt, and the killed ones' keyed jobs were not run again.
+    // Almost every job had an attempt of its own; keyed jobs of the killed schedulers were not run again.
     assert!(report["attempts_per_job"].as_f64().expect("attempts") >= 0.9, "{report:#}");
     assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", stderr(&output));
 }
 
-/// Upgrades and drains are invisible to clients: no request loses its connection, no scheduler is ever down.
+/// Upgrades and drains are invisible to clients: no request loses its connection, and every scheduler stays
+/// reachable.
 #[test]
 fn a_demo_loses_no_request_while_schedulers_are_upgraded_and_drained() {
     let daemon = daemon();
@@ -60,16 +62,16 @@
     assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", stderr(&output));
 }
 
-/// A handover that loses the predecessor's requests is not excused.
+/// An upgrade that loses the predecessor's requests is reported as a violation.
 #[test]
 fn requests_that_an_abrupt_upgrade_loses_are_reported() {
     let daemon = daemon();
     let daemon = daemon.to_str().expect("text");
     let output = run(&["demo", "--for", "4s", "--upgrade", "1", "--careless", "--json", "--daemon", daemon]);
     let report: Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    let lost = report["violations"].as_array().expect("a list").iter();
+    let violations = report["violations"].as_array().expect("a list").iter();
     assert!(
-        lost.filter(|broken| broken.to_string().contains("lost its connection")).count() > 0,
+        violations.filter(|violation| violation.to_string().contains("lost its connection")).count() > 0,
         "{report:#}"
     );
     assert_eq!(output.status.code(), Some(1), "{}", stderr(&output));
@@ -78,9 +80,9 @@
 #[test]
 fn an_invalid_plan_is_rejected_with_every_fault_and_starts_nothing() {
     let plan = run(&["plan", "show", "demo"]).stdout;
-    let other = run(&["plan", "show", "scans"]).stdout;
+    let scans = run(&["plan", "show", "scans"]).stdout;
     assert_eq!(run(&["plan", "check", "demo", "scans"]).status.code(), Some(0));
-    let (demo, other) = (String::from_utf8(plan).expect("text"), String::from_utf8(other).expect("text"));
+    let (demo, scans) = (String::from_utf8(plan).expect("text"), String::from_utf8(scans).expect("text"));
     let cases = [
         (
             "rate = 63.0",
@@ -109,7 +111,7 @@
     ];
     for (number, (old, new, expected)) in cases.iter().enumerate() {
         let path = format!("{}/plan-{}-{number}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-        let plan = if demo.contains(old) { &demo } else { &other };
+        let plan = if demo.contains(old) { &demo } else { &scans };
         assert!(plan.contains(old), "{old}");
         std::fs::write(&path, plan.replacen(old, new, 1)).expect("written");
         let output = run(&["demo", &path, "--daemon", "/nowhere"]);
@@ -120,13 +122,13 @@
     }
 }
 
-/// A plan may have as many schedulers and workers as a large deployment.
+/// A plan may contain as many schedulers and workers as a large deployment has.
 #[test]
 fn a_plan_of_many_schedulers_and_workers_is_accepted() {
     let demo = String::from_utf8(run(&["plan", "show", "demo"]).stdout).expect("text");
     let table = |name: &str| demo.find(name).expect("a table");
     let mut plan = demo.clone();
-    // From the end on, so that the places before it stay.
+    // Replaces from the end of the text, so that earlier positions stay valid.
     let mut tables = [table("[schedulers]"), table("[[peers]]")];
     tables.sort_unstable();
     for table in tables.into_iter().rev() {
@@ -143,11 +145,15 @@
 #[test]
 fn machine_failures_and_bad_input_have_different_exit_codes() {
     let cases: [(&[&str], i32, &str); 4] = [
-        (&["demo", "--daemon", "/nowhere/vetchbridge"], 3, "there is no daemon here; build it with"),
+        (
+            &["demo", "--daemon", "/nowhere/vetchbridge"],
+            3,
+            "the daemon's binary was not found; build it with",
+        ),
         (
             &["load", "--to", "127.0.0.1:1", "--connections", "900000000"],
             3,
-            "descriptors are needed and the limit is",
+            "file descriptors are needed, but the limit is",
         ),
         (&["load", "--to", "127.0.0.1:1", "--connections", "0"], 2, "at least 1"),
         (&["load", "--to", "127.0.0.1:1", "--rate", "0"], 2, "--rate 0"),
@@ -161,8 +167,8 @@
 
 #[test]
 fn a_load_without_any_answer_fails() {
-    let unused = vetchbridge_testbed::Port::reserve().expect("a port");
-    let to = unused.address().to_string();
+    let unused_port = vetchbridge_testbed::Port::reserve().expect("a port");
+    let to = unused_port.address().to_string();
     let output = run(&["load", "--to", &to, "--rate", "50", "--for", "500ms", "--json"]);
     let report: Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(output.status.code(), Some(1));
@@ -178,14 +184,14 @@
 fn ctrl_c_shuts_down_a_deployment_and_its_schedulers() {
     let daemon = daemon();
     let mut kit = testkit(&["up", "--daemon", daemon.to_str().expect("text")]);
-    let mut kit = kit.stdout(Stdio::piped()).spawn().expect("it starts");
+    let mut kit = kit.stdout(Stdio::piped()).spawn().expect("the kit starts");
     let mut lines = BufReader::new(kit.stdout.take().expect("piped")).lines();
     let line = lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("vetchbridge-testkit load")));
-    assert!(line.is_some(), "it came up");
-    let of_kit = format!("/proc/{0}/task/{0}/children", kit.id());
-    let children = std::fs::read_to_string(of_kit).unwrap_or_default();
+    assert!(line.is_some(), "the deployment started");
+    let children_path = format!("/proc/{0}/task/{0}/children", kit.id());
+    let children = std::fs::read_to_string(children_path).unwrap_or_default();
     interrupt(&kit);
-    assert_eq!(kit.wait().expect("it ends").code(), Some(0));
+    assert_eq!(kit.wait().expect("the kit exits").code(), Some(0));
     assert!(children.split_whitespace().all(|pid| !is_running(pid)), "{children}");
 }
 
@@ -193,24 +199,29 @@
 fn the_first_ctrl_c_prints_the_report_and_the_second_exits_at_once() {
     let daemon = daemon();
     let arguments = ["demo", "--for", "600s", "--json", "--daemon", daemon.to_str().expect("text")];
-    for twice in [false, true] {
-        let mut kit =
-            testkit(&arguments).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
+    for interrupt_twice in [false, true] {
+        let mut kit = testkit(&arguments)
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the kit starts");
         let mut lines = BufReader::new(kit.stderr.take().expect("piped")).lines().map_while(Result::ok);
-        // The first line of progress shows that the load runs.
+        // The first line of progress shows that the load is running.
         lines.find(|line| line.contains(" sent, ")).expect("progress");
         interrupt(&kit);
-        lines.find(|line| line.contains("once more ends at once")).expect("the signal is acknowledged");
-        if twice {
+        lines
+            .find(|line| line.contains("press Ctrl-C again to exit immediately"))
+            .expect("the signal is acknowledged");
+        if interrupt_twice {
             interrupt(&kit);
         }
         let mut printed = String::new();
         kit.stdout.take().expect("piped").read_to_string(&mut printed).expect("text");
-        let code = kit.wait().expect("it ends").code();
-        if twice && code == Some(130) {
+        let code = kit.wait().expect("the kit exits").code();
+        if interrupt_twice && code == Some(130) {
             assert!(printed.is_empty(), "{printed}");
         } else {
-            // The second signal may come after the load's end.
+            // The second signal may arrive after the end of the load; the report is then complete.
             let report: Value = serde_json::from_str(&printed).expect("JSON");
             assert!(report["jobs"].as_u64().expect("jobs") > 0);
             assert!(matches!(code, Some(0 | 3)), "{code:?}: {printed}");
