--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! What the kit's tests share.
+//! Helpers that the kit's tests share.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The daemon beside the kit; built if only the kit's tests were asked for.
+/// Returns the path of the daemon's binary beside the kit's; builds the daemon if only the kit's tests were
+/// built.
 pub fn daemon() -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_vetchbridge-testkit")).with_file_name("vetchbridge");
     if !path.is_file() {
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -1,5 +1,5 @@
-//! A deployment that shares nothing with the demonstration's: real schedulers on the built-in plan `scans`, while its workers
-//! misbehave and its discovery is unavailable.
+//! Tests a deployment that has nothing in common with the demonstration's: real schedulers run the built-in
+//! plan `scans` while its workers misbehave and its discovery is unavailable.
 #![allow(missing_docs)]
 
 mod common;
@@ -17,16 +17,16 @@
 use vetchbridge_testkit::deployment::Deployment;
 use vetchbridge_testkit::plan::Plan;
 
-/// Nothing here takes so long unless something hangs.
+/// The time after which a test counts as hanging.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long the load lasts.
 const LOAD_TIME: Duration = Duration::from_secs(3);
-/// When discovery becomes unavailable, from the load's start.
+/// When discovery becomes unavailable, counted from the load's start.
 const OUTAGE_START: Duration = Duration::from_millis(500);
-/// How long it stays so.
+/// How long discovery stays unavailable.
 const OUTAGE_TIME: Duration = Duration::from_secs(2);
 
-/// Each way in which a worker reports whether a job ran, or leaves it open; each more than once.
+/// Returns each way in which a worker may report, or fail to report, whether a job ran; each twice.
 fn misbehavior() -> Vec<Act> {
     let once = [
         Act::Lose,
@@ -41,8 +41,8 @@
     once.iter().chain(&once).cloned().collect()
 }
 
-/// Runs a deployment while its discovery is unavailable and each worker misbehaves, and judges the run. The schedulers are
-/// configured by `scheduler_plan`, the clients and the judgment by `plan`.
+/// Runs a deployment while its discovery is unavailable and each worker misbehaves, and audits the run. The
+/// schedulers are configured by `scheduler_plan`; the clients and the audit use `plan`.
 async fn run_deployment(scheduler_plan: &Plan, plan: &Plan, outage: Health) -> Audit {
     let mut deployment =
         Deployment::start(scheduler_plan, Some(&daemon()), None, &[]).await.expect("a deployment");
@@ -55,7 +55,8 @@
         sleep(OUTAGE_START).await;
         deployment.discovery.fail_for(outage, OUTAGE_TIME).await;
         let calls = deployment.discovery.calls();
-        // Each scheduler draws the time of its next call; this goes on until the first has come.
+        // Each scheduler draws the time of its next call at random; this loop waits for the first call after
+        // the outage.
         while deployment.discovery.calls() == calls {
             sleep(Duration::from_millis(20)).await;
         }
@@ -87,26 +88,26 @@
             run_deployment(&plan, &plan, Health::Resetting)
         )
     };
-    let (failing, resetting) = timeout(TEST_TIMEOUT, runs).await.expect("it ends");
+    let (failing, resetting) = timeout(TEST_TIMEOUT, runs).await.expect("the runs end in time");
     for verdict in [failing, resetting] {
         assert_eq!(verdict.violations, [], "{verdict:?}");
         let answers = verdict.answers;
         assert_eq!((answers.lost, answers.none, answers.unreachable), (0, 0, 0), "{verdict:?}");
-        // Those that may have run and must not again are failed; all others are served.
+        // Jobs that may have run and must not run again fail; all other jobs are served.
         assert!(answers.failed > 0 && answers.served > 5 * answers.failed, "{verdict:?}");
     }
 }
 
-/// The judgment detects schedulers that are configured to treat the non-idempotent class as idempotent.
+/// The audit detects schedulers that are configured to treat the non-idempotent class as idempotent.
 #[tokio::test(flavor = "multi_thread")]
 async fn schedulers_that_retry_non_idempotent_jobs_are_detected() {
     let (mut scheduler_plan, plan) = (scans(), scans());
     scheduler_plan.daemon.class.iter_mut().for_each(|class| class.repeat = file::Repeat::Safe);
     let verdict = timeout(TEST_TIMEOUT, run_deployment(&scheduler_plan, &plan, Health::Failing))
         .await
-        .expect("it ends");
+        .expect("the runs end in time");
     assert!(
-        verdict.violations.iter().any(|v| matches!(v, Violation::NonIdempotentRanTwice(_))),
+        verdict.violations.iter().any(|violation| matches!(violation, Violation::NonIdempotentRanTwice(_))),
         "{verdict:?}"
     );
 }
--- a/crates/testkit/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! How `make test` treats KNOWN-RED.txt, in a temporary workspace whose tests fail or hang as its environment says.
+//! How `make test` treats KNOWN-RED.txt, tested in a temporary workspace whose tests fail or hang as
+//! environment variables specify.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -10,7 +11,8 @@
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
-/// Two packages, the first in a folder of another name; both have a `stories fails`, and one's name extends it.
+/// The workspace has two packages, the first in a folder of another name. Both have a test `stories fails`,
+/// and the name of another test starts with this name.
 const FILES: &[(&str, &str)] = &[
     (
         "Cargo.toml",
@@ -26,7 +28,7 @@
         pub fn run_named(name: &str) {
             let among = |key| std::env::var(key).unwrap_or_default().split(',').any(|listed| listed == name);
             assert!(!among("FAILING"), "{name} fails as configured");
-            // Far longer than any limit here; a run that should not have waited for it ends all the same.
+            // Longer than any time limit of these tests; a run that waits by mistake ends nevertheless.
             if among("HANGING") {
                 std::thread::sleep(std::time::Duration::from_secs(20));
             }
@@ -79,18 +81,23 @@
 
     #[track_caller]
     fn prints(&self, line: &str) -> &Self {
-        let times = self.stdout.lines().filter(|it| *it == line).count();
+        let times = self.stdout.lines().filter(|printed| *printed == line).count();
         assert_eq!(times, 1, "{line:?} is printed {times} times\n{}\n{}", self.stdout, self.stderr);
         self
     }
 
     #[track_caller]
     fn reports(&self, line: &str) -> &Self {
-        assert!(self.stderr.lines().any(|it| it == line), "no {line:?}\n{}\n{}", self.stdout, self.stderr);
+        assert!(
+            self.stderr.lines().any(|printed| printed == line),
+            "no {line:?}\n{}\n{}",
+            self.stdout,
+            self.stderr
+        );
         self
     }
 
-    /// How many tests counted as passed, failed and skipped in the result lines of `cargo test`.
+    /// Returns how many tests counted as passed, failed and skipped in the result lines of `cargo test`.
     fn counts(&self) -> [usize; 3] {
         let results = self.stdout.lines().filter(|line| line.starts_with("test result: "));
         results.fold([0; 3], |counts, line| {
@@ -113,24 +120,25 @@
         for (path, text) in FILES {
             let path = folder.path().join(path);
             fs::create_dir_all(path.parent().expect("a parent")).expect("a folder");
-            fs::write(path, text).expect("it is written");
+            fs::write(path, text).expect("the file is written");
         }
-        let this = Self(folder);
-        this.copy_files(&["Makefile", ".ci/test", ".ci/runner"]);
-        let locked = this.command("cargo", &["generate-lockfile", "--offline"]).output().expect("cargo runs");
+        let workspace = Self(folder);
+        workspace.copy_files(&["Makefile", ".ci/test", ".ci/runner"]);
+        let locked =
+            workspace.command("cargo", &["generate-lockfile", "--offline"]).output().expect("cargo runs");
         assert!(locked.status.success(), "{locked:?}");
-        this
+        workspace
     }
 
     fn path(&self) -> &Path {
         self.0.path()
     }
 
-    /// Copies files of this repository to the same paths here.
+    /// Copies files of this repository to the same paths in the workspace.
     fn copy_files(&self, files: &[&str]) {
         fs::create_dir_all(self.path().join(".ci")).expect("a folder");
         for file in files {
-            fs::copy(Path::new(ROOT).join(file), self.path().join(file)).expect("it is copied");
+            fs::copy(Path::new(ROOT).join(file), self.path().join(file)).expect("the file is copied");
         }
     }
 
@@ -142,22 +150,22 @@
             .env("CARGO_NET_OFFLINE", "true")
             .env("CARGO_TERM_COLOR", "never")
             .env("CARGO_INCREMENTAL", "0");
-        // Set by the make that runs this test.
+        // The `make` that runs this test sets these variables.
         command.env_remove("MAKEFLAGS").env_remove("MFLAGS").env_remove("MAKELEVEL");
         command
     }
 
     fn write_known_red(&self, text: &str) {
-        fs::write(self.path().join("KNOWN-RED.txt"), text).expect("it is written");
+        fs::write(self.path().join("KNOWN-RED.txt"), text).expect("the file is written");
     }
 
-    /// `make test` while the named tests fail.
+    /// Runs `make test` while the named tests fail.
     fn test(&self, failing: &str) -> Run {
         Self::run(self.command("make", &["test"]).env("FAILING", failing))
     }
 
     fn run(command: &mut Command) -> Run {
-        let output = command.output().expect("it runs");
+        let output = command.output().expect("the command runs");
         let text = |bytes| String::from_utf8(bytes).expect("text");
         Run { success: output.status.success(), stdout: text(output.stdout), stderr: text(output.stderr) }
     }
@@ -183,9 +191,9 @@
     workspace.write_known_red("first::stories fails | the cause | issue 7\n");
     let run = workspace.test("first::stories fails");
     run.succeeds(true).prints("known red: first::stories fails: failed as known (the cause; issue 7)");
-    // Its own output is shown, but not as a result that counts.
+    // The output of the listed test is shown, but not as a result that counts.
     assert!(run.stdout.contains("\n  | first::stories fails fails as configured\n"), "{}", run.stdout);
-    // The tests whose name extends it or is the same elsewhere are among these, and the doc test.
+    // The counted tests include the doc test and the tests with an extended or equal name elsewhere.
     assert_eq!(run.counts(), [7, 0, 1], "{}", run.stdout);
     run.prints("test fails_more ... ok").prints("test what::fails ... ok").prints("test fails ... ok");
     let last = run.stdout.lines().rfind(|line| !line.is_empty()).expect("a line");
@@ -299,7 +307,8 @@
 fn a_test_that_does_not_compile_fails_the_run() {
     let workspace = Workspace::new();
     workspace.write_known_red("first::stories fails | the cause | issue 7\n");
-    fs::write(workspace.path().join("two/src/main.rs"), "fn main() { nothing() }\n").expect("it is written");
+    fs::write(workspace.path().join("two/src/main.rs"), "fn main() { nothing() }\n")
+        .expect("the file is written");
     assert!(workspace
         .test("first::stories fails")
         .succeeds(false)
@@ -307,7 +316,7 @@
         .contains("cannot find function `nothing`"));
 }
 
-/// CI's steps are the Makefile's targets, and it ends at the first that fails.
+/// CI runs the Makefile's targets in order and stops at the first that fails.
 #[rstest]
 #[case::all_hold("true", true, &["lint", "test", "demo", "demo", "soak"])]
 #[case::a_test_fails("false", false, &["lint", "test"])]
@@ -319,9 +328,9 @@
     let workspace = Workspace::new();
     workspace.copy_files(&[".ci/run"]);
     let makefile = format!("lint demo soak:\n\t@echo step $@\ntest:\n\t@echo step $@\n\t@{result}\n");
-    fs::write(workspace.path().join("Makefile"), makefile).expect("it is written");
+    fs::write(workspace.path().join("Makefile"), makefile).expect("the file is written");
     let run = Workspace::run(&mut workspace.command(".ci/run", &[]));
     let run_steps: Vec<_> =
-        run.succeeds(success).stdout.lines().filter_map(|it| it.strip_prefix("step ")).collect();
+        run.succeeds(success).stdout.lines().filter_map(|line| line.strip_prefix("step ")).collect();
     assert_eq!(run_steps, steps);
 }
