--- a/crates/testkit/src/cli/mod.rs
+++ b/crates/testkit/src/cli/mod.rs
@@ -25,14 +25,14 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  vetchbridge-testkit demo                                   run a local deployment under load for 20 s
-  vetchbridge-testkit demo --kill 2                          the same, and kill two schedulers during the load
+  vetchbridge-testkit demo                                   run a local deployment under load
+  vetchbridge-testkit demo --kill 2                          also kill two schedulers
   vetchbridge-testkit demo --upgrade 2 --drain 1             upgrade two schedulers and drain one
-  vetchbridge-testkit demo scans                             use the plan `scans`, whose workers are probed
+  vetchbridge-testkit demo scans                             use the plan `scans`
   vetchbridge-testkit plan default > plan.toml               write the default plan to a file
-  vetchbridge-testkit up plan.toml                           run the deployment without load until Ctrl-C
+  vetchbridge-testkit up plan.toml                           start a deployment without load
   vetchbridge-testkit load --to 127.0.0.1:8080 --rate 100    send load to an address
-  vetchbridge-testkit bench                                  compare the daemon's cost with a plain relay's
+  vetchbridge-testkit bench                                  compare the daemon with a plain relay
 
 Exit codes:
   0  success
@@ -67,10 +67,10 @@
     #[command(after_help = "\
 Examples:
   vetchbridge-testkit soak --seed 7 --for 60s
-  vetchbridge-testkit soak --for 10s --schedulers 6 --logs logs     a smaller run that keeps its logs
+  vetchbridge-testkit soak --seed 7 --for 10s --schedulers 6 --logs logs     smaller, with logs
 
-The last line contains the totals. The exit code is 0 only if no invariant was violated and, in a test of
-at least 30 s, every kind of platform fault and of system call fault happened.")]
+The last line contains the totals. The exit code is 0 only if no invariant was violated and, in a
+test of at least 30 s, every kind of platform fault and of system call fault happened.")]
     Soak(SoakCommand),
     /// Measure the daemon's processor time per request compared with a plain relay's
     #[command(after_help = "Example:\n  vetchbridge-testkit bench --connections 32 --turn 3s --rounds 5")]
--- a/crates/testkit/src/runner/faults.rs
+++ b/crates/testkit/src/runner/faults.rs
@@ -28,8 +28,8 @@
 }
 
 /// Injects the faults at even intervals during a load, into the schedulers in turn. Pushes to `outages` the
-/// periods, counted from the load's start, in which attempts may be lost: only a kill excuses a loss.
-/// `outages` stays valid when the load ends before the last fault does.
+/// periods, counted from the load's start, in which attempts may be lost: only a kill excuses a loss. Uses an
+/// output parameter, so that the periods are kept when the load ends before the last fault does.
 pub(super) async fn inject_scheduler_faults(
     faults: &[SchedulerFault],
     schedulers: &mut [Scheduler],
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -12,7 +12,7 @@
 use vetchbridge_testbed::client::JobRecord;
 use vetchbridge_testbed::runs::AttemptArrival;
 
-/// The time within which schedulers learn of a published change, as long as discovery is available.
+/// The time within which schedulers must learn of a published change, as long as discovery is available.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long attempts may still be sent to a worker after schedulers must know that the worker is draining.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
@@ -20,7 +20,7 @@
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 /// By how much the expiry in an attempt may exceed the client's deadline.
 const EXPIRY_TOLERANCE: Duration = Duration::from_millis(150);
-/// The time within which a client that stalls in a request gets an error or is disconnected.
+/// The time within which a client that stalls in a request must get an error or be disconnected.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// The longest delay between a scheduler's decision and its write.
 const SCHEDULER_DELAY: Duration = Duration::from_millis(150);
--- a/crates/testkit/src/soak/faulty_clients.rs
+++ b/crates/testkit/src/soak/faulty_clients.rs
@@ -67,7 +67,7 @@
         self.observations().stalled.clone()
     }
 
-    /// Submits a long job and disconnects `after` the request was sent.
+    /// Submits a long job and disconnects when `after` has passed since the request was sent.
     pub(super) async fn disconnect(&self, address: SocketAddr, after: Duration, epoch: Instant) {
         let Ok(mut wire) = Wire::dial(address).await else { return };
         let id = self.next_id();
