--- a/crates/testkit/src/cli/demo.rs
+++ b/crates/testkit/src/cli/demo.rs
@@ -1,7 +1,7 @@
 //! `demo`: starts a deployment, sends it load with faults, and prints a report.
 
 use super::options::{ensure_descriptors, override_load, DeploymentOptions};
-use super::output::finish;
+use super::output::print_and_check;
 use crate::plan::Plan;
 use crate::report::{Report, WorkerRecord};
 use crate::runner::{self, Interrupt, LoadPlan, SchedulerFault};
@@ -50,10 +50,10 @@
     pub(super) async fn run(self) -> Result<(), Failure> {
         let mut plan = Plan::read(self.plan.as_deref())?;
         override_load(&mut plan, self.rate, self.duration)?;
-        ensure_descriptors(descriptors(&plan))?;
+        ensure_descriptors(needed_descriptors(&plan))?;
         let interrupt = Interrupt::listen()?;
         let mut deployment = self.deployment.start(&plan, &interrupt).await?;
-        let clients = Clients::new(plan.load_spec(), vec![deployment.front.address()]);
+        let clients = Clients::new(plan.load_spec(), vec![deployment.load_balancer.address()]);
         let clients = clients.map_err(|error| Failure::BadInput(error.to_string()))?;
         let load = LoadPlan {
             duration: plan.load.duration.duration(),
@@ -70,7 +70,7 @@
         };
         let failed_shutdowns = deployment.shut_down().await;
         let report = Report::new(&plan.load_spec(), &run.record, Some(&workers), &run.outages);
-        finish(&report, self.json, &failed_shutdowns)
+        print_and_check(&report, self.json, &failed_shutdowns)
     }
 
     /// Returns the scheduler faults in order: drains, upgrades, kills.
@@ -84,7 +84,7 @@
     }
 }
 
-fn descriptors(plan: &Plan) -> u64 {
+fn needed_descriptors(plan: &Plan) -> u64 {
     let clients = (plan.load.rate * DESCRIPTORS_PER_RATE).ceil() as u64;
     clients + DESCRIPTORS_PER_WORKER * plan.worker_specs().len() as u64
 }
--- a/crates/testkit/src/cli/load.rs
+++ b/crates/testkit/src/cli/load.rs
@@ -1,7 +1,7 @@
 //! `load`: sends a load to given addresses and prints a report.
 
 use super::options::{ensure_descriptors, override_load};
-use super::output::finish;
+use super::output::print_and_check;
 use crate::plan::Plan;
 use crate::report::Report;
 use crate::runner::{Interrupt, Progress};
@@ -63,6 +63,6 @@
             }
         };
         let record = record.map_err(|error| Failure::BadInput(error.to_string()))?;
-        finish(&Report::new(&plan.load_spec(), &record, None, &[]), self.json, &[])
+        print_and_check(&Report::new(&plan.load_spec(), &record, None, &[]), self.json, &[])
     }
 }
--- a/crates/testkit/src/cli/output.rs
+++ b/crates/testkit/src/cli/output.rs
@@ -21,7 +21,7 @@
 
 /// Prints the report of a load, then fails if a check failed. `failed_shutdowns` lists the schedulers that
 /// did not shut down cleanly.
-pub(super) fn finish(
+pub(super) fn print_and_check(
     report: &Report,
     json: bool,
     failed_shutdowns: &[FailedShutdown],
--- a/crates/testkit/src/cli/up.rs
+++ b/crates/testkit/src/cli/up.rs
@@ -41,7 +41,7 @@
 
 /// Returns a text with the addresses of the deployment's parts and a command that sends a load.
 fn describe(deployment: &Deployment) -> String {
-    let load_balancer = deployment.front.address();
+    let load_balancer = deployment.load_balancer.address();
     let mut text = format!("load balancer {load_balancer}\n");
     for (number, scheduler) in deployment.schedulers.iter().enumerate() {
         let (address, log) = (scheduler.address(), scheduler.log_path().display());
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -36,7 +36,7 @@
     /// The jobs that the workers ran.
     pub runs: Runs,
     /// The load balancer in front of the schedulers, which clients connect to.
-    pub front: LoadBalancer,
+    pub load_balancer: LoadBalancer,
     /// The instant from which the workers' records count times.
     pub epoch: Instant,
     directory: WorkingDirectory,
@@ -122,11 +122,19 @@
             workers.push(worker);
         }
         discovery.set_update_delay(plan.schedulers.publication_delay.duration());
-        let front = LoadBalancer::start(&addresses, plan.schedulers.detection_delay.duration()).await;
-        let front = front.map_err(io_failure("the load balancer"))?;
+        let load_balancer = LoadBalancer::start(&addresses, plan.schedulers.detection_delay.duration()).await;
+        let load_balancer = load_balancer.map_err(io_failure("the load balancer"))?;
         let schedulers = Vec::new();
-        let mut deployment =
-            Deployment { schedulers, workers, discovery, runs, front, epoch, directory, _ports: ports };
+        let mut deployment = Deployment {
+            schedulers,
+            workers,
+            discovery,
+            runs,
+            load_balancer,
+            epoch,
+            directory,
+            _ports: ports,
+        };
         deployment.start_schedulers(plan, &binary, &addresses, options)?;
         deployment.wait_until_ready().await?;
         Ok(deployment)
@@ -183,11 +191,11 @@
     /// Waits until the load balancer has found every scheduler ready.
     pub async fn wait_until_ready(&mut self) -> Result<(), Failure> {
         let (started, mut poll) = (Instant::now(), interval(READY_POLL_INTERVAL));
-        while self.front.ready_schedulers() < self.schedulers.len() {
+        while self.load_balancer.ready_schedulers() < self.schedulers.len() {
             poll.tick().await;
             self.check_running()?;
             if started.elapsed() > READY_TIMEOUT {
-                let (ready, count) = (self.front.ready_schedulers(), self.schedulers.len());
+                let (ready, count) = (self.load_balancer.ready_schedulers(), self.schedulers.len());
                 let text = format!("only {ready} of {count} schedulers were ready after {READY_TIMEOUT:?}");
                 return Err(Failure::System(text));
             }
--- a/crates/testkit/src/runner/mod.rs
+++ b/crates/testkit/src/runner/mod.rs
@@ -55,14 +55,14 @@
     let started = Instant::now();
     let offset = started.duration_since(deployment.epoch);
     let load = clients.run(started, plan.duration, interrupt.subscribe(), move |at| progress.show(at));
-    let Deployment { schedulers, workers, discovery, front, .. } = &mut *deployment;
+    let Deployment { schedulers, workers, discovery, load_balancer, .. } = &mut *deployment;
     let mut outages = Vec::new();
     let scheduler_faults = inject_scheduler_faults(
         plan.scheduler_faults,
         schedulers,
         started,
         plan.duration,
-        front.detection_delay(),
+        load_balancer.detection_delay(),
         &mut outages,
     );
     let planned_faults = inject_planned_faults(plan.planned_faults, discovery, workers, started);
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -89,7 +89,7 @@
 ) -> Result<Observed, Failure> {
     let bad_load = |error: &dyn std::fmt::Display| Failure::BadInput(error.to_string());
     let load = plan.load_spec();
-    let clients = Clients::new(load.clone(), vec![deployment.front.address()]);
+    let clients = Clients::new(load.clone(), vec![deployment.load_balancer.address()]);
     let clients = clients.map_err(|error| bad_load(&error))?;
     let started = Instant::now();
     let offset = started.duration_since(deployment.epoch);
@@ -124,8 +124,11 @@
 ) -> SoakReport {
     let log_paths: Vec<_> =
         deployment.schedulers.iter().map(|scheduler| scheduler.log_path().to_path_buf()).collect();
-    let (directory, runs, detection_delay) =
-        (deployment.directory().to_path_buf(), deployment.runs.clone(), deployment.front.detection_delay());
+    let (directory, runs, detection_delay) = (
+        deployment.directory().to_path_buf(),
+        deployment.runs.clone(),
+        deployment.load_balancer.detection_delay(),
+    );
     // The directory is removed at the end of this function, after its logs and counts have been read.
     let _temporary = deployment.take_temporary_directory();
     let failed_shutdowns = deployment.shut_down().await;
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -48,7 +48,7 @@
         Deployment::start(scheduler_plan, Some(&daemon()), None, &[]).await.expect("a deployment");
     let (started, spec) = (Instant::now(), plan.load_spec());
     let (_stop, stopped) = watch::channel(false);
-    let clients = Clients::new(spec.clone(), vec![deployment.front.address()]).expect("a load");
+    let clients = Clients::new(spec.clone(), vec![deployment.load_balancer.address()]).expect("a load");
     let load = clients.run(started, LOAD_TIME, stopped, |_| {});
     let faults = async {
         deployment.workers.iter().for_each(|worker| worker.script_jobs(misbehavior()));
