--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -10,7 +10,7 @@
 pub use endpoints::{Endpoint, Lifecycle};
 
 use crate::worker::Worker;
-use crate::{Owned, Port};
+use crate::{AbortOnDrop, Port};
 use endpoints::EndpointList;
 use std::io;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
 struct SchedulerPort {
     port: Port,
     /// Absent while it does not listen.
-    server: Option<Owned>,
+    server: Option<AbortOnDrop>,
 }
 
 /// A discovery service on loopback sockets; dropping it ends it.
@@ -110,7 +110,7 @@
     pub fn listen(&self, scheduler: usize) -> io::Result<()> {
         let port = &mut *self.port(scheduler);
         let listener = port.port.listen()?;
-        port.server = Some(Owned::spawn(server::serve(self.shared.clone(), listener, scheduler)));
+        port.server = Some(AbortOnDrop::spawn(server::serve(self.shared.clone(), listener, scheduler)));
         Ok(())
     }
 
@@ -119,7 +119,7 @@
         let port = Port::reserve()?;
         let listener = port.listen()?;
         let address = port.address();
-        let server = Owned::spawn(server::serve(self.shared.clone(), listener, scheduler));
+        let server = AbortOnDrop::spawn(server::serve(self.shared.clone(), listener, scheduler));
         *self.port(scheduler) = SchedulerPort { port, server: Some(server) };
         Ok(address)
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -33,5 +33,5 @@
 pub mod wire;
 pub mod worker;
 
-pub use owned::Owned;
+pub use owned::AbortOnDrop;
 pub use port::Port;
--- a/crates/testbed/src/load_balancer.rs
+++ b/crates/testbed/src/load_balancer.rs
@@ -5,7 +5,7 @@
 //! delay. Relayed bytes are not interpreted.
 
 use crate::wire::Wire;
-use crate::{Owned, Port};
+use crate::{AbortOnDrop, Port};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -45,7 +45,7 @@
     port: Port,
     backends: Arc<Vec<Backend>>,
     detection_delay: Duration,
-    _server: Owned,
+    _server: AbortOnDrop,
 }
 
 impl LoadBalancer {
@@ -54,7 +54,7 @@
         let port = Port::reserve()?;
         let listener = port.listen()?;
         let backends: Arc<Vec<Backend>> = Arc::new(schedulers.iter().copied().map(Backend::new).collect());
-        let server = Owned::spawn(serve(listener, backends.clone(), detection_delay));
+        let server = AbortOnDrop::spawn(serve(listener, backends.clone(), detection_delay));
         Ok(LoadBalancer { port, backends, detection_delay, _server: server })
     }
 
--- a/crates/testbed/src/owned.rs
+++ b/crates/testbed/src/owned.rs
@@ -3,16 +3,16 @@
 use tokio::task::JoinHandle;
 
 /// A task that is cancelled when this value is dropped, with everything that the task owns.
-pub struct Owned(JoinHandle<()>);
+pub struct AbortOnDrop(JoinHandle<()>);
 
-impl Owned {
+impl AbortOnDrop {
     /// Starts the task.
-    pub fn spawn(task: impl std::future::Future<Output = ()> + Send + 'static) -> Owned {
-        Owned(tokio::spawn(task))
+    pub fn spawn(task: impl std::future::Future<Output = ()> + Send + 'static) -> AbortOnDrop {
+        AbortOnDrop(tokio::spawn(task))
     }
 }
 
-impl Drop for Owned {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -20,7 +20,7 @@
 pub use spec::{ProbeSpec, WorkerSpec};
 
 use crate::runs::Runs;
-use crate::{Owned, Port};
+use crate::{AbortOnDrop, Port};
 use callbacks::{Delivery, JobUpdate};
 use server::{SchedulerListener, Stop};
 use state::WorkerState;
@@ -50,7 +50,7 @@
 
 /// The task of a running worker.
 struct RunningServer {
-    _task: Owned,
+    _task: AbortOnDrop,
     stop: oneshot::Sender<Stop>,
 }
 
@@ -84,7 +84,7 @@
     fn listen(&self) -> io::Result<()> {
         let listeners = self.ports.iter().map(SchedulerPort::listen).collect::<io::Result<_>>()?;
         let (stop, stopped) = oneshot::channel();
-        let task = Owned::spawn(server::serve(self.state.clone(), listeners, stopped));
+        let task = AbortOnDrop::spawn(server::serve(self.state.clone(), listeners, stopped));
         *self.server() = Some(RunningServer { _task: task, stop });
         Ok(())
     }
--- a/crates/testbed/tests/load_balancer.rs
+++ b/crates/testbed/tests/load_balancer.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use vetchbridge_testbed::load_balancer::LoadBalancer;
 use vetchbridge_testbed::wire::Wire;
-use vetchbridge_testbed::{Owned, Port};
+use vetchbridge_testbed::{AbortOnDrop, Port};
 
 /// How long a test may take.
 const HANG: Duration = Duration::from_secs(60);
@@ -26,7 +26,7 @@
         LoadBalancer::start(&[dead.address(), scheduler.local_addr().expect("bound")], detection_delay)
             .await
             .expect("a load balancer");
-    let serving = Owned::spawn(async move {
+    let serving = AbortOnDrop::spawn(async move {
         loop {
             let (stream, _) = scheduler.accept().await.expect("a connection");
             let answers_ready = answers_ready.clone();
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -15,7 +15,7 @@
 use tokio::time::{interval, Instant};
 use vetchbridge::config::units::Span;
 use vetchbridge_testbed::client::{Clients, JobRecord, LoadRecord, Outcome};
-use vetchbridge_testbed::{wire::Wire, Owned, Port};
+use vetchbridge_testbed::{wire::Wire, AbortOnDrop, Port};
 
 /// A way to run the daemon.
 struct Variant {
@@ -153,7 +153,7 @@
 struct Relay {
     process: Child,
     address: SocketAddr,
-    _worker: Owned,
+    _worker: AbortOnDrop,
     _ports: [Port; 2],
 }
 
@@ -161,7 +161,7 @@
     fn start() -> Result<Relay, Failure> {
         let worker_port = Port::reserve().map_err(machine("a port for the relay's worker"))?;
         let listener = worker_port.listen().map_err(machine("the relay's worker"))?;
-        let worker = Owned::spawn(relay::answer_at_once(listener));
+        let worker = AbortOnDrop::spawn(relay::answer_at_once(listener));
         let port = Port::reserve().map_err(machine("a port for the relay"))?;
         let address = port.address();
         let binary = std::env::current_exe().map_err(machine("the kit's own path"))?;
--- a/crates/testkit/src/runner/interrupt.rs
+++ b/crates/testkit/src/runner/interrupt.rs
@@ -5,7 +5,7 @@
 use std::future::Future;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
-use vetchbridge_testbed::Owned;
+use vetchbridge_testbed::AbortOnDrop;
 
 /// The exit code of a program that was ended by a second signal.
 const EXIT_CODE_INTERRUPTED: i32 = 130;
@@ -13,7 +13,7 @@
 /// Turns the first signal into a request to stop; the second ends the program, and its children with it.
 pub struct Interrupt {
     stop: watch::Sender<bool>,
-    _listener: Owned,
+    _listener: AbortOnDrop,
 }
 
 impl Interrupt {
@@ -23,7 +23,7 @@
         let mut terminate = signal(SignalKind::terminate()).map_err(machine("signals"))?;
         let stop = watch::Sender::new(false);
         let stop_sender = stop.clone();
-        let listener = Owned::spawn(async move {
+        let listener = AbortOnDrop::spawn(async move {
             for earlier_signals in 0.. {
                 tokio::select! {
                     _ = interrupt.recv() => {}
