--- a/crates/testbed/src/queue.rs
+++ b/crates/testbed/src/queue.rs
@@ -99,7 +99,7 @@
     }
 
     /// Waits for a number of slots; more than there are count as all of them.
-    pub async fn take(&self, slots: usize) -> Option<SlotPermit> {
+    pub async fn acquire(&self, slots: usize) -> Option<SlotPermit> {
         let (sender, granted) = oneshot::channel();
         let slots = slots.clamp(1, self.0.slots.max(1));
         self.state().waiters.push_back(Waiter { slots, granted: sender });
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -125,7 +125,7 @@
             biased;
             _ = self.cancelled.wait_for(|cancelled| *cancelled) => Err(EarlyEnd::Unreported),
             _ = draining.wait_for(|draining| *draining) => Err(EarlyEnd::Reported(JobUpdate::Returned)),
-            slots = self.worker.slots.take(self.job.slots) => slots.ok_or(EarlyEnd::Unreported),
+            slots = self.worker.slots.acquire(self.job.slots) => slots.ok_or(EarlyEnd::Unreported),
         }
     }
 
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -77,7 +77,7 @@
         if probe.deep && !self.has_capacity() {
             return false;
         }
-        let slot = if probe.deep { self.slots.take(1).await } else { None };
+        let slot = if probe.deep { self.slots.acquire(1).await } else { None };
         if slot.is_some() {
             self.record_load();
         }
--- a/crates/testbed/tests/queue.rs
+++ b/crates/testbed/tests/queue.rs
@@ -7,8 +7,8 @@
 /// Which of three waiters get their slots from a queue of three slots, two of them taken.
 fn granted(order: Order, needs: [usize; 3]) -> [bool; 3] {
     let queue = Queue::new(3, order);
-    let taken = queue.take(2).now_or_never().flatten().expect("two are free");
-    let mut waiting = needs.map(|need| Box::pin(queue.take(need)));
+    let taken = queue.acquire(2).now_or_never().flatten().expect("two are free");
+    let mut waiting = needs.map(|need| Box::pin(queue.acquire(need)));
     let mut permits = Vec::new();
     let granted = std::array::from_fn(|at| match waiting[at].as_mut().now_or_never().flatten() {
         Some(slots) => {
@@ -33,10 +33,10 @@
 #[test]
 fn a_waiter_that_leaves_no_longer_blocks_those_behind_it() {
     let queue = Queue::new(2, Order::Fifo);
-    let taken = queue.take(1).now_or_never().flatten();
-    let mut wide = Box::pin(queue.take(2));
+    let taken = queue.acquire(1).now_or_never().flatten();
+    let mut wide = Box::pin(queue.acquire(2));
     assert!(wide.as_mut().now_or_never().is_none());
-    let mut small = Box::pin(queue.take(1));
+    let mut small = Box::pin(queue.acquire(1));
     assert!(small.as_mut().now_or_never().is_none());
     drop(wide);
     assert!(small.now_or_never().flatten().is_some() && taken.is_some());
