--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -129,8 +129,8 @@
     }
 
     /// Runs this many times slower than configured.
-    pub fn slow(&self, times: f64) {
-        self.state.slow_down(times);
+    pub fn set_slowdown(&self, times: f64) {
+        self.state.set_slowdown(times);
     }
 
     /// Returns the jobs that wait, and rejects those that come from now on.
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -100,7 +100,7 @@
     }
 
     /// Sets the factor by which it is slower than configured.
-    pub(super) fn slow_down(&self, factor: f64) {
+    pub(super) fn set_slowdown(&self, factor: f64) {
         self.lock().slowdown = factor.max(MIN_SLOWDOWN);
     }
 
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -167,7 +167,7 @@
     assert_eq!(wire.read().await.expect("an answer").status(), "202");
     assert!(serde_json::from_slice::<serde_json::Value>(&worker.next_callback().await.body).is_err());
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
-    worker.worker.slow(10.0);
+    worker.worker.set_slowdown(10.0);
     let began = std::time::Instant::now();
     let mut wire = worker.send(3, "", "work_us=20000").await;
     wire.read().await.expect("an answer");
--- a/crates/testkit/src/soak/inject/workers.rs
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -78,9 +78,9 @@
             let (worker, started) = (schedule.choose(workers), Instant::now());
             match kind {
                 FaultKind::WorkerSlowdown => {
-                    worker.slow(schedule.random.random_range(2.0..20.0));
+                    worker.set_slowdown(schedule.random.random_range(2.0..20.0));
                     sleep(schedule.duration(0.5, 3.0)).await;
-                    worker.slow(1.0);
+                    worker.set_slowdown(1.0);
                 }
                 FaultKind::WorkerRefusal => {
                     worker.reject_jobs(true);
