--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -42,7 +42,7 @@
             Health::Up => wire.answer(200, "", &document).await,
             Health::Failing => wire.answer(503, "", "").await,
             Health::Resetting => return wire.reset(),
-            Health::Unresponsive => return wire.closed().await,
+            Health::Unresponsive => return wire.wait_for_close().await,
             Health::Truncating => {
                 // The connection ends here whether the write succeeded or not.
                 let _ = write_half(&mut wire, &document).await;
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -84,7 +84,7 @@
     }
 
     /// Reads the head of the next message: the message without its body, and the length of the body.
-    pub async fn head(&mut self) -> Option<(Message, usize)> {
+    pub async fn read_head(&mut self) -> Option<(Message, usize)> {
         let end = loop {
             if let Some(at) = self.received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
                 break at + HEAD_END.len();
@@ -104,13 +104,13 @@
 
     /// Reads the next message; `None` once the other side has closed, or sends an invalid one.
     pub async fn read(&mut self) -> Option<Message> {
-        let (mut message, length) = self.head().await?;
-        message.body = self.body(length).await?;
+        let (mut message, length) = self.read_head().await?;
+        message.body = self.read_body(length).await?;
         Some(message)
     }
 
     /// Reads the body of a message whose head was read.
-    pub async fn body(&mut self, length: usize) -> Option<Vec<u8>> {
+    pub async fn read_body(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.received.len() < length {
             self.receive().await?;
         }
@@ -118,7 +118,7 @@
     }
 
     /// Waits until the other side has closed; what it sends until then is dropped.
-    pub async fn closed(&mut self) {
+    pub async fn wait_for_close(&mut self) {
         while self.receive().await.is_some() {
             self.received.clear();
         }
@@ -130,7 +130,7 @@
     }
 
     /// Writes text as it is, one byte at a time.
-    pub async fn write_in_pieces(&mut self, text: &str) -> io::Result<()> {
+    pub async fn write_byte_by_byte(&mut self, text: &str) -> io::Result<()> {
         for byte in text.as_bytes().chunks(1) {
             self.stream.write_all(byte).await?;
             // Lets the other side read the byte alone.
--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -153,7 +153,7 @@
     let length = body.len();
     let text = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
     // A scheduler that does not read it loses the callback, as this delivery has no retries.
-    if wire.write_in_pieces(&text).await.is_ok() {
+    if wire.write_byte_by_byte(&text).await.is_ok() {
         wire.read().await;
     }
 }
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -60,18 +60,18 @@
 
     /// Sends nothing until the scheduler has closed the connection.
     pub(super) async fn stay_silent(&mut self) -> KeepAlive {
-        self.wire.as_mut()?.closed().await;
+        self.wire.as_mut()?.wait_for_close().await;
         None
     }
 
     /// Reads one request and answers it.
     async fn exchange(&mut self, job_starts: &UnboundedSender<JobFuture>) -> KeepAlive {
         let wire = self.wire.as_mut()?;
-        let (head, length) = timeout(self.worker.spec.idle_timeout, wire.head()).await.ok()??;
+        let (head, length) = timeout(self.worker.spec.idle_timeout, wire.read_head()).await.ok()??;
         match head.method() {
             "DELETE" => self.cancel(head.target()).await,
             "GET" => {
-                wire.body(length).await?;
+                wire.read_body(length).await?;
                 self.probe(head.target()).await
             }
             _ => self.job(head, length, job_starts).await,
@@ -97,7 +97,7 @@
             self.reset();
             return None;
         }
-        let message = Message { body: self.wire.as_mut()?.body(length).await?, ..head };
+        let message = Message { body: self.wire.as_mut()?.read_body(length).await?, ..head };
         let id = match request_id(&message) {
             Some(Ok(id)) => id,
             Some(Err(_)) => return self.answer(400, "", "").await,
@@ -162,7 +162,7 @@
             }
             Act::ByteByByte => {
                 let answer = "HTTP/1.1 202 X\r\ncontent-length: 0\r\n\r\n";
-                self.wire.as_mut()?.write_in_pieces(answer).await.ok()?;
+                self.wire.as_mut()?.write_byte_by_byte(answer).await.ok()?;
             }
             _ => self.answer(202, "", "").await?,
         }
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -45,7 +45,7 @@
         let served = tokio::select! {
             served = self.worker.serve_probe() => served,
             // A scheduler that cancels the probe also removes it from the queue.
-            () = wire.closed() => return None,
+            () = wire.wait_for_close() => return None,
         };
         if !served {
             return self.answer(503, "", "").await;
--- a/crates/vetchbridge/tests/client_connection_limits.rs
+++ b/crates/vetchbridge/tests/client_connection_limits.rs
@@ -144,7 +144,7 @@
                 let job = worker.read().await.expect("the job");
                 assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "and not one that was rejected");
                 worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
-                worker.closed().await;
+                worker.wait_for_close().await;
                 pending.push((client, id));
             }
         }
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -93,7 +93,7 @@
     if at_once {
         client.send(&requests).await;
     } else {
-        client.write_in_pieces(&requests).await.expect("the daemon reads");
+        client.write_byte_by_byte(&requests).await.expect("the daemon reads");
     }
     let (number, mut worker) = harness.accept_worker().await;
     assert_eq!(worker.read().await.expect("the job").text(), "work");
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -95,7 +95,7 @@
     wait_until_delivered(&mut worker).await;
     how.run(client).await;
     harness.daemon.resume();
-    worker.closed().await;
+    worker.wait_for_close().await;
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for it");
 }
 
@@ -138,7 +138,7 @@
     if at_once {
         client.send(&format!("{head}{body}{after}")).await;
     } else {
-        client.write_in_pieces(&format!("{head}{body}")).await.expect("the daemon reads");
+        client.write_byte_by_byte(&format!("{head}{body}")).await.expect("the daemon reads");
         client.send(after).await;
     }
     let (number, mut worker) = harness.accept_worker().await;
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -188,7 +188,7 @@
         wire.read().await.expect("a probe");
         // Only the probe's timeout is pending from here on, so the paused clock moves straight to it.
         tokio::time::pause();
-        wire.closed().await;
+        wire.wait_for_close().await;
         tokio::time::resume();
     };
     let (end, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), unresponsive);
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -50,12 +50,12 @@
     let (mut client, id) = harness.submit_job("unsafe", "k").await;
     let (_, mut worker) = harness.accept_worker().await;
     worker.read().await.expect("the job");
-    worker.write_in_pieces(ACCEPTED).await.expect("the daemon reads");
+    worker.write_byte_by_byte(ACCEPTED).await.expect("the daemon reads");
     let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
     let callback =
         format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let mut caller = dial(harness.daemon.address).await;
-    caller.write_in_pieces(&callback).await.expect("the daemon reads");
+    caller.write_byte_by_byte(&callback).await.expect("the daemon reads");
     assert_eq!(status(caller.read().await.as_ref()), "200");
     assert_eq!(client.read().await.expect("an answer").text(), "made");
 }
