--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -106,7 +106,7 @@
     /// The share of jobs that ran at the worker with most of their object's jobs, over objects with two or more.
     pub affinity: f64,
     /// Priority weight answered in time over priority weight sent.
-    pub service: f64,
+    pub in_time_share: f64,
 }
 
 /// Compares clients' records with workers' runs; without known runs, audits the clients' side alone.
@@ -128,7 +128,7 @@
         runs: runs.len() as u64,
         violations,
         affinity: auditor.affinity.share(),
-        service: service(classes, jobs),
+        in_time_share: in_time_share(classes, jobs),
     }
 }
 
@@ -318,7 +318,7 @@
 }
 
 /// Priority weight answered in time over priority weight sent; 1 without any.
-fn service(classes: &[ClassLoad], jobs: &[JobRecord]) -> f64 {
+fn in_time_share(classes: &[ClassLoad], jobs: &[JobRecord]) -> f64 {
     let (mut sent, mut in_time) = (0.0, 0.0);
     for job in jobs {
         let class = &classes[job.arrival.class];
--- a/crates/testkit/src/report/mod.rs
+++ b/crates/testkit/src/report/mod.rs
@@ -96,7 +96,7 @@
             attempts_per_job: workers.map(|workers| per_job(workers.attempts)),
             repeats_dropped: workers.map(|workers| workers.repeats_dropped),
             affinity: workers.map(|_| verdict.affinity),
-            service: verdict.service,
+            service: verdict.in_time_share,
             probes_per_job: workers.and_then(|workers| workers.probes).map(per_job),
             classes: class_summaries.collect(),
             tenants: tenant_summaries.collect(),
