--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -69,7 +69,7 @@
         let gap = gap_distribution(spec.rate)?;
         let classes = class_distributions(&spec.classes)?;
         let tenants = tenant_distribution(&spec.tenants)?;
-        let hints = hint_distribution(spec.hints)?;
+        let hints = hint_distribution(spec.hint_spread)?;
         let class_names = spec.classes.iter().map(|class| class.name.clone()).collect();
         let streams = std::array::from_fn(|stream| Pcg64::new(u128::from(spec.seed), stream as u128 + 1));
         Ok(Arrivals { gap, classes, class_names, tenants, hints, time: Duration::ZERO, job: 0, streams })
--- a/crates/testbed/src/arrivals/load.rs
+++ b/crates/testbed/src/arrivals/load.rs
@@ -64,9 +64,9 @@
     /// The tenants; jobs have none if empty.
     pub tenants: Vec<TenantLoad>,
     /// How far hints are off the work: the sigma of a log-normal factor; no hints if absent.
-    pub hints: Option<f64>,
+    pub hint_spread: Option<f64>,
     /// The share of rejected clients that wait for the time of `Retry-After`.
-    pub honors_retry_after: f64,
+    pub retry_after_share: f64,
     /// Whether retries carry a header that marks them.
     pub marks_retries: bool,
     /// Maximum number of retries of a job.
--- a/crates/testbed/src/client/job.rs
+++ b/crates/testbed/src/client/job.rs
@@ -91,7 +91,7 @@
     /// The pause before the next attempt.
     fn pause(&self, id: u64, retry_after: Option<Duration>) -> Duration {
         let spec = &self.clients.spec;
-        let honored = retry_after.filter(|_| honors_retry_after(id, spec.honors_retry_after));
+        let honored = retry_after.filter(|_| honors_retry_after(id, spec.retry_after_share));
         honored.unwrap_or(spec.pause)
     }
 }
--- a/crates/testbed/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -26,8 +26,8 @@
         rate: 50.0,
         classes,
         tenants: vec![tenant("x", 4.0), tenant("y", 1.0)],
-        hints: Some(0.0),
-        honors_retry_after: 1.0,
+        hint_spread: Some(0.0),
+        retry_after_share: 1.0,
         marks_retries: true,
         retries: 0,
         pause: Duration::ZERO,
@@ -57,7 +57,7 @@
     other.classes[0].spread = 0.1;
     other.classes[0].zipf = 0.5;
     other.tenants.clear();
-    other.hints = Some(0.3);
+    other.hint_spread = Some(0.3);
     let times = |spec: &LoadSpec| {
         Arrivals::new(spec).expect("a load").take(500).map(|a| (a.at, a.class)).collect::<Vec<_>>()
     };
@@ -78,5 +78,5 @@
     assert_eq!(with(|s| s.classes[1].spread = -1.0).as_deref(), Some("b.spread"));
     assert_eq!(with(|s| s.classes[1].zipf = -1.0).as_deref(), Some("b.zipf"));
     assert_eq!(with(|s| s.tenants[0].share = -1.0).as_deref(), Some("tenant"));
-    assert_eq!(with(|s| s.hints = Some(-1.0)).as_deref(), Some("hint_spread"));
+    assert_eq!(with(|s| s.hint_spread = Some(-1.0)).as_deref(), Some("hint_spread"));
 }
