--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,12 +8,12 @@
 //!
 //! ```no_run
 //! # async fn example() -> std::io::Result<()> {
-//! use vetchbridge_testbed::{discovery::Discovery, worker::{Act, Worker, WorkerSpec}, runs::Runs};
+//! use vetchbridge_testbed::{discovery::Discovery, worker::{JobBehavior, Worker, WorkerSpec}, runs::Runs};
 //! let scheduler = "127.0.0.1:8080".parse().expect("an address");
 //! let (discovery, runs) = (Discovery::start(1).await?, Runs::default());
 //! let worker = Worker::start(WorkerSpec::new("s-0"), runs.clone(), &[scheduler]).await?;
 //! discovery.up(&worker);
-//! worker.script_jobs([Act::NoResponse, Act::Lose]); // the next job gets no response, the one after is lost
+//! worker.script_jobs([JobBehavior::NoResponse, JobBehavior::Lose]); // the next job gets no response, the one after is lost
 //! # Ok(()) }
 //! ```
 
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -2,7 +2,7 @@
 
 use super::execution::JobFuture;
 use super::job::{expires_in, request_id, JobRequest};
-use super::script::Act;
+use super::script::JobBehavior;
 use super::state::WorkerState;
 use crate::runs::AttemptArrival;
 use crate::wire::{Message, Wire};
@@ -92,8 +92,8 @@
         length: usize,
         job_starts: &UnboundedSender<JobFuture>,
     ) -> KeepAlive {
-        let act = self.worker.lock().script.next_job();
-        if act == Act::ResetInBody {
+        let behavior = self.worker.lock().script.next_job();
+        if behavior == JobBehavior::ResetInBody {
             self.reset();
             return None;
         }
@@ -109,28 +109,28 @@
             at: self.worker.elapsed(),
             expires_in: expires_in(&message),
         });
-        if let ControlFlow::Break(keep_alive) = self.misbehave(&act).await {
+        if let ControlFlow::Break(keep_alive) = self.misbehave(&behavior).await {
             return keep_alive;
         }
         if !self.worker.has_capacity() {
             return self.end_attempt(503, true).await;
         }
         let job = JobRequest::read(id, self.scheduler, &message, self.worker.spec.work);
-        self.accept(job, act, job_starts).await
+        self.accept(job, behavior, job_starts).await
     }
 
     /// Carries out what a script has in place of accepting the job, if it has such.
-    async fn misbehave(&mut self, act: &Act) -> ControlFlow<KeepAlive> {
-        match *act {
-            Act::Answer { status, never_ran } => {
+    async fn misbehave(&mut self, behavior: &JobBehavior) -> ControlFlow<KeepAlive> {
+        match *behavior {
+            JobBehavior::Answer { status, never_ran } => {
                 ControlFlow::Break(self.end_attempt(status, never_ran).await)
             }
-            Act::NoResponse => ControlFlow::Break(self.stay_silent().await),
-            Act::ResetBeforeAnswer => {
+            JobBehavior::NoResponse => ControlFlow::Break(self.stay_silent().await),
+            JobBehavior::ResetBeforeAnswer => {
                 self.reset();
                 ControlFlow::Break(None)
             }
-            Act::HalfAnswer => {
+            JobBehavior::HalfAnswer => {
                 if let Some(wire) = &mut self.wire {
                     // The connection is closed whether the write succeeded or not.
                     let _ = wire.write("HTTP/1.1 202 Acc").await;
@@ -152,20 +152,20 @@
     async fn accept(
         &mut self,
         job: JobRequest,
-        act: Act,
+        behavior: JobBehavior,
         job_starts: &UnboundedSender<JobFuture>,
     ) -> KeepAlive {
-        match act {
-            Act::CallbackBeforeAnswer => {
-                self.worker.clone().job(job, Act::Serve).await;
+        match behavior {
+            JobBehavior::CallbackBeforeAnswer => {
+                self.worker.clone().job(job, JobBehavior::Serve).await;
                 return self.answer(202, "", "").await;
             }
-            Act::ByteByByte => {
+            JobBehavior::ByteByByte => {
                 let answer = "HTTP/1.1 202 X\r\ncontent-length: 0\r\n\r\n";
                 self.wire.as_mut()?.write_byte_by_byte(answer).await.ok()?;
             }
             _ => self.answer(202, "", "").await?,
         }
-        job_starts.send(self.worker.clone().job(job, act)).ok()
+        job_starts.send(self.worker.clone().job(job, behavior)).ok()
     }
 }
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -2,7 +2,7 @@
 
 use super::callbacks::{Delivery, JobUpdate};
 use super::job::{JobPlace, JobRequest};
-use super::script::Act;
+use super::script::JobBehavior;
 use super::state::WorkerState;
 use crate::queue::SlotPermit;
 use crate::runs::{result, Admission, RunEnd};
@@ -36,19 +36,20 @@
 
 impl WorkerState {
     /// Enters a job in the queue; the future runs it. Its callbacks go out in order and never delay the run.
-    pub(super) fn job(self: Arc<Self>, job: JobRequest, act: Act) -> JobFuture {
+    pub(super) fn job(self: Arc<Self>, job: JobRequest, behavior: JobBehavior) -> JobFuture {
         let place = JobPlace::enqueue(self.clone(), job.id);
         Box::pin(async move {
             let (updates, sent) = unbounded_channel();
             let (id, scheduler) = (job.id, job.scheduler);
-            let delivery = if act == Act::ByteByByte { Delivery::ByteByByte } else { Delivery::Retried };
+            let delivery =
+                if behavior == JobBehavior::ByteByByte { Delivery::ByteByByte } else { Delivery::Retried };
             let reporting = async {
                 let mut sent: UnboundedReceiver<JobUpdate> = sent;
                 while let Some(update) = sent.recv().await {
                     self.report(scheduler, id, &update, delivery).await;
                 }
             };
-            tokio::join!(self.run_job(place, &job, &act, updates), reporting);
+            tokio::join!(self.run_job(place, &job, &behavior, updates), reporting);
         })
     }
 
@@ -57,18 +58,19 @@
         &self,
         place: JobPlace,
         job: &JobRequest,
-        act: &Act,
+        behavior: &JobBehavior,
         updates: UnboundedSender<JobUpdate>,
     ) {
-        if *act == Act::InvalidCallback {
+        if *behavior == JobBehavior::InvalidCallback {
             self.callbacks.deliver(job.scheduler, INVALID_CALLBACK.to_string(), Delivery::Retried).await;
         }
-        let execution = Execution { worker: self, job, act, updates: &updates, cancelled: place.cancelled() };
+        let execution =
+            Execution { worker: self, job, behavior, updates: &updates, cancelled: place.cancelled() };
         let last = match execution.run(place).await {
             Ok(update) | Err(EarlyEnd::Reported(update)) => update,
             Err(EarlyEnd::Unreported) => return,
         };
-        let repeats = if let Act::RepeatCallback(times) = act { *times } else { 1 };
+        let repeats = if let JobBehavior::RepeatCallback(times) = behavior { *times } else { 1 };
         for _ in 0..repeats {
             // The receiver lives until this sender is dropped.
             let _ = updates.send(last.clone());
@@ -85,7 +87,7 @@
 struct Execution<'a> {
     worker: &'a WorkerState,
     job: &'a JobRequest,
-    act: &'a Act,
+    behavior: &'a JobBehavior,
     updates: &'a UnboundedSender<JobUpdate>,
     cancelled: watch::Receiver<bool>,
 }
@@ -93,9 +95,9 @@
 impl Execution<'_> {
     /// From the queue to the end of the run; the last callback.
     async fn run(mut self, mut place: JobPlace) -> Result<JobUpdate, EarlyEnd> {
-        match self.act {
-            Act::NoCallback => return Err(EarlyEnd::Unreported),
-            Act::ReturnUnstarted => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
+        match self.behavior {
+            JobBehavior::NoCallback => return Err(EarlyEnd::Unreported),
+            JobBehavior::ReturnUnstarted => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
             _ => {}
         }
         let slots = self.wait_for_slots().await?;
@@ -134,9 +136,9 @@
         if self.worker.spec.reports_start {
             self.update(JobUpdate::Started)?;
         }
-        match self.act {
-            Act::Lose => return Err(EarlyEnd::Reported(JobUpdate::Lost)),
-            Act::Fail => {
+        match self.behavior {
+            JobBehavior::Lose => return Err(EarlyEnd::Reported(JobUpdate::Lost)),
+            JobBehavior::Fail => {
                 self.worker.runs.end(number, RunEnd::Failed);
                 return Err(EarlyEnd::Reported(JobUpdate::Failed));
             }
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -1,5 +1,5 @@
 //! A worker: accepts jobs, runs them by a small model of a worker, and reports to its scheduler by callbacks; or
-//! misbehaves, once for each [`Act`] that a test scripts.
+//! misbehaves, once for each [`JobBehavior`] that a test scripts.
 //!
 //! One task owns the listeners, the connections and the jobs; [`Worker::kill`] ends all of it as the death of a process
 //! does, and dropping the worker likewise. A worker listens on one port for each scheduler, since that is how it knows
@@ -16,7 +16,7 @@
 mod spec;
 mod state;
 
-pub use script::{Act, ProbeAct};
+pub use script::{JobBehavior, ProbeBehavior};
 pub use spec::{ProbeSpec, WorkerSpec};
 
 use crate::runs::Runs;
@@ -109,13 +109,13 @@
     }
 
     /// Scripts what it does with the next jobs, one entry each; jobs after them are served.
-    pub fn script_jobs(&self, acts: impl IntoIterator<Item = Act>) {
-        self.state.lock().script.extend_jobs(acts);
+    pub fn script_jobs(&self, behaviors: impl IntoIterator<Item = JobBehavior>) {
+        self.state.lock().script.extend_jobs(behaviors);
     }
 
     /// Scripts what it does with the next probes, one entry each; probes after them are answered.
-    pub fn script_probes(&self, acts: impl IntoIterator<Item = ProbeAct>) {
-        self.state.lock().script.extend_probes(acts);
+    pub fn script_probes(&self, behaviors: impl IntoIterator<Item = ProbeBehavior>) {
+        self.state.lock().script.extend_probes(behaviors);
     }
 
     /// Sets how old its load reports are from now on.
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -1,7 +1,7 @@
 //! Probes of a worker's load or health, answered or misbehaved at as scripted.
 
 use super::connection::{Connection, KeepAlive};
-use super::script::ProbeAct;
+use super::script::ProbeBehavior;
 use super::state::WorkerState;
 use std::ops::ControlFlow;
 use std::time::Duration;
@@ -37,8 +37,8 @@
         let target = ProbeTarget::parse(target).filter(|_| self.worker.spec.probes.is_some());
         let Some(target) = target else { return self.answer(404, "", "").await };
         self.worker.runs.record_probe();
-        let act = self.worker.lock().script.next_probe();
-        if let ControlFlow::Break(keep_alive) = self.misbehave_at_probe(act).await {
+        let behavior = self.worker.lock().script.next_probe();
+        if let ControlFlow::Break(keep_alive) = self.misbehave_at_probe(behavior).await {
             return keep_alive;
         }
         let wire = self.wire.as_mut()?;
@@ -55,13 +55,13 @@
     }
 
     /// Carries out what a script has before or in place of a probe's answer.
-    async fn misbehave_at_probe(&mut self, act: ProbeAct) -> ControlFlow<KeepAlive> {
-        match act {
-            ProbeAct::Answer => {}
-            ProbeAct::Delay(delay) => sleep(delay).await,
-            ProbeAct::NoResponse => return ControlFlow::Break(self.stay_silent().await),
-            ProbeAct::Reject => return ControlFlow::Break(self.answer(503, "", "").await),
-            ProbeAct::Reset => {
+    async fn misbehave_at_probe(&mut self, behavior: ProbeBehavior) -> ControlFlow<KeepAlive> {
+        match behavior {
+            ProbeBehavior::Answer => {}
+            ProbeBehavior::Delay(delay) => sleep(delay).await,
+            ProbeBehavior::NoResponse => return ControlFlow::Break(self.stay_silent().await),
+            ProbeBehavior::Reject => return ControlFlow::Break(self.answer(503, "", "").await),
+            ProbeBehavior::Reset => {
                 self.reset();
                 return ControlFlow::Break(None);
             }
--- a/crates/testbed/src/worker/script.rs
+++ b/crates/testbed/src/worker/script.rs
@@ -5,7 +5,7 @@
 
 /// What a worker does with one job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum JobBehavior {
     /// Runs it.
     Serve,
     /// Answers with this status instead of 202.
@@ -43,7 +43,7 @@
 
 /// What a worker does with one probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeAct {
+pub enum ProbeBehavior {
     /// Answers it as configured.
     Answer,
     /// Answers it as configured after this delay.
@@ -59,28 +59,28 @@
 /// The entries not yet used up; jobs and probes beyond them are served normally.
 #[derive(Default)]
 pub(super) struct Script {
-    jobs: VecDeque<Act>,
-    probes: VecDeque<ProbeAct>,
+    jobs: VecDeque<JobBehavior>,
+    probes: VecDeque<ProbeBehavior>,
 }
 
 impl Script {
     /// Appends entries for jobs.
-    pub(super) fn extend_jobs(&mut self, acts: impl IntoIterator<Item = Act>) {
-        self.jobs.extend(acts);
+    pub(super) fn extend_jobs(&mut self, behaviors: impl IntoIterator<Item = JobBehavior>) {
+        self.jobs.extend(behaviors);
     }
 
     /// Appends entries for probes.
-    pub(super) fn extend_probes(&mut self, acts: impl IntoIterator<Item = ProbeAct>) {
-        self.probes.extend(acts);
+    pub(super) fn extend_probes(&mut self, behaviors: impl IntoIterator<Item = ProbeBehavior>) {
+        self.probes.extend(behaviors);
     }
 
     /// Takes the entry for the next job.
-    pub(super) fn next_job(&mut self) -> Act {
-        self.jobs.pop_front().unwrap_or(Act::Serve)
+    pub(super) fn next_job(&mut self) -> JobBehavior {
+        self.jobs.pop_front().unwrap_or(JobBehavior::Serve)
     }
 
     /// Takes the entry for the next probe.
-    pub(super) fn next_probe(&mut self) -> ProbeAct {
-        self.probes.pop_front().unwrap_or(ProbeAct::Answer)
+    pub(super) fn next_probe(&mut self) -> ProbeBehavior {
+        self.probes.pop_front().unwrap_or(ProbeBehavior::Answer)
     }
 }
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use vetchbridge_testbed::runs::{result, RunEnd};
 use vetchbridge_testbed::wire::{Message, Wire};
-use vetchbridge_testbed::worker::{Act, WorkerSpec};
+use vetchbridge_testbed::worker::{JobBehavior, WorkerSpec};
 
 #[rstest]
 #[timeout(HANG)]
@@ -68,27 +68,27 @@
 }
 
 #[rstest]
-#[case::reject(Act::Answer { status: 503, never_ran: true }, Some("503"), &[])]
-#[case::no_response(Act::NoResponse, None, &[])]
-#[case::cut_in_body(Act::ResetInBody, None, &[])]
-#[case::cut_before_answer(Act::ResetBeforeAnswer, None, &[])]
-#[case::half_an_answer(Act::HalfAnswer, None, &[])]
-#[case::lose(Act::Lose, Some("202"), &["started", "lost"])]
-#[case::fail(Act::Fail, Some("202"), &["started", "failed"])]
-#[case::return_unstarted(Act::ReturnUnstarted, Some("202"), &["returned"])]
-#[case::no_callback(Act::NoCallback, Some("202"), &[])]
-#[case::byte_by_byte(Act::ByteByByte, Some("202"), &["started", "done"])]
-#[case::repeated_callback(Act::RepeatCallback(3), Some("202"), &["started", "done", "done", "done"])]
+#[case::reject(JobBehavior::Answer { status: 503, never_ran: true }, Some("503"), &[])]
+#[case::no_response(JobBehavior::NoResponse, None, &[])]
+#[case::cut_in_body(JobBehavior::ResetInBody, None, &[])]
+#[case::cut_before_answer(JobBehavior::ResetBeforeAnswer, None, &[])]
+#[case::half_an_answer(JobBehavior::HalfAnswer, None, &[])]
+#[case::lose(JobBehavior::Lose, Some("202"), &["started", "lost"])]
+#[case::fail(JobBehavior::Fail, Some("202"), &["started", "failed"])]
+#[case::return_unstarted(JobBehavior::ReturnUnstarted, Some("202"), &["returned"])]
+#[case::no_callback(JobBehavior::NoCallback, Some("202"), &[])]
+#[case::byte_by_byte(JobBehavior::ByteByByte, Some("202"), &["started", "done"])]
+#[case::repeated_callback(JobBehavior::RepeatCallback(3), Some("202"), &["started", "done", "done", "done"])]
 #[timeout(HANG)]
 #[tokio::test]
 async fn a_worker_misbehaves_once_as_scripted(
-    #[case] act: Act,
+    #[case] behavior: JobBehavior,
     #[case] answer: Option<&str>,
     #[case] states: &[&str],
 ) {
     let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
-    let mute = act == Act::NoResponse;
-    worker.worker.script_jobs([act]);
+    let mute = behavior == JobBehavior::NoResponse;
+    worker.worker.script_jobs([behavior]);
     let mut wire = worker.send(1, "", "").await;
     if mute {
         tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
@@ -159,7 +159,7 @@
 async fn a_worker_sends_callbacks_early_invalid_or_late_as_scripted() {
     let worker =
         TestWorker::start(WorkerSpec { progress_interval: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
-    worker.worker.script_jobs([Act::CallbackBeforeAnswer, Act::InvalidCallback]);
+    worker.worker.script_jobs([JobBehavior::CallbackBeforeAnswer, JobBehavior::InvalidCallback]);
     let mut wire = worker.send(1, "", "").await;
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
     assert_eq!(wire.read().await.expect("after its callbacks").status(), "202");
--- a/crates/testbed/tests/worker_probes.rs
+++ b/crates/testbed/tests/worker_probes.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use vetchbridge_testbed::stats::{Field, StatsSpec};
 use vetchbridge_testbed::wire::{Message, Wire};
-use vetchbridge_testbed::worker::{Act, ProbeAct, ProbeSpec, WorkerSpec};
+use vetchbridge_testbed::worker::{JobBehavior, ProbeBehavior, ProbeSpec, WorkerSpec};
 
 fn load_reports(in_answers: bool) -> StatsSpec {
     let fields = vec![Field::Inflight, Field::Queue, Field::X0];
@@ -42,7 +42,7 @@
 
     let worker =
         TestWorker::start(WorkerSpec { stats: Some(load_reports(true)), ..WorkerSpec::new("s-0") }).await;
-    worker.worker.script_jobs([Act::NoResponse]);
+    worker.worker.script_jobs([JobBehavior::NoResponse]);
     let mut wire = Wire::dial(worker.address()).await.expect("it listens");
     for target in ["/stats", "/health/live", "/jobs/1"] {
         let answer = get(&mut wire, target).await.expect("an answer");
@@ -88,10 +88,10 @@
     let worker = TestWorker::start(WorkerSpec { probes, ..WorkerSpec::new("s-0") }).await;
     let late = Duration::from_millis(50);
     worker.worker.script_probes([
-        ProbeAct::Delay(late),
-        ProbeAct::Reject,
-        ProbeAct::NoResponse,
-        ProbeAct::Reset,
+        ProbeBehavior::Delay(late),
+        ProbeBehavior::Reject,
+        ProbeBehavior::NoResponse,
+        ProbeBehavior::Reset,
     ]);
     let mut wire = Wire::dial(worker.address()).await.expect("it listens");
     let began = std::time::Instant::now();
--- a/crates/testkit/src/soak/inject/workers.rs
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -7,28 +7,28 @@
 use rand::RngExt;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
-use vetchbridge_testbed::worker::{Act, Worker};
+use vetchbridge_testbed::worker::{JobBehavior, Worker};
 
 /// How long a worker is published as draining: long enough for schedulers to learn of it in spite of an outage.
 const DRAIN_TIME: Duration = Duration::from_secs(13);
 
 /// Each way in which a worker mistreats an attempt.
-const MISBEHAVIOR: [Act; 15] = [
-    Act::Answer { status: 500, never_ran: false },
-    Act::Answer { status: 503, never_ran: true },
-    Act::Answer { status: 429, never_ran: false },
-    Act::NoResponse,
-    Act::ResetInBody,
-    Act::ResetBeforeAnswer,
-    Act::HalfAnswer,
-    Act::NoCallback,
-    Act::Lose,
-    Act::Fail,
-    Act::ReturnUnstarted,
-    Act::CallbackBeforeAnswer,
-    Act::RepeatCallback(3),
-    Act::InvalidCallback,
-    Act::ByteByByte,
+const MISBEHAVIOR: [JobBehavior; 15] = [
+    JobBehavior::Answer { status: 500, never_ran: false },
+    JobBehavior::Answer { status: 503, never_ran: true },
+    JobBehavior::Answer { status: 429, never_ran: false },
+    JobBehavior::NoResponse,
+    JobBehavior::ResetInBody,
+    JobBehavior::ResetBeforeAnswer,
+    JobBehavior::HalfAnswer,
+    JobBehavior::NoCallback,
+    JobBehavior::Lose,
+    JobBehavior::Fail,
+    JobBehavior::ReturnUnstarted,
+    JobBehavior::CallbackBeforeAnswer,
+    JobBehavior::RepeatCallback(3),
+    JobBehavior::InvalidCallback,
+    JobBehavior::ByteByByte,
 ];
 
 impl FaultInjector<'_> {
@@ -89,8 +89,9 @@
                 }
                 _ => {
                     let count = schedule.random.random_range(1..8);
-                    let acts: Vec<Act> = (0..count).map(|_| schedule.choose(&MISBEHAVIOR).clone()).collect();
-                    worker.script_jobs(acts);
+                    let behaviors: Vec<JobBehavior> =
+                        (0..count).map(|_| schedule.choose(&MISBEHAVIOR).clone()).collect();
+                    worker.script_jobs(behaviors);
                     sleep(schedule.duration(0.2, 1.0)).await;
                 }
             }
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -13,7 +13,7 @@
 use vetchbridge_testbed::audit::{audit_jobs, Audit, Violation};
 use vetchbridge_testbed::client::Clients;
 use vetchbridge_testbed::discovery::Health;
-use vetchbridge_testbed::worker::Act;
+use vetchbridge_testbed::worker::JobBehavior;
 use vetchbridge_testkit::deployment::Deployment;
 use vetchbridge_testkit::plan::Plan;
 
@@ -27,16 +27,16 @@
 const OUTAGE_TIME: Duration = Duration::from_secs(2);
 
 /// Each way in which a worker reports whether a job ran, or leaves it open; each more than once.
-fn misbehavior() -> Vec<Act> {
+fn misbehavior() -> Vec<JobBehavior> {
     let once = [
-        Act::Lose,
-        Act::ResetBeforeAnswer,
-        Act::ReturnUnstarted,
-        Act::Fail,
-        Act::Answer { status: 503, never_ran: true },
-        Act::Answer { status: 500, never_ran: false },
-        Act::HalfAnswer,
-        Act::ResetInBody,
+        JobBehavior::Lose,
+        JobBehavior::ResetBeforeAnswer,
+        JobBehavior::ReturnUnstarted,
+        JobBehavior::Fail,
+        JobBehavior::Answer { status: 503, never_ran: true },
+        JobBehavior::Answer { status: 500, never_ran: false },
+        JobBehavior::HalfAnswer,
+        JobBehavior::ResetInBody,
     ];
     once.iter().chain(&once).cloned().collect()
 }
