--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -148,12 +148,12 @@
     }
 
     /// Lists a worker as up.
-    pub fn up(&self, worker: &Worker) {
+    pub fn list_as_up(&self, worker: &Worker) {
         self.publish(Endpoint::of(worker, Lifecycle::Up));
     }
 
     /// Lists a worker as draining.
-    pub fn draining(&self, worker: &Worker) {
+    pub fn list_as_draining(&self, worker: &Worker) {
         self.publish(Endpoint::of(worker, Lifecycle::Draining));
     }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -12,7 +12,7 @@
 //! let scheduler = "127.0.0.1:8080".parse().expect("an address");
 //! let (discovery, runs) = (Discovery::start(1).await?, Runs::default());
 //! let worker = Worker::start(WorkerSpec::new("s-0"), runs.clone(), &[scheduler]).await?;
-//! discovery.up(&worker);
+//! discovery.list_as_up(&worker);
 //! worker.script_jobs([JobBehavior::NoResponse, JobBehavior::Lose]); // the next job gets no response, the one after is lost
 //! # Ok(()) }
 //! ```
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -27,7 +27,7 @@
     let list = call("/registry/instances").await;
     assert_eq!((list["reset"].as_bool(), list["instances"].as_array().map(Vec::len)), (Some(true), Some(0)));
     let watch = format!("/registry/instances?index={}&wait=60000", list["generation"]);
-    discovery.up(&worker);
+    discovery.list_as_up(&worker);
     let changes = call(&watch).await;
     assert_eq!(changes["reset"].as_bool(), Some(false));
     assert_eq!(changes["instances"][0]["hostPort"], worker.addresses()[0].to_string());
@@ -65,7 +65,7 @@
     }
     discovery.set_health(Health::Up);
     discovery.set_update_delay(Duration::from_secs(2));
-    discovery.up(&worker);
+    discovery.list_as_up(&worker);
     let list = call("/registry/instances").await.expect("a list");
     assert!(!list.contains("s-0"), "not yet: {list}");
     let changes = call("/registry/instances?index=1&wait=60000").await.expect("changes");
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -112,7 +112,7 @@
         for spec in plan.worker_specs() {
             let worker = Worker::start_at(spec, runs.clone(), &addresses, epoch).await;
             let worker = worker.map_err(machine("a worker"))?;
-            discovery.up(&worker);
+            discovery.list_as_up(&worker);
             workers.push(worker);
         }
         discovery.set_update_delay(plan.schedulers.publication_delay.duration());
--- a/crates/testkit/src/runner/faults.rs
+++ b/crates/testkit/src/runner/faults.rs
@@ -104,6 +104,6 @@
     discovery.remove(worker);
     sleep(duration).await;
     worker.restart().map_err(machine("a worker"))?;
-    discovery.up(worker);
+    discovery.list_as_up(worker);
     Ok(())
 }
--- a/crates/testkit/src/soak/inject/workers.rs
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -44,7 +44,7 @@
             }
             sleep(schedule.duration(0.2, 3.0)).await;
             worker.restart().map_err(machine("a worker"))?;
-            self.discovery.up(worker);
+            self.discovery.list_as_up(worker);
             self.log.record(kind, &worker.spec().name, started);
         }
         Ok(())
@@ -61,11 +61,11 @@
         let mut schedule = self.schedule(track::FIRST_WORKER_DRAINS + index, &[FaultKind::WorkerDrain]);
         while let Some(kind) = schedule.next().await {
             let started = Instant::now();
-            self.discovery.draining(worker);
+            self.discovery.list_as_draining(worker);
             // The worker goes on accepting attempts, so that those that come too late are recorded.
             sleep_until((started + DRAIN_TIME).min(self.until)).await;
             self.log.record(kind, &worker.spec().name, started);
-            self.discovery.up(worker);
+            self.discovery.list_as_up(worker);
             sleep(schedule.duration(2.0, 5.0)).await;
         }
     }
