--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -35,7 +35,7 @@
     /// Its client's estimate of its work.
     pub hint: Option<Duration>,
     /// The seed of its ids and its key.
-    pub salt: u64,
+    pub id_seed: u64,
 }
 
 /// What is drawn for the jobs of one class.
@@ -146,7 +146,7 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let [gaps, class_draws, works, objects, salts, tenant_draws, hints] = &mut self.streams;
+        let [gaps, class_draws, works, objects, id_seeds, tenant_draws, hints] = &mut self.streams;
         self.time += Duration::from_secs_f64(self.gap.sample(gaps));
         let drawn: f64 = class_draws.random();
         let class = self.classes.iter().position(|class| drawn < class.cumulative_share);
@@ -161,6 +161,6 @@
         let tenant = self.tenants.iter().position(|cumulative_share| drawn < *cumulative_share);
         let tenant = tenant.or_else(|| self.tenants.len().checked_sub(1));
         let hint = self.hints.map(|factor| work.mul_f64(factor.sample(hints).min(MAX_HINT_FACTOR)));
-        Some(Arrival { at: self.time, job, class, object, work, tenant, hint, salt: salts.next_u64() })
+        Some(Arrival { at: self.time, job, class, object, work, tenant, hint, id_seed: id_seeds.next_u64() })
     }
 }
--- a/crates/testbed/src/client/job.rs
+++ b/crates/testbed/src/client/job.rs
@@ -27,7 +27,7 @@
         let idempotency = class.idempotency;
         let deadline = load_start + arrival.at + class.deadline;
         let key = matches!(idempotency, Idempotency::Keyed(_))
-            .then(|| format!("{:016x}{:04x}", arrival.salt, arrival.job));
+            .then(|| format!("{:016x}{:04x}", arrival.id_seed, arrival.job));
         let record = JobRecord { arrival, key, attempts: Vec::new() };
         Job { clients, load_start, deadline, idempotency, record }
     }
@@ -52,7 +52,7 @@
 
     /// Makes one attempt and records it; the pause before the next one, if there is one.
     async fn attempt(&mut self, number: u32, remaining: Duration) -> Option<Duration> {
-        let id = attempt_id(self.record.arrival.salt, number);
+        let id = attempt_id(self.record.arrival.id_seed, number);
         let request = AttemptRequest { target: self.clients.next_target(), id, number };
         let sent = self.load_start.elapsed();
         let mut resent = None;
--- a/crates/testbed/src/client/retry.rs
+++ b/crates/testbed/src/client/retry.rs
@@ -8,8 +8,8 @@
 const ATTEMPT_ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The id of a job's attempt; never the same for two of them.
-pub(super) fn attempt_id(salt: u64, number: u32) -> u64 {
-    salt.wrapping_add(u64::from(number).wrapping_mul(ATTEMPT_ID_STEP))
+pub(super) fn attempt_id(id_seed: u64, number: u32) -> u64 {
+    id_seed.wrapping_add(u64::from(number).wrapping_mul(ATTEMPT_ID_STEP))
 }
 
 /// Whether a client retries after an outcome; `elapsed` is the time from the first attempt to the retry.
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -75,7 +75,7 @@
         work: Duration::from_secs(1),
         tenant: None,
         hint: None,
-        salt: number as u64,
+        id_seed: number as u64,
     };
     let attempt = Attempt {
         id: number as u64,
--- a/crates/testkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -42,7 +42,7 @@
         work: Duration::ZERO,
         tenant: None,
         hint: None,
-        salt: 0,
+        id_seed: 0,
     };
     let attempt =
         Attempt { id, sent: seconds(at), resent: None, ended: seconds(at + 1.0), outcome: Outcome::Rejected };
