--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -77,7 +77,8 @@
     /// No connection was made.
     pub unreachable: u64,
     /// No response before the deadline.
-    pub none: u64,
+    #[serde(rename = "none")]
+    pub unanswered: u64,
 }
 
 impl Answers {
@@ -88,7 +89,7 @@
             Outcome::Failed(_) => &mut self.failed,
             Outcome::Unreachable(_) => &mut self.unreachable,
             Outcome::Broken(_) => &mut self.lost,
-            Outcome::Unanswered => &mut self.none,
+            Outcome::Unanswered => &mut self.unanswered,
         };
         *counter += 1;
     }
--- a/crates/testkit/src/report/tables.rs
+++ b/crates/testkit/src/report/tables.rs
@@ -31,11 +31,11 @@
         let mut row = |name: &str, value: String| {
             table.add_row(vec![name.to_string(), value]);
         };
-        let Answers { served, rejected, failed, lost, unreachable, none } = self.answers;
+        let Answers { served, rejected, failed, lost, unreachable, unanswered } = self.answers;
         row("jobs", self.jobs.to_string());
         row("tries", self.requests.to_string());
         row("answers", format!("{served} served, {rejected} refused, {failed} failed"));
-        row("without an answer", format!("{lost} lost, {unreachable} unreachable, {none} timed out"));
+        row("without an answer", format!("{lost} lost, {unreachable} unreachable, {unanswered} timed out"));
         row("exactly once", exactly_once_text(self.violations.len()));
         row("service", format!("{:.3} of the priority weight requested, in time", self.service));
         if let Some(attempts) = self.attempts_per_job {
--- a/crates/testkit/src/soak/report.rs
+++ b/crates/testkit/src/soak/report.rs
@@ -82,11 +82,11 @@
     }
 
     fn answers_text(&self) -> String {
-        let Answers { served, rejected, failed, lost, unreachable, none } = self.answers;
+        let Answers { served, rejected, failed, lost, unreachable, unanswered } = self.answers;
         let jobs = self.jobs;
         format!(
             "{jobs} jobs: {served} served, {rejected} refused, {failed} failed, {lost} lost, {unreachable} unreachable, \
-             {none} timed out"
+             {unanswered} timed out"
         )
     }
 }
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -91,7 +91,7 @@
     for verdict in [failing, resetting] {
         assert_eq!(verdict.violations, [], "{verdict:?}");
         let answers = verdict.answers;
-        assert_eq!((answers.lost, answers.none, answers.unreachable), (0, 0, 0), "{verdict:?}");
+        assert_eq!((answers.lost, answers.unanswered, answers.unreachable), (0, 0, 0), "{verdict:?}");
         // Those that may have run and must not again are failed; all others are served.
         assert!(answers.failed > 0 && answers.served > 5 * answers.failed, "{verdict:?}");
     }
