--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -4,7 +4,7 @@
 
 use crate::arrivals::{ClassLoad, Idempotency};
 use crate::client::{Attempt, JobRecord, Outcome};
-use crate::runs::{result, Run, RunEnd};
+use crate::runs::{run_result, Run, RunEnd};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 use std::time::Duration;
@@ -343,5 +343,5 @@
         return false;
     };
     let same_request = run.id == id || (run.key.is_some() && run.key == job.key);
-    same_request && run.end == RunEnd::Finished && text == result(run.id, number)
+    same_request && run.end == RunEnd::Finished && text == run_result(run.id, number)
 }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -189,6 +189,6 @@
 }
 
 /// The result of a run; it names the run, so that an answer can be traced to it.
-pub fn result(id: u64, number: usize) -> String {
+pub fn run_result(id: u64, number: usize) -> String {
     format!("{id:016x}:{number}")
 }
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -5,7 +5,7 @@
 use super::script::JobBehavior;
 use super::state::WorkerState;
 use crate::queue::SlotPermit;
-use crate::runs::{result, Admission, RunEnd};
+use crate::runs::{run_result, Admission, RunEnd};
 use futures_util::future::BoxFuture;
 use std::future::Future;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
 
     /// The last callback of a job whose run has finished.
     fn done(&self, number: usize) -> JobUpdate {
-        JobUpdate::Done { result: result(self.runs.id_of(number), number) }
+        JobUpdate::Done { result: run_result(self.runs.id_of(number), number) }
     }
 }
 
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -6,7 +6,7 @@
 use vetchbridge_testbed::arrivals::{Arrival, ClassLoad, Idempotency};
 use vetchbridge_testbed::audit::{audit_jobs, Outage, Violation};
 use vetchbridge_testbed::client::{Attempt, JobRecord, Outcome};
-use vetchbridge_testbed::runs::{result, Run, RunEnd};
+use vetchbridge_testbed::runs::{run_result, Run, RunEnd};
 
 /// How long workers remember the key of a job.
 const WINDOW: Duration = Duration::from_secs(15);
@@ -82,7 +82,7 @@
         sent: Duration::ZERO,
         resent: None,
         ended: Duration::from_secs(1),
-        outcome: Outcome::Served(result(number as u64, number)),
+        outcome: Outcome::Served(run_result(number as u64, number)),
     };
     JobRecord { arrival, key: key(number), attempts: vec![attempt] }
 }
@@ -137,7 +137,7 @@
     &[Violation::ForeignResult(0)]
 )]
 #[case::result_of_another_job(
-    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Served(result(2, 2)),
+    |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Served(run_result(2, 2)),
     &[Violation::ForeignResult(0)]
 )]
 #[case::result_of_a_lost_run(
@@ -187,7 +187,7 @@
     let mut records = Records::sound();
     records.attempt(NON_IDEMPOTENT).resent = Some(milliseconds(10));
     records.runs.push(Run { started: milliseconds(20), ..run(NON_IDEMPOTENT) });
-    records.attempt(NON_IDEMPOTENT).outcome = Outcome::Served(result(2, 3));
+    records.attempt(NON_IDEMPOTENT).outcome = Outcome::Served(run_result(2, 3));
     assert_eq!(records.violations(&[outage(0, 900)]), []);
     let outside = records.violations(&[outage(1_001, 2_000)]);
     assert_eq!(outside, [Violation::Lost(2), Violation::NonIdempotentRanTwice(2)]);
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -6,7 +6,7 @@
 use common::{TestWorker, ENDLESS_WORK, HANG};
 use rstest::rstest;
 use std::time::Duration;
-use vetchbridge_testbed::runs::{result, RunEnd};
+use vetchbridge_testbed::runs::{run_result, RunEnd};
 use vetchbridge_testbed::wire::{Message, Wire};
 use vetchbridge_testbed::worker::{JobBehavior, WorkerSpec};
 
@@ -21,7 +21,10 @@
     drop(worker.accept_callback().await);
     assert_eq!(worker.next_state().await, "started");
     let done: serde_json::Value = serde_json::from_slice(&worker.next_callback().await.body).expect("JSON");
-    assert_eq!((done["state"].as_str(), done["result"].as_str()), (Some("done"), Some(&*result(0xab, 0))));
+    assert_eq!(
+        (done["state"].as_str(), done["result"].as_str()),
+        (Some("done"), Some(&*run_result(0xab, 0)))
+    );
     assert_eq!(worker.runs.all()[0].end, RunEnd::Finished);
 }
 
