--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,5 +1,5 @@
-//! The arrivals of a load: which job arrives when. Pure and seeded; each distribution draws from a random stream of its
-//! own, so that a change to one leaves the draws of the others as they are.
+//! The arrivals of a load: which job arrives when. Pure and seeded; each distribution draws from a random
+//! stream of its own, so that a change to one leaves the draws of the others as they are.
 
 mod load;
 
--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// A time in which a scheduler was down, or was not yet known to be down: attempts in flight then may be lost.
+/// A time in which a scheduler was down, or was not yet known to be down: attempts in flight then may be
+/// lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// When the scheduler ended.
@@ -104,7 +105,8 @@
     pub runs: u64,
     /// Broken guarantees, sorted.
     pub violations: Vec<Violation>,
-    /// The share of jobs that ran at the worker with most of their object's jobs, over objects with two or more.
+    /// The share of jobs that ran at the worker with most of their object's jobs, over objects with two or
+    /// more.
     pub affinity: f64,
     /// Priority weight answered in time over priority weight sent.
     pub in_time_share: f64,
@@ -239,7 +241,8 @@
             if resent_in_outage.get(&run.id).is_some_and(|resent| run.started < *resent) {
                 continue;
             }
-            // By job, not by attempt: a client may retry only after a rejection, which means that nothing ran.
+            // By job, not by attempt: a client may retry only after a rejection, which means that nothing
+            // ran.
             let started_before = !started_jobs.insert(job.arrival.job);
             match self.classes[job.arrival.class].idempotency {
                 Idempotency::NonIdempotent if started_before => {
@@ -262,8 +265,9 @@
         attempts.map(|(attempt, job)| (attempt.id, job)).collect()
     }
 
-    /// When attempts that were in flight in an outage were sent again. A client can't distinguish the end of its scheduler from
-    /// the close of an idle connection, so runs that started before the resend don't count as repeated by it.
+    /// When attempts that were in flight in an outage were sent again. A client can't distinguish the end of
+    /// its scheduler from the close of an idle connection, so runs that started before the resend don't count
+    /// as repeated by it.
     fn resent_in_outage(&self) -> HashMap<u64, Duration> {
         let attempts = self.jobs.iter().flat_map(|job| &job.attempts);
         let excused = attempts.filter(|attempt| self.is_excused(attempt));
@@ -300,7 +304,8 @@
         *self.0.entry(&run.object).or_default().entry(&run.worker).or_default() += 1;
     }
 
-    /// The share of jobs at their object's most used worker, over objects with two jobs or more; 1 without any.
+    /// The share of jobs at their object's most used worker, over objects with two jobs or more; 1 without
+    /// any.
     fn share(&self) -> f64 {
         let (mut at_most_used, mut all) = (0, 0);
         for workers in self.0.values() {
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,8 +1,9 @@
-//! Clients: a load of jobs over real connections, each retried as its class allows, and the record of what they received.
+//! Clients: a load of jobs over real connections, each retried as its class allows, and the record of what
+//! they received.
 //!
-//! Owns the connections and the clock of the load. Latency counts from when a job should have been sent, so that a
-//! delay of the clients is not hidden (coordinated omission); that delay is recorded beside it. Whether the answers
-//! are right is checked by [`crate::audit`].
+//! Owns the connections and the clock of the load. Latency counts from when a job should have been sent, so
+//! that a delay of the clients is not hidden (coordinated omission); that delay is recorded beside it.
+//! Whether the answers are right is checked by [`crate::audit`].
 
 mod exchange;
 mod job;
@@ -72,8 +73,8 @@
         Job::new(self.clone(), load_start, arrival)
     }
 
-    /// Sends an open loop of jobs for `duration` from `load_start` on, or until `stop` is true; then waits for the jobs
-    /// in flight. `on_progress` is called after each change.
+    /// Sends an open loop of jobs for `duration` from `load_start` on, or until `stop` is true; then waits
+    /// for the jobs in flight. `on_progress` is called after each change.
     pub async fn run(
         self,
         load_start: Instant,
@@ -107,8 +108,8 @@
         Ok(record)
     }
 
-    /// Runs a closed loop for `duration`: each of the connections sends its next job when the last has ended. The
-    /// capacity of a server shows in the number of jobs, not in their latency.
+    /// Runs a closed loop for `duration`: each of the connections sends its next job when the last has ended.
+    /// The capacity of a server shows in the number of jobs, not in their latency.
     pub async fn run_closed_loop(
         self,
         connections: usize,
--- a/crates/testbed/src/client/job.rs
+++ b/crates/testbed/src/client/job.rs
@@ -64,8 +64,8 @@
         retries.then(|| self.pause(id, retry_after))
     }
 
-    /// Sends a request, and once more on a new connection if the first one broke: the request may have crossed the
-    /// close of an idle connection, unread.
+    /// Sends a request, and once more on a new connection if the first one broke: the request may have
+    /// crossed the close of an idle connection, unread.
     async fn send(
         &self,
         request: &AttemptRequest,
--- a/crates/testbed/src/client/retry.rs
+++ b/crates/testbed/src/client/retry.rs
@@ -14,8 +14,9 @@
 
 /// Whether a client retries after an outcome; `elapsed` is the time from the first attempt to the retry.
 ///
-/// A rejection, or no connection, means that nothing ran. A failure leaves that open: a keyed job is retried only
-/// while workers remember its key, a non-idempotent one never. After its deadline a client does not retry.
+/// A rejection, or no connection, means that nothing ran. A failure leaves that open: a keyed job is retried
+/// only while workers remember its key, a non-idempotent one never. After its deadline a client does not
+/// retry.
 pub(super) fn may_retry(idempotency: Idempotency, outcome: &Outcome, elapsed: Duration) -> bool {
     match outcome {
         Outcome::Served(_) | Outcome::Unanswered => false,
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,8 +1,8 @@
 //! The discovery service: the list of workers with versions, watches for changes, and scripted faults.
 //!
-//! It listens on a port for each scheduler, so that each has its own addresses of the workers and can be moved on its
-//! own. A task for each port owns the listener and its connections. The list is what was published, also where a
-//! worker has changed since.
+//! It listens on a port for each scheduler, so that each has its own addresses of the workers and can be
+//! moved on its own. A task for each port owns the listener and its connections. The list is what was
+//! published, also where a worker has changed since.
 
 mod endpoints;
 mod server;
--- a/crates/testbed/src/discovery/endpoints.rs
+++ b/crates/testbed/src/discovery/endpoints.rs
@@ -105,8 +105,8 @@
         self.endpoints.insert(entry.endpoint.name.clone(), entry);
     }
 
-    /// The document for a scheduler: the changes after version `since`, or else the complete list. A version that the
-    /// list has not reached counts as none.
+    /// The document for a scheduler: the changes after version `since`, or else the complete list. A version
+    /// that the list has not reached counts as none.
     pub(super) fn document(&self, scheduler: usize, since: Option<u64>) -> Value {
         let since = since.filter(|since| *since <= self.version);
         let listed = self.endpoints.values().filter(|entry| match since {
--- a/crates/testbed/src/load_balancer.rs
+++ b/crates/testbed/src/load_balancer.rs
@@ -1,8 +1,9 @@
-//! A load balancer in front of the schedulers: one address for clients, whose connections go to the ready schedulers in turn.
+//! A load balancer in front of the schedulers: one address for clients, whose connections go to the ready
+//! schedulers in turn.
 //!
-//! One task owns the listener, the relayed connections and the readiness checks. A scheduler gets connections from its
-//! first positive readiness check on, and none after a negative one; that it no longer answers is detected after a
-//! delay. Relayed bytes are not interpreted.
+//! One task owns the listener, the relayed connections and the readiness checks. A scheduler gets connections
+//! from its first positive readiness check on, and none after a negative one; that it no longer answers is
+//! detected after a delay. Relayed bytes are not interpreted.
 
 use crate::wire::Wire;
 use crate::{AbortOnDrop, Port};
--- a/crates/testbed/src/port.rs
+++ b/crates/testbed/src/port.rs
@@ -7,7 +7,8 @@
 /// Number of connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// A reserved port on loopback: while nothing listens on it connections are refused, and no other process gets it.
+/// A reserved port on loopback: while nothing listens on it connections are refused, and no other process
+/// gets it.
 pub struct Port {
     address: SocketAddr,
     _reserved: TcpSocket,
--- a/crates/testbed/src/queue.rs
+++ b/crates/testbed/src/queue.rs
@@ -111,7 +111,8 @@
     /// Gives free slots to waiters.
     fn grant(&self) {
         let grants = self.state().take_grants(self.0.order);
-        // Outside the lock: the permit of a waiter that has left meanwhile is dropped here and releases its slots.
+        // Outside the lock: the permit of a waiter that has left meanwhile is dropped here and releases its
+        // slots.
         for Waiter { slots, granted } in grants {
             let _ = granted.send(SlotPermit { queue: self.clone(), slots });
         }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -85,7 +85,8 @@
 }
 
 impl State {
-    /// The run that a job repeats: of the same key, within the deduplication window, and neither failed nor lost.
+    /// The run that a job repeats: of the same key, within the deduplication window, and neither failed nor
+    /// lost.
     fn repeated_run(&self, run: &Run, window: Duration) -> Option<Admission> {
         let number = *self.runs_by_key.get(run.key.as_ref()?)?;
         let earlier = &self.runs[number];
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -1,5 +1,5 @@
-//! The objects that jobs need before they run: each worker caches the last ones it used, and fetches others from a store
-//! that all workers share.
+//! The objects that jobs need before they run: each worker caches the last ones it used, and fetches others
+//! from a store that all workers share.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -1,4 +1,5 @@
-//! Callbacks: how a worker reports a job's state to its scheduler, retried until they are answered.
+//! Callbacks: requests by which a worker reports a job's state to the scheduler, retried until the scheduler
+//! answers.
 
 use crate::wire::Wire;
 use bytes::Bytes;
@@ -14,9 +15,9 @@
 
 /// Maximum number of attempts to send a callback.
 const MAX_CALLBACK_ATTEMPTS: u32 = 10;
-/// How long a callback waits for its connection, and for its answer.
+/// Time limit for connecting to the scheduler, and for one attempt to send a callback including its answer.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before a callback is sent again.
+/// Delay before the next attempt to send a callback.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long an idle connection to a scheduler is reused.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
@@ -24,28 +25,28 @@
 /// A change of a job's state, as a callback reports it.
 #[derive(Clone, Debug)]
 pub(super) enum JobUpdate {
-    /// The job left the queue and runs.
+    /// The job started to run.
     Started,
-    /// The job runs; `share` of its work is done.
+    /// The job runs and has made progress.
     Running {
-        /// Between 0 and 1.
+        /// The fraction of the job's work that is done, between 0 and 1.
         share: f64,
     },
     /// The job finished.
     Done {
-        /// Its result.
+        /// The job's result.
         result: String,
     },
     /// The job failed.
     Failed,
-    /// The job goes back to the scheduler and never ran.
+    /// The worker returns the job to the scheduler without having run it.
     Returned,
-    /// The job was lost.
+    /// The worker lost the job.
     Lost,
 }
 
 impl JobUpdate {
-    /// The value of the callback's `state`.
+    /// Returns the value of the callback's `state` field.
     fn state(&self) -> &'static str {
         match self {
             JobUpdate::Started => "started",
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Whether the callback may carry a load report: the worker itself ends the attempt by it.
+    /// Whether the callback may carry a load report: only callbacks by which the worker itself ends an
+    /// attempt do.
     pub(super) fn carries_load(&self) -> bool {
         matches!(self, JobUpdate::Done { .. } | JobUpdate::Failed | JobUpdate::Returned)
     }
@@ -69,14 +71,14 @@
     pub(super) id: u64,
     /// The worker's name.
     pub(super) worker: &'a str,
-    /// The change that it reports.
+    /// The change of the job's state.
     pub(super) update: &'a JobUpdate,
-    /// A load report, if the callback carries one.
+    /// The load report, if the callback carries one.
     pub(super) load: Option<Value>,
 }
 
 impl Callback<'_> {
-    /// The body of the callback's request.
+    /// Returns the body of the callback's request.
     pub(super) fn body(self) -> String {
         let state = self.update.state();
         let mut body = json!({"id": format!("{:016x}", self.id), "from": self.worker, "state": state});
@@ -95,9 +97,9 @@
 /// How the bytes of a callback are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// In one piece, retried until it is answered.
+    /// At once, retried until the scheduler answers.
     Retried,
-    /// One byte at a time, once.
+    /// One byte at a time, without retries.
     ByteByByte,
 }
 
@@ -105,7 +107,7 @@
 pub(super) struct CallbackClient(Client<HttpConnector, Full<Bytes>>);
 
 impl CallbackClient {
-    /// A client without connections.
+    /// Creates a client without open connections.
     pub(super) fn new() -> CallbackClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -117,7 +119,7 @@
         CallbackClient(client)
     }
 
-    /// Sends a body in the way of `delivery`.
+    /// Sends the body of a callback as `delivery` states.
     pub(super) async fn deliver(&self, scheduler: SocketAddr, body: String, delivery: Delivery) {
         match delivery {
             Delivery::Retried => self.deliver_with_retries(scheduler, body).await,
@@ -125,7 +127,8 @@
         }
     }
 
-    /// Sends a body until it is answered, at most [`MAX_CALLBACK_ATTEMPTS`] times. A 400 is final, too.
+    /// Sends a body until the scheduler answers with a success status or with 400, at most
+    /// [`MAX_CALLBACK_ATTEMPTS`] times.
     async fn deliver_with_retries(&self, scheduler: SocketAddr, body: String) {
         for _ in 0..MAX_CALLBACK_ATTEMPTS {
             let request =
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Sends one request; the status of its answer, if there was one.
+    /// Sends one request and returns the status of the answer, or `None` if no answer came.
     async fn send(&self, request: Request<Full<Bytes>>) -> Option<StatusCode> {
         let response = self.0.request(request).await.ok()?;
         let status = response.status();
@@ -147,12 +150,12 @@
     }
 }
 
-/// Sends a body one byte at a time, once.
+/// Sends a body one byte at a time, without retries.
 async fn deliver_byte_by_byte(scheduler: SocketAddr, body: &str) {
     let Ok(mut wire) = Wire::dial(scheduler).await else { return };
     let length = body.len();
     let text = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
-    // A scheduler that does not read it loses the callback, as this delivery has no retries.
+    // This delivery has no retries: the callback is lost if the scheduler does not read it.
     if wire.write_byte_by_byte(&text).await.is_ok() {
         wire.read().await;
     }
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -1,4 +1,5 @@
-//! One HTTP connection from a scheduler: reads jobs and cancellations, and answers them or misbehaves as scripted.
+//! One HTTP connection from a scheduler: reads jobs, cancellations and probes, and answers them or misbehaves
+//! as scripted.
 
 use super::execution::JobFuture;
 use super::job::{expires_in, request_id, JobRequest};
@@ -12,18 +13,18 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::timeout;
 
-/// The header line of an answer to a job that was not run.
+/// The header line by which an answer states that the job never ran.
 const NEVER_RAN: &str = "x-never-ran: 1\r\n";
 
-/// Whether a connection stays open after an exchange; `None` closes it.
+/// Whether a connection stays open after a request: `Some(())` keeps the connection open, `None` closes it.
 pub(super) type KeepAlive = Option<()>;
 
-/// One connection from a scheduler; reset if its worker is killed.
+/// One connection from a scheduler. Dropping the value after the worker was killed resets the connection.
 pub(super) struct Connection {
-    /// The worker.
+    /// The worker that serves the connection.
     pub(super) worker: Arc<WorkerState>,
     scheduler: SocketAddr,
-    /// The connection's end; absent once it was reset.
+    /// The worker's end of the connection; `None` once the connection was reset.
     pub(super) wire: Option<Wire>,
 }
 
@@ -36,14 +37,14 @@
 }
 
 impl Connection {
-    /// A connection that was accepted.
+    /// Creates the state of an accepted connection.
     pub(super) fn new(worker: Arc<WorkerState>, scheduler: SocketAddr, wire: Wire) -> Connection {
         Connection { worker, scheduler, wire: Some(wire) }
     }
 
-    /// Serves requests until the connection ends. Jobs that are accepted go to `job_starts`.
+    /// Serves requests until the connection ends. Sends the executions of accepted jobs to `job_starts`.
     pub(super) async fn run(&mut self, job_starts: &UnboundedSender<JobFuture>) {
-        while self.exchange(job_starts).await.is_some() {}
+        while self.serve_request(job_starts).await.is_some() {}
     }
 
     /// Resets the connection.
@@ -53,32 +54,33 @@
         }
     }
 
-    /// Writes a complete answer; `headers` are lines with their ends.
+    /// Writes a complete answer; each line in `headers` ends with `\r\n`.
     pub(super) async fn answer(&mut self, status: u16, headers: &str, body: &str) -> KeepAlive {
         self.wire.as_mut()?.answer(status, headers, body).await.ok()
     }
 
-    /// Sends nothing until the scheduler has closed the connection.
+    /// Sends no bytes until the scheduler closes the connection.
     pub(super) async fn stay_silent(&mut self) -> KeepAlive {
         self.wire.as_mut()?.wait_for_close().await;
         None
     }
 
     /// Reads one request and answers it.
-    async fn exchange(&mut self, job_starts: &UnboundedSender<JobFuture>) -> KeepAlive {
+    async fn serve_request(&mut self, job_starts: &UnboundedSender<JobFuture>) -> KeepAlive {
         let wire = self.wire.as_mut()?;
         let (head, length) = timeout(self.worker.spec.idle_timeout, wire.read_head()).await.ok()??;
         match head.method() {
-            "DELETE" => self.cancel(head.target()).await,
+            "DELETE" => self.serve_cancellation(head.target()).await,
             "GET" => {
                 wire.read_body(length).await?;
-                self.probe(head.target()).await
+                self.serve_probe(head.target()).await
             }
-            _ => self.job(head, length, job_starts).await,
+            _ => self.serve_job(head, length, job_starts).await,
         }
     }
 
-    async fn cancel(&mut self, target: &str) -> KeepAlive {
+    /// Cancels the job that the path names, if any.
+    async fn serve_cancellation(&mut self, target: &str) -> KeepAlive {
         let id = target.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
         if let Some(id) = id {
             self.worker.cancel(id);
@@ -86,7 +88,8 @@
         self.answer(200, "", "").await
     }
 
-    async fn job(
+    /// Reads the body of a job's request, then accepts or rejects the job, or misbehaves as scripted.
+    async fn serve_job(
         &mut self,
         head: Message,
         length: usize,
@@ -119,7 +122,7 @@
         self.accept(job, behavior, job_starts).await
     }
 
-    /// Carries out what a script has in place of accepting the job, if it has such.
+    /// Carries out a behavior that does not accept the job. Returns `Continue` if the job is to be accepted.
     async fn misbehave(&mut self, behavior: &JobBehavior) -> ControlFlow<KeepAlive> {
         match *behavior {
             JobBehavior::Answer { status, never_ran } => {
@@ -132,7 +135,7 @@
             }
             JobBehavior::HalfAnswer => {
                 if let Some(wire) = &mut self.wire {
-                    // The connection is closed whether the write succeeded or not.
+                    // A failed write needs no handling: the connection closes in either case.
                     let _ = wire.write("HTTP/1.1 202 Acc").await;
                 }
                 ControlFlow::Break(None)
@@ -141,14 +144,15 @@
         }
     }
 
-    /// Answers with a status that ends the attempt.
+    /// Answers with a status that ends the attempt; with `never_ran`, the answer states that the job never
+    /// ran.
     async fn end_attempt(&mut self, status: u16, never_ran: bool) -> KeepAlive {
         let never_ran = if never_ran { NEVER_RAN } else { "" };
         let headers = format!("{never_ran}{}", self.worker.load_header());
         self.answer(status, &headers, "").await
     }
 
-    /// Answers 202 and starts the job, in the scripted order.
+    /// Answers 202 and starts the job, in the order and manner that the behavior states.
     async fn accept(
         &mut self,
         job: JobRequest,
@@ -157,7 +161,7 @@
     ) -> KeepAlive {
         match behavior {
             JobBehavior::CallbackBeforeAnswer => {
-                self.worker.clone().job(job, JobBehavior::Serve).await;
+                self.worker.clone().execute(job, JobBehavior::Serve).await;
                 return self.answer(202, "", "").await;
             }
             JobBehavior::ByteByByte => {
@@ -166,6 +170,6 @@
             }
             _ => self.answer(202, "", "").await?,
         }
-        job_starts.send(self.worker.clone().job(job, behavior)).ok()
+        job_starts.send(self.worker.clone().execute(job, behavior)).ok()
     }
 }
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -1,7 +1,7 @@
-//! The execution of a job: from the queue through a slot to its last callback.
+//! The execution of a job: waiting for slots, the run itself, and the callbacks.
 
 use super::callbacks::{Delivery, JobUpdate};
-use super::job::{JobPlace, JobRequest};
+use super::job::{JobEntry, JobRequest};
 use super::script::JobBehavior;
 use super::state::WorkerState;
 use crate::queue::SlotPermit;
@@ -14,30 +14,34 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The work of a job is done in steps of at most this time, since the worker's speed may change meanwhile.
+/// The longest step in which the work of a job is done. Each step uses the worker's current speed, which may
+/// change while the job runs.
 const WORK_STEP: Duration = Duration::from_millis(50);
-/// The longest step in seconds, for a worker that is nearly stopped; a longer one might not be representable.
-const MAX_STEP: f64 = 3600.0;
-/// Remaining work, in seconds, that counts as none: less than the clock resolves would never be done.
+/// Upper limit on the computed time that remaining work takes, in seconds. At a speed close to zero, that
+/// time might not be representable as a `Duration`.
+const MAX_STEP_SECONDS: f64 = 3600.0;
+/// Remaining work, in seconds, at or below which a job counts as finished. A step shorter than the resolution
+/// of the clock would never complete the rest.
 const WORK_EPSILON: f64 = 1e-6;
-/// A callback that is not valid JSON.
+/// The body of a callback that is not valid JSON.
 const INVALID_CALLBACK: &str = "{\"id\":";
 
-/// A job that was accepted, to its last callback.
+/// The execution of an accepted job, up to its last callback.
 pub(super) type JobFuture = BoxFuture<'static, ()>;
 
-/// Why an execution ended before the job was done.
+/// An execution that ended before the job was done.
 enum EarlyEnd {
-    /// Without another callback.
+    /// The worker sends no further callback.
     Unreported,
-    /// With this callback.
+    /// The worker sends this callback as the last one.
     Reported(JobUpdate),
 }
 
 impl WorkerState {
-    /// Enters a job in the queue; the future runs it. Its callbacks go out in order and never delay the run.
-    pub(super) fn job(self: Arc<Self>, job: JobRequest, behavior: JobBehavior) -> JobFuture {
-        let place = JobPlace::enqueue(self.clone(), job.id);
+    /// Adds a job to the queue and returns the future that executes it. The job's callbacks are sent in order
+    /// and never delay its run.
+    pub(super) fn execute(self: Arc<Self>, job: JobRequest, behavior: JobBehavior) -> JobFuture {
+        let entry = JobEntry::enqueue(self.clone(), job.id);
         Box::pin(async move {
             let (updates, sent) = unbounded_channel();
             let (id, scheduler) = (job.id, job.scheduler);
@@ -49,14 +53,14 @@
                     self.report(scheduler, id, &update, delivery).await;
                 }
             };
-            tokio::join!(self.run_job(place, &job, &behavior, updates), reporting);
+            tokio::join!(self.run_job(entry, &job, &behavior, updates), reporting);
         })
     }
 
-    /// Runs a job and hands its callbacks to `updates`.
+    /// Runs a job and sends its callbacks to the channel `updates`.
     async fn run_job(
         &self,
-        place: JobPlace,
+        entry: JobEntry,
         job: &JobRequest,
         behavior: &JobBehavior,
         updates: UnboundedSender<JobUpdate>,
@@ -65,20 +69,20 @@
             self.callbacks.deliver(job.scheduler, INVALID_CALLBACK.to_string(), Delivery::Retried).await;
         }
         let execution =
-            Execution { worker: self, job, behavior, updates: &updates, cancelled: place.cancelled() };
-        let last = match execution.run(place).await {
+            Execution { worker: self, job, behavior, updates: &updates, cancelled: entry.cancelled() };
+        let last = match execution.run(entry).await {
             Ok(update) | Err(EarlyEnd::Reported(update)) => update,
             Err(EarlyEnd::Unreported) => return,
         };
         let repeats = if let JobBehavior::RepeatCallback(times) = behavior { *times } else { 1 };
         for _ in 0..repeats {
-            // The receiver lives until this sender is dropped.
+            // The receiver exists until this sender is dropped, so sending cannot fail.
             let _ = updates.send(last.clone());
         }
     }
 
-    /// The last callback of a job whose run has finished.
-    fn done(&self, number: usize) -> JobUpdate {
+    /// Returns the last callback of a job whose run has finished.
+    fn done_update(&self, number: usize) -> JobUpdate {
         JobUpdate::Done { result: run_result(self.runs.id_of(number), number) }
     }
 }
@@ -93,34 +97,34 @@
 }
 
 impl Execution<'_> {
-    /// From the queue to the end of the run; the last callback.
-    async fn run(mut self, mut place: JobPlace) -> Result<JobUpdate, EarlyEnd> {
+    /// Waits for slots and runs the job; returns its last callback.
+    async fn run(mut self, mut entry: JobEntry) -> Result<JobUpdate, EarlyEnd> {
         match self.behavior {
             JobBehavior::NoCallback => return Err(EarlyEnd::Unreported),
             JobBehavior::ReturnUnstarted => return Err(EarlyEnd::Reported(JobUpdate::Returned)),
             _ => {}
         }
         let slots = self.wait_for_slots().await?;
-        place.begin();
-        let run = self.job.run(&self.worker.spec.name, self.worker.elapsed());
+        entry.move_to_running();
+        let run = self.job.run_entry(&self.worker.spec.name, self.worker.elapsed());
         match self.worker.runs.start(run, self.worker.spec.deduplication_window) {
             Admission::Run(number) => {
-                place.set_run(number);
+                entry.set_run(number);
                 self.run_in_slots(number).await
             }
-            Admission::Finished(first) => Ok(self.worker.done(first)),
+            Admission::Finished(first) => Ok(self.worker.done_update(first)),
             Admission::Running(first) => {
                 drop(slots);
                 self.worker.record_load();
                 match self.worker.runs.wait_for_end(first).await {
-                    RunEnd::Finished => Ok(self.worker.done(first)),
+                    RunEnd::Finished => Ok(self.worker.done_update(first)),
                     _ => Err(EarlyEnd::Reported(JobUpdate::Failed)),
                 }
             }
         }
     }
 
-    /// Waits in the queue until the job has its slots, is cancelled, or the worker drains.
+    /// Waits until the job has its slots. Fails if the job is cancelled or the worker drains before that.
     async fn wait_for_slots(&mut self) -> Result<SlotPermit, EarlyEnd> {
         let mut draining = self.worker.draining.subscribe();
         tokio::select! {
@@ -131,10 +135,10 @@
         }
     }
 
-    /// The run itself, in slots that the caller has taken.
+    /// Runs the job in slots that the caller has acquired.
     async fn run_in_slots(&mut self, number: usize) -> Result<JobUpdate, EarlyEnd> {
         if self.worker.spec.reports_start {
-            self.update(JobUpdate::Started)?;
+            self.send_update(JobUpdate::Started)?;
         }
         match self.behavior {
             JobBehavior::Lose => return Err(EarlyEnd::Reported(JobUpdate::Lost)),
@@ -148,29 +152,31 @@
         self.unless_cancelled(number, worker.cache.load(&self.job.object)).await?;
         self.work(number).await?;
         worker.runs.end(number, RunEnd::Finished);
-        Ok(worker.done(number))
+        Ok(worker.done_update(number))
     }
 
-    /// Does the job's work and reports progress.
+    /// Spends the time of the job's work and reports progress.
     async fn work(&mut self, number: usize) -> Result<(), EarlyEnd> {
         let (worker, progress) = (self.worker, self.worker.spec.progress_interval);
         let total = self.job.work.as_secs_f64();
         let mut remaining = total;
         let mut since_report = Duration::ZERO;
         while remaining > WORK_EPSILON {
-            let step = WORK_STEP.min(Duration::from_secs_f64((remaining / worker.rate()).min(MAX_STEP)));
+            let step =
+                WORK_STEP.min(Duration::from_secs_f64((remaining / worker.rate()).min(MAX_STEP_SECONDS)));
             self.unless_cancelled(number, sleep(step)).await?;
             remaining -= step.as_secs_f64() * worker.rate();
             since_report += step;
             if !progress.is_zero() && since_report >= progress && remaining > WORK_EPSILON {
                 since_report = Duration::ZERO;
-                self.update(JobUpdate::Running { share: 1.0 - remaining / total })?;
+                self.send_update(JobUpdate::Running { share: 1.0 - remaining / total })?;
             }
         }
         Ok(())
     }
 
-    /// Awaits one part of a run; a worker that stops running jobs abandons it when the job is cancelled.
+    /// Awaits one part of a run. If the job is cancelled meanwhile and the worker's configuration lets a
+    /// cancellation stop running jobs, the run ends.
     async fn unless_cancelled(
         &mut self,
         number: usize,
@@ -185,8 +191,8 @@
         }
     }
 
-    /// Hands over a callback.
-    fn update(&self, update: JobUpdate) -> Result<(), EarlyEnd> {
+    /// Queues a callback for sending.
+    fn send_update(&self, update: JobUpdate) -> Result<(), EarlyEnd> {
         self.updates.send(update).map_err(|_| EarlyEnd::Unreported)
     }
 }
--- a/crates/testbed/src/worker/job.rs
+++ b/crates/testbed/src/worker/job.rs
@@ -1,4 +1,4 @@
-//! A job: the content of its request, and its place among the jobs in flight at a worker.
+//! A job: the content of its request, and its entry among the jobs that wait or run at a worker.
 
 use super::state::WorkerState;
 use crate::runs::{Run, RunEnd};
@@ -9,12 +9,13 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The id that a request carries; `None` if it carries none.
+/// Returns the id in a request's `x-trace-id` header, or `None` if the request has no such header.
 pub(super) fn request_id(message: &Message) -> Option<Result<u64, ParseIntError>> {
     message.header("x-trace-id").map(|id| u64::from_str_radix(id, 16))
 }
 
-/// How long the scheduler waits for the end of the job, by the request: a number with the unit `m` or `u`.
+/// Returns how long the scheduler waits for the job's end, from the request's `x-expires-in` header: a number
+/// with the unit `m` (milliseconds) or `u` (microseconds).
 pub(super) fn expires_in(message: &Message) -> Option<Duration> {
     let text = message.header("x-expires-in")?;
     match text.strip_suffix('u') {
@@ -27,20 +28,21 @@
 pub(super) struct JobRequest {
     /// The request's id.
     pub(super) id: u64,
-    /// Where the scheduler is called back.
+    /// Address of the scheduler, to which callbacks are sent.
     pub(super) scheduler: SocketAddr,
-    /// Seconds of work at speed 1.
+    /// The job's work at speed 1.
     pub(super) work: Duration,
-    /// Number of slots that it takes.
+    /// Number of slots that the job takes.
     pub(super) slots: usize,
-    /// The object that it needs.
+    /// The object that the job needs.
     pub(super) object: String,
     class: String,
     key: Option<String>,
 }
 
 impl JobRequest {
-    /// Reads a job of the path `/CLASS/OBJECT`, whose body may name `work_us=` and `slots=`.
+    /// Reads a job from a request to the path `/CLASS/OBJECT`. The body may state the job's work as
+    /// `work_us=NUMBER` (otherwise `default_work`) and its slots as `slots=NUMBER` (otherwise 1).
     pub(super) fn read(
         id: u64,
         scheduler: SocketAddr,
@@ -61,8 +63,8 @@
         }
     }
 
-    /// The entry for the record of runs.
-    pub(super) fn run(&self, worker: &str, started: Duration) -> Run {
+    /// Returns the entry for the record of runs.
+    pub(super) fn run_entry(&self, worker: &str, started: Duration) -> Run {
         Run {
             id: self.id,
             key: self.key.clone(),
@@ -75,53 +77,55 @@
     }
 }
 
-/// The decimal number that follows a name in a text.
+/// Returns the decimal number that follows `name` in `text`.
 fn number_after(text: &str, name: &str) -> Option<u64> {
     let rest = text.split(name).nth(1)?;
     rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
 
+/// Whether a job waits for slots or runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Waiting,
     Running,
 }
 
-/// A job's place among those that wait or run; dropping it gives the place back and ends its run as lost unless it
-/// has ended otherwise.
-pub(super) struct JobPlace {
+/// A job's entry among the jobs that wait or run. Dropping the entry removes the job from the worker's
+/// counts, and records its run as lost if the run has no recorded end.
+pub(super) struct JobEntry {
     worker: Arc<WorkerState>,
     id: u64,
     cancelled: watch::Receiver<bool>,
+    /// Number of the job's run, once it has started.
     run: Option<usize>,
     phase: Phase,
 }
 
-impl JobPlace {
-    /// Enters a job among those that wait.
-    pub(super) fn enqueue(worker: Arc<WorkerState>, id: u64) -> JobPlace {
+impl JobEntry {
+    /// Adds a job to the waiting jobs.
+    pub(super) fn enqueue(worker: Arc<WorkerState>, id: u64) -> JobEntry {
         let cancelled = worker.enqueue(id);
-        JobPlace { worker, id, cancelled, run: None, phase: Phase::Waiting }
+        JobEntry { worker, id, cancelled, run: None, phase: Phase::Waiting }
     }
 
-    /// Signals that the job is cancelled.
+    /// Returns the signal that is true once the job is cancelled.
     pub(super) fn cancelled(&self) -> watch::Receiver<bool> {
         self.cancelled.clone()
     }
 
-    /// Moves the job from the queue to a slot.
-    pub(super) fn begin(&mut self) {
+    /// Counts the job as running.
+    pub(super) fn move_to_running(&mut self) {
         self.phase = Phase::Running;
-        self.worker.begin();
+        self.worker.move_to_running();
     }
 
-    /// Names the run that this place is for.
+    /// Sets the number of the job's run.
     pub(super) fn set_run(&mut self, number: usize) {
         self.run = Some(number);
     }
 }
 
-impl Drop for JobPlace {
+impl Drop for JobEntry {
     fn drop(&mut self) {
         match self.phase {
             Phase::Waiting => self.worker.leave_queue(),
@@ -129,9 +133,9 @@
         }
         self.worker.record_load();
         if let Some(run) = self.run {
-            // An end that is already recorded stays.
+            // Has no effect if the end of the run is already recorded.
             self.worker.runs.end(run, RunEnd::Lost);
         }
-        self.worker.forget_cancellation(self.id, &self.cancelled);
+        self.worker.remove_cancellation(self.id, &self.cancelled);
     }
 }
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -1,9 +1,10 @@
-//! A worker: accepts jobs, runs them by a small model of a worker, and reports to its scheduler by callbacks; or
-//! misbehaves, once for each [`JobBehavior`] that a test scripts.
+//! A stand-in worker: accepts jobs, simulates running them, and reports their state to the scheduler by
+//! callbacks. A test can script misbehavior: each [`JobBehavior`] applies to one job.
 //!
-//! One task owns the listeners, the connections and the jobs; [`Worker::kill`] ends all of it as the death of a process
-//! does, and dropping the worker likewise. A worker listens on one port for each scheduler, since that is how it knows
-//! whom to call back. What ran is recorded in [`Runs`].
+//! One task owns the listeners, the connections and the jobs. [`Worker::kill`], like dropping the worker,
+//! ends all of them as the death of a process does. A worker listens on one port for each scheduler: the port
+//! on which a job arrives determines the scheduler that receives the callbacks. [`Runs`] records the jobs
+//! that ran.
 
 mod callbacks;
 mod connection;
@@ -34,7 +35,7 @@
 /// The port on which one scheduler reaches a worker.
 struct SchedulerPort {
     port: Port,
-    /// Where the scheduler is called back.
+    /// Address of the scheduler, to which callbacks are sent.
     scheduler: SocketAddr,
 }
 
@@ -54,7 +55,7 @@
     stop: oneshot::Sender<Stop>,
 }
 
-/// A worker on loopback sockets; dropping it ends it.
+/// A worker on loopback sockets; dropping the value ends the worker.
 pub struct Worker {
     state: Arc<WorkerState>,
     ports: Vec<SchedulerPort>,
@@ -62,19 +63,20 @@
 }
 
 impl Worker {
-    /// Starts a worker at full speed with a port for each scheduler, given by the address that it calls back.
+    /// Starts a worker at full speed, with a port for each scheduler. `schedulers` are the addresses to which
+    /// the worker sends callbacks.
     pub async fn start(spec: WorkerSpec, runs: Runs, schedulers: &[SocketAddr]) -> io::Result<Worker> {
         Worker::start_at(spec, runs, schedulers, Instant::now()).await
     }
 
-    /// Like [`Worker::start`], with the time at which the record of runs began.
+    /// Starts a worker like [`Worker::start`]; the times of its runs count from `recording_start`.
     pub async fn start_at(
         spec: WorkerSpec,
         runs: Runs,
         schedulers: &[SocketAddr],
-        began: Instant,
+        recording_start: Instant,
     ) -> io::Result<Worker> {
-        let state = Arc::new(WorkerState::new(spec, runs, began));
+        let state = Arc::new(WorkerState::new(spec, runs, recording_start));
         let ports = schedulers.iter().copied().map(SchedulerPort::reserve).collect::<io::Result<_>>()?;
         let worker = Worker { state, ports, server: Mutex::new(None) };
         worker.listen()?;
@@ -93,63 +95,66 @@
         self.server.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its configuration.
+    /// Returns the worker's configuration.
     pub fn spec(&self) -> &WorkerSpec {
         &self.state.spec
     }
 
-    /// Where each scheduler reaches it, in the order of the schedulers.
+    /// Returns the worker's address for each scheduler, in the order of the schedulers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.ports.iter().map(|port| port.port.address()).collect()
     }
 
-    /// When its process was last restarted, as Unix time in milliseconds; 0 for never.
+    /// Returns the time of the last restart as Unix time in milliseconds, or 0 if the worker was never
+    /// restarted.
     pub fn started_at_ms(&self) -> u64 {
         self.state.restarted_at_ms()
     }
 
-    /// Scripts what it does with the next jobs, one entry each; jobs after them are served.
+    /// Appends a behavior for each of the next jobs; the jobs after the scripted ones are served normally.
     pub fn script_jobs(&self, behaviors: impl IntoIterator<Item = JobBehavior>) {
         self.state.lock().script.extend_jobs(behaviors);
     }
 
-    /// Scripts what it does with the next probes, one entry each; probes after them are answered.
+    /// Appends a behavior for each of the next probes; the probes after the scripted ones are answered
+    /// normally.
     pub fn script_probes(&self, behaviors: impl IntoIterator<Item = ProbeBehavior>) {
         self.state.lock().script.extend_probes(behaviors);
     }
 
-    /// Sets how old its load reports are from now on.
+    /// Sets the age of the load that the worker reports from now on.
     pub fn set_report_delay(&self, delay: Duration) {
         self.state.lock().load_history.set_delay(delay);
     }
 
-    /// Starts or stops rejecting every job without having run it.
+    /// Sets whether the worker rejects every job without running it.
     pub fn reject_jobs(&self, rejecting: bool) {
         self.state.lock().rejecting = rejecting;
     }
 
-    /// Runs this many times slower than configured.
-    pub fn set_slowdown(&self, times: f64) {
-        self.state.set_slowdown(times);
+    /// Sets the factor by which the worker is slower than configured.
+    pub fn set_slowdown(&self, factor: f64) {
+        self.state.set_slowdown(factor);
     }
 
-    /// Returns the jobs that wait, and rejects those that come from now on.
+    /// Starts draining: the worker returns its waiting jobs to the scheduler and rejects new jobs.
     pub fn drain(&self) {
         self.state.draining.send_replace(true);
     }
 
-    /// Ends its process: its connections are reset, its jobs are lost and new connections are refused. With
-    /// `reports_lost_jobs`, the machine's agent reports the lost jobs to the schedulers.
+    /// Ends the worker as the death of its process does: its connections are reset, its jobs are lost and new
+    /// connections are refused. With `reports_lost_jobs`, callbacks report the lost jobs to every scheduler,
+    /// as an agent on the worker's machine would.
     pub async fn kill(&self, reports_lost_jobs: bool) {
         self.state.lock().killed = true;
         let Some(server) = self.server().take() else { return };
-        let open = self.state.open_jobs();
+        let open_jobs = self.state.open_jobs();
         let (ended, end) = oneshot::channel();
         if server.stop.send(ended).is_ok() {
             let _ = end.await;
         }
         if reports_lost_jobs {
-            for id in open {
+            for id in open_jobs {
                 self.report_lost(id);
             }
         }
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Restarts its process after [`Worker::kill`]: warming up and without jobs, at the same ports.
+    /// Restarts the worker after [`Worker::kill`], on the same ports, without jobs and in slow start.
     pub fn restart(&self) -> io::Result<()> {
         self.state.restart();
         self.listen()
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of a worker's load or health, answered or misbehaved at as scripted.
+//! Probes of a worker's load or liveness: answers, and misbehavior as scripted.
 
 use super::connection::{Connection, KeepAlive};
 use super::script::ProbeBehavior;
@@ -7,15 +7,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The lowest rate at which the work of a probe is done.
+/// The lowest rate at which the work of a probe is done, in seconds of work at speed 1 per second.
 const MIN_PROBE_RATE: f64 = 1e-6;
-/// The longest that the work of a probe takes.
+/// The longest time that the work of a probe takes.
 const MAX_PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// The subject of a probe.
+/// The resource that a probe requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeTarget {
-    /// A load report.
+    /// The worker's load report.
     Stats,
     /// Whether the worker is alive.
     Liveness,
@@ -32,8 +32,8 @@
 }
 
 impl Connection {
-    /// Answers one probe.
-    pub(super) async fn probe(&mut self, target: &str) -> KeepAlive {
+    /// Answers one probe, or misbehaves as scripted.
+    pub(super) async fn serve_probe(&mut self, target: &str) -> KeepAlive {
         let target = ProbeTarget::parse(target).filter(|_| self.worker.spec.probes.is_some());
         let Some(target) = target else { return self.answer(404, "", "").await };
         self.worker.runs.record_probe();
@@ -43,8 +43,9 @@
         }
         let wire = self.wire.as_mut()?;
         let served = tokio::select! {
-            served = self.worker.serve_probe() => served,
-            // A scheduler that cancels the probe also removes it from the queue.
+            served = self.worker.do_probe_work() => served,
+            // The scheduler cancelled the probe: dropping the other future removes the probe from the slot
+            // queue.
             () = wire.wait_for_close() => return None,
         };
         if !served {
@@ -54,7 +55,8 @@
         self.answer(200, "", &body).await
     }
 
-    /// Carries out what a script has before or in place of a probe's answer.
+    /// Carries out a behavior that delays or replaces the probe's answer. Returns `Continue` if the probe is
+    /// to be answered.
     async fn misbehave_at_probe(&mut self, behavior: ProbeBehavior) -> ControlFlow<KeepAlive> {
         match behavior {
             ProbeBehavior::Answer => {}
@@ -71,8 +73,8 @@
 }
 
 impl WorkerState {
-    /// Does the work of a probe; whether the probe was accepted.
-    async fn serve_probe(&self) -> bool {
+    /// Spends the time of a probe's work. Returns whether the probe was accepted.
+    async fn do_probe_work(&self) -> bool {
         let Some(probe) = self.spec.probes else { return false };
         if probe.deep && !self.has_capacity() {
             return false;
@@ -92,7 +94,8 @@
         true
     }
 
-    /// The body of a probe's answer; empty where there is nothing to report.
+    /// Returns the body of a probe's answer: the load report, or an empty string for a liveness probe or a
+    /// worker without load reports.
     fn probe_body(&self, target: ProbeTarget) -> String {
         match (target, &self.spec.stats) {
             (ProbeTarget::Stats, Some(stats)) => stats.json(&self.reported_load()).to_string(),
--- a/crates/testbed/src/worker/reporting.rs
+++ b/crates/testbed/src/worker/reporting.rs
@@ -1,11 +1,11 @@
-//! The reports of a worker about its jobs: which callbacks carry a load report, and how they are sent.
+//! Sending of a worker's callbacks, with a load report where one is configured.
 
 use super::callbacks::{Callback, Delivery, JobUpdate};
 use super::state::WorkerState;
 use std::net::SocketAddr;
 
 impl WorkerState {
-    /// Reports one update of a job to its scheduler.
+    /// Reports one change of a job's state to the scheduler.
     pub(super) async fn report(
         &self,
         scheduler: SocketAddr,
--- a/crates/testbed/src/worker/script.rs
+++ b/crates/testbed/src/worker/script.rs
@@ -1,54 +1,54 @@
-//! Scripted behaviour: what a worker does with its next jobs and probes, one entry each.
+//! Scripted behavior of a worker: one entry for each of the next jobs and probes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a worker does with one job.
+/// How a worker behaves towards one job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobBehavior {
-    /// Runs it.
+    /// Serves the job normally.
     Serve,
-    /// Answers with this status instead of 202.
+    /// Answers the job's request with `status` instead of 202 and does not run the job.
     Answer {
-        /// Status code.
+        /// HTTP status code of the answer.
         status: u16,
         /// Whether the answer carries `X-Never-Ran: 1`.
         never_ran: bool,
     },
-    /// Reads it and sends nothing until the scheduler closes the connection.
+    /// Reads the request and sends no bytes until the scheduler closes the connection.
     NoResponse,
-    /// Resets the connection after the head, with the body unread.
+    /// Resets the connection after reading the request's head, before reading its body.
     ResetInBody,
-    /// Reads it completely, then resets the connection before any answer.
+    /// Reads the complete request, then resets the connection without an answer.
     ResetBeforeAnswer,
-    /// Sends half of a 202, then closes the connection.
+    /// Sends half of a 202 answer, then closes the connection.
     HalfAnswer,
-    /// Answers 202 and never sends a callback.
+    /// Answers 202, then neither runs the job nor sends a callback.
     NoCallback,
-    /// Answers 202, starts it and loses it.
+    /// Answers 202, starts the job and reports it as lost.
     Lose,
-    /// Answers 202, starts it and fails.
+    /// Answers 202, starts the job and reports that it failed.
     Fail,
-    /// Answers 202 and returns it without having started it.
+    /// Answers 202 and returns the job to the scheduler without starting it.
     ReturnUnstarted,
-    /// Sends the final callback before the 202.
+    /// Runs the job and sends all of its callbacks before the 202 answer.
     CallbackBeforeAnswer,
-    /// Sends the final callback this many times.
+    /// Runs the job and sends the final callback this many times.
     RepeatCallback(u32),
-    /// Answers 202, sends a callback that is not valid JSON, then runs it.
+    /// Answers 202, sends a callback that is not valid JSON, then runs the job.
     InvalidCallback,
-    /// Runs it, and writes the 202 and every callback one byte at a time.
+    /// Runs the job; writes the 202 answer and every callback one byte at a time.
     ByteByByte,
 }
 
-/// What a worker does with one probe.
+/// How a worker behaves towards one probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeBehavior {
-    /// Answers it as configured.
+    /// Answers the probe as configured.
     Answer,
-    /// Answers it as configured after this delay.
+    /// Answers the probe as configured after this delay.
     Delay(Duration),
-    /// Sends nothing until the scheduler closes the connection.
+    /// Sends no bytes until the scheduler closes the connection.
     NoResponse,
     /// Answers 503.
     Reject,
@@ -56,7 +56,7 @@
     Reset,
 }
 
-/// The entries not yet used up; jobs and probes beyond them are served normally.
+/// The remaining entries; jobs and probes for which no entry is left are served normally.
 #[derive(Default)]
 pub(super) struct Script {
     jobs: VecDeque<JobBehavior>,
@@ -74,12 +74,12 @@
         self.probes.extend(behaviors);
     }
 
-    /// Takes the entry for the next job.
+    /// Removes and returns the entry for the next job.
     pub(super) fn next_job(&mut self) -> JobBehavior {
         self.jobs.pop_front().unwrap_or(JobBehavior::Serve)
     }
 
-    /// Takes the entry for the next probe.
+    /// Removes and returns the entry for the next probe.
     pub(super) fn next_probe(&mut self) -> ProbeBehavior {
         self.probes.pop_front().unwrap_or(ProbeBehavior::Answer)
     }
--- a/crates/testbed/src/worker/server.rs
+++ b/crates/testbed/src/worker/server.rs
@@ -14,15 +14,16 @@
 
 /// A listener for one scheduler.
 pub(super) struct SchedulerListener {
-    /// The socket.
+    /// The listening socket.
     pub(super) listener: TcpListener,
-    /// Where the scheduler is called back.
+    /// Address of the scheduler, to which callbacks are sent.
     pub(super) scheduler: SocketAddr,
 }
 
-/// A request to stop; the sender that it carries is used once everything has ended.
+/// A request to stop: the server signals on this sender once all connections and jobs have ended.
 pub(super) type Stop = oneshot::Sender<()>;
 
+/// The connections and jobs of a running worker.
 struct Server {
     worker: Arc<WorkerState>,
     connections: JoinSet<()>,
@@ -39,15 +40,15 @@
     let (job_starts, mut started) = unbounded_channel();
     let mut server = Server { worker, connections: JoinSet::new(), jobs: JoinSet::new(), job_starts };
     let stopped = loop {
-        let accepts = listeners.iter().map(|one| Box::pin(one.listener.accept()));
+        let accepts = listeners.iter().map(|socket| Box::pin(socket.listener.accept()));
         tokio::select! {
             stopped = &mut stop => break stopped,
             Some(job) = started.recv() => drop(server.jobs.spawn(job)),
             Some(_) = server.connections.join_next(), if !server.connections.is_empty() => {}
             Some(_) = server.jobs.join_next(), if !server.jobs.is_empty() => {}
-            (accepted, at, _) = select_all(accepts), if !listeners.is_empty() => {
+            (accepted, index, _) = select_all(accepts), if !listeners.is_empty() => {
                 if let Ok((stream, _)) = accepted {
-                    server.accept(stream, listeners[at].scheduler);
+                    server.accept(stream, listeners[index].scheduler);
                 }
             }
         }
@@ -61,7 +62,7 @@
 }
 
 impl Server {
-    /// Serves a connection, or closes it if there are too many.
+    /// Serves a new connection, or closes it if the maximum number of connections is open.
     fn accept(&mut self, stream: TcpStream, scheduler: SocketAddr) {
         if self.connections.len() >= self.worker.spec.max_connections {
             return;
--- a/crates/testbed/src/worker/spec.rs
+++ b/crates/testbed/src/worker/spec.rs
@@ -1,4 +1,4 @@
-//! Configuration of a stand-in worker.
+//! The configuration of a stand-in worker.
 
 use crate::queue::Order;
 use crate::stats::StatsSpec;
@@ -8,61 +8,63 @@
 /// Configuration of one worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
-    /// Name in discovery.
+    /// Name under which discovery lists the worker.
     pub name: String,
-    /// Zone in discovery.
+    /// Zone that discovery lists for the worker.
     pub zone: String,
-    /// Kind of machine.
+    /// Machine type that discovery lists for the worker.
     pub kind: String,
-    /// Cell number.
+    /// Cell number that discovery lists for the worker.
     pub cell: u32,
-    /// Weight that discovery publishes.
+    /// Weight that discovery lists for the worker.
     pub weight: f64,
-    /// Number of jobs that run at once.
+    /// Number of slots; a job takes one or more of them while it runs.
     pub slots: usize,
-    /// Number of jobs that may wait for a slot; the next one is rejected without having run.
+    /// Maximum number of jobs that wait for slots; a further job is rejected without running.
     pub max_queued: usize,
-    /// Work that one slot completes per second, in seconds at speed 1.
+    /// Work that one slot completes per second, in seconds of work at speed 1.
     pub speed: f64,
-    /// Fraction of `speed` at which a restarted worker begins.
+    /// Fraction of `speed` at which a worker runs directly after a restart.
     pub slow_start_floor: f64,
-    /// Time that a restarted worker takes to reach full speed.
+    /// Time from a restart until the worker reaches full speed.
     pub slow_start_time: Duration,
-    /// Whether it sends a callback when a job starts.
+    /// Whether the worker sends a callback when a job starts.
     pub reports_start: bool,
-    /// Interval between progress callbacks; zero for none.
+    /// Interval between the progress callbacks of a running job; zero disables them.
     pub progress_interval: Duration,
-    /// Maximum number of open connections; a further one is closed at once.
+    /// Maximum number of open connections; the worker closes a further connection at once.
     pub max_connections: usize,
-    /// Idle time after which a connection is closed.
+    /// Idle time after which the worker closes a connection.
     pub idle_timeout: Duration,
-    /// Whether a running job stops when it is cancelled.
+    /// Whether a cancellation stops a job that already runs.
     pub cancels_running_jobs: bool,
-    /// How long repeats of a keyed job are deduplicated.
+    /// Time from the start of a keyed job during which workers deduplicate further jobs with the same key.
     pub deduplication_window: Duration,
-    /// Work of a job whose body names none.
+    /// Work of a job whose body does not state its work, at speed 1.
     pub work: Duration,
-    /// Order in which waiting jobs start.
+    /// Order in which waiting jobs get slots.
     pub order: Order,
-    /// Load reports; none are sent if absent.
+    /// Configuration of the load reports; `None` if the worker sends no load reports.
     pub stats: Option<StatsSpec>,
-    /// Handling of probes; they are answered with 404 if absent.
+    /// Handling of probes; with `None` the worker answers probes with 404.
     pub probes: Option<ProbeSpec>,
-    /// Cache of the objects that jobs need; they need none if absent.
+    /// Cache of the objects that jobs need; `None` if jobs need no objects.
     pub cache: Option<CacheSpec>,
 }
 
 /// How a worker handles probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeSpec {
-    /// Whether a probe takes a slot as a job does, and is rejected where a job would be.
+    /// Whether a probe waits for a slot and takes it as a job does, and is rejected when a job would be
+    /// rejected.
     pub deep: bool,
     /// Work of a probe at speed 1.
     pub work: Duration,
 }
 
 impl WorkerSpec {
-    /// A worker at full speed with free slots, whose jobs end at once.
+    /// Returns the configuration of a worker at full speed, whose jobs end at once unless their body states
+    /// work.
     pub fn new(name: &str) -> WorkerSpec {
         WorkerSpec {
             name: name.to_string(),
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -1,4 +1,4 @@
-//! State of a worker that its tasks share: configuration, load, speed, and the jobs that can be cancelled.
+//! The state that a worker's tasks share: configuration, load, speed, and the cancellation signals of jobs.
 
 use super::callbacks::CallbackClient;
 use super::script::Script;
@@ -13,66 +13,68 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The smallest factor by which a worker can be slowed down.
+/// The smallest slowdown factor that can be set.
 const MIN_SLOWDOWN: f64 = 1e-3;
 /// The shortest slow start, in seconds; it prevents a division by zero.
 const MIN_SLOW_START_TIME: f64 = 1e-9;
 
-/// When a worker was last restarted.
+/// The time of a worker's last restart, by the monotonic clock and as Unix time.
 #[derive(Clone, Copy)]
 struct Restart {
     at: Instant,
     unix_ms: u64,
 }
 
-/// What changes while a worker runs.
+/// The part of a worker's state that changes while the worker runs.
 pub(super) struct MutableState {
-    /// What it does with the next jobs and probes.
+    /// Scripted behavior for the next jobs and probes.
     pub(super) script: Script,
-    /// Load reports of the past.
+    /// The worker's past loads, from which reports are made.
     pub(super) load_history: LoadHistory,
-    /// Whether every job is rejected.
+    /// Whether the worker rejects every job.
     pub(super) rejecting: bool,
-    /// Whether its process counts as dead.
+    /// Whether the worker's simulated process is dead.
     pub(super) killed: bool,
-    /// Factor by which it is slower than configured.
+    /// Factor by which the worker is slower than configured.
     slowdown: f64,
-    restarted: Option<Restart>,
+    last_restart: Option<Restart>,
+    /// Number of jobs that wait for slots.
     waiting: usize,
+    /// Number of jobs that run.
     running: usize,
-    /// Signals by which jobs are cancelled, by request id.
+    /// Cancellation signals of the waiting and running jobs, by request id.
     cancellations: HashMap<u64, Vec<watch::Sender<bool>>>,
 }
 
-/// State of a worker that its tasks share.
+/// The state that a worker's tasks share.
 pub(super) struct WorkerState {
-    /// Its configuration.
+    /// The worker's configuration.
     pub(super) spec: WorkerSpec,
-    /// The record of runs.
+    /// The record of runs, shared with other workers.
     pub(super) runs: Runs,
-    /// When the record of runs began.
-    began: Instant,
-    /// Its slots and the jobs that wait for them.
+    /// The time from which the times of runs and of load reports count.
+    recording_start: Instant,
+    /// The worker's slots and the jobs that wait for them.
     pub(super) slots: Queue,
-    /// Objects that it caches.
+    /// The cache of the objects that jobs need.
     pub(super) cache: ObjectCache,
-    /// Whether waiting jobs are returned.
+    /// Whether the worker drains: it returns waiting jobs and rejects new ones.
     pub(super) draining: watch::Sender<bool>,
-    /// Client for callbacks.
+    /// The HTTP client that sends callbacks.
     pub(super) callbacks: CallbackClient,
     mutable: Mutex<MutableState>,
 }
 
 impl WorkerState {
-    /// A worker at full speed without jobs.
-    pub(super) fn new(spec: WorkerSpec, runs: Runs, began: Instant) -> WorkerState {
+    /// Creates the state of a worker at full speed without jobs.
+    pub(super) fn new(spec: WorkerSpec, runs: Runs, recording_start: Instant) -> WorkerState {
         let mutable = MutableState {
             script: Script::default(),
             load_history: LoadHistory::new(spec.stats.as_ref(), spec.slots),
             rejecting: false,
             killed: false,
             slowdown: 1.0,
-            restarted: None,
+            last_restart: None,
             waiting: 0,
             running: 0,
             cancellations: HashMap::new(),
@@ -85,26 +87,27 @@
             mutable: Mutex::new(mutable),
             spec,
             runs,
-            began,
+            recording_start,
         }
     }
 
-    /// Locks what changes; the guard must not live across an await.
+    /// Locks the changing part of the state; the guard must not be held across an `.await`.
     pub(super) fn lock(&self) -> MutexGuard<'_, MutableState> {
         self.mutable.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When it was last restarted, as Unix time in milliseconds; 0 for never.
+    /// Returns the time of the last restart as Unix time in milliseconds, or 0 if the worker was never
+    /// restarted.
     pub(super) fn restarted_at_ms(&self) -> u64 {
-        self.lock().restarted.map_or(0, |restart| restart.unix_ms)
+        self.lock().last_restart.map_or(0, |restart| restart.unix_ms)
     }
 
-    /// Sets the factor by which it is slower than configured.
+    /// Sets the factor by which the worker is slower than configured.
     pub(super) fn set_slowdown(&self, factor: f64) {
         self.lock().slowdown = factor.max(MIN_SLOWDOWN);
     }
 
-    /// Resets everything that a process loses by its death, and begins the slow start.
+    /// Resets the state that the death of a process discards, and begins the slow start.
     pub(super) fn restart(&self) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         {
@@ -115,23 +118,23 @@
             state.waiting = 0;
             state.running = 0;
             state.cancellations.clear();
-            state.restarted = Some(Restart { at: Instant::now(), unix_ms: unix.as_millis() as u64 });
+            state.last_restart = Some(Restart { at: Instant::now(), unix_ms: unix.as_millis() as u64 });
         }
         self.cache.clear();
         self.draining.send_replace(false);
     }
 
-    /// Whether it accepts another job.
+    /// Whether the worker accepts another job.
     pub(super) fn has_capacity(&self) -> bool {
         let state = self.lock();
         let has_capacity = state.waiting < self.spec.max_queued || self.slots.free() > state.waiting;
         has_capacity && !state.rejecting && !*self.draining.borrow()
     }
 
-    /// Work that one slot completes per second now, in seconds at speed 1.
+    /// Returns the work that one slot completes per second at present, in seconds of work at speed 1.
     pub(super) fn rate(&self) -> f64 {
         let state = self.lock();
-        let warm_up_fraction = state.restarted.map_or(1.0, |restart| {
+        let warm_up_fraction = state.last_restart.map_or(1.0, |restart| {
             let share = restart.at.elapsed().as_secs_f64()
                 / self.spec.slow_start_time.as_secs_f64().max(MIN_SLOW_START_TIME);
             self.spec.slow_start_floor + (1.0 - self.spec.slow_start_floor) * share.min(1.0)
@@ -139,15 +142,15 @@
         self.spec.speed * warm_up_fraction / state.slowdown
     }
 
-    /// Time since the record of runs began.
+    /// Returns the time since the start of the recording.
     pub(super) fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.recording_start.elapsed()
     }
 }
 
 /// Load reports.
 impl WorkerState {
-    /// Records the load as it is now.
+    /// Adds the current load to the load history.
     pub(super) fn record_load(&self) {
         let free = self.slots.free();
         let state = &mut *self.lock();
@@ -156,17 +159,19 @@
         state.load_history.record(self.elapsed(), load);
     }
 
-    /// The load that a report has now; it may be out of date, as configured.
+    /// Returns the load that a report states at present; as configured, that load may be out of date.
     pub(super) fn reported_load(&self) -> Load {
         self.lock().load_history.reported(self.elapsed())
     }
 
-    /// The form of load reports in answers and callbacks that end an attempt, if they carry any.
+    /// Returns the configuration of load reports if answers and callbacks that end an attempt carry a load
+    /// report.
     pub(super) fn stats_in_answers(&self) -> Option<&StatsSpec> {
         self.spec.stats.as_ref().filter(|stats| stats.in_answers)
     }
 
-    /// The header line with the load report of an answer that ends an attempt; empty if it carries none.
+    /// Returns the header line with the load report for an answer that ends an attempt, or an empty string if
+    /// such answers carry no load report.
     pub(super) fn load_header(&self) -> String {
         let line =
             |stats: &StatsSpec| format!("endpoint-load-metrics: {}\r\n", stats.text(&self.reported_load()));
@@ -174,9 +179,9 @@
     }
 }
 
-/// Jobs that wait or run.
+/// Accounting and cancellation of the jobs that wait or run.
 impl WorkerState {
-    /// Counts a job that waits now; its cancellation signal.
+    /// Counts a new waiting job and returns its cancellation signal.
     pub(super) fn enqueue(&self, id: u64) -> watch::Receiver<bool> {
         let (cancel, cancelled) = watch::channel(false);
         {
@@ -188,8 +193,8 @@
         cancelled
     }
 
-    /// Counts a waiting job as running from now on.
-    pub(super) fn begin(&self) {
+    /// Counts a waiting job as a running job from now on.
+    pub(super) fn move_to_running(&self) {
         {
             let mut state = self.lock();
             state.waiting = state.waiting.saturating_sub(1);
@@ -198,19 +203,19 @@
         self.record_load();
     }
 
-    /// Removes a job that waited.
+    /// Removes a waiting job from the counts.
     pub(super) fn leave_queue(&self) {
         let mut state = self.lock();
         state.waiting = state.waiting.saturating_sub(1);
     }
 
-    /// Removes a job that ran.
+    /// Removes a running job from the counts.
     pub(super) fn leave_slot(&self) {
         let mut state = self.lock();
         state.running = state.running.saturating_sub(1);
     }
 
-    /// Cancels every job of a request.
+    /// Cancels every waiting or running job with a request id.
     pub(super) fn cancel(&self, id: u64) {
         if let Some(cancellations) = self.lock().cancellations.get(&id) {
             for cancel in cancellations {
@@ -219,8 +224,8 @@
         }
     }
 
-    /// Forgets the cancellation signal of a job that has ended.
-    pub(super) fn forget_cancellation(&self, id: u64, cancelled: &watch::Receiver<bool>) {
+    /// Removes the cancellation signal of a job that has ended.
+    pub(super) fn remove_cancellation(&self, id: u64, cancelled: &watch::Receiver<bool>) {
         let mut state = self.lock();
         let Some(cancellations) = state.cancellations.get_mut(&id) else { return };
         cancellations.retain(|cancel| !cancel.subscribe().same_channel(cancelled));
@@ -229,7 +234,7 @@
         }
     }
 
-    /// Ids of the requests whose jobs wait or run.
+    /// Returns the request ids of the jobs that wait or run.
     pub(super) fn open_jobs(&self) -> Vec<u64> {
         self.lock().cancellations.keys().copied().collect()
     }
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -1,4 +1,4 @@
-//! A worker's jobs: execution, callbacks, rejections, scripted misbehaviour and its end.
+//! A worker's jobs: execution, callbacks, rejections, scripted misbehavior and its end.
 #![allow(missing_docs)]
 
 mod common;
