--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,9 +1,10 @@
-//! Clients: a load of jobs over real connections, each retried as its class allows, and the record of what
-//! they received.
+//! Clients: send a load of jobs over real connections, retry each job as its class allows, and record the
+//! responses.
 //!
-//! Owns the connections and the clock of the load. Latency counts from when a job should have been sent, so
-//! that a delay of the clients is not hidden (coordinated omission); that delay is recorded beside it.
-//! Whether the answers are right is checked by [`crate::audit`].
+//! The clients own the connections and the clock of the load. Latency counts from the time at which a job was
+//! due to be sent, not from the time at which it was sent, so that a delay of the clients stays visible in
+//! the latency (coordinated omission). The record also contains the largest such delay. [`crate::audit`]
+//! checks whether the responses are correct.
 
 mod exchange;
 mod job;
@@ -26,26 +27,26 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// How long a connection may take to be made.
+/// Time limit for making a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an idle connection is reused.
+/// Time after which an idle connection is no longer reused.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The clients of a load. Clones share their connections.
+/// The clients of a load. Clones share the connections.
 #[derive(Clone)]
 pub struct Clients {
     spec: Arc<LoadSpec>,
     targets: Arc<Vec<SocketAddr>>,
-    /// Reuses idle connections.
+    /// The HTTP client that reuses idle connections.
     pooled: HttpClient,
-    /// Makes a new connection for each request.
+    /// The HTTP client that makes a new connection for each request.
     unpooled: HttpClient,
     /// Number of targets chosen so far.
     chosen_targets: Arc<AtomicUsize>,
 }
 
 impl Clients {
-    /// Clients that spread their jobs over these addresses by round robin.
+    /// Creates clients that spread their attempts over the addresses `targets` by round robin.
     pub fn new(spec: LoadSpec, targets: Vec<SocketAddr>) -> Result<Clients, LoadError> {
         Arrivals::new(&spec)?;
         if targets.is_empty() {
@@ -63,18 +64,18 @@
         Ok(Clients { spec, targets, pooled, unpooled, chosen_targets: Arc::default() })
     }
 
-    /// The target of the next attempt.
+    /// Returns the target of the next attempt.
     fn next_target(&self) -> SocketAddr {
         self.targets[self.chosen_targets.fetch_add(1, Ordering::Relaxed) % self.targets.len()]
     }
 
-    /// The job of an arrival, from its first attempt to its last.
-    fn job(&self, load_start: Instant, arrival: Arrival) -> Job {
+    /// Returns the job of an arrival, without attempts.
+    fn new_job(&self, load_start: Instant, arrival: Arrival) -> Job {
         Job::new(self.clone(), load_start, arrival)
     }
 
-    /// Sends an open loop of jobs for `duration` from `load_start` on, or until `stop` is true; then waits
-    /// for the jobs in flight. `on_progress` is called after each change.
+    /// Sends jobs in an open loop from `load_start` on, for `duration` or until `stop` is true, then waits
+    /// for the jobs in flight. Calls `on_progress` after each change.
     pub async fn run(
         self,
         load_start: Instant,
@@ -94,7 +95,7 @@
                     let Some(arrival) = arrivals.next() else { continue };
                     record.lag = record.lag.max(load_start.elapsed().saturating_sub(arrival.at));
                     sent += 1;
-                    in_flight.spawn(self.job(load_start, arrival).run());
+                    in_flight.spawn(self.new_job(load_start, arrival).run());
                 }
                 Some(ended) = in_flight.join_next(), if !in_flight.is_empty() => record.jobs.extend(ended.ok()),
                 else => break,
@@ -108,8 +109,8 @@
         Ok(record)
     }
 
-    /// Runs a closed loop for `duration`: each of the connections sends its next job when the last has ended.
-    /// The capacity of a server shows in the number of jobs, not in their latency.
+    /// Sends jobs in a closed loop for `duration`: each of the connections sends its next job when its
+    /// previous job has ended. The number of jobs, not their latency, shows the capacity of the server.
     pub async fn run_closed_loop(
         self,
         connections: usize,
@@ -126,7 +127,7 @@
                     let arrival = arrivals.lock().unwrap_or_else(PoisonError::into_inner).next();
                     let Some(arrival) = arrival else { break };
                     let arrival = Arrival { at: load_start.elapsed(), ..arrival };
-                    jobs.push(clients.job(load_start, arrival).run().await);
+                    jobs.push(clients.new_job(load_start, arrival).run().await);
                 }
                 jobs
             });
--- a/crates/testbed/src/client/exchange.rs
+++ b/crates/testbed/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange: an attempt's request, and its response as an outcome.
+//! One HTTP exchange: builds the request of an attempt and reads the response as an outcome.
 
 use super::record::{JobRecord, Outcome};
 use crate::arrivals::{Arrival, LoadSpec};
@@ -10,17 +10,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// `Retry-After` is ignored from this number of seconds on.
+/// A `Retry-After` of this number of seconds or more is ignored.
 const RETRY_AFTER_LIMIT: f64 = 3600.0;
 
 /// The HTTP client of a load.
 pub(super) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// What a client received for one request.
+/// The response to one request.
 pub(super) struct Response {
     /// The outcome of the attempt.
     pub(super) outcome: Outcome,
-    /// The time of `Retry-After`, if the response has one.
+    /// The time in the `Retry-After` header, if the response has that header.
     pub(super) retry_after: Option<Duration>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// One attempt of a job as its request describes it.
+/// The data of one attempt that its request contains.
 pub(super) struct AttemptRequest {
     /// The scheduler's address.
     pub(super) target: SocketAddr,
@@ -41,7 +41,7 @@
 }
 
 impl AttemptRequest {
-    /// The request of a client that waits for `expires_in`.
+    /// Builds the request; `expires_in` is the time that the client waits for a response.
     pub(super) fn build(
         &self,
         spec: &LoadSpec,
@@ -71,7 +71,8 @@
         if self.number > 0 && spec.marks_retries {
             builder = builder.header("x-second-try", "1");
         }
-        // Class names are checked where the load is read; a name that is no path gives a request that fails.
+        // Class names are validated when the load is read. A name that is not valid in a path would yield an
+        // empty request here, which fails.
         builder.body(Full::from(body)).unwrap_or_default()
     }
 }
@@ -97,12 +98,13 @@
     Response { outcome, retry_after }
 }
 
+/// Returns the time in the `Retry-After` header, if it is a number of seconds below the limit.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get("retry-after")?.to_str().ok()?.parse().ok()?;
     (0.0..RETRY_AFTER_LIMIT).contains(&seconds).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// An error with its causes: the last of them names the system's error.
+/// Returns the messages of an error and its causes; the last one is the operating system's error.
 fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/testbed/src/client/job.rs
+++ b/crates/testbed/src/client/job.rs
@@ -1,4 +1,4 @@
-//! One job: its attempts, from the first to the last.
+//! One job of a client, from its first attempt to its last.
 
 use super::exchange::{exchange, AttemptRequest, Response};
 use super::record::{Attempt, JobRecord, Outcome};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long after the client's deadline a response may still arrive.
+/// Time after the client's deadline during which a response is still accepted.
 const RESPONSE_GRACE: Duration = Duration::from_millis(100);
 
 /// A job in progress.
@@ -21,7 +21,7 @@
 }
 
 impl Job {
-    /// A job of a load that started at `load_start`, without attempts.
+    /// Creates a job without attempts, of a load that started at `load_start`.
     pub(super) fn new(clients: Clients, load_start: Instant, arrival: Arrival) -> Job {
         let class = &clients.spec.classes[arrival.class];
         let idempotency = class.idempotency;
@@ -32,7 +32,7 @@
         Job { clients, load_start, deadline, idempotency, record }
     }
 
-    /// Makes attempts until the job is served, may not be retried, or its deadline is over.
+    /// Makes attempts until the job is served, a retry is not allowed, or the job's deadline has passed.
     pub(super) async fn run(mut self) -> JobRecord {
         for number in 0..=self.clients.spec.retries {
             let remaining = self.remaining();
@@ -45,12 +45,13 @@
         self.record
     }
 
-    /// Time until the deadline.
+    /// Returns the time until the deadline.
     fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Makes one attempt and records it; the pause before the next one, if there is one.
+    /// Makes one attempt and records it. Returns the pause before the next attempt, or `None` if the job is
+    /// not retried.
     async fn attempt(&mut self, number: u32, remaining: Duration) -> Option<Duration> {
         let id = attempt_id(self.record.arrival.id_seed, number);
         let request = AttemptRequest { target: self.clients.next_target(), id, number };
@@ -59,13 +60,13 @@
         let response = self.send(&request, remaining, &mut resent);
         let response = timeout(remaining + RESPONSE_GRACE, response).await;
         let Response { outcome, retry_after } = response.unwrap_or_else(|_| Outcome::Unanswered.into());
-        let retries = self.retries_after(&outcome, sent) && number < self.clients.spec.retries;
+        let will_retry = self.allows_retry(&outcome, sent) && number < self.clients.spec.retries;
         self.record.attempts.push(Attempt { id, sent, resent, ended: self.load_start.elapsed(), outcome });
-        retries.then(|| self.pause(id, retry_after))
+        will_retry.then(|| self.pause(id, retry_after))
     }
 
-    /// Sends a request, and once more on a new connection if the first one broke: the request may have
-    /// crossed the close of an idle connection, unread.
+    /// Sends a request. If the connection breaks, sends the request once more on a new connection: the
+    /// scheduler may have closed an idle connection without reading the request that arrived meanwhile.
     async fn send(
         &self,
         request: &AttemptRequest,
@@ -81,14 +82,14 @@
         exchange(&self.clients.unpooled, request.build(spec, &self.record, self.remaining())).await
     }
 
-    /// Whether the outcome of an attempt that was sent at `sent` allows a retry.
-    fn retries_after(&self, outcome: &Outcome, sent: Duration) -> bool {
+    /// Whether the outcome of an attempt allows a retry; `sent` is when the attempt was sent.
+    fn allows_retry(&self, outcome: &Outcome, sent: Duration) -> bool {
         let first_sent = self.record.attempts.first().map_or(sent, |first| first.sent);
         let until_retry = self.load_start.elapsed().saturating_sub(first_sent) + self.clients.spec.pause;
         may_retry(self.idempotency, outcome, until_retry)
     }
 
-    /// The pause before the next attempt.
+    /// Returns the pause before the next attempt.
     fn pause(&self, id: u64, retry_after: Option<Duration>) -> Duration {
         let spec = &self.clients.spec;
         let honored = retry_after.filter(|_| honors_retry_after(id, spec.retry_after_share));
--- a/crates/testbed/src/client/record.rs
+++ b/crates/testbed/src/client/record.rs
@@ -1,64 +1,66 @@
-//! Records of a load: its jobs, their attempts and what clients received.
+//! The records of a load: its jobs, their attempts and the responses.
 
 use crate::arrivals::{Arrival, ClassLoad};
 use std::time::Duration;
 
-/// What a client received for one attempt.
+/// The response that a client received for one attempt, or why there was none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// 200, with this result.
+    /// Status 200, with this result.
     Served(String),
-    /// 429 or 503.
+    /// Status 429 or 503.
     Rejected,
     /// Any other status.
     Failed(u16),
-    /// No connection was made, so nothing was accepted.
+    /// No connection could be made, so no scheduler received the attempt; the text is the error.
     Unreachable(String),
-    /// The connection broke.
+    /// The connection broke before the response was complete; the text is the error.
     Broken(String),
-    /// Nothing before the deadline.
+    /// No response came before the deadline.
     Unanswered,
 }
 
 /// One attempt of a job.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its id; each attempt has its own.
+    /// The attempt's request id; every attempt has a different id.
     pub id: u64,
-    /// When it was sent, from the start.
+    /// When the attempt was sent, from the start of the load.
     pub sent: Duration,
-    /// When it was sent again on a new connection, as the first one had ended without a response.
+    /// When the attempt was sent again on a new connection, if the first connection ended without a response;
+    /// from the start of the load.
     pub resent: Option<Duration>,
-    /// When it ended, from the start.
+    /// When the attempt ended, from the start of the load.
     pub ended: Duration,
-    /// What the client received.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
 }
 
 /// One job and all of its attempts.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
-    /// As it arrived.
+    /// The arrival that the job belongs to.
     pub arrival: Arrival,
-    /// The idempotency key.
+    /// The idempotency key, if the job's class is keyed.
     pub key: Option<String>,
-    /// Its attempts, in order.
+    /// The job's attempts, in order.
     pub attempts: Vec<Attempt>,
 }
 
 impl JobRecord {
-    /// How long the client waited, from when the job should have been sent.
+    /// Returns the time from when the job was due to be sent until its last attempt ended.
     pub fn latency(&self) -> Duration {
         self.attempts.last().map_or(Duration::ZERO, |last| last.ended.saturating_sub(self.arrival.at))
     }
 
-    /// Whether it was served within its class's latency objective, which may grow with the job's work.
+    /// Whether the job was served within the latency objective of its class, which may grow with the job's
+    /// work.
     pub fn in_time(&self, class: &ClassLoad) -> bool {
         self.served()
             && self.latency() <= class.latency_objective + self.arrival.work.mul_f64(class.objective_per_work)
     }
 
-    /// Whether it was served in the end.
+    /// Whether the job's last attempt was served.
     pub fn served(&self) -> bool {
         matches!(self.attempts.last(), Some(Attempt { outcome: Outcome::Served(_), .. }))
     }
@@ -69,17 +71,18 @@
 pub struct LoadRecord {
     /// The jobs, in the order of their arrival.
     pub jobs: Vec<JobRecord>,
-    /// The longest time by which a job was sent too late: a delay of the clients, not of the schedulers.
+    /// The largest delay between the time at which a job was due and the time at which it was sent. The
+    /// clients cause this delay, not the schedulers.
     pub lag: Duration,
 }
 
 /// The progress of a load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadProgress {
-    /// Time from its start.
+    /// Time since the start of the load.
     pub elapsed: Duration,
-    /// Jobs sent.
+    /// Number of jobs sent.
     pub sent: usize,
-    /// Jobs that have ended.
+    /// Number of jobs that have ended.
     pub ended: usize,
 }
--- a/crates/testbed/src/client/tests.rs
+++ b/crates/testbed/src/client/tests.rs
@@ -1,4 +1,4 @@
-//! The rules by which a client retries; they are private to the module.
+//! Tests of the retry rules, which are private to the module.
 
 use super::record::Outcome;
 use super::retry::{attempt_id, honors_retry_after, may_retry};
@@ -17,13 +17,13 @@
         Outcome::Broken(text()),
     ];
     let second = Duration::from_secs(1);
-    let retries = |idempotency| {
+    let allowed_retries = |idempotency| {
         outcomes.iter().map(|outcome| may_retry(idempotency, outcome, second)).collect::<Vec<_>>()
     };
-    assert_eq!(retries(Idempotency::Idempotent), [false, false, true, true, true, true]);
-    assert_eq!(retries(Idempotency::Keyed(2 * second)), [false, false, true, true, true, true]);
-    assert_eq!(retries(Idempotency::Keyed(second)), [false, false, true, true, false, false]);
-    assert_eq!(retries(Idempotency::NonIdempotent), [false, false, true, true, false, false]);
+    assert_eq!(allowed_retries(Idempotency::Idempotent), [false, false, true, true, true, true]);
+    assert_eq!(allowed_retries(Idempotency::Keyed(2 * second)), [false, false, true, true, true, true]);
+    assert_eq!(allowed_retries(Idempotency::Keyed(second)), [false, false, true, true, false, false]);
+    assert_eq!(allowed_retries(Idempotency::NonIdempotent), [false, false, true, true, false, false]);
     let honoring = (0..1_000u64).filter(|n| honors_retry_after(attempt_id(n << 54, 1), 0.25)).count();
     assert!((200..300).contains(&honoring), "{honoring}");
     assert!(!honors_retry_after(0, 0.0) && honors_retry_after(u64::MAX, 1.0));
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,8 +1,9 @@
-//! The discovery service: the list of workers with versions, watches for changes, and scripted faults.
+//! A stand-in discovery service: the versioned list of workers, watches for changes, and scripted faults.
 //!
-//! It listens on a port for each scheduler, so that each has its own addresses of the workers and can be
-//! moved on its own. A task for each port owns the listener and its connections. The list is what was
-//! published, also where a worker has changed since.
+//! The service listens on one port for each scheduler, so that each scheduler can receive its own addresses
+//! of the workers, and so that the service can move to another port for one scheduler alone. A task for each
+//! port owns the listener and its connections. The list contains the workers as they were published; a change
+//! of a worker appears once it is published.
 
 mod endpoints;
 mod server;
@@ -19,18 +20,18 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How discovery answers.
+/// How the service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Normally.
+    /// Answers normally.
     Up,
-    /// With 503, also to watches that wait.
+    /// Answers with 503; waiting watches get this answer at once.
     Failing,
-    /// By resetting the connection, also of watches that wait.
+    /// Resets the connection instead of answering, including connections of waiting watches.
     Resetting,
-    /// Not at all: connections are accepted and stay open.
+    /// Accepts connections, keeps them open and does not answer.
     Unresponsive,
-    /// With half of the answer, then the end of the connection.
+    /// Sends half of the answer, then closes the connection.
     Truncating,
 }
 
@@ -38,16 +39,16 @@
 struct State {
     endpoints: EndpointList,
     health: Health,
-    /// How long after it was published a change is listed.
+    /// Time from the publication of a change until the list contains the change.
     update_delay: Duration,
-    /// Number of calls that were answered.
+    /// Number of calls handled so far; a watch counts when its wait ends.
     calls: u64,
 }
 
-/// State and signal of one discovery service.
+/// The state of one discovery service, and the signal for its watches.
 struct Shared {
     state: Mutex<State>,
-    /// Wakes the watches after each change of the list or of the health.
+    /// Wakes the waiting watches after each change of the list or of `health`.
     changed: watch::Sender<()>,
 }
 
@@ -65,11 +66,11 @@
 /// The port of one scheduler.
 struct SchedulerPort {
     port: Port,
-    /// Absent while it does not listen.
+    /// The task that serves the port; `None` while the service does not listen on the port.
     server: Option<AbortOnDrop>,
 }
 
-/// A discovery service on loopback sockets; dropping it ends it.
+/// A discovery service on loopback sockets; dropping the value ends the service.
 pub struct Discovery {
     shared: Arc<Shared>,
     ports: Vec<Mutex<SchedulerPort>>,
@@ -96,17 +97,17 @@
         self.ports[scheduler].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where a scheduler reaches it.
+    /// Returns the service's address for a scheduler.
     pub fn address(&self, scheduler: usize) -> SocketAddr {
         self.port(scheduler).port.address()
     }
 
-    /// Stops listening for a scheduler; its connections end.
+    /// Stops listening on a scheduler's port and ends the scheduler's connections.
     pub fn stop_listening(&self, scheduler: usize) {
         self.port(scheduler).server = None;
     }
 
-    /// Listens again for a scheduler.
+    /// Listens on a scheduler's port.
     pub fn listen(&self, scheduler: usize) -> io::Result<()> {
         let port = &mut *self.port(scheduler);
         let listener = port.port.listen()?;
@@ -114,7 +115,8 @@
         Ok(())
     }
 
-    /// Moves to another port for a scheduler; the old one refuses connections, and its open ones end.
+    /// Moves to a new port for a scheduler and returns the new address. The old port refuses connections from
+    /// then on, and its open connections end.
     pub fn move_to_new_port(&self, scheduler: usize) -> io::Result<SocketAddr> {
         let port = Port::reserve()?;
         let listener = port.listen()?;
@@ -124,25 +126,26 @@
         Ok(address)
     }
 
-    /// Sets how it answers from now on.
+    /// Sets how the service answers calls from now on.
     pub fn set_health(&self, health: Health) {
         self.shared.state().health = health;
         self.shared.changed.send_replace(());
     }
 
-    /// Sets how long after it is published a change is listed, from now on.
+    /// Sets the time from the publication of a change until the list contains the change, for changes
+    /// published from now on.
     pub fn set_update_delay(&self, delay: Duration) {
         self.shared.state().update_delay = delay;
     }
 
-    /// Answers in another way for `duration`, and normally after it.
+    /// Answers as `health` states for `duration`, then normally again.
     pub async fn fail_for(&self, health: Health, duration: Duration) {
         self.set_health(health);
         sleep(duration).await;
         self.set_health(Health::Up);
     }
 
-    /// Number of calls answered so far.
+    /// Returns the number of calls handled so far; a watch counts when its wait ends.
     pub fn calls(&self) -> u64 {
         self.shared.state().calls
     }
@@ -157,12 +160,12 @@
         self.publish(Endpoint::of(worker, Lifecycle::Draining));
     }
 
-    /// Removes a worker from the list.
+    /// Marks a worker as removed from the list.
     pub fn remove(&self, worker: &Worker) {
         self.publish(Endpoint::of(worker, Lifecycle::Removed));
     }
 
-    /// Lists an endpoint after the update delay.
+    /// Adds or replaces an endpoint in the list, after the update delay.
     pub fn publish(&self, endpoint: Endpoint) {
         let delay = self.shared.state().update_delay;
         if delay.is_zero() {
--- a/crates/testbed/src/discovery/endpoints.rs
+++ b/crates/testbed/src/discovery/endpoints.rs
@@ -1,23 +1,23 @@
-//! The endpoint list: one entry for each worker, with the version of its last change.
+//! The endpoint list: one entry for each worker, with the list version at which the entry last changed.
 
 use crate::worker::Worker;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Where a worker is in its life.
+/// The lifecycle state of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes jobs.
+    /// The worker accepts jobs.
     Up,
-    /// It finishes its jobs and takes no more.
+    /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// It is no longer listed.
+    /// The worker is no longer part of the list.
     Removed,
 }
 
 impl Lifecycle {
-    /// The value on the wire.
+    /// Returns the value of the document's `lifecycle` field.
     fn as_str(self) -> &'static str {
         match self {
             Lifecycle::Up => "up",
@@ -32,24 +32,24 @@
 pub struct Endpoint {
     /// The worker's name.
     pub name: String,
-    /// Where each scheduler reaches it.
+    /// The worker's address for each scheduler, in the order of the schedulers.
     pub addresses: Vec<SocketAddr>,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// The worker's machine type.
     pub kind: String,
-    /// Its cell.
+    /// The number of the worker's cell.
     pub cell: u32,
-    /// Where it is in its life.
+    /// The worker's lifecycle state.
     pub lifecycle: Lifecycle,
-    /// Its weight.
+    /// The worker's weight.
     pub weight: f64,
-    /// When it last started, as Unix time in milliseconds.
+    /// The worker's last restart as Unix time in milliseconds; 0 if the worker was never restarted.
     pub started_at_ms: u64,
 }
 
 impl Endpoint {
-    /// A worker's entry.
+    /// Creates the entry of a worker.
     pub fn of(worker: &Worker, lifecycle: Lifecycle) -> Endpoint {
         let spec = worker.spec();
         Endpoint {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The entry on the wire, as one scheduler gets it.
+    /// Returns the entry as JSON, with the worker's address for one scheduler.
     fn json(&self, scheduler: usize) -> Value {
         let address = self.addresses.get(scheduler).map(SocketAddr::to_string).unwrap_or_default();
         json!({"instanceId": self.name, "hostPort": address, "zone": self.zone, "machineType": self.kind,
@@ -73,47 +73,47 @@
     }
 }
 
-/// An endpoint and the version of its last change.
+/// An endpoint and the list version at which it last changed.
 struct VersionedEndpoint {
     endpoint: Endpoint,
     version: u64,
 }
 
-/// All endpoints by name, also those that were removed.
+/// All endpoints by name, including removed ones.
 pub(super) struct EndpointList {
     version: u64,
     endpoints: BTreeMap<String, VersionedEndpoint>,
 }
 
 impl Default for EndpointList {
-    /// An empty list; versions count from 1.
+    /// Returns an empty list; versions start at 1.
     fn default() -> EndpointList {
         EndpointList { version: 1, endpoints: BTreeMap::new() }
     }
 }
 
 impl EndpointList {
-    /// The version of the last change.
+    /// Returns the version of the last change.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Adds or replaces an endpoint, as the next version.
+    /// Adds or replaces an endpoint and increases the version.
     pub(super) fn update(&mut self, endpoint: Endpoint) {
         self.version += 1;
         let entry = VersionedEndpoint { endpoint, version: self.version };
         self.endpoints.insert(entry.endpoint.name.clone(), entry);
     }
 
-    /// The document for a scheduler: the changes after version `since`, or else the complete list. A version
-    /// that the list has not reached counts as none.
+    /// Returns the document for a scheduler: the changes after version `since`, or the complete list if
+    /// `since` is absent or greater than the current version.
     pub(super) fn document(&self, scheduler: usize, since: Option<u64>) -> Value {
         let since = since.filter(|since| *since <= self.version);
-        let listed = self.endpoints.values().filter(|entry| match since {
+        let selected = self.endpoints.values().filter(|entry| match since {
             Some(since) => entry.version > since,
             None => entry.endpoint.lifecycle != Lifecycle::Removed,
         });
-        let instances: Vec<Value> = listed.map(|entry| entry.endpoint.json(scheduler)).collect();
+        let instances: Vec<Value> = selected.map(|entry| entry.endpoint.json(scheduler)).collect();
         json!({"generation": self.version, "reset": since.is_none(), "instances": instances})
     }
 }
--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of discovery: calls for the list, and watches that wait for a change.
+//! The HTTP interface of the discovery service: calls for the list, and watches that wait for a change.
 
 use super::{Health, Shared};
 use crate::wire::{Message, Wire};
@@ -9,10 +9,10 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// The longest wait of a watch, in milliseconds.
+/// Maximum time that a watch waits for a change, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// Serves one scheduler, until it is dropped.
+/// Serves one scheduler until the future is dropped.
 pub(super) async fn serve(shared: Arc<Shared>, listener: TcpListener, scheduler: usize) {
     let mut connections = JoinSet::new();
     loop {
@@ -30,7 +30,7 @@
         let since = query_number(&request, "index");
         if let Some(since) = since {
             let wait = query_number(&request, "wait").unwrap_or(0).min(MAX_WAIT_MS);
-            // The call is answered after the wait, changed or not.
+            // A timeout is no error: the call is answered with or without a change.
             let _ = timeout(Duration::from_millis(wait), wait_for_change(&shared, since)).await;
         }
         let (document, health) = {
@@ -44,7 +44,7 @@
             Health::Resetting => return wire.reset(),
             Health::Unresponsive => return wire.wait_for_close().await,
             Health::Truncating => {
-                // The connection ends here whether the write succeeded or not.
+                // A failed write needs no handling: the connection closes in either case.
                 let _ = write_half(&mut wire, &document).await;
                 return;
             }
@@ -55,28 +55,29 @@
     }
 }
 
-/// A number in the query of a request.
+/// Returns the number that the query of a request has under `name`.
 fn query_number(request: &Message, name: &str) -> Option<u64> {
     let (_, query) = request.target().split_once('?')?;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
 
-/// Waits until the list's version is not `since`, or discovery fails.
+/// Waits until the list's version differs from `since` or the service no longer answers normally.
 async fn wait_for_change(shared: &Shared, since: u64) {
     let mut changed = shared.changed.subscribe();
     loop {
         changed.borrow_and_update();
-        let is_over = {
+        let wait_is_over = {
             let state = shared.state();
             state.endpoints.version() != since || state.health != Health::Up
         };
-        if is_over || changed.changed().await.is_err() {
+        if wait_is_over || changed.changed().await.is_err() {
             return;
         }
     }
 }
 
+/// Writes an answer's head and the first half of its body.
 async fn write_half(wire: &mut Wire, document: &str) -> io::Result<()> {
-    let (length, half) = (document.len(), &document[..document.len() / 2]);
-    wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{half}")).await
+    let (length, first_half) = (document.len(), &document[..document.len() / 2]);
+    wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{first_half}")).await
 }
