--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,5 +1,6 @@
-//! The arrivals of a load: which job arrives when. Pure and seeded; each distribution draws from a random
-//! stream of its own, so that a change to one leaves the draws of the others as they are.
+//! The arrivals of a load: which job arrives at which time. The arrivals are a pure function of the load's
+//! specification, which contains a seed. Each distribution draws from a random stream of its own, so that a
+//! change to one distribution does not change the draws of the others.
 
 mod load;
 
@@ -10,58 +11,58 @@
 use rand_pcg::Pcg64;
 use std::time::Duration;
 
-/// The least mean of a class's work, in seconds.
+/// The smallest mean work of a class, in seconds.
 const MIN_WORK_SECONDS: f64 = 1e-6;
-/// The most work of a job, in seconds.
+/// The largest work of a job, in seconds.
 const MAX_WORK_SECONDS: f64 = 600.0;
-/// The largest factor by which a hint is above the work.
+/// The largest factor between a hint and the work that it estimates.
 const MAX_HINT_FACTOR: f64 = 1e3;
 
 /// One job as it arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, from the start.
+    /// When the job arrives, from the start of the load.
     pub at: Duration,
-    /// Its number, from 0.
+    /// The job's number, from 0.
     pub job: u64,
-    /// Its class, as an index.
+    /// The index of the job's class in the load's specification.
     pub class: usize,
-    /// The object of its request.
+    /// The object that the job's request names.
     pub object: String,
-    /// Its work at speed 1.
+    /// The job's work at speed 1.
     pub work: Duration,
-    /// Its tenant, as an index.
+    /// The index of the job's tenant in the load's specification, if the load has tenants.
     pub tenant: Option<usize>,
-    /// Its client's estimate of its work.
+    /// The client's estimate of the job's work, if clients send hints.
     pub hint: Option<Duration>,
-    /// The seed of its ids and its key.
+    /// The number from which the request ids of the job's attempts and the job's idempotency key derive.
     pub id_seed: u64,
 }
 
-/// What is drawn for the jobs of one class.
+/// The distributions from which the jobs of one class are drawn.
 struct ClassDistributions {
-    /// The shares of the classes up to this one, as a fraction of all.
+    /// The sum of the shares of the classes up to and including this one, as a fraction of the total.
     cumulative_share: f64,
     work: LogNormal<f64>,
     object: Zipf<f64>,
 }
 
-/// An endless iterator of arrivals.
+/// An endless iterator over the arrivals of a load.
 pub struct Arrivals {
     gap: Exp<f64>,
     classes: Vec<ClassDistributions>,
     class_names: Vec<String>,
-    /// Cumulative shares.
+    /// The cumulative shares of the tenants, as fractions of the total.
     tenants: Vec<f64>,
     hints: Option<LogNormal<f64>>,
     time: Duration,
     job: u64,
-    /// A random stream for each concern.
+    /// One random stream for each kind of draw.
     streams: [Pcg64; 7],
 }
 
 impl Arrivals {
-    /// The arrivals of a load; the same for the same specification.
+    /// Creates the arrivals of a load. Equal specifications yield equal arrivals.
     pub fn new(spec: &LoadSpec) -> Result<Arrivals, LoadError> {
         if spec.classes.is_empty() {
             return Err(LoadError::new("classes", LoadErrorReason::Empty));
@@ -76,7 +77,7 @@
     }
 }
 
-/// The time between two arrivals.
+/// Returns the distribution of the time between two arrivals; `rate` is in jobs per second.
 fn gap_distribution(rate: f64) -> Result<Exp<f64>, LoadError> {
     if !(rate.is_finite() && rate > 0.0) {
         return Err(LoadError::new("rate", LoadErrorReason::NotPositive));
@@ -84,7 +85,7 @@
     Exp::new(rate).map_err(|error| LoadError::new("rate", error))
 }
 
-/// What is drawn for each class, in their order.
+/// Returns the distributions of each class, in the order of the classes.
 fn class_distributions(classes: &[ClassLoad]) -> Result<Vec<ClassDistributions>, LoadError> {
     let shares: Vec<f64> = classes.iter().map(|class| class.share).collect();
     let cumulative = cumulative_shares("share", &shares)?;
@@ -108,7 +109,7 @@
     }
 }
 
-/// The tenants' cumulative shares, in their order; empty without tenants.
+/// Returns the cumulative shares of the tenants, in the order of the tenants; empty if there are no tenants.
 fn tenant_distribution(tenants: &[TenantLoad]) -> Result<Vec<f64>, LoadError> {
     if tenants.is_empty() {
         return Ok(Vec::new());
@@ -117,7 +118,8 @@
     cumulative_shares("tenant", &shares)
 }
 
-/// The factor by which hints are off the work, if there are hints.
+/// Returns the distribution of the factor between a hint and the job's work, or `None` if clients send no
+/// hints.
 fn hint_distribution(sigma: Option<f64>) -> Result<Option<LogNormal<f64>>, LoadError> {
     let Some(sigma) = sigma else { return Ok(None) };
     if !(sigma >= 0.0 && sigma.is_finite()) {
@@ -127,7 +129,7 @@
     factor.map(Some).map_err(|error| LoadError::new("hint_spread", error))
 }
 
-/// For each share the sum of the shares up to it, as a fraction of all.
+/// Returns for each share the sum of the shares up to and including it, as a fraction of the total.
 fn cumulative_shares(key: &str, shares: &[f64]) -> Result<Vec<f64>, LoadError> {
     let total: f64 = shares.iter().sum();
     let is_valid = total.is_finite() && total > 0.0 && !shares.iter().any(|share| *share < 0.0);
--- a/crates/testbed/src/arrivals/load.rs
+++ b/crates/testbed/src/arrivals/load.rs
@@ -1,4 +1,4 @@
-//! The specification of a load, and what can be wrong with it.
+//! The specification of a load, and the errors of an invalid specification.
 
 use rand_distr::{ExpError, NormalError, ZipfError};
 use std::time::Duration;
@@ -8,106 +8,106 @@
 pub enum Idempotency {
     /// A job may run any number of times.
     Idempotent,
-    /// Workers deduplicate repeats within this time.
+    /// Workers deduplicate repeated runs of a job within this time.
     Keyed(Duration),
     /// A job must never run twice.
     NonIdempotent,
 }
 
-/// One class of jobs as clients send them.
+/// The part of a load that belongs to one class of jobs.
 #[derive(Clone, Debug)]
 pub struct ClassLoad {
-    /// Its name, the first part of the path.
+    /// The name of the class, which is the first segment of the request path.
     pub name: String,
-    /// Its share of the jobs, relative to the others' shares.
+    /// The share of jobs, relative to the shares of the others.
     pub share: f64,
-    /// The weight of a job answered in time.
+    /// The priority weight of a second of work; the audit uses it to weigh the jobs served in time.
     pub priority_weight: f64,
-    /// The mean of its work.
+    /// The mean work of a job, at speed 1.
     pub work: Duration,
-    /// How widely work varies: the sigma of a log-normal distribution.
+    /// The sigma of the log-normal distribution of a job's work.
     pub spread: f64,
-    /// Latency within which an answer is in time, without the part that grows with the job's work.
+    /// The constant part of the latency objective, within which an answer is in time.
     pub latency_objective: Duration,
-    /// The part of the objective that grows with a job's work, as a multiple of it.
+    /// The part of the latency objective that grows with a job's work, as a multiple of the work.
     pub objective_per_work: f64,
-    /// How long a client waits, over all attempts.
+    /// The time that a client waits for a job, over all attempts.
     pub deadline: Duration,
     /// Whether jobs may run more than once.
     pub idempotency: Idempotency,
-    /// Number of objects that jobs are for.
+    /// Number of different objects that jobs need.
     pub objects: u64,
-    /// How unevenly jobs spread over them: the exponent of a Zipf distribution.
+    /// The exponent of the Zipf distribution of jobs over objects; 0 spreads the jobs evenly.
     pub zipf: f64,
-    /// Slots that a job takes at a worker.
+    /// Number of slots that a job takes at a worker.
     pub slots: usize,
 }
 
-/// One tenant as clients send for it.
+/// The part of a load that belongs to one tenant.
 #[derive(Clone, Debug)]
 pub struct TenantLoad {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its share of the jobs, relative to the others' shares.
+    /// The share of jobs, relative to the shares of the others.
     pub share: f64,
 }
 
 /// A load: an open loop of independent arrivals.
 #[derive(Clone, Debug)]
 pub struct LoadSpec {
-    /// The seed of every draw.
+    /// The seed of all random draws.
     pub seed: u64,
     /// Jobs per second.
     pub rate: f64,
-    /// The classes.
+    /// The classes of jobs.
     pub classes: Vec<ClassLoad>,
-    /// The tenants; jobs have none if empty.
+    /// The tenants; if empty, jobs have no tenant.
     pub tenants: Vec<TenantLoad>,
-    /// How far hints are off the work: the sigma of a log-normal factor; no hints if absent.
+    /// The sigma of the log-normal factor between a hint and the job's work; `None` if clients send no hints.
     pub hint_spread: Option<f64>,
-    /// The share of rejected clients that wait for the time of `Retry-After`.
+    /// The fraction of rejected attempts whose client waits for the time in `Retry-After`.
     pub retry_after_share: f64,
-    /// Whether retries carry a header that marks them.
+    /// Whether retries carry the header `x-second-try`.
     pub marks_retries: bool,
     /// Maximum number of retries of a job.
     pub retries: u32,
-    /// Pause before a retry without a `Retry-After` that the client honors.
+    /// Pause before a retry, unless the client honors a `Retry-After`.
     pub pause: Duration,
 }
 
-/// A load with an invalid setting.
+/// An invalid setting of a load.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct LoadError {
-    /// The setting.
+    /// The name of the setting.
     pub key: String,
-    /// What is wrong with it.
+    /// The reason why the setting is invalid.
     pub reason: LoadErrorReason,
 }
 
-/// What is wrong with a setting of a load.
+/// The reason why a setting of a load is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum LoadErrorReason {
-    /// A list without entries.
-    #[error("there is none")]
+    /// The list is empty.
+    #[error("must have at least one entry")]
     Empty,
-    /// A number that must be positive.
+    /// The number is not positive and finite.
     #[error("must be above 0")]
     NotPositive,
-    /// A number that must be 0 or positive.
+    /// The number is negative or not finite.
     #[error("must not be negative")]
     Negative,
-    /// Shares of which one is negative, or whose sum is not positive.
-    #[error("shares must not be negative, nor all 0")]
+    /// A share is negative, or the sum of the shares is not positive and finite.
+    #[error("shares must not be negative, and at least one must be above 0")]
     InvalidShares,
-    /// A rate without an exponential distribution.
+    /// The rate is invalid for an exponential distribution.
     #[error(transparent)]
     Rate(#[from] ExpError),
-    /// A spread without a log-normal distribution.
+    /// The spread is invalid for a log-normal distribution.
     #[error(transparent)]
     Spread(#[from] NormalError),
-    /// An exponent without a Zipf distribution.
+    /// The exponent is invalid for a Zipf distribution.
     #[error(transparent)]
     Exponent(#[from] ZipfError),
 }
--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -1,6 +1,7 @@
 //! The exactly-once audit: compares the answers that clients received with the jobs that workers ran.
 //!
-//! Pure. It excuses nothing by itself: whoever ends a scheduler passes the time of the [`Outage`] in.
+//! The audit is a pure function. It excuses the loss of an attempt only during an [`Outage`]; the code that
+//! ends a scheduler passes the outage in.
 
 use crate::arrivals::{ClassLoad, Idempotency};
 use crate::client::{Attempt, JobRecord, Outcome};
@@ -15,45 +16,46 @@
 pub enum Violation {
     /// An accepted attempt received no response before its client's deadline.
     Unanswered(u64),
-    /// An attempt's connection ended without a response while no scheduler was down.
+    /// The connection of an attempt ended without a response while no scheduler was down.
     Lost(u64),
-    /// An attempt was answered with a result that no worker produced for it.
+    /// An attempt was answered with a result that does not belong to a finished run of the attempt's job.
     ForeignResult(u64),
     /// A keyed job finished twice, or started again after workers had forgotten its key.
     KeyedRanTwice(String),
     /// A non-idempotent job ran again.
     NonIdempotentRanTwice(u64),
-    /// A non-idempotent job ran, and its client was answered that a retry is harmless.
+    /// An attempt of a non-idempotent job ran, but its client received a rejection, which states that the job
+    /// did not run and may be retried.
     RejectedAfterRun(u64),
-    /// Workers ran a request that no client sent.
+    /// A worker ran a request that no client sent.
     UnknownRequest(u64),
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Violation::Unanswered(id) => write!(f, "{id:016x} was never answered"),
-            Violation::Lost(id) => write!(f, "{id:016x} lost its connection while no scheduler was down"),
+            Violation::Unanswered(id) => write!(f, "request {id:016x} was never answered"),
+            Violation::Lost(id) => write!(f, "request {id:016x} lost its connection without an outage"),
             Violation::ForeignResult(id) => {
-                write!(f, "{id:016x} was served with what no worker made for it")
+                write!(f, "request {id:016x} received a result that no worker produced for it")
             }
-            Violation::KeyedRanTwice(key) => write!(f, "the keyed job {key} ran twice"),
-            Violation::NonIdempotentRanTwice(id) => write!(f, "{id:016x} must not run twice and did"),
+            Violation::KeyedRanTwice(key) => write!(f, "the job with idempotency key {key} ran twice"),
+            Violation::NonIdempotentRanTwice(id) => write!(f, "non-idempotent request {id:016x} ran twice"),
             Violation::RejectedAfterRun(id) => {
-                write!(f, "{id:016x} must not run twice and was refused though it had run")
+                write!(f, "non-idempotent request {id:016x} was rejected although it had run")
             }
-            Violation::UnknownRequest(id) => write!(f, "{id:016x} was run and never sent"),
+            Violation::UnknownRequest(id) => write!(f, "request {id:016x} ran, but no client sent it"),
         }
     }
 }
 
-/// A time in which a scheduler was down, or was not yet known to be down: attempts in flight then may be
-/// lost.
+/// A period in which a scheduler was down but might still receive connections. Attempts in flight during the
+/// period may be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// When the scheduler ended.
     pub from: Duration,
-    /// When new connections were no longer sent to it.
+    /// When the scheduler no longer received new connections.
     pub until: Duration,
 }
 
@@ -66,18 +68,18 @@
 /// Numbers of attempts by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Answers {
-    /// Served.
+    /// Attempts that were served.
     pub served: u64,
-    /// Rejected.
+    /// Attempts that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Attempts that were answered with another status.
     pub failed: u64,
-    /// The connection ended without a response.
+    /// Attempts whose connection ended without a response.
     pub lost: u64,
-    /// No connection was made.
+    /// Attempts for which no connection could be made.
     pub unreachable: u64,
-    /// No response before the deadline.
+    /// Attempts that received no response before the deadline.
     #[serde(rename = "none")]
     pub unanswered: u64,
 }
@@ -103,16 +105,18 @@
     pub answers: Answers,
     /// Number of runs at workers.
     pub runs: u64,
-    /// Broken guarantees, sorted.
+    /// The broken guarantees, sorted and without duplicates.
     pub violations: Vec<Violation>,
-    /// The share of jobs that ran at the worker with most of their object's jobs, over objects with two or
-    /// more.
+    /// The share of runs that took place at the worker with most runs of the same object, over objects with
+    /// two runs or more; 1 if there are no such objects.
     pub affinity: f64,
-    /// Priority weight answered in time over priority weight sent.
+    /// The priority weight of jobs served in time, divided by the priority weight of all jobs; 1 without
+    /// jobs.
     pub in_time_share: f64,
 }
 
-/// Compares clients' records with workers' runs; without known runs, audits the clients' side alone.
+/// Compares the records of clients with the runs at workers. If `known_runs` is absent, audits the records of
+/// clients alone.
 pub fn audit_jobs(
     classes: &[ClassLoad],
     jobs: &[JobRecord],
@@ -135,7 +139,7 @@
     }
 }
 
-/// The records under audit, and what was found in them so far.
+/// The records under audit, and the findings so far.
 struct Auditor<'a> {
     classes: &'a [ClassLoad],
     jobs: &'a [JobRecord],
@@ -177,7 +181,8 @@
         self.outages.iter().any(|outage| outage.overlaps(attempt))
     }
 
-    /// Whether an attempt was accepted before its connection ended: it ran before the client sent it again.
+    /// Whether an attempt ran before the client sent it again. In that case a scheduler had accepted the
+    /// attempt before the attempt's connection ended.
     fn ran_before_resend(&self, attempt: &Attempt) -> bool {
         let first_start = self.first_starts.get(&attempt.id);
         attempt.resent.zip(first_start).is_some_and(|(resent, started)| *started < resent)
@@ -194,7 +199,7 @@
         }
     }
 
-    /// An attempt receives a response, unless its scheduler went down.
+    /// Checks that the attempt received a response, unless an outage excuses the loss.
     fn check_connection(&mut self, attempt: &Attempt) {
         if self.is_excused(attempt) {
             return;
@@ -209,7 +214,8 @@
         }
     }
 
-    /// A result comes from a finished run of this attempt or of its key.
+    /// Checks that the result of a served attempt comes from a finished run of this attempt or of its job's
+    /// key.
     fn check_result(&mut self, job: &JobRecord, attempt: &Attempt) {
         let (Outcome::Served(result), Some(runs)) = (&attempt.outcome, self.known_runs) else { return };
         if !is_result_of(result, attempt.id, job, runs) {
@@ -217,7 +223,7 @@
         }
     }
 
-    /// A rejected attempt of a non-idempotent job has not run.
+    /// Checks that a rejected attempt of a non-idempotent job has not run.
     fn check_rejection(&mut self, job: &JobRecord, attempt: &Attempt) {
         let non_idempotent = self.classes[job.arrival.class].idempotency == Idempotency::NonIdempotent;
         let ran = self.first_starts.contains_key(&attempt.id);
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Each run belongs to a request, and repeats stay within what the job's class allows.
+    /// Checks that each run belongs to a request, and that the class of the job allows the repeated runs.
     fn check_runs(&mut self) {
         let jobs_by_id = self.jobs_by_id();
         let resent_in_outage = self.resent_in_outage();
@@ -241,8 +247,8 @@
             if resent_in_outage.get(&run.id).is_some_and(|resent| run.started < *resent) {
                 continue;
             }
-            // By job, not by attempt: a client may retry only after a rejection, which means that nothing
-            // ran.
+            // Counts runs by job, not by attempt: a client may retry a non-idempotent job only after a
+            // rejection or a failed connect, which means that the job has not run.
             let started_before = !started_jobs.insert(job.arrival.job);
             match self.classes[job.arrival.class].idempotency {
                 Idempotency::NonIdempotent if started_before => {
@@ -259,15 +265,16 @@
         self.violations.extend(repeated.map(|(key, _)| Violation::KeyedRanTwice((*key).to_string())));
     }
 
+    /// Returns the jobs by the request ids of their attempts.
     fn jobs_by_id(&self) -> HashMap<u64, &'a JobRecord> {
         let attempts =
             self.jobs.iter().flat_map(|job| job.attempts.iter().map(move |attempt| (attempt, job)));
         attempts.map(|(attempt, job)| (attempt.id, job)).collect()
     }
 
-    /// When attempts that were in flight in an outage were sent again. A client can't distinguish the end of
-    /// its scheduler from the close of an idle connection, so runs that started before the resend don't count
-    /// as repeated by it.
+    /// Returns when the attempts in flight during an outage were sent again, by request id. A client can't
+    /// distinguish the end of its scheduler from the close of an idle connection, so a run that started
+    /// before the resend doesn't count towards repeated runs.
     fn resent_in_outage(&self) -> HashMap<u64, Duration> {
         let attempts = self.jobs.iter().flat_map(|job| &job.attempts);
         let excused = attempts.filter(|attempt| self.is_excused(attempt));
@@ -287,7 +294,7 @@
         KeyedRuns { window, runs: Vec::new() }
     }
 
-    /// Whether more than one finished, or one started after the key was forgotten.
+    /// Whether more than one run finished, or a run started after workers had forgotten the key.
     fn are_repeated(&self) -> bool {
         let finished = self.runs.iter().filter(|run| run.end == RunEnd::Finished).count();
         let first = self.runs.iter().map(|run| run.started).min().unwrap_or_default();
@@ -295,7 +302,7 @@
     }
 }
 
-/// How many jobs of each object ran at each worker.
+/// Numbers of runs by object and worker.
 #[derive(Default)]
 struct Affinity<'a>(BTreeMap<&'a str, BTreeMap<&'a str, u64>>);
 
@@ -307,41 +314,42 @@
     /// The share of jobs at their object's most used worker, over objects with two jobs or more; 1 without
     /// any.
     fn share(&self) -> f64 {
-        let (mut at_most_used, mut all) = (0, 0);
+        let (mut at_most_used, mut total) = (0, 0);
         for workers in self.0.values() {
-            let jobs: u64 = workers.values().sum();
-            if jobs > 1 {
+            let runs: u64 = workers.values().sum();
+            if runs > 1 {
                 at_most_used += workers.values().max().unwrap_or(&0);
-                all += jobs;
+                total += runs;
             }
         }
-        if all == 0 {
+        if total == 0 {
             1.0
         } else {
-            at_most_used as f64 / all as f64
+            at_most_used as f64 / total as f64
         }
     }
 }
 
-/// Priority weight answered in time over priority weight sent; 1 without any.
+/// Returns the priority weight of jobs served in time, divided by the priority weight of all jobs; 1 without
+/// jobs.
 fn in_time_share(classes: &[ClassLoad], jobs: &[JobRecord]) -> f64 {
-    let (mut sent, mut in_time) = (0.0, 0.0);
+    let (mut total_weight, mut in_time_weight) = (0.0, 0.0);
     for job in jobs {
         let class = &classes[job.arrival.class];
         let weight = class.priority_weight * job.arrival.work.as_secs_f64();
-        sent += weight;
+        total_weight += weight;
         if job.in_time(class) {
-            in_time += weight;
+            in_time_weight += weight;
         }
     }
-    if sent > 0.0 {
-        in_time / sent
+    if total_weight > 0.0 {
+        in_time_weight / total_weight
     } else {
         1.0
     }
 }
 
-/// Whether a result comes from a finished run of this attempt or of its job's key.
+/// Whether a result comes from a finished run of the attempt with this id or of its job's key.
 fn is_result_of(text: &str, id: u64, job: &JobRecord, runs: &[Run]) -> bool {
     let number = text.split_once(':').and_then(|(_, number)| number.parse::<usize>().ok());
     let Some((number, run)) = number.and_then(|number| Some((number, runs.get(number)?))) else {
--- a/crates/testbed/src/load_balancer.rs
+++ b/crates/testbed/src/load_balancer.rs
@@ -1,9 +1,10 @@
 //! A load balancer in front of the schedulers: one address for clients, whose connections go to the ready
 //! schedulers in turn.
 //!
-//! One task owns the listener, the relayed connections and the readiness checks. A scheduler gets connections
-//! from its first positive readiness check on, and none after a negative one; that it no longer answers is
-//! detected after a delay. Relayed bytes are not interpreted.
+//! One task owns the listener, the relayed connections and the readiness checks. A scheduler receives
+//! connections after a positive readiness check and none after a negative one. A scheduler that no longer
+//! answers the checks still receives connections until the detection delay has passed. The load balancer does
+//! not interpret the bytes that it relays.
 
 use crate::wire::Wire;
 use crate::{AbortOnDrop, Port};
@@ -19,15 +20,17 @@
 
 /// Interval between readiness checks of a scheduler.
 const READINESS_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a scheduler may take to answer a readiness check.
+/// Time limit for a scheduler's answer to a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a scheduler may take to accept a relayed connection.
+/// Time limit for connecting to a scheduler.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The request of a readiness check.
 const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
 
 /// A scheduler behind the load balancer.
 struct Backend {
     address: SocketAddr,
+    /// Whether the scheduler receives connections.
     ready: AtomicBool,
 }
 
@@ -41,7 +44,7 @@
     }
 }
 
-/// A load balancer on a loopback socket; dropping it ends it and its connections.
+/// A load balancer on a loopback socket; dropping the value ends the load balancer and its connections.
 pub struct LoadBalancer {
     port: Port,
     backends: Arc<Vec<Backend>>,
@@ -50,7 +53,8 @@
 }
 
 impl LoadBalancer {
-    /// Starts one before these schedulers, which stops using one that has not answered for `detection_delay`.
+    /// Starts a load balancer in front of the addresses `schedulers`. A scheduler that has not answered a
+    /// readiness check for `detection_delay` receives no further connections.
     pub async fn start(schedulers: &[SocketAddr], detection_delay: Duration) -> io::Result<LoadBalancer> {
         let port = Port::reserve()?;
         let listener = port.listen()?;
@@ -59,23 +63,23 @@
         Ok(LoadBalancer { port, backends, detection_delay, _server: server })
     }
 
-    /// Where clients connect.
+    /// Returns the address to which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.port.address()
     }
 
-    /// How long a scheduler that no longer answers still gets connections.
+    /// Returns the time for which a scheduler that no longer answers still receives connections.
     pub fn detection_delay(&self) -> Duration {
         self.detection_delay
     }
 
-    /// Number of schedulers that get connections now.
+    /// Returns the number of schedulers that receive connections at present.
     pub fn ready_schedulers(&self) -> usize {
         self.backends.iter().filter(|backend| backend.is_ready()).count()
     }
 }
 
-/// Accepts clients and checks the schedulers, until it is dropped.
+/// Accepts clients and checks the schedulers until the future is dropped.
 async fn serve(listener: TcpListener, backends: Arc<Vec<Backend>>, detection_delay: Duration) {
     let mut tasks = JoinSet::new();
     for index in 0..backends.len() {
@@ -95,16 +99,18 @@
     }
 }
 
-/// The scheduler for a client by round robin over those that are ready.
+/// Returns the scheduler for the next client by round robin over the ready schedulers, or `None` if no
+/// scheduler is ready.
 fn next_backend(backends: &[Backend], accepted_count: usize) -> Option<SocketAddr> {
     let ready: Vec<&Backend> = backends.iter().filter(|backend| backend.is_ready()).collect();
     let backend = ready.get(accepted_count % ready.len().max(1))?;
     Some(backend.address)
 }
 
-/// Copies bytes both ways until both ends have closed; a fault at one end resets the client's connection.
+/// Copies bytes in both directions until both ends have closed; an error at either end resets the client's
+/// connection.
 async fn relay(mut client: TcpStream, address: SocketAddr) {
-    // Socket options are best effort: a connection without them still carries the bytes.
+    // Failures to set socket options are ignored: the connection carries the bytes without the options, too.
     let _ = client.set_nodelay(true);
     let Ok(Ok(mut scheduler)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
         let _ = client.set_zero_linger();
@@ -116,14 +122,14 @@
     }
 }
 
-/// Keeps a scheduler's readiness up to date, until it is dropped.
+/// Updates a scheduler's readiness at each interval until the future is dropped.
 async fn check_readiness(backends: Arc<Vec<Backend>>, index: usize, detection_delay: Duration) {
     let backend = &backends[index];
     let mut interval = interval(READINESS_INTERVAL);
     let mut last_ready: Option<Instant> = None;
     loop {
         interval.tick().await;
-        // Without an answer the last state stands until the detection delay is over.
+        // If there is no answer, the last state remains until the detection delay has passed.
         if let Ok(Some(ready)) = timeout(READINESS_TIMEOUT, query_readiness(backend.address)).await {
             last_ready = ready.then(Instant::now);
         }
@@ -132,7 +138,7 @@
     }
 }
 
-/// A scheduler's answer to one readiness check; `None` without one.
+/// Returns a scheduler's answer to one readiness check, or `None` if the scheduler does not answer.
 async fn query_readiness(address: SocketAddr) -> Option<bool> {
     let mut wire = Wire::dial(address).await.ok()?;
     wire.write(READINESS_REQUEST).await.ok()?;
--- a/crates/testbed/src/queue.rs
+++ b/crates/testbed/src/queue.rs
@@ -1,21 +1,22 @@
-//! A worker's slots and the queue for them, in order or by what fits.
+//! The slots of a worker and the queue of waiters for slots.
 //!
-//! The queue does not know what waits in it, or why.
+//! The queue is independent of jobs and probes: a waiter states only a number of slots.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::oneshot;
 
-/// Which waiter gets its slots next.
+/// The rule that selects the waiter that gets its slots next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
-    /// The first one; while it does not fit, all others wait behind it.
+    /// The first waiter. While too few slots are free for the first waiter, all other waiters wait, too.
     #[default]
     Fifo,
-    /// The first one that fits.
+    /// The first waiter for which enough slots are free.
     Backfill,
 }
 
+/// A waiter and the number of slots that it waits for.
 struct Waiter {
     slots: usize,
     granted: oneshot::Sender<SlotPermit>,
@@ -27,7 +28,7 @@
 }
 
 impl QueueState {
-    /// Removes the waiters that get their slots now, and takes the slots for them.
+    /// Removes the waiters that can get their slots now, and subtracts their slots from the free ones.
     fn take_grants(&mut self, order: Order) -> Vec<Waiter> {
         self.waiters.retain(|waiter| !waiter.granted.is_closed());
         let mut grants = Vec::new();
@@ -52,11 +53,11 @@
     state: Mutex<QueueState>,
 }
 
-/// A number of slots and the queue for them. Clones share both.
+/// The slots of a worker and the queue of waiters for them. Clones share both.
 #[derive(Clone)]
 pub struct Queue(Arc<Shared>);
 
-/// Slots that were taken; dropping it releases them.
+/// Acquired slots; dropping the value releases the slots.
 pub struct SlotPermit {
     queue: Queue,
     slots: usize,
@@ -69,7 +70,8 @@
     }
 }
 
-/// A place in the queue. Dropping it may let those behind it have their slots.
+/// A place in the queue. Dropping the place of a waiter that has no slots yet may let later waiters get their
+/// slots.
 struct QueuePlace<'a> {
     queue: &'a Queue,
     granted: oneshot::Receiver<SlotPermit>,
@@ -83,7 +85,7 @@
 }
 
 impl Queue {
-    /// An empty queue for a number of free slots.
+    /// Creates an empty queue with `slots` free slots.
     pub fn new(slots: usize, order: Order) -> Queue {
         let state = Mutex::new(QueueState { free: slots, waiters: VecDeque::new() });
         Queue(Arc::new(Shared { order, slots, state }))
@@ -93,12 +95,12 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Number of free slots.
+    /// Returns the number of free slots.
     pub fn free(&self) -> usize {
         self.state().free
     }
 
-    /// Waits for a number of slots; more than there are count as all of them.
+    /// Waits for a number of slots. A request for more slots than the queue has waits for all of them.
     pub async fn acquire(&self, slots: usize) -> Option<SlotPermit> {
         let (sender, granted) = oneshot::channel();
         let slots = slots.clamp(1, self.0.slots.max(1));
@@ -108,11 +110,11 @@
         (&mut place.granted).await.ok()
     }
 
-    /// Gives free slots to waiters.
+    /// Gives free slots to the waiters that can get them.
     fn grant(&self) {
         let grants = self.state().take_grants(self.0.order);
-        // Outside the lock: the permit of a waiter that has left meanwhile is dropped here and releases its
-        // slots.
+        // Permits are sent outside the lock: if a waiter has left meanwhile, its permit is dropped here, and
+        // the drop locks the state to release the slots.
         for Waiter { slots, granted } in grants {
             let _ = granted.send(SlotPermit { queue: self.clone(), slots });
         }
