--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -97,7 +97,8 @@
                     sent += 1;
                     in_flight.spawn(self.new_job(load_start, arrival).run());
                 }
-                Some(ended) = in_flight.join_next(), if !in_flight.is_empty() => record.jobs.extend(ended.ok()),
+                Some(ended) = in_flight.join_next(), if !in_flight.is_empty() =>
+                    record.jobs.extend(ended.ok()),
                 else => break,
             }
             on_progress(LoadProgress { elapsed: load_start.elapsed(), sent, ended: record.jobs.len() });
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,18 +1,24 @@
-//! Stand-ins on loopback sockets for everything around a scheduler, written from the daemon's protocol: a
+//! Stand-ins on loopback sockets for everything around a scheduler, implemented from the daemon's protocol: a
 //! [`discovery::Discovery`] with watches, [`worker::Worker`]s that run jobs or misbehave as scripted, a
 //! [`load_balancer::LoadBalancer`] in front of the schedulers, and [`client`]s with a seeded load.
 //!
-//! Each part is a value that owns its sockets and tasks; dropping it ends them. A test scripts a part by
-//! calling it; [`wire::Wire`] is either end of a connection where a test must break off inside a message.
-//! Nothing here depends on the daemon's code: the protocol is written down a second time, so that a mistake
-//! in either shows.
+//! Each stand-in is a value that owns its sockets and tasks; dropping the value ends them. A test controls a
+//! stand-in by calling its methods. Where a test must stop inside a message, [`wire::Wire`] serves as either
+//! end of a connection. The crate does not depend on the daemon's code: it implements the protocol a second
+//! time, so that a mistake in either implementation becomes visible.
 //!
-//! ```no_run # async fn example() -> std::io::Result<()> { use vetchbridge_testbed::{discovery::Discovery,
-//! worker::{JobBehavior, Worker, WorkerSpec}, runs::Runs}; let scheduler =
-//! "127.0.0.1:8080".parse().expect("an address"); let (discovery, runs) = (Discovery::start(1).await?,
-//! Runs::default()); let worker = Worker::start(WorkerSpec::new("s-0"), runs.clone(), &[scheduler]).await?;
-//! discovery.list_as_up(&worker); worker.script_jobs([JobBehavior::NoResponse, JobBehavior::Lose]); // the
-//! next job gets no response, the one after is lost # Ok(()) } ```
+//! ```no_run
+//! # async fn example() -> std::io::Result<()> {
+//! use vetchbridge_testbed::{discovery::Discovery, runs::Runs};
+//! use vetchbridge_testbed::worker::{JobBehavior, Worker, WorkerSpec};
+//! let scheduler = "127.0.0.1:8080".parse().expect("an address");
+//! let (discovery, runs) = (Discovery::start(1).await?, Runs::default());
+//! let worker = Worker::start(WorkerSpec::new("s-0"), runs.clone(), &[scheduler]).await?;
+//! discovery.list_as_up(&worker);
+//! // The next job receives no response, and the job after it is lost.
+//! worker.script_jobs([JobBehavior::NoResponse, JobBehavior::Lose]);
+//! # Ok(()) }
+//! ```
 
 #![deny(missing_docs)]
 
--- a/crates/testbed/src/owned.rs
+++ b/crates/testbed/src/owned.rs
@@ -1,12 +1,12 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use tokio::task::JoinHandle;
 
-/// A task that is cancelled when this value is dropped, with everything that the task owns.
+/// A task that is aborted when this value is dropped. Everything that the task owns is dropped with the task.
 pub struct AbortOnDrop(JoinHandle<()>);
 
 impl AbortOnDrop {
-    /// Starts the task.
+    /// Starts a task.
     pub fn spawn(task: impl std::future::Future<Output = ()> + Send + 'static) -> AbortOnDrop {
         AbortOnDrop(tokio::spawn(task))
     }
--- a/crates/testbed/src/port.rs
+++ b/crates/testbed/src/port.rs
@@ -1,21 +1,21 @@
-//! Ports that stay reserved while nothing listens on them.
+//! Loopback ports that stay reserved while nothing listens on them.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Number of connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// A reserved port on loopback: while nothing listens on it connections are refused, and no other process
-/// gets it.
+/// A reserved port on the loopback address. While nothing listens on the port, connections to it are refused
+/// and no other process can bind it.
 pub struct Port {
     address: SocketAddr,
     _reserved: TcpSocket,
 }
 
 impl Port {
-    /// Reserves any free port.
+    /// Reserves a free port.
     pub fn reserve() -> io::Result<Port> {
         let reserved = TcpSocket::new_v4()?;
         reserved.set_reuseaddr(true)?;
@@ -23,12 +23,12 @@
         Ok(Port { address: reserved.local_addr()?, _reserved: reserved })
     }
 
-    /// Its address.
+    /// Returns the address of the port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Listens on it until the listener is dropped.
+    /// Listens on the port until the returned listener is dropped.
     pub fn listen(&self) -> io::Result<TcpListener> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,24 +1,24 @@
-//! The record of what workers ran, and the deduplication of keyed jobs.
+//! The record of the jobs that workers ran, and the deduplication of keyed jobs.
 //!
-//! Times are passed in. Whether a run should have happened is checked by [`crate::audit`].
+//! Callers pass the times in. [`crate::audit`] checks whether the runs were allowed.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How a run ended.
+/// The end of a run, if it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It has not ended.
+    /// The run has not ended.
     Running,
-    /// It completed.
+    /// The run completed the job.
     Finished,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was cancelled while it ran.
+    /// The run was cancelled.
     Cancelled,
-    /// Its process ended.
+    /// The worker lost the run, for example because the worker was killed.
     Lost,
 }
 
@@ -27,66 +27,67 @@
 pub struct Run {
     /// The request's id.
     pub id: u64,
-    /// The idempotency key.
+    /// The idempotency key, if the request has one.
     pub key: Option<String>,
-    /// The class, as in the path.
+    /// The job's class, from the request path.
     pub class: String,
-    /// The object of the request, as in the path.
+    /// The object that the job needs, from the request path.
     pub object: String,
     /// The worker's name.
     pub worker: String,
-    /// When it started, from the beginning of the record.
+    /// When the run started, from the start of the recording.
     pub started: Duration,
-    /// How it ended.
+    /// The end of the run.
     pub end: RunEnd,
 }
 
-/// What a worker does with a job that has arrived.
+/// What a worker does with a job that has its slots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs the job, as the run of this number.
+    /// The worker runs the job; the number is that of the new run.
     Run(usize),
-    /// The job repeats the finished run of this number, and has its result.
+    /// The job repeats the finished run with this number and gets the result of that run.
     Finished(usize),
-    /// The job repeats the run of this number, which has not ended.
+    /// The job repeats the run with this number, which has not ended.
     Running(usize),
 }
 
-/// An attempt that arrived complete at a worker, whatever the worker did with it.
+/// An attempt whose complete request arrived at a worker, whether or not the worker accepted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptArrival {
     /// The request's id.
     pub id: u64,
     /// The worker's name.
     pub worker: String,
-    /// When it arrived, from the beginning of the record.
+    /// When the attempt arrived, from the start of the recording.
     pub at: Duration,
-    /// How long the scheduler waits for the job's end, if its request has that.
+    /// How long the scheduler waits for the job's end, if the request states that time.
     pub expires_in: Option<Duration>,
 }
 
 /// Numbers of attempts that arrived at workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// All that arrived.
+    /// Number of attempts that arrived.
     pub arrived: u64,
-    /// Those that repeated a keyed job and did not run.
+    /// Number of attempts that did not run because they repeated a keyed job.
     pub deduplicated: u64,
 }
 
+/// The content of the record.
 #[derive(Default)]
 struct State {
     runs: Vec<Run>,
     arrivals: Vec<AttemptArrival>,
-    /// The last run of each idempotency key.
+    /// The number of the last run of each idempotency key.
     runs_by_key: HashMap<String, usize>,
     deduplicated: u64,
     probes: u64,
 }
 
 impl State {
-    /// The run that a job repeats: of the same key, within the deduplication window, and neither failed nor
-    /// lost.
+    /// Returns the earlier run that a job repeats, or `None`. A job repeats the last run with its key if that
+    /// run started within the deduplication window and did not fail, was not cancelled and was not lost.
     fn repeated_run(&self, run: &Run, window: Duration) -> Option<Admission> {
         let number = *self.runs_by_key.get(run.key.as_ref()?)?;
         let earlier = &self.runs[number];
@@ -101,7 +102,7 @@
     }
 }
 
-/// The record of what workers ran. Clones share one record.
+/// The record of the jobs that workers ran. Clones share one record.
 #[derive(Clone, Default)]
 pub struct Runs {
     state: Arc<Mutex<State>>,
@@ -113,27 +114,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records an attempt that arrived complete at a worker.
+    /// Records an attempt whose complete request arrived at a worker.
     pub fn record_attempt(&self, arrival: AttemptArrival) {
         self.state().arrivals.push(arrival);
     }
 
-    /// The attempts that arrived, in their order.
+    /// Returns the attempts that arrived, in the order of their arrival.
     pub fn arrivals(&self) -> Vec<AttemptArrival> {
         self.state().arrivals.clone()
     }
 
-    /// Records a health check that arrived at a worker.
+    /// Records a probe that arrived at a worker.
     pub fn record_probe(&self) {
         self.state().probes += 1;
     }
 
-    /// Number of health checks that arrived.
+    /// Returns the number of probes that arrived.
     pub fn probes(&self) -> u64 {
         self.state().probes
     }
 
-    /// Starts a run, unless it repeats one of the same key that started within `window`.
+    /// Starts a run, unless the job repeats a run with the same key that started within `window` before.
     pub fn start(&self, run: Run, window: Duration) -> Admission {
         let state = &mut *self.state();
         if let Some(repeated) = state.repeated_run(&run, window) {
@@ -148,7 +149,7 @@
         Admission::Run(number)
     }
 
-    /// Ends a run; an end that is already recorded stays.
+    /// Records the end of a run. Has no effect if the run has ended already.
     pub fn end(&self, number: usize, end: RunEnd) {
         if let Some(run) = self.state().runs.get_mut(number).filter(|run| run.end == RunEnd::Running) {
             run.end = end;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Waits for the end of a run.
+    /// Waits until a run has ended and returns its end.
     pub async fn wait_for_end(&self, number: usize) -> RunEnd {
         loop {
             let notified = self.run_ended.notified();
@@ -167,29 +168,30 @@
         }
     }
 
-    /// The id of the request that a run was for.
+    /// Returns the request id of a run.
     pub fn id_of(&self, number: usize) -> u64 {
         self.state().runs[number].id
     }
 
-    /// How a run ended, if it has.
+    /// Returns the end of a run; [`RunEnd::Running`] if the run has not ended.
     pub fn end_of(&self, number: usize) -> RunEnd {
         self.state().runs[number].end
     }
 
-    /// All runs so far, in the order of their numbers.
+    /// Returns all runs so far, in the order of their numbers.
     pub fn all(&self) -> Vec<Run> {
         self.state().runs.clone()
     }
 
-    /// Numbers of attempts so far.
+    /// Returns the numbers of attempts so far.
     pub fn counts(&self) -> AttemptCounts {
         let state = self.state();
         AttemptCounts { arrived: state.arrivals.len() as u64, deduplicated: state.deduplicated }
     }
 }
 
-/// The result of a run; it names the run, so that an answer can be traced to it.
+/// Returns the result of a run. The text contains the request id and the run's number, so that an answer can
+/// be traced to the run.
 pub fn run_result(id: u64, number: usize) -> String {
     format!("{id:016x}:{number}")
 }
--- a/crates/testbed/src/stats.rs
+++ b/crates/testbed/src/stats.rs
@@ -1,37 +1,37 @@
-//! A worker's load reports: their fields, how often they are refreshed and how old they are.
+//! Load reports of a worker: their fields, the interval at which they are refreshed, and their age.
 //!
-//! Pure: times are passed in, counted from the worker's start.
+//! The code here is pure: callers pass the times in, as durations from a common start.
 
 use serde_json::{json, Map, Value};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long past loads are remembered; no report may be older.
+/// Time for which past loads are kept. The age of a reported load must not exceed this time.
 const HISTORY: Duration = Duration::from_secs(60);
 
-/// A worker's load at one moment.
+/// The load of a worker at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that wait or run.
+    /// Number of jobs that wait or run.
     pub inflight: usize,
-    /// Requests that wait.
+    /// Number of jobs that wait.
     pub queue: usize,
-    /// Slots that are free.
+    /// Number of free slots.
     pub free: usize,
-    /// All of its slots.
+    /// Number of all slots.
     pub slots: usize,
 }
 
-/// A field of a load report, by its name on the wire.
+/// A field of a load report; the variants show the names that reports use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// `inflight`: requests that wait or run.
+    /// `inflight`: the number of jobs that wait or run.
     Inflight,
-    /// `queue`: requests that wait.
+    /// `queue`: the number of jobs that wait.
     Queue,
-    /// `x0`: free slots.
+    /// `x0`: the number of free slots.
     X0,
-    /// `util`: the fraction of slots that is taken.
+    /// `util`: the fraction of slots that are in use, rounded to two decimals.
     Util,
 }
 
@@ -51,8 +51,8 @@
             Field::Queue => json!(load.queue),
             Field::X0 => json!(load.free),
             Field::Util => {
-                let taken = 1.0 - load.free as f64 / load.slots.max(1) as f64;
-                json!((taken * 100.0).round() / 100.0)
+                let utilization = 1.0 - load.free as f64 / load.slots.max(1) as f64;
+                json!((utilization * 100.0).round() / 100.0)
             }
         }
     }
@@ -61,48 +61,48 @@
 /// Configuration of a worker's load reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatsSpec {
-    /// The fields, in their order.
+    /// The fields of a report, in order.
     pub fields: Vec<Field>,
-    /// Interval at which the reported load is refreshed; zero for at each report.
+    /// Interval at which the reported load is refreshed; with zero, each report has a fresh load.
     pub refresh_interval: Duration,
-    /// Age of the load that is reported.
+    /// Age of the reported load, in addition to the time since its last refresh.
     pub delay: Duration,
-    /// Whether answers and callbacks that end an attempt carry a report.
+    /// Whether answers and callbacks that end an attempt carry a load report.
     pub in_answers: bool,
 }
 
 impl StatsSpec {
-    /// A report as a header's value: `TEXT inflight=7, queue=2`.
+    /// Returns a report in the form of a header value, such as `TEXT inflight=7, queue=2`.
     pub fn text(&self, load: &Load) -> String {
         let pairs = self.fields.iter().map(|field| format!("{}={}", field.name(), field.value(load)));
         format!("TEXT {}", pairs.collect::<Vec<_>>().join(", "))
     }
 
-    /// A report as a JSON object.
+    /// Returns a report as a JSON object.
     pub fn json(&self, load: &Load) -> Value {
         let pairs = self.fields.iter().map(|field| (field.name().to_string(), field.value(load)));
         Value::Object(pairs.collect::<Map<_, _>>())
     }
 }
 
-/// The load from a moment on, until the next sample.
+/// The load from the time `at` until the next sample.
 #[derive(Clone, Copy)]
 struct Sample {
     at: Duration,
     load: Load,
 }
 
-/// The past loads of a worker, as far back as a report may reach.
+/// The past loads of a worker that a report may still contain.
 pub struct LoadHistory {
     refresh_interval: Duration,
     delay: Duration,
-    /// The load before the first sample.
+    /// The load of the idle worker, before the first sample.
     idle: Load,
     samples: VecDeque<Sample>,
 }
 
 impl LoadHistory {
-    /// The history of a worker without any work.
+    /// Creates the history of an idle worker.
     pub fn new(spec: Option<&StatsSpec>, slots: usize) -> LoadHistory {
         LoadHistory {
             refresh_interval: spec.map_or(Duration::ZERO, |spec| spec.refresh_interval),
@@ -112,12 +112,12 @@
         }
     }
 
-    /// Sets the age of the load that is reported from now on.
+    /// Sets the delay of the load that is reported from now on.
     pub fn set_delay(&mut self, delay: Duration) {
         self.delay = delay;
     }
 
-    /// Records the load from `at` on.
+    /// Records the load that applies from the time `at` on.
     pub fn record(&mut self, at: Duration, load: Load) {
         self.samples.push_back(Sample { at, load });
         while self.samples.get(1).is_some_and(|next| next.at + HISTORY < at) {
@@ -125,11 +125,11 @@
         }
     }
 
-    /// The load that a report has at `now`.
+    /// Returns the load that a report contains at the time `now`.
     pub fn reported(&self, now: Duration) -> Load {
-        let Some(then) = now.checked_sub(self.delay) else { return self.idle };
-        let since_refresh = then.as_nanos().checked_rem(self.refresh_interval.as_nanos()).unwrap_or(0);
-        let refreshed_at = then.saturating_sub(Duration::from_nanos(since_refresh as u64));
+        let Some(delayed) = now.checked_sub(self.delay) else { return self.idle };
+        let since_refresh = delayed.as_nanos().checked_rem(self.refresh_interval.as_nanos()).unwrap_or(0);
+        let refreshed_at = delayed.saturating_sub(Duration::from_nanos(since_refresh as u64));
         let sample = self.samples.iter().rev().find(|sample| sample.at <= refreshed_at);
         sample.map_or(self.idle, |sample| sample.load)
     }
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -1,5 +1,5 @@
-//! The objects that jobs need before they run: each worker caches the last ones it used, and fetches others
-//! from a store that all workers share.
+//! The objects that jobs need before they run. Each worker caches its most recently used objects and fetches
+//! other objects from a store that all workers share.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// The store that all workers share, with a limit of concurrent fetches. Clones share the limit.
+/// The store that all workers share, with a limit on concurrent fetches. Clones share the limit.
 #[derive(Clone, Debug)]
 pub struct Store {
     permits: Arc<Semaphore>,
@@ -15,7 +15,7 @@
 }
 
 impl Store {
-    /// A store that serves `max_fetches` at once, each of which takes `fetch_time`.
+    /// Creates a store that serves at most `max_fetches` fetches at once, each of which takes `fetch_time`.
     pub fn new(max_fetches: usize, fetch_time: Duration) -> Store {
         Store { permits: Arc::new(Semaphore::new(max_fetches.max(1))), fetch_time }
     }
@@ -29,22 +29,22 @@
 /// Configuration of one worker's object cache.
 #[derive(Clone, Debug)]
 pub struct CacheSpec {
-    /// The store that objects are fetched from.
+    /// The store from which objects are fetched.
     pub store: Store,
-    /// Number of objects that are cached.
+    /// Maximum number of cached objects.
     pub capacity: usize,
 }
 
-/// The object cache of one worker; the object that was used longest ago is evicted.
+/// The object cache of one worker. A full cache evicts the least recently used object.
 pub struct ObjectCache {
-    /// Absent where jobs need no objects.
+    /// The cache's configuration; `None` if jobs need no objects.
     spec: Option<CacheSpec>,
-    /// The cached objects, the last used first.
+    /// The cached objects, most recently used first.
     objects: Mutex<VecDeque<String>>,
 }
 
 impl ObjectCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(spec: Option<CacheSpec>) -> ObjectCache {
         ObjectCache { spec, objects: Mutex::default() }
     }
@@ -53,12 +53,13 @@
         self.objects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Removes every object, as the end of a process does.
+    /// Removes every object, as the end of the worker's process does.
     pub fn clear(&self) {
         self.objects().clear();
     }
 
-    /// Waits until an object is cached, and marks it as the last used.
+    /// Fetches an object from the store if it is not cached, and marks the object as the most recently used
+    /// one.
     pub async fn load(&self, object: &str) {
         let Some(CacheSpec { store, capacity }) = &self.spec else { return };
         let is_cached = self.objects().iter().any(|cached| cached == object);
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,50 +1,52 @@
-//! One end of an HTTP/1.1 connection, written without an HTTP library so that a test can break off anywhere.
+//! One end of an HTTP/1.1 connection, implemented without an HTTP library so that a test can stop at any byte
+//! of a message.
 //!
-//! Owns the socket and the bytes that were received beyond the last message. It neither retries nor corrects.
+//! [`Wire`] owns the socket and the received bytes that follow the last message. It neither retries failed
+//! operations nor corrects invalid messages.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Maximum size of a head or a body that is read, in bytes.
+/// Maximum number of bytes of a message's head, and of its body.
 const MAX_PART_BYTES: usize = 1 << 20;
-/// The end of a message's head.
+/// The bytes that end a message's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A complete request or answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
+    /// The first line: the request line or the status line.
     pub line: String,
-    /// Names in lower case, values as received.
+    /// Names and values of the headers; names in lower case, values as received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body of the message.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// A header's value.
+    /// Returns the value of the header `name`, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// Of a request: its method.
+    /// Returns the method of a request.
     pub fn method(&self) -> &str {
         self.line.split(' ').next().unwrap_or_default()
     }
 
-    /// Of a request: its path and query.
+    /// Returns the path and query of a request.
     pub fn target(&self) -> &str {
         self.line.split(' ').nth(1).unwrap_or_default()
     }
 
-    /// Of an answer: its status.
+    /// Returns the status code of an answer.
     pub fn status(&self) -> &str {
         self.target()
     }
 
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -53,14 +55,15 @@
 /// One end of an HTTP/1.1 connection.
 pub struct Wire {
     stream: TcpStream,
-    /// Bytes beyond the last message.
+    /// Received bytes that follow the last message that was read.
     received: Vec<u8>,
 }
 
 impl Wire {
-    /// The end of a connection that was accepted or made elsewhere.
+    /// Wraps a connection that the caller has accepted or made.
     pub fn new(stream: TcpStream) -> Wire {
-        // Short writes must not wait for acknowledgements; without the option they are only slower.
+        // With the option, small writes do not wait for acknowledgements. A failure is ignored: it only makes
+        // writes slower.
         let _ = stream.set_nodelay(true);
         Wire { stream, received: Vec::new() }
     }
@@ -70,12 +73,13 @@
         TcpStream::connect(address).await.map(Wire::new)
     }
 
-    /// The socket, for what is not HTTP.
+    /// Returns the socket, for operations that are not HTTP.
     pub fn socket(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// Receives more bytes; `None` at the end of the connection, or if there are too many.
+    /// Receives more bytes. Returns `None` at the end of the connection, or if more than [`MAX_PART_BYTES`]
+    /// unread bytes have been received.
     async fn receive(&mut self) -> Option<()> {
         match self.stream.read_buf(&mut self.received).await {
             Ok(read) if read > 0 && self.received.len() <= MAX_PART_BYTES => Some(()),
@@ -83,11 +87,11 @@
         }
     }
 
-    /// Reads the head of the next message: the message without its body, and the length of the body.
+    /// Reads the head of the next message. Returns the message without its body, and the length of the body.
     pub async fn read_head(&mut self) -> Option<(Message, usize)> {
         let end = loop {
-            if let Some(at) = self.received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
-                break at + HEAD_END.len();
+            if let Some(index) = self.received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
+                break index + HEAD_END.len();
             }
             self.receive().await?;
         };
@@ -102,14 +106,15 @@
         (length <= MAX_PART_BYTES).then_some((message, length))
     }
 
-    /// Reads the next message; `None` once the other side has closed, or sends an invalid one.
+    /// Reads the next message. Returns `None` if the other end has closed the connection or sends an invalid
+    /// message.
     pub async fn read(&mut self) -> Option<Message> {
         let (mut message, length) = self.read_head().await?;
         message.body = self.read_body(length).await?;
         Some(message)
     }
 
-    /// Reads the body of a message whose head was read.
+    /// Reads the body of a message, after [`Wire::read_head`].
     pub async fn read_body(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.received.len() < length {
             self.receive().await?;
@@ -117,29 +122,29 @@
         Some(self.received.drain(..length).collect())
     }
 
-    /// Waits until the other side has closed; what it sends until then is dropped.
+    /// Waits until the other end has closed the connection. Bytes that arrive until then are discarded.
     pub async fn wait_for_close(&mut self) {
         while self.receive().await.is_some() {
             self.received.clear();
         }
     }
 
-    /// Writes text as it is.
+    /// Writes text without changes.
     pub async fn write(&mut self, text: &str) -> io::Result<()> {
         self.stream.write_all(text.as_bytes()).await
     }
 
-    /// Writes text as it is, one byte at a time.
+    /// Writes text without changes, one byte at a time.
     pub async fn write_byte_by_byte(&mut self, text: &str) -> io::Result<()> {
         for byte in text.as_bytes().chunks(1) {
             self.stream.write_all(byte).await?;
-            // Lets the other side read the byte alone.
+            // Gives the other end the opportunity to read the byte alone.
             tokio::task::yield_now().await;
         }
         Ok(())
     }
 
-    /// Writes a complete `POST`; `headers` are lines with their ends.
+    /// Writes a complete `POST` request; each line in `headers` ends with `\r\n`.
     pub async fn post(&mut self, target: &str, headers: &str, body: &str) -> io::Result<()> {
         let length = body.len();
         let text =
@@ -147,13 +152,13 @@
         self.write(&text).await
     }
 
-    /// Writes a complete answer; `headers` are lines with their ends.
+    /// Writes a complete answer; each line in `headers` ends with `\r\n`.
     pub async fn answer(&mut self, status: u16, headers: &str, body: &str) -> io::Result<()> {
         let length = body.len();
         self.write(&format!("HTTP/1.1 {status} X\r\n{headers}content-length: {length}\r\n\r\n{body}")).await
     }
 
-    /// Resets the connection, as the end of a process may do.
+    /// Resets the connection, as the end of a process can do.
     pub fn reset(self) {
         let _ = self.stream.set_zero_linger();
     }
