--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The exactly-once audit: every broken guarantee is reported, and sound records report none.
+//! The exactly-once audit: the audit reports every broken guarantee, and no violation for correct records.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -12,12 +12,14 @@
 const WINDOW: Duration = Duration::from_secs(15);
 /// The key of the keyed job.
 const KEY: &str = "k";
-/// The numbers of the jobs, and the indexes of their classes.
+/// The number of the idempotent job, of its run and of its class.
 const IDEMPOTENT: usize = 0;
+/// The number of the keyed job, of its run and of its class.
 const KEYED: usize = 1;
+/// The number of the non-idempotent job, of its run and of its class.
 const NON_IDEMPOTENT: usize = 2;
 
-/// What clients sent and workers ran.
+/// The records of clients and workers that a test audits.
 struct Records {
     classes: Vec<ClassLoad>,
     jobs: Vec<JobRecord>,
@@ -25,8 +27,9 @@
 }
 
 impl Records {
-    /// Sound records: a class of each idempotency, and a job of each that was served by its one run.
-    fn sound() -> Records {
+    /// Returns records without violations: one class for each kind of idempotency, with one job that ran once
+    /// and was served.
+    fn correct() -> Records {
         let classes = [Idempotency::Idempotent, Idempotency::Keyed(WINDOW), Idempotency::NonIdempotent];
         Records {
             classes: classes.into_iter().map(class).collect(),
@@ -35,7 +38,7 @@
         }
     }
 
-    /// The first attempt of a job.
+    /// Returns the first attempt of a job.
     fn attempt(&mut self, job: usize) -> &mut Attempt {
         &mut self.jobs[job].attempts[0]
     }
@@ -99,16 +102,17 @@
     }
 }
 
-fn milliseconds(number: u64) -> Duration {
-    Duration::from_millis(number)
+fn milliseconds(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
+/// Returns an outage between two times in milliseconds.
 fn outage(from: u64, until: u64) -> Outage {
     Outage { from: milliseconds(from), until: milliseconds(until) }
 }
 
 #[rstest]
-#[case::sound_records(|_: &mut Records| {}, &[])]
+#[case::correct_records(|_: &mut Records| {}, &[])]
 #[case::no_response(
     |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Unanswered,
     &[Violation::Unanswered(0)]
@@ -173,30 +177,30 @@
     |records: &mut Records| records.runs.push(Run { id: 9, ..run(IDEMPOTENT) }),
     &[Violation::UnknownRequest(9)]
 )]
-fn each_broken_guarantee_is_reported_and_sound_records_report_none(
+fn each_broken_guarantee_is_reported_and_correct_records_have_no_violation(
     #[case] corrupt: fn(&mut Records),
     #[case] expected: &[Violation],
 ) {
-    let mut records = Records::sound();
+    let mut records = Records::correct();
     corrupt(&mut records);
     assert_eq!(records.violations(&[]), expected);
 }
 
 #[test]
 fn a_run_that_started_before_a_resend_in_an_outage_does_not_count_as_repeated() {
-    let mut records = Records::sound();
+    let mut records = Records::correct();
     records.attempt(NON_IDEMPOTENT).resent = Some(milliseconds(10));
     records.runs.push(Run { started: milliseconds(20), ..run(NON_IDEMPOTENT) });
     records.attempt(NON_IDEMPOTENT).outcome = Outcome::Served(run_result(2, 3));
     assert_eq!(records.violations(&[outage(0, 900)]), []);
-    let outside = records.violations(&[outage(1_001, 2_000)]);
-    assert_eq!(outside, [Violation::Lost(2), Violation::NonIdempotentRanTwice(2)]);
+    let without_excuse = records.violations(&[outage(1_001, 2_000)]);
+    assert_eq!(without_excuse, [Violation::Lost(2), Violation::NonIdempotentRanTwice(2)]);
 }
 
 #[test]
 fn only_an_attempt_in_flight_during_an_outage_may_be_lost() {
-    let mut records = Records::sound();
+    let mut records = Records::correct();
     records.attempt(IDEMPOTENT).outcome = Outcome::Broken(String::new());
-    let violations = |outage| records.violations(&[outage]).len();
-    assert_eq!((violations(outage(500, 900)), violations(outage(1_001, 2_000))), (0, 1));
+    let violation_count = |outage| records.violations(&[outage]).len();
+    assert_eq!((violation_count(outage(500, 900)), violation_count(outage(1_001, 2_000))), (0, 1));
 }
--- a/crates/testbed/tests/clients.rs
+++ b/crates/testbed/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: the headers of their requests, and their retries.
+//! Clients: the headers of their requests, and retries.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -8,10 +8,10 @@
 use vetchbridge_testbed::client::{Clients, Outcome};
 use vetchbridge_testbed::wire::{Message, Wire};
 
-/// How long a test may take.
-const HANG: Duration = Duration::from_secs(60);
+/// Time limit for one test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A load of one class, with a tenant, hints and marked retries only with `optional_headers`.
+/// Returns a load of one class. With `optional_headers`, the load has a tenant, hints and marked retries.
 fn load(optional_headers: bool, slots: usize) -> LoadSpec {
     let class = ClassLoad {
         name: "c".to_string(),
@@ -44,39 +44,41 @@
 #[rstest]
 #[case::every_optional_header(true, 2)]
 #[case::no_optional_header(false, 1)]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn clients_send_the_headers_of_their_load_and_retry_as_often_as_configured(
     #[case] optional_headers: bool,
     #[case] slots: usize,
 ) {
     let spec = load(optional_headers, slots);
-    let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    // The load ends before its second job.
-    let first_only = Arrivals::new(&spec).expect("a load").nth(1).expect("endless").at;
-    let clients = Clients::new(spec, vec![scheduler.local_addr().expect("bound")]).expect("a load");
+    let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    // The load ends before its second job arrives.
+    let load_duration =
+        Arrivals::new(&spec).expect("the load is valid").nth(1).expect("arrivals are endless").at;
+    let clients = Clients::new(spec, vec![scheduler.local_addr().expect("the listener is bound")])
+        .expect("the load is valid");
     let (_stop, stopped) = tokio::sync::watch::channel(false);
-    let serving = async {
-        let (stream, _) = scheduler.accept().await.expect("a client");
+    let scheduler_side = async {
+        let (stream, _) = scheduler.accept().await.expect("a client connects");
         let mut wire = Wire::new(stream);
-        let first = wire.read().await.expect("a job");
-        // Not honored: a client that waited so long would exceed the time of the test.
-        wire.answer(503, "retry-after: 3000\r\n", "").await.expect("answered");
-        (first, wire.read().await.expect("its retry"), wire)
+        let first = wire.read().await.expect("a job arrives");
+        // The clients must not honor this time: a client that did would exceed the time limit of the test.
+        wire.answer(503, "retry-after: 3000\r\n", "").await.expect("the answer is sent");
+        (first, wire.read().await.expect("the job is retried"), wire)
     };
-    let jobs = clients.run(tokio::time::Instant::now(), first_only, stopped, |_| {});
-    let loading = tokio::spawn(jobs);
-    let (first, retry, mut wire) = serving.await;
+    let jobs = clients.run(tokio::time::Instant::now(), load_duration, stopped, |_| {});
+    let load_task = tokio::spawn(jobs);
+    let (first, retry, mut wire) = scheduler_side.await;
     let headers = ["x-customer", "x-size-hint", "x-props", "idempotency-key", "x-second-try"];
-    let values = |message: &Message| headers.map(|name| message.header(name).map(str::to_string));
-    let text = |text: &str| optional_headers.then(|| text.to_string());
-    let (hint, props) = (text("3000"), text("slots=2"));
-    assert_eq!(values(&first), [text("t"), hint.clone(), props.clone(), None, None]);
-    assert_eq!(values(&retry), [text("t"), hint, props, None, text("1")]);
+    let header_values = |message: &Message| headers.map(|name| message.header(name).map(str::to_string));
+    let optional = |value: &str| optional_headers.then(|| value.to_string());
+    let (hint, props) = (optional("3000"), optional("slots=2"));
+    assert_eq!(header_values(&first), [optional("t"), hint.clone(), props.clone(), None, None]);
+    assert_eq!(header_values(&retry), [optional("t"), hint, props, None, optional("1")]);
     assert_eq!(first.text(), if optional_headers { "work_us=3000 slots=2" } else { "work_us=3000" });
-    wire.answer(500, "", "").await.expect("answered");
+    wire.answer(500, "", "").await.expect("the answer is sent");
     drop((wire, scheduler));
-    let record = loading.await.expect("it ends").expect("a load");
+    let record = load_task.await.expect("the load ends").expect("the load is valid");
     let outcomes: Vec<_> = record.jobs[0].attempts.iter().map(|attempt| attempt.outcome.clone()).collect();
     assert_eq!(outcomes, [Outcome::Rejected, Outcome::Failed(500)]);
 }
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A worker for tests, and the end of the scheduler that it calls back.
+//! A worker for tests, and a listener in the place of the scheduler that receives the worker's callbacks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,60 +7,62 @@
 use vetchbridge_testbed::wire::{Message, Wire};
 use vetchbridge_testbed::worker::{Worker, WorkerSpec};
 
-/// How long a test may take.
-pub const HANG: Duration = Duration::from_secs(60);
+/// Time limit for one test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// The body of a job that does not finish within a test.
 pub const ENDLESS_WORK: &str = "work_us=600000000";
 
-/// One worker, and the scheduler that it calls back.
+/// One worker, and the listener that receives its callbacks.
 pub struct TestWorker {
     callbacks: TcpListener,
-    /// The worker.
+    /// The worker under test.
     pub worker: Worker,
-    /// The record of its runs.
+    /// The record of the worker's runs.
     pub runs: Runs,
 }
 
 impl TestWorker {
-    /// Starts a worker.
+    /// Starts a worker and the listener for its callbacks.
     pub async fn start(spec: WorkerSpec) -> TestWorker {
-        let callbacks = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let callbacks = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let runs = Runs::default();
-        let scheduler = callbacks.local_addr().expect("bound");
-        let worker = Worker::start(spec, runs.clone(), &[scheduler]).await.expect("a worker");
+        let scheduler = callbacks.local_addr().expect("the listener is bound");
+        let worker = Worker::start(spec, runs.clone(), &[scheduler]).await.expect("the worker starts");
         TestWorker { callbacks, worker, runs }
     }
 
-    /// Where the scheduler reaches the worker.
+    /// Returns the worker's address for the scheduler.
     pub fn address(&self) -> SocketAddr {
         self.worker.addresses()[0]
     }
 
-    /// Sends a job on a new connection.
+    /// Sends a job on a new connection and returns the connection.
     pub async fn send(&self, id: u64, headers: &str, body: &str) -> Wire {
-        let mut wire = Wire::dial(self.address()).await.expect("it listens");
-        wire.post("/c/k", &format!("x-trace-id: {id:016x}\r\n{headers}"), body).await.expect("sent");
+        let mut wire = Wire::dial(self.address()).await.expect("the worker listens");
+        wire.post("/c/k", &format!("x-trace-id: {id:016x}\r\n{headers}"), body)
+            .await
+            .expect("the job is sent");
         wire
     }
 
     /// Accepts the connection of the next callback.
     pub async fn accept_callback(&self) -> Wire {
-        let (stream, _) = self.callbacks.accept().await.expect("a callback");
+        let (stream, _) = self.callbacks.accept().await.expect("a callback arrives");
         Wire::new(stream)
     }
 
-    /// Answers the next callback.
+    /// Answers the next callback with 200 and returns the callback's request.
     pub async fn next_callback(&self) -> Message {
         let mut wire = self.accept_callback().await;
-        let request = wire.read().await.expect("a request");
-        wire.answer(200, "connection: close\r\n", "").await.expect("answered");
+        let request = wire.read().await.expect("the callback is complete");
+        wire.answer(200, "connection: close\r\n", "").await.expect("the answer is sent");
         request
     }
 
-    /// Answers the next callback; the job's state that it reports.
+    /// Answers the next callback with 200 and returns the job's state in the callback.
     pub async fn next_state(&self) -> String {
         let body = self.next_callback().await.body;
-        let callback: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
-        callback["state"].as_str().expect("a state").to_string()
+        let callback: serde_json::Value = serde_json::from_slice(&body).expect("the callback is JSON");
+        callback["state"].as_str().expect("the callback has a state").to_string()
     }
 }
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -8,20 +8,20 @@
 use vetchbridge_testbed::wire::Wire;
 use vetchbridge_testbed::worker::{Worker, WorkerSpec};
 
-/// How long a test may take.
-const HANG: Duration = Duration::from_secs(60);
+/// Time limit for one test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_watch_gets_the_changes_after_its_version_and_ends_when_discovery_fails() {
-    let discovery = Discovery::start(1).await.expect("a service");
+    let discovery = Discovery::start(1).await.expect("discovery starts");
     let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
         .await
-        .expect("a worker");
-    let mut wire = Wire::dial(discovery.address(0)).await.expect("it listens");
+        .expect("the worker starts");
+    let mut wire = Wire::dial(discovery.address(0)).await.expect("discovery listens");
     let mut call = async |target: &str| -> serde_json::Value {
-        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("sent");
+        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the call is sent");
         serde_json::from_slice(&wire.read().await.expect("an answer").body).unwrap_or_default()
     };
     let list = call("/registry/instances").await;
@@ -31,32 +31,32 @@
     let changes = call(&watch).await;
     assert_eq!(changes["reset"].as_bool(), Some(false));
     assert_eq!(changes["instances"][0]["hostPort"], worker.addresses()[0].to_string());
-    // A watch that waits ends when discovery fails.
+    // A waiting watch ends when discovery starts to fail.
     let watch = format!("/registry/instances?index={}&wait=60000", changes["generation"]);
     let (failed, ()) = tokio::join!(call(&watch), async { discovery.set_health(Health::Failing) });
     assert!(failed.is_null());
     discovery.set_health(Health::Up);
     discovery.remove(&worker);
     assert_eq!(call(&watch).await["instances"][0]["lifecycle"], "removed");
-    let old = discovery.address(0);
-    let new = discovery.move_to_new_port(0).expect("another port");
-    assert_ne!(old, new);
-    Wire::dial(new).await.expect("it listens there");
+    let old_address = discovery.address(0);
+    let new_address = discovery.move_to_new_port(0).expect("another port is free");
+    assert_ne!(old_address, new_address);
+    Wire::dial(new_address).await.expect("discovery listens on the new port");
 }
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn discovery_is_unresponsive_truncates_resets_or_lists_late_as_set() {
-    let discovery = Discovery::start(1).await.expect("a service");
+async fn discovery_does_not_answer_truncates_resets_or_delays_changes_as_configured() {
+    let discovery = Discovery::start(1).await.expect("discovery starts");
     let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
         .await
-        .expect("a worker");
+        .expect("the worker starts");
     let call = async |target: &str| {
-        let mut wire = Wire::dial(discovery.address(0)).await.expect("it listens");
-        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("sent");
-        // An unresponsive service keeps the connection open until the caller closes it.
-        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
+        let mut wire = Wire::dial(discovery.address(0)).await.expect("discovery listens");
+        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the call is sent");
+        // An unresponsive service keeps the connection open until the caller closes the connection.
+        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("the sending side closes");
         wire.read().await.map(|answer| answer.text())
     };
     for health in [Health::Unresponsive, Health::Truncating, Health::Resetting] {
@@ -67,7 +67,7 @@
     discovery.set_update_delay(Duration::from_secs(2));
     discovery.list_as_up(&worker);
     let list = call("/registry/instances").await.expect("a list");
-    assert!(!list.contains("s-0"), "not yet: {list}");
+    assert!(!list.contains("s-0"), "the change is listed before the update delay has passed: {list}");
     let changes = call("/registry/instances?index=1&wait=60000").await.expect("changes");
     assert!(changes.contains("s-0"), "{changes}");
 }
--- a/crates/testbed/tests/load_balancer.rs
+++ b/crates/testbed/tests/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The load balancer: readiness, round robin and the detection of a dead scheduler.
+//! The load balancer: readiness, round robin and the detection of a scheduler that no longer answers.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -10,31 +10,33 @@
 use vetchbridge_testbed::wire::Wire;
 use vetchbridge_testbed::{AbortOnDrop, Port};
 
-/// How long a test may take.
-const HANG: Duration = Duration::from_secs(60);
+/// Time limit for one test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_load_balancer_uses_ready_schedulers_and_detects_a_dead_one_after_a_delay() {
     let ready = Arc::new(AtomicBool::new(true));
-    let answers_ready = ready.clone();
-    let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let dead = Port::reserve().expect("a port");
+    let scheduler_ready = ready.clone();
+    let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let dead_scheduler = Port::reserve().expect("a port is free");
     let detection_delay = Duration::from_millis(300);
-    let balancer =
-        LoadBalancer::start(&[dead.address(), scheduler.local_addr().expect("bound")], detection_delay)
-            .await
-            .expect("a load balancer");
-    let serving = AbortOnDrop::spawn(async move {
+    let balancer = LoadBalancer::start(
+        &[dead_scheduler.address(), scheduler.local_addr().expect("the listener is bound")],
+        detection_delay,
+    )
+    .await
+    .expect("the load balancer starts");
+    let scheduler_task = AbortOnDrop::spawn(async move {
         loop {
-            let (stream, _) = scheduler.accept().await.expect("a connection");
-            let answers_ready = answers_ready.clone();
+            let (stream, _) = scheduler.accept().await.expect("a client connects");
+            let scheduler_ready = scheduler_ready.clone();
             tokio::spawn(async move {
                 let mut wire = Wire::new(stream);
                 while wire.read().await.is_some() {
-                    let status = if answers_ready.load(Ordering::Relaxed) { 200 } else { 503 };
-                    wire.answer(status, "", "ok").await.expect("answered");
+                    let status = if scheduler_ready.load(Ordering::Relaxed) { 200 } else { 503 };
+                    wire.answer(status, "", "ok").await.expect("the answer is sent");
                 }
             });
         }
@@ -43,21 +45,21 @@
         tokio::task::yield_now().await;
     }
     for _ in 0..3 {
-        let mut client = Wire::dial(balancer.address()).await.expect("it listens");
-        client.post("/c/k", "", "").await.expect("sent");
+        let mut client = Wire::dial(balancer.address()).await.expect("the load balancer listens");
+        client.post("/c/k", "", "").await.expect("the request is sent");
         assert_eq!(client.read().await.expect("an answer").text(), "ok");
     }
-    // A scheduler that is not ready gets no connection, until it is ready again.
-    for wanted in [false, true] {
-        ready.store(wanted, Ordering::Relaxed);
-        while (balancer.ready_schedulers() > 0) != wanted {
+    // A scheduler that reports not ready leaves the rotation, and returns when it reports ready again.
+    for expected_ready in [false, true] {
+        ready.store(expected_ready, Ordering::Relaxed);
+        while (balancer.ready_schedulers() > 0) != expected_ready {
             tokio::task::yield_now().await;
         }
     }
-    drop(serving);
+    drop(scheduler_task);
     while balancer.ready_schedulers() > 0 {
         tokio::task::yield_now().await;
     }
-    let mut client = Wire::dial(balancer.address()).await.expect("it listens");
+    let mut client = Wire::dial(balancer.address()).await.expect("the load balancer listens");
     assert!(client.read().await.is_none(), "no scheduler is left");
 }
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -1,12 +1,13 @@
-//! The record of runs: which repeats of keyed jobs are deduplicated.
+//! The record of runs: the deduplication of keyed jobs.
 #![allow(missing_docs)]
 
 use std::time::Duration;
 use vetchbridge_testbed::runs::{Admission, AttemptCounts, Run, RunEnd, Runs};
 
-fn run(key: &str, at: u64) -> Run {
+/// Returns a run of a keyed job that starts at `started_s`, in seconds.
+fn run(key: &str, started_s: u64) -> Run {
     let (class, object, worker) = ("c".to_string(), "o".to_string(), "s-0".to_string());
-    let started = Duration::from_secs(at);
+    let started = Duration::from_secs(started_s);
     Run { id: 1, key: Some(key.to_string()), class, object, worker, started, end: RunEnd::Running }
 }
 
--- a/crates/testbed/tests/store.rs
+++ b/crates/testbed/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store and the workers' caches: fetches, evictions and waits.
+//! The store and the object caches of workers: fetches, evictions, and waits for the store.
 #![allow(missing_docs)]
 
 use std::time::Duration;
@@ -6,24 +6,32 @@
 use vetchbridge_testbed::store::{CacheSpec, ObjectCache, Store};
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_fetches_evicted_objects_and_waits_for_the_capacity_of_the_store() {
+async fn a_cache_fetches_evicted_objects_again_and_waits_for_the_capacity_of_the_store() {
     let second = Duration::from_secs(1);
     let store = Store::new(1, second);
-    let (one, other) = (
+    let (first_cache, second_cache) = (
         ObjectCache::new(Some(CacheSpec { store: store.clone(), capacity: 2 })),
         ObjectCache::new(Some(CacheSpec { store, capacity: 2 })),
     );
-    let took = async |worker: &ObjectCache, key: &str| {
-        let began = Instant::now();
-        worker.load(key).await;
-        began.elapsed()
+    let load_time = async |cache: &ObjectCache, object: &str| {
+        let start = Instant::now();
+        cache.load(object).await;
+        start.elapsed()
     };
-    let first = [took(&one, "a").await, took(&one, "b").await, took(&one, "a").await];
-    assert_eq!(first, [second, second, Duration::ZERO]);
-    // The third object evicts the one that was used longest ago.
-    let later = [took(&one, "c").await, took(&one, "a").await, took(&one, "b").await];
-    assert_eq!(later, [second, Duration::ZERO, second]);
-    let both = tokio::join!(took(&one, "d"), took(&other, "d"));
-    assert_eq!((both.0.min(both.1), both.0.max(both.1)), (second, 2 * second));
-    assert_eq!(took(&ObjectCache::new(None), "a").await, Duration::ZERO);
+    let first_loads = [
+        load_time(&first_cache, "a").await,
+        load_time(&first_cache, "b").await,
+        load_time(&first_cache, "a").await,
+    ];
+    assert_eq!(first_loads, [second, second, Duration::ZERO]);
+    // Loading the third object evicts the least recently used one.
+    let later_loads = [
+        load_time(&first_cache, "c").await,
+        load_time(&first_cache, "a").await,
+        load_time(&first_cache, "b").await,
+    ];
+    assert_eq!(later_loads, [second, Duration::ZERO, second]);
+    let concurrent = tokio::join!(load_time(&first_cache, "d"), load_time(&second_cache, "d"));
+    assert_eq!((concurrent.0.min(concurrent.1), concurrent.0.max(concurrent.1)), (second, 2 * second));
+    assert_eq!(load_time(&ObjectCache::new(None), "a").await, Duration::ZERO);
 }
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -1,9 +1,9 @@
-//! A worker's jobs: execution, callbacks, rejections, scripted misbehavior and its end.
+//! The jobs of a worker: execution, callbacks, rejections, scripted misbehavior and the death of the worker.
 #![allow(missing_docs)]
 
 mod common;
 
-use common::{TestWorker, ENDLESS_WORK, HANG};
+use common::{TestWorker, ENDLESS_WORK, TEST_TIMEOUT};
 use rstest::rstest;
 use std::time::Duration;
 use vetchbridge_testbed::runs::{run_result, RunEnd};
@@ -11,16 +11,17 @@
 use vetchbridge_testbed::worker::{JobBehavior, WorkerSpec};
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_worker_runs_a_job_and_retries_its_callbacks_until_they_are_answered() {
     let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
     let mut wire = worker.send(0xab, "", "").await;
     assert_eq!(wire.read().await.expect("an answer").status(), "202");
-    // The first attempt of a callback gets no answer.
+    // The first attempt to send the callback receives no answer.
     drop(worker.accept_callback().await);
     assert_eq!(worker.next_state().await, "started");
-    let done: serde_json::Value = serde_json::from_slice(&worker.next_callback().await.body).expect("JSON");
+    let done: serde_json::Value =
+        serde_json::from_slice(&worker.next_callback().await.body).expect("the callback is JSON");
     assert_eq!(
         (done["state"].as_str(), done["result"].as_str()),
         (Some("done"), Some(&*run_result(0xab, 0)))
@@ -29,9 +30,9 @@
 }
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_rejecting_or_draining_worker_accepts_no_job_and_returns_those_that_wait() {
+async fn a_rejecting_or_draining_worker_accepts_no_job_and_a_draining_worker_returns_waiting_jobs() {
     let spec = WorkerSpec {
         slots: 1,
         reports_start: false,
@@ -50,19 +51,19 @@
         assert_eq!(worker.send(id, "", work).await.read().await.expect("an answer").status(), "202");
     }
     worker.worker.drain();
-    // The first callback at all: the running job goes on, and this worker does not report starts.
+    // This is the first callback: the running job continues, and this worker does not report starts.
     assert_eq!(worker.next_state().await, "returned");
     expect_rejected(4).await;
 }
 
-/// The last step of a job may be shorter than the resolution of the clock.
+/// A job must end even if its last step of work is shorter than the resolution of the clock.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn work_of_any_length_finishes() {
     let worker = TestWorker::start(WorkerSpec { speed: 1.7, ..WorkerSpec::new("s-0") }).await;
-    for work in [1, 333, 50_001, 100_003] {
-        worker.send(work, "", &format!("work_us={work}")).await.read().await.expect("an answer");
+    for work_us in [1, 333, 50_001, 100_003] {
+        worker.send(work_us, "", &format!("work_us={work_us}")).await.read().await.expect("an answer");
         assert_eq!(
             (worker.next_state().await.as_str(), worker.next_state().await.as_str()),
             ("started", "done")
@@ -73,8 +74,8 @@
 #[rstest]
 #[case::reject(JobBehavior::Answer { status: 503, never_ran: true }, Some("503"), &[])]
 #[case::no_response(JobBehavior::NoResponse, None, &[])]
-#[case::cut_in_body(JobBehavior::ResetInBody, None, &[])]
-#[case::cut_before_answer(JobBehavior::ResetBeforeAnswer, None, &[])]
+#[case::reset_in_body(JobBehavior::ResetInBody, None, &[])]
+#[case::reset_before_answer(JobBehavior::ResetBeforeAnswer, None, &[])]
 #[case::half_an_answer(JobBehavior::HalfAnswer, None, &[])]
 #[case::lose(JobBehavior::Lose, Some("202"), &["started", "lost"])]
 #[case::fail(JobBehavior::Fail, Some("202"), &["started", "failed"])]
@@ -82,32 +83,32 @@
 #[case::no_callback(JobBehavior::NoCallback, Some("202"), &[])]
 #[case::byte_by_byte(JobBehavior::ByteByByte, Some("202"), &["started", "done"])]
 #[case::repeated_callback(JobBehavior::RepeatCallback(3), Some("202"), &["started", "done", "done", "done"])]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_worker_misbehaves_once_as_scripted(
+async fn a_worker_misbehaves_as_scripted_for_one_job(
     #[case] behavior: JobBehavior,
     #[case] answer: Option<&str>,
     #[case] states: &[&str],
 ) {
     let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
-    let mute = behavior == JobBehavior::NoResponse;
+    let receives_no_response = behavior == JobBehavior::NoResponse;
     worker.worker.script_jobs([behavior]);
     let mut wire = worker.send(1, "", "").await;
-    if mute {
-        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("closed");
+    if receives_no_response {
+        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("the sending side closes");
     }
     assert_eq!(wire.read().await.as_ref().map(Message::status), answer);
     for state in states {
         assert_eq!(worker.next_state().await, *state);
     }
     let mut wire = worker.send(2, "", "").await;
-    assert_eq!(wire.read().await.expect("the next is served").status(), "202");
+    assert_eq!(wire.read().await.expect("the next job is served").status(), "202");
 }
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_full_worker_rejects_jobs_unrun_and_a_keyed_job_finishes_once() {
+async fn a_full_worker_rejects_jobs_without_running_them_and_a_keyed_job_finishes_once() {
     let worker = TestWorker::start(WorkerSpec {
         slots: 1,
         max_queued: 1,
@@ -121,11 +122,11 @@
     assert_eq!(worker.next_state().await, "started");
     let mut waiting = worker.send(2, key, "").await;
     assert_eq!(waiting.read().await.expect("an answer").status(), "202");
-    let full = worker.send(3, "", "").await.read().await.expect("an answer");
-    assert_eq!((full.status(), full.header("x-never-ran")), ("503", Some("1")));
-    running.write("DELETE /jobs/0000000000000001 HTTP/1.1\r\n\r\n").await.expect("sent");
+    let rejected = worker.send(3, "", "").await.read().await.expect("an answer");
+    assert_eq!((rejected.status(), rejected.header("x-never-ran")), ("503", Some("1")));
+    running.write("DELETE /jobs/0000000000000001 HTTP/1.1\r\n\r\n").await.expect("the request is sent");
     assert_eq!(running.read().await.expect("an answer").status(), "200");
-    // The first run was cancelled, so the repeat that waited runs.
+    // The first run was cancelled, so the waiting repeat runs.
     assert_eq!(worker.next_state().await, "started");
     assert_eq!(worker.next_state().await, "done");
     worker.send(4, key, "").await.read().await.expect("an answer");
@@ -137,7 +138,7 @@
 }
 
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_killed_worker_resets_connections_refuses_new_ones_and_restarts_at_its_port() {
     let worker =
@@ -150,14 +151,14 @@
     assert_eq!(worker.runs.all()[0].end, RunEnd::Lost);
     assert!(wire.read().await.is_none());
     assert!(Wire::dial(worker.address()).await.is_err());
-    worker.worker.restart().expect("the port is reserved");
+    worker.worker.restart().expect("the port is still reserved");
     assert!(worker.worker.started_at_ms() > 0);
     assert_eq!(worker.send(2, "", "").await.read().await.expect("an answer").status(), "202");
 }
 
-/// A callback may overtake the 202, be invalid, or come late from a slow worker.
+/// A callback may arrive before the 202 answer, be invalid, or arrive late from a slow worker.
 #[rstest]
-#[timeout(HANG)]
+#[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_worker_sends_callbacks_early_invalid_or_late_as_scripted() {
     let worker =
@@ -165,15 +166,15 @@
     worker.worker.script_jobs([JobBehavior::CallbackBeforeAnswer, JobBehavior::InvalidCallback]);
     let mut wire = worker.send(1, "", "").await;
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
-    assert_eq!(wire.read().await.expect("after its callbacks").status(), "202");
+    assert_eq!(wire.read().await.expect("the answer follows the callbacks").status(), "202");
     let mut wire = worker.send(2, "", "").await;
     assert_eq!(wire.read().await.expect("an answer").status(), "202");
     assert!(serde_json::from_slice::<serde_json::Value>(&worker.next_callback().await.body).is_err());
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
     worker.worker.set_slowdown(10.0);
-    let began = std::time::Instant::now();
+    let start = std::time::Instant::now();
     let mut wire = worker.send(3, "", "work_us=20000").await;
     wire.read().await.expect("an answer");
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
-    assert!(began.elapsed() >= Duration::from_millis(190), "{:?}", began.elapsed());
+    assert!(start.elapsed() >= Duration::from_millis(190), "{:?}", start.elapsed());
 }
