--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -15,7 +15,7 @@
 const MIN_WORK_SECONDS: f64 = 1e-6;
 /// The largest work of a job, in seconds.
 const MAX_WORK_SECONDS: f64 = 600.0;
-/// The largest factor between a hint and the work that it estimates.
+/// The largest ratio of a hint to the work that the hint estimates.
 const MAX_HINT_FACTOR: f64 = 1e3;
 
 /// One job as it arrives.
@@ -129,7 +129,7 @@
     factor.map(Some).map_err(|error| LoadError::new("hint_spread", error))
 }
 
-/// Returns for each share the sum of the shares up to and including it, as a fraction of the total.
+/// Returns the cumulative sums of the shares, as fractions of the total; `key` names the setting in errors.
 fn cumulative_shares(key: &str, shares: &[f64]) -> Result<Vec<f64>, LoadError> {
     let total: f64 = shares.iter().sum();
     let is_valid = total.is_finite() && total > 0.0 && !shares.iter().any(|share| *share < 0.0);
--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -248,7 +248,7 @@
                 continue;
             }
             // Counts runs by job, not by attempt: a client may retry a non-idempotent job only after a
-            // rejection or a failed connect, which means that the job has not run.
+            // rejection or a failure to connect, which means that the job has not run.
             let started_before = !started_jobs.insert(job.arrival.job);
             match self.classes[job.arrival.class].idempotency {
                 Idempotency::NonIdempotent if started_before => {
--- a/crates/testbed/src/client/retry.rs
+++ b/crates/testbed/src/client/retry.rs
@@ -16,9 +16,9 @@
 /// Whether a client may retry a job after an outcome; `elapsed` is the time from the first attempt to the
 /// retry.
 ///
-/// After a rejection or a failed connect, the job has not run, so a retry is always allowed. After a failure,
-/// the job may have run: a keyed job may be retried only while workers remember its key, a non-idempotent job
-/// never. `Unanswered` means that the client's deadline has passed, so there is no retry.
+/// After a rejection or a failure to connect, the job has not run, so a retry is always allowed. After a
+/// failure, the job may have run: a keyed job may be retried only while workers remember its key, a
+/// non-idempotent job never. `Unanswered` means that the client's deadline has passed, so there is no retry.
 pub(super) fn may_retry(idempotency: Idempotency, outcome: &Outcome, elapsed: Duration) -> bool {
     match outcome {
         Outcome::Served(_) | Outcome::Unanswered => false,
--- a/crates/testbed/src/port.rs
+++ b/crates/testbed/src/port.rs
@@ -7,8 +7,8 @@
 /// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// A reserved port on the loopback address. While nothing listens on the port, connections to it are refused
-/// and no other process can bind it.
+/// A reserved port on the loopback address. While nothing listens on the port, connections to
+/// the port are refused and no other process can bind it.
 pub struct Port {
     address: SocketAddr,
     _reserved: TcpSocket,
--- a/crates/testbed/src/queue.rs
+++ b/crates/testbed/src/queue.rs
@@ -29,7 +29,7 @@
 
 impl QueueState {
     /// Removes the waiters that can get their slots now, and subtracts their slots from the free ones.
-    fn take_grants(&mut self, order: Order) -> Vec<Waiter> {
+    fn remove_grantable(&mut self, order: Order) -> Vec<Waiter> {
         self.waiters.retain(|waiter| !waiter.granted.is_closed());
         let mut grants = Vec::new();
         let mut index = 0;
@@ -112,7 +112,7 @@
 
     /// Gives free slots to the waiters that can get them.
     fn grant(&self) {
-        let grants = self.state().take_grants(self.0.order);
+        let grants = self.state().remove_grantable(self.0.order);
         // Permits are sent outside the lock: if a waiter has left meanwhile, its permit is dropped here, and
         // the drop locks the state to release the slots.
         for Waiter { slots, granted } in grants {
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -44,7 +44,7 @@
 /// What a worker does with a job that has its slots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The worker runs the job; the number is that of the new run.
+    /// The worker runs the job as the run with this number.
     Run(usize),
     /// The job repeats the finished run with this number and gets the result of that run.
     Finished(usize),
@@ -190,8 +190,8 @@
     }
 }
 
-/// Returns the result of a run. The text contains the request id and the run's number, so that an answer can
-/// be traced to the run.
+/// Returns the text of a run's result. The text contains the request id and the run's number, so that an
+/// answer can be traced to the run.
 pub fn run_result(id: u64, number: usize) -> String {
     format!("{id:016x}:{number}")
 }
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -58,8 +58,7 @@
         self.objects().clear();
     }
 
-    /// Fetches an object from the store if it is not cached, and marks the object as the most recently used
-    /// one.
+    /// Marks an object as the most recently used one, after fetching it from the store if necessary.
     pub async fn load(&self, object: &str) {
         let Some(CacheSpec { store, capacity }) = &self.spec else { return };
         let is_cached = self.objects().iter().any(|cached| cached == object);
