--- a/crates/testbed/src/owned.rs
+++ b/crates/testbed/src/owned.rs
@@ -1,18 +1,18 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use tokio::task::JoinHandle;
 
-/// A task that is cancelled when this value is dropped, with everything that the task owns.
-pub struct Owned(JoinHandle<()>);
+/// A task that is aborted when this value is dropped. Everything that the task owns is dropped with the task.
+pub struct AbortOnDrop(JoinHandle<()>);
 
-impl Owned {
-    /// Starts the task.
-    pub fn spawn(task: impl std::future::Future<Output = ()> + Send + 'static) -> Owned {
-        Owned(tokio::spawn(task))
+impl AbortOnDrop {
+    /// Starts a task.
+    pub fn spawn(task: impl std::future::Future<Output = ()> + Send + 'static) -> AbortOnDrop {
+        AbortOnDrop(tokio::spawn(task))
     }
 }
 
-impl Drop for Owned {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -1,21 +1,21 @@
-//! Probes of a worker's load or health, answered or misbehaved at as scripted.
+//! Probes of a worker's load or liveness: answers, and misbehavior as scripted.
 
 use super::connection::{Connection, KeepAlive};
-use super::script::ProbeAct;
+use super::script::ProbeBehavior;
 use super::state::WorkerState;
 use std::ops::ControlFlow;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The lowest rate at which the work of a probe is done.
+/// The lowest rate at which the work of a probe is done, in seconds of work at speed 1 per second.
 const MIN_PROBE_RATE: f64 = 1e-6;
-/// The longest that the work of a probe takes.
+/// The longest time that the work of a probe takes.
 const MAX_PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// The subject of a probe.
+/// The resource that a probe requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeTarget {
-    /// A load report.
+    /// The worker's load report.
     Stats,
     /// Whether the worker is alive.
     Liveness,
@@ -32,20 +32,21 @@
 }
 
 impl Connection {
-    /// Answers one probe.
-    pub(super) async fn probe(&mut self, target: &str) -> KeepAlive {
+    /// Answers one probe, or misbehaves as scripted.
+    pub(super) async fn serve_probe(&mut self, target: &str) -> KeepAlive {
         let target = ProbeTarget::parse(target).filter(|_| self.worker.spec.probes.is_some());
         let Some(target) = target else { return self.answer(404, "", "").await };
         self.worker.runs.record_probe();
-        let act = self.worker.lock().script.next_probe();
-        if let ControlFlow::Break(keep_alive) = self.misbehave_at_probe(act).await {
+        let behavior = self.worker.lock().script.next_probe();
+        if let ControlFlow::Break(keep_alive) = self.misbehave_at_probe(behavior).await {
             return keep_alive;
         }
         let wire = self.wire.as_mut()?;
         let served = tokio::select! {
-            served = self.worker.serve_probe() => served,
-            // A scheduler that cancels the probe also removes it from the queue.
-            () = wire.closed() => return None,
+            served = self.worker.do_probe_work() => served,
+            // The scheduler cancelled the probe: dropping the other future removes the probe from the slot
+            // queue.
+            () = wire.wait_for_close() => return None,
         };
         if !served {
             return self.answer(503, "", "").await;
@@ -54,14 +55,15 @@
         self.answer(200, "", &body).await
     }
 
-    /// Carries out what a script has before or in place of a probe's answer.
-    async fn misbehave_at_probe(&mut self, act: ProbeAct) -> ControlFlow<KeepAlive> {
-        match act {
-            ProbeAct::Answer => {}
-            ProbeAct::Delay(delay) => sleep(delay).await,
-            ProbeAct::NoResponse => return ControlFlow::Break(self.stay_silent().await),
-            ProbeAct::Reject => return ControlFlow::Break(self.answer(503, "", "").await),
-            ProbeAct::Reset => {
+    /// Carries out a behavior that delays or replaces the probe's answer. Returns `Continue` if the probe is
+    /// to be answered.
+    async fn misbehave_at_probe(&mut self, behavior: ProbeBehavior) -> ControlFlow<KeepAlive> {
+        match behavior {
+            ProbeBehavior::Answer => {}
+            ProbeBehavior::Delay(delay) => sleep(delay).await,
+            ProbeBehavior::NoResponse => return ControlFlow::Break(self.stay_silent().await),
+            ProbeBehavior::Reject => return ControlFlow::Break(self.answer(503, "", "").await),
+            ProbeBehavior::Reset => {
                 self.reset();
                 return ControlFlow::Break(None);
             }
@@ -71,13 +73,13 @@
 }
 
 impl WorkerState {
-    /// Does the work of a probe; whether the probe was accepted.
-    async fn serve_probe(&self) -> bool {
+    /// Spends the time of a probe's work. Returns whether the probe was accepted.
+    async fn do_probe_work(&self) -> bool {
         let Some(probe) = self.spec.probes else { return false };
         if probe.deep && !self.has_capacity() {
             return false;
         }
-        let slot = if probe.deep { self.slots.take(1).await } else { None };
+        let slot = if probe.deep { self.slots.acquire(1).await } else { None };
         if slot.is_some() {
             self.record_load();
         }
@@ -92,7 +94,8 @@
         true
     }
 
-    /// The body of a probe's answer; empty where there is nothing to report.
+    /// Returns the body of a probe's answer: the load report, or an empty string for a liveness probe or a
+    /// worker without load reports.
     fn probe_body(&self, target: ProbeTarget) -> String {
         match (target, &self.spec.stats) {
             (ProbeTarget::Stats, Some(stats)) => stats.json(&self.reported_load()).to_string(),
--- a/crates/testkit/src/runner/faults.rs
+++ b/crates/testkit/src/runner/faults.rs
@@ -105,6 +105,6 @@
     discovery.remove(worker);
     sleep(duration).await;
     worker.restart().map_err(io_failure("a worker"))?;
-    discovery.up(worker);
+    discovery.list_as_up(worker);
     Ok(())
 }
--- a/crates/testkit/src/runner/interrupt.rs
+++ b/crates/testkit/src/runner/interrupt.rs
@@ -5,7 +5,7 @@
 use std::future::Future;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
-use vetchbridge_testbed::Owned;
+use vetchbridge_testbed::AbortOnDrop;
 
 /// The exit code after a second signal.
 const EXIT_CODE_INTERRUPTED: i32 = 130;
@@ -14,7 +14,7 @@
 /// program.
 pub struct Interrupt {
     stop: watch::Sender<bool>,
-    _listener: Owned,
+    _listener: AbortOnDrop,
 }
 
 impl Interrupt {
@@ -24,7 +24,7 @@
         let mut terminate = signal(SignalKind::terminate()).map_err(io_failure("signal handlers"))?;
         let stop = watch::Sender::new(false);
         let stop_sender = stop.clone();
-        let listener = Owned::spawn(async move {
+        let listener = AbortOnDrop::spawn(async move {
             for earlier_signals in 0.. {
                 tokio::select! {
                     _ = interrupt.recv() => {}
--- a/crates/testkit/src/soak/inject/workers.rs
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -8,29 +8,29 @@
 use rand::RngExt;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
-use vetchbridge_testbed::worker::{Act, Worker};
+use vetchbridge_testbed::worker::{JobBehavior, Worker};
 
 /// How long a worker is published as draining: long enough for schedulers to learn of the drain despite an
 /// outage.
 const DRAIN_TIME: Duration = Duration::from_secs(13);
 
 /// The faulty ways in which a worker may handle an attempt.
-const MISBEHAVIOR: [Act; 15] = [
-    Act::Answer { status: 500, never_ran: false },
-    Act::Answer { status: 503, never_ran: true },
-    Act::Answer { status: 429, never_ran: false },
-    Act::NoResponse,
-    Act::ResetInBody,
-    Act::ResetBeforeAnswer,
-    Act::HalfAnswer,
-    Act::NoCallback,
-    Act::Lose,
-    Act::Fail,
-    Act::ReturnUnstarted,
-    Act::CallbackBeforeAnswer,
-    Act::RepeatCallback(3),
-    Act::InvalidCallback,
-    Act::ByteByByte,
+const MISBEHAVIOR: [JobBehavior; 15] = [
+    JobBehavior::Answer { status: 500, never_ran: false },
+    JobBehavior::Answer { status: 503, never_ran: true },
+    JobBehavior::Answer { status: 429, never_ran: false },
+    JobBehavior::NoResponse,
+    JobBehavior::ResetInBody,
+    JobBehavior::ResetBeforeAnswer,
+    JobBehavior::HalfAnswer,
+    JobBehavior::NoCallback,
+    JobBehavior::Lose,
+    JobBehavior::Fail,
+    JobBehavior::ReturnUnstarted,
+    JobBehavior::CallbackBeforeAnswer,
+    JobBehavior::RepeatCallback(3),
+    JobBehavior::InvalidCallback,
+    JobBehavior::ByteByByte,
 ];
 
 impl FaultInjector<'_> {
@@ -46,7 +46,7 @@
             }
             sleep(schedule.duration(0.2, 3.0)).await;
             worker.restart().map_err(io_failure("a worker"))?;
-            self.discovery.up(worker);
+            self.discovery.list_as_up(worker);
             self.log.record(kind, &worker.spec().name, started);
         }
         Ok(())
@@ -63,11 +63,11 @@
         let mut schedule = self.schedule(track::FIRST_WORKER_DRAINS + index, &[FaultKind::WorkerDrain]);
         while let Some(kind) = schedule.next().await {
             let started = Instant::now();
-            self.discovery.draining(worker);
+            self.discovery.list_as_draining(worker);
             // The worker keeps accepting attempts, so that attempts that come too late are recorded.
             sleep_until((started + DRAIN_TIME).min(self.until)).await;
             self.log.record(kind, &worker.spec().name, started);
-            self.discovery.up(worker);
+            self.discovery.list_as_up(worker);
             sleep(schedule.duration(2.0, 5.0)).await;
         }
     }
@@ -80,9 +80,9 @@
             let (worker, started) = (schedule.choose(workers), Instant::now());
             match kind {
                 FaultKind::WorkerSlowdown => {
-                    worker.slow(schedule.random.random_range(2.0..20.0));
+                    worker.set_slowdown(schedule.random.random_range(2.0..20.0));
                     sleep(schedule.duration(0.5, 3.0)).await;
-                    worker.slow(1.0);
+                    worker.set_slowdown(1.0);
                 }
                 FaultKind::WorkerRefusal => {
                     worker.reject_jobs(true);
@@ -91,8 +91,8 @@
                 }
                 _ => {
                     let count = schedule.random.random_range(1..8);
-                    let acts: Vec<Act> = (0..count).map(|_| schedule.choose(&MISBEHAVIOR).clone()).collect();
-                    worker.script_jobs(acts);
+                    let behaviors: Vec<JobBehavior> = (0..count).map(|_| schedule.choose(&MISBEHAVIOR).clone()).collect();
+                    worker.script_jobs(behaviors);
                     sleep(schedule.duration(0.2, 1.0)).await;
                 }
             }
--- a/crates/testkit/src/soak/report.rs
+++ b/crates/testkit/src/soak/report.rs
@@ -85,7 +85,7 @@
     }
 
     fn answers_text(&self) -> String {
-        let Answers { served, rejected, failed, lost, unreachable, none } = self.answers;
+        let Answers { served, rejected, failed, lost, unreachable, unanswered } = self.answers;
         let jobs = self.jobs;
         format!(
             "{jobs} jobs: {served} served, {rejected} rejected, {failed} failed, {lost} lost, \
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -13,7 +13,7 @@
 use vetchbridge_testbed::audit::{audit_jobs, Audit, Violation};
 use vetchbridge_testbed::client::Clients;
 use vetchbridge_testbed::discovery::Health;
-use vetchbridge_testbed::worker::Act;
+use vetchbridge_testbed::worker::JobBehavior;
 use vetchbridge_testkit::deployment::Deployment;
 use vetchbridge_testkit::plan::Plan;
 
@@ -27,16 +27,16 @@
 const OUTAGE_TIME: Duration = Duration::from_secs(2);
 
 /// Returns each way in which a worker may report, or fail to report, whether a job ran; each twice.
-fn misbehavior() -> Vec<Act> {
+fn misbehavior() -> Vec<JobBehavior> {
     let once = [
-        Act::Lose,
-        Act::ResetBeforeAnswer,
-        Act::ReturnUnstarted,
-        Act::Fail,
-        Act::Answer { status: 503, never_ran: true },
-        Act::Answer { status: 500, never_ran: false },
-        Act::HalfAnswer,
-        Act::ResetInBody,
+        JobBehavior::Lose,
+        JobBehavior::ResetBeforeAnswer,
+        JobBehavior::ReturnUnstarted,
+        JobBehavior::Fail,
+        JobBehavior::Answer { status: 503, never_ran: true },
+        JobBehavior::Answer { status: 500, never_ran: false },
+        JobBehavior::HalfAnswer,
+        JobBehavior::ResetInBody,
     ];
     once.iter().chain(&once).cloned().collect()
 }
@@ -92,7 +92,7 @@
     for verdict in [failing, resetting] {
         assert_eq!(verdict.violations, [], "{verdict:?}");
         let answers = verdict.answers;
-        assert_eq!((answers.lost, answers.none, answers.unreachable), (0, 0, 0), "{verdict:?}");
+        assert_eq!((answers.lost, answers.unanswered, answers.unreachable), (0, 0, 0), "{verdict:?}");
         // Jobs that may have run and must not run again fail; all other jobs are served.
         assert!(answers.failed > 0 && answers.served > 5 * answers.failed, "{verdict:?}");
     }
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -99,7 +99,7 @@
     if in_one_write {
         client.send(&requests).await;
     } else {
-        client.write_in_pieces(&requests).await.expect("the daemon reads the request");
+        client.write_byte_by_byte(&requests).await.expect("the daemon reads the request");
     }
     let (number, mut worker) = harness.accept_worker_connection().await;
     assert_eq!(worker.read().await.expect("the job").text(), "work");
