--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -37,23 +37,23 @@
     /// Where operators call; nowhere if absent.
     pub admin: Option<SocketAddr>,
     /// The Unix socket at which a successor takes over; nowhere if absent.
-    pub handover: Option<PathBuf>,
+    pub handover_path: Option<PathBuf>,
     /// Where the list of workers comes from.
-    pub source: EndpointSource,
+    pub endpoint_source: EndpointSource,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Bytes that it may take.
-    pub memory: usize,
+    pub max_memory: usize,
     /// Where the peers' datagrams arrive and where each peer is reached; absent where schedulers may not exchange messages.
     pub peers: Option<Peers>,
     /// The list of workers as this scheduler last had it.
-    pub known: EndpointDocument,
+    pub saved_list: EndpointDocument,
     /// The settings, which were checked.
     pub snapshot: Snapshot,
     /// Seed of the module's random numbers.
     pub seed: u64,
     /// The platform's document as it stands in its file, where the configuration is one.
-    pub document: Option<Value>,
+    pub platform_document: Option<Value>,
     /// The log.
     pub log: file::Log,
 }
@@ -63,9 +63,9 @@
     /// Own address for their datagrams.
     pub listen: SocketAddr,
     /// One address for each scheduler, in the order of their numbers.
-    pub each: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// The address that reaches all of them.
-    pub all: Option<SocketAddr>,
+    pub broadcast_address: Option<SocketAddr>,
 }
 
 /// A configuration that cannot be used: everything that is wrong with it.
@@ -125,7 +125,7 @@
 /// must not pass for a complete one.
 pub fn reload(flags: &Flags, in_force: Option<&Value>) -> Result<Config, ConfigError> {
     let config = read_sources(flags, ReadReason::Reload)?;
-    match (in_force, &config.document) {
+    match (in_force, &config.platform_document) {
         (Some(old), Some(new)) => platform::check_no_key_removed(old, new).map(|()| config),
         (Some(_), None) => Err(ConfigError::one("configuration", "", &"not a JSON object any more", "")),
         (None, _) => Ok(config),
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -113,10 +113,10 @@
     sockets: usize,
     memory_mb: usize,
     seed: u64,
-    known: EndpointDocument,
-    messages: Option<SocketAddr>,
-    each: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    saved_list: EndpointDocument,
+    peer_listen: Option<SocketAddr>,
+    peer_addresses: Vec<SocketAddr>,
+    broadcast_address: Option<SocketAddr>,
 }
 
 /// The document's settings and what the daemon alone needs of them.
@@ -140,10 +140,10 @@
             listen: self.required(root, "listen").unwrap_or(nowhere),
             discovery: self.required(root, "discovery").unwrap_or(nowhere),
             admin: self.optional(top, "admin", "admin"),
-            known: self.optional(top, "known", "known").unwrap_or_default(),
-            messages: self.optional(top, "peer_listen", "peer_listen"),
-            each: self.optional(top, "peers", "peers").unwrap_or_default(),
-            all: self.optional(top, "peers_all", "peers_all"),
+            saved_list: self.optional(top, "known", "known").unwrap_or_default(),
+            peer_listen: self.optional(top, "peer_listen", "peer_listen"),
+            peer_addresses: self.optional(top, "peers", "peers").unwrap_or_default(),
+            broadcast_address: self.optional(top, "peers_all", "peers_all"),
         }
     }
 
@@ -187,8 +187,12 @@
 impl OwnKeys {
     /// The addresses of the peers, where messages to them are permitted.
     fn peers(&self, settings: &Settings) -> Option<Peers> {
-        let listen = self.messages.filter(|_| settings.limits.may_message_peers)?;
-        Some(Peers { listen, each: self.each.clone(), all: self.all })
+        let listen = self.peer_listen.filter(|_| settings.limits.may_message_peers)?;
+        Some(Peers {
+            listen,
+            addresses: self.peer_addresses.clone(),
+            broadcast_address: self.broadcast_address,
+        })
     }
 }
 
@@ -234,18 +238,18 @@
     };
     let config = Config {
         // What the platform keeps between two processes of one scheduler is this folder.
-        handover: env("TMPDIR").map(|folder| Path::new(&folder).join(handover_file_name(&own.name))),
+        handover_path: env("TMPDIR").map(|folder| Path::new(&folder).join(handover_file_name(&own.name))),
         peers: own.peers(&settings.settings),
         name: own.name,
         listen: own.listen,
         admin: own.admin,
-        source: EndpointSource::Service(own.discovery),
-        sockets: own.sockets,
-        memory: own.memory_mb.saturating_mul(1 << 20),
-        known: own.known,
+        endpoint_source: EndpointSource::Service(own.discovery),
+        max_sockets: own.sockets,
+        max_memory: own.memory_mb.saturating_mul(1 << 20),
+        saved_list: own.saved_list,
         seed: own.seed,
         snapshot: settings.snapshot(),
-        document: Some(as_it_stands),
+        platform_document: Some(as_it_stands),
         log: precedence::log(&file::File::default(), flags, env),
     };
     let from = |key: &str| overrides.origin(key).unwrap_or(source).to_string();
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -79,7 +79,7 @@
             return Err(ConfigError(self.faults));
         }
         let listing = EndpointDocument { generation: 0, reset: true, instances };
-        let (source, known) = match file.discovery {
+        let (endpoint_source, saved_list) = match file.discovery {
             Some(address) => (EndpointSource::Service(address.0), listing),
             None => (EndpointSource::Fixed(listing), EndpointDocument::default()),
         };
@@ -87,15 +87,15 @@
             name: file.name.clone(),
             listen: file.listen.0,
             admin: file.admin.map(|address| address.0),
-            handover: file.handover.clone(),
-            source,
-            sockets: file.limits.sockets as usize,
-            memory: file.limits.memory.0 as usize,
+            handover_path: file.handover.clone(),
+            endpoint_source,
+            max_sockets: file.limits.sockets as usize,
+            max_memory: file.limits.memory.0 as usize,
             peers: peers(file),
-            known,
+            saved_list,
             seed: file.seed.map_or_else(seed_of_this_start, |seed| seed.0),
             snapshot: snapshot(file, settings),
-            document: None,
+            platform_document: None,
             log: file.log.clone(),
         })
     }
@@ -238,8 +238,8 @@
     let listen = file.tier.messages.filter(|_| file.attempts.messages)?;
     Some(Peers {
         listen: listen.0,
-        each: file.tier.each.iter().map(|address| address.0).collect(),
-        all: file.tier.all.map(|address| address.0),
+        addresses: file.tier.each.iter().map(|address| address.0).collect(),
+        broadcast_address: file.tier.all.map(|address| address.0),
     })
 }
 
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -11,7 +11,7 @@
 pub use clock::Clock;
 
 use crate::discovery::request::DiscoveryRequest;
-use crate::logs::Id;
+use crate::logs::HexRequestId;
 use crate::peers::OutgoingMessage;
 use crate::workers::UpstreamGroup;
 use std::collections::HashMap;
@@ -224,7 +224,7 @@
 impl EngineState {
     fn send_command(&self, request: RequestId, command: RequestCommand) {
         if self.command_senders.get(&request).is_none_or(|sender| sender.send(command).is_err()) {
-            debug!(request = %Id(request), "request.command_discarded");
+            debug!(request = %HexRequestId(request), "request.command_discarded");
         }
     }
 }
--- a/crates/vetchbridge/src/invariants.rs
+++ b/crates/vetchbridge/src/invariants.rs
@@ -3,7 +3,7 @@
 //! The code that could violate an invariant checks it. Each violation is logged with the request and the
 //! reason, and the daemon continues. The number of violations is logged when the process ends.
 
-use crate::logs::Id;
+use crate::logs::HexRequestId;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tracing::error;
 use vetchbridge_scheduling::RequestId;
@@ -26,7 +26,7 @@
 /// Counts and logs a violation of an invariant.
 pub fn record_violation(invariant: Invariant, request: Option<RequestId>, reason: &str) {
     VIOLATIONS.fetch_add(1, Ordering::Relaxed);
-    let request = request.map(|request| Id(request).to_string()).unwrap_or_default();
+    let request = request.map(|request| HexRequestId(request).to_string()).unwrap_or_default();
     error!(?invariant, request, reason, "invariant.violated");
 }
 
--- a/crates/vetchbridge/src/logs/mod.rs
+++ b/crates/vetchbridge/src/logs/mod.rs
@@ -41,9 +41,9 @@
 }
 
 /// Displays a request's id as its client wrote it.
-pub struct Id(pub RequestId);
+pub struct HexRequestId(pub RequestId);
 
-impl fmt::Display for Id {
+impl fmt::Display for HexRequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0 .0)
     }
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -87,13 +87,13 @@
 
     fn address_of(&self, recipient: Recipient) -> Option<SocketAddr> {
         match recipient {
-            Recipient::One(index) => self.config.each.get(index as usize).copied(),
-            Recipient::All => self.config.all,
+            Recipient::One(index) => self.config.addresses.get(index as usize).copied(),
+            Recipient::All => self.config.broadcast_address,
         }
     }
 
     fn handle_datagram(&self, datagram: &[u8], sender: SocketAddr) {
-        let peer = self.config.each.iter().position(|known| *known == sender);
+        let peer = self.config.addresses.iter().position(|known| *known == sender);
         if let Some(index) = peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
             let data = datagram.to_vec();
             self.engine.handle(Event::PeerMessage { from: index as u32, data });
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -7,7 +7,7 @@
 
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{record_violation, Invariant};
-use crate::logs::Id;
+use crate::logs::HexRequestId;
 use crate::snapshot::Snapshot;
 use crate::upgrade::message::HandoverMessage;
 use crate::upgrade::process_links::ProcessLinks;
@@ -189,7 +189,7 @@
         let on_progress = |progress| {
             let elapsed = engine.clock.now().saturating_sub(sent_at);
             debug!(
-                request = %Id(request),
+                request = %HexRequestId(request),
                 attempt = number.0,
                 worker = upstream.worker_name(worker),
                 ?progress,
@@ -274,7 +274,7 @@
         }
         let (request, latency) = (self.id, self.engine.clock.now().saturating_sub(sent_at));
         debug!(
-            request = %Id(request),
+            request = %HexRequestId(request),
             attempt = number.0,
             worker = upstream.worker_name(worker),
             ?outcome,
@@ -307,7 +307,7 @@
         let remaining = self.deadline.saturating_sub(self.engine.clock.now());
         let attempts = self.attempts.len();
         debug!(
-            request = %Id(self.id),
+            request = %HexRequestId(self.id),
             attempts,
             may_have_run,
             remaining_us = remaining,
@@ -320,7 +320,7 @@
         if let Some(answer_sender) = self.answer_sender.take() {
             self.concluded.store(true, Ordering::Relaxed);
             let class = self.settings.names.classes.get(self.class.0 as usize).map_or("", String::as_str);
-            debug!(request = %Id(self.id), class, answer = answer.name(), "request.answered");
+            debug!(request = %HexRequestId(self.id), class, answer = answer.name(), "request.answered");
             // Sending fails if the client has just disconnected; the answer is dropped then.
             let _ = answer_sender.send(answer);
         }
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -91,13 +91,13 @@
 /// Takes over from the process that serves as this scheduler; returns `None` if no process does or the
 /// take-over is rejected.
 async fn take_over(config: &mut Config) -> Option<InheritedState> {
-    let path = config.handover.as_ref()?;
+    let path = config.handover_path.as_ref()?;
     match upgrade::take_over(path, &config.name, config.listen).await {
         TakeoverOutcome::Inherited(inherited) => Some(*inherited),
         TakeoverOutcome::NoPredecessor => None,
         TakeoverOutcome::Rejected => {
             // The other process keeps the hand-over path, so no successor can take over from this process.
-            config.handover = None;
+            config.handover_path = None;
             None
         }
     }
@@ -113,7 +113,7 @@
     let listener = bind_with_retry(address, || listen(address, false)).await?;
     let bound = listener.local_addr().map_err(|source| ServeError::Bind { address, source })?;
     info!(address = %bound, "admin.listening");
-    let max_connections = admin::max_connections(config.sockets);
+    let max_connections = admin::max_connections(config.max_sockets);
     tokio::spawn(admin::serve(listener, lifecycle.clone(), process_links.clone(), max_connections));
     Ok(())
 }
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -57,14 +57,14 @@
         if old.settings != settings {
             engine.handle(Event::Settings(Box::new(settings)));
         }
-        self.document = config.document;
+        self.document = config.platform_document;
         if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
             // The scheduler has the endpoints with the old indices of zones and machine types. No job may be
             // placed by the old indices, so the endpoints are sent again with the new ones.
             let endpoints = endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
             engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
-        if self.discovery_requests.send(DiscoveryRequest::ChangeSource(config.source)).is_err() {
+        if self.discovery_requests.send(DiscoveryRequest::ChangeSource(config.endpoint_source)).is_err() {
             error!("discovery.absent");
         }
         info!(classes = names.classes.join(","), "configuration.applied");
--- a/crates/vetchbridge/src/serve/sockets.rs
+++ b/crates/vetchbridge/src/serve/sockets.rs
@@ -39,7 +39,7 @@
     /// Opens the sockets that were not inherited. The hand-over listener is published last, so that a
     /// successor connects only after this process has the client listener.
     pub async fn open(config: &Config, inherited: InheritedSockets) -> Result<Sockets, ServeError> {
-        let mut handover_listener = match config.handover.as_deref() {
+        let mut handover_listener = match config.handover_path.as_deref() {
             Some(path) => open_handover_listener(path).await,
             None => None,
         };
@@ -48,7 +48,7 @@
         } else {
             // A successor can't inherit the listener if the hand-over socket is unavailable. SO_REUSEPORT
             // then lets the next process of this scheduler listen at the same address.
-            let reuse_port = config.handover.is_some() && handover_listener.is_none();
+            let reuse_port = config.handover_path.is_some() && handover_listener.is_none();
             bind_with_retry(config.listen, || listen(config.listen, reuse_port)).await?
         };
         let duplicate = retry("listener", || client_listener.as_fd().try_clone_to_owned()).await;
@@ -57,7 +57,7 @@
             Some(peers) => Some(open_peer_socket(peers.listen, inherited.peer_socket).await),
             None => None,
         };
-        if let (Some(listener), Some(path)) = (&mut handover_listener, &config.handover) {
+        if let (Some(listener), Some(path)) = (&mut handover_listener, &config.handover_path) {
             let publish_result = listener.publish(path);
             publish_result.map_err(|source| ServeError::PublishHandover { path: path.clone(), source })?;
         }
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -72,9 +72,9 @@
 /// Opens the sockets, connects all components and starts their tasks.
 pub(super) async fn start(startup: Startup) -> Result<Arc<HandoverServer>, ServeError> {
     let Startup { mut config, flags, logs, hangup, inherited, lifecycle, process_links } = startup;
-    let saved_list = std::mem::take(&mut config.known);
+    let saved_list = std::mem::take(&mut config.saved_list);
     let InitialState { sockets, initial_list, predecessor } =
-        initial_state(inherited, saved_list, &config.source);
+        initial_state(inherited, saved_list, &config.endpoint_source);
     let Sockets { client_listener, listener_duplicate, handover_listener, peer_socket } =
         Sockets::open(&config, sockets).await?;
     let listen = listener_duplicate.local_addr().map_err(ServeError::ClientListener)?;
@@ -82,20 +82,26 @@
 
     let (discovery_requests, queued_discovery_requests) = unbounded_channel();
     let (datagrams, queued_datagrams) = unbounded_channel();
-    let max_sockets = config.sockets;
+    let max_sockets = config.max_sockets;
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
     let shared =
         SharedState::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
-    let reloader =
-        Reloader { flags, logs, document: config.document, discovery_requests, shared: shared.clone() };
+    let reloader = Reloader {
+        flags,
+        logs,
+        document: config.platform_document,
+        discovery_requests,
+        shared: shared.clone(),
+    };
     tokio::spawn(reloader.run(hangup));
     tokio::spawn(shared.engine.clone().run_timers());
     let peer_socket = config.peers.zip(peer_socket).and_then(|(peers, socket)| {
         let started = start_peer_messages(peers, socket, &shared, &process_links, queued_datagrams);
         started.map_err(|error| error!(%error, "peer_socket.failed")).ok()
     });
-    let list_confirmed = start_discovery(config.source, initial_list, &shared, queued_discovery_requests);
-    let client_server = shared.client_server(max_sockets, config.memory, &lifecycle, &process_links);
+    let list_confirmed =
+        start_discovery(config.endpoint_source, initial_list, &shared, queued_discovery_requests);
+    let client_server = shared.client_server(max_sockets, config.max_memory, &lifecycle, &process_links);
     tokio::spawn(client_server.clone().serve(client_listener));
     let handover_server = Arc::new(HandoverServer {
         name: config.name,
@@ -113,7 +119,7 @@
     if let Some(Predecessor { socket, connections }) = predecessor {
         handover_server.announce_takeover(socket, connections);
     }
-    if let (Some(listener), Some(path)) = (handover_listener, config.handover) {
+    if let (Some(listener), Some(path)) = (handover_listener, config.handover_path) {
         tokio::spawn(handover_server.clone().run(path, listener));
     }
     Ok(handover_server)
--- a/crates/vetchbridge/tests/large_configuration.rs
+++ b/crates/vetchbridge/tests/large_configuration.rs
@@ -64,7 +64,7 @@
     let reading = || {
         let started_at = now();
         let read = read_text("large.toml", &file).expect("it is accepted");
-        assert_eq!(read.config.peers.map(|peers| peers.each.len()), Some(size));
+        assert_eq!(read.config.peers.map(|peers| peers.addresses.len()), Some(size));
         now() - started_at
     };
     (0..3).map(|_| reading()).min().expect("three")
