--- a/crates/vetchbridge/src/cli/mod.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -3,7 +3,7 @@
 
 mod default_file;
 
-use crate::config::{self, file, Config, Effective, Flags};
+use crate::config::{self, file, Config, EffectiveValue, Flags};
 use crate::logs::{LogFormat, Logs};
 use crate::net::retry_blocking;
 use crate::serve;
@@ -203,8 +203,8 @@
 }
 
 /// The values in force as lines of text, each with its origin.
-fn values_table(file: &str, values: &[Effective]) -> String {
-    let text = |value: &Effective| format!("{} = {}", value.key, value.value);
+fn values_table(file: &str, values: &[EffectiveValue]) -> String {
+    let text = |value: &EffectiveValue| format!("{} = {}", value.key, value.value);
     let width = values.iter().map(|value| text(value).chars().count()).max().unwrap_or(0).min(60);
     let lines = values.iter().map(|value| format!("{:width$}  # {}\n", text(value), value.from));
     format!("# {file} holds\n{}", lines.collect::<String>())
--- a/crates/vetchbridge/src/config/fault.rs
+++ b/crates/vetchbridge/src/config/fault.rs
@@ -1,20 +1,20 @@
-//! One fault of a configuration: where it is, what is wrong and what would be right.
+//! A fault in a configuration: its position, the key, the problem and the remedy.
 
 use std::fmt;
 
-/// One thing that is wrong with a configuration.
+/// A fault in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Fault {
-    /// The file, or the variable or flag, at fault.
+    /// Where the value comes from: a file's name, `environment` or another source.
     pub source: String,
-    /// Line and column, from 1, where the source has them.
+    /// Line and column, counted from 1; `None` if the source has no positions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at: Option<(usize, usize)>,
-    /// The key, by its path; empty for the text as a whole.
+    /// Path of the key; empty if the fault concerns the whole text.
     pub key: String,
-    /// What is wrong.
+    /// The problem.
     pub what: String,
-    /// What would be right; may be empty.
+    /// What the user should do or write instead; may be empty.
     pub remedy: String,
 }
 
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -1,11 +1,14 @@
-//! The daemon's configuration: the one place where it is read, checked and given defaults.
+//! Reads and validates the daemon's configuration and fills in its defaults.
 //!
-//! Flags win over the environment, that over the file, that over the defaults. The environment may name the
-//! platform's document (`BALANCER_CONFIG`, `platform`); ours is TOML ([`mod@file`]). Either becomes a [`Config`], or
-//! all of its [`Fault`]s at once. This module opens no socket and gives the decision module no event.
+//! Flags override environment variables, which override the file, which overrides the defaults. The file is
+//! either TOML in the daemon's own format ([`mod@file`]) or the platform's JSON document (`platform`), whose
+//! path is in the environment variable `BALANCER_CONFIG`. Reading returns a [`Config`] or every [`Fault`] at
+//! once. This module opens no sockets and sends the scheduler no events.
 //!
-//! A file goes through [`text`] (keys and their places), [`schema`] (its shape), `precedence` (what wins over it) and
-//! `translate` (the decision module's and the daemon's terms, with the faults that no schema can find).
+//! A TOML file is processed in four steps: [`text`] finds the keys and their positions, [`schema`] validates
+//! the file against the JSON Schema, `precedence` applies flags and environment variables, and `translate`
+//! converts the result to the settings of the scheduler and the daemon and reports the faults that a schema
+//! can't find.
 
 mod fault;
 pub mod file;
@@ -17,7 +20,7 @@
 pub mod units;
 
 pub use fault::Fault;
-pub use precedence::{Effective, Flags};
+pub use precedence::{EffectiveValue, Flags};
 
 use crate::discovery::document::{EndpointDocument, EndpointSource};
 use crate::snapshot::Snapshot;
@@ -28,47 +31,47 @@
 use std::path::{Path, PathBuf};
 use text::Text;
 
-/// The configuration of the daemon.
+/// The daemon's configuration.
 pub struct Config {
-    /// The scheduler's own name.
+    /// Name of this scheduler.
     pub name: String,
-    /// Where clients and the workers' callbacks connect.
+    /// Address on which the scheduler accepts clients and the callbacks of workers.
     pub listen: SocketAddr,
-    /// Where operators call; nowhere if absent.
+    /// Address of the admin interface; `None` if there is none.
     pub admin: Option<SocketAddr>,
-    /// The Unix socket at which a successor takes over; nowhere if absent.
+    /// Path of the Unix socket at which a successor takes over; `None` if upgrades are off.
     pub handover_path: Option<PathBuf>,
-    /// Where the list of workers comes from.
+    /// Source of the worker list.
     pub endpoint_source: EndpointSource,
-    /// Descriptors that the process may hold.
+    /// Maximum number of open descriptors.
     pub max_sockets: usize,
-    /// Bytes that it may take.
+    /// Memory that the process may use, in bytes.
     pub max_memory: usize,
-    /// Where the peers' datagrams arrive and where each peer is reached; absent where schedulers may not exchange messages.
+    /// Addresses for messages between schedulers; `None` if schedulers may not exchange messages.
     pub peers: Option<Peers>,
-    /// The list of workers as this scheduler last had it.
+    /// Worker list that this scheduler last received.
     pub saved_list: EndpointDocument,
-    /// The settings, which were checked.
+    /// Validated settings.
     pub snapshot: Snapshot,
-    /// Seed of the module's random numbers.
+    /// Seed of the scheduler's random numbers.
     pub seed: u64,
-    /// The platform's document as it stands in its file, where the configuration is one.
+    /// The platform's document, unchanged; `None` if the configuration is a TOML file.
     pub platform_document: Option<Value>,
-    /// The log.
+    /// Log settings.
     pub log: file::Log,
 }
 
-/// Addresses of the schedulers of this tier.
+/// Addresses for messages between the schedulers of the tier.
 pub struct Peers {
-    /// Own address for their datagrams.
+    /// Address on which this scheduler receives datagrams.
     pub listen: SocketAddr,
-    /// One address for each scheduler, in the order of their numbers.
+    /// Address of each scheduler, in the order of their numbers.
     pub addresses: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// Address that reaches all schedulers.
     pub broadcast_address: Option<SocketAddr>,
 }
 
-/// A configuration that cannot be used: everything that is wrong with it.
+/// All faults of an invalid configuration.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError(pub Vec<Fault>);
 
@@ -82,52 +85,59 @@
 impl std::error::Error for ConfigError {}
 
 impl ConfigError {
-    fn one(source: &str, key: &str, what: &impl ToString, remedy: &str) -> ConfigError {
+    fn single(source: &str, key: &str, what: &impl ToString, remedy: &str) -> ConfigError {
         let (source, key) = (source.to_string(), key.to_string());
         let (what, remedy) = (what.to_string(), remedy.to_string());
         ConfigError(vec![Fault { source, at: None, key, what, remedy }])
     }
 }
 
-/// A configuration that was read.
-pub struct Read {
-    /// As the daemon uses it.
+/// A configuration and the origins of its values.
+pub struct LoadedConfig {
+    /// The configuration in the form that the daemon uses.
     pub config: Config,
-    /// Every value in force with its origin, for people to read.
-    pub effective: Vec<Effective>,
+    /// Every value in force with its origin, for display.
+    pub effective: Vec<EffectiveValue>,
 }
 
 fn non_empty_variable(key: &str) -> Option<String> {
     std::env::var(key).ok().filter(|value| !value.is_empty())
 }
 
-/// Why a configuration is read: at a reload the environment is as old as the process while the file is new.
+/// Why a configuration is read. At a reload, a file may be newer than the environment variables, which are as
+/// old as the process.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadReason {
     Start,
     Reload,
 }
 
-/// Reads the configuration that this process was started with.
+/// Reads the configuration at the start of the process.
 ///
 /// # Errors
 ///
-/// Every fault of the file or document, of the flags and of the environment.
+/// Returns every fault of the file or document, the flags and the environment variables.
 pub fn load(flags: &Flags) -> Result<Config, ConfigError> {
     read_sources(flags, ReadReason::Start)
 }
 
-/// Reads the configuration again in a running daemon: `discovery` and the log's filter are the file's from now on.
+/// Reads the configuration again in a running daemon. The environment variables for `discovery` and for the
+/// log filter no longer override the file.
 ///
 /// # Errors
 ///
-/// As [`load`]; and each key that the document in force has and the new one lacks, since a file that was written in part
-/// must not pass for a complete one.
+/// Returns the faults that [`load`] returns, and each key that the document in force has and the new document
+/// lacks. A partly written file must not pass for a complete one.
 pub fn reload(flags: &Flags, in_force: Option<&Value>) -> Result<Config, ConfigError> {
     let config = read_sources(flags, ReadReason::Reload)?;
     match (in_force, &config.platform_document) {
         (Some(old), Some(new)) => platform::check_no_key_removed(old, new).map(|()| config),
-        (Some(_), None) => Err(ConfigError::one("configuration", "", &"not a JSON object any more", "")),
+        (Some(_), None) => Err(ConfigError::single(
+            "configuration",
+            "",
+            &"no longer a JSON object",
+            "restore the platform's document",
+        )),
         (None, _) => Ok(config),
     }
 }
@@ -137,24 +147,25 @@
         non_empty_variable(key)
             .filter(|_| reason == ReadReason::Start || !matches!(key, "BALANCER_DISCOVERY" | "RUST_LOG"))
     };
-    let ours = flags.config.as_deref().map(|path| Ok((path, read_to_string(path)?))).transpose()?;
+    let own_file = flags.config.as_deref().map(|path| Ok((path, read_to_string(path)?))).transpose()?;
     let Some(platform) = env("BALANCER_CONFIG") else {
-        let Some((path, text)) = ours else {
+        let Some((path, text)) = own_file else {
             let remedy =
-                "give --config FILE or set BALANCER_CONFIG; `vetchbridge config default` prints a file";
-            return Err(ConfigError::one("vetchbridge", "", &"no configuration", remedy));
+                "give --config FILE or set BALANCER_CONFIG; `vetchbridge config default` prints an example";
+            return Err(ConfigError::single("vetchbridge", "", &"no configuration", remedy));
         };
-        return read(&path.to_string_lossy(), &text, flags, &env).map(|read| read.config);
+        return read(&path.to_string_lossy(), &text, flags, &env).map(|loaded| loaded.config);
     };
-    // The platform's document wins over our file, which is read for the sections that it does not know.
+    // The platform's document takes precedence over the daemon's own file. Only the log settings, which the
+    // document lacks, are read from the file.
     let path = Path::new(&platform);
     let text = std::fs::read_to_string(path).map_err(|error| {
-        ConfigError::one("configuration", "BALANCER_CONFIG", &format!("{platform}: {error}"), "")
+        ConfigError::single("configuration", "BALANCER_CONFIG", &format!("{platform}: {error}"), "")
     })?;
     let mut config = read(&platform, &text, flags, &env)?.config;
-    if let Some((path, text)) = ours {
+    if let Some((path, text)) = own_file {
         let source = path.to_string_lossy();
-        let file = check_shape(&source, &text)?;
+        let file = parse_file(&source, &text)?;
         config.log = precedence::log(&file, flags, &env);
     }
     Ok(config)
@@ -162,40 +173,40 @@
 
 fn read_to_string(path: &Path) -> Result<String, ConfigError> {
     let source = path.to_string_lossy();
-    std::fs::read_to_string(path).map_err(|error| ConfigError::one(&source, "", &error, ""))
+    std::fs::read_to_string(path).map_err(|error| ConfigError::single(&source, "", &error, ""))
 }
 
-/// Reads a file of either format on its own, as `check` does; the environment does not count.
+/// Reads a file of either format, without flags and environment variables, as `check` does.
 ///
 /// # Errors
 ///
-/// Every fault of the file.
-pub fn read_file(path: &Path) -> Result<Read, ConfigError> {
+/// Returns every fault of the file.
+pub fn read_file(path: &Path) -> Result<LoadedConfig, ConfigError> {
     read_text(&path.to_string_lossy(), &read_to_string(path)?)
 }
 
-/// Reads a text of either format in the same way.
+/// Reads a text of either format, without flags and environment variables.
 ///
 /// # Errors
 ///
-/// Every fault of the text.
-pub fn read_text(source: &str, text: &str) -> Result<Read, ConfigError> {
+/// Returns every fault of the text.
+pub fn read_text(source: &str, text: &str) -> Result<LoadedConfig, ConfigError> {
     read(source, text, &Flags::default(), &|_| None)
 }
 
-fn read(source: &str, text: &str, flags: &Flags, env: &Environment<'_>) -> Result<Read, ConfigError> {
+fn read(source: &str, text: &str, flags: &Flags, env: &Environment<'_>) -> Result<LoadedConfig, ConfigError> {
     if text.trim_start().starts_with('{') {
         return platform::read(source, text, flags, env);
     }
-    let file = check_shape(source, text)?;
+    let file = parse_file(source, text)?;
     let (parsed, _) = Text::parse(source, text);
     let (file, overrides) = precedence::apply(file, flags, env)?;
     let effective = precedence::effective(&file, &parsed, source, &overrides);
     let config = translate::config(&file, &parsed)?;
-    Ok(Read { config, effective })
+    Ok(LoadedConfig { config, effective })
 }
 
-/// The file as its shape has it; all that its schema finds wrong otherwise.
-fn check_shape(source: &str, text: &str) -> Result<File, ConfigError> {
+/// Parses a file and validates it against the schema. Returns all faults that the schema finds.
+fn parse_file(source: &str, text: &str) -> Result<File, ConfigError> {
     schema::parse(source, text, &file::schema()).map_err(ConfigError)
 }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -1,9 +1,10 @@
-//! The platform's configuration document: JSON, with the settings object as the simulator has it.
+//! The platform's configuration document: JSON, with the same settings object as the simulator uses.
 //!
-//! The names of its keys are mapped here. The document stays as the platform has it: a key of ours belongs into our own file.
+//! This module maps the keys of the document. The platform defines the document's format: keys that only this
+//! daemon knows belong in the daemon's own file.
 
 use super::precedence::{self, Environment, Overrides};
-use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
+use super::{file, Config, ConfigError, EffectiveValue, Fault, Flags, LoadedConfig, Peers};
 use crate::discovery::document::{EndpointDocument, EndpointSource};
 use crate::snapshot::{NameTables, Snapshot};
 use crate::workers::load_report::{FreeSlotsField, LoadReportSettings};
@@ -15,20 +16,22 @@
 use std::time::Duration;
 use vetchbridge_scheduling::Settings;
 
-/// Descriptors that the process may hold where nothing says otherwise.
+/// Default of the maximum number of open descriptors.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory that it may take where nothing says otherwise, in MiB.
+/// Default of the memory that the process may use, in MiB.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// After how long workers close an idle connection where nothing says otherwise.
+/// Default of the time after which workers close an idle connection.
 pub const DEFAULT_CONN_IDLE: Duration = Duration::from_secs(60);
 
-/// Characters of a scheduler's name in that of its hand-over file: a Unix socket's path has 107 in all.
+/// Maximum number of characters that a scheduler's name contributes to the name of its handover file. The
+/// path of a Unix socket is limited to 107 characters in total.
 const MAX_NAME_IN_FILE: usize = 32;
 
-/// The name of the hand-over socket of a scheduler. Others may share its folder, also some whose names begin alike.
+/// Returns the file name of a scheduler's handover socket. Schedulers may share a folder, and their names may
+/// begin with the same characters, so a long name is shortened to a prefix and a hash.
 fn handover_file_name(scheduler: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-    let mut name: String = scheduler.chars().map(plain).collect();
+    let file_name_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+    let mut name: String = scheduler.chars().map(file_name_char).collect();
     if name.len() > MAX_NAME_IN_FILE {
         let hash = format!("-{:016x}", name_hash(scheduler));
         name.truncate(MAX_NAME_IN_FILE - hash.len());
@@ -37,14 +40,14 @@
     format!("vetchbridge-{name}.handover")
 }
 
-/// Reads the document and collects all of its faults.
+/// Reads keys of the document and collects all faults.
 struct Document<'s> {
     source: &'s str,
     faults: Vec<Fault>,
 }
 
 impl Document<'_> {
-    fn bad(&mut self, key: &str, what: impl Into<String>) {
+    fn add_fault(&mut self, key: &str, what: impl Into<String>) {
         let (source, key) = (self.source.to_string(), key.to_string());
         self.faults.push(Fault { source, at: None, key, what: what.into(), remedy: String::new() });
     }
@@ -52,59 +55,61 @@
     fn optional<T: DeserializeOwned>(&mut self, object: Option<&Value>, key: &str, path: &str) -> Option<T> {
         match object?.get(key)? {
             Value::Null => None,
-            value => T::deserialize(value).map_err(|error| self.bad(path, error.to_string())).ok(),
+            value => T::deserialize(value).map_err(|error| self.add_fault(path, error.to_string())).ok(),
         }
     }
 
     fn required<T: DeserializeOwned>(&mut self, object: &Value, key: &str) -> Option<T> {
         if object.get(key).is_none_or(Value::is_null) {
-            self.bad(key, "missing");
+            self.add_fault(key, "missing");
         }
         self.optional(Some(object), key, key)
     }
 
-    /// As [`Document::bad`], unless the key, with or without its place in a list, was named already.
-    fn bad_once(&mut self, key: &str, what: impl Into<String>) {
-        let without_place = |known: &str| {
+    /// Records a fault like [`Document::add_fault`], unless one was recorded for the same key, with or
+    /// without its index in a list.
+    fn add_fault_once(&mut self, key: &str, what: impl Into<String>) {
+        let without_index = |known: &str| {
             let parts = known.split('[').map(|part| part.split_once(']').map_or(part, |(_, rest)| rest));
             parts.collect::<Vec<_>>().join("[]")
         };
-        if !self.faults.iter().any(|fault| fault.key == key || without_place(&fault.key) == key) {
-            self.bad(key, what);
+        if !self.faults.iter().any(|fault| fault.key == key || without_index(&fault.key) == key) {
+            self.add_fault(key, what);
         }
     }
 
-    /// Every deadline and the number of attempts has to be a number above 0; each that is not becomes a fault.
+    /// Checks that every deadline and the maximum number of attempts are numbers above 0, and records a fault
+    /// otherwise.
     fn check_positive(&mut self, settings: &Value) {
         let services = settings.get("services").and_then(Value::as_array).into_iter().flatten();
-        let deadlines = services.enumerate().map(|(place, service)| {
-            (format!("settings.services[{place}].deadline"), service.get("deadline"))
+        let deadlines = services.enumerate().map(|(index, service)| {
+            (format!("settings.services[{index}].deadline"), service.get("deadline"))
         });
         let attempts = settings.get("limits").map(|limits| limits.get("max_attempts"));
         let attempts = attempts.map(|attempts| ("settings.limits.max_attempts".to_string(), attempts));
         for (key, value) in deadlines.chain(attempts) {
             match value {
-                None => self.bad(&key, "missing"),
+                None => self.add_fault(&key, "missing"),
                 Some(value) if value.as_f64().is_none_or(|number| number < 1.0) => {
-                    self.bad(&key, format!("{value} is no number above 0"));
+                    self.add_fault(&key, format!("{value} is not a number above 0"));
                 }
                 Some(_) => {}
             }
         }
     }
 
-    /// The name of every entry of a list in the settings.
-    fn names_of(&mut self, settings: &Value, list: &str) -> Vec<String> {
+    /// Returns the names of all entries of a list in the settings.
+    fn entry_names(&mut self, settings: &Value, list: &str) -> Vec<String> {
         let entries = settings.get(list).and_then(Value::as_array).into_iter().flatten();
         let names = entries.map(|entry| entry.get("name").and_then(Value::as_str).map(str::to_string));
         names.collect::<Option<_>>().unwrap_or_else(|| {
-            self.bad(&format!("settings.{list}[].name"), "missing");
+            self.add_fault(&format!("settings.{list}[].name"), "missing");
             Vec::new()
         })
     }
 }
 
-/// The document's keys beside the settings.
+/// The document's keys outside the settings.
 struct OwnKeys {
     name: String,
     listen: SocketAddr,
@@ -119,7 +124,7 @@
     broadcast_address: Option<SocketAddr>,
 }
 
-/// The document's settings and what the daemon alone needs of them.
+/// The document's settings, and values from them that only the daemon uses.
 struct SettingsKeys {
     settings: Settings,
     names: NameTables,
@@ -128,17 +133,17 @@
 }
 
 impl Document<'_> {
-    /// Reads the keys beside the settings; placeholders stand for those that are at fault.
+    /// Reads the keys outside the settings. Keys with a fault get placeholder values.
     fn own_keys(&mut self, root: &Value) -> OwnKeys {
         let (top, limits) = (Some(root), root.get("limits"));
-        let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let placeholder = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         OwnKeys {
             sockets: self.optional(limits, "sockets", "limits.sockets").unwrap_or(DEFAULT_SOCKETS),
             memory_mb: self.optional(limits, "memory_mb", "limits.memory_mb").unwrap_or(DEFAULT_MEMORY_MB),
             seed: self.seed(root).unwrap_or_default(),
             name: self.required(root, "name").unwrap_or_default(),
-            listen: self.required(root, "listen").unwrap_or(nowhere),
-            discovery: self.required(root, "discovery").unwrap_or(nowhere),
+            listen: self.required(root, "listen").unwrap_or(placeholder),
+            discovery: self.required(root, "discovery").unwrap_or(placeholder),
             admin: self.optional(top, "admin", "admin"),
             saved_list: self.optional(top, "known", "known").unwrap_or_default(),
             peer_listen: self.optional(top, "peer_listen", "peer_listen"),
@@ -149,27 +154,28 @@
 
     fn seed(&mut self, root: &Value) -> Option<u64> {
         let digits: String = self.required(root, "seed")?;
-        u64::from_str_radix(&digits, 16).map_err(|error| self.bad("seed", error.to_string())).ok()
+        u64::from_str_radix(&digits, 16).map_err(|error| self.add_fault("seed", error.to_string())).ok()
     }
 
-    /// Reads the settings; `None` if they can't be read at all.
+    /// Reads the settings. Returns `None` if they do not parse.
     fn settings(&mut self, json: &Value) -> Option<SettingsKeys> {
         let limits = json.get("limits");
         let conn_idle = self.optional(limits, "conn_idle", "settings.limits.conn_idle");
         let names = NameTables {
             zones: self.optional(Some(json), "areas", "settings.areas").unwrap_or_default(),
             kinds: self.optional(Some(json), "kinds", "settings.kinds").unwrap_or_default(),
-            classes: self.names_of(json, "services"),
-            tenants: self.names_of(json, "accounts"),
+            classes: self.entry_names(json, "services"),
+            tenants: self.entry_names(json, "accounts"),
         };
-        let meaning = |field| json.get("specifics")?.get(field)?.as_str();
-        let free_slots = FreeSlotsField::from_descriptions(meaning("report_x0"), meaning("report_x1"));
+        let description = |field| json.get("specifics")?.get(field)?.as_str();
+        let free_slots =
+            FreeSlotsField::from_descriptions(description("report_x0"), description("report_x1"));
         self.check_positive(json);
         let settings = vetchbridge_settings::from_value(json)
-            .map_err(|fault| self.bad_once(&fault.key_under("settings"), fault.problem.to_string()))
+            .map_err(|fault| self.add_fault_once(&fault.key_under("settings"), fault.problem.to_string()))
             .ok()?;
         if let Err(error) = settings.check() {
-            self.bad_once(&format!("settings.{}", error.field), error.reason);
+            self.add_fault_once(&format!("settings.{}", error.field), error.reason);
         }
         let conn_idle = conn_idle.filter(|idle| *idle > 0).map_or(DEFAULT_CONN_IDLE, Duration::from_micros);
         Some(SettingsKeys { settings, names, conn_idle, free_slots })
@@ -185,7 +191,7 @@
 }
 
 impl OwnKeys {
-    /// The addresses of the peers, where messages to them are permitted.
+    /// Returns the addresses of the peers if messages between schedulers are permitted.
     fn peers(&self, settings: &Settings) -> Option<Peers> {
         let listen = self.peer_listen.filter(|_| settings.limits.may_message_peers)?;
         Some(Peers {
@@ -196,7 +202,7 @@
     }
 }
 
-/// Parses the document.
+/// Parses the text as a JSON object.
 fn parse(source: &str, text: &str) -> Result<Map<String, Value>, ConfigError> {
     serde_json::from_str(text).map_err(|error| {
         let at = Some((error.line(), error.column())).filter(|(line, _)| *line > 0);
@@ -206,7 +212,7 @@
     })
 }
 
-/// Puts flags and environment over the document.
+/// Overrides keys of the document with the values of flags and environment variables.
 fn apply(root: &mut Map<String, Value>, flags: &Flags, env: &Environment<'_>) -> Overrides {
     let mut overrides = Overrides::default();
     for (variable, key, flag) in [
@@ -224,10 +230,15 @@
     overrides
 }
 
-/// Checks the document's text; flags and `env` win over the keys that they name.
-pub fn read(source: &str, text: &str, flags: &Flags, env: &Environment<'_>) -> Result<Read, ConfigError> {
+/// Reads and validates the document's text. Flags and `env` override the keys that they name.
+pub fn read(
+    source: &str,
+    text: &str,
+    flags: &Flags,
+    env: &Environment<'_>,
+) -> Result<LoadedConfig, ConfigError> {
     let mut root = parse(source, text)?;
-    let as_it_stands = Value::Object(root.clone());
+    let unchanged = Value::Object(root.clone());
     let overrides = apply(&mut root, flags, env);
     let root = Value::Object(root);
     let mut document = Document { source, faults: Vec::new() };
@@ -237,7 +248,7 @@
         return Err(ConfigError(document.faults));
     };
     let config = Config {
-        // What the platform keeps between two processes of one scheduler is this folder.
+        // The platform keeps this folder from one process of a scheduler to the next.
         handover_path: env("TMPDIR").map(|folder| Path::new(&folder).join(handover_file_name(&own.name))),
         peers: own.peers(&settings.settings),
         name: own.name,
@@ -249,17 +260,17 @@
         saved_list: own.saved_list,
         seed: own.seed,
         snapshot: settings.snapshot(),
-        platform_document: Some(as_it_stands),
+        platform_document: Some(unchanged),
         log: precedence::log(&file::File::default(), flags, env),
     };
     let from = |key: &str| overrides.origin(key).unwrap_or(source).to_string();
     let effective = precedence::leaves(root).into_iter();
-    let effective = effective.map(|(key, value)| Effective { from: from(&key), key, value });
-    Ok(Read { config, effective: effective.collect() })
+    let effective = effective.map(|(key, value)| EffectiveValue { from: from(&key), key, value });
+    Ok(LoadedConfig { config, effective: effective.collect() })
 }
 
-/// Names every key that one document has and the next one lacks. Of lists of objects, what every entry has. The list
-/// of workers as last held is free to change.
+/// Returns a fault for each key that the old document has and the new one lacks. In a list of objects, only
+/// keys that every old entry has are required of the new entries. The saved worker list is not compared.
 pub fn check_no_key_removed(old: &Value, new: &Value) -> Result<(), ConfigError> {
     fn entries(value: &Value) -> Option<Vec<&Map<String, Value>>> {
         let list = value.as_array()?.iter().map(Value::as_object).collect::<Option<Vec<_>>>()?;
@@ -270,19 +281,22 @@
             for (key, value) in old.iter().filter(|(key, _)| !path.is_empty() || *key != "known") {
                 let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
                 match new.get(key) {
-                    None => document.bad(&path, "missing; the configuration in force has it"),
+                    None => document.add_fault(&path, "missing; the configuration in force has it"),
                     Some(new) => walk(&path, value, new, document),
                 }
             }
         } else if let (Some(old), Some(new)) = (entries(old), entries(new)) {
-            let in_all = |key: &String| old.iter().all(|entry| entry.contains_key(key));
-            for key in old.iter().take(1).flat_map(|entry| entry.keys()).filter(|key| in_all(key)) {
-                for (place, entry) in new.iter().enumerate() {
-                    // Only a class whose repeats are dropped says where and for how long.
-                    let keyed = entry.get("repeat").is_none_or(|repeat| repeat == "keyed");
-                    if !entry.contains_key(key) && (keyed || !matches!(key.as_str(), "group" | "window")) {
+            let every_entry_has = |key: &String| old.iter().all(|entry| entry.contains_key(key));
+            for key in old.iter().take(1).flat_map(|entry| entry.keys()).filter(|key| every_entry_has(key)) {
+                for (index, entry) in new.iter().enumerate() {
+                    // Only a keyed class has a deduplication scope (`group`) and a deduplication window
+                    // (`window`).
+                    let may_be_keyed = entry.get("repeat").is_none_or(|repeat| repeat == "keyed");
+                    if !entry.contains_key(key)
+                        && (may_be_keyed || !matches!(key.as_str(), "group" | "window"))
+                    {
                         let what = "missing; every entry of the configuration in force has it";
-                        document.bad(&format!("{path}[{place}].{key}"), what);
+                        document.add_fault(&format!("{path}[{index}].{key}"), what);
                     }
                 }
             }
--- a/crates/vetchbridge/src/config/precedence.rs
+++ b/crates/vetchbridge/src/config/precedence.rs
@@ -1,71 +1,71 @@
-//! Precedence: flags win over the environment, that over the file, that over the defaults; and where each value in
-//! force came from.
+//! The precedence of configuration sources, and the origin of each value in force. Flags override environment
+//! variables, which override the file, which overrides the defaults.
 
 use super::file::{self, File};
 use super::text::Text;
-use super::units::{Address, Filter, Unit, UnitError};
+use super::units::{Address, Filter, TextFormat, TextFormatError};
 use super::ConfigError;
 use crate::logs::LogFormat;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Looks a variable of the environment up; an empty one counts as absent.
+/// Looks up an environment variable. An empty variable counts as absent.
 pub(super) type Environment<'e> = dyn Fn(&str) -> Option<String> + 'e;
 
-/// The command line; it wins over everything else.
+/// Values from the command line. They override all other sources.
 #[derive(Clone, Debug, Default)]
 pub struct Flags {
-    /// The file.
+    /// Path of the configuration file.
     pub config: Option<PathBuf>,
-    /// The scheduler's name.
+    /// Name of the scheduler.
     pub name: Option<String>,
-    /// Where it listens.
+    /// Address on which the scheduler listens.
     pub listen: Option<SocketAddr>,
-    /// Discovery's address.
+    /// Address of the discovery service.
     pub discovery: Option<SocketAddr>,
-    /// The log's form.
+    /// Format of log lines.
     pub log_format: Option<LogFormat>,
-    /// The log's filter.
+    /// Log filter.
     pub log_filter: Option<String>,
 }
 
-/// A value in force, and where it came from.
+/// A value in force and its origin.
 #[derive(Debug, PartialEq, serde::Serialize)]
-pub struct Effective {
-    /// The key's path.
+pub struct EffectiveValue {
+    /// Path of the key.
     pub key: String,
-    /// The value as the file would have it.
+    /// The value, in the form that the file uses.
     pub value: Value,
-    /// `default`, a flag, a variable, or a file with its line.
+    /// Origin of the value: `default`, `flag`, an environment variable, or a file and line.
     pub from: String,
 }
 
-/// A key whose value is not the file's.
+/// A key whose value comes from a flag or an environment variable.
 struct Override {
     key: &'static str,
-    /// `flag`, or the name of a variable.
+    /// `flag`, or the name of the environment variable.
     origin: &'static str,
 }
 
-/// Every key whose value is not the file's.
+/// The keys whose values come from flags or environment variables.
 #[derive(Default)]
 pub(super) struct Overrides(Vec<Override>);
 
 impl Overrides {
-    /// Records that a flag, or else a variable, gave the value of a key.
+    /// Records that a flag (if `by_flag`) or an environment variable set a key.
     pub(super) fn record(&mut self, key: &'static str, by_flag: bool, variable: &'static str) {
         let origin = if by_flag { "flag" } else { variable };
         self.0.push(Override { key, origin });
     }
 
-    /// What gave the value of a key, if not the file.
+    /// Returns the flag or environment variable that set a key, if any.
     pub(super) fn origin(&self, key: &str) -> Option<&'static str> {
-        self.0.iter().find(|one| one.key == key).map(|one| one.origin)
+        self.0.iter().find(|entry| entry.key == key).map(|entry| entry.origin)
     }
 }
 
-/// Puts flags and environment over a file.
+/// Overrides a file's values with those of flags and environment variables.
 pub(super) fn apply(
     mut file: File,
     flags: &Flags,
@@ -98,7 +98,7 @@
     Ok((file, overrides))
 }
 
-/// An address from a flag, or else from a variable.
+/// Returns the address from a flag or, without the flag, from an environment variable.
 fn address(
     flag: Option<SocketAddr>,
     variable: &str,
@@ -108,11 +108,12 @@
         return Ok(Some(Address(address)));
     }
     let Some(text) = env(variable) else { return Ok(None) };
-    let fault = |error: UnitError| ConfigError::one("environment", variable, &error, Address::EXAMPLE);
+    let fault =
+        |error: TextFormatError| ConfigError::single("environment", variable, &error, Address::REMEDY);
     text.parse().map(Some).map_err(fault)
 }
 
-/// The settings of the log.
+/// Returns the log settings in force.
 pub(super) fn log(file: &File, flags: &Flags, env: &Environment<'_>) -> file::Log {
     let filter = flags.log_filter.clone().or_else(|| env("RUST_LOG")).map(Filter);
     file::Log {
@@ -121,30 +122,37 @@
     }
 }
 
-/// Every value in force with its origin.
-pub(super) fn effective(file: &File, text: &Text<'_>, source: &str, overrides: &Overrides) -> Vec<Effective> {
+/// Returns every value in force with its origin.
+pub(super) fn effective(
+    file: &File,
+    text: &Text<'_>,
+    source: &str,
+    overrides: &Overrides,
+) -> Vec<EffectiveValue> {
     let from = |key: &str| match (overrides.origin(key), text.locate(key)) {
         (Some(origin), _) => origin.to_string(),
         (None, (true, (line, _))) => format!("{source}:{line}"),
         (None, (false, _)) => "default".to_string(),
     };
-    let all = leaves(serde_json::to_value(file).unwrap_or_default());
-    all.into_iter().map(|(key, value)| Effective { from: from(&key), key, value }).collect()
+    let values = leaves(serde_json::to_value(file).unwrap_or_default());
+    values.into_iter().map(|(key, value)| EffectiveValue { from: from(&key), key, value }).collect()
 }
 
-/// A document's values by the paths of their keys.
+/// Returns the values of a document with the paths of their keys. A list that holds no objects is one value.
 pub(super) fn leaves(document: Value) -> Vec<(String, Value)> {
-    fn walk(path: String, value: Value, into: &mut Vec<(String, Value)>) {
+    fn walk(path: String, value: Value, found: &mut Vec<(String, Value)>) {
         let join = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         match value {
-            Value::Object(map) => map.into_iter().for_each(|(name, value)| walk(join(&name), value, into)),
+            Value::Object(map) => map.into_iter().for_each(|(name, value)| walk(join(&name), value, found)),
             Value::Array(list) if list.iter().any(Value::is_object) => {
-                list.into_iter().enumerate().for_each(|(i, value)| walk(format!("{path}[{i}]"), value, into));
+                list.into_iter()
+                    .enumerate()
+                    .for_each(|(i, value)| walk(format!("{path}[{i}]"), value, found));
             }
-            leaf => into.push((path, leaf)),
+            leaf => found.push((path, leaf)),
         }
     }
-    let mut all = Vec::new();
-    walk(String::new(), document, &mut all);
-    all
+    let mut values = Vec::new();
+    walk(String::new(), document, &mut values);
+    values
 }
--- a/crates/vetchbridge/src/config/text.rs
+++ b/crates/vetchbridge/src/config/text.rs
@@ -1,30 +1,32 @@
-//! A configuration file's text, with the places of its keys, so that each fault can name line and column.
+//! The text of a configuration file with the positions of its keys, from which faults get their line and
+//! column.
 
 use super::Fault;
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// A file's text with the places of its keys.
+/// The parsed text of a file, with the positions of its keys.
 pub struct Text<'t> {
     source: &'t str,
     content: &'t str,
-    /// Where each line begins, by its offset.
+    /// Byte offset at which each line begins.
     line_starts: Vec<usize>,
     root: Spanned<DeTable<'t>>,
 }
 
 impl<'t> Text<'t> {
-    /// The name of the file, as faults give it.
+    /// Returns the name of the file for use in faults.
     pub(super) fn source(&self) -> &str {
         self.source
     }
 
-    /// The document's root table.
+    /// Returns the root table.
     pub(super) fn root(&self) -> &Spanned<DeTable<'t>> {
         &self.root
     }
 
-    /// Parses a text; what is no TOML becomes faults, and the rest is still there to look at.
+    /// Parses a text. Syntax errors are returned as faults; the parts that are valid TOML can still be
+    /// examined.
     pub fn parse(source: &'t str, text: &'t str) -> (Text<'t>, Vec<Fault>) {
         let (root, errors) = DeTable::parse_recoverable(text);
         let line_starts =
@@ -43,7 +45,7 @@
         (parsed, faults)
     }
 
-    /// Line and column, from 1, of an offset into the text.
+    /// Returns the line and column, counted from 1, of a byte offset.
     pub(super) fn place(&self, offset: usize) -> (usize, usize) {
         let offset = offset.min(self.content.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
@@ -51,14 +53,16 @@
         (line, String::from_utf8_lossy(before).chars().count() + 1)
     }
 
-    /// A fault at a key's value, or at the nearest table around it that the text has.
+    /// Returns a fault positioned at a key's value or, if the text lacks the key, at the innermost enclosing
+    /// table that the text has.
     pub fn fault(&self, key: &str, what: impl Into<String>, remedy: impl Into<String>) -> Fault {
         let at = self.locate(key).1;
         let (source, key) = (self.source.to_string(), key.to_string());
         Fault { source, at: Some(at), key, what: what.into(), remedy: remedy.into() }
     }
 
-    /// Whether the text has this key, and where it or the nearest table around it stands.
+    /// Returns whether the text has this key, and the position of its value or, if the text lacks the key, of
+    /// the innermost enclosing table that the text has.
     pub fn locate(&self, key: &str) -> (bool, (usize, usize)) {
         let mut offset = self.root.span().start;
         let mut table = Some(self.root.get_ref());
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -1,6 +1,7 @@
-//! Translation of a well-formed file into a [`Config`], with the faults that the format's schema can't find.
+//! Translates a file that is valid under the schema into a [`Config`] and reports the faults that the schema
+//! can't find.
 //!
-//! This is where the names of the file's keys become those of the decision module's settings.
+//! This module maps the keys of the file to the fields of the scheduler's settings.
 
 use super::file::{
     Attempts, File, Follow, FreeSlots, Group, Load, Prices, QueueOrder, Repeat, Rules, Weights,
@@ -17,12 +18,12 @@
     Tenant, ZoneId,
 };
 
-/// Translates a file whose text is `text`; all of its faults otherwise, in the order of their places.
+/// Translates a file whose text is `text`. Returns all faults in the order of their positions.
 pub(super) fn config(file: &File, text: &Text<'_>) -> Result<Config, ConfigError> {
     Translation { file, text, faults: Vec::new() }.config()
 }
 
-/// The translation of a well-formed file; collects faults on the way.
+/// Translates a file and collects faults.
 struct Translation<'f> {
     file: &'f File,
     text: &'f Text<'f>,
@@ -31,32 +32,36 @@
 
 impl Translation<'_> {
     /// Records a fault at a key.
-    fn bad(&mut self, key: impl AsRef<str>, what: impl Into<String>, remedy: impl Into<String>) {
+    fn add_fault(&mut self, key: impl AsRef<str>, what: impl Into<String>, remedy: impl Into<String>) {
         self.faults.push(self.text.fault(key.as_ref(), what, remedy));
     }
 
-    /// The place of a name among those that it must be one of.
-    fn index(&mut self, key: String, name: Option<&String>, among: &[String], list: &str) -> u32 {
+    /// Returns the index of a name in a list of allowed names, or 0 if the name is absent or not in the list.
+    fn name_index(&mut self, key: String, name: Option<&String>, allowed: &[String], list: &str) -> u32 {
         let Some(name) = name else { return 0 };
-        if let Some(index) = among.iter().position(|known| known == name) {
+        if let Some(index) = allowed.iter().position(|known| known == name) {
             return index as u32;
         }
-        self.bad(key, format!("{name:?} is not in {list}"), format!("one of {}", among.join(", ")));
+        self.add_fault(
+            key,
+            format!("{name:?} is not in {list}"),
+            format!("use one of {}", allowed.join(", ")),
+        );
         0
     }
 
-    /// Every name of a list has to be there once.
-    fn unique<'n>(&mut self, list: &str, names: impl Iterator<Item = &'n String>) {
+    /// Checks that the names of a list are not empty and not repeated.
+    fn check_names<'n>(&mut self, list: &str, names: impl Iterator<Item = &'n String>) {
         let mut seen = BTreeSet::new();
         for (index, name) in names.enumerate() {
             if name.is_empty() {
-                self.bad(format!("{list}[{index}].name"), "empty", "a name");
+                self.add_fault(format!("{list}[{index}].name"), "empty", "write a name");
             }
             if !seen.insert(name) {
-                self.bad(
+                self.add_fault(
                     format!("{list}[{index}].name"),
-                    format!("{name:?} is there already"),
-                    "a name of its own",
+                    format!("{name:?} is already in use"),
+                    "use a unique name",
                 );
             }
         }
@@ -72,16 +77,16 @@
         let instances: Vec<Instance> = (0..file.workers.len()).map(|index| self.worker(index)).collect();
         let settings = self.settings(zone, classes);
         if let Err(error) = settings.check() {
-            self.bad(file_key(error.field), error.reason, "");
+            self.add_fault(file_key(error.field), error.reason, "");
         }
         if !self.faults.is_empty() {
             self.faults.sort_by_key(|fault| fault.at);
             return Err(ConfigError(self.faults));
         }
-        let listing = EndpointDocument { generation: 0, reset: true, instances };
+        let listed_workers = EndpointDocument { generation: 0, reset: true, instances };
         let (endpoint_source, saved_list) = match file.discovery {
-            Some(address) => (EndpointSource::Service(address.0), listing),
-            None => (EndpointSource::Fixed(listing), EndpointDocument::default()),
+            Some(address) => (EndpointSource::Service(address.0), listed_workers),
+            None => (EndpointSource::Fixed(listed_workers), EndpointDocument::default()),
         };
         Ok(Config {
             name: file.name.clone(),
@@ -93,58 +98,62 @@
             max_memory: file.limits.memory.0 as usize,
             peers: peers(file),
             saved_list,
-            seed: file.seed.map_or_else(seed_of_this_start, |seed| seed.0),
+            seed: file.seed.map_or_else(new_seed, |seed| seed.0),
             snapshot: snapshot(file, settings),
             platform_document: None,
             log: file.log.clone(),
         })
     }
 
-    /// Lists that must not be empty, or name an entry twice.
+    /// Checks that the lists have the required entries and that no name is repeated.
     fn check_lists(&mut self) {
         let file = self.file;
         if file.class.is_empty() {
-            self.bad("class", "no class of requests", "add a [[class]] with name, repeat, aim and deadline");
+            self.add_fault(
+                "class",
+                "no request class",
+                "add a [[class]] with name, repeat, aim and deadline",
+            );
         }
-        self.unique("class", file.class.iter().map(|class| &class.name));
-        self.unique("tenant", file.tenant.iter().map(|tenant| &tenant.name));
-        self.unique("peer", file.workers.iter().map(|worker| &worker.name));
+        self.check_names("class", file.class.iter().map(|class| &class.name));
+        self.check_names("tenant", file.tenant.iter().map(|tenant| &tenant.name));
+        self.check_names("peer", file.workers.iter().map(|worker| &worker.name));
         if file.discovery.is_none() && file.workers.is_empty() {
-            let remedy = "name a discovery service, or list the workers as [[peer]]";
-            self.bad("discovery", "no discovery and no worker", remedy);
+            let remedy = "set discovery to the address of the service, or list the workers as [[peer]]";
+            self.add_fault("discovery", "no discovery service and no worker", remedy);
         }
     }
 
-    /// This scheduler's number among those of its tier.
+    /// Checks that this scheduler's number is below the number of schedulers.
     fn check_own_number(&mut self) {
         let tier = &self.file.tier;
         if tier.me >= tier.schedulers {
-            let remedy = format!("0 to {}", tier.schedulers.saturating_sub(1));
-            self.bad("tier.me", "not below tier.schedulers", remedy);
+            let remedy = format!("use 0 to {}", tier.schedulers.saturating_sub(1));
+            self.add_fault("tier.me", "must be below tier.schedulers", remedy);
         }
     }
 
-    /// The number of this scheduler's zone.
+    /// Returns the index of this scheduler's zone.
     fn own_zone(&mut self) -> u32 {
         let (tier, fleet) = (&self.file.tier, &self.file.fleet);
-        self.index("tier.zone".to_string(), tier.zone.as_ref(), &fleet.zones, "fleet.zones")
+        self.name_index("tier.zone".to_string(), tier.zone.as_ref(), &fleet.zones, "fleet.zones")
     }
 
-    /// Keys that must agree with one another.
+    /// Checks keys whose values must agree with one another.
     fn check_tier_and_load(&mut self) {
         let (tier, file) = (&self.file.tier, self.file);
         let addresses = tier.each.len();
         if tier.messages.is_some() && addresses > 0 && addresses != tier.schedulers as usize {
             let what = format!("{addresses} addresses for {} schedulers", tier.schedulers);
-            self.bad("tier.each", what, "one for each");
+            self.add_fault("tier.each", what, "list one for each scheduler");
         }
         if file.fleet.load == Load::Probes && !file.attempts.probe {
-            let remedy = "attempts.probe = true, or fleet.load = \"off\"";
-            self.bad("fleet.load", "probes that attempts.probe does not permit", remedy);
+            let remedy = "set attempts.probe = true, or fleet.load = \"off\"";
+            self.add_fault("fleet.load", "attempts.probe does not permit probes", remedy);
         }
     }
 
-    /// Whether a class's request may be repeated.
+    /// Returns whether a request of a class may run more than once.
     fn idempotency(&mut self, index: usize) -> Idempotency {
         let class = &self.file.class[index];
         let scope = match class.group {
@@ -157,8 +166,9 @@
             (Repeat::Unsafe, _) => Idempotency::NonIdempotent,
             (Repeat::Keyed, Some(window)) => Idempotency::Keyed { scope, deduplication_window: window.0 },
             (Repeat::Keyed, None) => {
-                let remedy = "a keyed class says how long workers drop a repeat, such as window = \"15s\"";
-                self.bad(format!("class[{index}].window"), "missing", remedy);
+                let remedy =
+                    "write how long workers drop repeats of a keyed request, such as window = \"15s\"";
+                self.add_fault(format!("class[{index}].window"), "missing", remedy);
                 Idempotency::NonIdempotent
             }
         }
@@ -167,17 +177,21 @@
     fn class(&mut self, index: usize) -> Class {
         let (class, idempotency) = (&self.file.class[index], self.idempotency(index));
         if class.aim > class.deadline {
-            self.bad(
+            self.add_fault(
                 format!("class[{index}].aim"),
                 "longer than the deadline",
-                format!("at most {}", class.deadline),
+                format!("use at most {}", class.deadline),
             );
         }
         if class.name.contains('/') {
-            self.bad(format!("class[{index}].name"), "has a slash", "it is one part of a path");
+            self.add_fault(
+                format!("class[{index}].name"),
+                "contains a slash",
+                "remove the slash: the name is one part of a path",
+            );
         }
         let key = format!("class[{index}].kind");
-        let kind = self.index(key, class.kind.as_ref(), &self.file.fleet.kinds, "fleet.kinds");
+        let machine_type = self.name_index(key, class.kind.as_ref(), &self.file.fleet.kinds, "fleet.kinds");
         Class {
             latency_objective: class.aim.0,
             objective_per_work: class.stretch,
@@ -185,7 +199,7 @@
             priority_weight: class.worth,
             late_weight: class.late_share,
             idempotency,
-            machine_type: class.kind.as_ref().map(|_| MachineTypeId(kind)),
+            machine_type: class.kind.as_ref().map(|_| MachineTypeId(machine_type)),
             priority: class.priority,
             stream: class.stream,
         }
@@ -194,15 +208,15 @@
     fn worker(&mut self, index: usize) -> Instance {
         let (worker, fleet) = (&self.file.workers[index], &self.file.fleet);
         let zone =
-            self.index(format!("peer[{index}].zone"), worker.zone.as_ref(), &fleet.zones, "fleet.zones");
-        let kind =
-            self.index(format!("peer[{index}].kind"), worker.kind.as_ref(), &fleet.kinds, "fleet.kinds");
+            self.name_index(format!("peer[{index}].zone"), worker.zone.as_ref(), &fleet.zones, "fleet.zones");
+        let machine_type =
+            self.name_index(format!("peer[{index}].kind"), worker.kind.as_ref(), &fleet.kinds, "fleet.kinds");
         let name = |names: &[String], index: u32| names.get(index as usize).cloned().unwrap_or_default();
         Instance {
             instance_id: worker.name.clone(),
             host_port: worker.address.to_string(),
             zone: name(&fleet.zones, zone),
-            machine_type: name(&fleet.kinds, kind),
+            machine_type: name(&fleet.kinds, machine_type),
             cell: worker.cell,
             lifecycle: InstanceState::Up,
             weight: worker.weight,
@@ -310,7 +324,7 @@
     vetchbridge_scheduling::Rules {
         answer_slack: rules.answer_slack.0,
         drain_grace: rules.drain_grace.0,
-        poll_within: rules.ask_within.map(|span| span.0),
+        poll_within: rules.ask_within.map(|duration| duration.0),
         slow_start_floor: rules.cold_share,
         slow_start_time: rules.cold_time.0,
         overload_factor: rules.fall_multiple,
@@ -327,7 +341,7 @@
     }
 }
 
-/// The key of the file for a field of the decision module's settings.
+/// Returns the key of the file for a field of the scheduler's settings.
 fn file_key(field: &str) -> &str {
     match field {
         "me" => "tier.me",
@@ -337,8 +351,8 @@
     }
 }
 
-/// A seed that differs from one start to the next.
-fn seed_of_this_start() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    (since.as_nanos() as u64) ^ (u64::from(std::process::id()) << 32)
+/// Returns a seed that differs from one start to the next.
+fn new_seed() -> u64 {
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    (since_epoch.as_nanos() as u64) ^ (u64::from(std::process::id()) << 32)
 }
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -1,4 +1,5 @@
-//! Values that people write with units: their text forms, both ways. Nothing here knows which key a value is for.
+//! Configuration values with a text form, such as durations and sizes: parsing, printing and their JSON
+//! Schema. This module does not know which key a value belongs to.
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
@@ -10,85 +11,86 @@
 use std::time::Duration;
 use vetchbridge_scheduling::Micros;
 
-/// Why a text is no value of a unit. What would be right is [`Unit::EXAMPLE`].
+/// Why a text does not parse. [`TextFormat::REMEDY`] describes a valid text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UnitError {
-    /// Not a span of time.
-    #[error("{0:?} is no span of time")]
-    NoSpan(String),
-    /// A span of more microseconds than 64 bits hold.
-    #[error("{0:?} is too long")]
-    SpanTooLong(String),
-    /// Not a number of bytes.
-    #[error("{0:?} is no size")]
-    NoSize(String),
-    /// Not an IP address with a port.
-    #[error("{0:?} is no address with a port")]
-    NoAddress(String),
-    /// Not a hexadecimal number of 64 bits.
+pub enum TextFormatError {
+    /// The text is not a duration.
+    #[error("{0:?} is not a duration")]
+    InvalidDuration(String),
+    /// The duration in microseconds does not fit in 64 bits.
+    #[error("{0:?} is too long a duration")]
+    DurationTooLong(String),
+    /// The text is not a number of bytes.
+    #[error("{0:?} is not a size")]
+    InvalidSize(String),
+    /// The text is not an IP address with a port.
+    #[error("{0:?} is not an IP address with a port")]
+    InvalidAddress(String),
+    /// The text is not a hexadecimal number of at most 64 bits.
     #[error("{text:?}: {reason}")]
-    NoSeed {
-        /// The text.
+    InvalidSeed {
+        /// The text that does not parse.
         text: String,
-        /// What is wrong with it.
+        /// Why the text does not parse.
         reason: ParseIntError,
     },
-    /// Not a log filter.
+    /// The text is not a log filter.
     #[error("{0}")]
-    NoFilter(String),
+    InvalidFilter(String),
 }
 
-/// A text form: how it is read, what the schema calls it, and an example for whoever got it wrong.
-pub trait Unit: Sized {
-    /// The `format` of the schema.
+/// The text form of a type of configuration value.
+pub trait TextFormat: Sized {
+    /// The value of `format` in the JSON Schema.
     const FORMAT: &'static str;
-    /// What would be right.
-    const EXAMPLE: &'static str;
+    /// Tells users what a valid text is, with an example.
+    const REMEDY: &'static str;
 }
 
-/// Longest span that is read with a fraction, in microseconds.
+/// A duration with a fraction must be shorter than this, in microseconds.
 const MAX_FRACTION_MICROS: f64 = 1e18;
 
-/// A span of time such as `480ms`, `1.5s`, `2m 30s` or `250us`.
+/// A duration in microseconds, written as `480ms`, `1.5s`, `2m 30s` or `250us`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HumanDuration(pub Micros);
 
 impl HumanDuration {
-    /// In milliseconds.
+    /// Returns a duration of `ms` milliseconds.
     pub const fn from_millis(ms: u64) -> HumanDuration {
         HumanDuration(ms * 1_000)
     }
 
-    /// In seconds.
+    /// Returns a duration of `s` seconds.
     pub const fn from_secs(s: u64) -> HumanDuration {
         HumanDuration(s * 1_000_000)
     }
 
-    /// As the standard library has it.
+    /// Converts to the standard library's type.
     pub fn duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 }
 
-impl Unit for HumanDuration {
+impl TextFormat for HumanDuration {
     const FORMAT: &'static str = "span";
-    const EXAMPLE: &'static str = "a number with a unit, such as \"480ms\", \"2s\" or \"250us\"";
+    const REMEDY: &'static str = "write a number with a unit, such as \"480ms\", \"2s\" or \"250us\"";
 }
 
 impl FromStr for HumanDuration {
-    type Err = UnitError;
+    type Err = TextFormatError;
 
-    fn from_str(text: &str) -> Result<HumanDuration, UnitError> {
+    fn from_str(text: &str) -> Result<HumanDuration, TextFormatError> {
         match humantime::parse_duration(text) {
-            Ok(span) => u64::try_from(span.as_micros())
+            Ok(duration) => u64::try_from(duration.as_micros())
                 .map(HumanDuration)
-                .map_err(|_| UnitError::SpanTooLong(text.to_string())),
-            Err(_) => parse_fraction(text).ok_or_else(|| UnitError::NoSpan(text.to_string())),
+                .map_err(|_| TextFormatError::DurationTooLong(text.to_string())),
+            Err(_) => parse_fraction(text).ok_or_else(|| TextFormatError::InvalidDuration(text.to_string())),
         }
     }
 }
 
-/// Reads a span with a fraction, which humantime does not, in the three units that are written that way.
+/// Parses a duration with a fraction in seconds, milliseconds or microseconds, which humantime does not
+/// accept.
 fn parse_fraction(text: &str) -> Option<HumanDuration> {
     let number = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let micros_per_unit = match &text[number.len()..] {
@@ -97,9 +99,9 @@
         "us" => 1.0,
         _ => return None,
     };
-    let plain = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let is_plain_decimal = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let micros = number.parse::<f64>().ok()? * micros_per_unit;
-    (plain && micros < MAX_FRACTION_MICROS).then_some(HumanDuration(micros.round() as Micros))
+    (is_plain_decimal && micros < MAX_FRACTION_MICROS).then_some(HumanDuration(micros.round() as Micros))
 }
 
 impl fmt::Display for HumanDuration {
@@ -113,22 +115,22 @@
     }
 }
 
-/// A number of bytes such as `64KiB` or `192MiB`.
+/// A number of bytes, written as `64KiB` or `192MiB`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-impl Unit for Size {
+impl TextFormat for Size {
     const FORMAT: &'static str = "size";
-    const EXAMPLE: &'static str = "a number with a unit, such as \"64KiB\" or \"192MiB\"";
+    const REMEDY: &'static str = "write a number with a unit, such as \"64KiB\" or \"192MiB\"";
 }
 
 impl FromStr for Size {
-    type Err = UnitError;
+    type Err = TextFormatError;
 
-    fn from_str(text: &str) -> Result<Size, UnitError> {
+    fn from_str(text: &str) -> Result<Size, TextFormatError> {
         text.parse::<bytesize::ByteSize>()
             .map(|size| Size(size.0))
-            .map_err(|_| UnitError::NoSize(text.to_string()))
+            .map_err(|_| TextFormatError::InvalidSize(text.to_string()))
     }
 }
 
@@ -143,21 +145,21 @@
     }
 }
 
-/// An IP address with a port; no names are looked up.
+/// An IP address with a port. Host names are not resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Address(pub SocketAddr);
 
-impl Unit for Address {
+impl TextFormat for Address {
     const FORMAT: &'static str = "address";
-    const EXAMPLE: &'static str =
-        "an IP address with a port, such as \"127.0.0.1:8080\" (names are not looked up)";
+    const REMEDY: &'static str =
+        "write an IP address with a port, such as \"127.0.0.1:8080\" (host names are not resolved)";
 }
 
 impl FromStr for Address {
-    type Err = UnitError;
+    type Err = TextFormatError;
 
-    fn from_str(text: &str) -> Result<Address, UnitError> {
-        text.parse().map(Address).map_err(|_| UnitError::NoAddress(text.to_string()))
+    fn from_str(text: &str) -> Result<Address, TextFormatError> {
+        text.parse().map(Address).map_err(|_| TextFormatError::InvalidAddress(text.to_string()))
     }
 }
 
@@ -167,22 +169,22 @@
     }
 }
 
-/// A seed: up to 16 hexadecimal digits.
+/// A seed of random numbers, written as up to 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Seed(pub u64);
 
-impl Unit for Seed {
+impl TextFormat for Seed {
     const FORMAT: &'static str = "seed";
-    const EXAMPLE: &'static str = "up to 16 hexadecimal digits, such as \"8c1f30d27a5be964\"";
+    const REMEDY: &'static str = "write up to 16 hexadecimal digits, such as \"8c1f30d27a5be964\"";
 }
 
 impl FromStr for Seed {
-    type Err = UnitError;
+    type Err = TextFormatError;
 
-    fn from_str(text: &str) -> Result<Seed, UnitError> {
+    fn from_str(text: &str) -> Result<Seed, TextFormatError> {
         u64::from_str_radix(text, 16)
             .map(Seed)
-            .map_err(|reason| UnitError::NoSeed { text: text.to_string(), reason })
+            .map_err(|reason| TextFormatError::InvalidSeed { text: text.to_string(), reason })
     }
 }
 
@@ -192,23 +194,23 @@
     }
 }
 
-/// What is logged, in the form of `RUST_LOG`.
+/// A log filter in the form of `RUST_LOG`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Filter(pub String);
 
-impl Unit for Filter {
+impl TextFormat for Filter {
     const FORMAT: &'static str = "filter";
-    const EXAMPLE: &'static str =
-        "directives as in RUST_LOG, such as \"info\" or \"info,vetchbridge::workers=debug\"";
+    const REMEDY: &'static str =
+        "write directives as in RUST_LOG, such as \"info\" or \"info,vetchbridge::workers=debug\"";
 }
 
 impl FromStr for Filter {
-    type Err = UnitError;
+    type Err = TextFormatError;
 
-    fn from_str(text: &str) -> Result<Filter, UnitError> {
+    fn from_str(text: &str) -> Result<Filter, TextFormatError> {
         match crate::logs::parse_filter(text) {
             Ok(_) => Ok(Filter(text.to_string())),
-            Err(error) => Err(UnitError::NoFilter(error.to_string())),
+            Err(error) => Err(TextFormatError::InvalidFilter(error.to_string())),
         }
     }
 }
@@ -219,49 +221,52 @@
     }
 }
 
-/// What is wrong with a text of this format, and what would be right; `None` if nothing is, or no unit has it.
+/// Returns what is wrong with a text of this `format`, and the remedy. Returns `None` if the text is valid or
+/// no type has this format.
 pub fn fault(format: &str, text: &str) -> Option<(String, &'static str)> {
-    fn of<U: Unit + FromStr<Err = UnitError>>(text: &str) -> Option<(String, &'static str)> {
-        text.parse::<U>().err().map(|error| (error.to_string(), U::EXAMPLE))
+    fn parse_fault<U: TextFormat + FromStr<Err = TextFormatError>>(
+        text: &str,
+    ) -> Option<(String, &'static str)> {
+        text.parse::<U>().err().map(|error| (error.to_string(), U::REMEDY))
     }
     match format {
-        HumanDuration::FORMAT => of::<HumanDuration>(text),
-        Size::FORMAT => of::<Size>(text),
-        Address::FORMAT => of::<Address>(text),
-        Seed::FORMAT => of::<Seed>(text),
-        Filter::FORMAT => of::<Filter>(text),
+        HumanDuration::FORMAT => parse_fault::<HumanDuration>(text),
+        Size::FORMAT => parse_fault::<Size>(text),
+        Address::FORMAT => parse_fault::<Address>(text),
+        Seed::FORMAT => parse_fault::<Seed>(text),
+        Filter::FORMAT => parse_fault::<Filter>(text),
         _ => None,
     }
 }
 
-macro_rules! as_text {
-    ($($unit:ident),*) => {$(
-        impl Serialize for $unit {
+macro_rules! impl_text_form {
+    ($($name:ident),*) => {$(
+        impl Serialize for $name {
             fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
                 serializer.collect_str(self)
             }
         }
 
-        impl<'de> Deserialize<'de> for $unit {
-            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<$unit, D::Error> {
+        impl<'de> Deserialize<'de> for $name {
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<$name, D::Error> {
                 String::deserialize(deserializer)?.parse().map_err(de::Error::custom)
             }
         }
 
-        impl JsonSchema for $unit {
+        impl JsonSchema for $name {
             fn inline_schema() -> bool {
                 true
             }
 
             fn schema_name() -> Cow<'static, str> {
-                stringify!($unit).into()
+                stringify!($name).into()
             }
 
             fn json_schema(_: &mut SchemaGenerator) -> Schema {
-                json_schema!({"type": "string", "format": $unit::FORMAT})
+                json_schema!({"type": "string", "format": $name::FORMAT})
             }
         }
     )*};
 }
 
-as_text!(HumanDuration, Size, Address, Seed, Filter);
+impl_text_form!(HumanDuration, Size, Address, Seed, Filter);
--- a/crates/vetchbridge/src/logs/mod.rs
+++ b/crates/vetchbridge/src/logs/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The filter can't be parsed.
-    #[error("{filter:?} is no filter: {source}")]
+    #[error("{filter:?} is not a log filter: {source}")]
     InvalidFilter {
         /// The filter.
         filter: String,
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -31,35 +31,41 @@
 /// One fault each; the check says where, which key, what, and what would be right.
 #[rstest]
 #[case::unknown("[attempts]\nmaks = 3", "2:1: attempts.maks: unknown key; did you mean \"max\"?")]
-#[case::far_off("[attempts]\nzzz = 3", "2:1: attempts.zzz: unknown key; known here: max, dial_timeout")]
+#[case::far_off("[attempts]\nzzz = 3", "2:1: attempts.zzz: unknown key; known keys: max, dial_timeout")]
 #[case::span(
     "[rules]\ncold_time = 24",
-    "2:13: rules.cold_time: integer where a string belongs; a number with a unit"
+    "2:13: rules.cold_time: found integer, expected string; write a number with a unit"
 )]
 #[case::span_text(
     "[rules]\ncold_time = \"soon\"",
-    "2:13: rules.cold_time: \"soon\" is no span of time; a number"
+    "2:13: rules.cold_time: \"soon\" is not a duration; write a number"
+)]
+#[case::size(
+    "[limits]\nmemory = \"much\"",
+    "2:10: limits.memory: \"much\" is not a size; write a number with a unit"
 )]
-#[case::size("[limits]\nmemory = \"much\"", "2:10: limits.memory: \"much\" is no size; a number with a unit")]
 #[case::word(
     "[fleet]\nweights = \"heavy\"",
-    "2:11: fleet.weights: \"heavy\" is none of its values; one of off,"
+    "2:11: fleet.weights: \"heavy\" is not an allowed value; use one of off,"
+)]
+#[case::range(
+    "[rules]\ncold_share = 1.5",
+    "2:14: rules.cold_share: 1.5 is out of range; use a number from 0 to 1"
 )]
-#[case::range("[rules]\ncold_share = 1.5", "2:14: rules.cold_share: 1.5 is out of range; from 0 to 1")]
-#[case::hex("[attempts]\nmax = 0x0", "2:7: attempts.max: 0 is out of range; at least 1")]
+#[case::hex("[attempts]\nmax = 0x0", "2:7: attempts.max: 0 is out of range; use at least 1")]
 #[case::address(
     "listen = \"localhost:80\"",
-    "1:10: listen: \"localhost:80\" is no address with a port; an IP"
+    "1:10: listen: \"localhost:80\" is not an IP address with a port; write an IP"
 )]
 #[case::seed("seed = \"xyz\"", "1:8: seed: \"xyz\": invalid digit")]
-#[case::filter("[log]\nfilter = \"a=b=c=d\"", "2:10: log.filter: \"a=b=c=d\" is no filter")]
+#[case::filter("[log]\nfilter = \"a=b=c=d\"", "2:10: log.filter: \"a=b=c=d\" is not a log filter")]
 #[case::missing(
     "[[class]]\nname = \"c\"\nrepeat = \"safe\"\naim = \"1s\"",
     "1:1: class[0].deadline: missing; The client's"
 )]
 #[case::nobody(
     "[[class]]\nname = \"c\"\nrepeat = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"",
-    "1:1: discovery: no discovery and no worker"
+    "1:1: discovery: no discovery service and no worker"
 )]
 #[case::syntax("name = \"n\nlisten = 3", "1:")]
 fn a_fault_of_shape_is_named_with_its_place_and_its_remedy(#[case] text: &str, #[case] expected: &str) {
@@ -74,25 +80,29 @@
 #[case::kind(
     "repeat = \"unsafe\"",
     "repeat = \"unsafe\"\nkind = \"fasst\"",
-    "class[0].kind: \"fasst\" is not in fleet.kinds; one of any"
+    "class[0].kind: \"fasst\" is not in fleet.kinds; use one of any"
+)]
+#[case::window(
+    "repeat = \"unsafe\"",
+    "repeat = \"keyed\"",
+    "class[0].window: missing; write how long workers drop"
 )]
-#[case::window("repeat = \"unsafe\"", "repeat = \"keyed\"", "class[0].window: missing; a keyed class says")]
-#[case::aim("aim = \"500ms\"", "aim = \"11s\"", "class[0].aim: longer than the deadline; at most 10s")]
-#[case::number("me = 0", "me = 4", "tier.me: not below tier.schedulers; 0 to 0")]
+#[case::aim("aim = \"500ms\"", "aim = \"11s\"", "class[0].aim: longer than the deadline; use at most 10s")]
+#[case::number("me = 0", "me = 4", "tier.me: must be below tier.schedulers; use 0 to 0")]
 #[case::probes(
     "load = \"off\"",
     "load = \"probes\"",
-    "fleet.load: probes that attempts.probe does not permit; attempts.probe = true, or"
+    "fleet.load: attempts.probe does not permit probes; set attempts.probe = true, or"
 )]
 #[case::tenants(
     "\n[[peer]]",
     "\n[[tenant]]\nname = \"acme\"\nallowance_per_s = 1.0\n[[tenant]]\nname = \"acme\"\nallowance_per_s = 2.0\n[[peer]]",
-    "tenant[1].name: \"acme\" is there already"
+    "tenant[1].name: \"acme\" is already in use"
 )]
 #[case::twins(
     "\n[[peer]]",
     "\n[[peer]]\nname = \"p0\"\naddress = \"127.0.0.1:1\"\n[[peer]]",
-    "peer[1].name: \"p0\" is there already"
+    "peer[1].name: \"p0\" is already in use"
 )]
 fn a_fault_of_meaning_is_named_too(#[case] old: &str, #[case] new: &str, #[case] expected: &str) {
     let path = file("meaning.toml", &default_text().replacen(old, new, 1));
