--- a/crates/vetchbridge/src/cli/default_file.rs
+++ b/crates/vetchbridge/src/cli/default_file.rs
@@ -1,14 +1,16 @@
-//! The commented configuration file that `config default` prints, made from the format's schema and example.
+//! The commented configuration file that `config default` prints, generated from the schema and the example
+//! of the format.
 
 use crate::config::file;
 use serde_json::{Map, Value};
 
-/// Every key with its meaning in a comment above it. Keys without a default are commented out.
+/// Returns a file with every key, preceded by a comment with its meaning. Keys without a default are
+/// commented out.
 pub(super) fn default_file() -> String {
     let schema = file::schema();
     let values = serde_json::to_value(file::example()).unwrap_or_default();
     let mut text = format!("# {}\n", schema["description"].as_str().unwrap_or_default());
-    // Tables come last: keys below a table's head would belong to it.
+    // Tables come last, since every key after a table's header belongs to that table.
     let mut tables = String::new();
     for (name, schema) in schema["properties"].as_object().unwrap_or(&Map::new()) {
         let value = &values[name];
@@ -24,17 +26,17 @@
     text + &tables
 }
 
-/// A list of tables, shown by its first entry; commented out if the example has none.
+/// Formats a list of tables by its first entry. The list is commented out if the example has no entry.
 fn table_list(name: &str, schema: &Value, keys: &Map<String, Value>, first: Option<&Value>) -> String {
-    let hash = if first.is_some() { "" } else { "#" };
-    let mut text = format!("\n# {}\n{hash}[[{name}]]\n", description(schema));
+    let comment_marker = if first.is_some() { "" } else { "#" };
+    let mut text = format!("\n# {}\n{comment_marker}[[{name}]]\n", description(schema));
     for (key, schema) in keys {
         text.push_str(&key_line(key, schema, first.and_then(|entry| entry.get(key))));
     }
     text
 }
 
-/// A key with its value, or commented out with an example value.
+/// Formats a key with its value, or commented out with an example value if the key has no default.
 fn key_line(name: &str, schema: &Value, value: Option<&Value>) -> String {
     match value {
         Some(value) => format!("# {}\n{name} = {value}\n", description(schema)),
@@ -46,7 +48,7 @@
     schema["description"].as_str().map(|text| text.replace('\n', " ")).unwrap_or_default()
 }
 
-/// A value of the right form for a key without a default.
+/// Returns an example value for a key without a default.
 fn example_value(schema: &Value) -> &'static str {
     match schema["format"].as_str() {
         Some("span") => "\"1s\"",
--- a/crates/vetchbridge/src/cli/mod.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -1,5 +1,4 @@
-//! The daemon's command line: its subcommands and flags, its exit codes and what it prints. Everything that it starts is
-//! done elsewhere.
+//! The command line of the daemon: subcommands, flags, exit codes and output. Other modules do the work.
 
 mod default_file;
 
@@ -20,16 +19,17 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  vetchbridge config default > vetchbridge.toml   a commented file to begin with
-  vetchbridge check vetchbridge.toml              what it says, or everything that is wrong with it
-  vetchbridge serve --config vetchbridge.toml     the daemon, in the foreground
-  BALANCER_CONFIG=/run/config.json vetchbridge    the daemon, as a platform starts it
+  vetchbridge config default > vetchbridge.toml   print a commented example file
+  vetchbridge check vetchbridge.toml              print its values, or all of its faults
+  vetchbridge serve --config vetchbridge.toml     run the daemon in the foreground
+  BALANCER_CONFIG=/run/config.json vetchbridge    run the daemon with the platform's document
 
 Exit codes:
-  0  it ended as it was told to    2  bad input: nothing was started
-  1  it broke                      3  the machine could not do it (an address is taken, say)";
+  0  success           2  invalid input; nothing was started
+  1  internal error    3  system error, such as an address that is in use";
 
-/// A scheduler for jobs: pushes each to a worker, chosen by a consistent ring, and answers its client exactly once.
+/// Job scheduler: chooses a worker for each job by consistent hashing, sends the job to the worker and
+/// answers the client exactly once.
 #[derive(Debug, Parser)]
 #[command(name = "vetchbridge", version, after_help = EXAMPLES, args_conflicts_with_subcommands = true)]
 struct Cli {
@@ -41,72 +41,72 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run the daemon (what happens without a subcommand, too)
+    /// Run the daemon (the default without a subcommand)
     #[command(
         after_help = "Example:\n  vetchbridge serve --config vetchbridge.toml --listen 127.0.0.1:9000"
     )]
     Serve(Serve),
-    /// Read configurations: print the values in force with where each came from, or every fault
+    /// Check configuration files: print each value with its origin, or all faults
     #[command(
-        after_help = "Example:\n  vetchbridge check deploy/*.toml\n\nExits with 2 if any file has a fault."
+        after_help = "Example:\n  vetchbridge check deploy/lima-callao.toml\n\nExits with 2 if any file has a fault."
     )]
     Check {
-        /// Print JSON
+        /// Print the result as JSON
         #[arg(long)]
         json: bool,
-        /// Files of our format (TOML) or of the platform's (JSON)
+        /// Configuration files, in TOML or in the platform's JSON format
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Print what configurations look like
+    /// Print an example or the schema of the configuration file
     Config {
         #[command(subcommand)]
         subject: ConfigCommand,
     },
-    /// Print completions for a shell
+    /// Print the completion script for a shell
     #[command(after_help = "Example:\n  vetchbridge completions bash > /etc/bash_completion.d/vetchbridge")]
     Completions {
-        /// The shell
+        /// Shell to print the script for
         shell: clap_complete::Shell,
     },
 }
 
 #[derive(Debug, Subcommand)]
 enum ConfigCommand {
-    /// A file with every key, its meaning and its default
+    /// Print a file with every key, its meaning and its default
     Default,
-    /// The JSON Schema of the format, for editors
+    /// Print the JSON Schema of the configuration file, for use in editors
     Schema,
 }
 
 #[derive(Debug, Default, Args)]
 struct Serve {
-    /// Configuration file; what `BALANCER_CONFIG` names wins over it
+    /// Configuration file. If `BALANCER_CONFIG` is set, only the log settings of this file are used
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// This scheduler's name
+    /// Name of this scheduler
     #[arg(long)]
     name: Option<String>,
-    /// Where clients and callbacks connect
+    /// Address on which the scheduler accepts clients and the callbacks of workers
     #[arg(long, value_name = "ADDRESS")]
     listen: Option<SocketAddr>,
-    /// Discovery's address
+    /// Address of the discovery service
     #[arg(long, value_name = "ADDRESS")]
     discovery: Option<SocketAddr>,
-    /// How log lines look
+    /// Format of log lines
     #[arg(long, value_enum, value_name = "FORMAT")]
     log_format: Option<LogFormat>,
-    /// What is logged, as in `RUST_LOG`
+    /// Filter of log events, as in `RUST_LOG`
     #[arg(long, value_name = "FILTER")]
     log_filter: Option<String>,
 }
 
-/// Exit code where the input is invalid and nothing was started.
+/// Exit code if the input is invalid and nothing was started.
 const EXIT_BAD_INPUT: u8 = 2;
-/// Exit code where the system lacks something, such as a free address.
+/// Exit code after a system error, such as an address that is in use.
 const EXIT_SYSTEM: u8 = 3;
 
-/// Runs the program.
+/// Runs the program and returns its exit code.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.command {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Prints to standard output; that its reader has closed it is no error.
+/// Prints to standard output. Ignores the error if the reader has closed the pipe.
 fn print(text: &str) -> ExitCode {
     match io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => ExitCode::from(EXIT_SYSTEM),
@@ -169,16 +169,16 @@
     ExitCode::from(EXIT_SYSTEM)
 }
 
-/// The runtime, with the signal handlers installed before it. Without them, a signal that arrives while the configuration
-/// is read would end the process.
+/// Installs the signal handlers and creates the runtime. Without the handlers, a signal that arrives while
+/// the configuration is read would terminate the process.
 fn prepare_runtime() -> io::Result<(Runtime, SignalHandlers)> {
     let signals = retry_blocking("signals", SignalHandlers::install)?;
-    // The daemon has one core: with one thread no lock is ever contended.
+    // The daemon has one core. With a single thread, no lock is ever contended.
     let runtime = retry_blocking("runtime", || runtime::Builder::new_current_thread().enable_all().build())?;
     Ok((runtime, signals))
 }
 
-/// Prints the values of each file, or everything that is wrong with it.
+/// Prints the values of each file, or all of its faults.
 fn check(files: &[PathBuf], json: bool) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     let mut reports = Vec::new();
@@ -202,7 +202,7 @@
     code
 }
 
-/// The values in force as lines of text, each with its origin.
+/// Formats the values in force, one per line, each with its origin.
 fn values_table(file: &str, values: &[EffectiveValue]) -> String {
     let text = |value: &EffectiveValue| format!("{} = {}", value.key, value.value);
     let width = values.iter().map(|value| text(value).chars().count()).max().unwrap_or(0).min(60);
--- a/crates/vetchbridge/src/logs/format.rs
+++ b/crates/vetchbridge/src/logs/format.rs
@@ -1,8 +1,8 @@
-//! The forms of a log line.
+//! Formats of log lines.
 
 use super::writer::DroppedLinesNotice;
 
-/// The form of a log line.
+/// The format of log lines.
 #[derive(
     Clone,
     Copy,
@@ -17,15 +17,15 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl LogFormat {
-    /// The line in this form that says how many lines were dropped.
+    /// Returns the function that formats the number of dropped lines as a line in this format.
     pub(super) fn dropped_lines_notice(self) -> DroppedLinesNotice {
         match self {
             LogFormat::Text => |dropped| format!("WARN log.lines_dropped lines={dropped}\n"),
--- a/crates/vetchbridge/src/logs/mod.rs
+++ b/crates/vetchbridge/src/logs/mod.rs
@@ -1,7 +1,8 @@
-//! The log: one line for each event on standard error, as text or as JSON, with the event's name as its message.
+//! The log: writes one line per event to standard error, as text or as JSON. The message of a line is the
+//! event's name.
 //!
-//! Owns the subscriber and its filter; events reach it through `tracing` alone. `format` has the forms of a line and
-//! `writer` writes lines without ever blocking.
+//! This module owns the log subscriber and its filter; events reach the subscriber only through `tracing`.
+//! `format` defines the formats of a line, and `writer` writes lines without blocking.
 
 mod format;
 mod writer;
@@ -18,21 +19,21 @@
 use vetchbridge_scheduling::RequestId;
 use writer::LossyWriter;
 
-/// The filter where none is configured.
+/// Log filter if none is configured.
 pub const DEFAULT_FILTER: &str = "info";
 
-/// Why the log can't be started or its filter changed.
+/// An error while starting the log or changing its filter.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// The filter can't be parsed.
+    /// The filter does not parse.
     #[error("{filter:?} is not a log filter: {source}")]
     InvalidFilter {
         /// The filter.
         filter: String,
-        /// What is wrong with it.
+        /// Why the filter does not parse.
         source: ParseError,
     },
-    /// The process has a log already.
+    /// The process already has a log subscriber.
     #[error(transparent)]
     AlreadyStarted(#[from] TryInitError),
     /// The filter can't be replaced.
@@ -40,7 +41,7 @@
     Reload(#[from] reload::Error),
 }
 
-/// Displays a request's id as its client wrote it.
+/// Displays a request's id as 16 hexadecimal digits, the form that the client sent.
 pub struct HexRequestId(pub RequestId);
 
 impl fmt::Display for HexRequestId {
@@ -56,7 +57,7 @@
 }
 
 impl Logs {
-    /// Starts the process's log.
+    /// Starts the log of the process.
     pub fn start(format: LogFormat, filter: &str) -> Result<Logs, LogError> {
         let (filter, handle) = reload::Layer::new(parse_filter(filter)?);
         let writer = LossyWriter::new(io::stderr(), format.dropped_lines_notice());
@@ -75,7 +76,7 @@
         Ok(Logs { filter: handle })
     }
 
-    /// Replaces the filter.
+    /// Replaces the log filter.
     pub fn set_filter(&self, filter: &str) -> Result<(), LogError> {
         self.filter.reload(parse_filter(filter)?)?;
         Ok(())
--- a/crates/vetchbridge/src/logs/writer.rs
+++ b/crates/vetchbridge/src/logs/writer.rs
@@ -1,5 +1,6 @@
-//! The writer of the log: it never blocks the one thread of the daemon. A line is written only where it fits at once;
-//! otherwise it is dropped and counted, and the count is written once a line fits again.
+//! The log writer, which never blocks the daemon's only thread. If a line can't be written at once, the
+//! writer drops and counts the line. When a later line can be written, the writer first reports the number of
+//! dropped lines.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
@@ -8,14 +9,14 @@
 use std::sync::Arc;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Maximum length of a line in bytes: a pipe that polls as writable takes this much without blocking (`PIPE_BUF`,
-/// pipe(7)).
+/// Maximum length of a line in bytes: a pipe that polls as writable takes this much without blocking
+/// (`PIPE_BUF`, pipe(7)).
 const MAX_LINE_BYTES: usize = 4096;
 
 /// Formats the line that reports how many lines were dropped.
 pub(super) type DroppedLinesNotice = fn(u64) -> String;
 
-/// A writer that drops lines rather than block. Clones share the count of dropped lines.
+/// A writer that drops lines instead of blocking. Clones share the count of dropped lines.
 pub(super) struct LossyWriter<W> {
     output: Arc<W>,
     dropped: Arc<AtomicU64>,
@@ -23,7 +24,7 @@
 }
 
 impl<W> LossyWriter<W> {
-    /// A writer to `output` that reports dropped lines by `notice`.
+    /// Creates a writer to `output` that formats its reports of dropped lines with `notice`.
     pub(super) fn new(output: W, notice: DroppedLinesNotice) -> LossyWriter<W> {
         LossyWriter { output: Arc::new(output), dropped: Arc::default(), notice }
     }
@@ -39,7 +40,7 @@
 fn is_writable(fd: BorrowedFd<'_>) -> bool {
     let mut fds = [PollFd::from_borrowed_fd(fd, PollFlags::OUT)];
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // An output whose reader has closed is writable too; the write fails at once.
+    // An output whose reader has closed it also polls as writable; a write to it fails at once.
     poll(&mut fds, Some(&no_wait)).is_ok_and(|ready| ready > 0)
 }
 
@@ -47,7 +48,7 @@
 where
     for<'a> &'a W: Write,
 {
-    /// Writes one complete line, or drops it.
+    /// Writes a complete line or drops it.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut output = &*self.output;
         if !is_writable(output.as_fd()) {
--- a/crates/vetchbridge/src/logs/writer/tests.rs
+++ b/crates/vetchbridge/src/logs/writer/tests.rs
@@ -1,27 +1,28 @@
-//! The log's writer with a reader that stops reading.
+//! Tests of the log writer with a reader that stops reading.
 
 use super::*;
 use crate::logs::LogFormat;
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 
-/// A reader that stops reading loses lines and gets their number; the writer never waits.
+/// While the reader does not read, the writer drops lines without blocking. The next line that can be written
+/// is preceded by the number of dropped lines.
 #[test]
-fn a_full_pipe_drops_lines_and_counts_them() {
-    let (writer, mut reader) = UnixStream::pair().expect("a pair");
+fn the_writer_drops_and_counts_lines_while_the_output_is_full() {
+    let (writer, mut reader) = UnixStream::pair().expect("a socket pair is created");
     let mut log = LossyWriter::new(writer, LogFormat::Text.dropped_lines_notice());
     let line = [b'x'; 1000];
-    // More than any socket buffer has space for; a writer that waits would block here for good.
+    // The lines exceed the size of any socket buffer. A writer that blocks would never return from this loop.
     for _ in 0..10_000 {
-        log.write_all(&line).expect("written or dropped");
+        log.write_all(&line).expect("the line is written or dropped");
     }
     let dropped = log.dropped.load(Ordering::Relaxed);
     assert!(dropped > 0);
     let mut read = vec![0; (10_000 - dropped as usize) * line.len()];
-    reader.read_exact(&mut read).expect("what was written");
-    log.write_all(b"after\n").expect("written");
+    reader.read_exact(&mut read).expect("the written lines are read");
+    log.write_all(b"after\n").expect("the line is written");
     drop(log);
     let mut rest = String::new();
-    reader.read_to_string(&mut rest).expect("text");
+    reader.read_to_string(&mut rest).expect("the rest is UTF-8");
     assert_eq!(rest, format!("WARN log.lines_dropped lines={dropped}\nafter\n"));
 }
--- a/crates/vetchbridge/tests/units.rs
+++ b/crates/vetchbridge/tests/units.rs
@@ -1,15 +1,16 @@
-//! Values with units: what is read, what is refused, and that each prints back as it is read.
+//! Tests that values with units are parsed and printed, and that invalid texts are rejected.
 #![allow(missing_docs)]
 
 use vetchbridge::config::units::{HumanDuration, Size};
 
 #[test]
-fn a_unit_prints_back_as_it_is_read_and_nonsense_is_refused() {
-    let spans = [("480ms", 480_000), ("1.5s", 1_500_000), ("250us", 250), ("2m 30s", 150_000_000), ("0s", 0)];
-    for (text, micros) in spans {
-        let span: HumanDuration = text.parse().expect(text);
-        assert_eq!(span, HumanDuration(micros), "{text}");
-        assert_eq!(span.to_string().parse(), Ok(span));
+fn values_with_units_round_trip_and_invalid_texts_are_rejected() {
+    let durations =
+        [("480ms", 480_000), ("1.5s", 1_500_000), ("250us", 250), ("2m 30s", 150_000_000), ("0s", 0)];
+    for (text, micros) in durations {
+        let duration: HumanDuration = text.parse().expect(text);
+        assert_eq!(duration, HumanDuration(micros), "{text}");
+        assert_eq!(duration.to_string().parse(), Ok(duration));
     }
     for text in
         ["480", "-1s", "1e3s", "s", "inf s", "nans", "1.2.3s", "", "99999999999999999999s", "1.5s\u{e9}"]
