--- a/crates/vetchbridge/src/cli/mod.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -156,15 +156,15 @@
     };
     let (runtime, signals) = match prepared {
         Ok(prepared) => prepared,
-        Err(error) => return failed(&error),
+        Err(error) => return report_system_error(&error),
     };
     match runtime.block_on(serve::run(config, flags, logs, signals)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(&error),
+        Err(error) => report_system_error(&error),
     }
 }
 
-fn failed(error: &dyn Display) -> ExitCode {
+fn report_system_error(error: &dyn Display) -> ExitCode {
     tracing::error!(%error, "daemon.failed");
     ExitCode::from(EXIT_SYSTEM)
 }
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -18,7 +18,7 @@
     #[error("{0:?} is not a duration")]
     InvalidDuration(String),
     /// The duration in microseconds does not fit in 64 bits.
-    #[error("{0:?} is too long a duration")]
+    #[error("the duration {0:?} is too long")]
     DurationTooLong(String),
     /// The text is not a number of bytes.
     #[error("{0:?} is not a size")]
@@ -47,7 +47,7 @@
     const REMEDY: &'static str;
 }
 
-/// A duration with a fraction must be shorter than this, in microseconds.
+/// Exclusive upper limit of a duration that is written with a fraction, in microseconds.
 const MAX_FRACTION_MICROS: f64 = 1e18;
 
 /// A duration in microseconds, written as `480ms`, `1.5s`, `2m 30s` or `250us`.
