--- a/crates/testkit/src/cli/bench.rs
+++ b/crates/testkit/src/cli/bench.rs
@@ -6,7 +6,7 @@
 use crate::{bench, Failure};
 use clap::Args;
 use std::path::PathBuf;
-use vetchbridge::config::units::Span;
+use vetchbridge::config::units::HumanDuration;
 
 /// File descriptors per connection, over all targets.
 const DESCRIPTORS_PER_CONNECTION: u64 = 8;
@@ -20,7 +20,7 @@
     connections: usize,
     /// How long each turn lasts, such as 3s
     #[arg(long, default_value = "3s", value_name = "DURATION")]
-    turn: Span,
+    turn: HumanDuration,
     /// The number of turns of the relay and of each daemon variant
     #[arg(long, default_value_t = 5)]
     rounds: usize,
--- a/crates/testkit/src/cli/demo.rs
+++ b/crates/testkit/src/cli/demo.rs
@@ -9,7 +9,7 @@
 use clap::Args;
 use std::iter::repeat_n;
 use std::path::PathBuf;
-use vetchbridge::config::units::Span;
+use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::client::Clients;
 
 /// File descriptors per job per second of the load.
@@ -35,7 +35,7 @@
     careless: bool,
     /// How long the load lasts, such as 30s [default: as in the plan]
     #[arg(long = "for", value_name = "DURATION")]
-    duration: Option<Span>,
+    duration: Option<HumanDuration>,
     /// Jobs per second [default: as in the plan]
     #[arg(long)]
     rate: Option<f64>,
--- a/crates/testkit/src/cli/load.rs
+++ b/crates/testkit/src/cli/load.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tokio::time::Instant;
-use vetchbridge::config::units::Span;
+use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::client::Clients;
 
 /// File descriptors for everything but connections.
@@ -29,7 +29,7 @@
     connections: Option<usize>,
     /// How long the load lasts, such as 30s [default: as in the plan]
     #[arg(long = "for", value_name = "DURATION")]
-    duration: Option<Span>,
+    duration: Option<HumanDuration>,
     /// The plan that defines the classes and their jobs: a file, or the name of a built-in plan [default:
     /// demo]
     #[arg(long, value_name = "FILE")]
--- a/crates/testkit/src/cli/soak.rs
+++ b/crates/testkit/src/cli/soak.rs
@@ -5,7 +5,7 @@
 use crate::soak::{self, SoakSpec};
 use crate::Failure;
 use clap::Args;
-use vetchbridge::config::units::Span;
+use vetchbridge::config::units::HumanDuration;
 
 /// The number of file descriptors for each worker's listeners (one per scheduler), connection floods, the
 /// load and jobs in flight.
@@ -20,7 +20,7 @@
     seed: u64,
     /// How long the load lasts, such as 60s
     #[arg(long = "for", default_value = "30s", value_name = "DURATION")]
-    duration: Span,
+    duration: HumanDuration,
     /// The number of schedulers [default: 24]
     #[arg(long, value_parser = clap::value_parser!(u64).range(3..=48))]
     schedulers: Option<u64>,
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use vetchbridge::config::file;
-use vetchbridge::config::units::Span;
+use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::arrivals::{ClassLoad, Idempotency, LoadSpec, TenantLoad};
 
 /// The load, an open loop: jobs arrive at a given rate, independent of the answers.
@@ -17,14 +17,14 @@
     #[schemars(range(min = 0.001, max = 1_000_000.0))]
     pub rate: f64,
     /// How long the load lasts.
-    pub duration: Span,
+    pub duration: HumanDuration,
     /// How often a client retries a job at most.
     #[serde(default, rename = "retries")]
     #[schemars(range(max = 100))]
     pub max_retries: u32,
     /// How long a client waits before each retry, unless the client follows the Retry-After of the answer.
     #[serde(default, rename = "pause")]
-    pub retry_delay: Span,
+    pub retry_delay: HumanDuration,
     /// The share of clients that follow the Retry-After of an answer.
     #[serde(default = "unit", rename = "heeds")]
     #[schemars(range(min = 0.0, max = 1.0))]
@@ -76,7 +76,7 @@
     #[schemars(range(min = 0.0))]
     pub share: f64,
     /// The mean work of a job: its run time in a slot at speed 1.
-    pub work: Span,
+    pub work: HumanDuration,
     /// How much the work of jobs varies: the sigma of a log-normal distribution.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 5.0))]
@@ -120,7 +120,7 @@
                 file::Repeat::Safe => Idempotency::Idempotent,
                 file::Repeat::Unsafe => Idempotency::NonIdempotent,
                 file::Repeat::Keyed => {
-                    Idempotency::Keyed(class.window.map_or(Duration::ZERO, Span::duration))
+                    Idempotency::Keyed(class.window.map_or(Duration::ZERO, HumanDuration::duration))
                 }
             },
             objects: self.objects,
--- a/crates/testkit/src/plan/scheduler.rs
+++ b/crates/testkit/src/plan/scheduler.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use vetchbridge::config::file;
-use vetchbridge::config::units::{Address, Seed, Span};
+use vetchbridge::config::units::{Address, HumanDuration, Seed};
 use vetchbridge_testbed::worker::WorkerSpec;
 
 /// An odd constant that derives distinct seeds from the plan's seed: 2^64 divided by the golden ratio.
@@ -21,14 +21,14 @@
     pub count: usize,
     /// How long the load balancer takes to detect that a scheduler no longer answers.
     #[serde(default = "default_detection_delay", rename = "notice")]
-    pub detection_delay: Span,
+    pub detection_delay: HumanDuration,
     /// How long discovery takes to publish a change.
     #[serde(default, rename = "lateness")]
-    pub publication_delay: Span,
+    pub publication_delay: HumanDuration,
 }
 
-fn default_detection_delay() -> Span {
-    Span::s(2)
+fn default_detection_delay() -> HumanDuration {
+    HumanDuration::from_secs(2)
 }
 
 /// A worker that is listed in a scheduler's configuration, so that the scheduler knows it before the first
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -6,14 +6,14 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use vetchbridge::config::file::QueueOrder;
-use vetchbridge::config::units::Span;
+use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::queue::Order;
 use vetchbridge_testbed::stats::{Field, StatsSpec};
 use vetchbridge_testbed::store::{CacheSpec, Store};
 use vetchbridge_testbed::worker::{ProbeSpec, WorkerSpec};
 
 /// How long repeats of a keyed job are deduplicated if no class of the plan defines a window.
-const DEFAULT_DEDUPLICATION_WINDOW: Span = Span::s(15);
+const DEFAULT_DEDUPLICATION_WINDOW: HumanDuration = HumanDuration::from_secs(15);
 
 /// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
@@ -54,10 +54,10 @@
     pub fields: Vec<LoadReportField>,
     /// The interval at which a report is refreshed.
     #[serde(default, rename = "every")]
-    pub interval: Span,
+    pub interval: HumanDuration,
     /// The age of a report when it is sent.
     #[serde(default, rename = "late")]
-    pub delay: Span,
+    pub delay: HumanDuration,
     /// Whether responses and callbacks that end an attempt carry a load report, too.
     #[serde(default, rename = "in_answers")]
     pub in_responses: bool,
@@ -83,7 +83,7 @@
     pub deep: bool,
     /// The work of a probe: its run time in a slot at speed 1.
     #[serde(default)]
-    pub work: Span,
+    pub work: HumanDuration,
 }
 
 impl Probes {
@@ -98,7 +98,7 @@
 pub struct Setup {
     /// How long a fetch takes.
     #[serde(rename = "fetch")]
-    pub fetch_time: Span,
+    pub fetch_time: HumanDuration,
     /// The number of fetches that the store serves at once.
     #[serde(rename = "room")]
     #[schemars(range(min = 1))]
@@ -143,15 +143,15 @@
     pub slow_start_floor: f64,
     /// How long a worker takes to reach its full speed after a crash.
     #[serde(default = "slow_start_time", rename = "cold_time")]
-    pub slow_start_time: Span,
+    pub slow_start_time: HumanDuration,
 }
 
 fn slow_start_floor() -> f64 {
     0.2
 }
 
-fn slow_start_time() -> Span {
-    Span::s(24)
+fn slow_start_time() -> HumanDuration {
+    HumanDuration::from_secs(24)
 }
 
 impl WorkerGroup {
