--- a/crates/syscall-faults/src/hooks.rs
+++ b/crates/syscall-faults/src/hooks.rs
@@ -1,6 +1,6 @@
-//! The functions of the C library that are replaced, each by the kernel's call with its faults before it.
+//! Replacements of C library functions. Each injects its faults and otherwise makes the system call.
 
-use crate::faults::{clock_step, connected, draw, note_connected};
+use crate::faults::{clock_offset, draw, is_outbound, set_outbound};
 use crate::plan::{Fault, LONGEST_STALL_MICROS};
 use libc::{
     c_int, c_long, c_void, clockid_t, epoll_event, iovec, size_t, sockaddr, socklen_t, ssize_t, timespec,
@@ -9,40 +9,44 @@
 const MICROS_PER_SECOND: i64 = 1_000_000;
 const NANOS_PER_MICRO: i64 = 1_000;
 
-fn failed(errors: &[c_int], drawn: u64) -> c_int {
-    let error = errors[(drawn % errors.len() as u64) as usize];
-    // SAFETY: the C library gives each thread a valid place for its error.
+/// Sets `errno` to one of the errors, which `random` selects, and returns -1.
+fn fail_with(errors: &[c_int], random: u64) -> c_int {
+    let error = errors[(random % errors.len() as u64) as usize];
+    // SAFETY: `__errno_location` returns a valid pointer to the thread's `errno`.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// A length from 1 to one less than asked for; whole where that is too short to be cut.
-fn shortened(length: size_t, drawn: u64) -> size_t {
+/// Returns a length from 1 to `length - 1`, which `random` selects, or `length` itself if it is below 2.
+fn shortened(length: size_t, random: u64) -> size_t {
     if length < 2 {
         return length;
     }
-    1 + (drawn % (length as u64 - 1)) as size_t
+    1 + (random % (length as u64 - 1)) as size_t
 }
 
-fn stall() {
-    let Some(drawn) = draw(Fault::SendStalled) else { return };
-    let nanos = (drawn % LONGEST_STALL_MICROS) as i64 * NANOS_PER_MICRO;
-    let span = timespec { tv_sec: 0, tv_nsec: nanos };
-    // SAFETY: the span outlives the call, and no rest is asked for.
-    unsafe { libc::syscall(libc::SYS_nanosleep, &span, std::ptr::null::<timespec>()) };
+/// Delays the caller by less than [`LONGEST_STALL_MICROS`] if [`Fault::SendStalled`] is injected.
+fn maybe_stall() {
+    let Some(random) = draw(Fault::SendStalled) else { return };
+    let nanos = (random % LONGEST_STALL_MICROS) as i64 * NANOS_PER_MICRO;
+    let delay = timespec { tv_sec: 0, tv_nsec: nanos };
+    // SAFETY: `delay` outlives the call, and the pointer for the remaining time may be null.
+    unsafe { libc::syscall(libc::SYS_nanosleep, &delay, std::ptr::null::<timespec>()) };
 }
 
-fn breaks(descriptor: c_int) -> Option<c_int> {
-    let drawn = connected(descriptor).then(|| draw(Fault::ReceiveBroken)).flatten()?;
-    // SAFETY: shutting a descriptor down touches no memory.
+/// Shuts an outbound connection down if [`Fault::ReceiveBroken`] is injected. Returns the result of the
+/// failed `recv`, or `None` if the fault is not injected.
+fn maybe_break_connection(descriptor: c_int) -> Option<c_int> {
+    let random = is_outbound(descriptor).then(|| draw(Fault::ReceiveBroken)).flatten()?;
+    // SAFETY: the call takes only integers.
     unsafe { libc::syscall(libc::SYS_shutdown, descriptor, libc::SHUT_RDWR) };
-    Some(failed(&[libc::ETIMEDOUT, libc::EHOSTUNREACH], drawn))
+    Some(fail_with(&[libc::ETIMEDOUT, libc::EHOSTUNREACH], random))
 }
 
-/// `recv(2)`.
+/// Replaces `recv(2)`, which may be interrupted, break the connection or read fewer bytes.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -50,35 +54,35 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if let Some(drawn) = draw(Fault::ReceiveInterrupted) {
-        return failed(&[libc::EINTR], drawn) as ssize_t;
+    if let Some(random) = draw(Fault::ReceiveInterrupted) {
+        return fail_with(&[libc::EINTR], random) as ssize_t;
     }
-    if let Some(broken) = breaks(descriptor) {
-        return broken as ssize_t;
+    if let Some(result) = maybe_break_connection(descriptor) {
+        return result as ssize_t;
     }
-    let length = draw(Fault::ReceiveShort).map_or(length, |drawn| shortened(length.min(64), drawn));
+    let length = draw(Fault::ReceiveShort).map_or(length, |random| shortened(length.min(64), random));
     let (address, size) = (std::ptr::null_mut::<sockaddr>(), std::ptr::null_mut::<socklen_t>());
-    // SAFETY: the caller's buffer, of at most the caller's length.
+    // SAFETY: the caller's buffer is valid for the caller's length, and `length` is at most that.
     unsafe { libc::syscall(libc::SYS_recvfrom, descriptor, buffer, length, flags, address, size) as ssize_t }
 }
 
-/// `readv(2)`.
+/// Replaces `readv(2)`, which may be interrupted.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn readv(descriptor: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
-    if let Some(drawn) = draw(Fault::ReceiveInterrupted) {
-        return failed(&[libc::EINTR], drawn) as ssize_t;
+pub unsafe extern "C" fn readv(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    if let Some(random) = draw(Fault::ReceiveInterrupted) {
+        return fail_with(&[libc::EINTR], random) as ssize_t;
     }
-    // SAFETY: the caller's pieces.
-    unsafe { libc::syscall(libc::SYS_readv, descriptor, pieces, count) as ssize_t }
+    // SAFETY: the caller's `buffers` hold `count` valid entries.
+    unsafe { libc::syscall(libc::SYS_readv, descriptor, buffers, count) as ssize_t }
 }
 
-/// `send(2)`.
+/// Replaces `send(2)`, which may be interrupted, delayed or write fewer bytes.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -86,43 +90,43 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if let Some(drawn) = draw(Fault::SendInterrupted) {
-        return failed(&[libc::EINTR], drawn) as ssize_t;
+    if let Some(random) = draw(Fault::SendInterrupted) {
+        return fail_with(&[libc::EINTR], random) as ssize_t;
     }
-    stall();
-    let length = draw(Fault::SendShort).map_or(length, |drawn| shortened(length, drawn));
+    maybe_stall();
+    let length = draw(Fault::SendShort).map_or(length, |random| shortened(length, random));
     let address = std::ptr::null::<sockaddr>();
-    // SAFETY: the caller's buffer, of at most the caller's length.
+    // SAFETY: the caller's buffer is valid for the caller's length, and `length` is at most that.
     unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, address, 0) as ssize_t }
 }
 
-/// `writev(2)`.
+/// Replaces `writev(2)`, which may be interrupted, delayed or write only a part of the first buffer.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn writev(descriptor: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
-    if let Some(drawn) = draw(Fault::SendInterrupted) {
-        return failed(&[libc::EINTR], drawn) as ssize_t;
+pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    if let Some(random) = draw(Fault::SendInterrupted) {
+        return fail_with(&[libc::EINTR], random) as ssize_t;
     }
-    stall();
+    maybe_stall();
     if count > 0 {
-        if let Some(drawn) = draw(Fault::SendShort) {
-            // SAFETY: there is at least one piece, and no more of it is written than it holds.
-            let first = unsafe { &*pieces };
-            let length = shortened(first.iov_len, drawn);
-            // SAFETY: as before.
+        if let Some(random) = draw(Fault::SendShort) {
+            // SAFETY: `count` is positive, so the caller passed at least one valid entry.
+            let first = unsafe { &*buffers };
+            let length = shortened(first.iov_len, random);
+            // SAFETY: the caller's first buffer is valid for `iov_len` bytes, and `length` is at most that.
             return unsafe { libc::syscall(libc::SYS_write, descriptor, first.iov_base, length) as ssize_t };
         }
     }
-    // SAFETY: the caller's pieces.
-    unsafe { libc::syscall(libc::SYS_writev, descriptor, pieces, count) as ssize_t }
+    // SAFETY: the caller's `buffers` hold `count` valid entries.
+    unsafe { libc::syscall(libc::SYS_writev, descriptor, buffers, count) as ssize_t }
 }
 
-/// `sendto(2)`.
+/// Replaces `sendto(2)`, which may fail.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn sendto(
     descriptor: c_int,
@@ -132,17 +136,17 @@
     address: *const sockaddr,
     size: socklen_t,
 ) -> ssize_t {
-    if let Some(drawn) = draw(Fault::DatagramUnsent) {
-        return failed(&[libc::ENOBUFS], drawn) as ssize_t;
+    if let Some(random) = draw(Fault::DatagramUnsent) {
+        return fail_with(&[libc::ENOBUFS], random) as ssize_t;
     }
-    // SAFETY: the caller's buffer and address.
+    // SAFETY: the caller's buffer and address are valid for the lengths passed with them.
     unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, address, size) as ssize_t }
 }
 
-/// `accept4(2)`.
+/// Replaces `accept4(2)`, which may fail.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     descriptor: c_int,
@@ -150,128 +154,132 @@
     size: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(drawn) = draw(Fault::AcceptFailed) {
-        return failed(&[libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS], drawn);
+    if let Some(random) = draw(Fault::AcceptFailed) {
+        return fail_with(&[libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS], random);
     }
-    // SAFETY: the caller's address.
+    // SAFETY: the caller's `address` and `size` are valid or null.
     let accepted = unsafe { libc::syscall(libc::SYS_accept4, descriptor, address, size, flags) } as c_int;
-    note_connected(accepted, false);
+    set_outbound(accepted, false);
     accepted
 }
 
-/// `connect(2)`.
+/// Replaces `connect(2)`, which may fail.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, size: socklen_t) -> c_int {
-    if let Some(drawn) = draw(Fault::ConnectFailed) {
-        return failed(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS], drawn);
+    if let Some(random) = draw(Fault::ConnectFailed) {
+        return fail_with(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS], random);
     }
-    note_connected(descriptor, true);
-    // SAFETY: the caller's address.
+    set_outbound(descriptor, true);
+    // SAFETY: the caller's address is valid for `size` bytes.
     unsafe { libc::syscall(libc::SYS_connect, descriptor, address, size) as c_int }
 }
 
-/// `socket(2)`.
+/// Replaces `socket(2)`, which may fail.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if let Some(drawn) = draw(Fault::SocketFailed) {
-        return failed(&[libc::EMFILE, libc::ENFILE, libc::ENOBUFS], drawn);
+    if let Some(random) = draw(Fault::SocketFailed) {
+        return fail_with(&[libc::EMFILE, libc::ENFILE, libc::ENOBUFS], random);
     }
-    // SAFETY: numbers alone.
-    let made = unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) } as c_int;
-    note_connected(made, false);
-    made
+    // SAFETY: the call takes only integers.
+    let created = unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) } as c_int;
+    set_outbound(created, false);
+    created
 }
 
-/// `epoll_wait(2)`.
+/// Replaces `epoll_wait(2)`, which may be interrupted.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut epoll_event,
-    most: c_int,
-    wait: c_int,
+    max_events: c_int,
+    timeout: c_int,
 ) -> c_int {
-    if let Some(drawn) = draw(Fault::WaitInterrupted) {
-        return failed(&[libc::EINTR], drawn);
+    if let Some(random) = draw(Fault::WaitInterrupted) {
+        return fail_with(&[libc::EINTR], random);
+    }
+    let (mask, mask_size): (*const c_void, size_t) = (std::ptr::null(), 8);
+    // SAFETY: the caller's `events` have room for `max_events` entries, and the signal mask may be null.
+    unsafe {
+        libc::syscall(libc::SYS_epoll_pwait, epoll, events, max_events, timeout, mask, mask_size) as c_int
     }
-    let (mask, size): (*const c_void, size_t) = (std::ptr::null(), 8);
-    // SAFETY: the caller's events.
-    unsafe { libc::syscall(libc::SYS_epoll_pwait, epoll, events, most, wait, mask, size) as c_int }
 }
 
-/// `write(2)`; fails on regular files alone.
+/// Replaces `write(2)`, which may fail on regular files.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    if is_file(descriptor) {
-        if let Some(drawn) = draw(Fault::FileWriteFailed) {
-            return failed(&[libc::ENOSPC, libc::EIO], drawn) as ssize_t;
+    if is_regular_file(descriptor) {
+        if let Some(random) = draw(Fault::FileWriteFailed) {
+            return fail_with(&[libc::ENOSPC, libc::EIO], random) as ssize_t;
         }
     }
-    // SAFETY: the caller's buffer.
+    // SAFETY: the caller's buffer is valid for `length` bytes.
     unsafe { libc::syscall(libc::SYS_write, descriptor, buffer, length) as ssize_t }
 }
 
-fn is_file(descriptor: c_int) -> bool {
+/// Whether the descriptor refers to a regular file.
+fn is_regular_file(descriptor: c_int) -> bool {
     let mut stat = std::mem::MaybeUninit::<libc::stat>::uninit();
-    // SAFETY: the place for the answer is as large as the kernel's.
-    let read = unsafe { libc::syscall(libc::SYS_fstat, descriptor, stat.as_mut_ptr()) };
-    // SAFETY: filled in where the call succeeded.
-    read == 0 && unsafe { stat.assume_init() }.st_mode & libc::S_IFMT == libc::S_IFREG
+    // SAFETY: `stat` is as large as the kernel's structure.
+    let result = unsafe { libc::syscall(libc::SYS_fstat, descriptor, stat.as_mut_ptr()) };
+    // SAFETY: the kernel filled `stat` in if the call succeeded.
+    result == 0 && unsafe { stat.assume_init() }.st_mode & libc::S_IFMT == libc::S_IFREG
 }
 
-/// `fsync(2)`.
+/// Replaces `fsync(2)`, which may fail.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
     sync(descriptor, libc::SYS_fsync)
 }
 
-/// `fdatasync(2)`.
+/// Replaces `fdatasync(2)`, which may fail.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
     sync(descriptor, libc::SYS_fdatasync)
 }
 
-fn sync(descriptor: c_int, call: c_long) -> c_int {
-    if let Some(drawn) = draw(Fault::FileSyncFailed) {
-        return failed(&[libc::EIO], drawn);
+/// Makes a system call that synchronizes a file, unless [`Fault::FileSyncFailed`] is injected.
+fn sync(descriptor: c_int, number: c_long) -> c_int {
+    if let Some(random) = draw(Fault::FileSyncFailed) {
+        return fail_with(&[libc::EIO], random);
     }
-    // SAFETY: numbers alone.
-    unsafe { libc::syscall(call, descriptor) as c_int }
+    // SAFETY: the call takes only integers.
+    unsafe { libc::syscall(number, descriptor) as c_int }
 }
 
-/// `clock_gettime(2)`; the wall clock may have been stepped.
+/// Replaces `clock_gettime(2)`, where `CLOCK_REALTIME` may be stepped by whole seconds.
 ///
 /// # Safety
-/// As of the function that it replaces.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, reading: *mut timespec) -> c_int {
-    // SAFETY: the caller's place for the reading.
-    let read = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, reading) } as c_int;
-    if read == 0 && clock == libc::CLOCK_REALTIME {
+    // SAFETY: the caller's `reading` is valid.
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, reading) } as c_int;
+    if result == 0 && clock == libc::CLOCK_REALTIME {
         let mut monotonic = timespec { tv_sec: 0, tv_nsec: 0 };
-        // SAFETY: a place of this function's own.
+        // SAFETY: `monotonic` outlives the call.
         unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &mut monotonic) };
         let micros = monotonic.tv_sec * MICROS_PER_SECOND + monotonic.tv_nsec / NANOS_PER_MICRO;
-        let step = clock_step(micros);
-        // SAFETY: the kernel has just written there.
-        unsafe { (*reading).tv_sec += step / MICROS_PER_SECOND };
+        let offset = clock_offset(micros);
+        // SAFETY: the kernel has just written to `reading`, so it is valid.
+        unsafe { (*reading).tv_sec += offset / MICROS_PER_SECOND };
     }
-    read
+    result
 }
--- a/crates/syscall-faults/src/lib.rs
+++ b/crates/syscall-faults/src/lib.rs
@@ -1,11 +1,13 @@
-//! Makes system calls of the process that it is preloaded into fail, in the ways that Linux documents.
+//! Injects system call failures that Linux documents into a process under test, by way of `LD_PRELOAD`.
 //!
-//! `LD_PRELOAD` names this library, `SYSCALL_FAULTS` the faults and their rates (see `plan.rs`), for instance
-//! `seed=7,recv.interrupted=0.02,send.short=0.1`. Without that variable every call goes through untouched. Whether the
-//! n-th call of a kind fails depends on the seed, the kind and n alone. `SYSCALL_FAULTS_COUNTS` may name a file that
-//! receives how often each fault was made, as one little-endian `u64` for each `plan::Fault` in its order.
+//! `LD_PRELOAD` names this library. `SYSCALL_FAULTS` lists the faults and their rates (see `plan.rs`), for
+//! instance `seed=7,recv.interrupted=0.02,send.short=0.1`. If `SYSCALL_FAULTS` is unset, no faults are
+//! injected. Whether a fault is injected into the n-th call that it can affect depends only on the seed, the
+//! fault and n. `SYSCALL_FAULTS_COUNTS` may name a file. The library writes to this file how often each fault
+//! was injected, as one little-endian `u64` per `plan::Fault`, in the order of the enum.
 //!
-//! Calls are carried out by the kernel's numbers and not by the C library's functions, which are the ones replaced.
+//! The replacement functions make their system calls through `syscall(2)`, because the C library's functions
+//! of the same names are the ones that they replace.
 
 #![deny(missing_docs)]
 
--- a/crates/syscall-faults/src/plan.rs
+++ b/crates/syscall-faults/src/plan.rs
@@ -1,20 +1,21 @@
-//! Which calls fail: the list of faults, the form of their rates, and the decision for one call. No call is made here.
+//! The list of faults, the parser of `SYSCALL_FAULTS`, and the decision whether one call fails. Makes no
+//! system calls.
 
-/// One way in which a call fails.
+/// A way in which a system call can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub(crate) enum Fault {
     /// `recv` and `readv` return EINTR.
     ReceiveInterrupted,
-    /// `recv` and `readv` give less than there is.
+    /// `recv` reads fewer bytes than requested, 63 at most.
     ReceiveShort,
-    /// `recv` on a connection that this process made returns ETIMEDOUT or EHOSTUNREACH, and the connection is broken.
+    /// `recv` on a connection that this process opened shuts it down and returns ETIMEDOUT or EHOSTUNREACH.
     ReceiveBroken,
     /// `send` and `writev` return EINTR.
     SendInterrupted,
-    /// `send` and `writev` take less than they are given.
+    /// `send` and `writev` write fewer bytes than requested.
     SendShort,
-    /// `send` and `writev` begin up to [`LONGEST_STALL_MICROS`] late.
+    /// `send` and `writev` are delayed by less than [`LONGEST_STALL_MICROS`].
     SendStalled,
     /// `sendto` of a datagram returns ENOBUFS.
     DatagramUnsent,
@@ -30,12 +31,12 @@
     FileWriteFailed,
     /// `fsync` and `fdatasync` return EIO.
     FileSyncFailed,
-    /// `CLOCK_REALTIME` reads as if it had been stepped.
+    /// `CLOCK_REALTIME` is stepped forward or back.
     ClockStepped,
 }
 
-/// The faults by the words of the plan, in the order of the enum.
-pub(crate) const NAMES: [&str; 14] = [
+/// The names of the faults in `SYSCALL_FAULTS`, in the order of [`Fault`].
+pub(crate) const FAULT_NAMES: [&str; 14] = [
     "recv.interrupted",
     "recv.short",
     "recv.broken",
@@ -52,61 +53,70 @@
     "clock.stepped",
 ];
 
-/// The longest delay between a decision and its write.
+/// The upper bound of the delay between the process's decision to write and the write, in microseconds.
 pub(crate) const LONGEST_STALL_MICROS: u64 = 150_000;
 
-/// The faults of one process.
+/// The faults to inject into one process.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Plan {
     seed: u64,
-    rates: [f64; NAMES.len()],
-    /// How far the wall clock is stepped, in microseconds.
-    pub(crate) step_by: i64,
-    /// When it is stepped, in microseconds from the first look at any clock.
-    pub(crate) step_after: i64,
+    /// For each fault, the share of calls into which it is injected, from 0 to 1.
+    rates: [f64; FAULT_NAMES.len()],
+    /// The step of the wall clock, in microseconds; 0 for no step.
+    pub(crate) clock_step_micros: i64,
+    /// The time from the process's first reading of `CLOCK_REALTIME` to the step, in microseconds.
+    pub(crate) clock_step_after_micros: i64,
 }
 
 impl Plan {
-    /// Reads `name=value` pairs between commas. `clock.step` and `clock.after` are seconds.
-    pub(crate) fn read(text: &str) -> Result<Plan, String> {
-        let mut plan = Plan { seed: 0, rates: [0.0; NAMES.len()], step_by: 0, step_after: 0 };
+    /// Parses `name=value` pairs that are separated by commas. `clock.step` and `clock.after` are in seconds.
+    pub(crate) fn parse(text: &str) -> Result<Plan, String> {
+        let mut plan = Plan {
+            seed: 0,
+            rates: [0.0; FAULT_NAMES.len()],
+            clock_step_micros: 0,
+            clock_step_after_micros: 0,
+        };
         for pair in text.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
-            let (name, value) = pair.split_once('=').ok_or_else(|| format!("{pair:?}: not name=value"))?;
+            let (name, value) =
+                pair.split_once('=').ok_or_else(|| format!("{pair:?}: expected name=value"))?;
             let number = value.parse::<f64>().ok().filter(|number| number.is_finite());
-            let number = number.ok_or_else(|| format!("{name}: {value:?} is no number"))?;
+            let number = number.ok_or_else(|| format!("{name}: {value:?} is not a finite number"))?;
             match name {
                 "seed" => {
-                    plan.seed = value.parse().map_err(|_| format!("seed: {value:?} is no whole number"))?
+                    plan.seed =
+                        value.parse().map_err(|_| format!("seed: {value:?} is not a non-negative integer"))?
                 }
-                "clock.step" => plan.step_by = (number * 1e6) as i64,
-                "clock.after" => plan.step_after = (number * 1e6) as i64,
+                "clock.step" => plan.clock_step_micros = (number * 1e6) as i64,
+                "clock.after" => plan.clock_step_after_micros = (number * 1e6) as i64,
                 _ => {
-                    let place = NAMES.iter().position(|known| *known == name);
-                    let place =
-                        place.ok_or_else(|| format!("{name}: no such fault; one of {}", NAMES.join(", ")))?;
+                    let index = FAULT_NAMES.iter().position(|known| *known == name);
+                    let index =
+                        index.ok_or_else(|| format!("{name}: expected one of {}", FAULT_NAMES.join(", ")))?;
                     if !(0.0..=1.0).contains(&number) {
-                        return Err(format!("{name}: a rate is from 0 to 1"));
+                        return Err(format!("{name}: the rate must be from 0 to 1"));
                     }
-                    plan.rates[place] = number;
+                    plan.rates[index] = number;
                 }
             }
         }
         Ok(plan)
     }
 
-    /// Whether the call of this number meets the fault, and a number by which to draw its further terms.
+    /// Decides whether the fault is injected into the call with this number. Returns a random number that
+    /// selects the call's error, length or delay, or `None` if the fault is not injected.
     pub(crate) fn draw(&self, fault: Fault, call: u64) -> Option<u64> {
         let rate = self.rates[fault as usize];
         if rate <= 0.0 {
             return None;
         }
-        let drawn = mix(self.seed ^ mix(call ^ mix(fault as u64 + 1)));
-        let share = (drawn >> 11) as f64 / (1u64 << 53) as f64;
-        (share < rate).then(|| mix(drawn))
+        let random = mix(self.seed ^ mix(call ^ mix(fault as u64 + 1)));
+        let fraction = (random >> 11) as f64 / (1u64 << 53) as f64;
+        (fraction < rate).then(|| mix(random))
     }
 }
 
-/// Finaliser of splitmix64.
+/// Mixes the bits of a number with one step of splitmix64.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/syscall-faults/tests/preload.rs
+++ b/crates/syscall-faults/tests/preload.rs
@@ -1,4 +1,4 @@
-//! The library in a real process: this test program starts itself again with the library preloaded.
+//! Tests of the library in a real process: this test program starts itself again with the library preloaded.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,34 +6,35 @@
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-fn library() -> PathBuf {
+fn library_path() -> PathBuf {
     let program = std::env::current_exe().expect("this program has a path");
     program.with_file_name("libsyscall_faults.so")
 }
 
-/// Runs one of the ignored tests below with these faults; how often each was made.
+/// Runs one of the ignored tests below with these faults. Returns how often each fault was injected.
 fn with_faults(test: &str, faults: &str) -> Vec<u64> {
-    let folder = std::env::temp_dir().join(format!("syscall-faults-{}-{test}", std::process::id()));
+    let counts_path = std::env::temp_dir().join(format!("syscall-faults-{}-{test}", std::process::id()));
     let status = Command::new(std::env::current_exe().expect("this program has a path"))
         .args(["--ignored", "--exact", test])
-        .env("LD_PRELOAD", library())
+        .env("LD_PRELOAD", library_path())
         .env("SYSCALL_FAULTS", faults)
-        .env("SYSCALL_FAULTS_COUNTS", &folder)
+        .env("SYSCALL_FAULTS_COUNTS", &counts_path)
         .status();
-    assert!(status.expect("it runs").success(), "{test} with {faults}");
-    let counts = std::fs::read(&folder).expect("the counts");
-    std::fs::remove_file(&folder).expect("removed");
+    assert!(status.expect("the test program runs").success(), "{test} with {faults}");
+    let counts = std::fs::read(&counts_path).expect("the counts file is readable");
+    std::fs::remove_file(&counts_path).expect("the counts file is removed");
     counts.chunks_exact(8).map(|count| u64::from_le_bytes(count.try_into().expect("8 bytes"))).collect()
 }
 
-fn pair() -> (TcpStream, TcpStream) {
+/// Opens a TCP connection and returns its client's and its server's end.
+fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     (client, listener.accept().expect("accepted").0)
 }
 
 #[test]
-fn reads_are_interrupted_and_cut_short_and_lose_nothing() {
+fn interrupted_and_short_reads_lose_no_bytes() {
     let counts = with_faults("child_reads", "seed=1,recv.interrupted=0.5,recv.short=0.5");
     assert!(counts[0] > 0 && counts[1] > 0, "{counts:?}");
 }
@@ -41,21 +42,21 @@
 #[test]
 #[ignore = "run by the test above"]
 fn child_reads() {
-    let (mut client, mut server) = pair();
+    let (mut client, mut server) = connected_pair();
     let sent: Vec<u8> = (0..=255).collect();
     client.write_all(&sent).expect("written");
     drop(client);
-    let (mut got, mut interrupted, mut piece) = (Vec::new(), 0, [0; 256]);
+    let (mut received, mut interrupted, mut buffer) = (Vec::new(), 0, [0; 256]);
     loop {
-        match server.read(&mut piece) {
+        match server.read(&mut buffer) {
             Ok(0) => break,
-            Ok(read) => got.extend_from_slice(&piece[..read]),
+            Ok(read) => received.extend_from_slice(&buffer[..read]),
             Err(error) if error.kind() == ErrorKind::Interrupted => interrupted += 1,
             Err(error) => panic!("{error}"),
         }
     }
     assert!(interrupted > 0);
-    assert_eq!(got, sent);
+    assert_eq!(received, sent);
 }
 
 #[test]
@@ -66,8 +67,8 @@
 #[test]
 #[ignore = "run by the test above"]
 fn child_clock() {
-    let here = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
-    let there = Command::new("date").arg("+%s").env_remove("LD_PRELOAD").output().expect("date runs");
-    let there: u64 = String::from_utf8_lossy(&there.stdout).trim().parse().expect("seconds");
-    assert!((3590..=3610).contains(&(there - here)), "{there} {here}");
+    let stepped = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
+    let date = Command::new("date").arg("+%s").env_remove("LD_PRELOAD").output().expect("date runs");
+    let real: u64 = String::from_utf8_lossy(&date.stdout).trim().parse().expect("seconds");
+    assert!((3590..=3610).contains(&(real - stepped)), "{real} {stepped}");
 }
