--- a/crates/testkit/src/soak/inject/workers.rs
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -91,7 +91,8 @@
                 }
                 _ => {
                     let count = schedule.random.random_range(1..8);
-                    let behaviors: Vec<JobBehavior> = (0..count).map(|_| schedule.choose(&MISBEHAVIOR).clone()).collect();
+                    let behaviors: Vec<JobBehavior> =
+                        (0..count).map(|_| schedule.choose(&MISBEHAVIOR).clone()).collect();
                     worker.script_jobs(behaviors);
                     sleep(schedule.duration(0.2, 1.0)).await;
                 }
--- a/crates/testkit/src/soak/report.rs
+++ b/crates/testkit/src/soak/report.rs
@@ -89,7 +89,7 @@
         let jobs = self.jobs;
         format!(
             "{jobs} jobs: {served} served, {rejected} rejected, {failed} failed, {lost} lost, \
-             {unreachable} unreachable, {none} timed out"
+             {unreachable} unreachable, {unanswered} timed out"
         )
     }
 }
