--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -42,14 +42,14 @@
     // retry by the client is harmless.
     let (non_idempotent, idempotent) = (Idempotency::NonIdempotent, Idempotency::Idempotent);
     for (idempotency, late_weight, work_hint, expected_timeout, is_harmless) in [
-        (idempotent, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), true),
-        (non_idempotent, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), false),
+        (idempotent, 0.0, Some(300 * MILLISECOND), Some(500 * MILLISECOND + 690 * MILLISECOND), true),
+        (non_idempotent, 0.0, Some(300 * MILLISECOND), Some(500 * MILLISECOND + 690 * MILLISECOND), false),
         (idempotent, 0.0, None, None, true),
-        (idempotent, 0.3, Some(300 * MS), None, true),
+        (idempotent, 0.3, Some(300 * MILLISECOND), None, true),
     ] {
         let classes = vec![Class { late_weight, ..class(idempotency) }];
         let mut driver = Driver::with_fleet(Settings { classes, ..settings() }, 6);
-        let job = Request { expected_work: work_hint, ..request(1, 0, "k", driver.now + 5 * S) };
+        let job = Request { expected_work: work_hint, ..request(1, 0, "k", driver.now + 5 * SECOND) };
         let actions = driver.event(Event::Request(job));
         let timeout_of =
             |a: &Action| if let Action::Send { timeout, .. } = a { Some(*timeout) } else { None };
@@ -78,8 +78,8 @@
     let mut driver = Driver::new(Settings { classes, ..settings() });
     let started = driver.now;
     let mut pending_timers = timers(&driver.event(Event::Request(Request {
-        expected_work: Some(300 * MS),
-        ..request(1, 0, "k", started + 5 * S)
+        expected_work: Some(300 * MILLISECOND),
+        ..request(1, 0, "k", started + 5 * SECOND)
     })));
     loop {
         pending_timers.sort();
@@ -92,7 +92,7 @@
     }
     let waited = driver.now - started;
     assert!(
-        (800 * MS..=810 * MS).contains(&waited),
+        (800 * MILLISECOND..=810 * MILLISECOND).contains(&waited),
         "answered after {waited} us; the latency objective allows a wait of 800 ms"
     );
 }
@@ -119,7 +119,7 @@
             Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 6);
         let (mut jobs_at_worker, mut jobs) = (0, 0);
         for id in 1..=1200 {
-            driver.now += 20 * MS;
+            driver.now += 20 * MILLISECOND;
             let worker = sent(&driver.request(id, NON_IDEMPOTENT, &format!("key-{id}")));
             jobs += 1;
             jobs_at_worker += u64::from(worker == WorkerId(3));
--- a/crates/scheduling/tests/combined_faults.rs
+++ b/crates/scheduling/tests/combined_faults.rs
@@ -34,7 +34,11 @@
                             attempt,
                             worker: *worker,
                             outcome,
-                            latency: if outcome == Outcome::ConnectFailed { 250 * MS } else { MS },
+                            latency: if outcome == Outcome::ConnectFailed {
+                                250 * MILLISECOND
+                            } else {
+                                MILLISECOND
+                            },
                             request_closed: outcome == Outcome::Ok,
                             load: None,
                         }));
@@ -49,7 +53,7 @@
                 }
             }
         }
-        driver.now += 50 * MS;
+        driver.now += 50 * MILLISECOND;
     }
     served as f64 / jobs as f64
 }
@@ -128,6 +132,6 @@
     let started_at = driver.now;
     driver.event(list(EndpointUpdate::Changes, (7..=24).map(|n| Endpoint { started_at, ..endpoint(n) })));
     assert!(run_jobs(&mut driver, 0, 5, |_| Outcome::Ok) > 0.99);
-    driver.now += 20 * S;
+    driver.now += 20 * SECOND;
     assert!(run_jobs(&mut driver, 10_000, 5, |_| Outcome::Ok) > 0.99);
 }
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -5,15 +5,15 @@
 
 pub mod simulation;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub const MILLISECOND: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
 
 /// Returns a class with a latency objective of 500 ms and a deadline of 5 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        latency_objective: 500 * MS,
+        latency_objective: 500 * MILLISECOND,
         objective_per_work: 2.0,
-        deadline: 5 * S,
+        deadline: 5 * SECOND,
         priority_weight: 1.0,
         late_weight: 0.3,
         idempotency,
@@ -33,7 +33,7 @@
 /// Returns the settings of a single scheduler with the classes of the constants above. The class
 /// `MACHINE_BOUND` runs on machine type 1 only.
 pub fn settings() -> Settings {
-    let deduplication_window = 2 * S;
+    let deduplication_window = 2 * SECOND;
     let mut machine_bound = class(Idempotency::Idempotent);
     machine_bound.machine_type = Some(MachineTypeId(1));
     Settings {
@@ -58,25 +58,25 @@
         progress_interval: 0,
         limits: Limits {
             max_attempts: 4,
-            dial_timeout: 250 * MS,
+            dial_timeout: 250 * MILLISECOND,
             hedging: false,
             may_probe: false,
             may_cancel: true,
             retry_after: true,
-            max_retry_after: 2 * S,
+            max_retry_after: 2 * SECOND,
             may_message_peers: false,
         },
         rules: Rules {
-            answer_slack: 8 * MS,
-            drain_grace: 500 * MS,
+            answer_slack: 8 * MILLISECOND,
+            drain_grace: 500 * MILLISECOND,
             poll_within: None,
             slow_start_floor: 0.25,
-            slow_start_time: 10 * S,
+            slow_start_time: 10 * SECOND,
             overload_factor: 3.0,
-            overload_time: S,
+            overload_time: SECOND,
         },
         cost_weights: CostWeights::default(),
-        tick: 2 * MS,
+        tick: 2 * MILLISECOND,
     }
 }
 
@@ -122,7 +122,7 @@
         attempt: AttemptNo(attempt),
         worker,
         outcome,
-        latency: 5 * MS,
+        latency: 5 * MILLISECOND,
         request_closed: outcome == Outcome::Ok,
         load: None,
     }
@@ -138,7 +138,7 @@
     pub fn new(settings: Settings) -> Driver {
         Driver {
             scheduler: Scheduler::new(settings, 1).expect("the test's settings are valid"),
-            now: 100 * S,
+            now: 100 * SECOND,
         }
     }
 
@@ -163,7 +163,7 @@
 
     /// Handles a new request with a deadline in 5 s and returns the actions.
     pub fn request(&mut self, id: u64, class: u32, key: &str) -> Vec<Action> {
-        let deadline = self.now + 5 * S;
+        let deadline = self.now + 5 * SECOND;
         self.event(Event::Request(request(id, class, key, deadline)))
     }
 }
--- a/crates/scheduling/tests/coordination.rs
+++ b/crates/scheduling/tests/coordination.rs
@@ -58,7 +58,7 @@
     }
 
     fn request(&mut self, scheduler_index: u32, id: u64, key: &str) -> Vec<Action> {
-        let deadline = self.schedulers[0].now + 5 * S;
+        let deadline = self.schedulers[0].now + 5 * SECOND;
         self.event(scheduler_index, Event::Request(request(id, IDEMPOTENT, key, deadline)))
     }
 
@@ -101,7 +101,7 @@
     let home = sent(&fleet.request(0, 0, "k"));
     assert_ne!(sent(&fleet.request(1, 1, "k")), home, "a unit of weight is first estimated to have one slot");
     fleet.event(0, attempt_finished(0, 0, home, Outcome::Ok));
-    fleet.advance(100 * MS);
+    fleet.advance(100 * MILLISECOND);
     assert_eq!(sent(&fleet.request(2, 2, "k")), home);
 }
 
@@ -119,7 +119,7 @@
             let (expires_at, token) =
                 timers(&actions).into_iter().min().expect("a timer for the next placement");
             let queried_at = fleet.schedulers[0].now;
-            assert!(expires_at <= queried_at + 40 * MS, "waits {} us", expires_at - queried_at);
+            assert!(expires_at <= queried_at + 40 * MILLISECOND, "waits {} us", expires_at - queried_at);
             fleet.advance(expires_at - queried_at);
             actions = fleet.event(0, Event::Timer(token));
         }
@@ -139,11 +139,11 @@
     let mut fleet = Fleet::new(10, 12);
     let home = sent(&fleet.request(0, 0, "k"));
     fleet.event(0, attempt_finished(0, 0, home, Outcome::Reset));
-    fleet.advance(S);
+    fleet.advance(SECOND);
     assert_eq!(sent(&fleet.request(1, 1, "k")), home, "one failure may be the connection's fault");
     fleet.event(1, attempt_finished(1, 0, home, Outcome::Reset));
     for index in 2..10 {
-        fleet.advance(30 * MS);
+        fleet.advance(30 * MILLISECOND);
         let other = sent(&fleet.request(index, 10 + u64::from(index), "k"));
         assert_ne!(other, home, "scheduler {index}");
         fleet.event(index, attempt_finished(10 + u64::from(index), 0, other, Outcome::Ok));
@@ -155,7 +155,8 @@
 #[test]
 fn unexpected_messages_change_nothing() {
     let mut driver = Driver::with_fleet(coordinating_settings(0, 3), 12);
-    let fully_occupied = PeerMessage::OccupancyReply(Some(Occupancy { slots: 900.0, ejected_for: 8 * S }));
+    let fully_occupied =
+        PeerMessage::OccupancyReply(Some(Occupancy { slots: 900.0, ejected_for: 8 * SECOND }));
     for worker in (1..=13).map(WorkerId) {
         driver.event(Event::PeerMessage { from: 1, data: fully_occupied.encode(worker) });
         driver.event(Event::PeerMessage {
@@ -203,7 +204,10 @@
         let actions = fleet.request(0, 1, "k");
         assert_eq!(!sends(&actions).is_empty(), is_sent, "{slots_per_worker} slots in flight: {actions:?}");
         let next_timer = timers(&actions).iter().map(|t| t.0 - fleet.schedulers[0].now).min();
-        assert!(is_sent || next_timer < Some(400 * MS), "the job is not placed again soon: {next_timer:?}");
+        assert!(
+            is_sent || next_timer < Some(400 * MILLISECOND),
+            "the job is not placed again soon: {next_timer:?}"
+        );
     }
 }
 
@@ -213,7 +217,7 @@
 fn a_warming_worker_takes_other_keys_while_its_coordinator_reports_capacity() {
     let mut fleet = Fleet::new(10, 0);
     let weight = 4.0;
-    let started_at = fleet.schedulers[0].now - 100 * MS;
+    let started_at = fleet.schedulers[0].now - 100 * MILLISECOND;
     let mut endpoints: Vec<Endpoint> = (1..=12).map(|n| Endpoint { weight, ..endpoint(n) }).collect();
     endpoints
         .iter_mut()
@@ -226,7 +230,7 @@
     let mut jobs_per_worker = BTreeMap::new();
     for id in 0..40 {
         // Earlier occupancy reports are no longer fresh.
-        fleet.advance(30 * MS);
+        fleet.advance(30 * MILLISECOND);
         for worker in sends(&fleet.request(id as u32 % 10, id, &format!("key-{id}"))) {
             assert!(worker.0 > 9, "workers that are warm have long queues");
             *jobs_per_worker.entry(worker).or_insert(0) += 1;
@@ -242,11 +246,11 @@
 /// time. The coordinator may report free capacity only to some of them.
 #[test]
 fn simultaneous_queries_for_a_restarted_worker_admit_only_a_few_jobs() {
-    for (work, max_admitted) in [(100 * MS, 3), (2 * S, 1)] {
+    for (work, max_admitted) in [(100 * MILLISECOND, 3), (2 * SECOND, 1)] {
         let mut driver = Driver::new(coordinating_settings(0, 10));
         driver.event(list(
             EndpointUpdate::Snapshot,
-            [Endpoint { weight: 4.0, started_at: driver.now - 100 * MS, ..endpoint(1) }],
+            [Endpoint { weight: 4.0, started_at: driver.now - 100 * MILLISECOND, ..endpoint(1) }],
         ));
         let mut admitted_jobs = 0;
         for round in 0..3 {
@@ -276,7 +280,7 @@
                     "no attempt has ended, but {slots} slots are reported in flight"
                 );
             }
-            driver.now += 50 * MS;
+            driver.now += 50 * MILLISECOND;
         }
         assert!(
             (1..=max_admitted).contains(&admitted_jobs),
@@ -303,7 +307,7 @@
             let mut actions = driver.request(id, IDEMPOTENT, &format!("key-{id}"));
             if sends(&actions).is_empty() {
                 // No coordinator replies.
-                driver.now += 40 * MS;
+                driver.now += 40 * MILLISECOND;
                 let (_, token) = timers(&actions).into_iter().min().expect("a timer for the next placement");
                 actions = driver.event(Event::Timer(token));
             }
@@ -329,11 +333,11 @@
         let data = message.encode(WorkerId(1));
         driver.event(Event::PeerMessage { from: 1, data })
     };
-    receive(&mut driver, PeerMessage::AttemptStarted { slots: 1.0, work: S });
-    driver.now += 5 * S;
-    receive(&mut driver, PeerMessage::AttemptStarted { slots: 1.0, work: S });
+    receive(&mut driver, PeerMessage::AttemptStarted { slots: 1.0, work: SECOND });
+    driver.now += 5 * SECOND;
+    receive(&mut driver, PeerMessage::AttemptStarted { slots: 1.0, work: SECOND });
     receive(&mut driver, PeerMessage::AttemptFinished { served: true, connection_failed: false });
-    let reply = receive(&mut driver, PeerMessage::OccupancyQuery { work: S });
+    let reply = receive(&mut driver, PeerMessage::OccupancyQuery { work: SECOND });
     let empty =
         PeerMessage::OccupancyReply(Some(Occupancy { slots: 0.0, ejected_for: 0 })).encode(WorkerId(1));
     assert_eq!(reply, [Action::SendPeerMessage { to: Recipient::One(1), data: empty }]);
--- a/crates/scheduling/tests/endpoint_list.rs
+++ b/crates/scheduling/tests/endpoint_list.rs
@@ -28,7 +28,7 @@
     let other = sent(&driver.request(2, IDEMPOTENT, "k"));
     assert_ne!(other, first);
     driver.event(attempt_finished(2, 0, other, Outcome::Ok));
-    driver.now += 60 * S;
+    driver.now += 60 * SECOND;
     driver.event(fleet(6));
     assert_eq!(sent(&driver.request(3, IDEMPOTENT, "k")), first);
 }
@@ -36,7 +36,7 @@
 #[test]
 fn a_request_without_any_worker_is_rejected_by_its_deadline() {
     let mut driver = Driver::new(settings());
-    let deadline = driver.now + 5 * S;
+    let deadline = driver.now + 5 * SECOND;
     let mut pending = timers(&driver.request(1, NON_IDEMPOTENT, "k"));
     let mut answered = false;
     while let Some(position) =
--- a/crates/scheduling/tests/endpoint_refresh.rs
+++ b/crates/scheduling/tests/endpoint_refresh.rs
@@ -17,7 +17,7 @@
         ..settings()
     };
     let scheduler = Scheduler::new(settings, 7 + u64::from(scheduler_index)).expect("the settings are valid");
-    let mut driver = Driver { scheduler, now: 100 * S };
+    let mut driver = Driver { scheduler, now: 100 * SECOND };
     let actions = driver.event(list(EndpointUpdate::Restored, (1..=9).map(endpoint)));
     (driver, actions)
 }
@@ -29,7 +29,7 @@
 /// Runs one scheduler during an outage of discovery in which every poll fails after 2 s, the longest time
 /// that discovery keeps a poll waiting. Returns the times of the polls since the start.
 fn poll_times(scheduler_index: u32, scheduler_count: u32, outage: Micros) -> Vec<Micros> {
-    poll_times_failing_after(scheduler_index, scheduler_count, outage, 2 * S)
+    poll_times_failing_after(scheduler_index, scheduler_count, outage, 2 * SECOND)
 }
 
 /// Like [`poll_times`], but each poll fails after `failure_delay`.
@@ -45,7 +45,7 @@
     loop {
         upcoming.extend(timers(&actions));
         if poll_count(&actions) > 0 {
-            times.push(driver.now - 100 * S);
+            times.push(driver.now - 100 * SECOND);
             driver.now += failure_delay;
             actions = driver.event(list(EndpointUpdate::Failed, []));
             continue;
@@ -64,7 +64,7 @@
 /// the outage and the arrival of its list.
 fn list_times(scheduler_count: u32, outage: Micros, time_to_serve_all: Micros) -> Vec<Micros> {
     let (mut discovery_free_at, service_time, outage_end) =
-        (0, time_to_serve_all / u64::from(scheduler_count), 100 * S + outage);
+        (0, time_to_serve_all / u64::from(scheduler_count), 100 * SECOND + outage);
     let mut drivers = vec![];
     // Each entry holds the time, the scheduler's index and the event.
     let mut upcoming_events = BTreeSet::new();
@@ -81,9 +81,9 @@
             }
             let served_at = now.max(discovery_free_at);
             if now < outage_end {
-                upcoming_events.insert((now + 5 * MS, scheduler_index, SimulatedEvent::PollFails));
-            } else if served_at > now + 2 * S {
-                upcoming_events.insert((now + 2 * S, scheduler_index, SimulatedEvent::PollFails));
+                upcoming_events.insert((now + 5 * MILLISECOND, scheduler_index, SimulatedEvent::PollFails));
+            } else if served_at > now + 2 * SECOND {
+                upcoming_events.insert((now + 2 * SECOND, scheduler_index, SimulatedEvent::PollFails));
             } else {
                 discovery_free_at = served_at + service_time;
                 upcoming_events.insert((discovery_free_at, scheduler_index, SimulatedEvent::PollIsAnswered));
@@ -95,7 +95,7 @@
         drivers.push(driver);
     }
     while let Some((at, scheduler_index, event)) = upcoming_events.pop_first() {
-        assert!(at < outage_end + 60 * S, "a scheduler has stopped polling, or discovery is overloaded");
+        assert!(at < outage_end + 60 * SECOND, "a scheduler has stopped polling, or discovery is overloaded");
         let driver = &mut drivers[scheduler_index as usize];
         driver.now = at;
         let actions = match event {
@@ -117,21 +117,21 @@
 /// serve: polls must neither leave discovery idle while schedulers wait nor overload it.
 #[test]
 fn schedulers_are_notified_in_time_after_a_start_or_an_outage_as_far_as_discovery_can_serve_them() {
-    for scheduler_count in [3, 20, 100, 300] {
-        for outage in [0, 8 * S, 23 * S] {
+    for schedulers in [3, 20, 100, 300] {
+        for outage in [0, 8 * SECOND, 23 * SECOND] {
             let late_count =
-                |time| list_times(scheduler_count, outage, time).into_iter().filter(|at| *at > 6 * S).count();
+                |time| list_times(schedulers, outage, time).into_iter().filter(|at| *at > 6 * SECOND).count();
             assert_eq!(
-                late_count(4 * S),
+                late_count(4 * SECOND),
                 0,
-                "late schedulers of {scheduler_count} after an outage of {outage} us"
+                "late schedulers of {schedulers} after an outage of {outage} us"
             );
             // Discovery serves at most three quarters of the schedulers in 6 s. A third may be late: the
             // remaining quarter and one in twelve more.
-            let late_count = late_count(8 * S);
+            let late_count = late_count(8 * SECOND);
             assert!(
-                late_count <= scheduler_count.div_ceil(3) as usize,
-                "{late_count} of {scheduler_count} schedulers are late after an outage of {outage} us"
+                late_count <= schedulers.div_ceil(3) as usize,
+                "{late_count} of {schedulers} schedulers are late after an outage of {outage} us"
             );
         }
     }
@@ -143,11 +143,11 @@
 fn few_schedulers_poll_at_once_and_many_within_the_time_allowed() {
     let (_, actions) = start_with_restored_list(0, 1);
     assert_eq!(poll_count(&actions), 1);
-    assert!((0..3).all(|scheduler_index| poll_times(scheduler_index, 3, S)[0] <= 120 * MS));
+    assert!((0..3).all(|scheduler_index| poll_times(scheduler_index, 3, SECOND)[0] <= 120 * MILLISECOND));
     for scheduler_index in 0..300 {
-        let times = poll_times(scheduler_index, 300, 60 * S);
-        assert!(times[0] <= 4 * S);
-        assert!(times.windows(2).all(|pair| pair[1] - pair[0] <= 5 * S), "{times:?}");
+        let times = poll_times(scheduler_index, 300, 60 * SECOND);
+        assert!(times[0] <= 4 * SECOND);
+        assert!(times.windows(2).all(|pair| pair[1] - pair[0] <= 5 * SECOND), "{times:?}");
     }
 }
 
@@ -157,11 +157,12 @@
 #[test]
 fn polls_follow_one_another_soon_enough_however_long_they_take_to_fail() {
     for scheduler_count in [1, 3, 300] {
-        for failure_delay in [0, 5 * MS, S, 2 * S, 2_450 * MS] {
+        for failure_delay in [0, 5 * MILLISECOND, SECOND, 2 * SECOND, 2_450 * MILLISECOND] {
             for scheduler_index in 0..scheduler_count {
-                let times = poll_times_failing_after(scheduler_index, scheduler_count, 60 * S, failure_delay);
+                let times =
+                    poll_times_failing_after(scheduler_index, scheduler_count, 60 * SECOND, failure_delay);
                 assert!(
-                    times.windows(2).all(|pair| pair[1] - pair[0] <= 3_200 * MS),
+                    times.windows(2).all(|pair| pair[1] - pair[0] <= 3_200 * MILLISECOND),
                     "{scheduler_count} schedulers: {times:?}"
                 );
             }
@@ -174,7 +175,7 @@
 #[test]
 fn schedulers_that_all_start_at_once_have_their_list_confirmed_before_they_send() {
     for scheduler_count in [1, 3, 20, 100, 300] {
-        let late_count = list_times(scheduler_count, 0, 4 * S)
+        let late_count = list_times(scheduler_count, 0, 4 * SECOND)
             .into_iter()
             .filter(|delay| *delay > LIST_CONFIRMATION_TIMEOUT)
             .count();
@@ -189,14 +190,14 @@
 fn no_job_is_sent_by_a_restored_list_until_it_is_confirmed() {
     let (mut driver, _) = start_with_restored_list(0, 3);
     assert_eq!(sends(&driver.request(1, IDEMPOTENT, "k")), []);
-    driver.now += S;
+    driver.now += SECOND;
     assert_eq!(sends(&driver.event(list(EndpointUpdate::Failed, []))), []);
     let removed = (1..=8).map(|n| Endpoint { state: EndpointState::Removed, ..endpoint(n) });
     assert_eq!(sends(&driver.event(list(EndpointUpdate::Changes, removed))), [WorkerId(9)]);
 
     let (mut driver, _) = start_with_restored_list(0, 3);
     let restored_at = driver.now;
-    let queued = driver.event(Event::Request(request(1, IDEMPOTENT, "k", restored_at + 30 * S)));
+    let queued = driver.event(Event::Request(request(1, IDEMPOTENT, "k", restored_at + 30 * SECOND)));
     let mut upcoming = timers(&queued);
     let worker = loop {
         upcoming.sort();
@@ -227,9 +228,9 @@
         ..settings()
     };
     let mut driver =
-        Driver { scheduler: Scheduler::new(settings, 7).expect("the settings are valid"), now: 100 * S };
+        Driver { scheduler: Scheduler::new(settings, 7).expect("the settings are valid"), now: 100 * SECOND };
     let actions = driver.event(list(EndpointUpdate::HandedOver, (1..=9).map(endpoint)));
-    assert!(timers(&actions).iter().any(|(at, _)| *at <= driver.now + 150 * MS), "{actions:?}");
+    assert!(timers(&actions).iter().any(|(at, _)| *at <= driver.now + 150 * MILLISECOND), "{actions:?}");
     assert_eq!(sends(&driver.request(1, IDEMPOTENT, "k")).len(), 1);
 }
 
@@ -251,13 +252,13 @@
         driver.event(fleet(9));
         driver.event(list(EndpointUpdate::Changes, []));
         assert!(
-            pause_after_failure(&mut driver) <= 150 * MS,
+            pause_after_failure(&mut driver) <= 150 * MILLISECOND,
             "only the watch of scheduler {scheduler_index} stalled"
         );
-        spread_count += u32::from(pause_after_failure(&mut driver) > S);
+        spread_count += u32::from(pause_after_failure(&mut driver) > SECOND);
         // After a response, a further stall counts as a single broken watch again.
         driver.event(list(EndpointUpdate::Changes, []));
-        assert!(pause_after_failure(&mut driver) <= 150 * MS);
+        assert!(pause_after_failure(&mut driver) <= 150 * MILLISECOND);
     }
     assert!(spread_count >= 290, "only {spread_count} of 300 schedulers spread their polls");
 }
@@ -283,7 +284,7 @@
         BTreeSet::from([(outage_start, SimulatedEvent::PollFails), (outage_start, SimulatedEvent::Job(1))]);
     loop {
         let (at, event) = upcoming_events.pop_first().expect("jobs keep arriving");
-        assert!(at < outage_start + 60 * S, "the scheduler has stopped polling");
+        assert!(at < outage_start + 60 * SECOND, "the scheduler has stopped polling");
         driver.now = at;
         let actions = match event {
             SimulatedEvent::Timer(token) => driver.event(Event::Timer(token)),
@@ -295,7 +296,7 @@
             SimulatedEvent::Job(id) => {
                 let worker = sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
                 assert!((1..=9).contains(&worker.0), "{worker:?} was never listed");
-                upcoming_events.insert((at + 100 * MS, SimulatedEvent::Job(id + 1)));
+                upcoming_events.insert((at + 100 * MILLISECOND, SimulatedEvent::Job(id + 1)));
                 driver.event(attempt_finished(id, 0, worker, Outcome::Ok))
             }
         };
@@ -303,9 +304,9 @@
             .extend(timers(&actions).into_iter().map(|(at, token)| (at, SimulatedEvent::Timer(token))));
         if poll_count(&actions) > 0 {
             poll_times.push(at - outage_start);
-            let is_over = at >= outage_start + 23 * S;
+            let is_over = at >= outage_start + 23 * SECOND;
             upcoming_events.insert(if is_over {
-                (at + MS, SimulatedEvent::PollIsAnswered)
+                (at + MILLISECOND, SimulatedEvent::PollIsAnswered)
             } else {
                 (at + failure_delay, SimulatedEvent::PollFails)
             });
@@ -319,12 +320,12 @@
 #[test]
 fn schedulers_serve_by_their_current_list_and_poll_until_discovery_is_reachable() {
     let draining = || Endpoint { state: EndpointState::Draining, ..endpoint(1) };
-    for failure_delay in [5 * MS, S, 2 * S] {
+    for failure_delay in [5 * MILLISECOND, SECOND, 2 * SECOND] {
         let mut all_polls = vec![];
         for scheduler_index in 0..3 {
             let (poll_times, mut driver) = run_outage(scheduler_index, failure_delay, draining());
             assert!(
-                poll_times[0] <= 150 * MS,
+                poll_times[0] <= 150 * MILLISECOND,
                 "scheduler {scheduler_index} reopened its watch after {} us",
                 poll_times[0]
             );
@@ -332,7 +333,10 @@
             // A poll that is refused at once is not repeated at once. With as few as three schedulers, each
             // polls again within 1.5 s of a failure.
             assert!(
-                intervals.iter().all(|interval| (50 * MS..=1_500 * MS + failure_delay).contains(interval)),
+                intervals
+                    .iter()
+                    .all(|interval| (50 * MILLISECOND..=1_500 * MILLISECOND + failure_delay)
+                        .contains(interval)),
                 "{intervals:?}"
             );
             assert!(poll_times.len() <= 35, "{} polls of scheduler {scheduler_index}", poll_times.len());
@@ -343,7 +347,7 @@
         }
         all_polls.sort_unstable();
         assert!(
-            all_polls.windows(3).all(|three| three[2] - three[0] >= 10 * MS),
+            all_polls.windows(3).all(|three| three[2] - three[0] >= 10 * MILLISECOND),
             "the schedulers poll at the same time: {all_polls:?}"
         );
     }
@@ -366,6 +370,6 @@
         }
         let workers = (0..100).map(|id| sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))));
         assert!({ workers }.all(|worker| worker != WorkerId(1)), "a job went to a draining worker");
-        assert!(pauses.drain(..).skip(1).all(|pause| pause >= S), "the scheduler polls again at once");
+        assert!(pauses.drain(..).skip(1).all(|pause| pause >= SECOND), "the scheduler polls again at once");
     }
 }
--- a/crates/scheduling/tests/isolated_schedulers.rs
+++ b/crates/scheduling/tests/isolated_schedulers.rs
@@ -7,9 +7,9 @@
 use common::*;
 use vetchbridge_scheduling::*;
 
-const TICK: Micros = 2 * MS;
+const TICK: Micros = 2 * MILLISECOND;
 /// Mean work of a job, in microseconds.
-const MEAN_WORK: Micros = 225 * MS;
+const MEAN_WORK: Micros = 225 * MILLISECOND;
 /// Slots of each worker.
 const SLOTS: usize = 5;
 /// Number of the worker that is restarted.
@@ -18,9 +18,9 @@
 fn slow_start_rules() -> Rules {
     Rules {
         slow_start_floor: 0.14,
-        slow_start_time: 24 * S,
+        slow_start_time: 24 * SECOND,
         overload_factor: 2.5,
-        overload_time: 3 * S,
+        overload_time: 3 * SECOND,
         ..settings().rules
     }
 }
@@ -30,7 +30,7 @@
 fn isolated_schedulers(seed: u64) -> Vec<Driver> {
     let classes = [(Idempotency::Idempotent, 2.5), (Idempotency::NonIdempotent, 1.75)];
     let classes = classes.map(|(idempotency, objective_per_work)| Class {
-        latency_objective: 200 * MS,
+        latency_objective: 200 * MILLISECOND,
         objective_per_work,
         late_weight: 0.0,
         ..class(idempotency)
@@ -47,7 +47,7 @@
             Settings { classes: classes.to_vec(), rules: slow_start_rules(), ..settings },
             3 * seed + u64::from(scheduler_index),
         );
-        let mut driver = Driver { scheduler: scheduler.expect("the settings are valid"), now: 100 * S };
+        let mut driver = Driver { scheduler: scheduler.expect("the settings are valid"), now: 100 * SECOND };
         driver.event(list(EndpointUpdate::Snapshot, (1..=10).filter(|n| *n != RESTARTED).map(endpoint)));
         driver
     };
@@ -83,7 +83,7 @@
 impl Simulation {
     fn new(seed: u64, load: f64) -> Simulation {
         let schedulers = isolated_schedulers(seed);
-        let restarted_at = schedulers[0].now + 3 * S;
+        let restarted_at = schedulers[0].now + 3 * SECOND;
         Simulation {
             load,
             rules: slow_start_rules(),
@@ -143,10 +143,10 @@
         let id = self.work.len() as u64;
         let class = u32::from(self.random.fraction() < 0.5);
         let key = 60f64.powf(self.random.fraction()) as u64;
-        let mean_work = [300.0, 150.0][class as usize] * MS as f64;
+        let mean_work = [300.0, 150.0][class as usize] * MILLISECOND as f64;
         let work = mean_work * -self.random.fraction().clamp(1e-9, 0.99).ln();
         self.work.push(work);
-        let job = request(id, class, &format!("key-{key}"), now + 5 * S);
+        let job = request(id, class, &format!("key-{key}"), now + 5 * SECOND);
         let job = Request { expected_work: Some(work as Micros), ..job };
         let scheduler = (self.random.fraction() * 3.0) as usize;
         Some((scheduler, Event::Request(job)))
--- a/crates/scheduling/tests/migration.rs
+++ b/crates/scheduling/tests/migration.rs
@@ -7,7 +7,7 @@
 
 /// A scheduler that may migrate attempts, with twelve workers that report progress every second.
 fn migrating_driver() -> Driver {
-    let mut settings = Settings { reports_start: true, progress_interval: S, ..settings() };
+    let mut settings = Settings { reports_start: true, progress_interval: SECOND, ..settings() };
     settings.limits.hedging = true;
     Driver::with_fleet(settings, 12)
 }
@@ -38,14 +38,14 @@
 fn an_attempt_that_makes_too_little_progress_migrates_if_its_class_allows_it() {
     // Progress reports of the attempt: time since the previous report, and completed fraction of the job.
     let waiting: &[(Micros, f64)] = &[];
-    let stalled = &[(0, 0.0), (S, 0.5)][..];
-    let slow = &[(0, 0.0), (S, 0.1), (S, 0.2)][..];
-    let running = &[(0, 0.0), (S, 0.5), (S, 0.8), (S, 0.9)][..];
+    let stalled = &[(0, 0.0), (SECOND, 0.5)][..];
+    let slow = &[(0, 0.0), (SECOND, 0.1), (SECOND, 0.2)][..];
+    let running = &[(0, 0.0), (SECOND, 0.5), (SECOND, 0.8), (SECOND, 0.9)][..];
     for (reports, needs_migration) in [(waiting, true), (stalled, true), (slow, true), (running, false)] {
         for class in [IDEMPOTENT, KEYED_ALL, NON_IDEMPOTENT] {
             let mut driver = migrating_driver();
-            let mut job = request(1, class, "k", driver.now + 60 * S);
-            job.expected_work = Some(S);
+            let mut job = request(1, class, "k", driver.now + 60 * SECOND);
+            job.expected_work = Some(SECOND);
             let mut actions = driver.event(Event::Request(job));
             let worker = sent(&actions);
             for (after, fraction) in reports {
@@ -56,7 +56,7 @@
                     JobProgress::Fraction(*fraction)
                 }));
             }
-            advance(&mut driver, if needs_migration { 4 * S } else { S }, &mut actions);
+            advance(&mut driver, if needs_migration { 4 * SECOND } else { SECOND }, &mut actions);
             let targets = &sends(&actions)[1..];
             // The deduplication window ends 2 s after the first attempt, before the stall is detected.
             let allowed = class == IDEMPOTENT || class == KEYED_ALL && reports != stalled;
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -12,9 +12,9 @@
 
 const WORKERS: u64 = 9;
 /// How long workers drop a repeat of a keyed request, in microseconds; equal to the value in the settings.
-const DEDUPLICATION_WINDOW: Micros = 2 * S;
+const DEDUPLICATION_WINDOW: Micros = 2 * SECOND;
 const MAX_ATTEMPTS: usize = 4;
-const ANSWER_SLACK: Micros = 8 * MS;
+const ANSWER_SLACK: Micros = 8 * MILLISECOND;
 
 /// What the checks know of an attempt.
 struct AttemptRecord {
@@ -196,7 +196,7 @@
             attempt: AttemptNo(ended.attempt),
             worker: ended.worker,
             outcome,
-            latency: 5 * MS,
+            latency: 5 * MILLISECOND,
             request_closed,
             load,
         });
@@ -211,14 +211,15 @@
             7 => self.change_list(a, b),
             8 if b % 4 == 0 => self.event(list(EndpointUpdate::Failed, [])),
             8 => self.disconnect_client(a),
-            _ => self.advance(self.driver.now + u64::from(a) * 4 * MS),
+            _ => self.advance(self.driver.now + u64::from(a) * 4 * MILLISECOND),
         }
     }
 
     fn start_request(&mut self, a: u8, b: u8) {
         let id = self.next_request;
         self.next_request += 1;
-        let (class, deadline) = (u32::from(a % 5), self.driver.now + 20 * MS + u64::from(b) * 20 * MS);
+        let (class, deadline) =
+            (u32::from(a % 5), self.driver.now + 20 * MILLISECOND + u64::from(b) * 20 * MILLISECOND);
         self.requests.insert(id, RequestRecord { class, deadline, attempts: vec![], answered: false });
         let mut job = request(id, class, &format!("key-{}", b % 7), deadline);
         job.slots = f64::from(1 + a / 100);
@@ -250,8 +251,8 @@
     /// Delivers a message from a peer that is no reply; the message may be truncated.
     fn deliver_message(&mut self, a: u8, b: u8) {
         let messages = [
-            PeerMessage::OccupancyQuery { work: S },
-            PeerMessage::AttemptStarted { slots: 1.0, work: S },
+            PeerMessage::OccupancyQuery { work: SECOND },
+            PeerMessage::AttemptStarted { slots: 1.0, work: SECOND },
             PeerMessage::AttemptFinished { served: a % 3 == 0, connection_failed: a % 3 == 1 },
         ];
         let worker = WorkerId(1 + u64::from(a) % (WORKERS + 1));
@@ -264,7 +265,7 @@
     fn reply(&mut self, a: u8, b: u8) {
         let query = self.queries.swap_remove(a as usize % self.queries.len());
         let (_, worker) = PeerMessage::decode(&query.data).expect("the query can be decoded");
-        let occupancy = Occupancy { slots: f64::from(b % 9), ejected_for: u64::from(b / 200) * S };
+        let occupancy = Occupancy { slots: f64::from(b % 9), ejected_for: u64::from(b / 200) * SECOND };
         let data = PeerMessage::OccupancyReply((b % 5 > 0).then_some(occupancy)).encode(worker);
         self.event(Event::PeerMessage { from: query.coordinator, data });
     }
@@ -294,7 +295,7 @@
     /// Advances the clock beyond all deadlines, checks that every request was answered, and returns all
     /// actions.
     fn finish(mut self) -> Vec<Action> {
-        self.advance(self.driver.now + 20 * S);
+        self.advance(self.driver.now + 20 * SECOND);
         for (id, record) in &self.requests {
             assert!(record.answered, "request {id} got no final answer");
         }
@@ -318,7 +319,7 @@
     coordinating.limits.may_message_peers = true;
     coordinating.load_report_source = LoadReportSource::Never;
     coordinating.endpoint_delivery = EndpointDelivery::Poll;
-    coordinating.rules.poll_within = Some(10 * S);
+    coordinating.rules.poll_within = Some(10 * SECOND);
     let configurations = [settings(), coordinating];
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
--- a/crates/scheduling/tests/restarts.rs
+++ b/crates/scheduling/tests/restarts.rs
@@ -7,7 +7,7 @@
 use common::*;
 use vetchbridge_scheduling::*;
 
-const HOUR: Micros = 3600 * S;
+const HOUR: Micros = 3600 * SECOND;
 const WORKERS: u64 = 12;
 /// The worker that restarts.
 const RESTARTED: u64 = 5;
@@ -30,7 +30,7 @@
         BEGIN,
         list(EndpointUpdate::Snapshot, (1..=WORKERS).map(|n| Endpoint { started_at, ..endpoint(n) })),
     );
-    driver.at(BEGIN + S, list(EndpointUpdate::Changes, []));
+    driver.at(BEGIN + SECOND, list(EndpointUpdate::Changes, []));
     driver
 }
 
@@ -54,15 +54,15 @@
 /// only lower this age.
 #[test]
 fn a_stepped_wall_clock_neither_shortens_nor_extends_a_slow_start() {
-    let before = BEGIN - 20 * S;
+    let before = BEGIN - 20 * SECOND;
     let warm = keys_at_restarted_worker(&mut driver_with_confirmed_list(before));
-    let now = BEGIN + S + 500 * MS;
+    let now = BEGIN + SECOND + 500 * MILLISECOND;
     for (name, started_at) in [
-        ("equal clocks", now - 100 * MS),
-        ("back by an hour", now - 100 * MS - HOUR),
-        ("back by 30 s", now - 100 * MS - 30 * S),
-        ("forward by an hour", now - 100 * MS + HOUR),
-        ("forward by 5 s", now - 100 * MS + 5 * S),
+        ("equal clocks", now - 100 * MILLISECOND),
+        ("back by an hour", now - 100 * MILLISECOND - HOUR),
+        ("back by 30 s", now - 100 * MILLISECOND - 30 * SECOND),
+        ("forward by an hour", now - 100 * MILLISECOND + HOUR),
+        ("forward by 5 s", now - 100 * MILLISECOND + 5 * SECOND),
     ] {
         let mut driver = driver_with_confirmed_list(before);
         driver.now = now;
@@ -97,13 +97,13 @@
 /// update.
 #[test]
 fn listing_the_same_start_again_does_not_restart_the_slow_start() {
-    let mut driver = driver_with_confirmed_list(BEGIN - 20 * S);
+    let mut driver = driver_with_confirmed_list(BEGIN - 20 * SECOND);
     let warm = keys_at_restarted_worker(&mut driver);
     for update in [EndpointUpdate::Changes, EndpointUpdate::Snapshot, EndpointUpdate::Failed] {
-        driver.now += 60 * S;
+        driver.now += 60 * SECOND;
         driver.event(list(
             update,
-            (1..=WORKERS).map(|n| Endpoint { started_at: BEGIN - 20 * S, ..endpoint(n) }),
+            (1..=WORKERS).map(|n| Endpoint { started_at: BEGIN - 20 * SECOND, ..endpoint(n) }),
         ));
         assert_eq!(keys_at_restarted_worker(&mut driver), warm, "{update:?}");
     }
--- a/crates/scheduling/tests/retry.rs
+++ b/crates/scheduling/tests/retry.rs
@@ -46,7 +46,7 @@
         let first = sent(&driver.request(1, KEYED_CELL, &key));
         let second = sent(&driver.event(attempt_finished(1, 0, first, Outcome::Error)));
         assert_eq!(endpoint(first.0).cell, endpoint(second.0).cell);
-        let window_end = driver.now + 2 * S;
+        let window_end = driver.now + 2 * SECOND;
         let actions = driver.at(window_end, attempt_finished(1, 1, second, Outcome::Error));
         assert!(sends(&actions).is_empty() && failed(&actions) && !rejected(&actions));
     }
@@ -58,7 +58,7 @@
 fn a_keyed_job_is_neither_retried_nor_rejected_after_its_deduplication_window() {
     let mut driver = Driver::with_fleet(settings(), 24);
     let first = sent(&driver.request(1, KEYED_ALL, "k"));
-    let window_end = driver.now + 2 * S;
+    let window_end = driver.now + 2 * SECOND;
     let actions = driver.at(window_end, attempt_finished(1, 0, first, Outcome::Error));
     assert!(sends(&actions).is_empty() && failed(&actions) && !rejected(&actions));
 }
@@ -67,16 +67,18 @@
 /// harmless only while workers drop the repeat, and the client takes some time to retry.
 #[test]
 fn a_keyed_job_that_may_have_run_is_rejected_only_while_workers_drop_its_repeat() {
-    for (name, age, is_harmless) in
-        [("within its window", S, true), ("as it ends", 2 * S - 300 * MS, false), ("after it", 3 * S, false)]
-    {
+    for (name, age, is_harmless) in [
+        ("within its window", SECOND, true),
+        ("as it ends", 2 * SECOND - 300 * MILLISECOND, false),
+        ("after it", 3 * SECOND, false),
+    ] {
         let mut driver = Driver::with_fleet(settings(), 6);
         let Idempotency::Keyed { deduplication_window, .. } =
             settings().classes[KEYED_ALL as usize].idempotency
         else {
             panic!("the class is not keyed")
         };
-        assert_eq!(deduplication_window, 2 * S);
+        assert_eq!(deduplication_window, 2 * SECOND);
         sent(&driver.request(1, KEYED_ALL, "k"));
         driver.now += age;
         let actions = driver.event(Event::ShuttingDown);
--- a/crates/scheduling/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -59,7 +59,7 @@
     driver.event(list(EndpointUpdate::Snapshot, endpoints));
     let mut jobs_at_large_workers = 0;
     for id in 0..1000 {
-        driver.now += S;
+        driver.now += SECOND;
         let worker = sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
         jobs_at_large_workers += u32::from(worker.0 <= 4);
@@ -75,7 +75,7 @@
     let mut driver = Driver::with_fleet(settings(), 8);
     let mut jobs_per_worker = BTreeMap::new();
     for id in 0..200 {
-        let mut job = request(id, IDEMPOTENT, "", driver.now + 5 * S);
+        let mut job = request(id, IDEMPOTENT, "", driver.now + 5 * SECOND);
         job.key = None;
         let worker = sent(&driver.event(Event::Request(job)));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
@@ -99,7 +99,7 @@
     // 100 schedulers send 1000 jobs with different keys, and one of ten workers has just started. The warming
     // worker's fair share is a tenth of the jobs times its warm-up fraction: 25 jobs at the start and 62
     // halfway through the warm-up. The worker must get some jobs, but not many more than that share.
-    for (age, min, max) in [(0, 2, 45), (5 * S, 25, 140)] {
+    for (age, min, max) in [(0, 2, 45), (5 * SECOND, 25, 140)] {
         let mut to_warming = 0;
         for scheduler_index in 0..100 {
             let mut settings = settings();
@@ -129,7 +129,7 @@
     ));
     let mut retried_jobs = 0;
     for id in 0..200 {
-        driver.now += MS;
+        driver.now += MILLISECOND;
         let Some(&first) = sends(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))).first() else {
             continue;
         };
@@ -143,7 +143,7 @@
             driver.event(attempt_finished(id, 1, retry_worker, Outcome::Ok));
             retried_jobs += 1;
         }
-        driver.now += S / 20;
+        driver.now += SECOND / 20;
     }
     assert!(retried_jobs >= 15, "only {retried_jobs} rejected jobs went to another worker");
 }
@@ -160,7 +160,7 @@
         for id in 0..60 {
             let worker = sent(&driver.request(id, IDEMPOTENT, "heavy"));
             driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
-            driver.now += 10 * MS;
+            driver.now += 10 * MILLISECOND;
             workers.push(worker);
         }
         assert_eq!(workers[50..].iter().collect::<std::collections::BTreeSet<_>>().len(), 1);
@@ -192,7 +192,7 @@
         let mut settings = settings();
         (settings.scheduler_index, settings.scheduler_count) = (scheduler_index, 400);
         let mut driver = Driver::new(settings);
-        let started_at = driver.now + 20 * S;
+        let started_at = driver.now + 20 * SECOND;
         driver.event(list(EndpointUpdate::Snapshot, (1..=29).map(endpoint)));
         for n in 0..40 {
             let worker = sent(&driver.request(
@@ -201,7 +201,7 @@
                 &if n % 10 == 5 { key.clone() } else { format!("other-{scheduler_index}-{n}") },
             ));
             driver.event(attempt_finished(n, 0, worker, Outcome::Ok));
-            driver.now += S / 2;
+            driver.now += SECOND / 2;
         }
         driver.event(list(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(30) }]));
         let worker = sent(&driver.request(1000, IDEMPOTENT, &key));
@@ -222,7 +222,7 @@
             let (request, attempt) = (RequestId(1), AttemptNo(0));
             driver.event(Event::JobProgress { request, attempt, progress: JobProgress::Started });
         }
-        driver.now += 300 * MS;
+        driver.now += 300 * MILLISECOND;
         // The second request has another key with the same home, since a key requested twice may be spread.
         let home_of =
             |key: &String| sent(&Driver::with_fleet(common::settings(), 12).request(1, IDEMPOTENT, key));
@@ -242,11 +242,11 @@
     let mut settings = settings();
     settings.reports_start = true;
     let mut driver = Driver::new(settings);
-    let warming = Endpoint { started_at: driver.now - S, ..endpoint(1) };
+    let warming = Endpoint { started_at: driver.now - SECOND, ..endpoint(1) };
     driver.event(list(EndpointUpdate::Snapshot, [warming]));
     let first = (0..100).find(|id| !sends(&driver.request(*id, IDEMPOTENT, &format!("key-{id}"))).is_empty());
     assert!(first.is_some(), "an idle warming worker takes some jobs");
-    driver.now += 300 * MS;
+    driver.now += 300 * MILLISECOND;
     let queued: usize =
         (100..200).map(|id| sends(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))).len()).sum();
     assert_eq!(queued, 0);
--- a/crates/scheduling/tests/settings_changes.rs
+++ b/crates/scheduling/tests/settings_changes.rs
@@ -11,7 +11,7 @@
         (Idempotency::Idempotent, Idempotency::NonIdempotent, true),
         (Idempotency::NonIdempotent, Idempotency::Idempotent, false),
         (
-            Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window: 2 * S },
+            Idempotency::Keyed { scope: DeduplicationScope::Cell, deduplication_window: 2 * SECOND },
             Idempotency::NonIdempotent,
             true,
         ),
--- a/crates/scheduling/tests/slow_start.rs
+++ b/crates/scheduling/tests/slow_start.rs
@@ -34,14 +34,14 @@
     messages: Messages,
 }
 
-const TICK: Micros = 4 * MS;
-const MESSAGE_DELAY: Micros = 4 * MS;
+const TICK: Micros = 4 * MILLISECOND;
+const MESSAGE_DELAY: Micros = 4 * MILLISECOND;
 /// Fraction of messages lost with [`Messages::Faulty`].
 const MESSAGE_LOSS_RATE: f64 = 0.1;
 /// Interval between the crashes of schedulers, in microseconds.
-const CRASH_INTERVAL: Micros = 400 * MS;
+const CRASH_INTERVAL: Micros = 400 * MILLISECOND;
 /// Beginning and end of the partition, in microseconds since the start of the simulation.
-const PARTITION_PERIOD: std::ops::Range<Micros> = 8 * S..12 * S;
+const PARTITION_PERIOD: std::ops::Range<Micros> = 8 * SECOND..12 * SECOND;
 /// Mean work of a job, in microseconds.
 const MEAN_WORK: f64 = 0.225e6;
 /// Relative request rates of the schedulers, repeated in turn. Some schedulers get several times the mean.
@@ -50,9 +50,9 @@
 fn rules() -> Rules {
     Rules {
         slow_start_floor: 0.2,
-        slow_start_time: 20 * S,
+        slow_start_time: 20 * SECOND,
         overload_factor: 2.2,
-        overload_time: 2500 * MS,
+        overload_time: 2500 * MILLISECOND,
         ..settings().rules
     }
 }
@@ -77,7 +77,7 @@
     fn scheduler(&self, index: u32) -> Driver {
         let seed = 1000 * self.seed + u64::from(index);
         let scheduler = Scheduler::new(self.settings(index), seed).expect("the settings are valid");
-        let mut driver = Driver { scheduler, now: 100 * S };
+        let mut driver = Driver { scheduler, now: 100 * SECOND };
         driver.event(list(EndpointUpdate::Snapshot, (1..=self.workers).map(|worker| self.endpoint(worker))));
         driver
     }
@@ -142,7 +142,7 @@
     /// Returns the time at which a worker restarts, or `None` if the worker does not restart.
     fn restart_time(&self, worker: u64) -> Option<Micros> {
         let restarted = self.scenario.restarted;
-        (worker <= restarted).then(|| self.start + 3 * S + worker * S / restarted)
+        (worker <= restarted).then(|| self.start + 3 * SECOND + worker * SECOND / restarted)
     }
 
     fn warm_up_fraction(&self, worker: u64, at: Micros) -> f64 {
@@ -155,7 +155,7 @@
 
     /// Runs the simulation until the workers are warm.
     fn run(mut self) -> RunResult {
-        let end = self.start + 5 * S + self.rules.slow_start_time;
+        let end = self.start + 5 * SECOND + self.rules.slow_start_time;
         for now in (self.start..end).step_by(TICK as usize) {
             let mut events = self.restart_workers(now);
             events.extend(self.run_workers(now));
@@ -247,7 +247,7 @@
         let key = 300f64.powf(self.random.fraction()) as u64;
         let work = 2.0 * MEAN_WORK / 3.0 * (0.5 - self.random.fraction().clamp(1e-9, 0.999).ln());
         self.work.push(work);
-        let job = request(id, (id % 2) as u32, &format!("key-{key}"), now + 5 * S);
+        let job = request(id, (id % 2) as u32, &format!("key-{key}"), now + 5 * SECOND);
         let job = Request { expected_work: Some(work as Micros), ..job };
         (self.pick_scheduler(), Event::Request(job))
     }
@@ -270,7 +270,7 @@
             match action {
                 Action::Send { request: RequestId(id), worker, timeout } => {
                     let remaining = self.work[id as usize];
-                    let timeout_at = now + timeout.unwrap_or(5 * S);
+                    let timeout_at = now + timeout.unwrap_or(5 * SECOND);
                     self.workers.add(worker, Job { scheduler, id, remaining, timeout_at });
                     self.admitted.entry(worker.0).or_default().push_back((now, remaining / MEAN_WORK));
                 }
