--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -14,12 +14,12 @@
 fn no_worker_of_unknown_load_is_sent_much_more_than_its_fair_share() {
     let mut driver = Driver::new(Settings { load_report_source: LoadReportSource::Never, ..settings() });
     let sized = |n: u64| Endpoint { weight: if n <= 4 { 5.0 } else { 3.0 }, ..endpoint(n) };
-    driver.event(list(EndpointUpdate::Snapshot, (1..=8).map(sized)));
+    driver.event(endpoints_event(EndpointUpdate::Snapshot, (1..=8).map(sized)));
     let mut in_flight: BTreeMap<WorkerId, f64> = BTreeMap::new();
     let mut jobs_of_popular_key: BTreeMap<WorkerId, u32> = BTreeMap::new();
     for id in 1..=200 {
         let key = if id % 4 == 0 { "popular".to_string() } else { format!("key-{id}") };
-        let worker = sent(&driver.request(id, IDEMPOTENT, &key));
+        let worker = sent_to(&driver.request(id, IDEMPOTENT, &key));
         if key == "popular" {
             *jobs_of_popular_key.entry(worker).or_default() += 1;
         }
@@ -60,11 +60,11 @@
         );
         let Some(timeout) = expected_timeout else { continue };
         driver.now += timeout;
-        let actions = driver.event(attempt_finished(1, 0, sent(&actions), Outcome::Timeout));
+        let actions = driver.event(attempt_finished(1, 0, sent_to(&actions), Outcome::Timeout));
         assert!(
-            sends(&actions).is_empty()
-                && rejected(&actions) == is_harmless
-                && failed(&actions) != is_harmless,
+            sent_workers(&actions).is_empty()
+                && has_rejection(&actions) == is_harmless
+                && has_failure(&actions) != is_harmless,
             "{actions:?}"
         );
     }
@@ -85,7 +85,7 @@
         pending_timers.sort();
         let (at, token) = pending_timers.remove(0);
         let actions = driver.at(at, Event::Timer(token));
-        if rejected(&actions) {
+        if has_rejection(&actions) {
             break;
         }
         pending_timers.extend(timers(&actions));
@@ -103,10 +103,10 @@
 fn a_job_whose_connection_broke_is_retried_at_once_at_the_only_other_worker() {
     let mut driver =
         Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 2);
-    let first = sent(&driver.request(1, IDEMPOTENT, "k"));
-    let second = sent(&driver.request(2, IDEMPOTENT, "k"));
+    let first = sent_to(&driver.request(1, IDEMPOTENT, "k"));
+    let second = sent_to(&driver.request(2, IDEMPOTENT, "k"));
     assert_ne!(first, second, "the jobs of the scheduler are spread over the workers");
-    assert_eq!(sent(&driver.event(attempt_finished(2, 0, second, Outcome::Reset))), first);
+    assert_eq!(sent_to(&driver.event(attempt_finished(2, 0, second, Outcome::Reset))), first);
 }
 
 /// A worker that answers quickly with errors looks idle, and would be sent more jobs than any other worker.
@@ -120,7 +120,7 @@
         let (mut jobs_at_worker, mut jobs) = (0, 0);
         for id in 1..=1200 {
             driver.now += 20 * MILLISECOND;
-            let worker = sent(&driver.request(id, NON_IDEMPOTENT, &format!("key-{id}")));
+            let worker = sent_to(&driver.request(id, NON_IDEMPOTENT, &format!("key-{id}")));
             jobs += 1;
             jobs_at_worker += u64::from(worker == WorkerId(3));
             let outcome = if fails(worker, id) { Outcome::Error } else { Outcome::Ok };
--- a/crates/scheduling/tests/combined_faults.rs
+++ b/crates/scheduling/tests/combined_faults.rs
@@ -73,7 +73,7 @@
     run_jobs(&mut driver, 0, 5, failing);
     assert!(run_jobs(&mut driver, 10_000, 10, failing) > 0.95);
     run_jobs(&mut driver, 20_000, 10, |_| Outcome::Ok);
-    let send = |driver: &mut Driver, id: u64, key: &str| sent(&driver.request(id, IDEMPOTENT, key));
+    let send = |driver: &mut Driver, id: u64, key: &str| sent_to(&driver.request(id, IDEMPOTENT, key));
     let mut workers_with_jobs = std::collections::BTreeSet::new();
     for id in 30_000..30_400 {
         let worker = send(&mut driver, id, &format!("late-{id}"));
@@ -97,7 +97,7 @@
     // The scheduler can have many jobs in flight afterwards only if served jobs have raised the limits again.
     run_jobs(&mut driver, 10_000, 5, |_| Outcome::Ok);
     let placed = (0..12)
-        .filter(|n| !sends(&driver.request(20_000 + n, IDEMPOTENT, &format!("many-{n}"))).is_empty())
+        .filter(|n| !sent_workers(&driver.request(20_000 + n, IDEMPOTENT, &format!("many-{n}"))).is_empty())
         .count();
     assert!(placed >= 10, "only {placed} of 12 jobs were sent");
 }
@@ -105,8 +105,8 @@
 #[test]
 fn no_job_is_lost_while_zones_are_removed_in_turn_after_an_outdated_restored_list() {
     let mut driver = Driver::new(settings());
-    driver.event(list(EndpointUpdate::Restored, (100..130).map(endpoint)));
-    driver.event(list(EndpointUpdate::Snapshot, (1..=18).map(endpoint)));
+    driver.event(endpoints_event(EndpointUpdate::Restored, (100..130).map(endpoint)));
+    driver.event(endpoints_event(EndpointUpdate::Snapshot, (1..=18).map(endpoint)));
     for round in 0..50u64 {
         let changed = |n: u64| Endpoint {
             state: if endpoint(n).zone == ZoneId((round % 3) as u32) {
@@ -116,7 +116,7 @@
             },
             ..endpoint(n)
         };
-        driver.event(list(EndpointUpdate::Changes, (1..=18).map(changed)));
+        driver.event(endpoints_event(EndpointUpdate::Changes, (1..=18).map(changed)));
         let is_removed = move |w: WorkerId| endpoint(w.0).zone == ZoneId((round % 3) as u32) || w.0 >= 100;
         let served = run_jobs(&mut driver, 1_000 * round, 1, |w| {
             assert!(!is_removed(w), "a job was sent to {w:?}, which is removed");
@@ -130,7 +130,10 @@
 fn a_fleet_that_grows_fourfold_serves_all_jobs_while_the_new_workers_warm_up() {
     let mut driver = Driver::with_fleet(settings(), 6);
     let started_at = driver.now;
-    driver.event(list(EndpointUpdate::Changes, (7..=24).map(|n| Endpoint { started_at, ..endpoint(n) })));
+    driver.event(endpoints_event(
+        EndpointUpdate::Changes,
+        (7..=24).map(|n| Endpoint { started_at, ..endpoint(n) }),
+    ));
     assert!(run_jobs(&mut driver, 0, 5, |_| Outcome::Ok) > 0.99);
     driver.now += 20 * SECOND;
     assert!(run_jobs(&mut driver, 10_000, 5, |_| Outcome::Ok) > 0.99);
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -94,13 +94,13 @@
 }
 
 /// Returns an event with entries of the endpoint list.
-pub fn list(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
+pub fn endpoints_event(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
     Event::Endpoints { update, endpoints: endpoints.into_iter().collect() }
 }
 
 /// Returns an event with the complete endpoint list of workers 1 to `n`.
-pub fn fleet(n: u64) -> Event {
-    list(EndpointUpdate::Snapshot, (1..=n).map(endpoint))
+pub fn fleet_snapshot(n: u64) -> Event {
+    endpoints_event(EndpointUpdate::Snapshot, (1..=n).map(endpoint))
 }
 
 pub fn request(id: u64, class: u32, key: &str, deadline: Micros) -> Request {
@@ -144,7 +144,7 @@
 
     pub fn with_fleet(settings: Settings, n: u64) -> Driver {
         let mut driver = Driver::new(settings);
-        driver.event(fleet(n));
+        driver.event(fleet_snapshot(n));
         driver
     }
 
@@ -169,25 +169,25 @@
 }
 
 /// Returns the workers that the actions send attempts to.
-pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
+pub fn sent_workers(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| if let Action::Send { worker, .. } = a { Some(*worker) } else { None };
     actions.iter().filter_map(send).collect()
 }
 
 /// Returns the worker that the actions send an attempt to; panics unless they send exactly one.
-pub fn sent(actions: &[Action]) -> WorkerId {
-    let workers = sends(actions);
+pub fn sent_to(actions: &[Action]) -> WorkerId {
+    let workers = sent_workers(actions);
     assert_eq!(workers.len(), 1, "one attempt expected in {actions:?}");
     workers[0]
 }
 
 /// Whether the actions reject a request.
-pub fn rejected(actions: &[Action]) -> bool {
+pub fn has_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 /// Whether the actions answer a request with a failure.
-pub fn failed(actions: &[Action]) -> bool {
+pub fn has_failure(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
--- a/crates/scheduling/tests/coordination.rs
+++ b/crates/scheduling/tests/coordination.rs
@@ -81,7 +81,7 @@
             });
         }
         let workers: Vec<WorkerId> =
-            (0..10).flat_map(|index| sends(&fleet.request(index, u64::from(index), "k"))).collect();
+            (0..10).flat_map(|index| sent_workers(&fleet.request(index, u64::from(index), "k"))).collect();
         let max_jobs =
             workers.iter().map(|worker| workers.iter().filter(|other| *other == worker).count()).max();
         // Four of the twelve workers are candidates. With coordination, each candidate runs one job and
@@ -98,11 +98,15 @@
 #[test]
 fn a_job_that_ended_frees_its_slots_at_the_coordinator() {
     let mut fleet = Fleet::new(10, 12);
-    let home = sent(&fleet.request(0, 0, "k"));
-    assert_ne!(sent(&fleet.request(1, 1, "k")), home, "a unit of weight is first estimated to have one slot");
+    let home = sent_to(&fleet.request(0, 0, "k"));
+    assert_ne!(
+        sent_to(&fleet.request(1, 1, "k")),
+        home,
+        "a unit of weight is first estimated to have one slot"
+    );
     fleet.event(0, attempt_finished(0, 0, home, Outcome::Ok));
     fleet.advance(100 * MILLISECOND);
-    assert_eq!(sent(&fleet.request(2, 2, "k")), home);
+    assert_eq!(sent_to(&fleet.request(2, 2, "k")), home);
 }
 
 /// If a coordinator does not reply in time, the scheduler places the job without an occupancy report. The
@@ -114,7 +118,7 @@
     let mut waiting_jobs = 0;
     for id in 0..200 {
         let mut actions = fleet.request(0, id, &format!("key-{id}"));
-        if sends(&actions).is_empty() {
+        if sent_workers(&actions).is_empty() {
             waiting_jobs += 1;
             let (expires_at, token) =
                 timers(&actions).into_iter().min().expect("a timer for the next placement");
@@ -123,7 +127,7 @@
             fleet.advance(expires_at - queried_at);
             actions = fleet.event(0, Event::Timer(token));
         }
-        let worker = sent(&actions);
+        let worker = sent_to(&actions);
         fleet.event(0, attempt_finished(id, 0, worker, Outcome::Ok));
     }
     assert!(
@@ -137,14 +141,14 @@
 #[test]
 fn failures_at_two_schedulers_eject_a_worker_for_all() {
     let mut fleet = Fleet::new(10, 12);
-    let home = sent(&fleet.request(0, 0, "k"));
+    let home = sent_to(&fleet.request(0, 0, "k"));
     fleet.event(0, attempt_finished(0, 0, home, Outcome::Reset));
     fleet.advance(SECOND);
-    assert_eq!(sent(&fleet.request(1, 1, "k")), home, "one failure may be the connection's fault");
+    assert_eq!(sent_to(&fleet.request(1, 1, "k")), home, "one failure may be the connection's fault");
     fleet.event(1, attempt_finished(1, 0, home, Outcome::Reset));
     for index in 2..10 {
         fleet.advance(30 * MILLISECOND);
-        let other = sent(&fleet.request(index, 10 + u64::from(index), "k"));
+        let other = sent_to(&fleet.request(index, 10 + u64::from(index), "k"));
         assert_ne!(other, home, "scheduler {index}");
         fleet.event(index, attempt_finished(10 + u64::from(index), 0, other, Outcome::Ok));
     }
@@ -202,7 +206,11 @@
         let mut fleet = Fleet::new(10, 12);
         occupy_workers(&mut fleet, 12, slots_per_worker);
         let actions = fleet.request(0, 1, "k");
-        assert_eq!(!sends(&actions).is_empty(), is_sent, "{slots_per_worker} slots in flight: {actions:?}");
+        assert_eq!(
+            !sent_workers(&actions).is_empty(),
+            is_sent,
+            "{slots_per_worker} slots in flight: {actions:?}"
+        );
         let next_timer = timers(&actions).iter().map(|t| t.0 - fleet.schedulers[0].now).min();
         assert!(
             is_sent || next_timer < Some(400 * MILLISECOND),
@@ -224,14 +232,14 @@
         .filter(|endpoint| endpoint.worker.0 > 9)
         .for_each(|warming| warming.started_at = started_at);
     for scheduler_index in 0..10 {
-        fleet.event(scheduler_index, list(EndpointUpdate::Snapshot, endpoints.clone()));
+        fleet.event(scheduler_index, endpoints_event(EndpointUpdate::Snapshot, endpoints.clone()));
     }
     occupy_workers(&mut fleet, 9, 9.0);
     let mut jobs_per_worker = BTreeMap::new();
     for id in 0..40 {
         // Earlier occupancy reports are no longer fresh.
         fleet.advance(30 * MILLISECOND);
-        for worker in sends(&fleet.request(id as u32 % 10, id, &format!("key-{id}"))) {
+        for worker in sent_workers(&fleet.request(id as u32 % 10, id, &format!("key-{id}"))) {
             assert!(worker.0 > 9, "workers that are warm have long queues");
             *jobs_per_worker.entry(worker).or_insert(0) += 1;
         }
@@ -248,7 +256,7 @@
 fn simultaneous_queries_for_a_restarted_worker_admit_only_a_few_jobs() {
     for (work, max_admitted) in [(100 * MILLISECOND, 3), (2 * SECOND, 1)] {
         let mut driver = Driver::new(coordinating_settings(0, 10));
-        driver.event(list(
+        driver.event(endpoints_event(
             EndpointUpdate::Snapshot,
             [Endpoint { weight: 4.0, started_at: driver.now - 100 * MILLISECOND, ..endpoint(1) }],
         ));
@@ -305,13 +313,13 @@
         let mut jobs_to_failed_zones = 0;
         for id in 0..60 {
             let mut actions = driver.request(id, IDEMPOTENT, &format!("key-{id}"));
-            if sends(&actions).is_empty() {
+            if sent_workers(&actions).is_empty() {
                 // No coordinator replies.
                 driver.now += 40 * MILLISECOND;
                 let (_, token) = timers(&actions).into_iter().min().expect("a timer for the next placement");
                 actions = driver.event(Event::Timer(token));
             }
-            let worker = sent(&actions);
+            let worker = sent_to(&actions);
             jobs_to_failed_zones += u32::from(worker.0 % 3 < failed_zones);
             driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
         }
--- a/crates/scheduling/tests/endpoint_refresh.rs
+++ b/crates/scheduling/tests/endpoint_refresh.rs
@@ -18,7 +18,7 @@
     };
     let scheduler = Scheduler::new(settings, 7 + u64::from(scheduler_index)).expect("the settings are valid");
     let mut driver = Driver { scheduler, now: 100 * SECOND };
-    let actions = driver.event(list(EndpointUpdate::Restored, (1..=9).map(endpoint)));
+    let actions = driver.event(endpoints_event(EndpointUpdate::Restored, (1..=9).map(endpoint)));
     (driver, actions)
 }
 
@@ -47,7 +47,7 @@
         if poll_count(&actions) > 0 {
             times.push(driver.now - 100 * SECOND);
             driver.now += failure_delay;
-            actions = driver.event(list(EndpointUpdate::Failed, []));
+            actions = driver.event(endpoints_event(EndpointUpdate::Failed, []));
             continue;
         }
         upcoming.sort();
@@ -100,7 +100,7 @@
         driver.now = at;
         let actions = match event {
             SimulatedEvent::Timer(token) => driver.event(Event::Timer(token)),
-            SimulatedEvent::PollFails => driver.event(list(EndpointUpdate::Failed, [])),
+            SimulatedEvent::PollFails => driver.event(endpoints_event(EndpointUpdate::Failed, [])),
             _ => {
                 delays[scheduler_index as usize].get_or_insert(at - outage_end);
                 continue;
@@ -189,11 +189,11 @@
 #[test]
 fn no_job_is_sent_by_a_restored_list_until_it_is_confirmed() {
     let (mut driver, _) = start_with_restored_list(0, 3);
-    assert_eq!(sends(&driver.request(1, IDEMPOTENT, "k")), []);
+    assert_eq!(sent_workers(&driver.request(1, IDEMPOTENT, "k")), []);
     driver.now += SECOND;
-    assert_eq!(sends(&driver.event(list(EndpointUpdate::Failed, []))), []);
+    assert_eq!(sent_workers(&driver.event(endpoints_event(EndpointUpdate::Failed, []))), []);
     let removed = (1..=8).map(|n| Endpoint { state: EndpointState::Removed, ..endpoint(n) });
-    assert_eq!(sends(&driver.event(list(EndpointUpdate::Changes, removed))), [WorkerId(9)]);
+    assert_eq!(sent_workers(&driver.event(endpoints_event(EndpointUpdate::Changes, removed))), [WorkerId(9)]);
 
     let (mut driver, _) = start_with_restored_list(0, 3);
     let restored_at = driver.now;
@@ -205,7 +205,7 @@
         driver.now = driver.now.max(at);
         let actions = driver.event(Event::Timer(token));
         upcoming.extend(timers(&actions));
-        if let Some(worker) = sends(&actions).first() {
+        if let Some(worker) = sent_workers(&actions).first() {
             break *worker;
         }
     };
@@ -229,9 +229,9 @@
     };
     let mut driver =
         Driver { scheduler: Scheduler::new(settings, 7).expect("the settings are valid"), now: 100 * SECOND };
-    let actions = driver.event(list(EndpointUpdate::HandedOver, (1..=9).map(endpoint)));
+    let actions = driver.event(endpoints_event(EndpointUpdate::HandedOver, (1..=9).map(endpoint)));
     assert!(timers(&actions).iter().any(|(at, _)| *at <= driver.now + 150 * MILLISECOND), "{actions:?}");
-    assert_eq!(sends(&driver.request(1, IDEMPOTENT, "k")).len(), 1);
+    assert_eq!(sent_workers(&driver.request(1, IDEMPOTENT, "k")).len(), 1);
 }
 
 /// A scheduler counts as notified 6 s after a change, and detects a stalled watch only after 5.2 s. If one
@@ -240,7 +240,7 @@
 #[test]
 fn a_single_stalled_watch_among_three_hundred_is_reopened_at_once() {
     let pause_after_failure = |driver: &mut Driver| {
-        let actions = driver.event(list(EndpointUpdate::Failed, []));
+        let actions = driver.event(endpoints_event(EndpointUpdate::Failed, []));
         let (at, token) = *timers(&actions).last().expect("a pause before the next poll");
         let pause = at - driver.now;
         assert_eq!(poll_count(&driver.at(at, Event::Timer(token))), 1);
@@ -249,15 +249,15 @@
     let mut spread_count = 0;
     for scheduler_index in 0..300 {
         let (mut driver, _) = start_with_restored_list(scheduler_index, 300);
-        driver.event(fleet(9));
-        driver.event(list(EndpointUpdate::Changes, []));
+        driver.event(fleet_snapshot(9));
+        driver.event(endpoints_event(EndpointUpdate::Changes, []));
         assert!(
             pause_after_failure(&mut driver) <= 150 * MILLISECOND,
             "only the watch of scheduler {scheduler_index} stalled"
         );
         spread_count += u32::from(pause_after_failure(&mut driver) > SECOND);
         // After a response, a further stall counts as a single broken watch again.
-        driver.event(list(EndpointUpdate::Changes, []));
+        driver.event(endpoints_event(EndpointUpdate::Changes, []));
         assert!(pause_after_failure(&mut driver) <= 150 * MILLISECOND);
     }
     assert!(spread_count >= 290, "only {spread_count} of 300 schedulers spread their polls");
@@ -278,7 +278,7 @@
 /// response.
 fn run_outage(scheduler_index: u32, failure_delay: Micros, change: Endpoint) -> (Vec<Micros>, Driver) {
     let (mut driver, _) = start_with_restored_list(scheduler_index, 3);
-    driver.event(fleet(9));
+    driver.event(fleet_snapshot(9));
     let (outage_start, mut poll_times) = (driver.now, vec![]);
     let mut upcoming_events =
         BTreeSet::from([(outage_start, SimulatedEvent::PollFails), (outage_start, SimulatedEvent::Job(1))]);
@@ -288,13 +288,13 @@
         driver.now = at;
         let actions = match event {
             SimulatedEvent::Timer(token) => driver.event(Event::Timer(token)),
-            SimulatedEvent::PollFails => driver.event(list(EndpointUpdate::Failed, [])),
+            SimulatedEvent::PollFails => driver.event(endpoints_event(EndpointUpdate::Failed, [])),
             SimulatedEvent::PollIsAnswered => {
-                driver.event(list(EndpointUpdate::Changes, [change]));
+                driver.event(endpoints_event(EndpointUpdate::Changes, [change]));
                 return (poll_times, driver);
             }
             SimulatedEvent::Job(id) => {
-                let worker = sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
+                let worker = sent_to(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
                 assert!((1..=9).contains(&worker.0), "{worker:?} was never listed");
                 upcoming_events.insert((at + 100 * MILLISECOND, SimulatedEvent::Job(id + 1)));
                 driver.event(attempt_finished(id, 0, worker, Outcome::Ok))
@@ -341,7 +341,7 @@
             );
             assert!(poll_times.len() <= 35, "{} polls of scheduler {scheduler_index}", poll_times.len());
             let workers =
-                (10_000..10_200).map(|id| sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))));
+                (10_000..10_200).map(|id| sent_to(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))));
             assert!({ workers }.all(|worker| worker != WorkerId(1)), "a job went to a draining worker");
             all_polls.extend(poll_times);
         }
@@ -360,15 +360,15 @@
     let mut pauses = vec![];
     for scheduler_index in 0..300 {
         let (mut driver, _) = start_with_restored_list(scheduler_index, 300);
-        driver.event(fleet(9));
+        driver.event(fleet_snapshot(9));
         for _ in 0..4 {
             let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1) };
-            let actions = driver.event(list(EndpointUpdate::Failed, [draining]));
+            let actions = driver.event(endpoints_event(EndpointUpdate::Failed, [draining]));
             let (at, token) = *timers(&actions).last().expect("a pause before the next poll");
             pauses.push(at - driver.now);
             assert_eq!(poll_count(&driver.at(at, Event::Timer(token))), 1);
         }
-        let workers = (0..100).map(|id| sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))));
+        let workers = (0..100).map(|id| sent_to(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))));
         assert!({ workers }.all(|worker| worker != WorkerId(1)), "a job went to a draining worker");
         assert!(pauses.drain(..).skip(1).all(|pause| pause >= SECOND), "the scheduler polls again at once");
     }
--- a/crates/scheduling/tests/isolated_schedulers.rs
+++ b/crates/scheduling/tests/isolated_schedulers.rs
@@ -48,7 +48,10 @@
             3 * seed + u64::from(scheduler_index),
         );
         let mut driver = Driver { scheduler: scheduler.expect("the settings are valid"), now: 100 * SECOND };
-        driver.event(list(EndpointUpdate::Snapshot, (1..=10).filter(|n| *n != RESTARTED).map(endpoint)));
+        driver.event(endpoints_event(
+            EndpointUpdate::Snapshot,
+            (1..=10).filter(|n| *n != RESTARTED).map(endpoint),
+        ));
         driver
     };
     (0..3).map(new_driver).collect()
@@ -130,7 +133,7 @@
     /// Returns the events that notify all schedulers of the restarted worker.
     fn notifications(&self) -> Vec<(usize, Event)> {
         let restarted = Endpoint { started_at: self.restarted_at, ..endpoint(RESTARTED) };
-        let notification = || list(EndpointUpdate::Changes, [restarted.clone()]);
+        let notification = || endpoints_event(EndpointUpdate::Changes, [restarted.clone()]);
         (0..self.schedulers.len()).map(|scheduler| (scheduler, notification())).collect()
     }
 
--- a/crates/scheduling/tests/migration.rs
+++ b/crates/scheduling/tests/migration.rs
@@ -47,7 +47,7 @@
             let mut job = request(1, class, "k", driver.now + 60 * SECOND);
             job.expected_work = Some(SECOND);
             let mut actions = driver.event(Event::Request(job));
-            let worker = sent(&actions);
+            let worker = sent_to(&actions);
             for (after, fraction) in reports {
                 advance(&mut driver, *after, &mut actions);
                 driver.event(progress_report(if *fraction == 0.0 {
@@ -57,7 +57,7 @@
                 }));
             }
             advance(&mut driver, if needs_migration { 4 * SECOND } else { SECOND }, &mut actions);
-            let targets = &sends(&actions)[1..];
+            let targets = &sent_workers(&actions)[1..];
             // The deduplication window ends 2 s after the first attempt, before the stall is detected.
             let allowed = class == IDEMPOTENT || class == KEYED_ALL && reports != stalled;
             assert_eq!(
--- a/crates/scheduling/tests/outlier.rs
+++ b/crates/scheduling/tests/outlier.rs
@@ -9,7 +9,7 @@
 fn busy_driver() -> Driver {
     let mut driver = Driver::with_fleet(settings(), 12);
     for id in 1000..1200 {
-        let worker = sent(&driver.request(id, IDEMPOTENT, &id.to_string()));
+        let worker = sent_to(&driver.request(id, IDEMPOTENT, &id.to_string()));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
     }
     driver
@@ -21,11 +21,11 @@
 fn a_worker_is_ejected_after_the_second_failure_in_a_row() {
     for outcome in [Outcome::Reset, Outcome::NoResponse] {
         let mut driver = busy_driver();
-        let worker = sent(&driver.request(1, IDEMPOTENT, "k"));
+        let worker = sent_to(&driver.request(1, IDEMPOTENT, "k"));
         driver.event(attempt_finished(1, 0, worker, outcome));
-        assert_eq!(sent(&driver.request(2, IDEMPOTENT, "k")), worker);
+        assert_eq!(sent_to(&driver.request(2, IDEMPOTENT, "k")), worker);
         driver.event(attempt_finished(2, 0, worker, outcome));
-        assert_ne!(sent(&driver.request(3, IDEMPOTENT, "k")), worker);
+        assert_ne!(sent_to(&driver.request(3, IDEMPOTENT, "k")), worker);
     }
 }
 
@@ -33,10 +33,10 @@
 #[test]
 fn an_invalid_request_fails_at_once_and_does_not_eject_the_worker() {
     let mut driver = busy_driver();
-    let worker = sent(&driver.request(1, IDEMPOTENT, "k"));
+    let worker = sent_to(&driver.request(1, IDEMPOTENT, "k"));
     for id in 1..4 {
         let actions = driver.event(attempt_finished(id, 0, worker, Outcome::Invalid));
-        assert!(failed(&actions) && sends(&actions).is_empty(), "{actions:?}");
-        assert_eq!(sent(&driver.request(id + 1, IDEMPOTENT, "k")), worker);
+        assert!(has_failure(&actions) && sent_workers(&actions).is_empty(), "{actions:?}");
+        assert_eq!(sent_to(&driver.request(id + 1, IDEMPOTENT, "k")), worker);
     }
 }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -105,7 +105,7 @@
             stopped: BTreeMap::new(),
             next_request: 1,
         };
-        harness.event(list(EndpointUpdate::Restored, (1..=WORKERS).map(endpoint)));
+        harness.event(endpoints_event(EndpointUpdate::Restored, (1..=WORKERS).map(endpoint)));
         harness
     }
 
@@ -209,7 +209,7 @@
             6 if b % 4 == 0 => self.deliver_message(a, b),
             6 if !self.queries.is_empty() => self.reply(a, b),
             7 => self.change_list(a, b),
-            8 if b % 4 == 0 => self.event(list(EndpointUpdate::Failed, [])),
+            8 if b % 4 == 0 => self.event(endpoints_event(EndpointUpdate::Failed, [])),
             8 => self.disconnect_client(a),
             _ => self.advance(self.driver.now + u64::from(a) * 4 * MILLISECOND),
         }
@@ -281,7 +281,7 @@
             self.stopped.insert(WorkerId(n), self.driver.now);
         }
         let started_at = if b > 128 { self.driver.now } else { 0 };
-        self.event(list(EndpointUpdate::Changes, [Endpoint { state, started_at, ..endpoint(n) }]));
+        self.event(endpoints_event(EndpointUpdate::Changes, [Endpoint { state, started_at, ..endpoint(n) }]));
     }
 
     fn disconnect_client(&mut self, a: u8) {
--- a/crates/scheduling/tests/restarts.rs
+++ b/crates/scheduling/tests/restarts.rs
@@ -28,22 +28,25 @@
     let mut driver = Driver::new(without_admission_budget());
     driver.at(
         BEGIN,
-        list(EndpointUpdate::Snapshot, (1..=WORKERS).map(|n| Endpoint { started_at, ..endpoint(n) })),
+        endpoints_event(
+            EndpointUpdate::Snapshot,
+            (1..=WORKERS).map(|n| Endpoint { started_at, ..endpoint(n) }),
+        ),
     );
-    driver.at(BEGIN + SECOND, list(EndpointUpdate::Changes, []));
+    driver.at(BEGIN + SECOND, endpoints_event(EndpointUpdate::Changes, []));
     driver
 }
 
 /// Lists the restarted worker with a new start.
 fn list_start(driver: &mut Driver, started_at: Micros) {
-    driver.event(list(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(RESTARTED) }]));
+    driver.event(endpoints_event(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(RESTARTED) }]));
 }
 
 /// Counts the keys, of 2000, whose requests are sent to the restarted worker. Each request is served before
 /// the next request arrives.
 fn keys_at_restarted_worker(driver: &mut Driver) -> usize {
     let is_sent_to_restarted = |id: u64| {
-        let first = sends(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
+        let first = sent_workers(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
         driver.event(attempt_finished(id, 0, first[0], Outcome::Ok));
         first[0] == WorkerId(RESTARTED)
     };
@@ -86,7 +89,7 @@
     let mut driver = Driver::new(without_admission_budget());
     let endpoints = (1..=WORKERS)
         .map(|n| Endpoint { started_at: if n == RESTARTED { BEGIN + HOUR } else { 0 }, ..endpoint(n) });
-    driver.at(BEGIN, list(EndpointUpdate::Snapshot, endpoints));
+    driver.at(BEGIN, endpoints_event(EndpointUpdate::Snapshot, endpoints));
     let warming = keys_at_restarted_worker(&mut driver);
     driver.now = BEGIN + settings().rules.slow_start_time;
     let warm = keys_at_restarted_worker(&mut driver);
@@ -101,7 +104,7 @@
     let warm = keys_at_restarted_worker(&mut driver);
     for update in [EndpointUpdate::Changes, EndpointUpdate::Snapshot, EndpointUpdate::Failed] {
         driver.now += 60 * SECOND;
-        driver.event(list(
+        driver.event(endpoints_event(
             update,
             (1..=WORKERS).map(|n| Endpoint { started_at: BEGIN - 20 * SECOND, ..endpoint(n) }),
         ));
@@ -115,32 +118,35 @@
 #[test]
 fn zone_machine_type_and_cell_are_updated_from_the_list() {
     let mut driver = Driver::new(settings());
-    driver.event(list(
+    driver.event(endpoints_event(
         EndpointUpdate::Snapshot,
         (1..=4).map(|n| Endpoint { machine_type: MachineTypeId(u32::from(n > 2)), ..endpoint(n) }),
     ));
     let serve_machine_bound = |driver: &mut Driver, id: u64| {
-        let worker = sent(&driver.request(id, MACHINE_BOUND, &format!("key-{id}"))).0;
+        let worker = sent_to(&driver.request(id, MACHINE_BOUND, &format!("key-{id}"))).0;
         driver.event(attempt_finished(id, 0, WorkerId(worker), Outcome::Ok));
         worker
     };
     assert!((0..20).all(|id| serve_machine_bound(&mut driver, id) > 2));
-    driver.event(list(
+    driver.event(endpoints_event(
         EndpointUpdate::Changes,
         (1..=4).map(|n| Endpoint { machine_type: MachineTypeId(u32::from(n <= 2)), ..endpoint(n) }),
     ));
     assert!((20..40).all(|id| serve_machine_bound(&mut driver, id) <= 2), "the machine types were swapped");
 
     let mut driver = Driver::new(settings());
-    driver.event(list(
+    driver.event(endpoints_event(
         EndpointUpdate::Snapshot,
         (1..=4).map(|n| Endpoint { cell: CellId(n as u32 / 2), ..endpoint(n) }),
     ));
-    let first = sent(&driver.request(1, KEYED_CELL, "k"));
+    let first = sent_to(&driver.request(1, KEYED_CELL, "k"));
     // The other worker in the first worker's cell moves to another cell, and a different worker moves into
     // the first worker's cell.
     let cell = |n: u64| CellId(u32::from((n == first.0) || (n == first.0 % 4 + 1)));
-    driver.event(list(EndpointUpdate::Changes, (1..=4).map(|n| Endpoint { cell: cell(n), ..endpoint(n) })));
-    let next = sent(&driver.event(attempt_finished(1, 0, first, Outcome::Reset)));
+    driver.event(endpoints_event(
+        EndpointUpdate::Changes,
+        (1..=4).map(|n| Endpoint { cell: cell(n), ..endpoint(n) }),
+    ));
+    let next = sent_to(&driver.event(attempt_finished(1, 0, first, Outcome::Reset)));
     assert_eq!(next.0, first.0 % 4 + 1, "the repeat stays in the cell");
 }
--- a/crates/scheduling/tests/retry.rs
+++ b/crates/scheduling/tests/retry.rs
@@ -9,15 +9,19 @@
 fn a_job_rejected_by_workers_is_retried_elsewhere_and_rejected_after_its_last_attempt() {
     for class in [IDEMPOTENT, KEYED_ALL, KEYED_CELL, NON_IDEMPOTENT] {
         let mut driver = Driver::with_fleet(settings(), 12);
-        let mut tried = vec![sent(&driver.request(1, class, "k"))];
+        let mut tried = vec![sent_to(&driver.request(1, class, "k"))];
         for attempt in 0..3 {
-            let next =
-                sent(&driver.event(attempt_finished(1, attempt, *tried.last().unwrap(), Outcome::Rejected)));
+            let next = sent_to(&driver.event(attempt_finished(
+                1,
+                attempt,
+                *tried.last().unwrap(),
+                Outcome::Rejected,
+            )));
             assert!(!tried.contains(&next));
             tried.push(next);
         }
         let last = driver.event(attempt_finished(1, 3, tried[3], Outcome::Rejected));
-        assert!(sends(&last).is_empty() && rejected(&last), "class {class}: {last:?}");
+        assert!(sent_workers(&last).is_empty() && has_rejection(&last), "class {class}: {last:?}");
     }
 }
 
@@ -25,17 +29,20 @@
 fn a_non_idempotent_job_that_may_have_run_fails_without_a_retry_or_a_rejection() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         let mut driver = Driver::with_fleet(settings(), 12);
-        let worker = sent(&driver.request(1, NON_IDEMPOTENT, "k"));
+        let worker = sent_to(&driver.request(1, NON_IDEMPOTENT, "k"));
         let actions = driver.event(attempt_finished(1, 0, worker, outcome));
-        assert!(sends(&actions).is_empty() && !rejected(&actions) && failed(&actions), "{outcome:?}");
+        assert!(
+            sent_workers(&actions).is_empty() && !has_rejection(&actions) && has_failure(&actions),
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn an_idempotent_job_that_may_have_run_is_retried() {
     let mut driver = Driver::with_fleet(settings(), 12);
-    let worker = sent(&driver.request(1, IDEMPOTENT, "k"));
-    assert_ne!(sent(&driver.event(attempt_finished(1, 0, worker, Outcome::Error))), worker);
+    let worker = sent_to(&driver.request(1, IDEMPOTENT, "k"));
+    assert_ne!(sent_to(&driver.event(attempt_finished(1, 0, worker, Outcome::Error))), worker);
 }
 
 #[test]
@@ -43,12 +50,12 @@
     for n in 0..40 {
         let mut driver = Driver::with_fleet(settings(), 23);
         let key = format!("key-{n}");
-        let first = sent(&driver.request(1, KEYED_CELL, &key));
-        let second = sent(&driver.event(attempt_finished(1, 0, first, Outcome::Error)));
+        let first = sent_to(&driver.request(1, KEYED_CELL, &key));
+        let second = sent_to(&driver.event(attempt_finished(1, 0, first, Outcome::Error)));
         assert_eq!(endpoint(first.0).cell, endpoint(second.0).cell);
         let window_end = driver.now + 2 * SECOND;
         let actions = driver.at(window_end, attempt_finished(1, 1, second, Outcome::Error));
-        assert!(sends(&actions).is_empty() && failed(&actions) && !rejected(&actions));
+        assert!(sent_workers(&actions).is_empty() && has_failure(&actions) && !has_rejection(&actions));
     }
 }
 
@@ -57,10 +64,10 @@
 #[test]
 fn a_keyed_job_is_neither_retried_nor_rejected_after_its_deduplication_window() {
     let mut driver = Driver::with_fleet(settings(), 24);
-    let first = sent(&driver.request(1, KEYED_ALL, "k"));
+    let first = sent_to(&driver.request(1, KEYED_ALL, "k"));
     let window_end = driver.now + 2 * SECOND;
     let actions = driver.at(window_end, attempt_finished(1, 0, first, Outcome::Error));
-    assert!(sends(&actions).is_empty() && failed(&actions) && !rejected(&actions));
+    assert!(sent_workers(&actions).is_empty() && has_failure(&actions) && !has_rejection(&actions));
 }
 
 /// A rejection promises that a retry by the client is harmless. For a keyed job that may have run, a retry is
@@ -79,20 +86,20 @@
             panic!("the class is not keyed")
         };
         assert_eq!(deduplication_window, 2 * SECOND);
-        sent(&driver.request(1, KEYED_ALL, "k"));
+        sent_to(&driver.request(1, KEYED_ALL, "k"));
         driver.now += age;
         let actions = driver.event(Event::ShuttingDown);
         assert_eq!(
-            (rejected(&actions), failed(&actions)),
+            (has_rejection(&actions), has_failure(&actions)),
             (is_harmless, !is_harmless),
             "{name}: {actions:?}"
         );
         // A rejected attempt never ran, so it does not start the deduplication window.
         let mut driver = Driver::with_fleet(settings(), 6);
-        let worker = sent(&driver.request(1, KEYED_ALL, "k"));
+        let worker = sent_to(&driver.request(1, KEYED_ALL, "k"));
         driver.now += age;
         driver.event(attempt_finished(1, 0, worker, Outcome::Rejected));
-        assert!(rejected(&driver.event(Event::ShuttingDown)), "{name}: the rejected attempt never ran");
+        assert!(has_rejection(&driver.event(Event::ShuttingDown)), "{name}: the rejected attempt never ran");
     }
 }
 
@@ -106,7 +113,7 @@
         let mut driver = Driver::with_fleet(settings, 12);
         let mut actions = driver.request(1, IDEMPOTENT, "k");
         for attempt in 0..4 {
-            let worker = sent(&actions);
+            let worker = sent_to(&actions);
             actions = driver.event(attempt_finished(1, attempt, worker, Outcome::Rejected));
         }
         let retry_after_of =
--- a/crates/scheduling/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -11,10 +11,10 @@
 fn first_two_choices(endpoints: &[Endpoint], key: &str) -> (WorkerId, WorkerId) {
     let mut driver = Driver::new(settings());
     for endpoint in endpoints {
-        driver.event(list(EndpointUpdate::Changes, [endpoint.clone()]));
+        driver.event(endpoints_event(EndpointUpdate::Changes, [endpoint.clone()]));
     }
-    let first = sent(&driver.request(1, IDEMPOTENT, key));
-    (first, sent(&driver.event(attempt_finished(1, 0, first, Outcome::Rejected))))
+    let first = sent_to(&driver.request(1, IDEMPOTENT, key));
+    (first, sent_to(&driver.event(attempt_finished(1, 0, first, Outcome::Rejected))))
 }
 
 #[test]
@@ -56,11 +56,11 @@
         endpoint.weight = 3.0;
     }
     let mut driver = Driver::new(settings());
-    driver.event(list(EndpointUpdate::Snapshot, endpoints));
+    driver.event(endpoints_event(EndpointUpdate::Snapshot, endpoints));
     let mut jobs_at_large_workers = 0;
     for id in 0..1000 {
         driver.now += SECOND;
-        let worker = sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
+        let worker = sent_to(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
         jobs_at_large_workers += u32::from(worker.0 <= 4);
     }
@@ -77,7 +77,7 @@
     for id in 0..200 {
         let mut job = request(id, IDEMPOTENT, "", driver.now + 5 * SECOND);
         job.key = None;
-        let worker = sent(&driver.event(Event::Request(job)));
+        let worker = sent_to(&driver.event(Event::Request(job)));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
         *jobs_per_worker.entry(worker).or_insert(0) += 1;
     }
@@ -88,7 +88,7 @@
 fn a_class_bound_to_a_machine_type_uses_that_type_only() {
     let mut driver = Driver::with_fleet(settings(), 12);
     for id in 0..100 {
-        let worker = sent(&driver.request(id, MACHINE_BOUND, &format!("key-{id}")));
+        let worker = sent_to(&driver.request(id, MACHINE_BOUND, &format!("key-{id}")));
         assert_eq!(endpoint(worker.0).machine_type, MachineTypeId(1));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
     }
@@ -107,10 +107,10 @@
             settings.scheduler_count = 100;
             let mut driver = Driver::new(settings);
             let warming = Endpoint { started_at: driver.now - age, ..endpoint(10) };
-            driver.event(list(EndpointUpdate::Snapshot, (1..=9).map(endpoint).chain([warming])));
+            driver.event(endpoints_event(EndpointUpdate::Snapshot, (1..=9).map(endpoint).chain([warming])));
             for n in 0..10 {
                 let id = u64::from(scheduler_index) * 10 + n;
-                let worker = sent(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
+                let worker = sent_to(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
                 to_warming += u32::from(worker == WorkerId(10));
                 driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
             }
@@ -123,14 +123,14 @@
 fn a_warming_worker_gets_no_job_that_another_worker_rejected() {
     let mut driver = Driver::new(settings());
     let started_at = driver.now;
-    driver.event(list(
+    driver.event(endpoints_event(
         EndpointUpdate::Snapshot,
         (1..=8).map(|n| Endpoint { started_at: if n > 4 { started_at } else { 0 }, ..endpoint(n) }),
     ));
     let mut retried_jobs = 0;
     for id in 0..200 {
         driver.now += MILLISECOND;
-        let Some(&first) = sends(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))).first() else {
+        let Some(&first) = sent_workers(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))).first() else {
             continue;
         };
         // Most jobs are served, so that the warm workers have capacity for the rejected jobs.
@@ -138,7 +138,7 @@
             driver.event(attempt_finished(id, 0, first, Outcome::Ok));
             continue;
         }
-        for retry_worker in sends(&driver.event(attempt_finished(id, 0, first, Outcome::Rejected))) {
+        for retry_worker in sent_workers(&driver.event(attempt_finished(id, 0, first, Outcome::Rejected))) {
             assert!(retry_worker.0 <= 4, "a rejected job went to warming worker {retry_worker:?}");
             driver.event(attempt_finished(id, 1, retry_worker, Outcome::Ok));
             retried_jobs += 1;
@@ -158,7 +158,7 @@
         let mut driver = Driver::with_fleet(settings, 20);
         let mut workers = Vec::new();
         for id in 0..60 {
-            let worker = sent(&driver.request(id, IDEMPOTENT, "heavy"));
+            let worker = sent_to(&driver.request(id, IDEMPOTENT, "heavy"));
             driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
             driver.now += 10 * MILLISECOND;
             workers.push(worker);
@@ -181,11 +181,11 @@
     let key = (0..5000).map(|n| format!("key-{n}")).find(|key| {
         let mut driver = Driver::new(settings_without_budget.clone());
         let started_at = driver.now;
-        driver.event(list(
+        driver.event(endpoints_event(
             EndpointUpdate::Snapshot,
             (1..=29).map(endpoint).chain([Endpoint { started_at, ..endpoint(30) }]),
         ));
-        sent(&driver.request(1, IDEMPOTENT, key)) == WorkerId(30)
+        sent_to(&driver.request(1, IDEMPOTENT, key)) == WorkerId(30)
     });
     let key = key.expect("some key has its home at the warming worker");
     for scheduler_index in 0..400 {
@@ -193,9 +193,9 @@
         (settings.scheduler_index, settings.scheduler_count) = (scheduler_index, 400);
         let mut driver = Driver::new(settings);
         let started_at = driver.now + 20 * SECOND;
-        driver.event(list(EndpointUpdate::Snapshot, (1..=29).map(endpoint)));
+        driver.event(endpoints_event(EndpointUpdate::Snapshot, (1..=29).map(endpoint)));
         for n in 0..40 {
-            let worker = sent(&driver.request(
+            let worker = sent_to(&driver.request(
                 n,
                 IDEMPOTENT,
                 &if n % 10 == 5 { key.clone() } else { format!("other-{scheduler_index}-{n}") },
@@ -203,8 +203,8 @@
             driver.event(attempt_finished(n, 0, worker, Outcome::Ok));
             driver.now += SECOND / 2;
         }
-        driver.event(list(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(30) }]));
-        let worker = sent(&driver.request(1000, IDEMPOTENT, &key));
+        driver.event(endpoints_event(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(30) }]));
+        let worker = sent_to(&driver.request(1000, IDEMPOTENT, &key));
         to_warming += u32::from(worker == WorkerId(30));
         sent_total += 1;
     }
@@ -217,7 +217,7 @@
 fn jobs_spill_to_the_second_choice_if_a_job_waits_for_a_slot_at_the_home() {
     for started in [true, false] {
         let mut driver = Driver::with_fleet(Settings { reports_start: true, ..settings() }, 12);
-        let home = sent(&driver.request(1, IDEMPOTENT, "k"));
+        let home = sent_to(&driver.request(1, IDEMPOTENT, "k"));
         if started {
             let (request, attempt) = (RequestId(1), AttemptNo(0));
             driver.event(Event::JobProgress { request, attempt, progress: JobProgress::Started });
@@ -225,12 +225,12 @@
         driver.now += 300 * MILLISECOND;
         // The second request has another key with the same home, since a key requested twice may be spread.
         let home_of =
-            |key: &String| sent(&Driver::with_fleet(common::settings(), 12).request(1, IDEMPOTENT, key));
+            |key: &String| sent_to(&Driver::with_fleet(common::settings(), 12).request(1, IDEMPOTENT, key));
         let key = (0..10_000)
             .map(|n| format!("key-{n}"))
             .find(|key| home_of(key) == home)
             .expect("another key has the same home");
-        let second_worker = sent(&driver.request(2, IDEMPOTENT, &key));
+        let second_worker = sent_to(&driver.request(2, IDEMPOTENT, &key));
         assert_eq!(second_worker == home, started, "the first job started: {started}");
     }
 }
@@ -243,11 +243,12 @@
     settings.reports_start = true;
     let mut driver = Driver::new(settings);
     let warming = Endpoint { started_at: driver.now - SECOND, ..endpoint(1) };
-    driver.event(list(EndpointUpdate::Snapshot, [warming]));
-    let first = (0..100).find(|id| !sends(&driver.request(*id, IDEMPOTENT, &format!("key-{id}"))).is_empty());
+    driver.event(endpoints_event(EndpointUpdate::Snapshot, [warming]));
+    let first =
+        (0..100).find(|id| !sent_workers(&driver.request(*id, IDEMPOTENT, &format!("key-{id}"))).is_empty());
     assert!(first.is_some(), "an idle warming worker takes some jobs");
     driver.now += 300 * MILLISECOND;
     let queued: usize =
-        (100..200).map(|id| sends(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))).len()).sum();
+        (100..200).map(|id| sent_workers(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))).len()).sum();
     assert_eq!(queued, 0);
 }
--- a/crates/scheduling/tests/settings_changes.rs
+++ b/crates/scheduling/tests/settings_changes.rs
@@ -19,18 +19,18 @@
         let with =
             |idempotency, classes| Settings { classes: vec![class(idempotency); classes], ..settings() };
         let mut driver = Driver::with_fleet(with(before, 2), 23);
-        let pending = sent(&driver.request(1, 1, "k"));
+        let pending = sent_to(&driver.request(1, 1, "k"));
         // The pending request belongs to the second class; the new settings have only one, different class.
         driver.event(Event::Settings(Box::new(with(after, 1))));
         assert_eq!(
-            sends(&driver.event(attempt_finished(1, 0, pending, Outcome::Error))).len(),
+            sent_workers(&driver.event(attempt_finished(1, 0, pending, Outcome::Error))).len(),
             usize::from(resent),
             "{before:?}"
         );
-        let worker = sent(&driver.request(2, 0, "k"));
-        let retries = sends(&driver.event(attempt_finished(2, 0, worker, Outcome::Error))).len();
+        let worker = sent_to(&driver.request(2, 0, "k"));
+        let retries = sent_workers(&driver.event(attempt_finished(2, 0, worker, Outcome::Error))).len();
         assert_eq!(retries, usize::from(after == Idempotency::Idempotent), "{after:?}");
-        assert!(failed(&driver.request(3, 1, "k")), "the new settings have no class with this index");
+        assert!(has_failure(&driver.request(3, 1, "k")), "the new settings have no class with this index");
     }
 }
 
@@ -40,15 +40,15 @@
         let with =
             |max_attempts| Settings { limits: Limits { max_attempts, ..settings().limits }, ..settings() };
         let mut driver = Driver::with_fleet(with(before), 12);
-        let mut worker = sent(&driver.request(1, IDEMPOTENT, "k"));
+        let mut worker = sent_to(&driver.request(1, IDEMPOTENT, "k"));
         driver.event(Event::Settings(Box::new(with(after))));
-        worker = sent(&driver.event(attempt_finished(1, 0, worker, Outcome::Error)));
+        worker = sent_to(&driver.event(attempt_finished(1, 0, worker, Outcome::Error)));
         let last = driver.event(attempt_finished(1, 1, worker, Outcome::Error));
-        assert!(sends(&last).is_empty() && rejected(&last), "{before} to {after}: {last:?}");
+        assert!(sent_workers(&last).is_empty() && has_rejection(&last), "{before} to {after}: {last:?}");
         let mut attempts = 1;
-        worker = sent(&driver.request(2, IDEMPOTENT, "k"));
+        worker = sent_to(&driver.request(2, IDEMPOTENT, "k"));
         while let Some(next) =
-            sends(&driver.event(attempt_finished(2, attempts - 1, worker, Outcome::Rejected))).first()
+            sent_workers(&driver.event(attempt_finished(2, attempts - 1, worker, Outcome::Rejected))).first()
         {
             (worker, attempts) = (*next, attempts + 1);
         }
@@ -61,7 +61,7 @@
     let mut driver = Driver::with_fleet(settings(), 12);
     // Each request is served at once, so that no home is busy when the next request arrives.
     let serve_and_locate = |driver: &mut Driver, id: u64, class: u32, n: usize| {
-        let worker = sent(&driver.request(id, class, &format!("key-{n}")));
+        let worker = sent_to(&driver.request(id, class, &format!("key-{n}")));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
         worker
     };
@@ -69,7 +69,7 @@
         (0..40).map(|n| serve_and_locate(&mut driver, n as u64, NON_IDEMPOTENT, n)).collect();
     let rejecting = homes[0];
     driver.request(99, NON_IDEMPOTENT, "key-0");
-    let second = sent(&driver.event(attempt_finished(99, 0, rejecting, Outcome::Rejected)));
+    let second = sent_to(&driver.event(attempt_finished(99, 0, rejecting, Outcome::Rejected)));
     driver.event(attempt_finished(99, 1, second, Outcome::Ok));
     let fewer = Settings { classes: vec![class(Idempotency::NonIdempotent)], ..settings() };
     driver.event(Event::Settings(Box::new(fewer)));
--- a/crates/scheduling/tests/slow_start.rs
+++ b/crates/scheduling/tests/slow_start.rs
@@ -78,7 +78,10 @@
         let seed = 1000 * self.seed + u64::from(index);
         let scheduler = Scheduler::new(self.settings(index), seed).expect("the settings are valid");
         let mut driver = Driver { scheduler, now: 100 * SECOND };
-        driver.event(list(EndpointUpdate::Snapshot, (1..=self.workers).map(|worker| self.endpoint(worker))));
+        driver.event(endpoints_event(
+            EndpointUpdate::Snapshot,
+            (1..=self.workers).map(|worker| self.endpoint(worker)),
+        ));
         driver
     }
 
@@ -182,7 +185,7 @@
                 continue;
             }
             let restarted = Endpoint { started_at: at, ..self.scenario.endpoint(worker) };
-            let notification = || list(EndpointUpdate::Changes, [restarted.clone()]);
+            let notification = || endpoints_event(EndpointUpdate::Changes, [restarted.clone()]);
             events.extend((0..self.schedulers.len()).map(|scheduler| (scheduler, notification())));
             for job in self.workers.jobs.remove(&worker).into_iter().flatten() {
                 let reset = attempt_finished(job.id, 0, WorkerId(worker), Outcome::Reset);
@@ -213,7 +216,7 @@
             let started_at = self.restart_time(worker).filter(|at| *at <= now).unwrap_or(0);
             Endpoint { started_at, ..self.scenario.endpoint(worker) }
         });
-        replacement.event(list(EndpointUpdate::Snapshot, listed));
+        replacement.event(endpoints_event(EndpointUpdate::Snapshot, listed));
         self.schedulers[crashing_index] = replacement;
         self.timers.clear(crashing_index);
         let jobs = self.workers.jobs.values_mut().flatten();
