--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -10,8 +10,8 @@
 use crate::timer::{SequenceNumber, Timer};
 use crate::worker::AttemptId;
 
-/// A connection attempt that fails within the dial timeout divided by this number was refused at once.
-const REFUSED_AT_ONCE_DIVISOR: Micros = 2;
+/// A connection attempt that fails within the dial timeout divided by this number was refused immediately.
+const IMMEDIATE_REFUSAL_DIVISOR: Micros = 2;
 /// After the deadline, the attempt's own timeout is awaited for the answer slack divided by this number.
 const ANSWER_SLACK_DIVISOR: Micros = 2;
 
@@ -64,8 +64,9 @@
         actions: &mut Vec<Action>,
     ) {
         let outcome = result.outcome;
-        let refused_at_once = result.latency < self.settings.limits.dial_timeout / REFUSED_AT_ONCE_DIVISOR;
-        self.fleet[index].record_result(now, outcome, refused_at_once);
+        let refused_immediately =
+            result.latency < self.settings.limits.dial_timeout / IMMEDIATE_REFUSAL_DIVISOR;
+        self.fleet[index].record_result(now, outcome, refused_immediately);
         if outcome == Outcome::Ok {
             self.retry_budget.deposit();
         }
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -6,7 +6,7 @@
 
 /// How long a worker is avoided after it rejected an attempt, in microseconds.
 const REJECTION_PAUSE: Micros = 150_000;
-/// How long a worker is avoided after it refused a connection at once, in microseconds. The worker's
+/// How long a worker is avoided after it refused a connection immediately, in microseconds. The worker's
 /// connections are used up until jobs end.
 const REFUSED_CONNECTION_PAUSE: Micros = 600_000;
 /// The limit is multiplied by this factor after an error or a timeout.
@@ -36,7 +36,7 @@
         &mut self,
         now: Micros,
         outcome: Outcome,
-        refused_at_once: bool,
+        refused_immediately: bool,
         in_flight: f64,
     ) {
         let is_overloaded = matches!(outcome, Outcome::Timeout | Outcome::Error);
@@ -48,7 +48,7 @@
                 self.max_slots = in_flight.max(MIN_LIMIT);
                 self.rejecting_until = now + REJECTION_PAUSE;
             }
-            Outcome::ConnectFailed if refused_at_once => {
+            Outcome::ConnectFailed if refused_immediately => {
                 self.rejecting_until = now + REFUSED_CONNECTION_PAUSE;
             }
             _ => {}
--- a/crates/scheduling/src/concurrency_limit/tests.rs
+++ b/crates/scheduling/src/concurrency_limit/tests.rs
@@ -23,14 +23,14 @@
 
 #[test]
 fn a_worker_is_avoided_after_a_rejection_and_for_longer_after_a_refused_connection() {
-    for (outcome, refused_at_once, pause) in [
+    for (outcome, refused_immediately, pause) in [
         (Outcome::Rejected, false, REJECTION_PAUSE),
         (Outcome::ConnectFailed, true, REFUSED_CONNECTION_PAUSE),
         (Outcome::ConnectFailed, false, 0),
         (Outcome::Reset, false, 0),
     ] {
         let mut limit = ConcurrencyLimit::default();
-        limit.record_result(NOW, outcome, refused_at_once, 0.0);
+        limit.record_result(NOW, outcome, refused_immediately, 0.0);
         assert_eq!(limit.rejecting_until().saturating_sub(NOW), pause, "{outcome:?}");
         assert_eq!(limit.is_rejecting(NOW), pause > 0);
         assert!(!limit.is_rejecting(NOW + pause));
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -28,13 +28,13 @@
 }
 
 impl OutlierDetector {
-    /// Records the outcome of an attempt. `refused_at_once` says that the connection was refused without
+    /// Records the outcome of an attempt. `refused_immediately` says that the connection was refused without
     /// delay, either because the worker failed or because its connection table is full.
-    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_at_once: bool) {
+    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_immediately: bool) {
         match outcome {
             Outcome::Ok => self.record_success(),
             Outcome::Invalid => self.reset_failures(),
-            Outcome::ConnectFailed if refused_at_once => {}
+            Outcome::ConnectFailed if refused_immediately => {}
             // A single failure may be due to the connection or the request; a second one is due to the
             // worker.
             Outcome::Reset | Outcome::NoResponse | Outcome::Error if self.consecutive_failures == 0 => {
--- a/crates/scheduling/src/outlier/tests.rs
+++ b/crates/scheduling/src/outlier/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_failed_connection_ejects_immediately_unless_it_was_refused_at_once() {
+fn a_failed_connection_ejects_the_worker_unless_it_was_refused_immediately() {
     assert_eq!(detector_after(&[Outcome::ConnectFailed]).ejected_until(), NOW + BASE_EJECTION);
     let mut detector = OutlierDetector::default();
     detector.record_result(NOW, Outcome::ConnectFailed, true);
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -152,10 +152,10 @@
     }
 
     /// Records the outcome of an attempt at the worker, sent by this scheduler or by a peer.
-    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_at_once: bool) {
+    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_immediately: bool) {
         let in_flight = self.own_slots();
-        self.concurrency_limit.record_result(now, outcome, refused_at_once, in_flight);
-        self.outlier.record_result(now, outcome, refused_at_once);
+        self.concurrency_limit.record_result(now, outcome, refused_immediately, in_flight);
+        self.outlier.record_result(now, outcome, refused_immediately);
     }
 
     /// Removes an attempt of this scheduler that has ended; returns `false` if there is no such attempt.
