--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -18,18 +18,18 @@
 /// which one job start corrects the estimate.
 const SLOTS_LEARNING_RATE: f64 = 0.05;
 /// Assumed slots per unit of weight before the first job start is observed.
-const INITIAL_SLOTS_PER_UNIT: f64 = 1.0;
+const INITIAL_SLOTS_PER_WEIGHT: f64 = 1.0;
 
 /// Estimated slots per unit of worker weight, learned from how soon this scheduler's jobs start.
-pub(crate) struct SlotsPerUnit(f64);
+pub(crate) struct SlotsPerWeight(f64);
 
-impl Default for SlotsPerUnit {
-    fn default() -> SlotsPerUnit {
-        SlotsPerUnit(INITIAL_SLOTS_PER_UNIT)
+impl Default for SlotsPerWeight {
+    fn default() -> SlotsPerWeight {
+        SlotsPerWeight(INITIAL_SLOTS_PER_WEIGHT)
     }
 }
 
-impl SlotsPerUnit {
+impl SlotsPerWeight {
     pub(crate) fn get(&self) -> f64 {
         self.0
     }
@@ -59,7 +59,7 @@
     pub(crate) settings: &'a Settings,
     pub(crate) fleet: &'a Fleet,
     /// Estimated slots per unit of worker weight.
-    pub(crate) slots_per_unit: f64,
+    pub(crate) slots_per_weight: f64,
     /// This scheduler's fraction of the work that all schedulers together may send to a warming worker.
     pub(crate) budget_share: f64,
 }
@@ -73,7 +73,7 @@
     pub(crate) fn overload_rate(&self, index: usize) -> f64 {
         let worker = &self.fleet[index];
         self.budget_share
-            * self.slots_per_unit
+            * self.slots_per_weight
             * worker.weight
             * self.warm_up_fraction(worker)
             * self.settings.rules.overload_factor
@@ -112,7 +112,7 @@
 
     fn is_busy(&self, worker: &Worker, slots: f64) -> bool {
         let start_is_delayed = self.settings.reports_start && worker.has_delayed_start(self.now);
-        let usable_slots = self.slots_per_unit * usable_slot_fraction(self.warm_up_fraction(worker));
+        let usable_slots = self.slots_per_weight * usable_slot_fraction(self.warm_up_fraction(worker));
         start_is_delayed || worker.is_busy(self.now, slots, usable_slots)
     }
 
@@ -144,7 +144,7 @@
 
     fn may_join_queue(&self, index: usize, slots: f64) -> bool {
         let worker = &self.fleet[index];
-        let max_occupancy = MAX_QUEUE_FACTOR * self.slots_per_unit * worker.weight;
+        let max_occupancy = MAX_QUEUE_FACTOR * self.slots_per_weight * worker.weight;
         let queue_is_short =
             worker.occupancy(self.now).is_none_or(|occupancy| occupancy + slots <= max_occupancy);
         !worker.concurrency_limit.is_rejecting(self.now)
@@ -159,7 +159,7 @@
             now,
             settings: &self.settings,
             fleet: &self.fleet,
-            slots_per_unit: self.slots_per_unit.get(),
+            slots_per_weight: self.slots_per_weight.get(),
             budget_share: self.coordinators.budget_share(&self.settings),
         }
     }
--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -6,7 +6,7 @@
 
 /// An admission view at [`NOW`] of a single scheduler, with one slot per unit of weight.
 fn admission<'a>(settings: &'a Settings, fleet: &'a Fleet) -> Admission<'a> {
-    Admission { now: NOW, settings, fleet, slots_per_unit: 1.0, budget_share: 1.0 }
+    Admission { now: NOW, settings, fleet, slots_per_weight: 1.0, budget_share: 1.0 }
 }
 
 /// Adds an attempt of this scheduler to the worker at `index`.
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn slots_per_unit_of_weight_changes_only_after_starts_that_contradict_the_estimate() {
-    let mut slots = SlotsPerUnit::default();
+fn the_estimated_slots_per_weight_change_only_after_starts_that_contradict_the_estimate() {
+    let mut slots = SlotsPerWeight::default();
     slots.record_start(0.5, true);
     slots.record_start(2.0, false);
     assert_eq!(slots.get(), 1.0, "both starts agree with the estimate");
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -210,7 +210,7 @@
         if warm_up_fraction >= 1.0 {
             return in_flight;
         }
-        let slots = self.slots_per_unit.get() * worker.weight * usable_slot_fraction(warm_up_fraction);
+        let slots = self.slots_per_weight.get() * worker.weight * usable_slot_fraction(warm_up_fraction);
         let capacity = WarmingCapacity { slots, work: remaining_work };
         worker.peers.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
     }
--- a/crates/scheduling/src/migration.rs
+++ b/crates/scheduling/src/migration.rs
@@ -111,7 +111,7 @@
             let started_promptly = now < sent.sent_at + MAX_START_DELAY;
             worker.started.push(StartedAttempt { id, started_at: now, last_progress_at: now, fraction_done });
             if let Some(occupancy) = attempt.occupancy_at_send {
-                self.slots_per_unit.record_start(occupancy, started_promptly);
+                self.slots_per_weight.record_start(occupancy, started_promptly);
             }
         }
     }
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -258,7 +258,7 @@
         worker.in_flight.push(InFlightAttempt { id: attempt, sent_at: now, slots: request.slots });
         request.attempts.push(Attempt {
             worker: worker.endpoint.worker,
-            occupancy_at_send: worker.occupancy_per_unit(now),
+            occupancy_at_send: worker.occupancy_per_weight(now),
             state: AttemptState::InFlight,
             sent_at: now,
         });
--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! The scheduler's state, and the dispatch of events to the modules that handle them.
 
 use crate::actions::Action;
-use crate::admission::SlotsPerUnit;
+use crate::admission::SlotsPerWeight;
 use crate::completion::AttemptResult;
 use crate::coordination::Coordinators;
 use crate::endpoint_refresh::EndpointRefresh;
@@ -24,7 +24,7 @@
     pub(crate) requests: PendingRequests,
     pub(crate) hot_keys: HotKeys,
     pub(crate) retry_budget: RetryBudget,
-    pub(crate) slots_per_unit: SlotsPerUnit,
+    pub(crate) slots_per_weight: SlotsPerWeight,
     pub(crate) coordinators: Coordinators,
     pub(crate) endpoint_refresh: EndpointRefresh,
 }
@@ -44,7 +44,7 @@
             requests: PendingRequests::default(),
             hot_keys: HotKeys::default(),
             retry_budget: RetryBudget::default(),
-            slots_per_unit: SlotsPerUnit::default(),
+            slots_per_weight: SlotsPerWeight::default(),
             coordinators: Coordinators::default(),
             endpoint_refresh: EndpointRefresh::default(),
         })
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -117,7 +117,7 @@
     }
 
     /// Returns the slots in flight at the worker per unit of weight.
-    pub(crate) fn occupancy_per_unit(&self, now: Micros) -> Option<f64> {
+    pub(crate) fn occupancy_per_weight(&self, now: Micros) -> Option<f64> {
         self.occupancy(now).map(|occupancy| occupancy / self.weight.max(MIN_WEIGHT))
     }
 
@@ -142,10 +142,10 @@
         self.started.iter().find(|attempt| attempt.id == id)
     }
 
-    /// Whether the worker has no capacity for a job of `slots`. `slots_per_unit` is the number of slots per
+    /// Whether the worker has no capacity for a job of `slots`. `slots_per_weight` is the number of slots per
     /// unit of weight.
-    pub(crate) fn is_busy(&self, now: Micros, slots: f64, slots_per_unit: f64) -> bool {
-        let is_full = |occupancy: f64| occupancy + slots > (slots_per_unit * self.weight).max(slots);
+    pub(crate) fn is_busy(&self, now: Micros, slots: f64, slots_per_weight: f64) -> bool {
+        let is_full = |occupancy: f64| occupancy + slots > (slots_per_weight * self.weight).max(slots);
         self.concurrency_limit.is_rejecting(now)
             || self.occupancy(now).is_some_and(is_full)
             || self.concurrency_limit.is_exceeded(self.own_slots(), slots)
--- a/crates/scheduling/src/worker/tests.rs
+++ b/crates/scheduling/src/worker/tests.rs
@@ -20,7 +20,7 @@
     worker.in_flight = vec![sent(1, NOW - 2, 1.0), sent(2, NOW, 2.0)];
     worker.report = Some(OccupancyReport { slots: Some(3.0), queried_at: NOW - 1 });
     assert_eq!(worker.occupancy(NOW), Some(5.0));
-    assert_eq!(worker.occupancy_per_unit(NOW), Some(2.5));
+    assert_eq!(worker.occupancy_per_weight(NOW), Some(2.5));
     assert_eq!(worker.occupancy(NOW - 1 + MAX_REPORT_AGE), None);
     worker.report = Some(OccupancyReport { slots: None, queried_at: NOW });
     assert_eq!(worker.occupancy(NOW), None, "the coordinator doesn't list the worker");
