--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -17,7 +17,7 @@
 
 /// Sets the occupancy that the coordinator reported for the worker at `index`.
 fn set_occupancy(fleet: &mut Fleet, index: usize, slots: f64) {
-    fleet[index].report = Some(OccupancyReport { slots: Some(slots), queried_at: NOW });
+    fleet[index].occupancy_report = Some(OccupancyReport { slots: Some(slots), queried_at: NOW });
 }
 
 #[test]
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -124,12 +124,12 @@
 
 /// A coordinator's account of its peers' attempts and reservations at one worker.
 #[derive(Default)]
-pub(crate) struct PeerLedger {
+pub(crate) struct PeerOccupancy {
     attempts: Vec<PeerAttempt>,
     reservations: Vec<Reservation>,
 }
 
-impl PeerLedger {
+impl PeerOccupancy {
     /// Returns the slots that the peers' attempts in flight take.
     fn slots_in_flight(&self, now: Micros) -> f64 {
         self.attempts.iter().filter(|attempt| attempt.is_recent(now)).map(|attempt| attempt.slots).sum()
@@ -205,14 +205,14 @@
         self.charge_admitted_work(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
         let worker = &mut self.fleet[index];
-        let in_flight = worker.peers.slots_in_flight(now) + worker.own_slots();
+        let in_flight = worker.peer_occupancy.slots_in_flight(now) + worker.own_slots();
         let warm_up_fraction = worker.warm_up_fraction(now, &self.settings.rules);
         if warm_up_fraction >= 1.0 {
             return in_flight;
         }
         let slots = self.slots_per_weight.get() * worker.weight * usable_slot_fraction(warm_up_fraction);
         let capacity = WarmingCapacity { slots, work: remaining_work };
-        worker.peers.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
+        worker.peer_occupancy.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
     }
 
     /// Queries a worker's occupancy from the worker's coordinator, unless a fresh report is available.
@@ -233,7 +233,7 @@
             let slots = Some(self.occupancy_for(now, index, coordinator, work));
             // Attempts sent at `now` are already in the account. A query time after `now` keeps them from
             // being added to the report a second time.
-            self.fleet[index].report = Some(OccupancyReport { slots, queried_at: now + 1 });
+            self.fleet[index].occupancy_report = Some(OccupancyReport { slots, queried_at: now + 1 });
             return false;
         }
         let worker = &mut self.fleet[index];
@@ -281,7 +281,7 @@
                 self.on_occupancy_reply(now, index, occupancy, actions);
             }
             (PeerMessage::AttemptStarted { slots, work }, Some(index)) => {
-                self.fleet[index].peers.record_start(now, from, slots);
+                self.fleet[index].peer_occupancy.record_start(now, from, slots);
                 self.charge_admitted_work(now, index, work);
             }
             (PeerMessage::AttemptFinished { served, connection_failed }, Some(index)) => {
@@ -314,7 +314,7 @@
         let worker = &mut self.fleet[index];
         let Some(query) = worker.pending_query.take() else { return };
         let slots = occupancy.map(|occupancy| occupancy.slots);
-        worker.report = Some(OccupancyReport { slots, queried_at: query.sent_at });
+        worker.occupancy_report = Some(OccupancyReport { slots, queried_at: query.sent_at });
         if let Some(occupancy) = occupancy.filter(|occupancy| occupancy.ejected_for > 0) {
             worker.outlier.extend_ejection(now, occupancy.ejected_for);
         }
@@ -334,7 +334,7 @@
         connection_failed: bool,
     ) {
         let worker = &mut self.fleet[index];
-        worker.peers.record_end(from);
+        worker.peer_occupancy.record_end(from);
         if served {
             worker.outlier.reset_failures();
         }
--- a/crates/scheduling/src/coordination/tests.rs
+++ b/crates/scheduling/src/coordination/tests.rs
@@ -51,38 +51,38 @@
 
 #[test]
 fn a_peer_s_attempt_is_counted_until_the_attempt_ends_or_is_too_old() {
-    let mut ledger = PeerLedger::default();
-    ledger.record_start(NOW, 1, 2.0);
-    ledger.record_start(NOW + 1, 2, 3.0);
-    assert_eq!(ledger.slots_in_flight(NOW + 1), 5.0);
-    ledger.record_end(1);
-    ledger.record_end(1);
-    assert_eq!(ledger.slots_in_flight(NOW + 1), 3.0);
-    assert_eq!(ledger.slots_in_flight(NOW + 1 + MAX_PEER_ATTEMPT_AGE), 0.0);
+    let mut occupancy = PeerOccupancy::default();
+    occupancy.record_start(NOW, 1, 2.0);
+    occupancy.record_start(NOW + 1, 2, 3.0);
+    assert_eq!(occupancy.slots_in_flight(NOW + 1), 5.0);
+    occupancy.record_end(1);
+    occupancy.record_end(1);
+    assert_eq!(occupancy.slots_in_flight(NOW + 1), 3.0);
+    assert_eq!(occupancy.slots_in_flight(NOW + 1 + MAX_PEER_ATTEMPT_AGE), 0.0);
 }
 
 #[test]
 fn a_reservation_lasts_until_the_peer_sends_an_attempt_or_the_reservation_expires() {
     let capacity = WarmingCapacity { slots: 2.0, work: 1e6 };
-    let mut ledger = PeerLedger::default();
-    let mut reserve = |now, peer| ledger.reserve(now, peer, 10, 0.0, &capacity);
+    let mut occupancy = PeerOccupancy::default();
+    let mut reserve = |now, peer| occupancy.reserve(now, peer, 10, 0.0, &capacity);
     assert_eq!(reserve(NOW, 1), Some(0.0));
     assert_eq!(reserve(NOW, 2), Some(1.0));
     assert_eq!(reserve(NOW, 3), None, "both slots are reserved");
     assert_eq!(reserve(NOW, 2), Some(1.0), "a new query replaces the peer's earlier reservation");
     assert_eq!(reserve(NOW + QUERY_TIMEOUT, 3), Some(0.0));
-    ledger.record_start(NOW + QUERY_TIMEOUT, 3, 1.0);
-    assert!(ledger.reservations.is_empty());
+    occupancy.record_start(NOW + QUERY_TIMEOUT, 3, 1.0);
+    assert!(occupancy.reservations.is_empty());
 }
 
 #[test]
 fn no_work_is_reserved_beyond_the_worker_s_remaining_capacity() {
-    let reserve = |ledger: &mut PeerLedger, peer, work| {
-        ledger.reserve(NOW, peer, 600, 0.0, &WarmingCapacity { slots: 9.0, work })
+    let reserve = |occupancy: &mut PeerOccupancy, peer, work| {
+        occupancy.reserve(NOW, peer, 600, 0.0, &WarmingCapacity { slots: 9.0, work })
     };
-    let mut ledger = PeerLedger::default();
-    assert_eq!(reserve(&mut ledger, 1, -1.0), None, "too much work was sent to the worker already");
-    assert!(reserve(&mut ledger, 1, 1000.0).is_some());
-    assert!(reserve(&mut ledger, 2, 1000.0).is_some());
-    assert_eq!(reserve(&mut ledger, 3, 1000.0), None);
+    let mut occupancy = PeerOccupancy::default();
+    assert_eq!(reserve(&mut occupancy, 1, -1.0), None, "too much work was sent to the worker already");
+    assert!(reserve(&mut occupancy, 1, 1000.0).is_some());
+    assert!(reserve(&mut occupancy, 2, 1000.0).is_some());
+    assert_eq!(reserve(&mut occupancy, 3, 1000.0), None);
 }
--- a/crates/scheduling/src/fleet/tests.rs
+++ b/crates/scheduling/src/fleet/tests.rs
@@ -45,12 +45,12 @@
 #[test]
 fn a_new_start_resets_a_worker_and_its_zone_is_always_taken_from_the_list() {
     let mut fleet = fleet_of([endpoint(1)]);
-    fleet[0].report = Some(OccupancyReport { slots: Some(1.0), queried_at: NOW });
+    fleet[0].occupancy_report = Some(OccupancyReport { slots: Some(1.0), queried_at: NOW });
     apply_change(&mut fleet, Endpoint { zone: ZoneId(7), ..endpoint(1) });
     assert_eq!(fleet[0].endpoint.zone, ZoneId(7));
-    assert!(fleet[0].report.is_some(), "the same process");
+    assert!(fleet[0].occupancy_report.is_some(), "the same process");
     apply_change(&mut fleet, Endpoint { started_at: NOW - 5, ..endpoint(1) });
-    assert!(fleet[0].report.is_none(), "another process");
+    assert!(fleet[0].occupancy_report.is_none(), "another process");
     assert_eq!(fleet[0].started_at, Some(NOW));
 }
 
--- a/crates/scheduling/src/migration.rs
+++ b/crates/scheduling/src/migration.rs
@@ -128,7 +128,7 @@
         let Some((number, attempt)) = attempt_to_check(now, request) else { return };
         let Some(index) = self.fleet.index_of(attempt.worker) else { return };
         let worker = &self.fleet[index];
-        let started = worker.started(AttemptId { request: id, number });
+        let started = worker.started_attempt(AttemptId { request: id, number });
         let interval = self.settings.progress_interval;
         let speed = worker.warm_up_fraction(now, &self.settings.rules);
         let health = AttemptHealth::assess(started, now, interval, request.expected_work, speed);
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -273,7 +273,7 @@
         }
         if worker.is_warming_up(now, &self.settings.rules) {
             // The report holds for one attempt: the worker's coordinator reserved capacity for this one only.
-            worker.report = None;
+            worker.occupancy_report = None;
         }
         let message = PeerMessage::AttemptStarted { slots: request.slots, work: request.likely_work() };
         self.notify_coordinator(now, index, message, actions);
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -1,7 +1,7 @@
 //! What a scheduler knows about one worker: its endpoint, load and health, and the attempts sent to it.
 
 use crate::concurrency_limit::ConcurrencyLimit;
-use crate::coordination::{PeerLedger, PendingQuery};
+use crate::coordination::{PeerOccupancy, PendingQuery};
 use crate::events::{Endpoint, EndpointState, Outcome};
 use crate::ids::{AttemptNo, Micros, RequestId};
 use crate::outlier::OutlierDetector;
@@ -63,7 +63,7 @@
     /// Number of the worker's virtual points on the ring.
     pub(crate) points: u32,
     /// The latest occupancy report.
-    pub(crate) report: Option<OccupancyReport>,
+    pub(crate) occupancy_report: Option<OccupancyReport>,
     /// The occupancy query that the worker's coordinator has not answered yet.
     pub(crate) pending_query: Option<PendingQuery>,
     /// Requests that wait for the answer to `pending_query`.
@@ -75,7 +75,7 @@
     /// The attempts in `in_flight` that have started, where workers report the start of a job.
     pub(crate) started: Vec<StartedAttempt>,
     /// What peers have in flight or reserved at the worker, if this scheduler is the worker's coordinator.
-    pub(crate) peers: PeerLedger,
+    pub(crate) peer_occupancy: PeerOccupancy,
     /// Work that was admitted to the worker while it warms up, within this scheduler's share of the limit.
     pub(crate) admitted_work: AdmissionBudget,
 }
@@ -109,8 +109,10 @@
     /// Returns the slots in flight at the worker: the coordinator's latest report plus what was sent since
     /// the query. Returns `None` if the report is missing or too old, or doesn't list the worker.
     pub(crate) fn occupancy(&self, now: Micros) -> Option<f64> {
-        let report =
-            self.report.as_ref().filter(|report| now.saturating_sub(report.queried_at) < MAX_REPORT_AGE)?;
+        let report = self
+            .occupancy_report
+            .as_ref()
+            .filter(|report| now.saturating_sub(report.queried_at) < MAX_REPORT_AGE)?;
         let sent_since = self.in_flight.iter().filter(|attempt| attempt.sent_at >= report.queried_at);
         let slots_since: f64 = sent_since.map(|attempt| attempt.slots).sum();
         report.slots.map(|slots| slots + slots_since)
@@ -127,18 +129,20 @@
     }
 
     pub(crate) fn has_fresh_report(&self, now: Micros) -> bool {
-        self.report.as_ref().is_some_and(|report| now.saturating_sub(report.queried_at) < FRESH_REPORT_AGE)
+        self.occupancy_report
+            .as_ref()
+            .is_some_and(|report| now.saturating_sub(report.queried_at) < FRESH_REPORT_AGE)
     }
 
     /// Whether a job of this scheduler has not been reported as started in time: the worker's slots are full.
     pub(crate) fn has_delayed_start(&self, now: Micros) -> bool {
         let is_delayed = |attempt: &InFlightAttempt| {
-            attempt.sent_at + MAX_START_DELAY < now && self.started(attempt.id).is_none()
+            attempt.sent_at + MAX_START_DELAY < now && self.started_attempt(attempt.id).is_none()
         };
         self.in_flight.iter().any(is_delayed)
     }
 
-    pub(crate) fn started(&self, id: AttemptId) -> Option<&StartedAttempt> {
+    pub(crate) fn started_attempt(&self, id: AttemptId) -> Option<&StartedAttempt> {
         self.started.iter().find(|attempt| attempt.id == id)
     }
 
--- a/crates/scheduling/src/worker/tests.rs
+++ b/crates/scheduling/src/worker/tests.rs
@@ -18,11 +18,11 @@
     let mut worker = worker();
     assert_eq!(worker.occupancy(NOW), None);
     worker.in_flight = vec![sent(1, NOW - 2, 1.0), sent(2, NOW, 2.0)];
-    worker.report = Some(OccupancyReport { slots: Some(3.0), queried_at: NOW - 1 });
+    worker.occupancy_report = Some(OccupancyReport { slots: Some(3.0), queried_at: NOW - 1 });
     assert_eq!(worker.occupancy(NOW), Some(5.0));
     assert_eq!(worker.occupancy_per_weight(NOW), Some(2.5));
     assert_eq!(worker.occupancy(NOW - 1 + MAX_REPORT_AGE), None);
-    worker.report = Some(OccupancyReport { slots: None, queried_at: NOW });
+    worker.occupancy_report = Some(OccupancyReport { slots: None, queried_at: NOW });
     assert_eq!(worker.occupancy(NOW), None, "the coordinator doesn't list the worker");
     assert!(worker.has_fresh_report(NOW));
     assert_eq!(worker.load(NOW), 1.5, "the scheduler's own slots, as the occupancy is unknown");
@@ -32,7 +32,7 @@
 fn a_worker_is_busy_when_its_occupancy_reaches_its_slots_but_takes_one_large_job_when_idle() {
     let mut worker = worker();
     let mut is_busy_at = |occupancy, slots| {
-        worker.report = Some(OccupancyReport { slots: Some(occupancy), queried_at: NOW });
+        worker.occupancy_report = Some(OccupancyReport { slots: Some(occupancy), queried_at: NOW });
         worker.is_busy(NOW, slots, 1.0)
     };
     assert!(!is_busy_at(1.0, 1.0));
