--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -228,7 +228,7 @@
         let coordinator = self.coordinators.coordinator_of(now, worker, &self.settings);
         let needs_report = !self.fleet[index].has_fresh_report(now);
         let Some(coordinator) = coordinator.filter(|_| needs_report) else { return false };
-        let work = self.requests.get(id).map_or(0, PendingRequest::likely_work);
+        let work = self.requests.get(id).map_or(0, PendingRequest::estimated_work);
         if coordinator == self.settings.scheduler_index {
             let slots = Some(self.occupancy_for(now, index, coordinator, work));
             // Attempts sent at `now` are already in the account. A query time after `now` keeps them from
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -275,7 +275,7 @@
             // The report holds for one attempt: the worker's coordinator reserved capacity for this one only.
             worker.occupancy_report = None;
         }
-        let message = PeerMessage::AttemptStarted { slots: request.slots, work: request.likely_work() };
+        let message = PeerMessage::AttemptStarted { slots: request.slots, work: request.estimated_work() };
         self.notify_coordinator(now, index, message, actions);
     }
 }
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -98,7 +98,7 @@
 
     /// Returns the expected work. Without a hint, returns the latency objective of the class, because a class
     /// is meant for jobs of about that length.
-    pub(crate) fn likely_work(&self) -> Micros {
+    pub(crate) fn estimated_work(&self) -> Micros {
         if self.expected_work > 0 {
             self.expected_work
         } else {
--- a/crates/scheduling/src/request/tests.rs
+++ b/crates/scheduling/src/request/tests.rs
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn the_likely_work_is_the_hint_or_else_the_latency_objective() {
-    assert_eq!(request().likely_work(), 500 * MILLISECOND);
-    assert_eq!(PendingRequest { expected_work: 7, ..request() }.likely_work(), 7);
+fn the_estimated_work_is_the_hint_or_else_the_latency_objective() {
+    assert_eq!(request().estimated_work(), 500 * MILLISECOND);
+    assert_eq!(PendingRequest { expected_work: 7, ..request() }.estimated_work(), 7);
 }
 
 #[test]
