--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -106,7 +106,7 @@
     }
 
     fn fair_share_allows(&self, index: usize, slots: f64) -> bool {
-        let in_flight = self.fleet[index].own_slots();
+        let in_flight = self.fleet[index].slots_from_this_scheduler();
         self.fair_share_limit(index).is_none_or(|limit| in_flight + slots <= limit.max(slots))
     }
 
@@ -128,7 +128,7 @@
         // The total starts at one slot for the job that is being placed.
         let (mut total_slots, mut total_capacity) = (1.0, 0.0);
         for ready in self.fleet.ready() {
-            total_slots += ready.own_slots();
+            total_slots += ready.slots_from_this_scheduler();
             total_capacity += capacity(ready);
         }
         Some(MAX_FAIR_SHARE_FACTOR * total_slots * capacity(worker) / total_capacity)
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -205,7 +205,7 @@
         self.charge_admitted_work(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
         let worker = &mut self.fleet[index];
-        let in_flight = worker.peer_occupancy.slots_in_flight(now) + worker.own_slots();
+        let in_flight = worker.peer_occupancy.slots_in_flight(now) + worker.slots_from_this_scheduler();
         let warm_up_fraction = worker.warm_up_fraction(now, &self.settings.rules);
         if warm_up_fraction >= 1.0 {
             return in_flight;
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the slots of this scheduler's own attempts in flight at the worker.
-    pub(crate) fn own_slots(&self) -> f64 {
+    pub(crate) fn slots_from_this_scheduler(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.slots).sum()
     }
 
@@ -125,7 +125,7 @@
 
     /// Returns the worker's load per unit of weight: its occupancy or, if unknown, this scheduler's slots.
     pub(crate) fn load(&self, now: Micros) -> f64 {
-        self.occupancy(now).unwrap_or(self.own_slots()) / self.weight.max(MIN_WEIGHT)
+        self.occupancy(now).unwrap_or(self.slots_from_this_scheduler()) / self.weight.max(MIN_WEIGHT)
     }
 
     pub(crate) fn has_fresh_report(&self, now: Micros) -> bool {
@@ -152,12 +152,12 @@
         let is_full = |occupancy: f64| occupancy + slots > (slots_per_weight * self.weight).max(slots);
         self.concurrency_limit.is_rejecting(now)
             || self.occupancy(now).is_some_and(is_full)
-            || self.concurrency_limit.is_exceeded(self.own_slots(), slots)
+            || self.concurrency_limit.is_exceeded(self.slots_from_this_scheduler(), slots)
     }
 
     /// Records the outcome of an attempt at the worker, sent by this scheduler or by a peer.
     pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_immediately: bool) {
-        let in_flight = self.own_slots();
+        let in_flight = self.slots_from_this_scheduler();
         self.concurrency_limit.record_result(now, outcome, refused_immediately, in_flight);
         self.outlier.record_result(now, outcome, refused_immediately);
     }
--- a/crates/scheduling/src/worker/tests.rs
+++ b/crates/scheduling/src/worker/tests.rs
@@ -64,7 +64,7 @@
     assert!(worker.outlier.is_ejected(NOW));
     worker.restart(Endpoint::default(), 3.0, Some(NOW));
     assert!(!worker.outlier.is_ejected(NOW));
-    assert_eq!((worker.own_slots(), worker.points, worker.weight), (1.0, 7, 3.0));
+    assert_eq!((worker.slots_from_this_scheduler(), worker.points, worker.weight), (1.0, 7, 3.0));
     assert_eq!(worker.started_at, Some(NOW));
 }
 
@@ -74,5 +74,5 @@
     worker.in_flight = vec![sent(1, NOW, 1.0), sent(2, NOW, 2.0)];
     assert!(worker.remove_attempt(first_attempt(1)));
     assert!(!worker.remove_attempt(first_attempt(1)));
-    assert_eq!(worker.own_slots(), 2.0);
+    assert_eq!(worker.slots_from_this_scheduler(), 2.0);
 }
