--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -22,7 +22,7 @@
     settings: &'a Settings,
     fleet: &'a Fleet,
     request: &'a PendingRequest,
-    ejections_apply: bool,
+    enforce_ejections: bool,
 }
 
 impl CandidateSearch<'_> {
@@ -71,7 +71,7 @@
     fn is_eligible(&self, worker: &Worker) -> bool {
         self.drops_repeat_at(worker)
             && !self.may_have_run_at(worker)
-            && !(self.ejections_apply && worker.outlier.is_ejected(self.now))
+            && !(self.enforce_ejections && worker.outlier.is_ejected(self.now))
     }
 
     /// Whether the worker would drop this request's job as a repeat if the job has run before. True for jobs
@@ -112,8 +112,8 @@
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let (settings, fleet) = (&self.settings, &self.fleet);
         let ejected = fleet.ready().filter(|worker| worker.outlier.is_ejected(now)).count();
-        let ejections_apply = ejections_apply(ejected, fleet.ready_count());
-        CandidateSearch { now, settings, fleet, request, ejections_apply }.run()
+        let enforce_ejections = ejections_apply(ejected, fleet.ready_count());
+        CandidateSearch { now, settings, fleet, request, enforce_ejections }.run()
     }
 }
 
--- a/crates/scheduling/src/candidates/tests.rs
+++ b/crates/scheduling/src/candidates/tests.rs
@@ -14,7 +14,7 @@
 
 /// Returns the candidates of a request, with ejections in effect.
 fn search(settings: &Settings, fleet: &Fleet, request: &PendingRequest) -> Vec<WorkerId> {
-    let search = CandidateSearch { now: NOW, settings, fleet, request, ejections_apply: true };
+    let search = CandidateSearch { now: NOW, settings, fleet, request, enforce_ejections: true };
     search.run().into_iter().map(|index| fleet[index].endpoint.worker).collect()
 }
 
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -9,13 +9,13 @@
 /// Longest duration of an ejection, in microseconds.
 const MAX_EJECTION: Micros = 8_000_000;
 /// The duration of an ejection is doubled at most this many times.
-const MAX_DOUBLINGS: u32 = 8;
+const MAX_EJECTION_DOUBLINGS: u32 = 8;
 /// Ejections apply while no more than this fraction of the ready workers is ejected, which is more than one
 /// zone. If more workers fail, the cause is a common one.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 
-/// Whether ejected workers are excluded from the candidates, given the number of ejected workers and of ready
-/// workers.
+/// Whether ejected workers are excluded from the candidates. `ejected` and `ready` are the numbers of ejected
+/// and of ready workers.
 pub(crate) fn ejections_apply(ejected: usize, ready: usize) -> bool {
     ejected as f64 <= MAX_EJECTED_FRACTION * ready as f64
 }
@@ -57,7 +57,7 @@
     }
 
     fn eject(&mut self, now: Micros) {
-        let ejection = BASE_EJECTION << self.consecutive_failures.min(MAX_DOUBLINGS);
+        let ejection = BASE_EJECTION << self.consecutive_failures.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + ejection.min(MAX_EJECTION);
         self.consecutive_failures += 1;
     }
