--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -29,11 +29,12 @@
 /// Maximum number of times the spread is doubled.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
 
-/// State of the polls of the endpoint list since discovery's last response.
+/// The polls of the endpoint list since discovery's last response, and whether the list is confirmed.
 #[derive(Default)]
 pub(crate) struct EndpointRefresh {
-    /// Polls scheduled since the last response.
-    failed_polls: u32,
+    /// Number of polls scheduled since the latest update that [`EndpointRefresh::record_update`] counts as a
+    /// response.
+    polls_since_response: u32,
     /// Time of the latest poll, which may still lie ahead.
     last_poll: Micros,
     /// End of the time in which jobs wait for a restored list to be confirmed; 0 if the list is confirmed.
@@ -42,7 +43,8 @@
 
 impl EndpointRefresh {
     /// Records an update of the list. Failed polls and renumbered lists change nothing. Any other update
-    /// resets the count of failed polls, and confirms the list unless the list was restored.
+    /// counts as a response: the update resets the number of polls, and confirms the list unless the list was
+    /// restored.
     pub(crate) fn record_update(&mut self, now: Micros, update: EndpointUpdate) {
         if matches!(update, EndpointUpdate::Failed | EndpointUpdate::Renumbered) {
             return;
@@ -71,7 +73,7 @@
         } else {
             self.next_poll_time(now, spread, random)
         };
-        self.failed_polls += 1;
+        self.polls_since_response += 1;
         self.last_poll = at;
         at
     }
@@ -80,8 +82,8 @@
         let jittered = |pause: Micros| (pause as f64 * (0.5 + random)) as Micros;
         // The first failure after a response is taken as a broken watch of this scheduler alone. If the next
         // poll fails too, all schedulers are assumed to be affected, and the polls are spread.
-        let repeated_failures = self.failed_polls.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
-        let spread = if self.failed_polls == 0 {
+        let repeated_failures = self.polls_since_response.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        let spread = if self.polls_since_response == 0 {
             0
         } else {
             (spread << repeated_failures.min(MAX_SPREAD_DOUBLINGS)).min(MAX_REPEATED_SPREAD)
--- a/crates/scheduling/src/endpoint_refresh/tests.rs
+++ b/crates/scheduling/src/endpoint_refresh/tests.rs
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_poll_that_took_long_to_fail_is_followed_by_a_short_pause() {
-    let mut refresh = EndpointRefresh { failed_polls: 9, last_poll: NOW, unconfirmed_until: 0 };
+    let mut refresh = EndpointRefresh { polls_since_response: 9, last_poll: NOW, unconfirmed_until: 0 };
     let failed_at = NOW + 10_000_000;
     let at = refresh.schedule_poll(failed_at, EndpointUpdate::Failed, 300, 0.5);
     assert_eq!(at - failed_at, PAUSE_AFTER_SLOW_FAILURE);
