--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -60,7 +60,7 @@
     pub(crate) fleet: &'a Fleet,
     /// Estimated slots per unit of worker weight.
     pub(crate) slots_per_weight: f64,
-    /// This scheduler's fraction of the work that all schedulers together may send to a warming worker.
+    /// Fraction of a warming worker's work budget that this scheduler may spend.
     pub(crate) budget_share: f64,
 }
 
@@ -69,7 +69,8 @@
         worker.warm_up_fraction(self.now, &self.settings.rules)
     }
 
-    /// Returns this scheduler's fraction of the rate of work beyond which a warming worker fails.
+    /// Returns the rate of work beyond which a warming worker fails, multiplied by this scheduler's fraction of
+    /// the work budget, in microseconds of work per microsecond.
     pub(crate) fn overload_rate(&self, index: usize) -> f64 {
         let worker = &self.fleet[index];
         self.budget_share
@@ -79,10 +80,11 @@
             * self.settings.rules.overload_factor
     }
 
-    /// Returns how much more work this scheduler may send to a warming worker, in microseconds of work.
+    /// Returns how much of a warming worker's work budget this scheduler may still spend, in microseconds of
+    /// work. The result is negative if too much work was sent.
     pub(crate) fn remaining_work(&self, index: usize) -> f64 {
         let overload_time = self.settings.rules.overload_time;
-        self.fleet[index].admitted_work.remaining(self.now, self.overload_rate(index), overload_time)
+        self.fleet[index].work_budget.remaining(self.now, self.overload_rate(index), overload_time)
     }
 
     /// Whether this scheduler may send a job of this many slots to a worker now.
@@ -93,15 +95,15 @@
             && !self.is_busy(worker, slots)
     }
 
-    /// Whether slow start allows a job at this worker. A warming worker takes a job only if its load is known
-    /// or it is the request's home, and only while its admission budget is not used up.
+    /// Whether slow start allows a job at this worker. A warming worker takes a job only if the worker's load
+    /// is known or the worker is the request's home, and only while the work budget is not used up.
     fn slow_start_allows(&self, index: usize, role: CandidateRole) -> bool {
         let worker = &self.fleet[index];
         if self.warm_up_fraction(worker) >= 1.0 {
             return true;
         }
         let load_is_known = role == CandidateRole::Home || worker.occupancy(self.now).is_some();
-        // If schedulers coordinate, the worker's coordinator has already checked the budget.
+        // If schedulers coordinate, the worker's coordinator has already checked the work budget.
         load_is_known && (coordination::is_enabled(self.settings) || self.remaining_work(index) >= 0.0)
     }
 
--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn a_warming_worker_takes_nothing_once_its_admission_budget_is_used_up() {
+fn a_warming_worker_takes_nothing_once_its_work_budget_is_used_up() {
     let settings = settings();
     let mut fleet = fleet_of([Endpoint { started_at: NOW, ..endpoint(1) }]);
     let rate = admission(&settings, &fleet).overload_rate(0);
     assert_eq!(rate, 0.25 * 3.0);
-    fleet[0].admitted_work.charge(NOW, rate, 1_000_000);
+    fleet[0].work_budget.charge(NOW, rate, 1_000_000);
     assert!(admission(&settings, &fleet).remaining_work(0) < 0.0);
     assert!(!admission(&settings, &fleet).has_capacity(0, 1.0, CandidateRole::Home));
 }
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -188,21 +188,21 @@
                 let data = message.encode(worker);
                 actions.push(Action::SendPeerMessage { to: Recipient::One(coordinator), data });
             }
-            (_, PeerMessage::AttemptStarted { work, .. }) => self.charge_admitted_work(now, index, work),
+            (_, PeerMessage::AttemptStarted { work, .. }) => self.charge_work_budget(now, index, work),
             _ => {}
         }
     }
 
-    fn charge_admitted_work(&mut self, now: Micros, index: usize, work: Micros) {
+    fn charge_work_budget(&mut self, now: Micros, index: usize, work: Micros) {
         let overload_rate = self.admission(now).overload_rate(index);
-        self.fleet[index].admitted_work.charge(now, overload_rate, work);
+        self.fleet[index].work_budget.charge(now, overload_rate, work);
     }
 
     /// Returns, as the coordinator, a worker's occupancy in slots for a peer that has a job with the given
     /// work. If the worker is warming up, reserves capacity for the peer, or returns [`FULLY_OCCUPIED`] if
     /// the worker's remaining capacity is too small.
     fn occupancy_for(&mut self, now: Micros, index: usize, peer: SchedulerIndex, work: Micros) -> f64 {
-        self.charge_admitted_work(now, index, 0);
+        self.charge_work_budget(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
         let worker = &mut self.fleet[index];
         let in_flight = worker.peer_occupancy.slots_in_flight(now) + worker.slots_from_this_scheduler();
@@ -282,7 +282,7 @@
             }
             (PeerMessage::AttemptStarted { slots, work }, Some(index)) => {
                 self.fleet[index].peer_occupancy.record_start(now, from, slots);
-                self.charge_admitted_work(now, index, work);
+                self.charge_work_budget(now, index, work);
             }
             (PeerMessage::AttemptFinished { served, connection_failed }, Some(index)) => {
                 self.on_peer_attempt_finished(now, index, from, served, connection_failed);
--- a/crates/scheduling/src/slow_start.rs
+++ b/crates/scheduling/src/slow_start.rs
@@ -64,20 +64,20 @@
     (INITIAL_SLOT_FRACTION + warm_up_fraction).min(1.0)
 }
 
-/// A leaky bucket of admitted work: the work sent to a worker, minus the work that the worker can have done
-/// since.
+/// The work budget of a warming worker: a leaky bucket that holds the work sent to the worker, minus the work
+/// that the worker can have done since.
 ///
-/// `overload_rate` is the rate of work beyond which the worker fails, in microseconds of work per
+/// The parameter `overload_rate` of the methods is the rate of work beyond which the worker fails, in microseconds of work per
 /// microsecond.
 #[derive(Default)]
-pub(crate) struct AdmissionBudget {
+pub(crate) struct WorkBudget {
     /// Work in the bucket at the time `charged_at`, in microseconds.
     level: f64,
     charged_at: Micros,
 }
 
-impl AdmissionBudget {
-    /// Returns the work that was admitted and is not yet done, in microseconds.
+impl WorkBudget {
+    /// Returns the work that was sent to the worker and can't be done yet, in microseconds.
     fn level(&self, now: Micros, overload_rate: f64) -> f64 {
         let elapsed = now.saturating_sub(self.charged_at) as f64;
         (self.level - overload_rate * SUSTAINED_OVERLOAD_FRACTION * elapsed).max(0.0)
--- a/crates/scheduling/src/slow_start/tests.rs
+++ b/crates/scheduling/src/slow_start/tests.rs
@@ -46,7 +46,7 @@
 #[test]
 fn charged_work_drains_at_the_sustained_rate_until_the_bucket_is_empty() {
     let (rate, overload_time) = (3.0, SECOND);
-    let mut budget = AdmissionBudget::default();
+    let mut budget = WorkBudget::default();
     let empty = budget.remaining(NOW, rate, overload_time);
     assert!(
         (empty - 0.6e6).abs() < 1.0,
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -6,7 +6,7 @@
 use crate::ids::{AttemptNo, Micros, RequestId};
 use crate::outlier::OutlierDetector;
 use crate::settings::Rules;
-use crate::slow_start::{self, AdmissionBudget};
+use crate::slow_start::{self, WorkBudget};
 
 /// Time within which a worker with a free slot reports a job as started, in microseconds.
 pub(crate) const MAX_START_DELAY: Micros = 60_000;
@@ -76,8 +76,8 @@
     pub(crate) started: Vec<StartedAttempt>,
     /// What peers have in flight or reserved at the worker, if this scheduler is the worker's coordinator.
     pub(crate) peer_occupancy: PeerOccupancy,
-    /// Work that was admitted to the worker while it warms up, within this scheduler's share of the limit.
-    pub(crate) admitted_work: AdmissionBudget,
+    /// The worker's work budget, which limits the work sent to the worker while the worker is warming up.
+    pub(crate) work_budget: WorkBudget,
 }
 
 impl Worker {
--- a/crates/scheduling/tests/coordination.rs
+++ b/crates/scheduling/tests/coordination.rs
@@ -219,8 +219,8 @@
     }
 }
 
-/// Restarted workers take jobs that other workers have no capacity for, but not more than the restarted
-/// workers can take while they warm up.
+/// Restarted workers take jobs that other workers have no capacity for, but only within the limits that slow
+/// start sets on slots and work.
 #[test]
 fn a_warming_worker_takes_other_keys_while_its_coordinator_reports_capacity() {
     let mut fleet = Fleet::new(10, 0);
--- a/crates/scheduling/tests/isolated_schedulers.rs
+++ b/crates/scheduling/tests/isolated_schedulers.rs
@@ -185,9 +185,8 @@
 }
 
 /// A warming worker is overloaded by the total work of all schedulers, and schedulers that exchange no
-/// messages don't know what the others send. Each scheduler must therefore keep to its fraction of the work
-/// that the worker can do at its warm-up fraction, even if the load is twice the capacity of the other
-/// workers.
+/// messages don't know what the others send. Each scheduler must therefore keep to its share of the worker's
+/// work budget, even if the load is twice the capacity of the other workers.
 #[test]
 fn three_isolated_schedulers_together_send_a_warming_worker_less_than_what_overloads_it() {
     for seed in 1..=5 {
--- a/crates/scheduling/tests/restarts.rs
+++ b/crates/scheduling/tests/restarts.rs
@@ -14,9 +14,9 @@
 /// When the scheduler under test gets its first endpoint list, in microseconds.
 const BEGIN: Micros = 10 * HOUR;
 
-/// Returns settings with a practically unlimited admission budget: a worker that warms up gets every key of
-/// its virtual points.
-fn without_admission_budget() -> Settings {
+/// Returns settings with a practically unlimited work budget: a warming worker gets every key of its active
+/// virtual points.
+fn with_unlimited_work_budget() -> Settings {
     let mut settings = settings();
     settings.rules.overload_factor = 1e9;
     settings
@@ -25,7 +25,7 @@
 /// Returns a scheduler that got the complete list at `BEGIN` and, a second later, a response without changes.
 /// `started_at` is the listed start of all workers.
 fn driver_with_confirmed_list(started_at: Micros) -> Driver {
-    let mut driver = Driver::new(without_admission_budget());
+    let mut driver = Driver::new(with_unlimited_work_budget());
     driver.at(
         BEGIN,
         endpoints_event(
@@ -86,7 +86,7 @@
 /// start at the current time.
 #[test]
 fn a_start_in_the_future_in_the_first_list_counts_as_a_start_now() {
-    let mut driver = Driver::new(without_admission_budget());
+    let mut driver = Driver::new(with_unlimited_work_budget());
     let endpoints = (1..=WORKERS)
         .map(|n| Endpoint { started_at: if n == RESTARTED { BEGIN + HOUR } else { 0 }, ..endpoint(n) });
     driver.at(BEGIN, endpoints_event(EndpointUpdate::Snapshot, endpoints));
--- a/crates/scheduling/tests/slow_start.rs
+++ b/crates/scheduling/tests/slow_start.rs
@@ -360,11 +360,11 @@
 }
 
 /// The work that all schedulers together send can overload a restarted worker, and without messages no
-/// scheduler knows what the others send. Each scheduler therefore stays within an equal share of the work
-/// that the worker can take while the worker warms up. The cases cover one restarted worker or six in ten, a
-/// load that the other workers carry easily or twice the capacity of all, and few schedulers or so many that
-/// a share is less than a request. Restarted workers must not be starved either: the jobs that the fleet can
-/// serve are served.
+/// scheduler knows what the others send. Each scheduler therefore stays within an equal share of the worker's
+/// work budget. The cases cover one restarted worker or six in ten, a load that the other workers carry
+/// easily or twice the capacity of all workers, and few schedulers or so many that a share is less than the
+/// work of one request. Restarted workers must not be starved either: the jobs that the fleet can serve are
+/// served.
 #[test]
 fn schedulers_without_messages_together_do_not_overload_warming_workers() {
     let seeds = std::env::var("RAMP_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(2);
