--- a/crates/scheduling/src/actions.rs
+++ b/crates/scheduling/src/actions.rs
@@ -34,7 +34,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// The Retry-After for the client; 0 for none.
+        /// The Retry-After for the client, in microseconds; 0 if the client gets no Retry-After.
         retry_after: Micros,
     },
     /// Give the client its final answer: the request failed, and the job may or may not have run.
@@ -46,7 +46,7 @@
     Probe(WorkerId),
     /// Close idle connections to a worker.
     CloseIdle(WorkerId),
-    /// Subscribe to changes of the endpoint list, or unsubscribe.
+    /// Subscribe to changes of the endpoint list (`true`), or unsubscribe (`false`).
     Subscribe(bool),
     /// Fetch the complete endpoint list once.
     FetchEndpoints,
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -9,7 +9,7 @@
 use crate::slow_start::usable_slot_fraction;
 use crate::worker::Worker;
 
-/// A job may join a worker's queue up to this many slots in flight per slot of the worker.
+/// A job may join a worker's queue if the worker then has at most this many slots in flight per slot.
 const MAX_QUEUE_FACTOR: f64 = 2.0;
 /// Limit for a worker whose load is unknown, as a multiple of its fair share of the slots that this scheduler
 /// has in flight at all workers.
@@ -69,8 +69,8 @@
         worker.warm_up_fraction(self.now, &self.settings.rules)
     }
 
-    /// Returns the rate of work beyond which a warming worker fails, multiplied by this scheduler's fraction of
-    /// the work budget, in microseconds of work per microsecond.
+    /// Returns the rate of work beyond which a warming worker fails, multiplied by this scheduler's fraction
+    /// of the work budget, in microseconds of work per microsecond.
     pub(crate) fn overload_rate(&self, index: usize) -> f64 {
         let worker = &self.fleet[index];
         self.budget_share
--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -4,7 +4,7 @@
 use crate::test_support::{endpoint, fleet_of, settings, NOW};
 use crate::worker::{AttemptId, InFlightAttempt, OccupancyReport};
 
-/// An admission view at [`NOW`] of a single scheduler, with one slot per unit of weight.
+/// Returns the admission state of a single scheduler at [`NOW`], with one slot per unit of weight.
 fn admission<'a>(settings: &'a Settings, fleet: &'a Fleet) -> Admission<'a> {
     Admission { now: NOW, settings, fleet, slots_per_weight: 1.0, budget_share: 1.0 }
 }
--- a/crates/scheduling/src/candidates/tests.rs
+++ b/crates/scheduling/src/candidates/tests.rs
@@ -43,7 +43,7 @@
     let all_candidates = search(&settings(), &fleet, &request);
     request.attempts.push(attempt(all_candidates[0], AttemptState::MayHaveRun));
     request.attempts.push(attempt(all_candidates[2], AttemptState::NeverRan));
-    let index = fleet.index_of(all_candidates[1]).expect("listed");
+    let index = fleet.index_of(all_candidates[1]).expect("the worker is listed");
     fleet[index].outlier.extend_ejection(NOW, 1);
     assert_eq!(search(&settings(), &fleet, &request)[..2], all_candidates[2..]);
 }
@@ -96,7 +96,7 @@
     for scheduler_index in 0..30 {
         let settings = Settings { scheduler_index, scheduler_count: 30, ..settings() };
         let candidates = search(&settings, &fleet, &hot);
-        let start = fleet.get(candidates[0]).expect("listed");
+        let start = fleet.get(candidates[0]).expect("the worker is listed");
         assert_eq!(start.endpoint.zone, settings.zone);
         starts.insert(candidates[0]);
     }
--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -12,7 +12,8 @@
 
 /// A connection attempt that fails within the dial timeout divided by this number was refused immediately.
 const IMMEDIATE_REFUSAL_DIVISOR: Micros = 2;
-/// After the deadline, the attempt's own timeout is awaited for the answer slack divided by this number.
+/// After a request's deadline, the scheduler waits for the end of the request's attempt in flight for at most
+/// the answer slack divided by this number.
 const ANSWER_SLACK_DIVISOR: Micros = 2;
 
 /// The result of one attempt.
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -6,8 +6,8 @@
 
 /// How long a worker is avoided after it rejected an attempt, in microseconds.
 const REJECTION_PAUSE: Micros = 150_000;
-/// How long a worker is avoided after it refused a connection immediately, in microseconds. The worker's
-/// connections are used up until jobs end.
+/// How long a worker is avoided after it refused a connection immediately, in microseconds.
+/// The worker accepts no further connection until some of its jobs end.
 const REFUSED_CONNECTION_PAUSE: Micros = 600_000;
 /// The limit is multiplied by this factor after an error or a timeout.
 const DECREASE_FACTOR: f64 = 0.7;
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -174,7 +174,7 @@
 
 impl Scheduler {
     /// Sends a message about a worker to the worker's coordinator. If this scheduler is the coordinator, or
-    /// if schedulers don't coordinate, updates this scheduler's own account instead.
+    /// if schedulers don't coordinate, charges a started attempt to the worker's work budget instead.
     pub(crate) fn notify_coordinator(
         &mut self,
         now: Micros,
@@ -231,8 +231,8 @@
         let work = self.requests.get(id).map_or(0, PendingRequest::estimated_work);
         if coordinator == self.settings.scheduler_index {
             let slots = Some(self.occupancy_for(now, index, coordinator, work));
-            // Attempts sent at `now` are already in the account. A query time after `now` keeps them from
-            // being added to the report a second time.
+            // The reported slots already include attempts sent at `now`. A query time after `now` keeps these
+            // attempts from being added to the report a second time.
             self.fleet[index].occupancy_report = Some(OccupancyReport { slots, queried_at: now + 1 });
             return false;
         }
--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -13,7 +13,7 @@
 pub const LIST_CONFIRMATION_TIMEOUT: Micros = 5_000_000;
 /// Initial mean pause before discovery is polled again, in microseconds. Repeated failures double the pause.
 const BASE_BACKOFF: Micros = 100_000;
-/// Maximum pause that the doubling reaches, in microseconds.
+/// Maximum mean pause that the doubling reaches, in microseconds.
 const MAX_BACKOFF: Micros = 1_000_000;
 /// Maximum number of times the pause is doubled. The limit keeps the bit shift from overflowing.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
@@ -24,7 +24,8 @@
 const SPREAD_PER_PEER: Micros = 30_000;
 /// Maximum time over which the first polls are spread, in microseconds.
 const MAX_FIRST_SPREAD: Micros = 2_000_000;
-/// Maximum spread of polls after failures, in microseconds: the mean interval between one scheduler's polls.
+/// Maximum time over which polls are spread after failures, in microseconds; also the maximum mean interval
+/// between one scheduler's polls.
 const MAX_REPEATED_SPREAD: Micros = 2_000_000;
 /// Maximum number of times the spread is doubled.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
@@ -35,7 +36,7 @@
     /// Number of polls scheduled since the latest update that [`EndpointRefresh::record_update`] counts as a
     /// response.
     polls_since_response: u32,
-    /// Time of the latest poll, which may still lie ahead.
+    /// Time of the latest scheduled poll, which may be in the future.
     last_poll: Micros,
     /// End of the time in which jobs wait for a restored list to be confirmed; 0 if the list is confirmed.
     unconfirmed_until: Micros,
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -36,7 +36,7 @@
     pub started_at: Micros,
 }
 
-/// What the entries of an [`Event::Endpoints`] are.
+/// How the entries of an [`Event::Endpoints`] relate to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// The entries that have changed.
@@ -87,7 +87,7 @@
     pub key: Option<String>,
     /// When the client stops waiting for an answer.
     pub deadline: Micros,
-    /// Expected running time of the job at standard speed; `None` if the client gave none.
+    /// Expected running time of the job at standard speed; `None` if the client gave no estimate.
     pub expected_work: Option<Micros>,
     /// Number of slots that the job occupies at a worker.
     pub slots: f64,
@@ -95,7 +95,8 @@
     pub retry: bool,
 }
 
-/// A worker's load report. A value is `None` if it was not sent or was out of range.
+/// A worker's load report. A value is `None` if the worker did not send the value or the value was out of
+/// range.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Number of free slots.
@@ -165,7 +166,7 @@
 pub enum Event {
     /// The endpoint list has changed, or could not be fetched.
     Endpoints {
-        /// What the entries are.
+        /// How the entries relate to the endpoint list.
         update: EndpointUpdate,
         /// The entries.
         endpoints: Vec<Endpoint>,
--- a/crates/scheduling/src/fleet/tests.rs
+++ b/crates/scheduling/src/fleet/tests.rs
@@ -58,7 +58,7 @@
 fn removed_workers_without_attempts_in_flight_are_dropped_once_there_are_many() {
     let mut fleet = fleet_of((1..=100).map(endpoint));
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
-    let index = fleet.index_of(WorkerId(50)).expect("listed");
+    let index = fleet.index_of(WorkerId(50)).expect("the worker is listed");
     fleet[index].in_flight.push(InFlightAttempt { id, sent_at: NOW, slots: 1.0 });
     fleet.update(NOW, EndpointUpdate::Snapshot, (91..=100).map(endpoint).collect(), WeightSource::Size);
     assert_eq!((fleet.len(), fleet.ready_count()), (11, 10));
--- a/crates/scheduling/src/hot_keys.rs
+++ b/crates/scheduling/src/hot_keys.rs
@@ -13,7 +13,7 @@
 const MAX_KEYS: usize = 1024;
 /// Requests assumed in addition to the counted ones, so that a key isn't spread after only a few requests.
 const PRIOR_REQUESTS: f64 = 5.0;
-/// Like [`PRIOR_REQUESTS`], used if the load of workers is unknown.
+/// Requests assumed instead of [`PRIOR_REQUESTS`] if the load of workers is unknown.
 const PRIOR_REQUESTS_LOAD_UNKNOWN: f64 = 30.0;
 
 /// A count that decays exponentially.
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -59,7 +59,8 @@
 //!
 //! // A client's request arrives and is sent to a worker.
 //! scheduler.handle(2_000, Event::Request(request(1)), &mut actions);
-//! let sent_to = |action: &Action| if let Action::Send { worker, .. } = action { Some(*worker) } else { None };
+//! let sent_to =
+//!     |action: &Action| if let Action::Send { worker, .. } = action { Some(*worker) } else { None };
 //! let worker = actions.iter().find_map(sent_to).expect("the request is sent");
 //!
 //! // The worker rejects the request, which is then sent to the next worker on the ring.
--- a/crates/scheduling/src/migration/tests.rs
+++ b/crates/scheduling/src/migration/tests.rs
@@ -5,7 +5,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// An attempt that started at [`NOW`].
+/// Returns an attempt that started at [`NOW`].
 fn started(last_progress_at: Micros, fraction_done: f64) -> StartedAttempt {
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
     StartedAttempt { id, started_at: NOW, last_progress_at, fraction_done }
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -10,8 +10,8 @@
 const MAX_EJECTION: Micros = 8_000_000;
 /// The duration of an ejection is doubled at most this many times.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// Ejections apply while no more than this fraction of the ready workers is ejected, which is more than one
-/// zone. If more workers fail, the cause is a common one.
+/// Ejections apply while no more than this fraction of the ready workers is ejected. The fraction exceeds one
+/// zone. If more workers fail, the cause is assumed to affect all workers.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 
 /// Whether ejected workers are excluded from the candidates. `ejected` and `ready` are the numbers of ejected
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Halves the number of failures, so that a worker that rarely serves an attempt stays suspect. Ends the
-    /// ejection once no failure is left.
+    /// Halves the number of failures, so that a worker that rarely serves an attempt is soon ejected again.
+    /// Ends the ejection once no failure is left.
     fn record_success(&mut self) {
         self.consecutive_failures /= 2;
         if self.consecutive_failures == 0 {
--- a/crates/scheduling/src/outlier/tests.rs
+++ b/crates/scheduling/src/outlier/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::test_support::NOW;
 
-/// A detector that has recorded these outcomes.
+/// Returns a detector that has recorded these outcomes.
 fn detector_after(outcomes: &[Outcome]) -> OutlierDetector {
     let mut detector = OutlierDetector::default();
     for outcome in outcomes {
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -18,14 +18,13 @@
 /// Shortest mean pause before a queued request is placed again, in microseconds. The pause grows with the age
 /// of the request.
 pub(crate) const MIN_QUEUE_PAUSE: Micros = 200_000;
-/// If late answers are worthless, an attempt times out this fraction of its expected work after its latency
-/// objective: the job may exceed its expected work by that much.
+/// If late answers are worthless, an attempt times out this fraction of the request's expected work after the
+/// latency objective, because the job may exceed its expected work by that much.
 const MAX_OVERRUN: f64 = 0.3;
-/// A request without an attempt in flight is answered this many ticks plus [`ANSWER_MARGIN`] before its
-/// deadline.
+/// A request without an attempt in flight is answered this many ticks plus [`ANSWER_MARGIN`] before the
+/// request's deadline.
 const ANSWER_MARGIN_TICKS: Micros = 2;
-/// Time before its deadline, besides [`ANSWER_MARGIN_TICKS`], at which a request without an attempt in flight
-/// is answered, in microseconds.
+/// Time that is added to [`ANSWER_MARGIN_TICKS`] ticks, in microseconds.
 const ANSWER_MARGIN: Micros = 2_000;
 
 /// The properties of a request that the choice among its candidates depends on.
@@ -49,7 +48,7 @@
             is_retry: !pending.attempts.is_empty(),
             is_spread: pending.spread != 1,
             reports_timed_out: pending.awaits_occupancy_until.is_some_and(|until| now >= until),
-            is_late: now > pending.objective_missed_from(1.0),
+            is_late: now > pending.objective_missed_after(1.0),
         }
     }
 }
@@ -201,7 +200,7 @@
     /// Returns the worker whose queue the request joins, if any. A late request joins no queue; otherwise
     /// queues would stay long and make all later requests late. A retry joins a queue only if the worker's
     /// load is unknown. If the load is known, the retry waits at the scheduler, because other workers have
-    /// not cached the data of its key.
+    /// not cached the data of the request's key.
     fn select_queue(&self, now: Micros, context: &PlacementContext, candidates: &[usize]) -> Option<usize> {
         let admission = self.admission(now);
         let index = admission.least_loaded(candidates, context.slots)?;
@@ -228,7 +227,7 @@
         request.awaits_occupancy_until = None;
         let pause = MIN_QUEUE_PAUSE.max(now.saturating_sub(request.arrived_at));
         let latest = if request.is_worthless_when_late() {
-            request.objective_missed_from(1.0) + 1
+            request.objective_missed_after(1.0) + 1
         } else {
             Micros::MAX
         };
@@ -264,7 +263,7 @@
         });
         request.is_queued = false;
         request.awaits_occupancy_until = None;
-        let times_out_at = request.objective_missed_from(-MAX_OVERRUN);
+        let times_out_at = request.objective_missed_after(-MAX_OVERRUN);
         let timeout = request.is_worthless_when_late().then(|| times_out_at.saturating_sub(now).max(1));
         actions.push(Action::Send { request: id, worker: worker.endpoint.worker, timeout });
         if migration::is_enabled(&self.settings) {
@@ -272,7 +271,8 @@
             actions.push(Action::SetTimer { at, token: Timer::AttemptCheck(request.sequence).token() });
         }
         if worker.is_warming_up(now, &self.settings.rules) {
-            // The report holds for one attempt: the worker's coordinator reserved capacity for this one only.
+            // The report is valid for one attempt only, because the worker's coordinator reserved capacity
+            // for one attempt.
             worker.occupancy_report = None;
         }
         let message = PeerMessage::AttemptStarted { slots: request.slots, work: request.estimated_work() };
--- a/crates/scheduling/src/placement/tests.rs
+++ b/crates/scheduling/src/placement/tests.rs
@@ -4,7 +4,7 @@
 use crate::settings::{LoadReportSource, Settings};
 use crate::test_support::{endpoint, settings, NOW};
 
-/// A request with a key and without a hint of its work, five seconds before its deadline.
+/// Returns a request with a key and without a hint of its work, five seconds before its deadline.
 fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -18,7 +18,7 @@
     }
 }
 
-/// A scheduler that knows the workers with numbers from 1 to `workers`.
+/// Returns a scheduler that knows the workers with numbers from 1 to `workers`.
 fn scheduler(settings: Settings, workers: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(settings, 1).expect("the settings are valid");
     let endpoints = (1..=workers).map(endpoint).collect();
@@ -26,14 +26,14 @@
     scheduler
 }
 
-/// Hands a request to the scheduler and returns the actions.
+/// Passes a request to the scheduler and returns the actions.
 fn submit(scheduler: &mut Scheduler, request: &Request) -> Vec<Action> {
     let mut actions = Vec::new();
     scheduler.on_request(NOW, request, &mut actions);
     actions
 }
 
-/// The action that sets a timer.
+/// Returns the action that sets a timer.
 fn timer(at: Micros, timer: Timer) -> Action {
     Action::SetTimer { at, token: timer.token() }
 }
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -20,8 +20,9 @@
 /// An attempt of a pending request.
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
-    /// The worker's occupancy per unit of weight when the attempt was sent, in slots, including the attempt's
-    /// own slots; `None` if the occupancy was unknown.
+    /// The worker's occupancy per unit of weight when the attempt was sent, in slots; `None` if the occupancy
+    /// was unknown. The attempt's own slots are included, unless this scheduler is the worker's coordinator
+    /// and took the occupancy report at the time of sending.
     pub(crate) occupancy_at_send: Option<f64>,
     pub(crate) state: AttemptState,
     pub(crate) sent_at: Micros,
@@ -62,9 +63,9 @@
 }
 
 impl PendingRequest {
-    /// Returns the time from which on the request misses its latency objective if the remaining work is
-    /// `remaining_work_factor` times its expected work.
-    pub(crate) fn objective_missed_from(&self, remaining_work_factor: f64) -> Micros {
+    /// Returns the time after which the request misses its latency objective if the remaining work is
+    /// `remaining_work_factor` times the expected work.
+    pub(crate) fn objective_missed_after(&self, remaining_work_factor: f64) -> Micros {
         let work_allowance = (self.class.objective_per_work - remaining_work_factor).max(0.0);
         self.arrived_at
             + self.class.latency_objective
@@ -157,7 +158,7 @@
         self.by_id.iter().filter(|(_, request)| request.is_queued).map(|(id, _)| *id).collect()
     }
 
-    /// Lowers the attempts of all pending requests to the limit of new settings.
+    /// Lowers the maximum number of attempts of all pending requests to the limit of new settings.
     pub(crate) fn limit_attempts(&mut self, max_attempts: u32) {
         for request in self.by_id.values_mut() {
             request.max_attempts = request.max_attempts.min(max_attempts);
--- a/crates/scheduling/src/request/tests.rs
+++ b/crates/scheduling/src/request/tests.rs
@@ -3,7 +3,7 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// An idempotent request that arrived at 100 ms and gives no hint of its work.
+/// Returns an idempotent request that arrived at 100 ms and gives no hint of its work.
 fn request() -> PendingRequest {
     let class = Class {
         latency_objective: 500 * MILLISECOND,
@@ -22,10 +22,10 @@
 #[test]
 fn the_objective_is_missed_once_it_leaves_no_time_for_the_remaining_work() {
     let hinted = PendingRequest { expected_work: 300 * MILLISECOND, ..request() };
-    assert_eq!(hinted.objective_missed_from(0.0), 1_200 * MILLISECOND);
-    assert_eq!(hinted.objective_missed_from(1.0), 900 * MILLISECOND);
-    assert_eq!(hinted.objective_missed_from(5.0), 600 * MILLISECOND);
-    assert_eq!(request().objective_missed_from(0.0), 600 * MILLISECOND);
+    assert_eq!(hinted.objective_missed_after(0.0), 1_200 * MILLISECOND);
+    assert_eq!(hinted.objective_missed_after(1.0), 900 * MILLISECOND);
+    assert_eq!(hinted.objective_missed_after(5.0), 600 * MILLISECOND);
+    assert_eq!(request().objective_missed_after(0.0), 600 * MILLISECOND);
 }
 
 #[test]
--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Replaces the settings; pending requests and what was learned about workers stay.
+    /// Replaces the settings. Pending requests and what was learned about workers stay; a lower maximum of
+    /// attempts applies to pending requests too.
     fn on_settings(&mut self, settings: Settings) {
         self.requests.limit_attempts(settings.limits.max_attempts);
         self.settings = settings;
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -109,7 +109,7 @@
 pub struct Limits {
     /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging: bool,
     /// A connection that is not established within this time has failed.
     pub dial_timeout: Micros,
@@ -135,7 +135,7 @@
     /// With [`EndpointDelivery::Poll`]: a scheduler that has not polled for this long counts as notified of a
     /// change.
     pub poll_within: Option<Micros>,
-    /// Fraction of its full capacity that a worker has at least when it starts.
+    /// Smallest fraction of its full capacity that a worker has right after its start.
     pub slow_start_floor: f64,
     /// Time after its start by which a worker has its full capacity.
     pub slow_start_time: Micros,
--- a/crates/scheduling/src/slow_start.rs
+++ b/crates/scheduling/src/slow_start.rs
@@ -67,8 +67,8 @@
 /// The work budget of a warming worker: a leaky bucket that holds the work sent to the worker, minus the work
 /// that the worker can have done since.
 ///
-/// The parameter `overload_rate` of the methods is the rate of work beyond which the worker fails, in microseconds of work per
-/// microsecond.
+/// The parameter `overload_rate` of the methods is the rate of work beyond which the worker fails, multiplied
+/// by the scheduler's fraction of the work budget, in microseconds of work per microsecond.
 #[derive(Default)]
 pub(crate) struct WorkBudget {
     /// Work in the bucket at the time `charged_at`, in microseconds.
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -12,8 +12,8 @@
 pub(crate) const MAX_START_DELAY: Micros = 60_000;
 /// Age from which an occupancy report no longer counts, in microseconds.
 const MAX_REPORT_AGE: Micros = 1_000_000;
-/// A worker's occupancy is not queried again while its report is younger than this, in microseconds: a round
-/// trip and a tick.
+/// An occupancy report younger than this, in microseconds, is used instead of a new query. The value allows
+/// for a message's round trip and a tick.
 const FRESH_REPORT_AGE: Micros = 20_000;
 /// Lower bound of the weight that a load is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
@@ -134,7 +134,8 @@
             .is_some_and(|report| now.saturating_sub(report.queried_at) < FRESH_REPORT_AGE)
     }
 
-    /// Whether a job of this scheduler has not been reported as started in time: the worker's slots are full.
+    /// Whether a job of this scheduler has not been reported as started in time, which means that the
+    /// worker's slots are full.
     pub(crate) fn has_delayed_start(&self, now: Micros) -> bool {
         let is_delayed = |attempt: &InFlightAttempt| {
             attempt.sent_at + MAX_START_DELAY < now && self.started_attempt(attempt.id).is_none()
--- a/crates/scheduling/src/worker/tests.rs
+++ b/crates/scheduling/src/worker/tests.rs
@@ -9,7 +9,7 @@
     AttemptId { request: RequestId(request), number: AttemptNo(0) }
 }
 
-fn sent(request: u64, sent_at: Micros, slots: f64) -> InFlightAttempt {
+fn in_flight_attempt(request: u64, sent_at: Micros, slots: f64) -> InFlightAttempt {
     InFlightAttempt { id: first_attempt(request), sent_at, slots }
 }
 
@@ -17,7 +17,7 @@
 fn occupancy_is_the_latest_report_plus_slots_sent_since_until_the_report_is_too_old() {
     let mut worker = worker();
     assert_eq!(worker.occupancy(NOW), None);
-    worker.in_flight = vec![sent(1, NOW - 2, 1.0), sent(2, NOW, 2.0)];
+    worker.in_flight = vec![in_flight_attempt(1, NOW - 2, 1.0), in_flight_attempt(2, NOW, 2.0)];
     worker.occupancy_report = Some(OccupancyReport { slots: Some(3.0), queried_at: NOW - 1 });
     assert_eq!(worker.occupancy(NOW), Some(5.0));
     assert_eq!(worker.occupancy_per_weight(NOW), Some(2.5));
@@ -43,7 +43,7 @@
 #[test]
 fn a_job_that_is_not_reported_as_started_in_time_counts_as_a_delayed_start() {
     let mut worker = worker();
-    worker.in_flight = vec![sent(1, NOW, 1.0)];
+    worker.in_flight = vec![in_flight_attempt(1, NOW, 1.0)];
     assert!(!worker.has_delayed_start(NOW + MAX_START_DELAY));
     assert!(worker.has_delayed_start(NOW + MAX_START_DELAY + 1));
     worker.started = vec![StartedAttempt {
@@ -58,7 +58,7 @@
 #[test]
 fn a_restarted_worker_keeps_its_attempts_and_points_and_loses_what_was_learned() {
     let mut worker = worker();
-    worker.in_flight = vec![sent(1, NOW, 1.0)];
+    worker.in_flight = vec![in_flight_attempt(1, NOW, 1.0)];
     worker.points = 7;
     (0..3).for_each(|_| worker.record_result(NOW, Outcome::Error, false));
     assert!(worker.outlier.is_ejected(NOW));
@@ -71,7 +71,7 @@
 #[test]
 fn an_attempt_is_removed_once() {
     let mut worker = worker();
-    worker.in_flight = vec![sent(1, NOW, 1.0), sent(2, NOW, 2.0)];
+    worker.in_flight = vec![in_flight_attempt(1, NOW, 1.0), in_flight_attempt(2, NOW, 2.0)];
     assert!(worker.remove_attempt(first_attempt(1)));
     assert!(!worker.remove_attempt(first_attempt(1)));
     assert_eq!(worker.slots_from_this_scheduler(), 2.0);
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -30,7 +30,10 @@
         assert!(*jobs <= 1.3 * share + 1.0, "{jobs} of 200 jobs at {worker:?}, whose share is {share}");
     }
     let jobs_at_home = jobs_of_popular_key.values().max();
-    assert!(jobs_at_home >= Some(&15), "the popular key has no home: {jobs_of_popular_key:?}");
+    assert!(
+        jobs_at_home >= Some(&15),
+        "too few jobs of the popular key went to one worker: {jobs_of_popular_key:?}"
+    );
 }
 
 /// If a late answer is worthless, work on it takes the worker's time from jobs that can still be in time;
@@ -110,8 +113,8 @@
 }
 
 /// A worker that answers quickly with errors looks idle, and would be sent more jobs than any other worker.
-/// Such a worker is ejected, each time for longer, even if it serves every second job. A worker is
-/// not excluded for one error in fifty jobs, or if all workers answer with errors.
+/// Such a worker is ejected, each time for longer, even if the worker serves every second job. A worker is
+/// not ejected for one error in fifty jobs, and ejections are ignored if all workers answer with errors.
 #[test]
 fn a_worker_that_repeatedly_answers_with_errors_is_ejected() {
     let percent_of_jobs_at_worker = |fails: &dyn Fn(WorkerId, u64) -> bool| {
--- a/crates/scheduling/tests/endpoint_refresh.rs
+++ b/crates/scheduling/tests/endpoint_refresh.rs
@@ -124,7 +124,7 @@
             assert_eq!(
                 late_count(4 * SECOND),
                 0,
-                "late schedulers of {schedulers} after an outage of {outage} us"
+                "number of late schedulers among {schedulers} after an outage of {outage} us"
             );
             // Discovery serves at most three quarters of the schedulers in 6 s. A third may be late: the
             // remaining quarter and one in twelve more.
@@ -179,7 +179,7 @@
             .into_iter()
             .filter(|delay| *delay > LIST_CONFIRMATION_TIMEOUT)
             .count();
-        assert_eq!(late_count, 0, "late schedulers of {scheduler_count}");
+        assert_eq!(late_count, 0, "number of late schedulers among {scheduler_count}");
     }
 }
 
--- a/crates/scheduling/tests/migration.rs
+++ b/crates/scheduling/tests/migration.rs
@@ -5,7 +5,7 @@
 use common::*;
 use vetchbridge_scheduling::*;
 
-/// A scheduler that may migrate attempts, with twelve workers that report progress every second.
+/// Returns a scheduler that may migrate attempts, with twelve workers that report progress every second.
 fn migrating_driver() -> Driver {
     let mut settings = Settings { reports_start: true, progress_interval: SECOND, ..settings() };
     settings.limits.hedging = true;
@@ -26,7 +26,7 @@
     driver.now = end;
 }
 
-/// A progress report of the request's first attempt.
+/// Returns a progress report of the first attempt of request 1.
 fn progress_report(progress: JobProgress) -> Event {
     Event::JobProgress { request: RequestId(1), attempt: AttemptNo(0), progress }
 }
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -16,7 +16,7 @@
 const MAX_ATTEMPTS: usize = 4;
 const ANSWER_SLACK: Micros = 8 * MILLISECOND;
 
-/// What the checks know of an attempt.
+/// An attempt, as recorded for the checks.
 struct AttemptRecord {
     worker: WorkerId,
     sent_at: Micros,
@@ -24,7 +24,7 @@
     may_have_run: Option<bool>,
 }
 
-/// What the checks know of a request.
+/// A request, as recorded for the checks.
 struct RequestRecord {
     class: u32,
     deadline: Micros,
@@ -248,7 +248,7 @@
         self.finish_attempt(&ended, OUTCOMES[b as usize % OUTCOMES.len()], Some(load));
     }
 
-    /// Delivers a message from a peer that is no reply; the message may be truncated.
+    /// Delivers a message other than a reply from a peer; the message may be truncated.
     fn deliver_message(&mut self, a: u8, b: u8) {
         let messages = [
             PeerMessage::OccupancyQuery { work: SECOND },
--- a/crates/scheduling/tests/retry.rs
+++ b/crates/scheduling/tests/retry.rs
@@ -75,9 +75,9 @@
 #[test]
 fn a_keyed_job_that_may_have_run_is_rejected_only_while_workers_drop_its_repeat() {
     for (name, age, is_harmless) in [
-        ("within its window", SECOND, true),
-        ("as it ends", 2 * SECOND - 300 * MILLISECOND, false),
-        ("after it", 3 * SECOND, false),
+        ("within the window", SECOND, true),
+        ("shortly before the end of the window", 2 * SECOND - 300 * MILLISECOND, false),
+        ("after the window", 3 * SECOND, false),
     ] {
         let mut driver = Driver::with_fleet(settings(), 6);
         let Idempotency::Keyed { deduplication_window, .. } =
--- a/crates/scheduling/tests/settings_changes.rs
+++ b/crates/scheduling/tests/settings_changes.rs
@@ -16,12 +16,12 @@
             true,
         ),
     ] {
-        let with =
+        let settings_with =
             |idempotency, classes| Settings { classes: vec![class(idempotency); classes], ..settings() };
-        let mut driver = Driver::with_fleet(with(before, 2), 23);
+        let mut driver = Driver::with_fleet(settings_with(before, 2), 23);
         let pending = sent_to(&driver.request(1, 1, "k"));
         // The pending request belongs to the second class; the new settings have only one, different class.
-        driver.event(Event::Settings(Box::new(with(after, 1))));
+        driver.event(Event::Settings(Box::new(settings_with(after, 1))));
         assert_eq!(
             sent_workers(&driver.event(attempt_finished(1, 0, pending, Outcome::Error))).len(),
             usize::from(resent),
@@ -37,11 +37,11 @@
 #[test]
 fn a_new_maximum_of_attempts_applies_to_pending_requests_only_if_it_is_lower() {
     for (before, after) in [(4, 2), (2, 4)] {
-        let with =
+        let settings_with =
             |max_attempts| Settings { limits: Limits { max_attempts, ..settings().limits }, ..settings() };
-        let mut driver = Driver::with_fleet(with(before), 12);
+        let mut driver = Driver::with_fleet(settings_with(before), 12);
         let mut worker = sent_to(&driver.request(1, IDEMPOTENT, "k"));
-        driver.event(Event::Settings(Box::new(with(after))));
+        driver.event(Event::Settings(Box::new(settings_with(after))));
         worker = sent_to(&driver.event(attempt_finished(1, 0, worker, Outcome::Error)));
         let last = driver.event(attempt_finished(1, 1, worker, Outcome::Error));
         assert!(sent_workers(&last).is_empty() && has_rejection(&last), "{before} to {after}: {last:?}");
--- a/crates/scheduling/tests/slow_start.rs
+++ b/crates/scheduling/tests/slow_start.rs
@@ -226,7 +226,8 @@
     fn arrived_messages(&mut self, now: Micros) -> Vec<(usize, Event)> {
         let mut events = Vec::new();
         while self.messages_in_transit.front().is_some_and(|(at, ..)| *at <= now) {
-            let (_, recipient, message) = self.messages_in_transit.pop_front().expect("just seen");
+            let (_, recipient, message) =
+                self.messages_in_transit.pop_front().expect("a message has arrived");
             events.push((recipient, message));
         }
         events
