--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_job_joins_the_shortest_queue_unless_all_are_long_or_warming_up() {
+fn a_job_joins_the_shortest_queue_unless_all_queues_are_long_or_the_workers_are_warming_up() {
     let settings = settings();
     let mut fleet = fleet_of((1..=3).map(endpoint));
     for (index, occupancy) in [1.0, 0.5, 2.0].into_iter().enumerate() {
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -65,8 +65,8 @@
         now < self.rejecting_until
     }
 
-    /// Returns the time until which the worker is expected to reject attempts; a time in the past if no
-    /// rejection is expected.
+    /// Returns the time until which the worker is expected to reject attempts. The time lies in the past if
+    /// no rejection is expected.
     pub(crate) fn rejecting_until(&self) -> Micros {
         self.rejecting_until
     }
--- a/crates/scheduling/src/fleet/tests.rs
+++ b/crates/scheduling/src/fleet/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_worker_missing_from_a_complete_list_is_not_ready_but_one_missing_from_changes_stays() {
+fn a_worker_missing_from_a_complete_list_is_not_ready_but_a_worker_missing_from_changes_stays() {
     let mut fleet = fleet_of((1..=3).map(endpoint));
     apply_change(&mut fleet, endpoint(4));
     assert_eq!(fleet.ready_count(), 4);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn removed_workers_without_attempts_in_flight_are_dropped_once_there_are_many() {
+fn removed_workers_without_attempts_in_flight_are_dropped_once_there_are_many_workers() {
     let mut fleet = fleet_of((1..=100).map(endpoint));
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
     let index = fleet.index_of(WorkerId(50)).expect("the worker is listed");
--- a/crates/scheduling/src/hot_keys/tests.rs
+++ b/crates/scheduling/src/hot_keys/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn keys_with_the_smallest_counts_are_removed_when_there_are_too_many_keys() {
+fn keys_whose_counts_have_decayed_below_one_are_removed_when_there_are_too_many_keys() {
     let mut keys = HotKeys::default();
     (0..MAX_KEYS as u64).for_each(|key| _ = keys.record(0, key, &TWENTY_WORKERS));
     keys.record(SECOND, 5, &TWENTY_WORKERS);
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -77,7 +77,7 @@
         now < self.ejected_until
     }
 
-    /// Returns when the ejection ends; a time in the past if the worker is not ejected.
+    /// Returns when the ejection ends. The time lies in the past if the worker is not ejected.
     pub(crate) fn ejected_until(&self) -> Micros {
         self.ejected_until
     }
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -46,7 +46,7 @@
     pub(crate) class: Class,
     /// Attempts allowed: the smallest limit of all settings in effect since the request arrived.
     pub(crate) max_attempts: u32,
-    /// Position on the ring: the hash of the request's key, or of its id if it has no key.
+    /// Position on the ring: the hash of the request's key, or of the request's id if the request has no key.
     pub(crate) key_hash: u64,
     pub(crate) slots: f64,
     /// Expected work, in microseconds; 0 if the client gave no hint.
--- a/crates/scheduling/tests/coordination.rs
+++ b/crates/scheduling/tests/coordination.rs
@@ -187,7 +187,7 @@
     );
 }
 
-/// Notifies every scheduler of a peer's attempt at each worker that takes `slots_per_worker` slots.
+/// Notifies every scheduler that a peer has sent an attempt of `slots_per_worker` slots to each worker.
 fn occupy_workers(fleet: &mut Fleet, workers: u64, slots_per_worker: f64) {
     for scheduler_index in 0..fleet.schedulers.len() as u32 {
         for worker in (1..=workers).map(WorkerId) {
--- a/crates/scheduling/tests/isolated_schedulers.rs
+++ b/crates/scheduling/tests/isolated_schedulers.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Returns three schedulers that exchange no messages. Workers do not report job starts, and report their load only
-/// in response to probes.
+/// Returns three schedulers that exchange no messages. Workers do not report job starts, and report their
+/// load only in response to probes.
 fn isolated_schedulers(seed: u64) -> Vec<Driver> {
     let classes = [(Idempotency::Idempotent, 2.5), (Idempotency::NonIdempotent, 1.75)];
     let classes = classes.map(|(idempotency, objective_per_work)| Class {
--- a/crates/scheduling/tests/outlier.rs
+++ b/crates/scheduling/tests/outlier.rs
@@ -5,8 +5,8 @@
 use common::*;
 use vetchbridge_scheduling::*;
 
-/// Returns a scheduler with twelve workers. The scheduler has served jobs with so many keys that no key counts
-/// as hot.
+/// Returns a scheduler with twelve workers. The scheduler has served jobs with so many keys that no key
+/// counts as hot.
 fn busy_driver() -> Driver {
     let mut driver = Driver::with_fleet(settings(), 12);
     for id in 1000..1200 {
