--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -10,8 +10,8 @@
 use crate::settings::{Idempotency, Settings};
 use crate::worker::Worker;
 
-/// Largest number of candidates for one decision, apart from the warming workers that come last. Bounds the
-/// cost of a decision when all neighbours on the ring are full.
+/// Largest number of candidates for one decision, apart from the warming workers that come last. The limit
+/// bounds the cost of a decision when all neighbours on the ring are full.
 const MAX_CANDIDATES: usize = 4;
 /// Largest number of warming workers that come after the other candidates.
 const MAX_WARMING_CANDIDATES: usize = 2;
@@ -74,8 +74,8 @@
             && !(self.enforce_ejections && worker.outlier.is_ejected(self.now))
     }
 
-    /// Whether the worker would drop this request's job as a repeat if the job has run before. True for jobs
-    /// that have not run and for jobs that are not keyed.
+    /// Whether the worker would drop this request's job as a repeat if the job has run before. Returns `true`
+    /// for jobs that have not run and for jobs that are not keyed.
     fn drops_repeat_at(&self, worker: &Worker) -> bool {
         let (Some(first), Idempotency::Keyed { scope, .. }) =
             (self.request.first_run(), self.request.class.idempotency)
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -12,7 +12,7 @@
 /// Removed workers are kept while the number of all workers is below twice the number of ready workers plus
 /// this number.
 const MAX_REMOVED_WORKERS: usize = 64;
-/// A relative change of a worker's weight up to this is ignored.
+/// A change of a worker's weight by at most this fraction of the weight is ignored.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
 /// The workers in the order in which they were first listed.
