--- a/crates/scheduling/src/slow_start/tests.rs
+++ b/crates/scheduling/src/slow_start/tests.rs
@@ -50,7 +50,7 @@
     let empty = budget.remaining(NOW, rate, overload_time);
     assert!(
         (empty - 0.6e6).abs() < 1.0,
-        "the budget should be a fifth of the work that overloads the worker, but is {empty}"
+        "should be a fifth of the work that overloads the worker within the overload time, but is {empty}"
     );
     budget.charge(NOW, rate, SECOND);
     assert_eq!(budget.remaining(NOW, rate, overload_time), empty - 1e6);
