--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -9,7 +9,7 @@
 use crate::slow_start::usable_slot_fraction;
 use crate::worker::Worker;
 
-/// A job may join a worker's queue up to this many slots in flight per slot of the worker.
+/// A job may join a worker's queue if the worker then has at most this many slots in flight per slot.
 const MAX_QUEUE_FACTOR: f64 = 2.0;
 /// Limit for a worker whose load is unknown, as a multiple of its fair share of the slots that this scheduler
 /// has in flight at all workers.
@@ -18,18 +18,18 @@
 /// which one job start corrects the estimate.
 const SLOTS_LEARNING_RATE: f64 = 0.05;
 /// Assumed slots per unit of weight before the first job start is observed.
-const INITIAL_SLOTS_PER_UNIT: f64 = 1.0;
+const INITIAL_SLOTS_PER_WEIGHT: f64 = 1.0;
 
 /// Estimated slots per unit of worker weight, learned from how soon this scheduler's jobs start.
-pub(crate) struct SlotsPerUnit(f64);
+pub(crate) struct SlotsPerWeight(f64);
 
-impl Default for SlotsPerUnit {
-    fn default() -> SlotsPerUnit {
-        SlotsPerUnit(INITIAL_SLOTS_PER_UNIT)
+impl Default for SlotsPerWeight {
+    fn default() -> SlotsPerWeight {
+        SlotsPerWeight(INITIAL_SLOTS_PER_WEIGHT)
     }
 }
 
-impl SlotsPerUnit {
+impl SlotsPerWeight {
     pub(crate) fn get(&self) -> f64 {
         self.0
     }
@@ -59,8 +59,8 @@
     pub(crate) settings: &'a Settings,
     pub(crate) fleet: &'a Fleet,
     /// Estimated slots per unit of worker weight.
-    pub(crate) slots_per_unit: f64,
-    /// This scheduler's fraction of the work that all schedulers together may send to a warming worker.
+    pub(crate) slots_per_weight: f64,
+    /// Fraction of a warming worker's work budget that this scheduler may spend.
     pub(crate) budget_share: f64,
 }
 
@@ -69,20 +69,22 @@
         worker.warm_up_fraction(self.now, &self.settings.rules)
     }
 
-    /// Returns this scheduler's fraction of the rate of work beyond which a warming worker fails.
+    /// Returns the rate of work beyond which a warming worker fails, multiplied by this scheduler's fraction
+    /// of the work budget, in microseconds of work per microsecond.
     pub(crate) fn overload_rate(&self, index: usize) -> f64 {
         let worker = &self.fleet[index];
         self.budget_share
-            * self.slots_per_unit
+            * self.slots_per_weight
             * worker.weight
             * self.warm_up_fraction(worker)
             * self.settings.rules.overload_factor
     }
 
-    /// Returns how much more work this scheduler may send to a warming worker, in microseconds of work.
+    /// Returns how much of a warming worker's work budget this scheduler may still spend, in microseconds of
+    /// work. The result is negative if too much work was sent.
     pub(crate) fn remaining_work(&self, index: usize) -> f64 {
         let overload_time = self.settings.rules.overload_time;
-        self.fleet[index].admitted_work.remaining(self.now, self.overload_rate(index), overload_time)
+        self.fleet[index].work_budget.remaining(self.now, self.overload_rate(index), overload_time)
     }
 
     /// Whether this scheduler may send a job of this many slots to a worker now.
@@ -93,26 +95,26 @@
             && !self.is_busy(worker, slots)
     }
 
-    /// Whether slow start allows a job at this worker. A warming worker takes a job only if its load is known
-    /// or it is the request's home, and only while its admission budget is not used up.
+    /// Whether slow start allows a job at this worker. A warming worker takes a job only if the worker's load
+    /// is known or the worker is the request's home, and only while the work budget is not used up.
     fn slow_start_allows(&self, index: usize, role: CandidateRole) -> bool {
         let worker = &self.fleet[index];
         if self.warm_up_fraction(worker) >= 1.0 {
             return true;
         }
         let load_is_known = role == CandidateRole::Home || worker.occupancy(self.now).is_some();
-        // If schedulers coordinate, the worker's coordinator has already checked the budget.
+        // If schedulers coordinate, the worker's coordinator has already checked the work budget.
         load_is_known && (coordination::is_enabled(self.settings) || self.remaining_work(index) >= 0.0)
     }
 
     fn fair_share_allows(&self, index: usize, slots: f64) -> bool {
-        let in_flight = self.fleet[index].own_slots();
+        let in_flight = self.fleet[index].slots_from_this_scheduler();
         self.fair_share_limit(index).is_none_or(|limit| in_flight + slots <= limit.max(slots))
     }
 
     fn is_busy(&self, worker: &Worker, slots: f64) -> bool {
         let start_is_delayed = self.settings.reports_start && worker.has_delayed_start(self.now);
-        let usable_slots = self.slots_per_unit * usable_slot_fraction(self.warm_up_fraction(worker));
+        let usable_slots = self.slots_per_weight * usable_slot_fraction(self.warm_up_fraction(worker));
         start_is_delayed || worker.is_busy(self.now, slots, usable_slots)
     }
 
@@ -128,7 +130,7 @@
         // The total starts at one slot for the job that is being placed.
         let (mut total_slots, mut total_capacity) = (1.0, 0.0);
         for ready in self.fleet.ready() {
-            total_slots += ready.own_slots();
+            total_slots += ready.slots_from_this_scheduler();
             total_capacity += capacity(ready);
         }
         Some(MAX_FAIR_SHARE_FACTOR * total_slots * capacity(worker) / total_capacity)
@@ -144,7 +146,7 @@
 
     fn may_join_queue(&self, index: usize, slots: f64) -> bool {
         let worker = &self.fleet[index];
-        let max_occupancy = MAX_QUEUE_FACTOR * self.slots_per_unit * worker.weight;
+        let max_occupancy = MAX_QUEUE_FACTOR * self.slots_per_weight * worker.weight;
         let queue_is_short =
             worker.occupancy(self.now).is_none_or(|occupancy| occupancy + slots <= max_occupancy);
         !worker.concurrency_limit.is_rejecting(self.now)
@@ -159,7 +161,7 @@
             now,
             settings: &self.settings,
             fleet: &self.fleet,
-            slots_per_unit: self.slots_per_unit.get(),
+            slots_per_weight: self.slots_per_weight.get(),
             budget_share: self.coordinators.budget_share(&self.settings),
         }
     }
--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -4,9 +4,9 @@
 use crate::test_support::{endpoint, fleet_of, settings, NOW};
 use crate::worker::{AttemptId, InFlightAttempt, OccupancyReport};
 
-/// An admission view at [`NOW`] of a single scheduler, with one slot per unit of weight.
+/// Returns the admission state of a single scheduler at [`NOW`], with one slot per unit of weight.
 fn admission<'a>(settings: &'a Settings, fleet: &'a Fleet) -> Admission<'a> {
-    Admission { now: NOW, settings, fleet, slots_per_unit: 1.0, budget_share: 1.0 }
+    Admission { now: NOW, settings, fleet, slots_per_weight: 1.0, budget_share: 1.0 }
 }
 
 /// Adds an attempt of this scheduler to the worker at `index`.
@@ -17,12 +17,12 @@
 
 /// Sets the occupancy that the coordinator reported for the worker at `index`.
 fn set_occupancy(fleet: &mut Fleet, index: usize, slots: f64) {
-    fleet[index].report = Some(OccupancyReport { slots: Some(slots), queried_at: NOW });
+    fleet[index].occupancy_report = Some(OccupancyReport { slots: Some(slots), queried_at: NOW });
 }
 
 #[test]
-fn slots_per_unit_of_weight_changes_only_after_starts_that_contradict_the_estimate() {
-    let mut slots = SlotsPerUnit::default();
+fn the_estimated_slots_per_weight_change_only_after_starts_that_contradict_the_estimate() {
+    let mut slots = SlotsPerWeight::default();
     slots.record_start(0.5, true);
     slots.record_start(2.0, false);
     assert_eq!(slots.get(), 1.0, "both starts agree with the estimate");
@@ -57,18 +57,18 @@
 }
 
 #[test]
-fn a_warming_worker_takes_nothing_once_its_admission_budget_is_used_up() {
+fn a_warming_worker_takes_nothing_once_its_work_budget_is_used_up() {
     let settings = settings();
     let mut fleet = fleet_of([Endpoint { started_at: NOW, ..endpoint(1) }]);
     let rate = admission(&settings, &fleet).overload_rate(0);
     assert_eq!(rate, 0.25 * 3.0);
-    fleet[0].admitted_work.charge(NOW, rate, 1_000_000);
+    fleet[0].work_budget.charge(NOW, rate, 1_000_000);
     assert!(admission(&settings, &fleet).remaining_work(0) < 0.0);
     assert!(!admission(&settings, &fleet).has_capacity(0, 1.0, CandidateRole::Home));
 }
 
 #[test]
-fn a_job_joins_the_shortest_queue_unless_all_are_long_or_warming_up() {
+fn a_job_joins_the_shortest_queue_unless_all_queues_are_long_or_the_workers_are_warming_up() {
     let settings = settings();
     let mut fleet = fleet_of((1..=3).map(endpoint));
     for (index, occupancy) in [1.0, 0.5, 2.0].into_iter().enumerate() {
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -6,8 +6,8 @@
 
 /// How long a worker is avoided after it rejected an attempt, in microseconds.
 const REJECTION_PAUSE: Micros = 150_000;
-/// How long a worker is avoided after it refused a connection at once, in microseconds. The worker's
-/// connections are used up until jobs end.
+/// How long a worker is avoided after it refused a connection immediately, in microseconds.
+/// The worker accepts no further connection until some of its jobs end.
 const REFUSED_CONNECTION_PAUSE: Micros = 600_000;
 /// The limit is multiplied by this factor after an error or a timeout.
 const DECREASE_FACTOR: f64 = 0.7;
@@ -36,7 +36,7 @@
         &mut self,
         now: Micros,
         outcome: Outcome,
-        refused_at_once: bool,
+        refused_immediately: bool,
         in_flight: f64,
     ) {
         let is_overloaded = matches!(outcome, Outcome::Timeout | Outcome::Error);
@@ -48,7 +48,7 @@
                 self.max_slots = in_flight.max(MIN_LIMIT);
                 self.rejecting_until = now + REJECTION_PAUSE;
             }
-            Outcome::ConnectFailed if refused_at_once => {
+            Outcome::ConnectFailed if refused_immediately => {
                 self.rejecting_until = now + REFUSED_CONNECTION_PAUSE;
             }
             _ => {}
@@ -65,8 +65,8 @@
         now < self.rejecting_until
     }
 
-    /// Returns the time until which the worker is expected to reject attempts; a time in the past if no
-    /// rejection is expected.
+    /// Returns the time until which the worker is expected to reject attempts. The time lies in the past if
+    /// no rejection is expected.
     pub(crate) fn rejecting_until(&self) -> Micros {
         self.rejecting_until
     }
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -124,12 +124,12 @@
 
 /// A coordinator's account of its peers' attempts and reservations at one worker.
 #[derive(Default)]
-pub(crate) struct PeerLedger {
+pub(crate) struct PeerOccupancy {
     attempts: Vec<PeerAttempt>,
     reservations: Vec<Reservation>,
 }
 
-impl PeerLedger {
+impl PeerOccupancy {
     /// Returns the slots that the peers' attempts in flight take.
     fn slots_in_flight(&self, now: Micros) -> f64 {
         self.attempts.iter().filter(|attempt| attempt.is_recent(now)).map(|attempt| attempt.slots).sum()
@@ -174,7 +174,7 @@
 
 impl Scheduler {
     /// Sends a message about a worker to the worker's coordinator. If this scheduler is the coordinator, or
-    /// if schedulers don't coordinate, updates this scheduler's own account instead.
+    /// if schedulers don't coordinate, charges a started attempt to the worker's work budget instead.
     pub(crate) fn notify_coordinator(
         &mut self,
         now: Micros,
@@ -188,31 +188,31 @@
                 let data = message.encode(worker);
                 actions.push(Action::SendPeerMessage { to: Recipient::One(coordinator), data });
             }
-            (_, PeerMessage::AttemptStarted { work, .. }) => self.charge_admitted_work(now, index, work),
+            (_, PeerMessage::AttemptStarted { work, .. }) => self.charge_work_budget(now, index, work),
             _ => {}
         }
     }
 
-    fn charge_admitted_work(&mut self, now: Micros, index: usize, work: Micros) {
+    fn charge_work_budget(&mut self, now: Micros, index: usize, work: Micros) {
         let overload_rate = self.admission(now).overload_rate(index);
-        self.fleet[index].admitted_work.charge(now, overload_rate, work);
+        self.fleet[index].work_budget.charge(now, overload_rate, work);
     }
 
     /// Returns, as the coordinator, a worker's occupancy in slots for a peer that has a job with the given
     /// work. If the worker is warming up, reserves capacity for the peer, or returns [`FULLY_OCCUPIED`] if
     /// the worker's remaining capacity is too small.
     fn occupancy_for(&mut self, now: Micros, index: usize, peer: SchedulerIndex, work: Micros) -> f64 {
-        self.charge_admitted_work(now, index, 0);
+        self.charge_work_budget(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
         let worker = &mut self.fleet[index];
-        let in_flight = worker.peers.slots_in_flight(now) + worker.own_slots();
+        let in_flight = worker.peer_occupancy.slots_in_flight(now) + worker.slots_from_this_scheduler();
         let warm_up_fraction = worker.warm_up_fraction(now, &self.settings.rules);
         if warm_up_fraction >= 1.0 {
             return in_flight;
         }
-        let slots = self.slots_per_unit.get() * worker.weight * usable_slot_fraction(warm_up_fraction);
+        let slots = self.slots_per_weight.get() * worker.weight * usable_slot_fraction(warm_up_fraction);
         let capacity = WarmingCapacity { slots, work: remaining_work };
-        worker.peers.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
+        worker.peer_occupancy.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
     }
 
     /// Queries a worker's occupancy from the worker's coordinator, unless a fresh report is available.
@@ -228,12 +228,12 @@
         let coordinator = self.coordinators.coordinator_of(now, worker, &self.settings);
         let needs_report = !self.fleet[index].has_fresh_report(now);
         let Some(coordinator) = coordinator.filter(|_| needs_report) else { return false };
-        let work = self.requests.get(id).map_or(0, PendingRequest::likely_work);
+        let work = self.requests.get(id).map_or(0, PendingRequest::estimated_work);
         if coordinator == self.settings.scheduler_index {
             let slots = Some(self.occupancy_for(now, index, coordinator, work));
-            // Attempts sent at `now` are already in the account. A query time after `now` keeps them from
-            // being added to the report a second time.
-            self.fleet[index].report = Some(OccupancyReport { slots, queried_at: now + 1 });
+            // The reported slots already include attempts sent at `now`. A query time after `now` keeps these
+            // attempts from being added to the report a second time.
+            self.fleet[index].occupancy_report = Some(OccupancyReport { slots, queried_at: now + 1 });
             return false;
         }
         let worker = &mut self.fleet[index];
@@ -281,8 +281,8 @@
                 self.on_occupancy_reply(now, index, occupancy, actions);
             }
             (PeerMessage::AttemptStarted { slots, work }, Some(index)) => {
-                self.fleet[index].peers.record_start(now, from, slots);
-                self.charge_admitted_work(now, index, work);
+                self.fleet[index].peer_occupancy.record_start(now, from, slots);
+                self.charge_work_budget(now, index, work);
             }
             (PeerMessage::AttemptFinished { served, connection_failed }, Some(index)) => {
                 self.on_peer_attempt_finished(now, index, from, served, connection_failed);
@@ -314,7 +314,7 @@
         let worker = &mut self.fleet[index];
         let Some(query) = worker.pending_query.take() else { return };
         let slots = occupancy.map(|occupancy| occupancy.slots);
-        worker.report = Some(OccupancyReport { slots, queried_at: query.sent_at });
+        worker.occupancy_report = Some(OccupancyReport { slots, queried_at: query.sent_at });
         if let Some(occupancy) = occupancy.filter(|occupancy| occupancy.ejected_for > 0) {
             worker.outlier.extend_ejection(now, occupancy.ejected_for);
         }
@@ -334,7 +334,7 @@
         connection_failed: bool,
     ) {
         let worker = &mut self.fleet[index];
-        worker.peers.record_end(from);
+        worker.peer_occupancy.record_end(from);
         if served {
             worker.outlier.reset_failures();
         }
--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -13,7 +13,7 @@
 pub const LIST_CONFIRMATION_TIMEOUT: Micros = 5_000_000;
 /// Initial mean pause before discovery is polled again, in microseconds. Repeated failures double the pause.
 const BASE_BACKOFF: Micros = 100_000;
-/// Maximum pause that the doubling reaches, in microseconds.
+/// Maximum mean pause that the doubling reaches, in microseconds.
 const MAX_BACKOFF: Micros = 1_000_000;
 /// Maximum number of times the pause is doubled. The limit keeps the bit shift from overflowing.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
@@ -24,17 +24,19 @@
 const SPREAD_PER_PEER: Micros = 30_000;
 /// Maximum time over which the first polls are spread, in microseconds.
 const MAX_FIRST_SPREAD: Micros = 2_000_000;
-/// Maximum spread of polls after failures, in microseconds: the mean interval between one scheduler's polls.
+/// Maximum time over which polls are spread after failures, in microseconds; also the maximum mean interval
+/// between one scheduler's polls.
 const MAX_REPEATED_SPREAD: Micros = 2_000_000;
 /// Maximum number of times the spread is doubled.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
 
-/// State of the polls of the endpoint list since discovery's last response.
+/// The polls of the endpoint list since discovery's last response, and whether the list is confirmed.
 #[derive(Default)]
 pub(crate) struct EndpointRefresh {
-    /// Polls scheduled since the last response.
-    failed_polls: u32,
-    /// Time of the latest poll, which may still lie ahead.
+    /// Number of polls scheduled since the latest update that [`EndpointRefresh::record_update`] counts as a
+    /// response.
+    polls_since_response: u32,
+    /// Time of the latest scheduled poll, which may be in the future.
     last_poll: Micros,
     /// End of the time in which jobs wait for a restored list to be confirmed; 0 if the list is confirmed.
     unconfirmed_until: Micros,
@@ -42,7 +44,8 @@
 
 impl EndpointRefresh {
     /// Records an update of the list. Failed polls and renumbered lists change nothing. Any other update
-    /// resets the count of failed polls, and confirms the list unless the list was restored.
+    /// counts as a response: the update resets the number of polls, and confirms the list unless the list was
+    /// restored.
     pub(crate) fn record_update(&mut self, now: Micros, update: EndpointUpdate) {
         if matches!(update, EndpointUpdate::Failed | EndpointUpdate::Renumbered) {
             return;
@@ -71,7 +74,7 @@
         } else {
             self.next_poll_time(now, spread, random)
         };
-        self.failed_polls += 1;
+        self.polls_since_response += 1;
         self.last_poll = at;
         at
     }
@@ -80,8 +83,8 @@
         let jittered = |pause: Micros| (pause as f64 * (0.5 + random)) as Micros;
         // The first failure after a response is taken as a broken watch of this scheduler alone. If the next
         // poll fails too, all schedulers are assumed to be affected, and the polls are spread.
-        let repeated_failures = self.failed_polls.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
-        let spread = if self.failed_polls == 0 {
+        let repeated_failures = self.polls_since_response.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        let spread = if self.polls_since_response == 0 {
             0
         } else {
             (spread << repeated_failures.min(MAX_SPREAD_DOUBLINGS)).min(MAX_REPEATED_SPREAD)
--- a/crates/scheduling/src/fleet/tests.rs
+++ b/crates/scheduling/src/fleet/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_worker_missing_from_a_complete_list_is_not_ready_but_one_missing_from_changes_stays() {
+fn a_worker_missing_from_a_complete_list_is_not_ready_but_a_worker_missing_from_changes_stays() {
     let mut fleet = fleet_of((1..=3).map(endpoint));
     apply_change(&mut fleet, endpoint(4));
     assert_eq!(fleet.ready_count(), 4);
@@ -45,20 +45,20 @@
 #[test]
 fn a_new_start_resets_a_worker_and_its_zone_is_always_taken_from_the_list() {
     let mut fleet = fleet_of([endpoint(1)]);
-    fleet[0].report = Some(OccupancyReport { slots: Some(1.0), queried_at: NOW });
+    fleet[0].occupancy_report = Some(OccupancyReport { slots: Some(1.0), queried_at: NOW });
     apply_change(&mut fleet, Endpoint { zone: ZoneId(7), ..endpoint(1) });
     assert_eq!(fleet[0].endpoint.zone, ZoneId(7));
-    assert!(fleet[0].report.is_some(), "the same process");
+    assert!(fleet[0].occupancy_report.is_some(), "the same process");
     apply_change(&mut fleet, Endpoint { started_at: NOW - 5, ..endpoint(1) });
-    assert!(fleet[0].report.is_none(), "another process");
+    assert!(fleet[0].occupancy_report.is_none(), "another process");
     assert_eq!(fleet[0].started_at, Some(NOW));
 }
 
 #[test]
-fn removed_workers_without_attempts_in_flight_are_dropped_once_there_are_many() {
+fn removed_workers_without_attempts_in_flight_are_dropped_once_there_are_many_workers() {
     let mut fleet = fleet_of((1..=100).map(endpoint));
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
-    let index = fleet.index_of(WorkerId(50)).expect("listed");
+    let index = fleet.index_of(WorkerId(50)).expect("the worker is listed");
     fleet[index].in_flight.push(InFlightAttempt { id, sent_at: NOW, slots: 1.0 });
     fleet.update(NOW, EndpointUpdate::Snapshot, (91..=100).map(endpoint).collect(), WeightSource::Size);
     assert_eq!((fleet.len(), fleet.ready_count()), (11, 10));
--- a/crates/scheduling/src/migration.rs
+++ b/crates/scheduling/src/migration.rs
@@ -111,7 +111,7 @@
             let started_promptly = now < sent.sent_at + MAX_START_DELAY;
             worker.started.push(StartedAttempt { id, started_at: now, last_progress_at: now, fraction_done });
             if let Some(occupancy) = attempt.occupancy_at_send {
-                self.slots_per_unit.record_start(occupancy, started_promptly);
+                self.slots_per_weight.record_start(occupancy, started_promptly);
             }
         }
     }
@@ -128,7 +128,7 @@
         let Some((number, attempt)) = attempt_to_check(now, request) else { return };
         let Some(index) = self.fleet.index_of(attempt.worker) else { return };
         let worker = &self.fleet[index];
-        let started = worker.started(AttemptId { request: id, number });
+        let started = worker.started_attempt(AttemptId { request: id, number });
         let interval = self.settings.progress_interval;
         let speed = worker.warm_up_fraction(now, &self.settings.rules);
         let health = AttemptHealth::assess(started, now, interval, request.expected_work, speed);
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -9,13 +9,13 @@
 /// Longest duration of an ejection, in microseconds.
 const MAX_EJECTION: Micros = 8_000_000;
 /// The duration of an ejection is doubled at most this many times.
-const MAX_DOUBLINGS: u32 = 8;
-/// Ejections apply while no more than this fraction of the ready workers is ejected, which is more than one
-/// zone. If more workers fail, the cause is a common one.
+const MAX_EJECTION_DOUBLINGS: u32 = 8;
+/// Ejections apply while no more than this fraction of the ready workers is ejected. The fraction exceeds one
+/// zone. If more workers fail, the cause is assumed to affect all workers.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 
-/// Whether ejected workers are excluded from the candidates, given the number of ejected workers and of ready
-/// workers.
+/// Whether ejected workers are excluded from the candidates. `ejected` and `ready` are the numbers of ejected
+/// and of ready workers.
 pub(crate) fn ejections_apply(ejected: usize, ready: usize) -> bool {
     ejected as f64 <= MAX_EJECTED_FRACTION * ready as f64
 }
@@ -28,13 +28,13 @@
 }
 
 impl OutlierDetector {
-    /// Records the outcome of an attempt. `refused_at_once` says that the connection was refused without
+    /// Records the outcome of an attempt. `refused_immediately` says that the connection was refused without
     /// delay, either because the worker failed or because its connection table is full.
-    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_at_once: bool) {
+    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_immediately: bool) {
         match outcome {
             Outcome::Ok => self.record_success(),
             Outcome::Invalid => self.reset_failures(),
-            Outcome::ConnectFailed if refused_at_once => {}
+            Outcome::ConnectFailed if refused_immediately => {}
             // A single failure may be due to the connection or the request; a second one is due to the
             // worker.
             Outcome::Reset | Outcome::NoResponse | Outcome::Error if self.consecutive_failures == 0 => {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Halves the number of failures, so that a worker that rarely serves an attempt stays suspect. Ends the
-    /// ejection once no failure is left.
+    /// Halves the number of failures, so that a worker that rarely serves an attempt is soon ejected again.
+    /// Ends the ejection once no failure is left.
     fn record_success(&mut self) {
         self.consecutive_failures /= 2;
         if self.consecutive_failures == 0 {
@@ -57,7 +57,7 @@
     }
 
     fn eject(&mut self, now: Micros) {
-        let ejection = BASE_EJECTION << self.consecutive_failures.min(MAX_DOUBLINGS);
+        let ejection = BASE_EJECTION << self.consecutive_failures.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + ejection.min(MAX_EJECTION);
         self.consecutive_failures += 1;
     }
@@ -77,7 +77,7 @@
         now < self.ejected_until
     }
 
-    /// Returns when the ejection ends; a time in the past if the worker is not ejected.
+    /// Returns when the ejection ends. The time lies in the past if the worker is not ejected.
     pub(crate) fn ejected_until(&self) -> Micros {
         self.ejected_until
     }
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -1,19 +1,19 @@
 //! What a scheduler knows about one worker: its endpoint, load and health, and the attempts sent to it.
 
 use crate::concurrency_limit::ConcurrencyLimit;
-use crate::coordination::{PeerLedger, PendingQuery};
+use crate::coordination::{PeerOccupancy, PendingQuery};
 use crate::events::{Endpoint, EndpointState, Outcome};
 use crate::ids::{AttemptNo, Micros, RequestId};
 use crate::outlier::OutlierDetector;
 use crate::settings::Rules;
-use crate::slow_start::{self, AdmissionBudget};
+use crate::slow_start::{self, WorkBudget};
 
 /// Time within which a worker with a free slot reports a job as started, in microseconds.
 pub(crate) const MAX_START_DELAY: Micros = 60_000;
 /// Age from which an occupancy report no longer counts, in microseconds.
 const MAX_REPORT_AGE: Micros = 1_000_000;
-/// A worker's occupancy is not queried again while its report is younger than this, in microseconds: a round
-/// trip and a tick.
+/// An occupancy report younger than this, in microseconds, is used instead of a new query. The value allows
+/// for a message's round trip and a tick.
 const FRESH_REPORT_AGE: Micros = 20_000;
 /// Lower bound of the weight that a load is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
@@ -63,7 +63,7 @@
     /// Number of the worker's virtual points on the ring.
     pub(crate) points: u32,
     /// The latest occupancy report.
-    pub(crate) report: Option<OccupancyReport>,
+    pub(crate) occupancy_report: Option<OccupancyReport>,
     /// The occupancy query that the worker's coordinator has not answered yet.
     pub(crate) pending_query: Option<PendingQuery>,
     /// Requests that wait for the answer to `pending_query`.
@@ -75,9 +75,9 @@
     /// The attempts in `in_flight` that have started, where workers report the start of a job.
     pub(crate) started: Vec<StartedAttempt>,
     /// What peers have in flight or reserved at the worker, if this scheduler is the worker's coordinator.
-    pub(crate) peers: PeerLedger,
-    /// Work that was admitted to the worker while it warms up, within this scheduler's share of the limit.
-    pub(crate) admitted_work: AdmissionBudget,
+    pub(crate) peer_occupancy: PeerOccupancy,
+    /// The worker's work budget, which limits the work sent to the worker while the worker is warming up.
+    pub(crate) work_budget: WorkBudget,
 }
 
 impl Worker {
@@ -102,60 +102,65 @@
     }
 
     /// Returns the slots of this scheduler's own attempts in flight at the worker.
-    pub(crate) fn own_slots(&self) -> f64 {
+    pub(crate) fn slots_from_this_scheduler(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.slots).sum()
     }
 
     /// Returns the slots in flight at the worker: the coordinator's latest report plus what was sent since
     /// the query. Returns `None` if the report is missing or too old, or doesn't list the worker.
     pub(crate) fn occupancy(&self, now: Micros) -> Option<f64> {
-        let report =
-            self.report.as_ref().filter(|report| now.saturating_sub(report.queried_at) < MAX_REPORT_AGE)?;
+        let report = self
+            .occupancy_report
+            .as_ref()
+            .filter(|report| now.saturating_sub(report.queried_at) < MAX_REPORT_AGE)?;
         let sent_since = self.in_flight.iter().filter(|attempt| attempt.sent_at >= report.queried_at);
         let slots_since: f64 = sent_since.map(|attempt| attempt.slots).sum();
         report.slots.map(|slots| slots + slots_since)
     }
 
     /// Returns the slots in flight at the worker per unit of weight.
-    pub(crate) fn occupancy_per_unit(&self, now: Micros) -> Option<f64> {
+    pub(crate) fn occupancy_per_weight(&self, now: Micros) -> Option<f64> {
         self.occupancy(now).map(|occupancy| occupancy / self.weight.max(MIN_WEIGHT))
     }
 
     /// Returns the worker's load per unit of weight: its occupancy or, if unknown, this scheduler's slots.
     pub(crate) fn load(&self, now: Micros) -> f64 {
-        self.occupancy(now).unwrap_or(self.own_slots()) / self.weight.max(MIN_WEIGHT)
+        self.occupancy(now).unwrap_or(self.slots_from_this_scheduler()) / self.weight.max(MIN_WEIGHT)
     }
 
     pub(crate) fn has_fresh_report(&self, now: Micros) -> bool {
-        self.report.as_ref().is_some_and(|report| now.saturating_sub(report.queried_at) < FRESH_REPORT_AGE)
+        self.occupancy_report
+            .as_ref()
+            .is_some_and(|report| now.saturating_sub(report.queried_at) < FRESH_REPORT_AGE)
     }
 
-    /// Whether a job of this scheduler has not been reported as started in time: the worker's slots are full.
+    /// Whether a job of this scheduler has not been reported as started in time, which means that the
+    /// worker's slots are full.
     pub(crate) fn has_delayed_start(&self, now: Micros) -> bool {
         let is_delayed = |attempt: &InFlightAttempt| {
-            attempt.sent_at + MAX_START_DELAY < now && self.started(attempt.id).is_none()
+            attempt.sent_at + MAX_START_DELAY < now && self.started_attempt(attempt.id).is_none()
         };
         self.in_flight.iter().any(is_delayed)
     }
 
-    pub(crate) fn started(&self, id: AttemptId) -> Option<&StartedAttempt> {
+    pub(crate) fn started_attempt(&self, id: AttemptId) -> Option<&StartedAttempt> {
         self.started.iter().find(|attempt| attempt.id == id)
     }
 
-    /// Whether the worker has no capacity for a job of `slots`. `slots_per_unit` is the number of slots per
+    /// Whether the worker has no capacity for a job of `slots`. `slots_per_weight` is the number of slots per
     /// unit of weight.
-    pub(crate) fn is_busy(&self, now: Micros, slots: f64, slots_per_unit: f64) -> bool {
-        let is_full = |occupancy: f64| occupancy + slots > (slots_per_unit * self.weight).max(slots);
+    pub(crate) fn is_busy(&self, now: Micros, slots: f64, slots_per_weight: f64) -> bool {
+        let is_full = |occupancy: f64| occupancy + slots > (slots_per_weight * self.weight).max(slots);
         self.concurrency_limit.is_rejecting(now)
             || self.occupancy(now).is_some_and(is_full)
-            || self.concurrency_limit.is_exceeded(self.own_slots(), slots)
+            || self.concurrency_limit.is_exceeded(self.slots_from_this_scheduler(), slots)
     }
 
     /// Records the outcome of an attempt at the worker, sent by this scheduler or by a peer.
-    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_at_once: bool) {
-        let in_flight = self.own_slots();
-        self.concurrency_limit.record_result(now, outcome, refused_at_once, in_flight);
-        self.outlier.record_result(now, outcome, refused_at_once);
+    pub(crate) fn record_result(&mut self, now: Micros, outcome: Outcome, refused_immediately: bool) {
+        let in_flight = self.slots_from_this_scheduler();
+        self.concurrency_limit.record_result(now, outcome, refused_immediately, in_flight);
+        self.outlier.record_result(now, outcome, refused_immediately);
     }
 
     /// Removes an attempt of this scheduler that has ended; returns `false` if there is no such attempt.
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -14,12 +14,12 @@
 fn no_worker_of_unknown_load_is_sent_much_more_than_its_fair_share() {
     let mut driver = Driver::new(Settings { load_report_source: LoadReportSource::Never, ..settings() });
     let sized = |n: u64| Endpoint { weight: if n <= 4 { 5.0 } else { 3.0 }, ..endpoint(n) };
-    driver.event(list(EndpointUpdate::Snapshot, (1..=8).map(sized)));
+    driver.event(endpoints_event(EndpointUpdate::Snapshot, (1..=8).map(sized)));
     let mut in_flight: BTreeMap<WorkerId, f64> = BTreeMap::new();
     let mut jobs_of_popular_key: BTreeMap<WorkerId, u32> = BTreeMap::new();
     for id in 1..=200 {
         let key = if id % 4 == 0 { "popular".to_string() } else { format!("key-{id}") };
-        let worker = sent(&driver.request(id, IDEMPOTENT, &key));
+        let worker = sent_to(&driver.request(id, IDEMPOTENT, &key));
         if key == "popular" {
             *jobs_of_popular_key.entry(worker).or_default() += 1;
         }
@@ -30,7 +30,10 @@
         assert!(*jobs <= 1.3 * share + 1.0, "{jobs} of 200 jobs at {worker:?}, whose share is {share}");
     }
     let jobs_at_home = jobs_of_popular_key.values().max();
-    assert!(jobs_at_home >= Some(&15), "the popular key has no home: {jobs_of_popular_key:?}");
+    assert!(
+        jobs_at_home >= Some(&15),
+        "too few jobs of the popular key went to one worker: {jobs_of_popular_key:?}"
+    );
 }
 
 /// If a late answer is worthless, work on it takes the worker's time from jobs that can still be in time;
@@ -42,14 +45,14 @@
     // retry by the client is harmless.
     let (non_idempotent, idempotent) = (Idempotency::NonIdempotent, Idempotency::Idempotent);
     for (idempotency, late_weight, work_hint, expected_timeout, is_harmless) in [
-        (idempotent, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), true),
-        (non_idempotent, 0.0, Some(300 * MS), Some(500 * MS + 690 * MS), false),
+        (idempotent, 0.0, Some(300 * MILLISECOND), Some(500 * MILLISECOND + 690 * MILLISECOND), true),
+        (non_idempotent, 0.0, Some(300 * MILLISECOND), Some(500 * MILLISECOND + 690 * MILLISECOND), false),
         (idempotent, 0.0, None, None, true),
-        (idempotent, 0.3, Some(300 * MS), None, true),
+        (idempotent, 0.3, Some(300 * MILLISECOND), None, true),
     ] {
         let classes = vec![Class { late_weight, ..class(idempotency) }];
         let mut driver = Driver::with_fleet(Settings { classes, ..settings() }, 6);
-        let job = Request { expected_work: work_hint, ..request(1, 0, "k", driver.now + 5 * S) };
+        let job = Request { expected_work: work_hint, ..request(1, 0, "k", driver.now + 5 * SECOND) };
         let actions = driver.event(Event::Request(job));
         let timeout_of =
             |a: &Action| if let Action::Send { timeout, .. } = a { Some(*timeout) } else { None };
@@ -60,11 +63,11 @@
         );
         let Some(timeout) = expected_timeout else { continue };
         driver.now += timeout;
-        let actions = driver.event(attempt_finished(1, 0, sent(&actions), Outcome::Timeout));
+        let actions = driver.event(attempt_finished(1, 0, sent_to(&actions), Outcome::Timeout));
         assert!(
-            sends(&actions).is_empty()
-                && rejected(&actions) == is_harmless
-                && failed(&actions) != is_harmless,
+            sent_workers(&actions).is_empty()
+                && has_rejection(&actions) == is_harmless
+                && has_failure(&actions) != is_harmless,
             "{actions:?}"
         );
     }
@@ -78,21 +81,21 @@
     let mut driver = Driver::new(Settings { classes, ..settings() });
     let started = driver.now;
     let mut pending_timers = timers(&driver.event(Event::Request(Request {
-        expected_work: Some(300 * MS),
-        ..request(1, 0, "k", started + 5 * S)
+        expected_work: Some(300 * MILLISECOND),
+        ..request(1, 0, "k", started + 5 * SECOND)
     })));
     loop {
         pending_timers.sort();
         let (at, token) = pending_timers.remove(0);
         let actions = driver.at(at, Event::Timer(token));
-        if rejected(&actions) {
+        if has_rejection(&actions) {
             break;
         }
         pending_timers.extend(timers(&actions));
     }
     let waited = driver.now - started;
     assert!(
-        (800 * MS..=810 * MS).contains(&waited),
+        (800 * MILLISECOND..=810 * MILLISECOND).contains(&waited),
         "answered after {waited} us; the latency objective allows a wait of 800 ms"
     );
 }
@@ -103,15 +106,15 @@
 fn a_job_whose_connection_broke_is_retried_at_once_at_the_only_other_worker() {
     let mut driver =
         Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 2);
-    let first = sent(&driver.request(1, IDEMPOTENT, "k"));
-    let second = sent(&driver.request(2, IDEMPOTENT, "k"));
+    let first = sent_to(&driver.request(1, IDEMPOTENT, "k"));
+    let second = sent_to(&driver.request(2, IDEMPOTENT, "k"));
     assert_ne!(first, second, "the jobs of the scheduler are spread over the workers");
-    assert_eq!(sent(&driver.event(attempt_finished(2, 0, second, Outcome::Reset))), first);
+    assert_eq!(sent_to(&driver.event(attempt_finished(2, 0, second, Outcome::Reset))), first);
 }
 
 /// A worker that answers quickly with errors looks idle, and would be sent more jobs than any other worker.
-/// Such a worker is ejected, each time for longer, even if it serves every second job. A worker is
-/// not excluded for one error in fifty jobs, or if all workers answer with errors.
+/// Such a worker is ejected, each time for longer, even if the worker serves every second job. A worker is
+/// not ejected for one error in fifty jobs, and ejections are ignored if all workers answer with errors.
 #[test]
 fn a_worker_that_repeatedly_answers_with_errors_is_ejected() {
     let percent_of_jobs_at_worker = |fails: &dyn Fn(WorkerId, u64) -> bool| {
@@ -119,8 +122,8 @@
             Driver::with_fleet(Settings { load_report_source: LoadReportSource::Never, ..settings() }, 6);
         let (mut jobs_at_worker, mut jobs) = (0, 0);
         for id in 1..=1200 {
-            driver.now += 20 * MS;
-            let worker = sent(&driver.request(id, NON_IDEMPOTENT, &format!("key-{id}")));
+            driver.now += 20 * MILLISECOND;
+            let worker = sent_to(&driver.request(id, NON_IDEMPOTENT, &format!("key-{id}")));
             jobs += 1;
             jobs_at_worker += u64::from(worker == WorkerId(3));
             let outcome = if fails(worker, id) { Outcome::Error } else { Outcome::Ok };
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -5,15 +5,15 @@
 
 pub mod simulation;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub const MILLISECOND: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
 
 /// Returns a class with a latency objective of 500 ms and a deadline of 5 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        latency_objective: 500 * MS,
+        latency_objective: 500 * MILLISECOND,
         objective_per_work: 2.0,
-        deadline: 5 * S,
+        deadline: 5 * SECOND,
         priority_weight: 1.0,
         late_weight: 0.3,
         idempotency,
@@ -33,7 +33,7 @@
 /// Returns the settings of a single scheduler with the classes of the constants above. The class
 /// `MACHINE_BOUND` runs on machine type 1 only.
 pub fn settings() -> Settings {
-    let deduplication_window = 2 * S;
+    let deduplication_window = 2 * SECOND;
     let mut machine_bound = class(Idempotency::Idempotent);
     machine_bound.machine_type = Some(MachineTypeId(1));
     Settings {
@@ -58,25 +58,25 @@
         progress_interval: 0,
         limits: Limits {
             max_attempts: 4,
-            dial_timeout: 250 * MS,
+            dial_timeout: 250 * MILLISECOND,
             hedging: false,
             may_probe: false,
             may_cancel: true,
             retry_after: true,
-            max_retry_after: 2 * S,
+            max_retry_after: 2 * SECOND,
             may_message_peers: false,
         },
         rules: Rules {
-            answer_slack: 8 * MS,
-            drain_grace: 500 * MS,
+            answer_slack: 8 * MILLISECOND,
+            drain_grace: 500 * MILLISECOND,
             poll_within: None,
             slow_start_floor: 0.25,
-            slow_start_time: 10 * S,
+            slow_start_time: 10 * SECOND,
             overload_factor: 3.0,
-            overload_time: S,
+            overload_time: SECOND,
         },
         cost_weights: CostWeights::default(),
-        tick: 2 * MS,
+        tick: 2 * MILLISECOND,
     }
 }
 
@@ -94,13 +94,13 @@
 }
 
 /// Returns an event with entries of the endpoint list.
-pub fn list(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
+pub fn endpoints_event(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
     Event::Endpoints { update, endpoints: endpoints.into_iter().collect() }
 }
 
 /// Returns an event with the complete endpoint list of workers 1 to `n`.
-pub fn fleet(n: u64) -> Event {
-    list(EndpointUpdate::Snapshot, (1..=n).map(endpoint))
+pub fn fleet_snapshot(n: u64) -> Event {
+    endpoints_event(EndpointUpdate::Snapshot, (1..=n).map(endpoint))
 }
 
 pub fn request(id: u64, class: u32, key: &str, deadline: Micros) -> Request {
@@ -122,7 +122,7 @@
         attempt: AttemptNo(attempt),
         worker,
         outcome,
-        latency: 5 * MS,
+        latency: 5 * MILLISECOND,
         request_closed: outcome == Outcome::Ok,
         load: None,
     }
@@ -138,13 +138,13 @@
     pub fn new(settings: Settings) -> Driver {
         Driver {
             scheduler: Scheduler::new(settings, 1).expect("the test's settings are valid"),
-            now: 100 * S,
+            now: 100 * SECOND,
         }
     }
 
     pub fn with_fleet(settings: Settings, n: u64) -> Driver {
         let mut driver = Driver::new(settings);
-        driver.event(fleet(n));
+        driver.event(fleet_snapshot(n));
         driver
     }
 
@@ -163,31 +163,31 @@
 
     /// Handles a new request with a deadline in 5 s and returns the actions.
     pub fn request(&mut self, id: u64, class: u32, key: &str) -> Vec<Action> {
-        let deadline = self.now + 5 * S;
+        let deadline = self.now + 5 * SECOND;
         self.event(Event::Request(request(id, class, key, deadline)))
     }
 }
 
 /// Returns the workers that the actions send attempts to.
-pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
+pub fn sent_workers(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| if let Action::Send { worker, .. } = a { Some(*worker) } else { None };
     actions.iter().filter_map(send).collect()
 }
 
 /// Returns the worker that the actions send an attempt to; panics unless they send exactly one.
-pub fn sent(actions: &[Action]) -> WorkerId {
-    let workers = sends(actions);
+pub fn sent_to(actions: &[Action]) -> WorkerId {
+    let workers = sent_workers(actions);
     assert_eq!(workers.len(), 1, "one attempt expected in {actions:?}");
     workers[0]
 }
 
 /// Whether the actions reject a request.
-pub fn rejected(actions: &[Action]) -> bool {
+pub fn has_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 /// Whether the actions answer a request with a failure.
-pub fn failed(actions: &[Action]) -> bool {
+pub fn has_failure(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
--- a/crates/scheduling/tests/isolated_schedulers.rs
+++ b/crates/scheduling/tests/isolated_schedulers.rs
@@ -7,9 +7,9 @@
 use common::*;
 use vetchbridge_scheduling::*;
 
-const TICK: Micros = 2 * MS;
+const TICK: Micros = 2 * MILLISECOND;
 /// Mean work of a job, in microseconds.
-const MEAN_WORK: Micros = 225 * MS;
+const MEAN_WORK: Micros = 225 * MILLISECOND;
 /// Slots of each worker.
 const SLOTS: usize = 5;
 /// Number of the worker that is restarted.
@@ -18,19 +18,19 @@
 fn slow_start_rules() -> Rules {
     Rules {
         slow_start_floor: 0.14,
-        slow_start_time: 24 * S,
+        slow_start_time: 24 * SECOND,
         overload_factor: 2.5,
-        overload_time: 3 * S,
+        overload_time: 3 * SECOND,
         ..settings().rules
     }
 }
 
-/// Three schedulers that exchange no messages. Workers do not report job starts, and report their load only
-/// in response to probes.
+/// Returns three schedulers that exchange no messages. Workers do not report job starts, and report their
+/// load only in response to probes.
 fn isolated_schedulers(seed: u64) -> Vec<Driver> {
     let classes = [(Idempotency::Idempotent, 2.5), (Idempotency::NonIdempotent, 1.75)];
     let classes = classes.map(|(idempotency, objective_per_work)| Class {
-        latency_objective: 200 * MS,
+        latency_objective: 200 * MILLISECOND,
         objective_per_work,
         late_weight: 0.0,
         ..class(idempotency)
@@ -47,8 +47,11 @@
             Settings { classes: classes.to_vec(), rules: slow_start_rules(), ..settings },
             3 * seed + u64::from(scheduler_index),
         );
-        let mut driver = Driver { scheduler: scheduler.expect("the settings are valid"), now: 100 * S };
-        driver.event(list(EndpointUpdate::Snapshot, (1..=10).filter(|n| *n != RESTARTED).map(endpoint)));
+        let mut driver = Driver { scheduler: scheduler.expect("the settings are valid"), now: 100 * SECOND };
+        driver.event(endpoints_event(
+            EndpointUpdate::Snapshot,
+            (1..=10).filter(|n| *n != RESTARTED).map(endpoint),
+        ));
         driver
     };
     (0..3).map(new_driver).collect()
@@ -83,7 +86,7 @@
 impl Simulation {
     fn new(seed: u64, load: f64) -> Simulation {
         let schedulers = isolated_schedulers(seed);
-        let restarted_at = schedulers[0].now + 3 * S;
+        let restarted_at = schedulers[0].now + 3 * SECOND;
         Simulation {
             load,
             rules: slow_start_rules(),
@@ -130,7 +133,7 @@
     /// Returns the events that notify all schedulers of the restarted worker.
     fn notifications(&self) -> Vec<(usize, Event)> {
         let restarted = Endpoint { started_at: self.restarted_at, ..endpoint(RESTARTED) };
-        let notification = || list(EndpointUpdate::Changes, [restarted.clone()]);
+        let notification = || endpoints_event(EndpointUpdate::Changes, [restarted.clone()]);
         (0..self.schedulers.len()).map(|scheduler| (scheduler, notification())).collect()
     }
 
@@ -143,10 +146,10 @@
         let id = self.work.len() as u64;
         let class = u32::from(self.random.fraction() < 0.5);
         let key = 60f64.powf(self.random.fraction()) as u64;
-        let mean_work = [300.0, 150.0][class as usize] * MS as f64;
+        let mean_work = [300.0, 150.0][class as usize] * MILLISECOND as f64;
         let work = mean_work * -self.random.fraction().clamp(1e-9, 0.99).ln();
         self.work.push(work);
-        let job = request(id, class, &format!("key-{key}"), now + 5 * S);
+        let job = request(id, class, &format!("key-{key}"), now + 5 * SECOND);
         let job = Request { expected_work: Some(work as Micros), ..job };
         let scheduler = (self.random.fraction() * 3.0) as usize;
         Some((scheduler, Event::Request(job)))
@@ -182,9 +185,8 @@
 }
 
 /// A warming worker is overloaded by the total work of all schedulers, and schedulers that exchange no
-/// messages don't know what the others send. Each scheduler must therefore keep to its fraction of the work
-/// that the worker can do at its warm-up fraction, even if the load is twice the capacity of the other
-/// workers.
+/// messages don't know what the others send. Each scheduler must therefore keep to its share of the worker's
+/// work budget, even if the load is twice the capacity of the other workers.
 #[test]
 fn three_isolated_schedulers_together_send_a_warming_worker_less_than_what_overloads_it() {
     for seed in 1..=5 {
--- a/crates/scheduling/tests/migration.rs
+++ b/crates/scheduling/tests/migration.rs
@@ -5,9 +5,9 @@
 use common::*;
 use vetchbridge_scheduling::*;
 
-/// A scheduler that may migrate attempts, with twelve workers that report progress every second.
+/// Returns a scheduler that may migrate attempts, with twelve workers that report progress every second.
 fn migrating_driver() -> Driver {
-    let mut settings = Settings { reports_start: true, progress_interval: S, ..settings() };
+    let mut settings = Settings { reports_start: true, progress_interval: SECOND, ..settings() };
     settings.limits.hedging = true;
     Driver::with_fleet(settings, 12)
 }
@@ -26,7 +26,7 @@
     driver.now = end;
 }
 
-/// A progress report of the request's first attempt.
+/// Returns a progress report of the first attempt of request 1.
 fn progress_report(progress: JobProgress) -> Event {
     Event::JobProgress { request: RequestId(1), attempt: AttemptNo(0), progress }
 }
@@ -38,16 +38,16 @@
 fn an_attempt_that_makes_too_little_progress_migrates_if_its_class_allows_it() {
     // Progress reports of the attempt: time since the previous report, and completed fraction of the job.
     let waiting: &[(Micros, f64)] = &[];
-    let stalled = &[(0, 0.0), (S, 0.5)][..];
-    let slow = &[(0, 0.0), (S, 0.1), (S, 0.2)][..];
-    let running = &[(0, 0.0), (S, 0.5), (S, 0.8), (S, 0.9)][..];
+    let stalled = &[(0, 0.0), (SECOND, 0.5)][..];
+    let slow = &[(0, 0.0), (SECOND, 0.1), (SECOND, 0.2)][..];
+    let running = &[(0, 0.0), (SECOND, 0.5), (SECOND, 0.8), (SECOND, 0.9)][..];
     for (reports, needs_migration) in [(waiting, true), (stalled, true), (slow, true), (running, false)] {
         for class in [IDEMPOTENT, KEYED_ALL, NON_IDEMPOTENT] {
             let mut driver = migrating_driver();
-            let mut job = request(1, class, "k", driver.now + 60 * S);
-            job.expected_work = Some(S);
+            let mut job = request(1, class, "k", driver.now + 60 * SECOND);
+            job.expected_work = Some(SECOND);
             let mut actions = driver.event(Event::Request(job));
-            let worker = sent(&actions);
+            let worker = sent_to(&actions);
             for (after, fraction) in reports {
                 advance(&mut driver, *after, &mut actions);
                 driver.event(progress_report(if *fraction == 0.0 {
@@ -56,8 +56,8 @@
                     JobProgress::Fraction(*fraction)
                 }));
             }
-            advance(&mut driver, if needs_migration { 4 * S } else { S }, &mut actions);
-            let targets = &sends(&actions)[1..];
+            advance(&mut driver, if needs_migration { 4 * SECOND } else { SECOND }, &mut actions);
+            let targets = &sent_workers(&actions)[1..];
             // The deduplication window ends 2 s after the first attempt, before the stall is detected.
             let allowed = class == IDEMPOTENT || class == KEYED_ALL && reports != stalled;
             assert_eq!(
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -12,11 +12,11 @@
 
 const WORKERS: u64 = 9;
 /// How long workers drop a repeat of a keyed request, in microseconds; equal to the value in the settings.
-const DEDUPLICATION_WINDOW: Micros = 2 * S;
+const DEDUPLICATION_WINDOW: Micros = 2 * SECOND;
 const MAX_ATTEMPTS: usize = 4;
-const ANSWER_SLACK: Micros = 8 * MS;
+const ANSWER_SLACK: Micros = 8 * MILLISECOND;
 
-/// What the checks know of an attempt.
+/// An attempt, as recorded for the checks.
 struct AttemptRecord {
     worker: WorkerId,
     sent_at: Micros,
@@ -24,7 +24,7 @@
     may_have_run: Option<bool>,
 }
 
-/// What the checks know of a request.
+/// A request, as recorded for the checks.
 struct RequestRecord {
     class: u32,
     deadline: Micros,
@@ -105,7 +105,7 @@
             stopped: BTreeMap::new(),
             next_request: 1,
         };
-        harness.event(list(EndpointUpdate::Restored, (1..=WORKERS).map(endpoint)));
+        harness.event(endpoints_event(EndpointUpdate::Restored, (1..=WORKERS).map(endpoint)));
         harness
     }
 
@@ -196,7 +196,7 @@
             attempt: AttemptNo(ended.attempt),
             worker: ended.worker,
             outcome,
-            latency: 5 * MS,
+            latency: 5 * MILLISECOND,
             request_closed,
             load,
         });
@@ -209,16 +209,17 @@
             6 if b % 4 == 0 => self.deliver_message(a, b),
             6 if !self.queries.is_empty() => self.reply(a, b),
             7 => self.change_list(a, b),
-            8 if b % 4 == 0 => self.event(list(EndpointUpdate::Failed, [])),
+            8 if b % 4 == 0 => self.event(endpoints_event(EndpointUpdate::Failed, [])),
             8 => self.disconnect_client(a),
-            _ => self.advance(self.driver.now + u64::from(a) * 4 * MS),
+            _ => self.advance(self.driver.now + u64::from(a) * 4 * MILLISECOND),
         }
     }
 
     fn start_request(&mut self, a: u8, b: u8) {
         let id = self.next_request;
         self.next_request += 1;
-        let (class, deadline) = (u32::from(a % 5), self.driver.now + 20 * MS + u64::from(b) * 20 * MS);
+        let (class, deadline) =
+            (u32::from(a % 5), self.driver.now + 20 * MILLISECOND + u64::from(b) * 20 * MILLISECOND);
         self.requests.insert(id, RequestRecord { class, deadline, attempts: vec![], answered: false });
         let mut job = request(id, class, &format!("key-{}", b % 7), deadline);
         job.slots = f64::from(1 + a / 100);
@@ -247,11 +248,11 @@
         self.finish_attempt(&ended, OUTCOMES[b as usize % OUTCOMES.len()], Some(load));
     }
 
-    /// Delivers a message from a peer that is no reply; the message may be truncated.
+    /// Delivers a message other than a reply from a peer; the message may be truncated.
     fn deliver_message(&mut self, a: u8, b: u8) {
         let messages = [
-            PeerMessage::OccupancyQuery { work: S },
-            PeerMessage::AttemptStarted { slots: 1.0, work: S },
+            PeerMessage::OccupancyQuery { work: SECOND },
+            PeerMessage::AttemptStarted { slots: 1.0, work: SECOND },
             PeerMessage::AttemptFinished { served: a % 3 == 0, connection_failed: a % 3 == 1 },
         ];
         let worker = WorkerId(1 + u64::from(a) % (WORKERS + 1));
@@ -264,7 +265,7 @@
     fn reply(&mut self, a: u8, b: u8) {
         let query = self.queries.swap_remove(a as usize % self.queries.len());
         let (_, worker) = PeerMessage::decode(&query.data).expect("the query can be decoded");
-        let occupancy = Occupancy { slots: f64::from(b % 9), ejected_for: u64::from(b / 200) * S };
+        let occupancy = Occupancy { slots: f64::from(b % 9), ejected_for: u64::from(b / 200) * SECOND };
         let data = PeerMessage::OccupancyReply((b % 5 > 0).then_some(occupancy)).encode(worker);
         self.event(Event::PeerMessage { from: query.coordinator, data });
     }
@@ -280,7 +281,7 @@
             self.stopped.insert(WorkerId(n), self.driver.now);
         }
         let started_at = if b > 128 { self.driver.now } else { 0 };
-        self.event(list(EndpointUpdate::Changes, [Endpoint { state, started_at, ..endpoint(n) }]));
+        self.event(endpoints_event(EndpointUpdate::Changes, [Endpoint { state, started_at, ..endpoint(n) }]));
     }
 
     fn disconnect_client(&mut self, a: u8) {
@@ -294,7 +295,7 @@
     /// Advances the clock beyond all deadlines, checks that every request was answered, and returns all
     /// actions.
     fn finish(mut self) -> Vec<Action> {
-        self.advance(self.driver.now + 20 * S);
+        self.advance(self.driver.now + 20 * SECOND);
         for (id, record) in &self.requests {
             assert!(record.answered, "request {id} got no final answer");
         }
@@ -318,7 +319,7 @@
     coordinating.limits.may_message_peers = true;
     coordinating.load_report_source = LoadReportSource::Never;
     coordinating.endpoint_delivery = EndpointDelivery::Poll;
-    coordinating.rules.poll_within = Some(10 * S);
+    coordinating.rules.poll_within = Some(10 * SECOND);
     let configurations = [settings(), coordinating];
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
--- a/crates/scheduling/tests/slow_start.rs
+++ b/crates/scheduling/tests/slow_start.rs
@@ -34,14 +34,14 @@
     messages: Messages,
 }
 
-const TICK: Micros = 4 * MS;
-const MESSAGE_DELAY: Micros = 4 * MS;
+const TICK: Micros = 4 * MILLISECOND;
+const MESSAGE_DELAY: Micros = 4 * MILLISECOND;
 /// Fraction of messages lost with [`Messages::Faulty`].
 const MESSAGE_LOSS_RATE: f64 = 0.1;
 /// Interval between the crashes of schedulers, in microseconds.
-const CRASH_INTERVAL: Micros = 400 * MS;
+const CRASH_INTERVAL: Micros = 400 * MILLISECOND;
 /// Beginning and end of the partition, in microseconds since the start of the simulation.
-const PARTITION_PERIOD: std::ops::Range<Micros> = 8 * S..12 * S;
+const PARTITION_PERIOD: std::ops::Range<Micros> = 8 * SECOND..12 * SECOND;
 /// Mean work of a job, in microseconds.
 const MEAN_WORK: f64 = 0.225e6;
 /// Relative request rates of the schedulers, repeated in turn. Some schedulers get several times the mean.
@@ -50,9 +50,9 @@
 fn rules() -> Rules {
     Rules {
         slow_start_floor: 0.2,
-        slow_start_time: 20 * S,
+        slow_start_time: 20 * SECOND,
         overload_factor: 2.2,
-        overload_time: 2500 * MS,
+        overload_time: 2500 * MILLISECOND,
         ..settings().rules
     }
 }
@@ -77,8 +77,11 @@
     fn scheduler(&self, index: u32) -> Driver {
         let seed = 1000 * self.seed + u64::from(index);
         let scheduler = Scheduler::new(self.settings(index), seed).expect("the settings are valid");
-        let mut driver = Driver { scheduler, now: 100 * S };
-        driver.event(list(EndpointUpdate::Snapshot, (1..=self.workers).map(|worker| self.endpoint(worker))));
+        let mut driver = Driver { scheduler, now: 100 * SECOND };
+        driver.event(endpoints_event(
+            EndpointUpdate::Snapshot,
+            (1..=self.workers).map(|worker| self.endpoint(worker)),
+        ));
         driver
     }
 
@@ -142,7 +145,7 @@
     /// Returns the time at which a worker restarts, or `None` if the worker does not restart.
     fn restart_time(&self, worker: u64) -> Option<Micros> {
         let restarted = self.scenario.restarted;
-        (worker <= restarted).then(|| self.start + 3 * S + worker * S / restarted)
+        (worker <= restarted).then(|| self.start + 3 * SECOND + worker * SECOND / restarted)
     }
 
     fn warm_up_fraction(&self, worker: u64, at: Micros) -> f64 {
@@ -155,7 +158,7 @@
 
     /// Runs the simulation until the workers are warm.
     fn run(mut self) -> RunResult {
-        let end = self.start + 5 * S + self.rules.slow_start_time;
+        let end = self.start + 5 * SECOND + self.rules.slow_start_time;
         for now in (self.start..end).step_by(TICK as usize) {
             let mut events = self.restart_workers(now);
             events.extend(self.run_workers(now));
@@ -182,7 +185,7 @@
                 continue;
             }
             let restarted = Endpoint { started_at: at, ..self.scenario.endpoint(worker) };
-            let notification = || list(EndpointUpdate::Changes, [restarted.clone()]);
+            let notification = || endpoints_event(EndpointUpdate::Changes, [restarted.clone()]);
             events.extend((0..self.schedulers.len()).map(|scheduler| (scheduler, notification())));
             for job in self.workers.jobs.remove(&worker).into_iter().flatten() {
                 let reset = attempt_finished(job.id, 0, WorkerId(worker), Outcome::Reset);
@@ -213,7 +216,7 @@
             let started_at = self.restart_time(worker).filter(|at| *at <= now).unwrap_or(0);
             Endpoint { started_at, ..self.scenario.endpoint(worker) }
         });
-        replacement.event(list(EndpointUpdate::Snapshot, listed));
+        replacement.event(endpoints_event(EndpointUpdate::Snapshot, listed));
         self.schedulers[crashing_index] = replacement;
         self.timers.clear(crashing_index);
         let jobs = self.workers.jobs.values_mut().flatten();
@@ -223,7 +226,8 @@
     fn arrived_messages(&mut self, now: Micros) -> Vec<(usize, Event)> {
         let mut events = Vec::new();
         while self.messages_in_transit.front().is_some_and(|(at, ..)| *at <= now) {
-            let (_, recipient, message) = self.messages_in_transit.pop_front().expect("just seen");
+            let (_, recipient, message) =
+                self.messages_in_transit.pop_front().expect("a message has arrived");
             events.push((recipient, message));
         }
         events
@@ -247,7 +251,7 @@
         let key = 300f64.powf(self.random.fraction()) as u64;
         let work = 2.0 * MEAN_WORK / 3.0 * (0.5 - self.random.fraction().clamp(1e-9, 0.999).ln());
         self.work.push(work);
-        let job = request(id, (id % 2) as u32, &format!("key-{key}"), now + 5 * S);
+        let job = request(id, (id % 2) as u32, &format!("key-{key}"), now + 5 * SECOND);
         let job = Request { expected_work: Some(work as Micros), ..job };
         (self.pick_scheduler(), Event::Request(job))
     }
@@ -270,7 +274,7 @@
             match action {
                 Action::Send { request: RequestId(id), worker, timeout } => {
                     let remaining = self.work[id as usize];
-                    let timeout_at = now + timeout.unwrap_or(5 * S);
+                    let timeout_at = now + timeout.unwrap_or(5 * SECOND);
                     self.workers.add(worker, Job { scheduler, id, remaining, timeout_at });
                     self.admitted.entry(worker.0).or_default().push_back((now, remaining / MEAN_WORK));
                 }
@@ -357,11 +361,11 @@
 }
 
 /// The work that all schedulers together send can overload a restarted worker, and without messages no
-/// scheduler knows what the others send. Each scheduler therefore stays within an equal share of the work
-/// that the worker can take while the worker warms up. The cases cover one restarted worker or six in ten, a
-/// load that the other workers carry easily or twice the capacity of all, and few schedulers or so many that
-/// a share is less than a request. Restarted workers must not be starved either: the jobs that the fleet can
-/// serve are served.
+/// scheduler knows what the others send. Each scheduler therefore stays within an equal share of the worker's
+/// work budget. The cases cover one restarted worker or six in ten, a load that the other workers carry
+/// easily or twice the capacity of all workers, and few schedulers or so many that a share is less than the
+/// work of one request. Restarted workers must not be starved either: the jobs that the fleet can serve are
+/// served.
 #[test]
 fn schedulers_without_messages_together_do_not_overload_warming_workers() {
     let seeds = std::env::var("RAMP_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(2);
