--- a/crates/vetchbridge/src/clients/handler.rs
+++ b/crates/vetchbridge/src/clients/handler.rs
@@ -1,5 +1,5 @@
-//! The HTTP of clients and callbacks: turns a request into a [`Job`](crate::request::Job), and an [`Answer`]
-//! into a response.
+//! The HTTP of clients and callbacks: turns an HTTP request into a
+//! [`SubmittedRequest`](crate::request::SubmittedRequest), and an [`Answer`] into an HTTP response.
 //!
 //! A malformed request is rejected before it reaches the decision module.
 
@@ -123,11 +123,12 @@
         return (StatusCode::SERVICE_UNAVAILABLE, "ending\n").into_response();
     }
     let now = server.engine.clock.now();
-    let job = match job::read(&parts, body, memory, server.settings.get(), now) {
-        Ok(job) => job,
+    let submitted = match job::read(&parts, body, memory, server.settings.get(), now) {
+        Ok(submitted) => submitted,
         Err(error) => return reject_malformed(&error),
     };
-    let answer = submit(server.engine.clone(), server.upstream.clone(), server.process_links.clone(), job);
+    let answer =
+        submit(server.engine.clone(), server.upstream.clone(), server.process_links.clone(), submitted);
     // When the client disconnects, hyper drops this future and thereby the receiver `answer`.
     render(answer.await.unwrap_or(Answer::Failed))
 }
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -1,4 +1,4 @@
-//! Reads a job from the path and headers of its HTTP request.
+//! Reads a request to run a job from the path and headers of its HTTP request.
 //!
 //! A request that can be read in two ways is malformed. The body is passed on unparsed.
 
@@ -6,7 +6,7 @@
     is_slots_property, CLASS, EXPECTED_WORK, HOST, IDEMPOTENCY_KEY, PROPERTIES, REQUEST_ID, RETRY, TENANT,
     TIMEOUT,
 };
-use crate::request::Job;
+use crate::request::SubmittedRequest;
 use crate::snapshot::Snapshot;
 use crate::workers::{parse_request_id, Payload};
 use axum::http::request::Parts;
@@ -52,15 +52,15 @@
     InvalidExpectedWork,
 }
 
-/// Reads a job. `now` is when the last byte of the request arrived, in microseconds; the job's deadline
-/// counts from then. The job holds `body_permit` until it ends.
+/// Reads a request to run a job. `now` is when the last byte of the request arrived, in microseconds; the
+/// request's deadline counts from then. The request holds `body_permit` until it ends.
 pub(super) fn read(
     parts: &Parts,
     body: Bytes,
     body_permit: OwnedSemaphorePermit,
     settings: Arc<Snapshot>,
     now: Micros,
-) -> Result<Job, MalformedRequest> {
+) -> Result<SubmittedRequest, MalformedRequest> {
     let headers = &parts.headers;
     let id_text = single_header(headers, REQUEST_ID)?.ok_or(MalformedRequest::MissingRequestId)?;
     let id = parse_request_id(id_text).ok_or(MalformedRequest::InvalidRequestId)?;
@@ -86,7 +86,7 @@
         retry: single_header(headers, RETRY)? == Some("1"),
     };
     let payload = Payload { id: id_text.to_string(), target: target.clone(), idempotency_key, body };
-    Ok(Job { request, payload, settings, body_permit: Some(body_permit) })
+    Ok(SubmittedRequest { request, payload, settings, body_permit: Some(body_permit) })
 }
 
 /// Returns the value of a header that must not be repeated; `None` if the header is absent.
--- a/crates/vetchbridge/src/clients/job/tests.rs
+++ b/crates/vetchbridge/src/clients/job/tests.rs
@@ -1,4 +1,4 @@
-//! Reading jobs with valid and invalid values of each header.
+//! Reading requests with valid and invalid values of each header.
 
 use super::*;
 use crate::config::read_text;
@@ -18,7 +18,7 @@
     Arc::new(read_text("test", &text).expect("a valid configuration").config.snapshot)
 }
 
-fn job(settings: &Arc<Snapshot>, headers: &[(&str, &[u8])]) -> Result<Job, MalformedRequest> {
+fn parse(settings: &Arc<Snapshot>, headers: &[(&str, &[u8])]) -> Result<SubmittedRequest, MalformedRequest> {
     let mut request = hyper::Request::post("/safe/k").body(()).expect("a request");
     request.headers_mut().insert("x-trace-id", HeaderValue::from_static("00000000000000ab"));
     for (name, value) in headers {
@@ -46,11 +46,14 @@
     ];
     for (names, tenant) in cases {
         let headers: Vec<(&str, &[u8])> = names.iter().map(|name| ("x-customer", *name)).collect();
-        let request = job(&with_tenants, &headers).expect("a job").request;
+        let request = parse(&with_tenants, &headers).expect("a valid request").request;
         assert_eq!(request.tenant.0, tenant, "{names:?}");
     }
     let without_tenants = settings("[]");
-    assert_eq!(job(&without_tenants, &[("x-customer", b"acme")]).expect("a job").request.tenant.0, 0);
+    assert_eq!(
+        parse(&without_tenants, &[("x-customer", b"acme")]).expect("a valid request").request.tenant.0,
+        0
+    );
     assert!(without_tenants.settings.tenants.is_empty());
 }
 
@@ -58,7 +61,7 @@
 fn headers_become_the_properties_of_a_request() {
     let settings = settings("[]");
     let request =
-        |name: &str, value: &str| job(&settings, &[(name, value.as_bytes())]).map(|job| job.request);
+        |name: &str, value: &str| parse(&settings, &[(name, value.as_bytes())]).map(|parsed| parsed.request);
     let hint = |value| request("x-size-hint", value).map(|request| request.expected_work);
     assert_eq!((hint("12000"), hint("12000.7")), (Ok(Some(12_000)), Ok(Some(12_000))));
     assert!(hint("-1").is_err() && hint("nan").is_err());
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -2,8 +2,8 @@
 //!
 //! Each request has its own task, which executes the decision module's commands for the request, owns the
 //! request's attempts and sends its answer. The task is independent of the protocol: the client server
-//! creates the [`Job`] and renders the [`Answer`]. The task never chooses a worker, a delay or an answer by
-//! itself, and reports every event to the decision module through the engine.
+//! creates the [`SubmittedRequest`] and renders the [`Answer`]. The task never chooses a worker, a delay or an
+//! answer by itself, and reports every event to the decision module through the engine.
 
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{record_violation, Invariant};
@@ -25,14 +25,15 @@
 };
 
 /// A request as it was read from a client, independent of the protocol.
-pub struct Job {
+pub struct SubmittedRequest {
     /// The part of the request that the decision module gets.
     pub request: Request,
     /// The part of the request that a worker gets, unparsed.
     pub payload: Payload,
     /// The settings that were in force when the request was read; they apply until the request ends.
     pub settings: Arc<Snapshot>,
-    /// The request's share of the memory for bodies, released with the job.
+    /// The request's share of the memory for bodies, released when the request ends; `None` if no memory was
+    /// reserved.
     pub body_permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -73,10 +74,10 @@
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     process_links: Arc<ProcessLinks>,
-    job: Job,
+    submitted: SubmittedRequest,
 ) -> oneshot::Receiver<Answer> {
     let (answer_sender, answer) = oneshot::channel();
-    let Job { request, payload, settings, body_permit } = job;
+    let SubmittedRequest { request, payload, settings, body_permit } = submitted;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
     let open_elsewhere = process_links.has_open_request(id);
     let Some(commands) = (!open_elsewhere).then(|| engine.open_request(request)).flatten() else {
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -21,7 +21,7 @@
 use vetchbridge::discovery::request::DiscoveryRequest;
 use vetchbridge::discovery::watcher::{EndpointWatcher, InitialEndpoints};
 use vetchbridge::engine::Engine;
-use vetchbridge::request::{submit, Answer, Job};
+use vetchbridge::request::{submit, Answer, SubmittedRequest};
 use vetchbridge::snapshot::{CurrentSettings, Snapshot};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{parse_request_id, Payload, UpstreamGroup};
@@ -171,8 +171,9 @@
         };
         let target = PathAndQuery::from_static("/receipt/k");
         let payload = Payload { id: id.to_string(), target, idempotency_key: None, body };
-        let job = Job { request, payload, settings: self.settings.get(), body_permit: None };
-        submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
+        let submitted =
+            SubmittedRequest { request, payload, settings: self.settings.get(), body_permit: None };
+        submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), submitted)
     }
 
     fn discovery_source(&self) -> EndpointSource {
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -13,7 +13,7 @@
 use vetchbridge::config::read_text;
 use vetchbridge::engine::Engine;
 use vetchbridge::invariants::violation_count;
-use vetchbridge::request::{submit, Answer, Job};
+use vetchbridge::request::{submit, Answer, SubmittedRequest};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{worker_id, Payload, SendConditions, UpstreamGroup, WorkerEndpoint};
 use vetchbridge_scheduling::Scheduler;
@@ -89,8 +89,13 @@
         let deadline = engine.clock.now() + 60_000_000;
         let request =
             Request { id, class, tenant, key: None, deadline, expected_work: None, slots: 1.0, retry: false };
-        let job = Job { request, payload: payload(), settings: Arc::new(config.snapshot), body_permit: None };
-        let answer = submit(engine, upstream, Arc::new(ProcessLinks::default()), job);
+        let submitted = SubmittedRequest {
+            request,
+            payload: payload(),
+            settings: Arc::new(config.snapshot),
+            body_permit: None,
+        };
+        let answer = submit(engine, upstream, Arc::new(ProcessLinks::default()), submitted);
         tokio::task::yield_now().await;
         Some(answer)
     });
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -20,7 +20,7 @@
 use tokio::sync::oneshot;
 use vetchbridge::config::{read_text, Config};
 use vetchbridge::engine::Engine;
-use vetchbridge::request::{submit, Answer, Job};
+use vetchbridge::request::{submit, Answer, SubmittedRequest};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{
     worker_id, AttemptResult, Callback, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
@@ -339,9 +339,13 @@
     let workers = [FullQueueListener::open(), FullQueueListener::open()];
     add_workers(&upstream, &engine, &workers);
     let request = keyed_request(engine.clock.now() + 60_000_000);
-    let job =
-        Job { request, payload: payload(REQUEST_ID), settings: Arc::new(config.snapshot), body_permit: None };
-    let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), job);
+    let submitted = SubmittedRequest {
+        request,
+        payload: payload(REQUEST_ID),
+        settings: Arc::new(config.snapshot),
+        body_permit: None,
+    };
+    let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), submitted);
     let (mut first, second) = tokio::select! {
         worker = workers[0].accept() => (worker, &workers[1]),
         worker = workers[1].accept() => (worker, &workers[0]),
