--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -83,7 +83,8 @@
         process_links: Arc<ProcessLinks>,
     ) -> Arc<ClientServer> {
         let reserved_descriptors = admin::max_connections(max_descriptors);
-        let budget = DescriptorBudget::new(max_descriptors, reserved_descriptors, upstream.connections());
+        let budget =
+            DescriptorBudget::new(max_descriptors, reserved_descriptors, upstream.connection_count());
         Arc::new(ClientServer {
             engine,
             upstream,
--- a/crates/vetchbridge/src/workers/client.rs
+++ b/crates/vetchbridge/src/workers/client.rs
@@ -22,23 +22,23 @@
 /// The HTTP client of one worker. Dropping it closes the pool's idle connections.
 pub(super) struct WorkerClient {
     http: HttpClient,
-    connections: ConnectionCount,
+    connection_count: ConnectionCount,
     last_used: Instant,
 }
 
 impl WorkerClient {
-    /// Creates a client without connections. Its connections are also counted in `all_connections`.
-    pub(super) fn new(timeouts: Timeouts, all_connections: ConnectionCount) -> WorkerClient {
+    /// Creates a client without connections. Its connections are also counted in `total_count`.
+    pub(super) fn new(timeouts: Timeouts, total_count: ConnectionCount) -> WorkerClient {
         let connector = Connector::new(Some(timeouts.dial).filter(|timeout| !timeout.is_zero()));
-        let connections = ConnectionCount::default();
+        let connection_count = ConnectionCount::default();
         let http = Client::builder(TokioExecutor::new())
             // Only the decision module retries: it must know of every attempt.
             .retry_canceled_requests(false)
             .pool_idle_timeout(timeouts.idle)
             .pool_max_idle_per_host(MAX_IDLE_PER_WORKER)
             .pool_timer(TokioTimer::new())
-            .build(Dialer::new(connector, [all_connections, connections.clone()]));
-        WorkerClient { http, connections, last_used: Instant::now() }
+            .build(Dialer::new(connector, [total_count, connection_count.clone()]));
+        WorkerClient { http, connection_count, last_used: Instant::now() }
     }
 
     /// Returns the HTTP client for one request, and records the time of its use.
@@ -49,7 +49,7 @@
 
     /// Returns the number of connections of this client, including dials and connections in use.
     pub(super) fn connection_count(&self) -> usize {
-        self.connections.get()
+        self.connection_count.get()
     }
 
     /// Returns when this client was last used for a request, or was created.
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -30,7 +30,7 @@
     load_report_settings: Mutex<LoadReportSettings>,
     /// One permit for each probe that may be in flight. Probes are limited because each may use a descriptor.
     pub(super) probe_permits: Semaphore,
-    connections: ConnectionCount,
+    connection_count: ConnectionCount,
     /// The number of connections beyond which idle connections are closed.
     max_connections: AtomicUsize,
 }
@@ -70,7 +70,7 @@
             timeouts: Mutex::new(Timeouts::new(dial_timeout, worker_idle_timeout)),
             load_report_settings: Mutex::default(),
             probe_permits: Semaphore::new(max_probes),
-            connections: ConnectionCount::default(),
+            connection_count: ConnectionCount::default(),
             max_connections: AtomicUsize::new(usize::MAX),
         }
     }
@@ -81,9 +81,9 @@
         *lock_ignoring_poison(&self.load_report_settings) = settings;
     }
 
-    /// Returns the count of connections to workers, including dials.
-    pub fn connections(&self) -> ConnectionCount {
-        self.connections.clone()
+    /// Returns the live count of connections to workers, which includes dials.
+    pub fn connection_count(&self) -> ConnectionCount {
+        self.connection_count.clone()
     }
 
     /// Sets the number of connections beyond which idle connections are closed; until this call, the number
@@ -165,7 +165,7 @@
     /// ended.
     pub(super) fn evict_idle_connections(&self) {
         let max_connections = self.max_connections.load(Ordering::Relaxed);
-        if self.connections.get() <= max_connections {
+        if self.connection_count.get() <= max_connections {
             return;
         }
         let workers = lock_ignoring_poison(&self.workers);
@@ -211,6 +211,6 @@
     }
 
     fn new_client(&self) -> WorkerClient {
-        WorkerClient::new(*lock_ignoring_poison(&self.timeouts), self.connections.clone())
+        WorkerClient::new(*lock_ignoring_poison(&self.timeouts), self.connection_count.clone())
     }
 }
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -354,7 +354,7 @@
     let _filler = second.fill().await;
     first.answer(500, "", "").await.expect("the group reads the response");
     let late_request = async {
-        while upstream.connections().get() < 2 {
+        while upstream.connection_count().get() < 2 {
             tokio::task::yield_now().await;
         }
         // Accepting the filler makes room in the queue for the retransmitted SYN, a second after the first
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -162,7 +162,7 @@
     answer_changes(&mut watch, 2, json!([instance("s-a", full_address)])).await;
     watch.read().await.expect("the watch continues");
     let _answer = scheduler.submit(REQUEST_ID, Bytes::from_static(b"work"));
-    while scheduler.upstream.connections().get() == 0 {
+    while scheduler.upstream.connection_count().get() == 0 {
         tokio::task::yield_now().await;
     }
     let mut restarted = instance("s-a", full_address);
