--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -35,9 +35,9 @@
     /// Whether the generation was assigned by the current discovery service. Otherwise the watcher fetches
     /// the complete list first.
     pub generation_valid: bool,
-    /// Whether a predecessor handed over the list after the list was confirmed. Otherwise the list may be of
-    /// any age.
-    pub handed_over: bool,
+    /// Whether a predecessor handed over the list, and discovery had confirmed the list to the predecessor or
+    /// the predecessor already served without a confirmation. Otherwise the list may be of any age.
+    pub confirmed_by_predecessor: bool,
 }
 
 /// A call in flight.
@@ -111,9 +111,13 @@
             return self.accept_document(EndpointUpdate::Snapshot, document.clone());
         }
         self.generation = initial.generation_valid.then_some(initial.document.generation);
-        let update = if initial.handed_over { EndpointUpdate::HandedOver } else { EndpointUpdate::Restored };
+        let update = if initial.confirmed_by_predecessor {
+            EndpointUpdate::HandedOver
+        } else {
+            EndpointUpdate::Restored
+        };
         self.publish(update, self.generation, &initial.document.instances);
-        self.confirmed.send_replace(initial.handed_over);
+        self.confirmed.send_replace(initial.confirmed_by_predecessor);
     }
 
     /// Returns a receiver of whether the list is confirmed: a call has been answered since the start, the
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -56,7 +56,7 @@
 /// them over.
 struct InitialState {
     sockets: InheritedSockets,
-    initial_list: InitialEndpoints,
+    initial_endpoints: InitialEndpoints,
     predecessor: Option<Predecessor>,
 }
 
@@ -72,9 +72,9 @@
 /// Opens the sockets, connects all components and starts their tasks.
 pub(super) async fn start(startup: Startup) -> Result<Arc<HandoverServer>, ServeError> {
     let Startup { mut config, flags, logs, hangup, inherited, lifecycle, process_links } = startup;
-    let saved_list = std::mem::take(&mut config.known);
-    let InitialState { sockets, initial_list, predecessor } =
-        initial_state(inherited, saved_list, &config.source);
+    let saved_endpoints = std::mem::take(&mut config.known);
+    let InitialState { sockets, initial_endpoints, predecessor } =
+        initial_state(inherited, saved_endpoints, &config.source);
     let Sockets { client_listener, listener_duplicate, handover_listener, peer_socket } =
         Sockets::open(&config, sockets).await?;
     let listen = listener_duplicate.local_addr().map_err(ServeError::ClientListener)?;
@@ -94,7 +94,8 @@
         let started = start_peer_messages(peers, socket, &shared, &process_links, queued_datagrams);
         started.map_err(|error| error!(%error, "peer_socket.failed")).ok()
     });
-    let list_confirmed = start_discovery(config.source, initial_list, &shared, queued_discovery_requests);
+    let list_confirmed =
+        start_discovery(config.source, initial_endpoints, &shared, queued_discovery_requests);
     let client_server = shared.client_server(max_sockets, config.memory, &lifecycle, &process_links);
     tokio::spawn(client_server.clone().serve(client_listener));
     let handover_server = Arc::new(HandoverServer {
@@ -119,20 +120,20 @@
     Ok(handover_server)
 }
 
-/// Splits the state that a predecessor handed over. Without a predecessor, the endpoint list is the saved
-/// one.
+/// Splits the state that a predecessor handed over. Without a predecessor, the initial endpoints are the saved
+/// ones of the configuration, which may be of any age.
 fn initial_state(
     inherited: Option<InheritedState>,
-    saved_list: EndpointDocument,
+    saved_endpoints: EndpointDocument,
     source: &EndpointSource,
 ) -> InitialState {
     let Some(InheritedState { listener, peer_socket, offer, endpoints, socket }) = inherited else {
         return InitialState {
             sockets: InheritedSockets::default(),
-            initial_list: InitialEndpoints {
-                document: saved_list,
+            initial_endpoints: InitialEndpoints {
+                document: saved_endpoints,
                 generation_valid: true,
-                handed_over: false,
+                confirmed_by_predecessor: false,
             },
             predecessor: None,
         };
@@ -140,10 +141,10 @@
     let same_source = matches!(source, EndpointSource::Service(address) if Some(*address) == offer.source);
     InitialState {
         sockets: InheritedSockets { client_listener: Some(listener), peer_socket },
-        initial_list: InitialEndpoints {
+        initial_endpoints: InitialEndpoints {
             document: endpoints,
             generation_valid: same_source && offer.generation.is_some(),
-            handed_over: offer.confirmed,
+            confirmed_by_predecessor: offer.confirmed,
         },
         predecessor: Some(Predecessor { socket, connections: offer.connections }),
     }
@@ -205,14 +206,14 @@
 /// confirmed.
 fn start_discovery(
     source: EndpointSource,
-    initial_list: InitialEndpoints,
+    initial_endpoints: InitialEndpoints,
     shared: &SharedState,
     requests: UnboundedReceiver<DiscoveryRequest>,
 ) -> watch::Receiver<bool> {
     let discovery = EndpointWatcher::start(
         source,
         shared.current_settings.clone(),
-        initial_list,
+        initial_endpoints,
         shared.engine.clone(),
         shared.upstream.clone(),
         shared.endpoint_list.clone(),
@@ -222,8 +223,8 @@
     confirmed
 }
 
-/// Makes the process ready once its endpoint list is confirmed, or after [`CONFIRM_WITHIN`] without a
-/// confirmation.
+/// Makes the process ready once its endpoint list is confirmed, or after [`LIST_CONFIRMATION_TIMEOUT`] without
+/// a confirmation.
 fn start_serving(lifecycle: &Arc<Lifecycle>, mut list_confirmed: watch::Receiver<bool>) {
     if *list_confirmed.borrow() {
         return lifecycle.start_serving();
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -96,7 +96,7 @@
     pub fn start_endpoint_watcher(&mut self, instances: Value) {
         let saved = json!({"generation": 1, "reset": true, "instances": instances});
         let document = serde_json::from_value(saved).expect("a document");
-        let initial = InitialEndpoints { document, generation_valid: true, handed_over: false };
+        let initial = InitialEndpoints { document, generation_valid: true, confirmed_by_predecessor: false };
         let watcher = EndpointWatcher::start(
             self.discovery_source(),
             self.settings.clone(),
