--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -7,7 +7,7 @@
     TIMEOUT,
 };
 use crate::request::SubmittedRequest;
-use crate::snapshot::Snapshot;
+use crate::snapshot::SettingsSnapshot;
 use crate::workers::{parse_request_id, Payload};
 use axum::http::request::Parts;
 use axum::http::uri::PathAndQuery;
@@ -58,7 +58,7 @@
     parts: &Parts,
     body: Bytes,
     body_permit: OwnedSemaphorePermit,
-    settings: Arc<Snapshot>,
+    settings: Arc<SettingsSnapshot>,
     now: Micros,
 ) -> Result<SubmittedRequest, MalformedRequest> {
     let headers = &parts.headers;
--- a/crates/vetchbridge/src/clients/job/tests.rs
+++ b/crates/vetchbridge/src/clients/job/tests.rs
@@ -7,7 +7,7 @@
 const NOW: Micros = 1_000_000;
 
 /// Returns settings with one class and these tenants; `accounts` is the JSON list of the configuration file.
-fn settings(accounts: &str) -> Arc<Snapshot> {
+fn settings(accounts: &str) -> Arc<SettingsSnapshot> {
     let text = format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
         "settings": {{"me": 0, "balancers": 1, "areas": ["a"], "kinds": ["m"], "zone": 0, "discovery": "ask",
@@ -18,7 +18,10 @@
     Arc::new(read_text("test", &text).expect("a valid configuration").config.snapshot)
 }
 
-fn parse(settings: &Arc<Snapshot>, headers: &[(&str, &[u8])]) -> Result<SubmittedRequest, MalformedRequest> {
+fn parse(
+    settings: &Arc<SettingsSnapshot>,
+    headers: &[(&str, &[u8])],
+) -> Result<SubmittedRequest, MalformedRequest> {
     let mut request = hyper::Request::post("/safe/k").body(()).expect("a request");
     request.headers_mut().insert("x-trace-id", HeaderValue::from_static("00000000000000ab"));
     for (name, value) in headers {
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -20,7 +20,7 @@
 pub use precedence::{Effective, Flags};
 
 use crate::discovery::document::{EndpointDocument, EndpointSource};
-use crate::snapshot::Snapshot;
+use crate::snapshot::SettingsSnapshot;
 use file::File;
 use precedence::Environment;
 use serde_json::Value;
@@ -49,7 +49,7 @@
     /// The list of workers as this scheduler last had it.
     pub known: EndpointDocument,
     /// The settings, which were checked.
-    pub snapshot: Snapshot,
+    pub snapshot: SettingsSnapshot,
     /// Seed of the module's random numbers.
     pub seed: u64,
     /// The platform's document as it stands in its file, where the configuration is one.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -5,7 +5,7 @@
 use super::precedence::{self, Environment, Overrides};
 use super::{file, Config, ConfigError, Effective, Fault, Flags, Peers, Read};
 use crate::discovery::document::{EndpointDocument, EndpointSource};
-use crate::snapshot::{NameTables, Snapshot};
+use crate::snapshot::{NameTables, SettingsSnapshot};
 use crate::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use crate::workers::name_hash;
 use serde::de::DeserializeOwned;
@@ -177,10 +177,10 @@
 }
 
 impl SettingsKeys {
-    fn snapshot(self) -> Snapshot {
+    fn snapshot(self) -> SettingsSnapshot {
         let reports =
             LoadReportSettings { source: self.settings.load_report_source, free_slots: self.free_slots };
-        Snapshot::new(self.settings, self.names, self.conn_idle, reports)
+        SettingsSnapshot::new(self.settings, self.names, self.conn_idle, reports)
     }
 }
 
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -9,7 +9,7 @@
 use super::text::Text;
 use super::{Config, ConfigError, Fault, Peers};
 use crate::discovery::document::{EndpointDocument, EndpointSource, Instance, InstanceState};
-use crate::snapshot::{NameTables, Snapshot};
+use crate::snapshot::{NameTables, SettingsSnapshot};
 use crate::workers::load_report::{self, LoadReportSettings};
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::{
@@ -243,7 +243,7 @@
     })
 }
 
-fn snapshot(file: &File, settings: Settings) -> Snapshot {
+fn snapshot(file: &File, settings: Settings) -> SettingsSnapshot {
     let reports = LoadReportSettings {
         source: settings.load_report_source,
         free_slots: match file.fleet.free_slots {
@@ -259,7 +259,7 @@
         tenants: file.tenant.iter().map(|tenant| tenant.name.clone()).collect(),
     };
     let conn_idle = Some(file.fleet.conn_idle.duration()).filter(|idle| !idle.is_zero());
-    Snapshot::new(settings, names, conn_idle.unwrap_or(DEFAULT_CONN_IDLE), reports)
+    SettingsSnapshot::new(settings, names, conn_idle.unwrap_or(DEFAULT_CONN_IDLE), reports)
 }
 
 fn endpoint_delivery(follow: Follow) -> EndpointDelivery {
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -8,7 +8,7 @@
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{record_violation, Invariant};
 use crate::logs::Id;
-use crate::snapshot::Snapshot;
+use crate::snapshot::SettingsSnapshot;
 use crate::upgrade::message::HandoverMessage;
 use crate::upgrade::process_links::ProcessLinks;
 use crate::workers::{AttemptResult, Payload, SendConditions, UpstreamGroup};
@@ -31,7 +31,7 @@
     /// The part of the request that a worker gets, unparsed.
     pub payload: Payload,
     /// The settings that were in force when the request was read; they apply until the request ends.
-    pub settings: Arc<Snapshot>,
+    pub settings: Arc<SettingsSnapshot>,
     /// The request's share of the memory for bodies, released when the request ends; `None` if no memory was
     /// reserved.
     pub body_permit: Option<OwnedSemaphorePermit>,
@@ -141,7 +141,7 @@
 struct RequestContext {
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
-    settings: Arc<Snapshot>,
+    settings: Arc<SettingsSnapshot>,
     id: RequestId,
     class: ClassId,
     deadline: Micros,
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -14,7 +14,7 @@
 use crate::lifecycle::clock::Lifecycle;
 use crate::logs::Logs;
 use crate::peers::{self, OutgoingMessage};
-use crate::snapshot::{CurrentSettings, Snapshot};
+use crate::snapshot::{CurrentSettings, SettingsSnapshot};
 use crate::upgrade::process_links::ProcessLinks;
 use crate::upgrade::socket::HandoverSocket;
 use crate::upgrade::{HandoverServer, InheritedState};
@@ -153,7 +153,7 @@
 impl SharedState {
     fn new(
         scheduler: Scheduler,
-        snapshot: Snapshot,
+        snapshot: SettingsSnapshot,
         max_sockets: usize,
         discovery_requests: UnboundedSender<DiscoveryRequest>,
         datagrams: UnboundedSender<OutgoingMessage>,
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -23,7 +23,7 @@
 }
 
 /// One version of the settings.
-pub struct Snapshot {
+pub struct SettingsSnapshot {
     /// The scheduler's settings.
     pub settings: Settings,
     /// The names that the settings' indices refer to.
@@ -34,7 +34,7 @@
     pub load_reports: LoadReportSettings,
 }
 
-impl Snapshot {
+impl SettingsSnapshot {
     /// Creates a snapshot. If the settings list tenants, one tenant without a name and without a quota is
     /// added for the requests of unlisted tenants, which must not use up a listed tenant's quota.
     pub fn new(
@@ -42,11 +42,11 @@
         names: NameTables,
         worker_idle_timeout: Duration,
         load_reports: LoadReportSettings,
-    ) -> Snapshot {
+    ) -> SettingsSnapshot {
         if !settings.tenants.is_empty() {
             settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
-        Snapshot { settings, names, worker_idle_timeout, load_reports }
+        SettingsSnapshot { settings, names, worker_idle_timeout, load_reports }
     }
 
     /// Returns the tenant with this name. An unlisted tenant gets the added tenant without a quota; if the
@@ -71,21 +71,21 @@
 }
 
 /// Holds the snapshot in force.
-pub struct CurrentSettings(Mutex<Arc<Snapshot>>);
+pub struct CurrentSettings(Mutex<Arc<SettingsSnapshot>>);
 
 impl CurrentSettings {
     /// Creates the holder with the first snapshot.
-    pub fn new(snapshot: Snapshot) -> CurrentSettings {
+    pub fn new(snapshot: SettingsSnapshot) -> CurrentSettings {
         CurrentSettings(Mutex::new(Arc::new(snapshot)))
     }
 
     /// Returns the snapshot in force.
-    pub fn get(&self) -> Arc<Snapshot> {
+    pub fn get(&self) -> Arc<SettingsSnapshot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Puts another snapshot in force and returns the previous one.
-    pub fn swap(&self, snapshot: Snapshot) -> Arc<Snapshot> {
+    pub fn swap(&self, snapshot: SettingsSnapshot) -> Arc<SettingsSnapshot> {
         let mut current = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut *current, Arc::new(snapshot))
     }
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -22,7 +22,7 @@
 use vetchbridge::discovery::watcher::{EndpointWatcher, InitialEndpoints};
 use vetchbridge::engine::Engine;
 use vetchbridge::request::{submit, Answer, SubmittedRequest};
-use vetchbridge::snapshot::{CurrentSettings, Snapshot};
+use vetchbridge::snapshot::{CurrentSettings, SettingsSnapshot};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{parse_request_id, Payload, UpstreamGroup};
 use vetchbridge_scheduling::Scheduler;
@@ -139,7 +139,7 @@
     /// Replaces the current settings without an event to the scheduler.
     pub fn replace_settings(&self, settings: Settings) {
         let old = self.settings.get();
-        self.settings.swap(Snapshot {
+        self.settings.swap(SettingsSnapshot {
             settings,
             names: old.names.clone(),
             worker_idle_timeout: old.worker_idle_timeout,
