--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -75,9 +75,10 @@
         self.budget.max_worker_connections(self.count(), others)
     }
 
-    /// Returns when the next recently accepted connection becomes old enough to be evicted. Returns `None` if
-    /// a new connection need not wait for that.
-    pub(super) fn next_eviction_at(&self, others: OtherProcesses) -> Option<Instant> {
+    /// Returns the time until which no connection is to be accepted: when the next recently accepted
+    /// connection becomes old enough to be evicted. Returns `None` if the next connection can be admitted
+    /// without that eviction, or if no recently accepted connection exists.
+    pub(super) fn accept_paused_until(&self, others: OtherProcesses) -> Option<Instant> {
         let (now, table) = (Instant::now(), lock_ignoring_poison(&self.table));
         let excess =
             (table.non_evicted_count() + 1).saturating_sub(self.budget.max_client_connections(others));
--- a/crates/vetchbridge/src/clients/connections/tests.rs
+++ b/crates/vetchbridge/src/clients/connections/tests.rs
@@ -67,11 +67,11 @@
     let slots: Vec<ConnectionSlot<'_>> =
         (0..6).filter_map(|_| connections.admit(NO_OTHER_PROCESSES)).collect();
     assert!(connections.admit(NO_OTHER_PROCESSES).is_none());
-    let eviction_at = connections
-        .next_eviction_at(NO_OTHER_PROCESSES)
+    let paused_until = connections
+        .accept_paused_until(NO_OTHER_PROCESSES)
         .expect("new connections become old enough to be evicted");
-    tokio::time::advance(eviction_at - Instant::now()).await;
-    assert_eq!(connections.next_eviction_at(NO_OTHER_PROCESSES), None);
+    tokio::time::advance(paused_until - Instant::now()).await;
+    assert_eq!(connections.accept_paused_until(NO_OTHER_PROCESSES), None);
     slots[0].connection.record_received(b"POST /a");
     let _admitted = connections.admit(NO_OTHER_PROCESSES).expect("a connection without input is evicted");
     slots[1].connection.wait_for_forced_close().await;
@@ -118,10 +118,10 @@
         );
     }
     assert!(connections.has_lingering() && lock_ignoring_poison(&connections.table).non_evicted_count() == 7);
-    let eviction_at = connections
-        .next_eviction_at(NO_OTHER_PROCESSES)
+    let paused_until = connections
+        .accept_paused_until(NO_OTHER_PROCESSES)
         .expect("the close of the lingering connection alone is not enough");
-    tokio::time::advance(eviction_at - Instant::now()).await;
+    tokio::time::advance(paused_until - Instant::now()).await;
     let _next = connections.admit(NO_OTHER_PROCESSES).expect("two connections are evicted");
     slots[0].connection.wait_for_forced_close().await;
     assert_eq!(lock_ignoring_poison(&connections.table).non_evicted_count(), 6);
@@ -178,7 +178,7 @@
     let time_admissions = |connections: &ClientConnections| {
         let start = std::time::Instant::now();
         for _ in 0..NEW_CONNECTIONS {
-            assert_eq!(connections.next_eviction_at(NO_OTHER_PROCESSES), None);
+            assert_eq!(connections.accept_paused_until(NO_OTHER_PROCESSES), None);
             let admitted = connections.admit(NO_OTHER_PROCESSES).expect("an idle connection is evicted");
             admitted.connection.mark_kept_alive();
             std::mem::forget(admitted);
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -142,12 +142,13 @@
         let mut successor = self.process_links.successor();
         loop {
             let has_successor = successor.borrow_and_update().is_some();
-            // Until `eviction_at`, new connections wait in the listener's queue: the connections that were
+            // Until `paused_until`, new connections wait in the listener's queue: the connections that were
             // accepted before them have had no time to send a request.
-            let eviction_at = self.connections.next_eviction_at(self.other_processes());
+            let paused_until = self.connections.accept_paused_until(self.other_processes());
             let incoming = tokio::select! {
-                () = sleep_until(eviction_at.unwrap_or_else(Instant::now)), if eviction_at.is_some() => continue,
-                accepted = listener.accept(), if !has_successor && eviction_at.is_none() => {
+                () = sleep_until(paused_until.unwrap_or_else(Instant::now)),
+                    if paused_until.is_some() => continue,
+                accepted = listener.accept(), if !has_successor && paused_until.is_none() => {
                     accepted.map(|(stream, _)| IncomingConnection { stream, is_kept_alive: false })
                 }
                 Some(connection) = receiver.recv() => connection.into_incoming(),
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -2,8 +2,8 @@
 //!
 //! Each request has its own task, which executes the decision module's commands for the request, owns the
 //! request's attempts and sends its answer. The task is independent of the protocol: the client server
-//! creates the [`SubmittedRequest`] and renders the [`Answer`]. The task never chooses a worker, a delay or an
-//! answer by itself, and reports every event to the decision module through the engine.
+//! creates the [`SubmittedRequest`] and renders the [`Answer`]. The task never chooses a worker, a delay or
+//! an answer by itself, and reports every event to the decision module through the engine.
 
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{record_violation, Invariant};
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -120,8 +120,8 @@
     Ok(handover_server)
 }
 
-/// Splits the state that a predecessor handed over. Without a predecessor, the initial endpoints are the saved
-/// ones of the configuration, which may be of any age.
+/// Splits the state that a predecessor handed over. Without a predecessor, the initial endpoints are the
+/// saved ones of the configuration, which may be of any age.
 fn initial_state(
     inherited: Option<InheritedState>,
     saved_endpoints: EndpointDocument,
@@ -223,8 +223,8 @@
     confirmed
 }
 
-/// Makes the process ready once its endpoint list is confirmed, or after [`LIST_CONFIRMATION_TIMEOUT`] without
-/// a confirmation.
+/// Makes the process ready once its endpoint list is confirmed, or after [`LIST_CONFIRMATION_TIMEOUT`]
+/// without a confirmation.
 fn start_serving(lifecycle: &Arc<Lifecycle>, mut list_confirmed: watch::Receiver<bool>) {
     if *list_confirmed.borrow() {
         return lifecycle.start_serving();
