--- a/crates/vetchbridge/src/workers/attempt.rs
+++ b/crates/vetchbridge/src/workers/attempt.rs
@@ -27,7 +27,7 @@
     NotServed(Outcome),
 }
 
-/// An attempt's result, with the load report on the response or callback that ended the attempt.
+/// An attempt's result, and the load report on the response or callback that ended the attempt.
 type AttemptEnd = (AttemptResult, Option<LoadReport>);
 
 /// The conditions under which an attempt is sent. They are checked again just before the attempt's first byte
@@ -50,8 +50,8 @@
 }
 
 impl UpstreamGroup {
-    /// Makes one attempt and returns its result, with the load report on the response or callback that ended
-    /// the attempt.
+    /// Makes one attempt. Returns the attempt's result, and the load report on the response or callback that
+    /// ended the attempt.
     pub async fn attempt(
         &self,
         request: RequestId,
@@ -121,9 +121,11 @@
 /// The phase that an attempt is in.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The request may be unwritten: the attempt ends without sending it if the worker becomes unavailable.
+    /// The worker is available, or its availability has not been checked yet. If the worker becomes
+    /// unavailable before the request's first byte is written, the attempt ends without sending the request.
     Writing,
-    /// The request is being written or the response awaited; the worker's availability no longer matters.
+    /// The worker became unavailable after the request's first byte was written. The attempt continues, and
+    /// the worker's availability no longer matters.
     AwaitingResponse,
     /// The worker has accepted the job, and reports on it by callbacks.
     Accepted,
@@ -184,7 +186,8 @@
         not_served(outcome)
     }
 
-    /// Ends the attempt if no byte has been written to a worker that is draining or was replaced.
+    /// Ends the attempt if the worker started to drain or was replaced before the request's first byte was
+    /// written.
     fn on_worker_unavailable(&mut self, outcome: Outcome) -> Option<AttemptEnd> {
         self.phase = Phase::AwaitingResponse;
         (!self.progress.first_byte_written()).then(|| not_served(outcome))
@@ -192,7 +195,7 @@
 
     fn on_response(&mut self, response: Result<WorkerResponse, ExchangeError>) -> Option<AttemptEnd> {
         match response {
-            // The head alone accepts the job; the body may never end.
+            // The worker accepts the job by the head of its response; the body may never end.
             Ok(response) if response.status == StatusCode::ACCEPTED => {
                 debug!(request = self.payload.id, worker = self.worker.name, "attempt.accepted");
                 self.phase = Phase::Accepted;
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -58,7 +58,7 @@
     Lost,
 }
 
-/// Identifies an attempt: a request has at most one attempt at a time at each worker.
+/// Identifies an attempt in flight: a request has at most one attempt at a time at each worker.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct AttemptKey {
     request: RequestId,
@@ -100,8 +100,8 @@
 }
 
 impl CallbackSubscription {
-    /// Whether a callback in this state has recently ended an earlier attempt. Another callback in this state
-    /// may be a retry of it.
+    /// Whether a callback in this state has recently ended an earlier attempt of this request at the same
+    /// worker. If so, a new callback in this state may be a retry of the earlier callback.
     pub(super) fn ended_earlier_attempt(&self, state: CallbackState) -> bool {
         self.earlier_end_states.contains(&state)
     }
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Dispatches a callback to the attempt that it is about. Returns false if there is no such attempt.
+    /// Dispatches a callback to the attempt that the callback is about. Returns false if no such attempt is
+    /// in flight. A callback with a malformed request id is logged and dropped; the result is then true.
     pub(super) fn dispatch(&self, callback: &Callback) -> bool {
         let Some(request) = parse_request_id(&callback.id) else {
             warn!(worker = callback.worker, "callback.malformed");
--- a/crates/vetchbridge/src/workers/client.rs
+++ b/crates/vetchbridge/src/workers/client.rs
@@ -19,7 +19,7 @@
 /// An HTTP client whose connections are counted.
 pub(super) type HttpClient = Client<Dialer, Full<Bytes>>;
 
-/// The HTTP client of one worker. Dropping it closes the pool's idle connections.
+/// The HTTP client of one worker. Dropping the client closes the idle connections of its pool.
 pub(super) struct WorkerClient {
     http: HttpClient,
     connection_count: ConnectionCount,
@@ -27,7 +27,7 @@
 }
 
 impl WorkerClient {
-    /// Creates a client without connections. Its connections are also counted in `total_count`.
+    /// Creates a client without connections. `total_count` counts the connections to all workers.
     pub(super) fn new(timeouts: Timeouts, total_count: ConnectionCount) -> WorkerClient {
         let connector = Connector::new(Some(timeouts.dial).filter(|timeout| !timeout.is_zero()));
         let connection_count = ConnectionCount::default();
--- a/crates/vetchbridge/src/workers/connection.rs
+++ b/crates/vetchbridge/src/workers/connection.rs
@@ -125,8 +125,8 @@
 
     /// Resolves once the connection may be reused.
     fn poll_reuse_delay(&mut self, reusable_at: Option<Instant>, cx: &mut Context<'_>) -> Poll<()> {
-        let pending = |at: &Instant| self.reuse_delay.is_none() && Instant::now() < *at;
-        if let Some(reusable_at) = reusable_at.filter(pending) {
+        let must_wait = |at: &Instant| self.reuse_delay.is_none() && Instant::now() < *at;
+        if let Some(reusable_at) = reusable_at.filter(must_wait) {
             self.reuse_delay = Some(Box::pin(sleep_until(reusable_at)));
         }
         if let Some(delay) = &mut self.reuse_delay {
--- a/crates/vetchbridge/src/workers/connection_count.rs
+++ b/crates/vetchbridge/src/workers/connection_count.rs
@@ -11,7 +11,7 @@
 pub struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// Counts one more connection for as long as the guard lives.
+    /// Counts one more connection until the returned guard is dropped.
     pub fn register(&self) -> ConnectionGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
         ConnectionGuard(self.0.clone())
--- a/crates/vetchbridge/src/workers/endpoint.rs
+++ b/crates/vetchbridge/src/workers/endpoint.rs
@@ -27,7 +27,8 @@
     pub(super) name: String,
     pub(super) address: Authority,
     pub(super) client: Mutex<WorkerClient>,
-    /// When the process started, by the wall clock of another machine.
+    /// When the process started, in microseconds of Unix time by the wall clock of another machine; 0 if the
+    /// process started long ago.
     started_at: Micros,
     pub(super) availability: watch::Sender<Availability>,
 }
@@ -91,7 +92,7 @@
 /// Resolves once requests may no longer be written to a worker. Returns the outcome of an attempt of which no
 /// byte has been written.
 pub(super) async fn wait_until_unavailable(availability: &mut watch::Receiver<Availability>) -> Outcome {
-    // The sender lives as long as the worker, to which the caller holds a reference.
+    // The sender is a part of the worker, to which the caller holds a reference, so the wait cannot fail.
     match availability.wait_for(|current| *current != Availability::Ready).await {
         Ok(current) => current.outcome_if_unwritten().unwrap_or(Outcome::ConnectFailed),
         Err(_) => Outcome::ConnectFailed,
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -41,8 +41,8 @@
     pub(super) response: ResponseFuture,
 }
 
-/// Tells how much of a request has been written. Valid until the response arrives; the connection may carry
-/// another request after that.
+/// Reports how much of a request has been written. Valid until the response arrives, since the connection may
+/// carry another request after the response.
 pub(super) struct ExchangeProgress {
     connection: CaptureConnection,
     request_length: u64,
@@ -90,8 +90,7 @@
     }
 }
 
-/// Sends one request to a worker, and holds the client, the send permission and the expiry header for doing
-/// so.
+/// The sender of one request, with the worker's client, the send permission and the request's expiry header.
 struct RequestSender {
     client: HttpClient,
     connection: CaptureConnection,
--- a/crates/vetchbridge/src/workers/expiry.rs
+++ b/crates/vetchbridge/src/workers/expiry.rs
@@ -27,7 +27,7 @@
     deadline: Instant,
     /// The position of the header's value in the request's bytes.
     value_range: Range<usize>,
-    /// The value that is written instead: the time remaining at the first byte. `None` before the first byte.
+    /// The replacement value: the time that remained at the first byte. `None` before the first byte.
     written_value: Option<Vec<u8>>,
 }
 
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -92,7 +92,7 @@
         self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
-    /// Sets new time limits for every worker; attempts in flight keep the old ones.
+    /// Sets new time limits for every worker; attempts in flight keep the old limits.
     pub fn set_timeouts(&self, dial_timeout: Duration, worker_idle_timeout: Duration) {
         let timeouts = Timeouts::new(dial_timeout, worker_idle_timeout);
         if std::mem::replace(&mut *lock_ignoring_poison(&self.timeouts), timeouts) != timeouts {
@@ -130,8 +130,8 @@
         let WorkerEndpoint { worker_id, name, address, state, .. } = *endpoint;
         match address.parse::<Authority>() {
             Ok(address) => {
-                let known = workers.get(&worker_id);
-                if !known.is_some_and(|worker| worker.is_same_process(endpoint, &address)) {
+                let current = workers.get(&worker_id);
+                if !current.is_some_and(|worker| worker.is_same_process(endpoint, &address)) {
                     let worker = Arc::new(Worker::new(endpoint, address, self.new_client()));
                     if let Some(replaced) = workers.insert(worker_id, worker) {
                         replaced.availability.send_replace(Availability::Replaced);
@@ -192,8 +192,8 @@
             .unwrap_or_default()
     }
 
-    /// Dispatches a callback to the attempt that it is about. Returns false if this process has no such
-    /// attempt.
+    /// Dispatches a callback to the attempt that the callback is about. Returns false if this process has no
+    /// such attempt.
     pub fn dispatch_callback(&self, callback: &Callback) -> bool {
         self.callbacks.dispatch(callback)
     }
--- a/crates/vetchbridge/src/workers/message.rs
+++ b/crates/vetchbridge/src/workers/message.rs
@@ -56,7 +56,8 @@
 }
 
 impl WorkerRequest<'_> {
-    /// Returns how long the daemon waits for the result, for a request that tells the worker so.
+    /// Returns how long the daemon waits for the result; `None` for a request that does not tell the worker a
+    /// time limit.
     pub(super) fn timeout(&self) -> Option<Duration> {
         match self {
             WorkerRequest::Job { timeout, .. } => Some(*timeout),
@@ -131,7 +132,8 @@
         self.headers.get(LOAD_REPORT_HEADER).map(axum::http::HeaderValue::as_bytes)
     }
 
-    /// Reads the complete body. Returns an empty body if it is too long, and `None` if the connection failed.
+    /// Reads the complete body. Returns an empty body if the response's body is longer than
+    /// [`MAX_BODY_BYTES`], and `None` if the connection failed.
     pub(super) async fn read_body(&mut self) -> Option<Bytes> {
         match Limited::new(&mut self.body, MAX_BODY_BYTES).collect().await {
             Ok(body) => Some(body.to_bytes()),
--- a/crates/vetchbridge/src/workers/mod.rs
+++ b/crates/vetchbridge/src/workers/mod.rs
@@ -7,7 +7,7 @@
 //! | `attempt` | one attempt, from its dial to its outcome |
 //! | `probe` | one health check |
 //! | `exchange` | one HTTP exchange, and whether the worker can have received the request |
-//! | `message` | the requests that workers get, and their responses |
+//! | `message` | the HTTP requests to workers, and the workers' responses |
 //! | `permission` | whether a request may still be written, checked before its first byte |
 //! | `expiry` | the header that tells a worker how long the daemon waits for the response |
 //! | `client`, `dial`, `connection`, `connection_count` | the connection pool of a worker |
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -1,7 +1,7 @@
 //! Checks just before a request's first byte whether the request may still be written to its worker.
 //!
-//! The decision module has decided earlier to send the request, and connecting may have taken long since
-//! then.
+//! The decision module decides to send a request before the request has a connection, and connecting may take
+//! long.
 
 use super::endpoint::Availability;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -32,7 +32,7 @@
 pub(super) struct SendPermission {
     /// The worker's availability; `None` if the request may be written whatever the availability is.
     availability: Option<watch::Receiver<Availability>>,
-    /// Set once nobody waits for the request any more.
+    /// Set once the request has been answered or its client has disconnected.
     concluded: Arc<AtomicBool>,
     /// The time before which the first byte must be written; `None` for no limit.
     first_byte_deadline: Option<Instant>,
--- a/crates/vetchbridge/src/workers/probe.rs
+++ b/crates/vetchbridge/src/workers/probe.rs
@@ -16,14 +16,16 @@
 /// the timeout is longer, so that the rejection is read and the connection can be reused.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A response to a probe, and the complete body; the body is `None` if the connection failed before its end.
+/// A response to a probe, and the complete body; the body is `None` if the connection failed before the end
+/// of the body.
 type ProbeResponse = (WorkerResponse, Option<Bytes>);
 
 impl UpstreamGroup {
     /// Probes a worker over the same connection pool as attempts. Returns the outcome and the load report on
     /// the response.
     ///
-    /// Ends within `PROBE_TIMEOUT`. Sends nothing to a worker that is draining.
+    /// Ends within `PROBE_TIMEOUT`. Sends nothing to a worker that is draining, or while the maximum number
+    /// of probes is in flight.
     pub async fn probe(&self, worker_id: WorkerId) -> (Outcome, Option<LoadReport>) {
         let Ok(_permit) = self.probe_permits.try_acquire() else { return (Outcome::NotSent, None) };
         let Some(worker) = self.worker(worker_id) else { return (Outcome::ConnectFailed, None) };
