--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -10,13 +10,14 @@
 /// Maximum time that the service holds a watch call until the list changes. A dead connection is detected
 /// only after this time.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// Range by which waits are shortened. One change makes the service answer the watches of all schedulers
-/// together; different waits keep the next calls of these schedulers from ending together.
+/// Maximum time by which a wait is shortened. One change makes the service answer the watches of all
+/// schedulers together; different waits keep the next calls of these schedulers from ending together.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_millis(800);
 /// Maximum time that the response to a watch call may take beyond its wait (docs/design/list-refresh.md).
 const WATCH_RESPONSE_MARGIN: Duration = Duration::from_secs(1);
 /// Maximum time for the response to a call that does not wait for a change. This limit is longer than the
-/// service queues a call: a call that is abandoned sooner may still cost the service the work.
+/// time for which the service queues a call: a call that is abandoned sooner may still cost the service the
+/// work.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Time after which a call is hedged if the call before was unanswered: this call may have been lost as well.
 const HEDGE_DELAY: Duration = Duration::from_millis(1100);
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -7,7 +7,7 @@
 //! watch at the start and whenever one has ended.
 //!
 //! The watcher makes every other call at the scheduler's request, or after a change of the service's address.
-//! It never replaces a list by one that it can't read, and never compares generations of two services.
+//! The watcher never replaces the list by an unreadable one, and never compares generations of two services.
 
 use crate::discovery::client::{CallError, DiscoveryClient, Query};
 use crate::discovery::document::{EndpointDocument, EndpointSource, Instance};
@@ -293,8 +293,8 @@
     fn handle_failure(&mut self, error: CallError) {
         let reason = error.to_string();
         let PartialDocument { generation, mut instances } = error.into_partial();
-        // An entry of a leaving worker counts whatever the document's generation. An entry of a ready worker
-        // counts only if the document has a generation that is no lower than the published one.
+        // An entry of a leaving worker is used whatever the document's generation is. An entry of a ready
+        // worker is used only if the document has a generation that is no lower than the published one.
         let is_recent = generation.is_some_and(|generation| !self.is_older(generation));
         instances.retain(|instance| is_recent || instance.endpoint_state() != EndpointState::Ready);
         warn!(reason, entries = instances.len(), "discovery.failed");
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -198,7 +198,7 @@
         Event::Probed { worker, outcome, latency, load }
     }
 
-    /// Passes each timer to the scheduler when it fires. Runs until the process ends.
+    /// Waits for each timer and passes it to the scheduler when it fires. Runs until the process ends.
     pub async fn run_timers(self: Arc<Self>) {
         loop {
             let next_at = self.lock_state().timers.next_at();
--- a/crates/vetchbridge/src/lifecycle/clock.rs
+++ b/crates/vetchbridge/src/lifecycle/clock.rs
@@ -41,7 +41,7 @@
         self.state.subscribe()
     }
 
-    /// Ends the start; from then on the process can serve.
+    /// Records that the start is complete; from then on the process can serve.
     pub fn start_serving(&self) {
         self.with_machine(super::state::LifecycleMachine::start_serving);
     }
@@ -76,7 +76,8 @@
         result
     }
 
-    /// Makes transitions when their time comes, and logs every change of the state, until the process ends.
+    /// Makes each timed transition when the transition is due, and logs every change of the state, until the
+    /// process ends.
     pub async fn run_transitions(&self) {
         let mut changes = self.subscribe();
         let mut logged = "";
--- a/crates/vetchbridge/src/lifecycle/state.rs
+++ b/crates/vetchbridge/src/lifecycle/state.rs
@@ -10,8 +10,8 @@
 /// Time between the start of a drain and the closing of idle connections. A load balancer that has not yet
 /// noticed that this scheduler is not ready may still send requests on idle connections.
 pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Upper limit on the longest deadline of all classes as the shutdown counts it. SIGKILL arrives at the
-/// earliest 0.7 s plus the limited deadline after SIGTERM.
+/// Upper limit on the deadline for which the shutdown waits: the longest deadline of all classes, but at most
+/// this long. SIGKILL arrives no earlier than this limited deadline plus 0.7 s after SIGTERM.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 /// Time between the limited deadline and the final responses to open requests. SIGKILL, which arrives later,
 /// would discard these requests without a response.
@@ -146,7 +146,7 @@
         self.quiesced
     }
 
-    /// Ends the start; from then on the process can serve.
+    /// Records that the start is complete; from then on the process can serve.
     pub fn start_serving(&mut self, now: Duration) {
         if self.state == LifecycleState::Starting {
             self.state = LifecycleState::Serving;
--- a/crates/vetchbridge/src/net/retry.rs
+++ b/crates/vetchbridge/src/net/retry.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Does the same as [`retry`] without an async runtime, and blocks the thread between tries.
+/// Repeats `call` like [`retry`], but needs no async runtime: the thread is blocked between tries.
 pub(crate) fn retry_blocking<T>(subject: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let mut state = RetryState::new(subject);
     loop {
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -1,8 +1,8 @@
 //! Datagrams between the schedulers of one tier.
 //!
 //! This module owns the UDP socket while the daemon runs. Messages pass through unchanged; a datagram that is
-//! too long or comes from an unknown address is dropped. The module itself never replies to a message and
-//! never resends one.
+//! too long or comes from an unknown address is logged and dropped. The module itself never replies to a
+//! message and never resends one.
 
 use crate::config::Peers;
 use crate::engine::Engine;
@@ -93,7 +93,7 @@
     }
 
     fn handle_datagram(&self, datagram: &[u8], sender: SocketAddr) {
-        let peer = self.config.each.iter().position(|known| *known == sender);
+        let peer = self.config.each.iter().position(|address| *address == sender);
         if let Some(index) = peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
             let data = datagram.to_vec();
             self.engine.handle(Event::PeerMessage { from: index as u32, data });
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -26,9 +26,9 @@
 
 /// A request as it was read from a client, independent of the protocol.
 pub struct SubmittedRequest {
-    /// The part of the request that the decision module gets.
+    /// The part of the request that the decision module uses.
     pub request: Request,
-    /// The part of the request that a worker gets, unparsed.
+    /// The part of the request that is forwarded to a worker, unparsed.
     pub payload: Payload,
     /// The settings that were in force when the request was read; they apply until the request ends.
     pub settings: Arc<SettingsSnapshot>,
@@ -229,8 +229,10 @@
         NewAttempt { request: self.id, number, worker, sent_at, conditions, cancelled }
     }
 
-    /// Returns the time before which the first byte of an attempt must be written. The decision module sends
-    /// an attempt within the same limits, but they may have passed once the attempt has a connection.
+    /// Returns the time before which the first byte of an attempt must be written: the attempt's deadline or,
+    /// for a retry of a keyed job, the end of the deduplication window. The decision module checks the same
+    /// limits when it sends the attempt, but connecting may take until after them. Returns `sent_at`, so that
+    /// the attempt is not sent, for a retry of a non-idempotent job.
     fn first_byte_deadline(&self, sent_at: Micros, deadline: Micros) -> Micros {
         let class = self.settings.settings.classes.get(self.class.0 as usize);
         let idempotency = class.map(|class| class.idempotency).unwrap_or_default();
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -1,9 +1,9 @@
-//! Runs the daemon from its start to its shutdown. This module never handles a request itself.
+//! Runs the daemon from its start to the end of its shutdown. This module never handles a request itself.
 //!
 //! [`run`] takes over from the predecessor process if one serves, opens the sockets, connects the daemon's
 //! components and starts their tasks, waits for SIGTERM, and shuts down gracefully.
 //!
-//! | module | task |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `sockets` | opens the sockets, or uses those that a predecessor handed over |
 //! | `startup` | connects the components and starts their tasks |
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -27,7 +27,7 @@
 
 impl Reloader {
     /// Reads the configuration again at each SIGHUP until the process ends. A process that drains or shuts
-    /// down still places jobs and needs an up-to-date endpoint list, so SIGHUP takes effect then too.
+    /// down handles SIGHUP too, since it still places jobs and needs an up-to-date endpoint list.
     pub async fn run(mut self, hangup: Arc<Notify>) {
         loop {
             hangup.notified().await;
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -29,7 +29,7 @@
 use vetchbridge_scheduling::{Scheduler, LIST_CONFIRMATION_TIMEOUT};
 
 /// Number of descriptors of the process per concurrent health check of a worker. Health checks thus use at
-/// most a quarter of the descriptors that are not reserved for client connections.
+/// most an eighth of the descriptors, which is half of the minimum share of connections to workers.
 const DESCRIPTORS_PER_PROBE: usize = 8;
 
 /// The inputs of [`start`].
@@ -45,7 +45,8 @@
     pub process_links: Arc<ProcessLinks>,
 }
 
-/// The connection to a predecessor after this process has started to use the predecessor's sockets and list.
+/// The connection to a predecessor, kept after this process has inherited the predecessor's sockets and
+/// endpoint list.
 struct Predecessor {
     socket: HandoverSocket,
     /// Number of client connections that the predecessor had.
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -1,7 +1,8 @@
 //! The settings in force: an immutable snapshot that a reload replaces as a whole.
 //!
-//! This module owns the current snapshot. A request uses the snapshot under which it was accepted until it
-//! ends. The configuration module validates a snapshot's values; this module does not check them again.
+//! This module owns the current snapshot. A request uses one snapshot until the request ends: the snapshot
+//! that was in force when the request was read. The configuration module validates a snapshot's values; this
+//! module does not check them again.
 
 use crate::workers::load_report::LoadReportSettings;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -70,7 +71,7 @@
     }
 }
 
-/// Holds the snapshot in force.
+/// The holder of the snapshot in force.
 pub struct CurrentSettings(Mutex<Arc<SettingsSnapshot>>);
 
 impl CurrentSettings {
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -8,7 +8,7 @@
 //! connection as soon as the connection is between two requests. A callback is forwarded to the process that
 //! has its attempt, and both processes treat a request id as open while it is open in either.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | [`successor`] | connects to a predecessor and inherits from it |
 //! | [`predecessor`] | accepts a successor and sends it the offer |
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -1,6 +1,6 @@
 //! The predecessor's side of an upgrade: the process that serves hands over to its successor.
 //!
-//! Owns the hand-over listener. If a successor fails, this process continues to serve as before.
+//! This module owns the hand-over listener. If a successor fails, this process continues to serve as before.
 
 use super::message::{batch_endpoints, HandoverMessage, Offer, VERSION};
 use super::process_links::{Link, ProcessLinks};
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -141,7 +141,8 @@
         lock_ignoring_poison(&self.links).push(link);
     }
 
-    /// Removes the link to a process that has ended. If it was the successor, this process serves again.
+    /// Removes the link to a process that has ended. If that process was the successor, this process serves
+    /// again as before the upgrade.
     pub fn remove(&self, link: &Arc<Link>) {
         lock_ignoring_poison(&self.links).retain(|other| !Arc::ptr_eq(other, link));
         let was_successor = self.successor.send_if_modified(|successor| {
--- a/crates/vetchbridge/src/upgrade/socket.rs
+++ b/crates/vetchbridge/src/upgrade/socket.rs
@@ -82,7 +82,7 @@
 pub struct ReceivedMessage {
     /// The length of the message, in bytes.
     pub length: usize,
-    /// The descriptors that came with it.
+    /// The descriptors that came with the message.
     pub descriptors: Vec<OwnedFd>,
 }
 
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -1,7 +1,7 @@
 //! The successor's side of an upgrade: a process that starts takes over from the process that serves.
 //!
-//! Owns the connection to the predecessor until everything has been inherited. If the take-over fails, the
-//! process starts without a predecessor.
+//! This module owns the connection to the predecessor until everything has been inherited. If the take-over
+//! fails, the process starts without a predecessor.
 
 use super::message::{Envelope, HandoverMessage, Offer, VERSION};
 use super::reader::{MessageReader, ReceiveError};
@@ -74,7 +74,7 @@
             warn!(path = %path.display(), reason, "upgrade.takeover_rejected");
             TakeoverOutcome::Rejected
         }
-        // The process may have ended since it was connected to; this process can then use the path.
+        // The other process may have ended after the connection was made; this process can then use the path.
         Ok(Err(error)) => {
             warn!(path = %path.display(), reason = %error, "upgrade.takeover_failed");
             TakeoverOutcome::NoPredecessor
