--- a/crates/vetchbridge/src/clients/budget.rs
+++ b/crates/vetchbridge/src/clients/budget.rs
@@ -3,8 +3,8 @@
 use crate::workers::ConnectionCount;
 
 /// Number of descriptors that a process needs in addition to client and worker connections: for standard
-/// streams, the runtime, listeners, signals, peers, discovery and a handover. An idle process has 14 of them
-/// open.
+/// streams, the runtime, listeners, signals, peers, discovery and a hand-over. An idle process has 14 of
+/// these descriptors open.
 pub(super) const PROCESS_DESCRIPTORS: usize = 24;
 /// Divisor for the share of the descriptor limit that is kept free for new connections to workers.
 const FREE_DIVISOR: usize = 8;
--- a/crates/vetchbridge/src/clients/connection/mod.rs
+++ b/crates/vetchbridge/src/clients/connection/mod.rs
@@ -76,7 +76,7 @@
         self.close_check.notify_one();
     }
 
-    /// Chooses the connection for eviction; a request that awaits its response is still answered.
+    /// Chooses the connection for eviction. A request that awaits its response is still answered.
     pub(super) fn evict(&self) {
         self.update(|state| state.evicted_in_phase = Some(state.phase));
         self.trigger_close_check();
@@ -179,8 +179,8 @@
         lock_ignoring_poison(&self.state).store_pipelined_input(bytes);
     }
 
-    /// Records that all output has been flushed. Returns whether that completed a response and input of the
-    /// next request is stored.
+    /// Records that all output has been flushed. Returns whether the flush completed a response and input of
+    /// the next request is stored.
     pub(super) fn record_flush(&self) -> bool {
         let sent = self.update(|state| {
             let is_response = state.phase == Phase::SendingResponse;
--- a/crates/vetchbridge/src/clients/connection/request_stream.rs
+++ b/crates/vetchbridge/src/clients/connection/request_stream.rs
@@ -43,7 +43,7 @@
             }
             self.connection.store_pipelined_input(piece.filled());
         }
-        // The flush of the response wakes this task.
+        // Reading is paused until the response is sent. The flush of the response wakes this task.
         Poll::Pending
     }
 }
--- a/crates/vetchbridge/src/clients/connection/state.rs
+++ b/crates/vetchbridge/src/clients/connection/state.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// What follows a response that has been sent.
+/// The state of a connection directly after a response has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ResponseSent {
     /// Whether input of the next request is stored already.
@@ -71,7 +71,8 @@
     pub(super) is_request_complete: bool,
     /// Input after the current request, stored until the response is sent.
     pipelined_input: Vec<u8>,
-    /// Whether more pipelined input has arrived than can be stored. The current response is then the last.
+    /// Whether more pipelined input has arrived than can be stored. If so, the connection closes after the
+    /// current response.
     pipelined_overflow: bool,
 }
 
--- a/crates/vetchbridge/src/clients/connection/time_limits.rs
+++ b/crates/vetchbridge/src/clients/connection/time_limits.rs
@@ -13,8 +13,8 @@
 /// responses before it exits.
 pub(super) const RESPONSE_SEND_TIME: Duration = Duration::from_millis(250);
 /// How long input is read and dropped after the last response. Closing with unread input would reset the
-/// connection and lose the response. The time is short enough for the last responses of a process before
-/// SIGKILL.
+/// connection and lose the response. The time is short enough that the last responses of a process arrive
+/// before SIGKILL.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Phase {
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -70,7 +70,7 @@
         lock_ignoring_poison(&self.table).open.len()
     }
 
-    /// Returns the number of connections to workers above which idle ones are closed.
+    /// Returns the number of connections to workers above which idle connections to workers are closed.
     pub(super) fn max_worker_connections(&self, others: OtherProcesses) -> usize {
         self.budget.max_worker_connections(self.count(), others)
     }
@@ -86,8 +86,8 @@
         order.next_new_connection_evictable_at(now).filter(|_| !order.can_evict(excess, now))
     }
 
-    /// Admits a new connection, and evicts others if the budget is used up; returns `None` if too few can be
-    /// evicted.
+    /// Admits a new connection. Evicts other connections if the budget is used up; returns `None` if too few
+    /// can be evicted.
     pub(super) fn admit(&self, others: OtherProcesses) -> Option<ConnectionSlot<'_>> {
         let table = &mut *lock_ignoring_poison(&self.table);
         // One eviction may not be enough: a connection that was evicted earlier counts again while it
--- a/crates/vetchbridge/src/clients/eviction.rs
+++ b/crates/vetchbridge/src/clients/eviction.rs
@@ -31,8 +31,8 @@
     IdleAfterOneResponse,
     /// Idle after several responses.
     IdleKeepAlive,
-    /// A worker's connection that is idle between callbacks. It is needed more than a client's connection,
-    /// since the client can connect again.
+    /// A worker's connection that is idle between callbacks. A worker's connection is needed more than a
+    /// client's connection, since the client can connect again.
     IdleCallback,
 }
 
--- a/crates/vetchbridge/src/clients/mod.rs
+++ b/crates/vetchbridge/src/clients/mod.rs
@@ -1,7 +1,7 @@
 //! The server for clients and for workers' callbacks: the listener, its connections, and the HTTP on them.
 //!
-//! This module contains everything of the daemon that clients and workers' callbacks can observe. It neither
-//! chooses nor contacts workers.
+//! All behaviour of the daemon that clients, and workers that send callbacks, can observe is in this module.
+//! The module neither chooses nor contacts workers.
 
 mod body;
 mod budget;
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -66,7 +66,7 @@
     pub(super) job_memory: BodyMemory,
     /// Memory for the bodies of callbacks. It is separate because jobs must not use it up.
     pub(super) callback_memory: BodyMemory,
-    /// The connections that other processes of this scheduler have handed over.
+    /// The connections that other processes of this scheduler have handed over, not served yet.
     handovers: HandoverQueue,
 }
 
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Whether any request is open, or any response is still awaited or being sent.
+    /// Whether any request is open, or any connection awaits a response or may still be sending one.
     pub fn has_pending_responses(&self) -> bool {
         self.connections.has_pending_response() || self.engine.open_request_count() > 0
     }
@@ -161,7 +161,8 @@
             match incoming {
                 Ok(incoming) => {
                     tokio::spawn(self.clone().serve_connection(incoming, router.clone()));
-                    // In a burst of connections, lets this one be read from before the next one may evict it.
+                    // In a burst of connections, lets the task of this connection read input before the next
+                    // connection may evict this one.
                     tokio::task::yield_now().await;
                 }
                 Err(error) => {
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -19,9 +19,10 @@
 use tokio::time::{sleep, timeout};
 use tracing::debug;
 
-/// How long a connection beyond the budget may take to send the start of a callback.
+/// How long a connection beyond the descriptor budget may take to send the start of a callback.
 const CALLBACK_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time limit for a callback on a connection beyond the budget, including the forwarding to another process.
+/// Time limit for a callback on a connection beyond the descriptor budget, including the time to forward the
+/// callback to another process.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Interval between checks of a request line that has arrived only in part.
 const CALLBACK_PEEK_INTERVAL: Duration = Duration::from_millis(5);
@@ -66,7 +67,8 @@
         let io = TokioIo::new(RequestStream::new(RetryingStream::new(stream), connection.clone()));
         let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let end = tokio::select! {
-            // hyper is polled first, since a connection chosen for eviction may have received a request.
+            // hyper is polled first, since a connection that is chosen for eviction may have received a
+            // request, which must be answered.
             biased;
             result = Pin::new(&mut serving) => ServingEnd::Finished(result),
             () = connection.wait_for_forced_close() => ServingEnd::ClosedByLimit,
@@ -135,8 +137,8 @@
         let io = TokioIo::new(RequestStream::new(RetryingStream::new(stream), connection.clone()));
         let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let result = timeout(CALLBACK_TIMEOUT, Pin::new(&mut serving)).await;
-        // A lingering close is not needed, since a worker sends nothing before it has read the response. It
-        // would also occupy a slot that other callbacks need.
+        // A lingering close is not needed, since a worker sends nothing before it has read the response. A
+        // lingering close would also occupy a slot that other callbacks need.
         debug!(?result, "callback.served_beyond_budget");
     }
 
@@ -164,7 +166,8 @@
     }
 }
 
-/// Whether the input of a connection starts with the request line of a callback. The input is not consumed.
+/// Whether the input of a connection starts with the request line of a callback. The input stays in the
+/// socket's receive buffer.
 async fn starts_with_callback(stream: &TcpStream) -> bool {
     let mut head = [0; CALLBACK_REQUEST_LINE.len()];
     loop {
