--- a/crates/vetchbridge/src/clients/connections/tests.rs
+++ b/crates/vetchbridge/src/clients/connections/tests.rs
@@ -187,7 +187,8 @@
     };
     let mut elapsed = [Duration::ZERO; 2];
     for _ in 0..ROUNDS {
-        // Each round uses new tables, since no connection is closed here and evicted ones stay in the table.
+        // Each round uses new tables, since no connection is closed here and evicted connections stay in
+        // the table.
         for (elapsed, limit) in elapsed.iter_mut().zip([1_000, 16_000]) {
             *elapsed += time_admissions(&full_table(limit));
         }
--- a/crates/vetchbridge/src/clients/eviction.rs
+++ b/crates/vetchbridge/src/clients/eviction.rs
@@ -133,7 +133,7 @@
         at_any_age + new + receiving >= count
     }
 
-    /// Returns when the next new connection becomes old enough to be evicted for another new one.
+    /// Returns when the next new connection becomes old enough to be evicted for another new connection.
     pub(super) fn next_new_connection_evictable_at(&self, now: Instant) -> Option<Instant> {
         let new = self.group(EvictionGroup::New);
         let youngest_evictable = now.checked_sub(MIN_AGE_FOR_NEW_CONNECTION);
--- a/crates/vetchbridge/src/clients/framing/tests.rs
+++ b/crates/vetchbridge/src/clients/framing/tests.rs
@@ -13,8 +13,8 @@
     framing
 }
 
-/// If a request has both headers, hyper ignores the length. An intermediary that trusts the length would see
-/// another request in the body.
+/// If a request has a `Content-Length` and a `Transfer-Encoding`, hyper ignores the length. An intermediary
+/// that trusts the length would see another request in the body.
 #[test]
 fn a_request_with_content_length_and_transfer_encoding_is_ambiguous_in_either_order() {
     let (length, chunked) = ("Content-Length: 4\r\n", "transfer-encoding: chunked\r\n");
--- a/crates/vetchbridge/src/serve/sockets.rs
+++ b/crates/vetchbridge/src/serve/sockets.rs
@@ -12,7 +12,7 @@
 use tracing::warn;
 
 /// Number of connections that the kernel queues until they are accepted; a smaller `net.core.somaxconn` takes
-/// precedence. The queue overflows only if more workers than this call back at the same moment.
+/// precedence. The queue overflows only if more workers than this call back at the same time.
 const BACKLOG: u32 = 4096;
 
 /// Sockets that a predecessor handed over.
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -115,7 +115,7 @@
                 process_links.forward(&callback, Some(&link)).await
             };
             // If a third process did not reply, no reply is sent either: the sender's own time limit expires,
-            // and the callback counts as unanswered there too.
+            // and the callback counts as unanswered at the sender too.
             if forwarded != ForwardOutcome::Unanswered {
                 let known = forwarded == ForwardOutcome::Known;
                 link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -1,7 +1,7 @@
 //! Upgrades: a new process of a scheduler (the successor) takes over from the old one (the predecessor).
 //!
-//! A process that starts first connects to the process that already serves as the same scheduler, if there is
-//! one. The successor inherits the listener for clients, the socket for messages between schedulers, and the
+//! When a process starts, it first connects to the process that already serves as the same scheduler, if one
+//! does. The successor inherits the listener for clients, the socket for messages between schedulers, and the
 //! endpoint list that the predecessor received last. The listener's descriptor itself is passed, so
 //! connections queued there are not lost. Once the successor has sent
 //! [`TookOver`](HandoverMessage::TookOver), the predecessor accepts no connections; it passes on each client
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Sends the offer with the sockets, then the endpoint list and the empty message that marks its end.
+    /// Sends the offer with the sockets, then the endpoint list and the empty message that marks the end of
+    /// the list.
     async fn send_offer(&self, socket: &HandoverSocket) -> io::Result<()> {
         let ((instances, generation), source) = {
             let endpoint_list = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -108,7 +108,7 @@
     Ok(InheritedState { listener, peer_socket, offer, endpoints, socket })
 }
 
-/// Receives the endpoint list, up to the empty message that marks its end.
+/// Receives the endpoint list, up to the empty message that marks the end of the list.
 async fn receive_endpoints(
     reader: &mut MessageReader<'_>,
     generation: u64,
