--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -70,14 +70,15 @@
         lock_ignoring_poison(&self.table).open.len()
     }
 
-    /// Returns the number of connections to workers above which idle ones are closed.
+    /// Returns the number of connections to workers above which idle connections to workers are closed.
     pub(super) fn max_worker_connections(&self, others: OtherProcesses) -> usize {
         self.budget.max_worker_connections(self.count(), others)
     }
 
-    /// Returns when the next recently accepted connection becomes old enough to be evicted. Returns `None` if
-    /// a new connection need not wait for that.
-    pub(super) fn next_eviction_at(&self, others: OtherProcesses) -> Option<Instant> {
+    /// Returns the time until which no connection is to be accepted: when the next recently accepted
+    /// connection becomes old enough to be evicted. Returns `None` if the next connection can be admitted
+    /// without that eviction, or if no recently accepted connection exists.
+    pub(super) fn accept_paused_until(&self, others: OtherProcesses) -> Option<Instant> {
         let (now, table) = (Instant::now(), lock_ignoring_poison(&self.table));
         let excess =
             (table.non_evicted_count() + 1).saturating_sub(self.budget.max_client_connections(others));
@@ -85,8 +86,8 @@
         order.next_new_connection_evictable_at(now).filter(|_| !order.can_evict(excess, now))
     }
 
-    /// Admits a new connection, and evicts others if the budget is used up; returns `None` if too few can be
-    /// evicted.
+    /// Admits a new connection. Evicts other connections if the budget is used up; returns `None` if too few
+    /// can be evicted.
     pub(super) fn admit(&self, others: OtherProcesses) -> Option<ConnectionSlot<'_>> {
         let table = &mut *lock_ignoring_poison(&self.table);
         // One eviction may not be enough: a connection that was evicted earlier counts again while it
--- a/crates/vetchbridge/src/clients/eviction.rs
+++ b/crates/vetchbridge/src/clients/eviction.rs
@@ -31,8 +31,8 @@
     IdleAfterOneResponse,
     /// Idle after several responses.
     IdleKeepAlive,
-    /// A worker's connection that is idle between callbacks. It is needed more than a client's connection,
-    /// since the client can connect again.
+    /// A worker's connection that is idle between callbacks. A worker's connection is needed more than a
+    /// client's connection, since the client can connect again.
     IdleCallback,
 }
 
@@ -133,7 +133,7 @@
         at_any_age + new + receiving >= count
     }
 
-    /// Returns when the next new connection becomes old enough to be evicted for another new one.
+    /// Returns when the next new connection becomes old enough to be evicted for another new connection.
     pub(super) fn next_new_connection_evictable_at(&self, now: Instant) -> Option<Instant> {
         let new = self.group(EvictionGroup::New);
         let youngest_evictable = now.checked_sub(MIN_AGE_FOR_NEW_CONNECTION);
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -66,7 +66,7 @@
     pub(super) job_memory: BodyMemory,
     /// Memory for the bodies of callbacks. It is separate because jobs must not use it up.
     pub(super) callback_memory: BodyMemory,
-    /// The connections that other processes of this scheduler have handed over.
+    /// The connections that other processes of this scheduler have handed over, not served yet.
     handovers: HandoverQueue,
 }
 
@@ -83,7 +83,8 @@
         process_links: Arc<ProcessLinks>,
     ) -> Arc<ClientServer> {
         let reserved_descriptors = admin::max_connections(max_descriptors);
-        let budget = DescriptorBudget::new(max_descriptors, reserved_descriptors, upstream.connections());
+        let budget =
+            DescriptorBudget::new(max_descriptors, reserved_descriptors, upstream.connection_count());
         Arc::new(ClientServer {
             engine,
             upstream,
@@ -97,7 +98,7 @@
         })
     }
 
-    /// Whether any request is open, or any response is still awaited or being sent.
+    /// Whether any request is open, or any connection awaits a response or may still be sending one.
     pub fn has_pending_responses(&self) -> bool {
         self.connections.has_pending_response() || self.engine.open_request_count() > 0
     }
@@ -141,12 +142,13 @@
         let mut successor = self.process_links.successor();
         loop {
             let has_successor = successor.borrow_and_update().is_some();
-            // Until `eviction_at`, new connections wait in the listener's queue: the connections that were
+            // Until `paused_until`, new connections wait in the listener's queue: the connections that were
             // accepted before them have had no time to send a request.
-            let eviction_at = self.connections.next_eviction_at(self.other_processes());
+            let paused_until = self.connections.accept_paused_until(self.other_processes());
             let incoming = tokio::select! {
-                () = sleep_until(eviction_at.unwrap_or_else(Instant::now)), if eviction_at.is_some() => continue,
-                accepted = listener.accept(), if !has_successor && eviction_at.is_none() => {
+                () = sleep_until(paused_until.unwrap_or_else(Instant::now)),
+                    if paused_until.is_some() => continue,
+                accepted = listener.accept(), if !has_successor && paused_until.is_none() => {
                     accepted.map(|(stream, _)| IncomingConnection { stream, is_kept_alive: false })
                 }
                 Some(connection) = receiver.recv() => connection.into_incoming(),
@@ -159,7 +161,8 @@
             match incoming {
                 Ok(incoming) => {
                     tokio::spawn(self.clone().serve_connection(incoming, router.clone()));
-                    // In a burst of connections, lets this one be read from before the next one may evict it.
+                    // In a burst of connections, lets the task of this connection read input before the next
+                    // connection may evict this one.
                     tokio::task::yield_now().await;
                 }
                 Err(error) => {
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -23,7 +23,7 @@
 pub use precedence::{EffectiveValue, Flags};
 
 use crate::discovery::document::{EndpointDocument, EndpointSource};
-use crate::snapshot::Snapshot;
+use crate::snapshot::SettingsSnapshot;
 use file::File;
 use precedence::Environment;
 use serde_json::Value;
@@ -52,7 +52,7 @@
     /// Worker list that this scheduler last received.
     pub saved_list: EndpointDocument,
     /// Validated settings.
-    pub snapshot: Snapshot,
+    pub snapshot: SettingsSnapshot,
     /// Seed of the scheduler's random numbers.
     pub seed: u64,
     /// The platform's document, unchanged; `None` if the configuration is a TOML file.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -6,7 +6,7 @@
 use super::precedence::{self, Environment, Overrides};
 use super::{file, Config, ConfigError, EffectiveValue, Fault, Flags, LoadedConfig, Peers};
 use crate::discovery::document::{EndpointDocument, EndpointSource};
-use crate::snapshot::{NameTables, Snapshot};
+use crate::snapshot::{NameTables, SettingsSnapshot};
 use crate::workers::load_report::{FreeSlotsField, LoadReportSettings};
 use crate::workers::name_hash;
 use serde::de::DeserializeOwned;
@@ -163,7 +163,7 @@
         let conn_idle = self.optional(limits, "conn_idle", "settings.limits.conn_idle");
         let names = NameTables {
             zones: self.optional(Some(json), "areas", "settings.areas").unwrap_or_default(),
-            kinds: self.optional(Some(json), "kinds", "settings.kinds").unwrap_or_default(),
+            machine_types: self.optional(Some(json), "kinds", "settings.kinds").unwrap_or_default(),
             classes: self.entry_names(json, "services"),
             tenants: self.entry_names(json, "accounts"),
         };
@@ -183,10 +183,10 @@
 }
 
 impl SettingsKeys {
-    fn snapshot(self) -> Snapshot {
+    fn snapshot(self) -> SettingsSnapshot {
         let reports =
             LoadReportSettings { source: self.settings.load_report_source, free_slots: self.free_slots };
-        Snapshot::new(self.settings, self.names, self.conn_idle, reports)
+        SettingsSnapshot::new(self.settings, self.names, self.conn_idle, reports)
     }
 }
 
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -10,7 +10,7 @@
 use super::text::Text;
 use super::{Config, ConfigError, Fault, Peers};
 use crate::discovery::document::{EndpointDocument, EndpointSource, Instance, InstanceState};
-use crate::snapshot::{NameTables, Snapshot};
+use crate::snapshot::{NameTables, SettingsSnapshot};
 use crate::workers::load_report::{self, LoadReportSettings};
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::{
@@ -257,7 +257,7 @@
     })
 }
 
-fn snapshot(file: &File, settings: Settings) -> Snapshot {
+fn snapshot(file: &File, settings: Settings) -> SettingsSnapshot {
     let reports = LoadReportSettings {
         source: settings.load_report_source,
         free_slots: match file.fleet.free_slots {
@@ -268,12 +268,12 @@
     };
     let names = NameTables {
         zones: file.fleet.zones.clone(),
-        kinds: file.fleet.kinds.clone(),
+        machine_types: file.fleet.kinds.clone(),
         classes: file.class.iter().map(|class| class.name.clone()).collect(),
         tenants: file.tenant.iter().map(|tenant| tenant.name.clone()).collect(),
     };
     let conn_idle = Some(file.fleet.conn_idle.duration()).filter(|idle| !idle.is_zero());
-    Snapshot::new(settings, names, conn_idle.unwrap_or(DEFAULT_CONN_IDLE), reports)
+    SettingsSnapshot::new(settings, names, conn_idle.unwrap_or(DEFAULT_CONN_IDLE), reports)
 }
 
 fn endpoint_delivery(follow: Follow) -> EndpointDelivery {
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -7,7 +7,7 @@
 //! watch at the start and whenever one has ended.
 //!
 //! The watcher makes every other call at the scheduler's request, or after a change of the service's address.
-//! It never replaces a list by one that it can't read, and never compares generations of two services.
+//! The watcher never replaces the list by an unreadable one, and never compares generations of two services.
 
 use crate::discovery::client::{CallError, DiscoveryClient, Query};
 use crate::discovery::document::{EndpointDocument, EndpointSource, Instance};
@@ -35,9 +35,9 @@
     /// Whether the generation was assigned by the current discovery service. Otherwise the watcher fetches
     /// the complete list first.
     pub generation_valid: bool,
-    /// Whether a predecessor handed over the list after the list was confirmed. Otherwise the list may be of
-    /// any age.
-    pub handed_over: bool,
+    /// Whether a predecessor handed over the list, and discovery had confirmed the list to the predecessor or
+    /// the predecessor already served without a confirmation. Otherwise the list may be of any age.
+    pub confirmed_by_predecessor: bool,
 }
 
 /// A call in flight.
@@ -111,9 +111,13 @@
             return self.accept_document(EndpointUpdate::Snapshot, document.clone());
         }
         self.generation = initial.generation_valid.then_some(initial.document.generation);
-        let update = if initial.handed_over { EndpointUpdate::HandedOver } else { EndpointUpdate::Restored };
+        let update = if initial.confirmed_by_predecessor {
+            EndpointUpdate::HandedOver
+        } else {
+            EndpointUpdate::Restored
+        };
         self.publish(update, self.generation, &initial.document.instances);
-        self.confirmed.send_replace(initial.handed_over);
+        self.confirmed.send_replace(initial.confirmed_by_predecessor);
     }
 
     /// Returns a receiver of whether the list is confirmed: a call has been answered since the start, the
@@ -289,8 +293,8 @@
     fn handle_failure(&mut self, error: CallError) {
         let reason = error.to_string();
         let PartialDocument { generation, mut instances } = error.into_partial();
-        // An entry of a leaving worker counts whatever the document's generation. An entry of a ready worker
-        // counts only if the document has a generation that is no lower than the published one.
+        // An entry of a leaving worker is used whatever the document's generation is. An entry of a ready
+        // worker is used only if the document has a generation that is no lower than the published one.
         let is_recent = generation.is_some_and(|generation| !self.is_older(generation));
         instances.retain(|instance| is_recent || instance.endpoint_state() != EndpointState::Ready);
         warn!(reason, entries = instances.len(), "discovery.failed");
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -2,13 +2,13 @@
 //!
 //! Each request has its own task, which executes the decision module's commands for the request, owns the
 //! request's attempts and sends its answer. The task is independent of the protocol: the client server
-//! creates the [`Job`] and renders the [`Answer`]. The task never chooses a worker, a delay or an answer by
-//! itself, and reports every event to the decision module through the engine.
+//! creates the [`SubmittedRequest`] and renders the [`Answer`]. The task never chooses a worker, a delay or
+//! an answer by itself, and reports every event to the decision module through the engine.
 
 use crate::engine::{Engine, RequestCommand};
 use crate::invariants::{record_violation, Invariant};
 use crate::logs::HexRequestId;
-use crate::snapshot::Snapshot;
+use crate::snapshot::SettingsSnapshot;
 use crate::upgrade::message::HandoverMessage;
 use crate::upgrade::process_links::ProcessLinks;
 use crate::workers::{AttemptResult, Payload, SendConditions, UpstreamGroup};
@@ -25,14 +25,15 @@
 };
 
 /// A request as it was read from a client, independent of the protocol.
-pub struct Job {
-    /// The part of the request that the decision module gets.
+pub struct SubmittedRequest {
+    /// The part of the request that the decision module uses.
     pub request: Request,
-    /// The part of the request that a worker gets, unparsed.
+    /// The part of the request that is forwarded to a worker, unparsed.
     pub payload: Payload,
     /// The settings that were in force when the request was read; they apply until the request ends.
-    pub settings: Arc<Snapshot>,
-    /// The request's share of the memory for bodies, released with the job.
+    pub settings: Arc<SettingsSnapshot>,
+    /// The request's share of the memory for bodies, released when the request ends; `None` if no memory was
+    /// reserved.
     pub body_permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -73,10 +74,10 @@
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     process_links: Arc<ProcessLinks>,
-    job: Job,
+    submitted: SubmittedRequest,
 ) -> oneshot::Receiver<Answer> {
     let (answer_sender, answer) = oneshot::channel();
-    let Job { request, payload, settings, body_permit } = job;
+    let SubmittedRequest { request, payload, settings, body_permit } = submitted;
     let (id, class, deadline) = (request.id, request.class, request.deadline);
     let open_elsewhere = process_links.has_open_request(id);
     let Some(commands) = (!open_elsewhere).then(|| engine.open_request(request)).flatten() else {
@@ -140,7 +141,7 @@
 struct RequestContext {
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
-    settings: Arc<Snapshot>,
+    settings: Arc<SettingsSnapshot>,
     id: RequestId,
     class: ClassId,
     deadline: Micros,
@@ -228,8 +229,10 @@
         NewAttempt { request: self.id, number, worker, sent_at, conditions, cancelled }
     }
 
-    /// Returns the time before which the first byte of an attempt must be written. The decision module sends
-    /// an attempt within the same limits, but they may have passed once the attempt has a connection.
+    /// Returns the time before which the first byte of an attempt must be written: the attempt's deadline or,
+    /// for a retry of a keyed job, the end of the deduplication window. The decision module checks the same
+    /// limits when it sends the attempt, but connecting may take until after them. Returns `sent_at`, so that
+    /// the attempt is not sent, for a retry of a non-idempotent job.
     fn first_byte_deadline(&self, sent_at: Micros, deadline: Micros) -> Micros {
         let class = self.settings.settings.classes.get(self.class.0 as usize);
         let idempotency = class.map(|class| class.idempotency).unwrap_or_default();
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -14,7 +14,7 @@
 use crate::lifecycle::clock::Lifecycle;
 use crate::logs::Logs;
 use crate::peers::{self, OutgoingMessage};
-use crate::snapshot::{CurrentSettings, Snapshot};
+use crate::snapshot::{CurrentSettings, SettingsSnapshot};
 use crate::upgrade::process_links::ProcessLinks;
 use crate::upgrade::socket::HandoverSocket;
 use crate::upgrade::{HandoverServer, InheritedState};
@@ -29,7 +29,7 @@
 use vetchbridge_scheduling::{Scheduler, LIST_CONFIRMATION_TIMEOUT};
 
 /// Number of descriptors of the process per concurrent health check of a worker. Health checks thus use at
-/// most a quarter of the descriptors that are not reserved for client connections.
+/// most an eighth of the descriptors, which is half of the minimum share of connections to workers.
 const DESCRIPTORS_PER_PROBE: usize = 8;
 
 /// The inputs of [`start`].
@@ -45,7 +45,8 @@
     pub process_links: Arc<ProcessLinks>,
 }
 
-/// The connection to a predecessor after this process has started to use the predecessor's sockets and list.
+/// The connection to a predecessor, kept after this process has inherited the predecessor's sockets and
+/// endpoint list.
 struct Predecessor {
     socket: HandoverSocket,
     /// Number of client connections that the predecessor had.
@@ -56,7 +57,7 @@
 /// them over.
 struct InitialState {
     sockets: InheritedSockets,
-    initial_list: InitialEndpoints,
+    initial_endpoints: InitialEndpoints,
     predecessor: Option<Predecessor>,
 }
 
@@ -72,9 +73,9 @@
 /// Opens the sockets, connects all components and starts their tasks.
 pub(super) async fn start(startup: Startup) -> Result<Arc<HandoverServer>, ServeError> {
     let Startup { mut config, flags, logs, hangup, inherited, lifecycle, process_links } = startup;
-    let saved_list = std::mem::take(&mut config.saved_list);
-    let InitialState { sockets, initial_list, predecessor } =
-        initial_state(inherited, saved_list, &config.endpoint_source);
+    let saved_endpoints = std::mem::take(&mut config.saved_list);
+    let InitialState { sockets, initial_endpoints, predecessor } =
+        initial_state(inherited, saved_endpoints, &config.endpoint_source);
     let Sockets { client_listener, listener_duplicate, handover_listener, peer_socket } =
         Sockets::open(&config, sockets).await?;
     let listen = listener_duplicate.local_addr().map_err(ServeError::ClientListener)?;
@@ -100,7 +101,7 @@
         started.map_err(|error| error!(%error, "peer_socket.failed")).ok()
     });
     let list_confirmed =
-        start_discovery(config.endpoint_source, initial_list, &shared, queued_discovery_requests);
+        start_discovery(config.endpoint_source, initial_endpoints, &shared, queued_discovery_requests);
     let client_server = shared.client_server(max_sockets, config.max_memory, &lifecycle, &process_links);
     tokio::spawn(client_server.clone().serve(client_listener));
     let handover_server = Arc::new(HandoverServer {
@@ -125,20 +126,20 @@
     Ok(handover_server)
 }
 
-/// Splits the state that a predecessor handed over. Without a predecessor, the endpoint list is the saved
-/// one.
+/// Splits the state that a predecessor handed over. Without a predecessor, the initial endpoints are the
+/// saved ones of the configuration, which may be of any age.
 fn initial_state(
     inherited: Option<InheritedState>,
-    saved_list: EndpointDocument,
+    saved_endpoints: EndpointDocument,
     source: &EndpointSource,
 ) -> InitialState {
     let Some(InheritedState { listener, peer_socket, offer, endpoints, socket }) = inherited else {
         return InitialState {
             sockets: InheritedSockets::default(),
-            initial_list: InitialEndpoints {
-                document: saved_list,
+            initial_endpoints: InitialEndpoints {
+                document: saved_endpoints,
                 generation_valid: true,
-                handed_over: false,
+                confirmed_by_predecessor: false,
             },
             predecessor: None,
         };
@@ -146,10 +147,10 @@
     let same_source = matches!(source, EndpointSource::Service(address) if Some(*address) == offer.source);
     InitialState {
         sockets: InheritedSockets { client_listener: Some(listener), peer_socket },
-        initial_list: InitialEndpoints {
+        initial_endpoints: InitialEndpoints {
             document: endpoints,
             generation_valid: same_source && offer.generation.is_some(),
-            handed_over: offer.confirmed,
+            confirmed_by_predecessor: offer.confirmed,
         },
         predecessor: Some(Predecessor { socket, connections: offer.connections }),
     }
@@ -158,7 +159,7 @@
 impl SharedState {
     fn new(
         scheduler: Scheduler,
-        snapshot: Snapshot,
+        snapshot: SettingsSnapshot,
         max_sockets: usize,
         discovery_requests: UnboundedSender<DiscoveryRequest>,
         datagrams: UnboundedSender<OutgoingMessage>,
@@ -211,14 +212,14 @@
 /// confirmed.
 fn start_discovery(
     source: EndpointSource,
-    initial_list: InitialEndpoints,
+    initial_endpoints: InitialEndpoints,
     shared: &SharedState,
     requests: UnboundedReceiver<DiscoveryRequest>,
 ) -> watch::Receiver<bool> {
     let discovery = EndpointWatcher::start(
         source,
         shared.current_settings.clone(),
-        initial_list,
+        initial_endpoints,
         shared.engine.clone(),
         shared.upstream.clone(),
         shared.endpoint_list.clone(),
@@ -228,8 +229,8 @@
     confirmed
 }
 
-/// Makes the process ready once its endpoint list is confirmed, or after [`CONFIRM_WITHIN`] without a
-/// confirmation.
+/// Makes the process ready once its endpoint list is confirmed, or after [`LIST_CONFIRMATION_TIMEOUT`]
+/// without a confirmation.
 fn start_serving(lifecycle: &Arc<Lifecycle>, mut list_confirmed: watch::Receiver<bool>) {
     if *list_confirmed.borrow() {
         return lifecycle.start_serving();
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -1,7 +1,8 @@
 //! The settings in force: an immutable snapshot that a reload replaces as a whole.
 //!
-//! This module owns the current snapshot. A request uses the snapshot under which it was accepted until it
-//! ends. The configuration module validates a snapshot's values; this module does not check them again.
+//! This module owns the current snapshot. A request uses one snapshot until the request ends: the snapshot
+//! that was in force when the request was read. The configuration module validates a snapshot's values; this
+//! module does not check them again.
 
 use crate::workers::load_report::LoadReportSettings;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,7 +16,7 @@
     /// Names of zones.
     pub zones: Vec<String>,
     /// Names of machine types.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// Names of request classes.
     pub classes: Vec<String>,
     /// Names of tenants.
@@ -23,7 +24,7 @@
 }
 
 /// One version of the settings.
-pub struct Snapshot {
+pub struct SettingsSnapshot {
     /// The scheduler's settings.
     pub settings: Settings,
     /// The names that the settings' indices refer to.
@@ -34,7 +35,7 @@
     pub load_reports: LoadReportSettings,
 }
 
-impl Snapshot {
+impl SettingsSnapshot {
     /// Creates a snapshot. If the settings list tenants, one tenant without a name and without a quota is
     /// added for the requests of unlisted tenants, which must not use up a listed tenant's quota.
     pub fn new(
@@ -42,11 +43,11 @@
         names: NameTables,
         worker_idle_timeout: Duration,
         load_reports: LoadReportSettings,
-    ) -> Snapshot {
+    ) -> SettingsSnapshot {
         if !settings.tenants.is_empty() {
             settings.tenants.push(Tenant { quota_per_second: 0.0 });
         }
-        Snapshot { settings, names, worker_idle_timeout, load_reports }
+        SettingsSnapshot { settings, names, worker_idle_timeout, load_reports }
     }
 
     /// Returns the tenant with this name. An unlisted tenant gets the added tenant without a quota; if the
@@ -70,22 +71,22 @@
     }
 }
 
-/// Holds the snapshot in force.
-pub struct CurrentSettings(Mutex<Arc<Snapshot>>);
+/// The holder of the snapshot in force.
+pub struct CurrentSettings(Mutex<Arc<SettingsSnapshot>>);
 
 impl CurrentSettings {
     /// Creates the holder with the first snapshot.
-    pub fn new(snapshot: Snapshot) -> CurrentSettings {
+    pub fn new(snapshot: SettingsSnapshot) -> CurrentSettings {
         CurrentSettings(Mutex::new(Arc::new(snapshot)))
     }
 
     /// Returns the snapshot in force.
-    pub fn get(&self) -> Arc<Snapshot> {
+    pub fn get(&self) -> Arc<SettingsSnapshot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Puts another snapshot in force and returns the previous one.
-    pub fn swap(&self, snapshot: Snapshot) -> Arc<Snapshot> {
+    pub fn swap(&self, snapshot: SettingsSnapshot) -> Arc<SettingsSnapshot> {
         let mut current = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut *current, Arc::new(snapshot))
     }
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -1,6 +1,6 @@
 //! The predecessor's side of an upgrade: the process that serves hands over to its successor.
 //!
-//! Owns the hand-over listener. If a successor fails, this process continues to serve as before.
+//! This module owns the hand-over listener. If a successor fails, this process continues to serve as before.
 
 use super::message::{batch_endpoints, HandoverMessage, Offer, VERSION};
 use super::process_links::{Link, ProcessLinks};
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Sends the offer with the sockets, then the endpoint list and the empty message that marks its end.
+    /// Sends the offer with the sockets, then the endpoint list and the empty message that marks the end of
+    /// the list.
     async fn send_offer(&self, socket: &HandoverSocket) -> io::Result<()> {
         let ((instances, generation), source) = {
             let endpoint_list = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -21,8 +21,8 @@
 use vetchbridge::discovery::request::DiscoveryRequest;
 use vetchbridge::discovery::watcher::{EndpointWatcher, InitialEndpoints};
 use vetchbridge::engine::Engine;
-use vetchbridge::request::{submit, Answer, Job};
-use vetchbridge::snapshot::{CurrentSettings, Snapshot};
+use vetchbridge::request::{submit, Answer, SubmittedRequest};
+use vetchbridge::snapshot::{CurrentSettings, SettingsSnapshot};
 use vetchbridge::upgrade::process_links::ProcessLinks;
 use vetchbridge::workers::{parse_request_id, Payload, UpstreamGroup};
 use vetchbridge_scheduling::Scheduler;
@@ -96,7 +96,7 @@
     pub fn start_endpoint_watcher(&mut self, instances: Value) {
         let saved = json!({"generation": 1, "reset": true, "instances": instances});
         let document = serde_json::from_value(saved).expect("a document");
-        let initial = InitialEndpoints { document, generation_valid: true, handed_over: false };
+        let initial = InitialEndpoints { document, generation_valid: true, confirmed_by_predecessor: false };
         let watcher = EndpointWatcher::start(
             self.discovery_source(),
             self.settings.clone(),
@@ -139,7 +139,7 @@
     /// Replaces the current settings without an event to the scheduler.
     pub fn replace_settings(&self, settings: Settings) {
         let old = self.settings.get();
-        self.settings.swap(Snapshot {
+        self.settings.swap(SettingsSnapshot {
             settings,
             names: old.names.clone(),
             worker_idle_timeout: old.worker_idle_timeout,
@@ -171,8 +171,9 @@
         };
         let target = PathAndQuery::from_static("/receipt/k");
         let payload = Payload { id: id.to_string(), target, idempotency_key: None, body };
-        let job = Job { request, payload, settings: self.settings.get(), body_permit: None };
-        submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), job)
+        let submitted =
+            SubmittedRequest { request, payload, settings: self.settings.get(), body_permit: None };
+        submit(self.engine.clone(), self.upstream.clone(), Arc::new(ProcessLinks::default()), submitted)
     }
 
     fn discovery_source(&self) -> EndpointSource {
