--- a/crates/settings/src/json_object.rs
+++ b/crates/settings/src/json_object.rs
@@ -101,7 +101,8 @@
     }
 }
 
+/// Returns the value as a non-negative integer; the fraction of a number is dropped.
 fn integer(value: &Value) -> Option<u64> {
-    let fraction = || value.as_f64().filter(|number| *number >= 0.0).map(|number| number as u64);
-    value.as_u64().or_else(fraction)
+    let truncated = || value.as_f64().filter(|number| *number >= 0.0).map(|number| number as u64);
+    value.as_u64().or_else(truncated)
 }
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -92,7 +92,7 @@
 
 #[test]
 fn optional_keys_have_defaults() {
-    let settings = from_json(MINIMAL).expect("settings");
+    let settings = from_json(MINIMAL).expect("the settings are valid");
     assert_eq!((settings.classes, settings.tenants, settings.tick), (vec![], vec![], 0));
     assert_eq!((settings.over_quota_weight, settings.weight_by_work), (1.0, false));
     assert_eq!(settings.load_report_source, LoadReportSource::Never);
@@ -127,7 +127,8 @@
 #[case::non_idempotent(r#""repeat": "unsafe""#, Idempotency::NonIdempotent)]
 fn repeat_and_group_set_the_idempotency_of_a_class(#[case] keys: &str, #[case] expected: Idempotency) {
     let services = format!(r#""services": [{{{keys}, "aim": 1, "deadline": 2}}]"#);
-    let settings = from_json(&MINIMAL.replace(r#""services": []"#, &services)).expect("settings");
+    let settings =
+        from_json(&MINIMAL.replace(r#""services": []"#, &services)).expect("the settings are valid");
     assert_eq!(settings.classes[0].idempotency, expected);
 }
 
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,4 +1,4 @@
-//! Errors of malformed input.
+//! Errors for malformed input.
 
 use std::fmt;
 use std::io;
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -45,7 +45,7 @@
         match self.optional(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(FieldError::new(name, FieldProblem::InvalidValue(other.to_string()))),
+            Some(value) => Err(FieldError::new(name, FieldProblem::InvalidValue(value.to_string()))),
         }
     }
 
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! The simulator's text protocol: converts lines of text to and from the types of the decision module.
 //!
-//! The names of the protocol appear in [`mod@parse`] and [`mod@print`] only. This module makes no decisions.
-//! Unknown messages, fields and settings are skipped. A known message that is malformed causes a
-//! [`WireError`] that names the line and the field.
+//! Only [`mod@parse`] and [`mod@print`] translate the names of the protocol; other modules use these names
+//! only in errors. This module makes no decisions. Unknown messages, fields and settings are skipped. A known
+//! message that is malformed causes a [`WireError`] that names the line and the field.
 
 mod base64;
 mod error;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -20,7 +20,7 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may stop reading at a malformed line.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child.stdin.take().expect("stdin is piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -58,7 +58,7 @@
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let lines: Vec<String> = String::from_utf8_lossy(&output.stdout).lines().map(str::to_string).collect();
     assert_eq!(lines[..3], ["from who=3", "keep_informed want=1", "end"]);
-    assert_eq!(lines.iter().filter(|l| l.as_str() == "end").count(), 3);
+    assert_eq!(lines.iter().filter(|line| line.as_str() == "end").count(), 3);
     assert!(
         lines.contains(&"call_out req=00000000000000ab patience=500000 runner=10.0.0.1:80".to_string()),
         "{lines:?}"
--- a/crates/syscall-faults/src/faults.rs
+++ b/crates/syscall-faults/src/faults.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Descriptors below this number are tracked in [`OUTBOUND`]. Higher ones never count as outbound.
+/// Descriptors below this number are tracked in [`OUTBOUND`]. Higher descriptors never count as outbound.
 const TRACKED_DESCRIPTORS: usize = 4096;
 
 /// The state of fault injection in this process.
@@ -16,7 +16,7 @@
     calls: [AtomicU64; FAULT_NAMES.len()],
     /// For each fault, how often it was injected.
     injected: [AtomicU64; FAULT_NAMES.len()],
-    /// The descriptor of the file that receives `injected`; negative if there is no such file.
+    /// The descriptor of the file that receives the counts in `injected`; negative if no file is open.
     counts_file: i32,
 }
 
--- a/crates/syscall-faults/src/hooks.rs
+++ b/crates/syscall-faults/src/hooks.rs
@@ -17,7 +17,7 @@
     -1
 }
 
-/// Returns a length from 1 to `length - 1`, which `random` selects, or `length` itself if it is below 2.
+/// Returns a length from 1 to `length - 1`, which `random` selects, or `length` itself if `length` is 0 or 1.
 fn shortened(length: size_t, random: u64) -> size_t {
     if length < 2 {
         return length;
@@ -43,10 +43,10 @@
     Some(fail_with(&[libc::ETIMEDOUT, libc::EHOSTUNREACH], random))
 }
 
-/// Replaces `recv(2)`, which may be interrupted, break the connection or read fewer bytes.
+/// Replaces `recv(2)`; the replacement may be interrupted, break the connection or read fewer bytes.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -62,14 +62,15 @@
     }
     let length = draw(Fault::ReceiveShort).map_or(length, |random| shortened(length.min(64), random));
     let (address, size) = (std::ptr::null_mut::<sockaddr>(), std::ptr::null_mut::<socklen_t>());
-    // SAFETY: the caller's buffer is valid for the caller's length, and `length` is at most that.
+    // SAFETY: the caller's buffer is valid for the caller's length, and `length` is at most the caller's
+    // length.
     unsafe { libc::syscall(libc::SYS_recvfrom, descriptor, buffer, length, flags, address, size) as ssize_t }
 }
 
-/// Replaces `readv(2)`, which may be interrupted.
+/// Replaces `readv(2)`; the replacement may be interrupted.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn readv(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     if let Some(random) = draw(Fault::ReceiveInterrupted) {
@@ -79,10 +80,10 @@
     unsafe { libc::syscall(libc::SYS_readv, descriptor, buffers, count) as ssize_t }
 }
 
-/// Replaces `send(2)`, which may be interrupted, delayed or write fewer bytes.
+/// Replaces `send(2)`; the replacement may be interrupted, delayed or write fewer bytes.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -96,14 +97,16 @@
     maybe_stall();
     let length = draw(Fault::SendShort).map_or(length, |random| shortened(length, random));
     let address = std::ptr::null::<sockaddr>();
-    // SAFETY: the caller's buffer is valid for the caller's length, and `length` is at most that.
+    // SAFETY: the caller's buffer is valid for the caller's length, and `length` is at most the caller's
+    // length.
     unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, address, 0) as ssize_t }
 }
 
-/// Replaces `writev(2)`, which may be interrupted, delayed or write only a part of the first buffer.
+/// Replaces `writev(2)`; the replacement may be interrupted, delayed or write only a part of the first
+/// buffer.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     if let Some(random) = draw(Fault::SendInterrupted) {
@@ -115,7 +118,8 @@
             // SAFETY: `count` is positive, so the caller passed at least one valid entry.
             let first = unsafe { &*buffers };
             let length = shortened(first.iov_len, random);
-            // SAFETY: the caller's first buffer is valid for `iov_len` bytes, and `length` is at most that.
+            // SAFETY: the caller's first buffer is valid for `iov_len` bytes, and `length` is at most
+            // `iov_len`.
             return unsafe { libc::syscall(libc::SYS_write, descriptor, first.iov_base, length) as ssize_t };
         }
     }
@@ -123,10 +127,10 @@
     unsafe { libc::syscall(libc::SYS_writev, descriptor, buffers, count) as ssize_t }
 }
 
-/// Replaces `sendto(2)`, which may fail.
+/// Replaces `sendto(2)`; the replacement may fail.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn sendto(
     descriptor: c_int,
@@ -143,10 +147,10 @@
     unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, address, size) as ssize_t }
 }
 
-/// Replaces `accept4(2)`, which may fail.
+/// Replaces `accept4(2)`; the replacement may fail.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     descriptor: c_int,
@@ -163,10 +167,10 @@
     accepted
 }
 
-/// Replaces `connect(2)`, which may fail.
+/// Replaces `connect(2)`; the replacement may fail.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, size: socklen_t) -> c_int {
     if let Some(random) = draw(Fault::ConnectFailed) {
@@ -177,10 +181,10 @@
     unsafe { libc::syscall(libc::SYS_connect, descriptor, address, size) as c_int }
 }
 
-/// Replaces `socket(2)`, which may fail.
+/// Replaces `socket(2)`; the replacement may fail.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if let Some(random) = draw(Fault::SocketFailed) {
@@ -192,10 +196,10 @@
     created
 }
 
-/// Replaces `epoll_wait(2)`, which may be interrupted.
+/// Replaces `epoll_wait(2)`; the replacement may be interrupted.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
@@ -213,10 +217,10 @@
     }
 }
 
-/// Replaces `write(2)`, which may fail on regular files.
+/// Replaces `write(2)`; the replacement may fail on regular files.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     if is_regular_file(descriptor) {
@@ -237,19 +241,19 @@
     result == 0 && unsafe { stat.assume_init() }.st_mode & libc::S_IFMT == libc::S_IFREG
 }
 
-/// Replaces `fsync(2)`, which may fail.
+/// Replaces `fsync(2)`; the replacement may fail.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
     sync(descriptor, libc::SYS_fsync)
 }
 
-/// Replaces `fdatasync(2)`, which may fail.
+/// Replaces `fdatasync(2)`; the replacement may fail.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
     sync(descriptor, libc::SYS_fdatasync)
@@ -264,10 +268,10 @@
     unsafe { libc::syscall(number, descriptor) as c_int }
 }
 
-/// Replaces `clock_gettime(2)`, where `CLOCK_REALTIME` may be stepped by whole seconds.
+/// Replaces `clock_gettime(2)`; the replacement may step `CLOCK_REALTIME` by whole seconds.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The caller must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, reading: *mut timespec) -> c_int {
     // SAFETY: the caller's `reading` is valid.
--- a/crates/syscall-faults/src/plan.rs
+++ b/crates/syscall-faults/src/plan.rs
@@ -1,5 +1,5 @@
-//! The list of faults, the parser of `SYSCALL_FAULTS`, and the decision whether one call fails. Makes no
-//! system calls.
+//! The list of faults, the parser of `SYSCALL_FAULTS`, and the decision whether one call fails. This module
+//! makes no system calls.
 
 /// A way in which a system call can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -7,7 +7,7 @@
 pub(crate) enum Fault {
     /// `recv` and `readv` return EINTR.
     ReceiveInterrupted,
-    /// `recv` reads fewer bytes than requested, 63 at most.
+    /// `recv` reads fewer bytes than requested, 63 at most. A request for one byte is not shortened.
     ReceiveShort,
     /// `recv` on a connection that this process opened shuts it down and returns ETIMEDOUT or EHOSTUNREACH.
     ReceiveBroken,
--- a/crates/syscall-faults/tests/preload.rs
+++ b/crates/syscall-faults/tests/preload.rs
@@ -11,8 +11,9 @@
     program.with_file_name("libsyscall_faults.so")
 }
 
-/// Runs one of the ignored tests below with these faults. Returns how often each fault was injected.
-fn with_faults(test: &str, faults: &str) -> Vec<u64> {
+/// Runs one of the ignored tests of this file, `test`, in a process with these faults. Returns how often each
+/// fault was injected, in the order of the library's list of faults.
+fn run_with_faults(test: &str, faults: &str) -> Vec<u64> {
     let counts_path = std::env::temp_dir().join(format!("syscall-faults-{}-{test}", std::process::id()));
     let status = Command::new(std::env::current_exe().expect("this program has a path"))
         .args(["--ignored", "--exact", test])
@@ -28,14 +29,15 @@
 
 /// Opens a TCP connection and returns its client's and its server's end.
 fn connected_pair() -> (TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
-    (client, listener.accept().expect("accepted").0)
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let client = TcpStream::connect(listener.local_addr().expect("a bound socket"))
+        .expect("the connection is established");
+    (client, listener.accept().expect("the connection is accepted").0)
 }
 
 #[test]
 fn interrupted_and_short_reads_lose_no_bytes() {
-    let counts = with_faults("child_reads", "seed=1,recv.interrupted=0.5,recv.short=0.5");
+    let counts = run_with_faults("child_reads", "seed=1,recv.interrupted=0.5,recv.short=0.5");
     assert!(counts[0] > 0 && counts[1] > 0, "{counts:?}");
 }
 
@@ -44,7 +46,7 @@
 fn child_reads() {
     let (mut client, mut server) = connected_pair();
     let sent: Vec<u8> = (0..=255).collect();
-    client.write_all(&sent).expect("written");
+    client.write_all(&sent).expect("the write succeeds");
     drop(client);
     let (mut received, mut interrupted, mut buffer) = (Vec::new(), 0, [0; 256]);
     loop {
@@ -61,7 +63,7 @@
 
 #[test]
 fn the_wall_clock_is_stepped() {
-    assert_eq!(with_faults("child_clock", "clock.step=-3600").last(), Some(&1));
+    assert_eq!(run_with_faults("child_clock", "clock.step=-3600").last(), Some(&1));
 }
 
 #[test]
