--- a/crates/vetchbridge/tests/admin.rs
+++ b/crates/vetchbridge/tests/admin.rs
@@ -64,7 +64,7 @@
 
 /// Connections without a complete command must not keep other clients out.
 #[tokio::test]
-async fn silent_connections_are_evicted_for_the_next_one() {
+async fn silent_connections_are_evicted_to_admit_new_clients() {
     let lifecycle = Arc::new(Lifecycle::new(false));
     lifecycle.start_serving();
     let address = start_admin(&lifecycle, 4).await;
--- a/crates/vetchbridge/tests/client_connection_limits.rs
+++ b/crates/vetchbridge/tests/client_connection_limits.rs
@@ -46,7 +46,10 @@
         watch.read_target().await;
         watch.send_endpoints(5, json!(self.instances)).await;
         watch.read_target().await;
-        drop(std::mem::replace(&mut self.discovery, TcpListener::bind("127.0.0.1:0").await.expect("a port")));
+        drop(std::mem::replace(
+            &mut self.discovery,
+            TcpListener::bind("127.0.0.1:0").await.expect("a free port"),
+        ));
         drop(watch);
         self.daemon.wait_for_log("discovery.failed").await;
     }
@@ -60,7 +63,10 @@
 #[tokio::test]
 async fn idle_connections_block_no_job_while_discovery_is_down() {
     let mut harness = Harness::start(1).await;
-    drop(std::mem::replace(&mut harness.discovery, TcpListener::bind("127.0.0.1:0").await.expect("a port")));
+    drop(std::mem::replace(
+        &mut harness.discovery,
+        TcpListener::bind("127.0.0.1:0").await.expect("a free port"),
+    ));
     let (mut first, id) = harness.submit_job("safe", "k").await;
     harness.serve_next_attempt(&id).await;
     assert_eq!(status(first.read().await.as_ref()), "200");
@@ -115,8 +121,8 @@
 #[tokio::test]
 async fn a_dial_without_a_descriptor_is_no_failure_of_its_worker() {
     const REPETITIONS: usize = 2;
-    // An ejected worker is used if there is no other one. Retry-After would show for how long the worker is
-    // ejected.
+    // With only one worker, an ejected worker would still be used. The Retry-After header would reveal an
+    // ejection, since it would show for how long the worker is ejected.
     let mut harness = Harness::start_with_descriptor_limit(1, &[], 1024).await;
     harness.stop_discovery().await;
     let mut client = dial(harness.daemon.address).await;
@@ -151,7 +157,7 @@
             }
             (_, mut worker) = harness.accept_worker_connection() => {
                 let job = worker.read().await.expect("the job");
-                assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "the job is not a rejected one");
+                assert_eq!(job.header("x-trace-id"), Some(id.as_str()), "no rejected job reaches the worker");
                 worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
                 worker.wait_for_close().await;
                 pending.push((client, id));
@@ -160,8 +166,8 @@
     }
 }
 
-/// If every connection awaits a response, none can be evicted. A new connection is closed at once and unread,
-/// and the other connections are not affected.
+/// If every connection awaits a response, no connection can be evicted. A new connection is closed at once
+/// and unread, and the other connections are not affected.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -27,17 +27,17 @@
 /// Checks that the daemon closes its side of the connection without a reset. A reset would discard data that
 /// is in transit.
 ///
-/// If `running` is given, the daemon must still be running: another request is answered after the close, and
-/// a reset would have arrived by then.
-async fn assert_closed_without_reset(client: &mut Wire, running: Option<&Harness>) {
+/// If `running_daemon` is given, the daemon must still be running: another request is answered after the
+/// close, and a reset would have arrived by then.
+async fn assert_closed_without_reset(client: &mut Wire, running_daemon: Option<&Harness>) {
     let mut unread = Vec::new();
-    let (here, there) = local_and_peer_addresses(client);
+    let (client_address, daemon_address) = local_and_peer_addresses(client);
     client.socket().read_to_end(&mut unread).await.expect("no reset");
     assert!(unread.is_empty(), "{}", unread.escape_ascii());
-    if let Some(harness) = running {
+    if let Some(harness) = running_daemon {
         harness.get_readiness().await;
     }
-    let state = tcp_table_entry(here, there).map(|connection| connection.state);
+    let state = tcp_table_entry(client_address, daemon_address).map(|connection| connection.state);
     assert_eq!(state.as_deref(), Some(CLOSE_WAIT), "only the daemon has closed the connection");
 }
 
@@ -64,12 +64,12 @@
     assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
-/// After a request whose response closes the connection, no further request reaches a worker, whether it
-/// arrives before or after the response.
+/// After a request whose response closes the connection, no further request of this connection reaches a
+/// worker, whether the further request arrives before or after the response.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn nothing_after_the_last_response_is_forwarded(#[values(100, 20_000)] length: usize) {
+async fn no_request_after_the_last_answered_request_is_forwarded(#[values(100, 20_000)] length: usize) {
     let mut harness = Harness::start(1).await;
     harness.daemon.admin_command("quiesce").await;
     let mut client = dial(harness.daemon.address).await;
@@ -86,12 +86,12 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
-/// A chunked job is the last request of its connection. No request after it reaches a worker, whether the
-/// client sends the requests in one write or in pieces.
+/// A chunked job is the last request of its connection. No request after this job reaches a worker, whether
+/// the client sends the requests in one write or in pieces.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn nothing_after_a_chunked_job_is_forwarded(#[values(true, false)] in_one_write: bool) {
+async fn no_request_after_a_chunked_job_is_forwarded(#[values(true, false)] in_one_write: bool) {
     let mut harness = Harness::start(1).await;
     let mut client = dial(harness.daemon.address).await;
     let head = "POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000a1\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -177,27 +177,27 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
-/// When the daemon shuts down, its last responses arrive complete, whether clients send more requests before
-/// or after them.
+/// When the daemon shuts down, its last responses arrive complete, whether a client sends a further request
+/// before or after its response.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn no_response_is_lost_when_the_process_exits() {
     let mut harness = Harness::start(1).await;
-    let (mut wrote_before, _) = harness.submit_job("safe", "k").await;
-    let (mut wrote_after, _) = harness.submit_job("safe", "k").await;
+    let (mut pipelining_client, _) = harness.submit_job("safe", "k").await;
+    let (mut late_client, _) = harness.submit_job("safe", "k").await;
     for _ in 0..2 {
         let (_, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
     }
-    wrote_before.send(&job_request("00000000000000a2", 20_000)).await;
+    pipelining_client.send(&job_request("00000000000000a2", 20_000)).await;
     harness.daemon.signal("-TERM");
-    assert_eq!(status(wrote_after.read().await.as_ref()), "503");
-    wrote_after.send(&job_request("00000000000000a3", 20_000)).await;
+    assert_eq!(status(late_client.read().await.as_ref()), "503");
+    late_client.send(&job_request("00000000000000a3", 20_000)).await;
     assert!(harness.daemon.child.wait().expect("the daemon exits").success());
-    assert_eq!(status(wrote_before.read().await.as_ref()), "503");
-    assert_closed_without_reset(&mut wrote_before, None).await;
-    assert_closed_without_reset(&mut wrote_after, None).await;
+    assert_eq!(status(pipelining_client.read().await.as_ref()), "503");
+    assert_closed_without_reset(&mut pipelining_client, None).await;
+    assert_closed_without_reset(&mut late_client, None).await;
 }
 
 /// A request may arrive, on an open or a new connection, at the moment when the drain ends. Then either the
@@ -228,7 +228,7 @@
         assert_eq!((answer.status(), answer.header("connection")), ("503", Some("close")));
     } else {
         // A connection that the daemon had dialled for the request would be accepted before this one.
-        let mut marker = dial(harness.workers[0].local_addr().expect("bound")).await;
+        let mut marker = dial(harness.workers[0].local_addr().expect("a bound socket")).await;
         let (_, mut first) = harness.accept_worker_connection().await;
         assert_eq!(
             local_and_peer_addresses(&mut first).1,
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -1,9 +1,8 @@
 //! A scheduler within the test process: engine, upstream group and endpoint watcher, with a scripted
 //! discovery service.
 //!
-//! Used where the daemon can't be tested as a process: because the test would have to wait, which a paused
-//! clock avoids, or because the kernel would buffer a complete body. Each test file uses only some of these
-//! helpers.
+//! For tests that can't run the daemon as a process: tests that pause the clock in place of long waits, and
+//! tests of a body that the kernel would buffer completely. Each test file uses only some of these helpers.
 #![allow(dead_code, missing_docs)]
 
 use bytes::Bytes;
@@ -29,7 +28,7 @@
 use vetchbridge_scheduling::{ClassId, EndpointDelivery, Event, Request, Settings, TenantId};
 use vetchbridge_testbed::wire::Wire;
 
-/// Time limit of a test, so that a test that hangs fails.
+/// The time after which a hanging test fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// The deadline of the class `receipt`, in microseconds.
 const DEADLINE_US: u64 = 60_000_000;
@@ -72,8 +71,8 @@
     }
 
     pub async fn new(setup: SchedulerSetup) -> TestScheduler {
-        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let document = configuration(&setup, discovery.local_addr().expect("bound"));
+        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let document = configuration(&setup, discovery.local_addr().expect("a bound socket"));
         let config = read_text("test", &document.to_string()).expect("a configuration").config;
         let scheduler = Scheduler::new(config.snapshot.settings.clone(), setup.seed).expect("valid settings");
         let upstream = Arc::new(UpstreamGroup::new(TEST_TIMEOUT, TEST_TIMEOUT, 1));
@@ -136,7 +135,7 @@
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
     }
 
-    /// Replaces the current settings without an event to the scheduler.
+    /// Replaces the current settings without sending the scheduler an event.
     pub fn replace_settings(&self, settings: Settings) {
         let old = self.settings.get();
         self.settings.swap(Snapshot {
@@ -176,7 +175,7 @@
     }
 
     fn discovery_source(&self) -> EndpointSource {
-        EndpointSource::Service(self.discovery.local_addr().expect("bound"))
+        EndpointSource::Service(self.discovery.local_addr().expect("a bound socket"))
     }
 }
 
@@ -211,38 +210,38 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// Answers a call with changes.
+/// Answers a discovery call with changes to the endpoint list.
 pub async fn answer_changes(wire: &mut Wire, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": false, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Answers a call with a complete list.
+/// Answers a discovery call with a complete endpoint list.
 pub async fn answer_complete_list(wire: &mut Wire, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": true, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Rejects a call with status 503, as an overloaded service does.
+/// Rejects a discovery call with status 503, as an overloaded service does.
 pub async fn reject_call(wire: &mut Wire) {
     wire.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
 }
 
-/// Answers a call with the part of a document before `cut`. The connection stays open until the caller drops
-/// it.
+/// Answers a discovery call with the part of `document` before the text `cut`. The connection stays open
+/// until the caller drops `wire`.
 pub async fn answer_part(wire: &mut Wire, document: &str, cut: &str) {
     let (part, _) = document.split_once(cut).expect("`cut` is in the document");
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{part}", document.len());
     wire.write(&answer).await.expect("the scheduler reads");
 }
 
-/// Answers a call with the part of a document before `cut`, and closes the connection.
+/// Answers a discovery call with the part of `document` before the text `cut`, and closes the connection.
 pub async fn answer_part_and_close(mut wire: Wire, document: &str, cut: &str) {
     answer_part(&mut wire, document, cut).await;
 }
 
-/// Waits until every task is idle: a paused clock advances, and so ends the sleep, only once no task has
-/// anything left to do.
+/// Waits until every task is idle. The test's clock must be paused: a paused clock advances only when no task
+/// can run, so the sleep ends only then.
 pub async fn wait_until_idle() {
     tokio::time::sleep(Duration::from_millis(1)).await;
 }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use vetchbridge_testbed::wire::{Message, Wire};
 
-/// Time limit of a test, so that a test that hangs fails. No test measures time.
+/// The time after which a hanging test fails. The limit does not check how fast the daemon is.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// The number of file descriptors that the daemon may open, unless a test sets another limit.
 pub const DESCRIPTOR_LIMIT: u32 = 64;
@@ -31,8 +31,8 @@
 
 /// Locks the start of child processes. Between fork and exec, a child that another test starts holds a copy
 /// of every socket of this process, so a socket that is closed at that moment stays open. Tests hold this
-/// lock while they start a child, and while they close a socket whose end the daemon must see before another
-/// event.
+/// lock while they start a child, and while they close a socket whose closure the daemon must notice before a
+/// later event.
 pub fn spawn_lock() -> MutexGuard<'static, ()> {
     static SPAWN_LOCK: Mutex<()> = Mutex::new(());
     SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
@@ -73,16 +73,16 @@
     pub unacknowledged: String,
 }
 
-/// Returns the entry in `/proc/net/tcp` of the connection between these ports, as the end at `here` sees it.
-pub fn tcp_table_entry(here: SocketAddr, there: SocketAddr) -> Option<TcpTableEntry> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
-    let ports = [here, there].map(|end| format!(":{:04X}", end.port()));
+/// Returns the entry in `/proc/net/tcp` of the socket at `local` that is connected to `peer`.
+pub fn tcp_table_entry(local: SocketAddr, peer: SocketAddr) -> Option<TcpTableEntry> {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table is readable");
+    let ports = [local, peer].map(|address| format!(":{:04X}", address.port()));
     // The table lists the connections of the whole machine; only lines that contain both ports are parsed.
     let mut candidates = table.lines().filter(|line| ports.iter().all(|port| line.contains(port)));
     candidates.find_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
-        let found = columns.get(1)?.ends_with(&ports[0]) && columns.get(2)?.ends_with(&ports[1]);
-        found.then(|| TcpTableEntry {
+        let is_match = columns.get(1)?.ends_with(&ports[0]) && columns.get(2)?.ends_with(&ports[1]);
+        is_match.then(|| TcpTableEntry {
             state: columns[3].to_string(),
             unacknowledged: columns[4].split(':').next().unwrap_or_default().to_string(),
         })
@@ -92,14 +92,15 @@
 /// Returns the local address and the peer address of a connection.
 pub fn local_and_peer_addresses(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
     let socket = wire.socket();
-    (socket.local_addr().expect("bound"), socket.peer_addr().expect("connected"))
+    (socket.local_addr().expect("a bound socket"), socket.peer_addr().expect("connected"))
 }
 
-/// Waits until the peer's kernel has acknowledged all bytes written; the peer's process need not read them.
+/// Waits until the peer's kernel has acknowledged all bytes written to the connection. The peer's process
+/// need not have read these bytes.
 pub async fn wait_until_delivered(wire: &mut Wire) {
-    let (here, there) = local_and_peer_addresses(wire);
+    let (local, peer) = local_and_peer_addresses(wire);
     let is_pending = |connection: TcpTableEntry| !connection.unacknowledged.trim_matches('0').is_empty();
-    while tcp_table_entry(here, there).is_some_and(is_pending) {
+    while tcp_table_entry(local, peer).is_some_and(is_pending) {
         tokio::task::yield_now().await;
     }
 }
@@ -112,6 +113,7 @@
     answer.expect("an answer").status()
 }
 
+/// Returns the discovery service's entry for worker `number`.
 pub fn instance(number: usize, address: SocketAddr, lifecycle: &str) -> Value {
     json!({"instanceId": format!("s-{number}"), "hostPort": address.to_string(), "zone": "a", "machineType": "m",
            "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
@@ -147,14 +149,14 @@
     daemon_command_with_faults(config, "")
 }
 
-/// Returns the command and path as [`daemon_command`] does, with failing system calls. `faults` has the
-/// format of `SYSCALL_FAULTS`.
+/// Returns the command and path of [`daemon_command`]; `faults` selects system calls of the daemon that fail,
+/// in the format of the variable `SYSCALL_FAULTS`. An empty text selects none.
 pub fn daemon_command_with_faults(config: &str, faults: &str) -> (Command, PathBuf) {
-    static FILES: AtomicU32 = AtomicU32::new(0);
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
     let name = format!("{}-{number}.json", std::process::id());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config).expect("written");
+    std::fs::write(&path, config).expect("the write succeeds");
     let parsed: Value = serde_json::from_str(config).unwrap_or_default();
     let sockets = parsed["limits"]["sockets"].as_u64().unwrap_or(DESCRIPTOR_LIMIT.into());
     let mut command = Command::new("sh");
@@ -165,7 +167,7 @@
     (command, path)
 }
 
-/// Returns the prefix of a shell command that makes system calls of the command fail.
+/// Returns a prefix for a shell command; it preloads the library that makes system calls of the command fail.
 fn preload_prefix(faults: &str) -> String {
     let library = std::env::current_exe().expect("a path").with_file_name("libsyscall_faults.so");
     assert!(library.is_file(), "{}: missing; it is built with the tests of the workspace", library.display());
@@ -189,18 +191,18 @@
 }
 
 impl Process {
-    /// Starts the daemon and waits until it listens. The daemon takes over from a predecessor whose hand-over
-    /// socket is in `folder`, if there is one.
+    /// Starts the daemon and waits until it listens. If `folder` holds the hand-over socket of a
+    /// predecessor, the daemon takes over from the predecessor.
     pub fn start(config: &Value, folder: &Path) -> Process {
         Process::start_with_faults(config, folder, "")
     }
 
-    /// Starts the daemon as [`Process::start`] does, with failing system calls. `faults` has the format of
-    /// `SYSCALL_FAULTS`.
+    /// Starts the daemon as [`Process::start`] does; `faults` selects system calls of the daemon that fail,
+    /// as for [`daemon_command_with_faults`].
     pub fn start_with_faults(config: &Value, folder: &Path, faults: &str) -> Process {
         let (mut command, path) = daemon_command_with_faults(&config.to_string(), faults);
-        // As on the platform, the variable is set when the process starts and never changes; a reload must
-        // ignore it.
+        // As on the platform, `BALANCER_DISCOVERY` is set when the process starts and never changes. A reload
+        // must ignore the variable.
         let discovery = config["discovery"].as_str().expect("an address");
         command.env("BALANCER_DISCOVERY", discovery).env("TMPDIR", folder);
         let started = {
@@ -208,7 +210,7 @@
             command.spawn()
         };
         let mut child = started.expect("the daemon starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let mut lines_read = Vec::new();
         let mut address_in = |event: &str| -> SocketAddr {
             let line = lines.by_ref().map_while(Result::ok).inspect(|line| lines_read.push(line.clone()));
@@ -224,8 +226,8 @@
     /// Starts the daemon with a discovery service of its own and waits until the daemon serves. The discovery
     /// service confirms the saved list and then sends nothing more.
     pub async fn start_serving(config: &mut Value, folder: &Path) -> (Process, TcpListener) {
-        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        config["discovery"] = discovery.local_addr().expect("bound").to_string().into();
+        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        config["discovery"] = discovery.local_addr().expect("a bound socket").to_string().into();
         let mut process = Process::start(config, folder);
         confirm_endpoint_list(&discovery).await;
         process.wait_for_log("serving").await;
@@ -235,7 +237,7 @@
     /// Sends a command to the admin interface and returns the response.
     pub async fn admin_command(&self, command: &str) -> String {
         let mut stream = TcpStream::connect(self.admin).await.expect("the admin interface listens");
-        stream.write_all(format!("{command}\n").as_bytes()).await.expect("written");
+        stream.write_all(format!("{command}\n").as_bytes()).await.expect("the write succeeds");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.expect("an answer");
         answer
@@ -291,6 +293,7 @@
 }
 
 impl Harness {
+    /// Starts a daemon with this number of scripted workers, and waits until the daemon serves.
     pub async fn start(workers: usize) -> Harness {
         Harness::start_with_other_workers(workers, &[]).await
     }
@@ -307,20 +310,20 @@
         Harness::start_configured(workers, others, sockets, "").await
     }
 
-    /// Starts a daemon as [`Harness::start`] does, with failing system calls. `faults` has the format of
-    /// `SYSCALL_FAULTS`.
+    /// Starts a daemon as [`Harness::start`] does; `faults` selects system calls of the daemon that fail, as
+    /// for [`daemon_command_with_faults`].
     pub async fn start_with_faults(workers: usize, faults: &str) -> Harness {
         Harness::start_configured(workers, &[], DESCRIPTOR_LIMIT, faults).await
     }
 
     async fn start_configured(workers: usize, others: &[SocketAddr], sockets: u32, faults: &str) -> Harness {
-        let listener = || async { TcpListener::bind("127.0.0.1:0").await.expect("a port") };
+        let listener = || async { TcpListener::bind("127.0.0.1:0").await.expect("a free port") };
         let discovery = listener().await;
         let mut listeners = Vec::new();
         for _ in 0..workers {
             listeners.push(listener().await);
         }
-        let scripted = listeners.iter().map(|listener| listener.local_addr().expect("bound"));
+        let scripted = listeners.iter().map(|listener| listener.local_addr().expect("a bound socket"));
         let addresses = scripted.chain(others.iter().copied()).enumerate();
         let instances: Vec<Value> = addresses.map(|(n, address)| instance(n, address, "up")).collect();
         let folder = tempfile::tempdir().expect("a folder");
@@ -390,35 +393,35 @@
         }
     }
 
-    /// Sends one more request, and checks that no other job reaches a worker before it. All earlier
-    /// connections to workers must have ended, so that each job needs a new one. Returns the number of
-    /// connections that ended without a request.
+    /// Sends one more request, and checks that no other job reaches a worker before the job of this request.
+    /// All earlier connections to workers must have ended, so that each job needs a new connection. Returns
+    /// the number of connections to workers that ended without a request.
     pub async fn assert_only_next_job_arrives(&mut self) -> usize {
         let mut empty_connections = 0;
-        let (mut client, next) = self.submit_job("safe", "k").await;
-        let mut calls = FuturesUnordered::new();
+        let (mut client, next_id) = self.submit_job("safe", "k").await;
+        let mut reads = FuturesUnordered::new();
         loop {
             let read_request = async |(number, mut wire): (usize, Wire)| (number, wire.read().await, wire);
-            let (number, call, mut wire) = tokio::select! {
+            let (number, request, mut wire) = tokio::select! {
                 dialled = self.accept_worker_connection() => {
-                    calls.push(read_request(dialled));
+                    reads.push(read_request(dialled));
                     continue;
                 }
-                Some(received) = calls.next() => received,
+                Some(received) = reads.next() => received,
             };
-            let Some(call) = call else {
+            let Some(request) = request else {
                 empty_connections += 1;
                 continue;
             };
-            assert_eq!(call.header("x-trace-id"), Some(next.as_str()), "{call:?}");
+            assert_eq!(request.header("x-trace-id"), Some(next_id.as_str()), "{request:?}");
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
-            self.send_callback(&next, number, "done").await;
+            self.send_callback(&next_id, number, "done").await;
             assert_eq!(status(client.read().await.as_ref()), "200");
             return empty_connections;
         }
     }
 
-    /// Serves the job at the worker that the daemon connects to next.
+    /// Serves the job with this id at the worker that the daemon connects to next.
     pub async fn serve_next_attempt(&self, id: &str) {
         let (number, mut worker) = self.accept_worker_connection().await;
         worker.read().await.expect("the job");
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! Compatibility between versions: the JSON of hand-over messages and callbacks, the numbers that all
-//! schedulers of a tier derive from names, and configuration files, compared with literals. If a name or
-//! number changes, two versions can't work side by side.
+//! schedulers of a tier derive from names, and configuration files, compared with literals. If one of these
+//! names or numbers changes, processes of two versions can't work side by side.
 
 use serde_json::{json, Value};
 use std::process::Command;
@@ -84,7 +84,7 @@
         let written: Value = serde_json::from_slice(&message.encode()).expect("JSON");
         assert_eq!(written, literal);
         let read = HandoverMessage::decode(literal.to_string().as_bytes())
-            .expect("it reads what the other version writes");
+            .expect("a message of the other version is read");
         assert_eq!(format!("{read:?}"), format!("{message:?}"));
     }
 }
@@ -130,7 +130,7 @@
             .current_dir(fixtures)
             .env_clear()
             .output()
-            .expect("it runs");
+            .expect("vetchbridge runs");
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         let values = std::fs::read_to_string(format!("{fixtures}/{name}.values")).expect("the fixture");
         assert_eq!(String::from_utf8(output.stdout).expect("text"), values);
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -12,8 +12,8 @@
 use vetchbridge_scheduling::LoadReportSource;
 
 fn write_file(name: &str, text: &str) -> PathBuf {
-    static FILES: AtomicU32 = AtomicU32::new(0);
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
     let path =
         PathBuf::from(format!("{}/{}-{number}-{name}", env!("CARGO_TARGET_TMPDIR"), std::process::id()));
     std::fs::write(&path, text).expect("the file is written");
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -45,15 +45,16 @@
     group.set_max_connections(MAX_CONNECTIONS);
     let (closed_sender, mut closed_connections) = unbounded_channel();
     for number in 0..=OTHER_WORKERS {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (name, address) = (worker_name(number, 0), listener.local_addr().expect("bound").to_string());
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let (name, address) =
+            (worker_name(number, 0), listener.local_addr().expect("a bound socket").to_string());
         let (worker, state) = (worker_id(&name), EndpointState::Ready);
         let endpoint =
             WorkerEndpoint { worker_id: worker, name: &name, address: &address, state, started_at: 0 };
         group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(endpoint));
         tokio::spawn(reject_jobs(number, listener, closed_sender.clone()));
     }
-    // Each of the other workers gets one job. Worker 0 gets a job after each of them.
+    // Workers 1 to `OTHER_WORKERS` get one job each. Worker 0 gets a job after each of these jobs.
     for number in (1..=OTHER_WORKERS).flat_map(|number| [number, 0]) {
         let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
         let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -38,7 +38,7 @@
 
 impl WorkerConnection {
     fn write(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).expect("written");
+        self.0.write_all(text.as_bytes()).expect("the write succeeds");
     }
 
     /// Reads the next complete request; `None` if the connection was closed between two requests.
@@ -63,15 +63,15 @@
     }
 
     fn reset(self) {
-        set_socket_linger(&self.0, Some(Duration::ZERO)).expect("set");
+        set_socket_linger(&self.0, Some(Duration::ZERO)).expect("the option is set");
     }
 }
 
 impl Fixture {
     fn new(dial_timeout: Duration) -> Fixture {
-        let (listener, worker) = (TcpListener::bind("127.0.0.1:0").expect("a port"), worker_id("s-0"));
+        let (listener, worker) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), worker_id("s-0"));
         let group = UpstreamGroup::new(dial_timeout, MINUTE, 1);
-        let address = listener.local_addr().expect("bound").to_string();
+        let address = listener.local_addr().expect("a bound socket").to_string();
         let (name, state) = ("s-0", EndpointState::Ready);
         let endpoint = WorkerEndpoint { worker_id: worker, name, address: &address, state, started_at: 0 };
         group.apply_endpoints(EndpointUpdate::Changes, [endpoint].into_iter());
@@ -83,7 +83,7 @@
         let accept = move || listener.accept().expect("a connection").0;
         let stream = spawn_blocking(accept).await.expect("the blocking accept ends");
         // The runtime waits for blocking calls when it ends, so a read must not block forever.
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the option is set");
         WorkerConnection(stream)
     }
 
@@ -145,9 +145,9 @@
 }
 
 /// A worker may send bytes on an idle connection or close the connection, and the kernel may hold this input
-/// while it is still unread here. The next request is then not written, never ran whatever its class, and
-/// takes no response for its own. The test covers both the time within the reuse delay after the last
-/// response and the time after the reuse delay.
+/// before the daemon has read it. Then the next request is not written, counts as never run whatever its
+/// class, and does not take the unread bytes for its response. The test covers both the time within the reuse
+/// delay after the last response and the time after the reuse delay.
 #[rstest]
 #[case::accepted_again(WorkerAction::RespondAgain(ACCEPTED))]
 #[case::rejected_again(WorkerAction::RespondAgain(REJECTED))]
@@ -168,11 +168,11 @@
     }
     let attempt = fixture.attempt();
     tokio::pin!(attempt);
-    // The first poll hands the request to the connection, whose task has not run since.
+    // The first poll hands the request to the connection's task, which has not run since then.
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
     match action {
         WorkerAction::RespondAgain(response) => connection.write(response),
-        WorkerAction::Close => connection.0.shutdown(Shutdown::Write).expect("shut down"),
+        WorkerAction::Close => connection.0.shutdown(Shutdown::Write).expect("the socket is shut down"),
         WorkerAction::Reset => {
             connection.reset();
             assert_eq!(attempt.await, AttemptResult::NotServed(Outcome::ConnectFailed));
@@ -238,7 +238,7 @@
     let attempt = fixture.attempt_with(payload(None, "work"), cancelled);
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
-    // Lets the connection's task receive the request, which it delays.
+    // Lets the connection's task receive the request. The task then delays the request.
     for _ in 0..4 {
         tokio::task::yield_now().await;
     }
@@ -278,7 +278,7 @@
     assert_eq!(result, AttemptResult::NotServed(expected));
 }
 
-/// The head of a 202 accepts the job, also if the body never ends: the connection is abandoned after a while,
+/// The head of a 202 accepts the job, even if the body never ends: the connection is abandoned after a timeout,
 /// but the job goes on until it ends or is cancelled by a `DELETE` request. An informational response before
 /// the 202 does not accept the job.
 #[rstest]
@@ -301,7 +301,8 @@
             return;
         }
         cancel.send(()).expect("the attempt is in flight");
-        // A response that has not ended occupies its connection, so the cancellation comes on another one.
+        // A response that has not ended occupies its connection, so the cancellation comes on another
+        // connection.
         let is_complete = response.contains("content-length: 0");
         let cancellation = if is_complete {
             connection.read_request().await
@@ -335,8 +336,8 @@
 }
 
 /// A worker retries a callback that was not acknowledged. If the callback has ended an attempt, its retry
-/// does not end the next attempt at the same worker as long as that attempt is not accepted. A callback after
-/// the 202 is about the new attempt.
+/// does not end the next attempt at the same worker before the worker has accepted that next attempt. A
+/// callback after the 202 belongs to the new attempt.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -65,10 +65,10 @@
     }
 }
 
-/// A scheduler counts as notified of an update 6 s after the call of a watch that stayed without an answer.
-/// The scheduler must reopen the watch before that, in a tier of any size. The previous watch call was
-/// answered, so the failure counts as one of this scheduler alone, and the next call need not be spread over
-/// the tier.
+/// If a watch gets no answer, its scheduler counts as notified of an update 6 s after the watch's call. The
+/// scheduler must reopen the watch within these 6 s, in a tier of any size. The previous watch call was
+/// answered, so the failure counts as a failure of this scheduler alone, and the next call need not be spread
+/// over the tier.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -122,8 +122,8 @@
 
 /// A scheduler counts as notified of a change 6 s after the service has the change and can be reached, and
 /// has half a second more to stop sending. The service may recover just after a call was lost, and may queue
-/// the next call for two seconds. The next call must therefore follow within 3.5 s of a failed call, however
-/// that call and the calls before failed.
+/// the next call for two seconds. The next call must therefore follow within 3.5 s of a failed call, for
+/// every kind of failure and any number of failures in a row.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -168,7 +168,7 @@
     dials.map(|entry| entry[1].to_string()).collect()
 }
 
-/// The first call counts as lost also if its connection is never established.
+/// The first call counts as lost if its connection is never established; the next call must follow in time.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -120,9 +120,10 @@
             timeout(MAX_PAUSE, scheduler.accept_call()).await.expect("the scheduler calls discovery again");
         waited = failed_at.elapsed();
     }
-    let pushed = waited <= Duration::from_millis(200);
+    let reopened_promptly = waited <= Duration::from_millis(200);
     assert!(
-        pushed == (to == EndpointDelivery::Push) && (pushed || waited >= Duration::from_secs(1)),
+        reopened_promptly == (to == EndpointDelivery::Push)
+            && (reopened_promptly || waited >= Duration::from_secs(1)),
         "{waited:?}"
     );
 }
--- a/crates/vetchbridge/tests/discovery_documents.rs
+++ b/crates/vetchbridge/tests/discovery_documents.rs
@@ -52,19 +52,19 @@
 async fn a_fetched_list_does_not_undo_newer_updates_of_the_watch() {
     let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let up = instance("s-a", unused_address());
+    let entry = instance("s-a", unused_address());
     let (mut watch, _) = scheduler.accept_call().await;
     scheduler.send_discovery_request(DiscoveryRequest::Fetch);
     let (mut fetch, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances");
-    answer_complete_list(&mut watch, 7, json!([as_draining(up.clone())])).await;
+    answer_complete_list(&mut watch, 7, json!([as_draining(entry.clone())])).await;
     watch.read().await.expect("the watch continues");
-    answer_complete_list(&mut fetch, 6, json!([up])).await;
+    answer_complete_list(&mut fetch, 6, json!([entry])).await;
     wait_until_idle().await;
     assert_eq!(scheduler.listed_workers(), [("s-a".into(), InstanceState::Draining)]);
     scheduler.send_discovery_request(DiscoveryRequest::Fetch);
     fetch.read().await.expect("the next call");
-    answer_complete_list(&mut fetch, 3, json!([up])).await;
+    answer_complete_list(&mut fetch, 3, json!([entry])).await;
     wait_until_idle().await;
     assert_eq!(scheduler.listed_workers(), [("s-a".into(), InstanceState::Up)]);
 }
--- a/crates/vetchbridge/tests/endpoint_updates.rs
+++ b/crates/vetchbridge/tests/endpoint_updates.rs
@@ -9,11 +9,11 @@
 use vetchbridge_testbed::wire::Wire;
 
 /// The watch continues from the generation last received. A list that can't be parsed changes nothing. A
-/// draining worker gets no new job.
+/// worker that a complete list no longer contains gets no new job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn the_upstream_group_follows_discovery() {
+async fn the_daemon_applies_endpoint_lists_from_discovery() {
     let mut harness = Harness::start(2).await;
     let address = |n: usize, harness: &Harness| harness.workers[n].local_addr().unwrap();
     let lists =
@@ -44,7 +44,7 @@
     );
     watch.send(&format!("HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n{truncated_document}")).await;
     drop(watch);
-    // The generation is unchanged.
+    // The truncated list did not change the known generation.
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the next watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
     harness.serve_jobs_at_worker_0("safe").await;
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -38,7 +38,8 @@
     scheduler.lock().unwrap_or_else(PoisonError::into_inner).expect("a scheduler runs")
 }
 
-/// Returns a worker's name. Names sort in the order of the workers' numbers.
+/// Returns a worker's name, which ends with `length` letters. Names sort in the order of the workers'
+/// numbers.
 pub fn worker_name(number: usize, length: usize) -> String {
     format!("w-{number:04}-{}", "x".repeat(length))
 }
@@ -62,6 +63,7 @@
     }
 }
 
+/// Serves the jobs on one connection to a worker; see [`run_workers`].
 pub async fn run_worker(stream: TcpStream, name_length: usize, scheduler: SchedulerAddress) {
     let number = worker_number(stream.local_addr().expect("connected"));
     let mut wire = Wire::new(stream);
@@ -98,6 +100,7 @@
     }
 }
 
+/// Answers the requests on one connection to the discovery service; see [`run_discovery`].
 pub async fn answer_calls(
     mut wire: Wire,
     list: Arc<Value>,
@@ -108,7 +111,7 @@
         let target = call.target().to_string();
         let wait = target.split("wait=").nth(1).map_or(0, |wait| wait.parse().expect("milliseconds"));
         let is_watch = target.contains(&format!("index={GENERATION}&"));
-        // The receiver is closed once the test has what it needs.
+        // Sending fails once the test has closed the receiver.
         let _ = calls.send(target);
         if is_watch {
             sleep(Duration::from_millis(wait)).await;
@@ -125,6 +128,7 @@
     }
 }
 
+/// Writes a response with this body, in pieces of [`PIECE_BYTES`].
 pub async fn write_in_pieces(wire: &mut Wire, body: &str) -> std::io::Result<()> {
     wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
     for piece in body.as_bytes().chunks(PIECE_BYTES) {
@@ -141,12 +145,12 @@
     let mut buffer = [0; 256];
     loop {
         let (length, sender) = socket.recv_from(&mut buffer).await.expect("a datagram");
-        // The receiver is closed once the test has what it needs.
+        // Sending fails once the test has closed the receiver.
         let _ = datagrams.send(number);
         if let Some((PeerMessage::OccupancyQuery { .. }, worker)) = PeerMessage::decode(&buffer[..length]) {
             let reply =
                 PeerMessage::OccupancyReply(Some(Occupancy { slots: 0.0, ejected_for: 0 })).encode(worker);
-            socket.send_to(&reply, sender).await.expect("sent");
+            socket.send_to(&reply, sender).await.expect("the send succeeds");
         }
     }
 }
@@ -170,8 +174,8 @@
     /// Creates a deployment whose workers have names slightly longer than `name_length`, and whose discovery
     /// service writes its list in `format`.
     pub async fn new(name_length: usize, format: ListFormat) -> Fleet {
-        let workers = TcpListener::bind("0.0.0.0:0").await.expect("a port");
-        let port = workers.local_addr().expect("bound").port();
+        let workers = TcpListener::bind("0.0.0.0:0").await.expect("a free port");
+        let port = workers.local_addr().expect("a bound socket").port();
         let instances: Vec<Value> = (0..WORKERS)
             .map(|number| {
                 let mut entry = instance(number, worker_address(number, port), "up");
@@ -180,15 +184,15 @@
             })
             .collect();
         let endpoint_list = json!({"generation": GENERATION, "reset": true, "instances": instances});
-        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let (datagram_sender, datagram_sockets) = unbounded_channel();
         let mut peers = Vec::new();
         for number in 0..PEER_SOCKETS {
-            let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-            peers.push(socket.local_addr().expect("bound"));
+            let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
+            peers.push(socket.local_addr().expect("a bound socket"));
             tokio::spawn(run_peers(number, socket, datagram_sender.clone()));
         }
-        let config = large_deployment_config(discovery.local_addr().expect("bound"), &peers);
+        let config = large_deployment_config(discovery.local_addr().expect("a bound socket"), &peers);
         let (scheduler, (call_sender, discovery_calls)) = (SchedulerAddress::default(), unbounded_channel());
         tokio::spawn(run_workers(workers, name_length, scheduler.clone()));
         tokio::spawn(run_discovery(discovery, endpoint_list.clone(), format, call_sender));
@@ -259,15 +263,16 @@
 /// Returns the configuration of the last of 1,200 schedulers that exchange datagrams. The other schedulers
 /// share the sockets at `peers`.
 pub fn large_deployment_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
-    let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let own = reserved.local_addr().expect("bound");
-    let per_socket = SCHEDULERS / peers.len();
-    let mut each: Vec<String> = (0..SCHEDULERS).map(|n| peers[n / per_socket].to_string()).collect();
-    each[SCHEDULERS - 1] = own.to_string();
+    let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let own_address = reserved.local_addr().expect("a bound socket");
+    let schedulers_per_socket = SCHEDULERS / peers.len();
+    let mut addresses: Vec<String> =
+        (0..SCHEDULERS).map(|n| peers[n / schedulers_per_socket].to_string()).collect();
+    addresses[SCHEDULERS - 1] = own_address.to_string();
     let mut config = daemon_config(discovery, json!([]));
     config["limits"]["sockets"] = 1024.into();
-    config["peer_listen"] = own.to_string().into();
-    config["peers"] = json!(each);
+    config["peer_listen"] = own_address.to_string().into();
+    config["peers"] = json!(addresses);
     config["settings"]["me"] = (SCHEDULERS - 1).into();
     config["settings"]["balancers"] = SCHEDULERS.into();
     config["settings"]["limits"]["peers"] = true.into();
--- a/crates/vetchbridge/tests/large_configuration.rs
+++ b/crates/vetchbridge/tests/large_configuration.rs
@@ -20,7 +20,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_vetchbridge"));
     command.arg("check").arg(&path).env_clear().stdout(Stdio::piped()).stderr(Stdio::piped());
     let started = {
-        let _alone = spawn_lock();
+        let _lock = spawn_lock();
         command.spawn()
     };
     let checked = started.and_then(Child::wait_with_output).expect("vetchbridge runs");
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -53,7 +53,11 @@
     while let Some(socket) = fleet.datagram_sockets.recv().await {
         queried.insert(socket);
     }
-    assert_eq!(queried.len(), PEER_SOCKETS, "every range of schedulers coordinates some worker: {queried:?}");
+    assert_eq!(
+        queried.len(),
+        PEER_SOCKETS,
+        "the schedulers of every peer socket coordinate some worker: {queried:?}"
+    );
 }
 
 /// A list of 1,200 workers is read from discovery, in each format and with long entries.
@@ -90,7 +94,7 @@
     wait_until_ready(&process).await;
     let workers = fleet.submit_jobs(400).await;
     assert!(workers.len() > 300, "only {} workers were tried", workers.len());
-    // Now many clients send jobs at once, and each waits for its responses.
+    // Many clients send jobs at the same time; each client waits for one response before its next job.
     let clients = (0..CLIENTS).map(|client| {
         let first = fleet.last_job + 1 + client * JOBS_EACH;
         submit_jobs_to(process.address, first..=first + JOBS_EACH - 1)
@@ -98,8 +102,8 @@
     assert_eq!(join_all(clients).await.len() as u64, CLIENTS);
 }
 
-/// Many schedulers may share a directory for their hand-over sockets. Each is found only by its own
-/// successor, even if the schedulers' long names have the same beginning.
+/// Many schedulers may share a directory for their hand-over sockets. Each scheduler's socket is found only
+/// by its own successor, even if the schedulers' long names have the same beginning.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -109,8 +113,8 @@
     for number in [SCHEDULERS - 2, SCHEDULERS - 1] {
         fleet.config["name"] = format!("scheduler-of-the-first-deployment-zone-a-{number}").into();
         fleet.config["listen"] = "127.0.0.1:0".into();
-        let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-        fleet.config["peer_listen"] = reserved.local_addr().expect("bound").to_string().into();
+        let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
+        fleet.config["peer_listen"] = reserved.local_addr().expect("a bound socket").to_string().into();
         drop(reserved);
         let process = fleet.start_without_list();
         wait_until_ready(&process).await;
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -43,9 +43,9 @@
 impl FullQueueListener {
     fn open() -> FullQueueListener {
         let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
         let listener = socket.listen(0).expect("a listener");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("a bound socket");
         FullQueueListener { listener, address }
     }
 
@@ -117,7 +117,7 @@
 
 /// A connection is established long after its dial began. If the conditions of the attempt no longer hold at
 /// the first byte, no byte is written, and the attempt never ran. A callback that arrives before the
-/// connection is about an earlier attempt.
+/// connection is established belongs to an earlier attempt.
 #[rstest]
 #[case::nothing_changes(Change::Unchanged, AttemptResult::Served("made".into()))]
 #[case::the_request_is_concluded(Change::RequestConcluded, AttemptResult::NotServed(Outcome::NotSent))]
@@ -141,7 +141,7 @@
     let _filler = listener.fill().await;
     let mut conditions = SendConditions::with_timeout(MINUTE);
     if change == Change::DeadlinePassed {
-        // This timeout is over before the kernel retransmits the SYN.
+        // This timeout expires before the kernel retransmits the SYN.
         conditions.first_byte_timeout = Duration::from_micros(1);
     }
     let (concluded, payload, (_cancel, cancelled)) =
@@ -330,7 +330,7 @@
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_keyed_job_is_not_retried_on_a_connection_that_comes_up_after_its_deduplication_window() {
+async fn a_keyed_job_is_not_retried_on_a_connection_established_after_its_deduplication_window() {
     let config = keyed_config();
     let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("valid settings");
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use vetchbridge_testbed::wire::Wire;
 
-/// A pipelined request: the client sends it before the response to its first request.
+/// A pipelined request: the client sends this request before it has the response to an earlier one.
 const PIPELINED_REQUEST: &str =
     "POST /safe/x HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cc\r\ncontent-length: 4\r\n\r\nnext";
 
@@ -29,7 +29,7 @@
     /// Disconnects, and waits until the kernel has registered the disconnect at the daemon's end of the
     /// connection.
     async fn run(self, mut client: Wire) {
-        let (here, there) = local_and_peer_addresses(&mut client);
+        let (client_address, daemon_address) = local_and_peer_addresses(&mut client);
         {
             let _lock = spawn_lock();
             match self {
@@ -37,15 +37,17 @@
                 Disconnect::Reset => client.reset(),
             }
         }
-        while tcp_table_entry(there, here).is_some_and(|connection| connection.state == ESTABLISHED) {
+        while tcp_table_entry(daemon_address, client_address)
+            .is_some_and(|connection| connection.state == ESTABLISHED)
+        {
             tokio::task::yield_now().await;
         }
     }
 }
 
 /// A queued job is not sent to a worker if its client disconnects before the first endpoint is listed,
-/// whatever input follows the job. `while_suspended`: the daemon is suspended while first the endpoint list
-/// and then the disconnect arrive.
+/// whatever input follows the job. If `while_suspended` is true, the daemon is suspended while first the
+/// endpoint list and then the disconnect arrive.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -63,8 +65,8 @@
     duplicate.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
     assert_eq!(status(duplicate.read().await.as_ref()), "409", "the job is open");
 
-    harness.workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
-    let list = json!([instance(0, harness.workers[0].local_addr().expect("bound"), "up")]);
+    harness.workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a free port"));
+    let list = json!([instance(0, harness.workers[0].local_addr().expect("a bound socket"), "up")]);
     if while_suspended {
         harness.daemon.suspend().await;
         watch.send_endpoints(5, list).await;
@@ -105,7 +107,7 @@
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn pipelined_input_after_a_job_hides_no_disconnect(
+async fn a_disconnect_is_noticed_despite_pipelined_input_after_a_job(
     #[values("\r\n", PIPELINED_REQUEST, &PIPELINED_REQUEST.repeat(2000))] pipelined: &str,
     #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
 ) {
@@ -124,7 +126,7 @@
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn pipelined_input_after_a_chunked_job_hides_no_disconnect(
+async fn a_disconnect_is_noticed_despite_pipelined_input_after_a_chunked_job(
     #[values(
         "4\r\nwork\r\n0\r\n\r\n",
         "1;a=\"b\"\r\nw\r\n003 \r\nork\r\n00\r\nx-sum: 1\r\n\r\n",
@@ -157,7 +159,8 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// A job is not accepted if its client disconnects before the last byte of the job, or together with it.
+/// A job is not accepted if its client disconnects before the last byte of the job, or together with this
+/// byte.
 #[rstest]
 #[case::half_a_head("POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cd\r\ncont")]
 #[case::half_a_body(
@@ -217,9 +220,9 @@
     #[values(Disconnect::Close, Disconnect::Reset)] disconnect: Disconnect,
 ) {
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
     let full_listener = socket.listen(1).expect("a listener");
-    let address = full_listener.local_addr().expect("bound");
+    let address = full_listener.local_addr().expect("a bound socket");
     let mut harness = Harness::start_with_other_workers(0, &[address]).await;
     // These connections fill the accept queue. No other connection is established until one of them is
     // accepted.
@@ -235,6 +238,6 @@
         drop(full_listener.accept().await.expect("a connection that fills the queue"));
     }
     harness.workers.push(full_listener);
-    // The dial that was in progress may have succeeded; no request may be sent on that connection.
+    // The dial that was in progress may have succeeded; no request may be sent on its connection.
     assert!(harness.assert_only_next_job_arrives().await <= 1);
 }
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -18,7 +18,7 @@
 };
 use vetchbridge_testbed::{wire::Wire, Port};
 
-/// A test that makes no progress fails after this time; no test measures time.
+/// The time after which a hanging test fails. No test in this file measures time.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
@@ -38,10 +38,10 @@
 
 impl Fixture {
     async fn new(source: LoadReportSource, max_probes: usize) -> Fixture {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let group = UpstreamGroup::new(MINUTE, MINUTE, max_probes);
         group.set_load_report_settings(LoadReportSettings { source, free_slots: FreeSlotsField::X0 });
-        update_endpoint(&group, listener.local_addr().expect("bound"), EndpointState::Ready);
+        update_endpoint(&group, listener.local_addr().expect("a bound socket"), EndpointState::Ready);
         Fixture { group, listener, worker_id: worker_id("s-0") }
     }
 
@@ -49,7 +49,7 @@
         Wire::new(self.listener.accept().await.expect("a connection").0)
     }
 
-    /// Makes a probe, to which the worker responds with this status, these header lines and this body.
+    /// Sends a probe. The worker responds with this status, these header lines and this body.
     async fn probe(&self, status: u16, headers: &str, body: &str) -> (Outcome, Option<LoadReport>) {
         let responding = async {
             let mut wire = self.accept().await;
@@ -60,8 +60,8 @@
         tokio::join!(self.group.probe(self.worker_id), responding).0
     }
 
-    /// Makes an attempt, to which the worker responds with this status and these header lines, and then with
-    /// the callback if one is given.
+    /// Makes an attempt. The worker responds with this status and these header lines, and then sends the
+    /// callback if one is given.
     async fn attempt(
         &self,
         response: (u16, &str),
@@ -98,7 +98,7 @@
     LoadReport { queued: Some(jobs), ..LoadReport::default() }
 }
 
-/// Probes carry no request id. They use pooled connections, since a new connection would cost the worker
+/// Probes carry no request id and use pooled connections, since a new connection would cost the worker
 /// additional work.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
@@ -119,8 +119,8 @@
         wire
     };
     let (outcomes, _wire) = tokio::join!(probing, responding);
-    let second = LoadReport { queued: Some(3.0), free_slots: Some(1.0), ..LoadReport::default() };
-    assert_eq!(outcomes, [(Outcome::Ok, Some(queued(2.0))), (Outcome::Ok, Some(second))]);
+    let second_report = LoadReport { queued: Some(3.0), free_slots: Some(1.0), ..LoadReport::default() };
+    assert_eq!(outcomes, [(Outcome::Ok, Some(queued(2.0))), (Outcome::Ok, Some(second_report))]);
 }
 
 #[rstest]
@@ -156,8 +156,8 @@
         // The group may close the connection before the whole response is written.
         let _ = wire.answer(200, "", &format!("queue=1,{}", " ".repeat(1 << 20))).await;
     };
-    let (end, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
-    assert_eq!(end, (Outcome::Ok, None));
+    let (result, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
+    assert_eq!(result, (Outcome::Ok, None));
 }
 
 #[rstest]
@@ -166,15 +166,15 @@
 #[case::in_the_body("HTTP/1.1 200 OK\r\ncontent-length: 40\r\n\r\n{\"queue\":2}")]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_probe_whose_connection_breaks_off_is_reset(#[case] written: &str) {
+async fn a_probe_whose_connection_breaks_ends_with_the_outcome_reset(#[case] written: &str) {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
     let responding = async {
         let mut wire = fixture.accept().await;
         wire.read().await.expect("a probe");
         wire.write(written).await.expect("the group reads the response");
     };
-    let (end, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
-    assert_eq!(end, (Outcome::Reset, None));
+    let (result, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
+    assert_eq!(result, (Outcome::Reset, None));
 }
 
 /// A probe without a response ends at its timeout, closes its connection and releases its permit.
@@ -186,13 +186,14 @@
     let unresponsive = async {
         let mut wire = fixture.accept().await;
         wire.read().await.expect("a probe");
-        // Only the probe's timeout is pending from here on, so the paused clock moves straight to it.
+        // Only the probe's timeout is pending from here on, so the paused clock advances directly to this
+        // timeout.
         tokio::time::pause();
         wire.wait_for_close().await;
         tokio::time::resume();
     };
-    let (end, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), unresponsive);
-    assert_eq!(end, (Outcome::Timeout, None));
+    let (result, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), unresponsive);
+    assert_eq!(result, (Outcome::Timeout, None));
     assert_eq!(fixture.probe(200, "", "queue=2").await, (Outcome::Ok, Some(queued(2.0))));
 }
 
@@ -201,7 +202,7 @@
 #[tokio::test]
 async fn a_probe_of_an_unreachable_or_unknown_worker_fails_to_connect() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
-    let closed_port = Port::reserve().expect("a port");
+    let closed_port = Port::reserve().expect("a free port");
     update_endpoint(&fixture.group, closed_port.address(), EndpointState::Ready);
     assert_eq!(fixture.group.probe(fixture.worker_id).await, (Outcome::ConnectFailed, None));
     assert_eq!(fixture.group.probe(WorkerId(7)).await, (Outcome::ConnectFailed, None));
@@ -214,7 +215,7 @@
 #[tokio::test]
 async fn a_draining_worker_is_not_probed() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
-    let address = fixture.listener.local_addr().expect("bound");
+    let address = fixture.listener.local_addr().expect("a bound socket");
     let probe = fixture.group.probe(fixture.worker_id);
     tokio::pin!(probe);
     // The first poll starts the dial, which cannot end before the runtime polls its sockets.
@@ -222,12 +223,12 @@
     update_endpoint(&fixture.group, address, EndpointState::Draining);
     let written = async {
         let (stream, _) = fixture.listener.accept().await.expect("a connection");
-        stream.readable().await.expect("readable");
+        stream.readable().await.expect("the connection is readable");
         stream.try_read(&mut [0; 1]).unwrap_or(0)
     };
     tokio::select! {
         biased;
-        end = probe => assert_eq!(end, (Outcome::ConnectFailed, None)),
+        result = probe => assert_eq!(result, (Outcome::ConnectFailed, None)),
         bytes = written => panic!("{bytes} bytes were written to a draining worker"),
     }
     assert_eq!(fixture.group.probe(fixture.worker_id).await, (Outcome::ConnectFailed, None));
@@ -240,14 +241,16 @@
 #[tokio::test]
 async fn probes_beyond_the_limit_are_not_sent() {
     let fixture = Fixture::new(LoadReportSource::Probes, 2).await;
-    let (a, b) = (fixture.group.probe(fixture.worker_id), fixture.group.probe(fixture.worker_id));
-    tokio::pin!(a, b);
-    assert!(futures_util::poll!(a.as_mut()).is_pending() && futures_util::poll!(b.as_mut()).is_pending());
+    let (first, second) = (fixture.group.probe(fixture.worker_id), fixture.group.probe(fixture.worker_id));
+    tokio::pin!(first, second);
+    assert!(
+        futures_util::poll!(first.as_mut()).is_pending() && futures_util::poll!(second.as_mut()).is_pending()
+    );
     assert_eq!(fixture.group.probe(fixture.worker_id).await, (Outcome::NotSent, None));
 }
 
-/// The report is taken from the response or callback that ended the attempt. The report on the 202 is ignored
-/// then, since it predates the job.
+/// The load report is taken from the response or callback that ended the attempt. If a callback ended the
+/// attempt, a report on the 202 response is ignored, since that report predates the job.
 #[rstest]
 #[case::rejected((503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Rejected), Some(queued(2.0)))]
 #[case::failed((500, "Endpoint-Load-Metrics: queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Error), Some(queued(2.0)))]
@@ -258,7 +261,7 @@
 #[case::not_an_object((202, ""), Some(r#""state":"done","result":"made","load":[{"queue":2}]"#), AttemptResult::Served(Bytes::from_static(b"made")), None)]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn an_attempt_returns_the_report_that_came_with_its_end(
+async fn an_attempt_returns_the_load_report_of_the_message_that_ended_it(
     #[case] response: (u16, &str),
     #[case] callback: Option<&str>,
     #[case] expected: AttemptResult,
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -61,7 +61,7 @@
 }
 
 /// Replaces the contents of the file atomically.
-fn replace(path: &Path, text: &str) {
+fn replace_file(path: &Path, text: &str) {
     let temporary = path.with_extension("fresh");
     fs::write(&temporary, text).expect("the write succeeds");
     fs::rename(temporary, path).expect("the rename succeeds");
@@ -88,13 +88,13 @@
     let (old_discovery, new_discovery, address_holder) = (bind().await, bind().await, bind().await);
     let address = |listener: &TcpListener| listener.local_addr().expect("a bound listener");
     let listen: SocketAddr = address(&address_holder);
-    let text = |discovery: &TcpListener| {
+    let config_text = |discovery: &TcpListener| {
         let mut config = daemon_config(address(discovery), json!([]));
         config["listen"] = listen.to_string().into();
         config.to_string()
     };
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let (mut command, path) = daemon_command(&text(&old_discovery));
+    let (mut command, path) = daemon_command(&config_text(&old_discovery));
     command.env("BALANCER_DISCOVERY", address(&old_discovery).to_string()).env("TMPDIR", folder.path());
     let mut process = match phase {
         StartPhase::ReadingConfiguration => {
@@ -106,15 +106,15 @@
             let pipe = path.clone();
             let opened = spawn_blocking(move || fs::OpenOptions::new().write(true).open(pipe));
             let mut writer = opened.await.expect("the task does not panic").expect("the pipe opens");
-            replace(&path, &text(&new_discovery));
+            replace_file(&path, &config_text(&new_discovery));
             run("kill", &["-HUP", &process.child.id().to_string()]);
-            writer.write_all(text(&old_discovery).as_bytes()).expect("the process reads the pipe");
+            writer.write_all(config_text(&old_discovery).as_bytes()).expect("the process reads the pipe");
             process
         }
         StartPhase::WaitingForAddress => {
             let mut process = StartingProcess::spawn(&mut command);
             process.wait_for_log("address.in_use").await;
-            replace(&path, &text(&new_discovery));
+            replace_file(&path, &config_text(&new_discovery));
             run("kill", &["-HUP", &process.child.id().to_string()]);
             process
         }
@@ -130,9 +130,9 @@
     );
 }
 
-/// The settings refer to zones and machine types by index, and a reload may change the indices. The endpoint
-/// list must be converted in the same step, even if discovery sends no update. Otherwise a job bound to one
-/// machine type would be sent to the other one.
+/// The settings refer to zones and machine types by index, and a reload may change the indices. The reload
+/// must convert the endpoint list in the same step, even if discovery sends no update. Otherwise a job bound
+/// to one machine type would be sent to the other one.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -141,17 +141,17 @@
     for _ in 0..2 {
         workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a free port"));
     }
-    let listed = |(number, kind): (usize, &str)| {
+    let entry = |(number, kind): (usize, &str)| {
         let mut instance = instance(number, workers[number].local_addr().expect("a bound listener"), "up");
         instance["machineType"] = kind.into();
         instance
     };
-    let endpoints: Vec<_> = ["small", "large"].into_iter().enumerate().map(listed).collect();
+    let endpoints: Vec<_> = ["small", "large"].into_iter().enumerate().map(entry).collect();
     let mut config = daemon_config("127.0.0.1:1".parse().expect("a valid address"), json!(endpoints));
     config["settings"]["kinds"] = json!(["small", "large"]);
     config["settings"]["specifics"] = json!({"class_kind": [1, -1, -1]});
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let (mut daemon, _silent) = Process::start_serving(&mut config, folder.path()).await;
+    let (mut daemon, _discovery) = Process::start_serving(&mut config, folder.path()).await;
     config["settings"]["kinds"] = json!(["large", "small"]);
     config["settings"]["specifics"] = json!({"class_kind": [0, -1, -1]});
     for round in 0..2 {
@@ -173,7 +173,7 @@
             assert_eq!(status(callback.read().await.as_ref()), "200");
             assert_eq!(status(client.read().await.as_ref()), "200");
         }
-        replace(&daemon.config_path, &config.to_string());
+        replace_file(&daemon.config_path, &config.to_string());
         daemon.signal("-HUP");
         daemon.wait_for_log("configuration.applied").await;
     }
@@ -295,8 +295,9 @@
     client.post_request("/fresh/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(client.read().await.as_ref()), "400");
     // A file with two faults causes two log lines.
-    let both = with(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
-    std::fs::write(&harness.daemon.config_path, both).expect("the write succeeds");
+    let two_faults =
+        with_value(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
+    std::fs::write(&harness.daemon.config_path, two_faults).expect("the write succeeds");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("not a number above 0"));
     assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("not a number above 0"));
@@ -306,14 +307,14 @@
 const MAX_ATTEMPTS: &str = "/settings/limits/max_attempts";
 
 /// Returns the configuration with the value at `path` replaced.
-fn with(config: &Value, path: &str, value: Value) -> String {
+fn with_value(config: &Value, path: &str, value: Value) -> String {
     let mut invalid = config.clone();
     *invalid.pointer_mut(path).expect("the configuration has the key") = value;
     invalid.to_string()
 }
 
 /// Returns the configuration without `key` of the object at `path`.
-fn without(config: &Value, path: &str, key: &str) -> String {
+fn without_key(config: &Value, path: &str, key: &str) -> String {
     let mut invalid = config.clone();
     let object = invalid.pointer_mut(path).and_then(Value::as_object_mut).expect("an object");
     object.remove(key).expect("the configuration has the key");
@@ -323,7 +324,7 @@
 /// Returns invalid configuration texts, each with the key or fault that the log must name.
 fn invalid_configurations(valid: &Value) -> Vec<(String, &'static str)> {
     let text = valid.to_string();
-    let without = |path: &str, key: &str| without(valid, path, key);
+    let without_key = |path: &str, key: &str| without_key(valid, path, key);
     let mut cases = vec![
         (String::new(), "class"),
         ("{}".to_string(), "settings"),
@@ -331,21 +332,21 @@
         (text[..text.len() - 1].to_string(), "not a JSON object"),
         (text.replace("60000000", "NaN"), "not a JSON object"),
         (text.replace("60000000", "1e999"), "not a JSON object"),
-        (without("", "settings"), "settings"),
-        (without("", "discovery"), "discovery"),
-        (without("", "limits"), "limits"),
-        (without("", "admin"), "admin"),
-        (without("/settings", "services"), "settings.services"),
-        (without("/settings/limits", "dial_timeout"), "settings.limits.dial_timeout"),
-        (without("/settings/rules", "cold"), "settings.rules.cold"),
-        (without("/settings/services/1", "importance"), "settings.services[1].importance"),
-        (without("/settings/services/2", "deadline"), "settings.services[2].deadline"),
-        (without("/settings/services/2", "window"), "window"),
+        (without_key("", "settings"), "settings"),
+        (without_key("", "discovery"), "discovery"),
+        (without_key("", "limits"), "limits"),
+        (without_key("", "admin"), "admin"),
+        (without_key("/settings", "services"), "settings.services"),
+        (without_key("/settings/limits", "dial_timeout"), "settings.limits.dial_timeout"),
+        (without_key("/settings/rules", "cold"), "settings.rules.cold"),
+        (without_key("/settings/services/1", "importance"), "settings.services[1].importance"),
+        (without_key("/settings/services/2", "deadline"), "settings.services[2].deadline"),
+        (without_key("/settings/services/2", "window"), "window"),
     ];
     for value in [json!(0), json!(-1), json!(0.5), json!("5"), json!(null), json!(true), json!([])] {
-        cases.push((with(valid, DEADLINE, value.clone()), "settings.services[2].deadline"));
-        cases.push((with(valid, MAX_ATTEMPTS, value), "settings.limits.max_attempts"));
+        cases.push((with_value(valid, DEADLINE, value.clone()), "settings.services[2].deadline"));
+        cases.push((with_value(valid, MAX_ATTEMPTS, value), "settings.limits.max_attempts"));
     }
-    cases.push((with(valid, MAX_ATTEMPTS, json!(1u64 << 32)), "settings.limits.max_attempts"));
+    cases.push((with_value(valid, MAX_ATTEMPTS, json!(1u64 << 32)), "settings.limits.max_attempts"));
     cases
 }
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -18,7 +18,7 @@
 use vetchbridge_testbed::wire::Wire;
 
 const REQUEST_ID: &str = "00000000000000ab";
-/// A length of body that exceeds the sockets' buffers.
+/// Length of a body that the sockets' buffers can't hold, in bytes.
 const LONG_BODY_BYTES: usize = 16 << 20;
 
 /// A scheduler with two listening workers, `s-a` and `s-b`, whose saved endpoint list is confirmed.
@@ -33,11 +33,11 @@
 impl TwoWorkers {
     async fn start() -> TwoWorkers {
         let mut scheduler = TestScheduler::with_scheduler_count(1).await;
-        let a = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let b = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let a = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let b = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         scheduler.start_endpoint_watcher(json!([
-            instance("s-a", a.local_addr().expect("bound")),
-            instance("s-b", b.local_addr().expect("bound"))
+            instance("s-a", a.local_addr().expect("a bound socket")),
+            instance("s-b", b.local_addr().expect("a bound socket"))
         ]));
         let watch = scheduler.confirm_saved_list().await;
         TwoWorkers { scheduler, a, b, _watch: watch }
@@ -98,15 +98,15 @@
             _ = workers.next_attempt() => panic!("the job was sent again"),
             answer = &mut answer => assert_eq!(answer.expect("an answer"), Answer::Failed),
         }
-        // Waits for the end of the request's context, since nothing else could send the job again.
+        // Waits until the request is closed: a later attempt of this job is impossible from then on.
         while scheduler.engine.open_request_count() > 0 {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// The scheduler decides by its current settings, which may change while a request is open. The request's
-/// context checks each attempt by the settings that were in force when the request was accepted.
+/// The scheduler decides by its current settings, which may change while a request is open. The request's own
+/// task checks each attempt by the settings that were in force when the request was accepted.
 #[rstest]
 #[case::non_idempotent_when_it_was_accepted(false)]
 #[case::idempotent_in_both_settings(true)]
@@ -151,12 +151,12 @@
 async fn a_job_waiting_for_a_connection_is_placed_again_when_its_worker_restarts() {
     let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
     // The accept queue holds one connection; while it is full, no other connection is established.
     let full_listener = socket.listen(0).expect("a listener");
-    let full_address = full_listener.local_addr().expect("bound");
+    let full_address = full_listener.local_addr().expect("a bound socket");
     let _filler = TcpStream::connect(full_address).await.expect("the connection that fills the queue");
-    let warm_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let warm_listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     scheduler.start_endpoint_watcher(json!([]));
     let (mut watch, _) = scheduler.accept_call().await;
     answer_changes(&mut watch, 2, json!([instance("s-a", full_address)])).await;
@@ -167,7 +167,7 @@
     }
     let mut restarted = instance("s-a", full_address);
     restarted["startedAtMs"] = (scheduler.engine.clock.now() / 1000).into();
-    let warm_worker = instance("s-b", warm_listener.local_addr().expect("bound"));
+    let warm_worker = instance("s-b", warm_listener.local_addr().expect("a bound socket"));
     answer_changes(&mut watch, 3, json!([restarted, warm_worker])).await;
     let mut worker = Wire::new(warm_listener.accept().await.expect("a connection").0);
     assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some(REQUEST_ID));
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -107,10 +107,10 @@
 async fn a_job_without_a_worker_waits_for_the_first_endpoint() {
     let mut harness = Harness::start(0).await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
-    let workers = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let workers = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
-    watch.send_endpoints(5, json!([instance(0, workers.local_addr().expect("bound"), "up")])).await;
+    watch.send_endpoints(5, json!([instance(0, workers.local_addr().expect("a bound socket"), "up")])).await;
     let mut worker = Wire::new(workers.accept().await.expect("the job's connection").0);
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
--- a/crates/vetchbridge/tests/shutdown.rs
+++ b/crates/vetchbridge/tests/shutdown.rs
@@ -18,8 +18,8 @@
     let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
-    // An incomplete request is never accepted. It must not delay the shutdown, not even until the request
-    // times out.
+    // An incomplete request is never accepted. The shutdown must not wait for such a request, not even until
+    // the request times out.
     let mut incomplete = dial(harness.daemon.address).await;
     incomplete.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nwork").await;
     harness.daemon.signal("-TERM");
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -12,13 +12,13 @@
 use tokio::net::TcpListener;
 use vetchbridge_testbed::wire::Wire;
 
-/// The previous process may still hold the address, so binding is retried.
+/// The previous process may still hold the listen address, so the daemon retries to bind it.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_start_waits_for_an_address_in_use() {
-    let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = other.local_addr().expect("a bound listener");
+    let address_holder = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = address_holder.local_addr().expect("a bound listener");
     let folder = tempfile::tempdir().expect("a temporary folder");
     let mut config = daemon_config("127.0.0.1:1".parse().expect("a valid address"), json!([]));
     config["listen"] = address.to_string().into();
@@ -29,7 +29,7 @@
         let mut log = log.map_while(Result::ok);
         let in_use = log.by_ref().any(|line| line.contains("address.in_use"));
         // The address is freed only after the daemon has failed to bind it.
-        drop(other);
+        drop(address_holder);
         in_use && log.any(|line| line.contains("daemon.listening"))
     });
     let listens = listens.await.expect("the log is read");
@@ -56,19 +56,19 @@
 }
 
 /// Submits a job and waits until the daemon has accepted it. The job is sent on two connections: the daemon
-/// accepts the first and rejects the second as a duplicate, which shows that the job is open. Returns the
+/// accepts one copy and rejects the other as a duplicate, which shows that the job is open. Returns the
 /// connection of the accepted job.
 async fn submit_accepted_job(daemon: &Process) -> Wire {
     let headers = format!("X-Trace-Id: {JOB_ID}\r\nX-Qos: safe\r\n");
-    let (mut one, mut other) = (dial(daemon.address).await, dial(daemon.address).await);
-    one.post_request("/safe/k", &headers, "work").await;
-    other.post_request("/safe/k", &headers, "work").await;
-    let (answer, open) = tokio::select! {
-        answer = one.read() => (answer, other),
-        answer = other.read() => (answer, one),
+    let (mut first, mut second) = (dial(daemon.address).await, dial(daemon.address).await);
+    first.post_request("/safe/k", &headers, "work").await;
+    second.post_request("/safe/k", &headers, "work").await;
+    let (duplicate_answer, accepted) = tokio::select! {
+        answer = first.read() => (answer, second),
+        answer = second.read() => (answer, first),
     };
-    assert_eq!(status(answer.as_ref()), "409");
-    open
+    assert_eq!(status(duplicate_answer.as_ref()), "409");
+    accepted
 }
 
 /// The identifier of the job in these tests.
@@ -100,9 +100,9 @@
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_worker_removed_before_the_start_gets_no_job(#[values("push", "ask")] delivery: &str) {
-    let ((removed, removed_at), (added, added_at)) = (bind_worker().await, bind_worker().await);
+    let ((removed, removed_address), (added, added_address)) = (bind_worker().await, bind_worker().await);
     let (discovery, daemon, _folder) =
-        start_unconfirmed(delivery, json!([instance(0, removed_at, "up")])).await;
+        start_unconfirmed(delivery, json!([instance(0, removed_address, "up")])).await;
     let mut watch = Wire::new(discovery.accept().await.expect("the first call").0);
     assert_eq!(
         watch.read_target().await,
@@ -112,7 +112,7 @@
     let mut client = submit_accepted_job(&daemon).await;
     assert_eq!(readiness(&daemon).await, "503");
     assert!(daemon.admin_command("health").await.starts_with("fail"));
-    watch.send_endpoints(2, json!([instance(1, added_at, "up")])).await;
+    watch.send_endpoints(2, json!([instance(1, added_address, "up")])).await;
     serve(&daemon, &added, 1, &mut client).await;
     while readiness(&daemon).await != "200" {}
     assert!(removed.accept().now_or_never().is_none(), "the removed worker was dialled");
@@ -123,12 +123,12 @@
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
-async fn a_list_that_is_not_confirmed_prevents_readiness_only_for_a_while(
+async fn an_unconfirmed_list_prevents_readiness_only_for_a_limited_time(
     #[values("push", "ask")] delivery: &str,
 ) {
-    let (saved, saved_at) = bind_worker().await;
+    let (saved, saved_address) = bind_worker().await;
     let (_discovery, daemon, _folder) =
-        start_unconfirmed(delivery, json!([instance(0, saved_at, "up")])).await;
+        start_unconfirmed(delivery, json!([instance(0, saved_address, "up")])).await;
     let mut client = submit_accepted_job(&daemon).await;
     while readiness(&daemon).await != "200" {}
     serve(&daemon, &saved, 0, &mut client).await;
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -12,8 +12,8 @@
 use tokio::time::timeout;
 use vetchbridge_testbed::wire::Wire;
 
-/// Time limit after which a test counts as stuck. Far longer than a job takes, and shorter than a job's
-/// deadline.
+/// The time after which a test counts as stuck. This limit is far longer than a job takes, and shorter than a
+/// job's deadline.
 const STUCK_AFTER: Duration = Duration::from_secs(20);
 
 /// Number of jobs sent on one reused connection; after each, one more job is sent on a connection of its own.
@@ -89,7 +89,7 @@
 /// Resources that are unavailable at one moment may be available at the next: the daemon retries while it
 /// starts.
 #[tokio::test]
-async fn a_start_retries_to_create_sockets() {
+async fn the_daemon_retries_to_create_sockets_while_it_starts() {
     for seed in 1..=8 {
         timeout(STUCK_AFTER, assert_daemon_starts(seed))
             .await
@@ -98,11 +98,12 @@
 }
 
 async fn assert_daemon_starts(seed: u32) {
-    let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let peers = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let mut config = daemon_config(discovery.local_addr().expect("bound"), json!([]));
-    config["peer_listen"] = peers.to_string().into();
-    config["peers"] = json!([peers.to_string()]);
+    let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let peer_address =
+        std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port").local_addr().expect("a bound socket");
+    let mut config = daemon_config(discovery.local_addr().expect("a bound socket"), json!([]));
+    config["peer_listen"] = peer_address.to_string().into();
+    config["peers"] = json!([peer_address.to_string()]);
     let folder = tempfile::tempdir().expect("a folder");
     let faults = format!("seed={seed},socket.failed=0.5,connect.failed=0.3");
     let mut process = Process::start_with_faults(&config, folder.path(), &faults);
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -39,7 +39,7 @@
         watch.read_target().await.contains("index=70&"),
         "the successor watches from the generation handed over"
     );
-    // Once the old process hands connections over, it knows of its successor.
+    // The old process knows of its successor by the time it hands connections over.
     let (mut client, id) = harness.submit_job("safe", "k").await;
     let (number, mut new_worker) = harness.accept_worker_connection().await;
     assert_eq!(new_worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
@@ -86,7 +86,7 @@
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
     // This response shows that the old process knows of its successor.
     assert_eq!(harness.daemon.admin_command("quiesce").await, "fail handed over; ask the successor\n");
-    successor.child.kill().expect("killed");
+    successor.child.kill().expect("the process is killed");
     harness.daemon.wait_for_log("upgrade.successor_lost").await;
     harness.send_callback(&id, number, "done").await;
     let answer = client.read().await.expect("an answer");
@@ -102,22 +102,22 @@
 #[tokio::test]
 async fn the_peer_socket_stays_bound_through_an_upgrade() {
     let mut harness = Harness::start(0).await;
-    let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let peers = reserved.local_addr().expect("bound");
+    let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let peer_address = reserved.local_addr().expect("a bound socket");
     drop(reserved);
     let mut config = daemon_config(harness.discovery.local_addr().unwrap(), json!([]));
     config["name"] = "n1".into();
-    config["peer_listen"] = peers.to_string().into();
-    config["peers"] = json!([peers.to_string()]);
+    config["peer_listen"] = peer_address.to_string().into();
+    config["peers"] = json!([peer_address.to_string()]);
     config["settings"]["limits"]["peers"] = true.into();
     let (daemon, _discovery) = Process::start_serving(&mut config, harness.folder.path()).await;
     harness.daemon = daemon;
     config["listen"] = harness.daemon.address.to_string().into();
     let successor = Process::start(&config, harness.folder.path());
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
-    harness.daemon.child.kill().expect("killed");
+    harness.daemon.child.kill().expect("the process is killed");
     harness.daemon.child.wait().expect("the old process ends");
-    let error = std::net::UdpSocket::bind(peers).expect_err("the successor has the address");
+    let error = std::net::UdpSocket::bind(peer_address).expect_err("the successor has the address");
     assert_eq!(error.kind(), std::io::ErrorKind::AddrInUse);
 }
 
@@ -131,7 +131,7 @@
     for _ in 0..2 {
         let mut successor = harness.start_successor();
         assert_eq!(successor.admin_command("health").await, "ok serving\n");
-        successor.child.kill().expect("killed");
+        successor.child.kill().expect("the process is killed");
         // New connections wait in the shared listener's queue until the old process notices the death.
         assert_eq!(harness.get_readiness().await.status(), "200");
     }
@@ -152,7 +152,7 @@
 /// A process starts whatever it finds at the path of the hand-over socket.
 #[rstest]
 #[case::nothing(|_: &Path| {})]
-#[case::garbage(|path: &Path| std::fs::write(path, "garbage").expect("written"))]
+#[case::garbage(|path: &Path| std::fs::write(path, "garbage").expect("the write succeeds"))]
 #[case::left_by_a_crash(|path: &Path| drop(std::os::unix::net::UnixListener::bind(path).expect("bound")))]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -163,10 +163,10 @@
     create_file(&folder.join(HANDOVER_SOCKET));
     let mut config = daemon_config(harness.discovery.local_addr().unwrap(), json!([]));
     let (first, _discovery) = Process::start_serving(&mut config, folder).await;
-    let mut next = config.clone();
-    next["listen"] = first.address.to_string().into();
-    let next = Process::start(&next, folder);
-    assert_eq!(next.admin_command("health").await, "ok serving\n");
+    let mut successor_config = config.clone();
+    successor_config["listen"] = first.address.to_string().into();
+    let successor = Process::start(&successor_config, folder);
+    assert_eq!(successor.admin_command("health").await, "ok serving\n");
 }
 
 /// A process that connects to the hand-over socket does not disturb the daemon if it is not a successor, or
@@ -183,7 +183,7 @@
     let sent = String::from_utf8(sent).expect("text").replace("LISTEN", &harness.daemon.address.to_string());
     let socket = upgrade::socket::HandoverSocket::connect(&harness.folder.path().join(HANDOVER_SOCKET))
         .expect("the daemon listens");
-    socket.send(sent.as_bytes(), &[]).await.expect("sent");
+    socket.send(sent.as_bytes(), &[]).await.expect("the send succeeds");
     let mut buffer = vec![0; 65536];
     let received = socket
         .receive(&mut buffer)
@@ -196,6 +196,7 @@
     assert_eq!(harness.start_successor().admin_command("health").await, "ok serving\n");
 }
 
+/// Returns a `Hello` message. The test replaces `LISTEN` in it with the daemon's address.
 fn hello(version: u32, name: &str) -> Vec<u8> {
     json!({"Hello": {"version": version, "name": name, "listen": "LISTEN"}}).to_string().into_bytes()
 }
--- a/crates/vetchbridge/tests/worker_failures.rs
+++ b/crates/vetchbridge/tests/worker_failures.rs
@@ -89,7 +89,7 @@
         harness.serve_next_attempt(&id).await;
     }
     assert_eq!(status(client.read().await.as_ref()), if class == "safe" { "200" } else { "502" });
-    assert!(unresponsive.read().await.is_none(), "closing the connection cancels the attempt");
+    assert!(unresponsive.read().await.is_none(), "the daemon cancels the attempt by closing the connection");
 }
 
 /// A request that one worker finds invalid would be invalid at every worker: the request is not retried, and
@@ -118,8 +118,9 @@
     // The socket is bound but does not listen: the kernel refuses every connection, and gives the port to no
     // other test.
     let refusing = TcpSocket::new_v4().expect("a socket");
-    refusing.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let mut harness = Harness::start_with_other_workers(1, &[refusing.local_addr().expect("bound")]).await;
+    refusing.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
+    let mut harness =
+        Harness::start_with_other_workers(1, &[refusing.local_addr().expect("a bound socket")]).await;
     harness.serve_jobs_at_worker_0("unsafe").await;
 }
 
@@ -135,7 +136,7 @@
     worker.send(ACCEPTED).await;
     harness.send_callback(&id, number, "done").await;
     assert_eq!(status(client.read().await.as_ref()), "200");
-    worker.socket().shutdown().await.expect("shut down");
+    worker.socket().shutdown().await.expect("the socket is shut down");
     assert!(worker.read().await.is_none(), "the daemon closes its side too");
     let (mut client, id) = harness.submit_job("unsafe", "k").await;
     harness.serve_next_attempt(&id).await;
