--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -110,8 +110,8 @@
     /// Accepts the next connection to the discovery service; returns the connection and the target of its
     /// request.
     pub async fn accept_call(&self) -> (Wire, String) {
-        let mut wire = Wire::new(self.discovery.accept().await.expect("a call").0);
-        let target = wire.read().await.expect("a call").target().to_string();
+        let mut wire = Wire::new(self.discovery.accept().await.expect("a call to discovery").0);
+        let target = wire.read().await.expect("a call to discovery").target().to_string();
         (wire, target)
     }
 
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -57,7 +57,7 @@
     }
 
     async fn read_target(&mut self) -> String {
-        self.read().await.expect("a call").target().to_string()
+        self.read().await.expect("a request").target().to_string()
     }
 
     async fn send_endpoints(&mut self, generation: u32, instances: Value) {
@@ -92,7 +92,7 @@
 /// Returns the local address and the peer address of a connection.
 pub fn local_and_peer_addresses(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
     let socket = wire.socket();
-    (socket.local_addr().expect("a bound socket"), socket.peer_addr().expect("connected"))
+    (socket.local_addr().expect("a bound socket"), socket.peer_addr().expect("a connected socket"))
 }
 
 /// Waits until the peer's kernel has acknowledged all bytes written to the connection. The peer's process
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -133,6 +133,6 @@
             .expect("vetchbridge runs");
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         let values = std::fs::read_to_string(format!("{fixtures}/{name}.values")).expect("the fixture");
-        assert_eq!(String::from_utf8(output.stdout).expect("text"), values);
+        assert_eq!(String::from_utf8(output.stdout).expect("valid UTF-8"), values);
     }
 }
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -65,7 +65,7 @@
 
 /// Serves the jobs on one connection to a worker; see [`run_workers`].
 pub async fn run_worker(stream: TcpStream, name_length: usize, scheduler: SchedulerAddress) {
-    let number = worker_number(stream.local_addr().expect("connected"));
+    let number = worker_number(stream.local_addr().expect("a connected socket"));
     let mut wire = Wire::new(stream);
     while let Some(job) = wire.read().await {
         let id = job.header("x-trace-id").expect("a job has an id").to_string();
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -59,11 +59,10 @@
         ))
     };
     let cancels: [_; 3] = std::array::from_fn(|_| oneshot::channel::<()>());
-    let [(_a, first), (_b, of_another_request), (_c, second)] = cancels;
-    let (mut first, mut of_another_request) = (attempt(0xab, first), attempt(0xcd, of_another_request));
+    let [(_a, first), (_b, other_attempt), (_c, second)] = cancels;
+    let (mut first, mut other_attempt) = (attempt(0xab, first), attempt(0xcd, other_attempt));
     assert!(
-        futures_util::poll!(&mut first).is_pending()
-            && futures_util::poll!(&mut of_another_request).is_pending()
+        futures_util::poll!(&mut first).is_pending() && futures_util::poll!(&mut other_attempt).is_pending()
     );
     assert_eq!(violation_count(), 0, "each request has one attempt at the worker");
     let mut second = attempt(0xab, second);
--- a/crates/vetchbridge/tests/lifecycle.rs
+++ b/crates/vetchbridge/tests/lifecycle.rs
@@ -6,6 +6,7 @@
 use std::time::Duration;
 use vetchbridge::lifecycle::state::{LifecycleMachine, LifecycleState, ShutdownPhase, Unavailable};
 
+/// Returns a time of the lifecycle's clock; `ms` is in milliseconds.
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
@@ -106,7 +107,7 @@
     /// when it can serve and is not quiesced, and without further calls the process reaches a state without a
     /// timed transition.
     #[test]
-    fn no_order_of_calls_breaks_the_lifecycle(calls in prop::collection::vec((0..5u8, 0..900u64), 1..40)) {
+    fn the_lifecycle_stays_consistent_for_calls_in_any_order(calls in prop::collection::vec((0..5u8, 0..900u64), 1..40)) {
         let mut machine = LifecycleMachine::new(false);
         let (mut now, mut started, mut resumed, mut shutting_down) = (0, false, true, false);
         let shutdown_rank = |state: LifecycleState| match state {
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -226,13 +226,13 @@
 #[tokio::test]
 async fn new_settings_apply_and_open_requests_keep_their_class() {
     let mut harness = Harness::start(2).await;
-    let (mut removed_class, removed_class_id) = harness.submit_job("unsafe", "k").await;
-    let (removed_class_worker, mut wire) = harness.accept_worker_connection().await;
+    let (mut unsafe_client, unsafe_id) = harness.submit_job("unsafe", "k").await;
+    let (first_worker, mut wire) = harness.accept_worker_connection().await;
     wire.read().await.expect("the job");
     wire.send(ACCEPTED).await;
-    let (mut accepted_as_safe, accepted_as_safe_id) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker_connection().await;
-    second.read().await.expect("the job, at the idle worker");
+    let (mut safe_client, safe_id) = harness.submit_job("safe", "k").await;
+    let (_, mut second_connection) = harness.accept_worker_connection().await;
+    second_connection.read().await.expect("the job, at the idle worker");
 
     let mut new_config = daemon_config(harness.discovery.local_addr().unwrap(), json!(harness.instances));
     let services = new_config["settings"]["services"].as_array_mut().expect("a list of classes");
@@ -248,28 +248,28 @@
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("configuration.applied").await.contains("keyed,fresh,safe"));
 
-    let mut removed_class_client = dial(harness.daemon.address).await;
-    removed_class_client.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
-    assert_eq!(status(removed_class_client.read().await.as_ref()), "400", "the class no longer exists");
+    let mut late_unsafe_client = dial(harness.daemon.address).await;
+    late_unsafe_client.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
+    assert_eq!(status(late_unsafe_client.read().await.as_ref()), "400", "the class no longer exists");
     // The connection fails before the 202. The job that was accepted when class safe allowed retries is
     // retried; a job of the new class safe is not.
-    drop(second);
+    drop(second_connection);
     wire.read().await.expect("the retried job");
     wire.send(ACCEPTED).await;
-    harness.send_callback(&accepted_as_safe_id, removed_class_worker, "done").await;
-    assert_eq!(status(accepted_as_safe.read().await.as_ref()), "200");
-    let (mut new_safe, _) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker_connection().await;
-    second.read().await.expect("the job");
-    drop(second);
-    assert_eq!(status(new_safe.read().await.as_ref()), "502");
-    let (mut fresh, fresh_id) = harness.submit_job("fresh", "k").await;
+    harness.send_callback(&safe_id, first_worker, "done").await;
+    assert_eq!(status(safe_client.read().await.as_ref()), "200");
+    let (mut new_safe_client, _) = harness.submit_job("safe", "k").await;
+    let (_, mut second_connection) = harness.accept_worker_connection().await;
+    second_connection.read().await.expect("the job");
+    drop(second_connection);
+    assert_eq!(status(new_safe_client.read().await.as_ref()), "502");
+    let (mut fresh_client, fresh_id) = harness.submit_job("fresh", "k").await;
     wire.read().await.expect("the job, since the other worker has failed twice");
     wire.send(ACCEPTED).await;
-    harness.send_callback(&fresh_id, removed_class_worker, "done").await;
-    assert_eq!(status(fresh.read().await.as_ref()), "200");
-    harness.send_callback(&removed_class_id, removed_class_worker, "done").await;
-    assert_eq!(status(removed_class.read().await.as_ref()), "200");
+    harness.send_callback(&fresh_id, first_worker, "done").await;
+    assert_eq!(status(fresh_client.read().await.as_ref()), "200");
+    harness.send_callback(&unsafe_id, first_worker, "done").await;
+    assert_eq!(status(unsafe_client.read().await.as_ref()), "200");
 }
 
 /// An invalid file is rejected as a whole, including its valid `discovery` address and classes, and the log
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -49,6 +49,7 @@
     (discovery, daemon, folder)
 }
 
+/// Returns the status code of the daemon's response to a readiness check.
 async fn readiness(daemon: &Process) -> String {
     let mut load_balancer = dial(daemon.address).await;
     load_balancer.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -180,7 +180,8 @@
 #[tokio::test]
 async fn a_process_that_does_not_take_over_changes_nothing(#[case] sent: Vec<u8>, #[case] expected: &str) {
     let harness = Harness::start(0).await;
-    let sent = String::from_utf8(sent).expect("text").replace("LISTEN", &harness.daemon.address.to_string());
+    let sent =
+        String::from_utf8(sent).expect("valid UTF-8").replace("LISTEN", &harness.daemon.address.to_string());
     let socket = upgrade::socket::HandoverSocket::connect(&harness.folder.path().join(HANDOVER_SOCKET))
         .expect("the daemon listens");
     socket.send(sent.as_bytes(), &[]).await.expect("the send succeeds");
