--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -279,8 +279,8 @@
 }
 
 /// The head of a 202 accepts the job, even if the body never ends: the connection is abandoned after a
-/// timeout, but the job goes on until it ends or is cancelled by a `DELETE` request. An informational response
-/// before the 202 does not accept the job.
+/// timeout, but the job goes on until it ends or is cancelled by a `DELETE` request. An informational
+/// response before the 202 does not accept the job.
 #[rstest]
 #[case::ends("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n")]
 #[case::never_ends("HTTP/1.1 202 Accepted\r\ncontent-length: 10\r\n\r\nabc")]
