--- a/crates/settings/src/cost_weights.rs
+++ b/crates/settings/src/cost_weights.rs
@@ -1,4 +1,4 @@
-//! Reads `charges`: costs as fractions of the overall result.
+//! Reads `charges`: the weights by which costs are compared, as fractions of the overall result.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_is_sent_after_the_endpoint_list_is_confirmed_and_is_finished() {
+fn a_request_is_sent_after_the_endpoint_list_is_confirmed_and_then_finishes() {
     let input = format!(
         "{}begin_batch time=5002000\ninstance who=3\nnovelty a=1\n{CONFIRMED}{REQUEST}commit\n\
          begin_batch time=5004000\ninstance who=3\nattempt_end req=00000000000000ab leg=0 runner=10.0.0.1:80 \
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! The harness for tests that run the daemon as a process, with scripted workers, discovery and clients.
 //!
-//! Owns the processes and the listeners of one test. The harness never waits for a fixed time, and checks a
-//! response only where its own next step depends on the response. Each test file uses only some of these
-//! helpers.
+//! Owns the processes and the listeners of one test. The harness never waits for a fixed time. It checks a
+//! response only where the harness's next step depends on this response. Each test file uses only some of
+//! these helpers.
 #![allow(dead_code, missing_docs)]
 
 use futures_util::future::select_all;
@@ -167,7 +167,7 @@
     (command, path)
 }
 
-/// Returns a prefix for a shell command; it preloads the library that makes system calls of the command fail.
+/// Returns a prefix for a shell command that preloads the library for failing system calls into the command.
 fn preload_prefix(faults: &str) -> String {
     let library = std::env::current_exe().expect("a path").with_file_name("libsyscall_faults.so");
     assert!(library.is_file(), "{}: missing; it is built with the tests of the workspace", library.display());
@@ -178,8 +178,11 @@
 pub struct Process {
     pub child: Child,
     pub config_path: PathBuf,
+    /// The address for clients and callbacks.
     pub address: SocketAddr,
+    /// The address of the admin interface.
     pub admin: SocketAddr,
+    /// The lines that the daemon logs after it has begun to listen.
     pub log: UnboundedReceiver<String>,
 }
 
@@ -285,9 +288,12 @@
 /// A daemon with scripted workers and a scripted discovery service.
 pub struct Harness {
     pub daemon: Process,
+    /// The folder of the hand-over socket.
     pub folder: tempfile::TempDir,
+    /// The entries of the saved endpoint list.
     pub instances: Vec<Value>,
     pub discovery: TcpListener,
+    /// The listeners of the scripted workers; a worker's number is its index.
     pub workers: Vec<TcpListener>,
     pub last_request_id: u64,
 }
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -15,7 +15,7 @@
 use vetchbridge_scheduling::EndpointDelivery;
 use vetchbridge_testbed::wire::Wire;
 
-/// Time after which a scheduler that has not called discovery again counts as having stopped.
+/// Time without a call to discovery after which a scheduler counts as having stopped its calls.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
 /// Number of schedulers in a large tier, where the pause after a second failure in a row is long.
 const LARGE_TIER: u32 = 300;
--- a/crates/vetchbridge/tests/discovery_hedge.rs
+++ b/crates/vetchbridge/tests/discovery_hedge.rs
@@ -54,8 +54,8 @@
     (2..calls.len() - 3).for_each(|call| assert_in_time(call, call + 3));
 }
 
-/// An overloaded service refuses calls, but late. Hedged calls would add to the service's load
-/// and delay every caller.
+/// An overloaded service refuses calls after a delay. Hedged calls would add to the service's load and delay
+/// every caller.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -75,9 +75,8 @@
     assert!(started.and_then(|mut child| child.wait()).expect("the program runs").success(), "{program}");
 }
 
-/// An operator who changes the configuration sends SIGHUP without knowing that the process is still starting.
-/// The signal must not end the process, and the process must not keep the configuration that it read before
-/// the signal.
+/// An operator may change the configuration and send SIGHUP while the process is still starting. The signal
+/// must not end the process, and the process must not keep the configuration that it read before the signal.
 #[rstest]
 #[case::reading_configuration(StartPhase::ReadingConfiguration)]
 #[case::waiting_for_address(StartPhase::WaitingForAddress)]
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -119,8 +119,8 @@
     assert!(removed.accept().now_or_never().is_none(), "the removed worker was dialled");
 }
 
-/// If discovery can't be reached, the saved list is the best available. After a time limit the scheduler must
-/// be ready and must place waiting jobs by the saved list.
+/// If discovery can't be reached, the saved list is the best available list. After a time limit the scheduler
+/// must be ready and must place waiting jobs by the saved list.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
