--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -15,7 +15,7 @@
 use vetchbridge_scheduling::EndpointDelivery;
 use vetchbridge_testbed::wire::Wire;
 
-/// Time after which a scheduler that has not called discovery again counts as having stopped.
+/// Time without a call to discovery after which a scheduler counts as having stopped its calls.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
 /// Number of schedulers in a large tier, where the pause after a second failure in a row is long.
 const LARGE_TIER: u32 = 300;
@@ -120,9 +120,10 @@
             timeout(MAX_PAUSE, scheduler.accept_call()).await.expect("the scheduler calls discovery again");
         waited = failed_at.elapsed();
     }
-    let pushed = waited <= Duration::from_millis(200);
+    let reopened_promptly = waited <= Duration::from_millis(200);
     assert!(
-        pushed == (to == EndpointDelivery::Push) && (pushed || waited >= Duration::from_secs(1)),
+        reopened_promptly == (to == EndpointDelivery::Push)
+            && (reopened_promptly || waited >= Duration::from_secs(1)),
         "{waited:?}"
     );
 }
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -61,7 +61,7 @@
 }
 
 /// Replaces the contents of the file atomically.
-fn replace(path: &Path, text: &str) {
+fn replace_file(path: &Path, text: &str) {
     let temporary = path.with_extension("fresh");
     fs::write(&temporary, text).expect("the write succeeds");
     fs::rename(temporary, path).expect("the rename succeeds");
@@ -75,9 +75,8 @@
     assert!(started.and_then(|mut child| child.wait()).expect("the program runs").success(), "{program}");
 }
 
-/// An operator who changes the configuration sends SIGHUP without knowing that the process is still starting.
-/// The signal must not end the process, and the process must not keep the configuration that it read before
-/// the signal.
+/// An operator may change the configuration and send SIGHUP while the process is still starting. The signal
+/// must not end the process, and the process must not keep the configuration that it read before the signal.
 #[rstest]
 #[case::reading_configuration(StartPhase::ReadingConfiguration)]
 #[case::waiting_for_address(StartPhase::WaitingForAddress)]
@@ -88,13 +87,13 @@
     let (old_discovery, new_discovery, address_holder) = (bind().await, bind().await, bind().await);
     let address = |listener: &TcpListener| listener.local_addr().expect("a bound listener");
     let listen: SocketAddr = address(&address_holder);
-    let text = |discovery: &TcpListener| {
+    let config_text = |discovery: &TcpListener| {
         let mut config = daemon_config(address(discovery), json!([]));
         config["listen"] = listen.to_string().into();
         config.to_string()
     };
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let (mut command, path) = daemon_command(&text(&old_discovery));
+    let (mut command, path) = daemon_command(&config_text(&old_discovery));
     command.env("BALANCER_DISCOVERY", address(&old_discovery).to_string()).env("TMPDIR", folder.path());
     let mut process = match phase {
         StartPhase::ReadingConfiguration => {
@@ -106,15 +105,15 @@
             let pipe = path.clone();
             let opened = spawn_blocking(move || fs::OpenOptions::new().write(true).open(pipe));
             let mut writer = opened.await.expect("the task does not panic").expect("the pipe opens");
-            replace(&path, &text(&new_discovery));
+            replace_file(&path, &config_text(&new_discovery));
             run("kill", &["-HUP", &process.child.id().to_string()]);
-            writer.write_all(text(&old_discovery).as_bytes()).expect("the process reads the pipe");
+            writer.write_all(config_text(&old_discovery).as_bytes()).expect("the process reads the pipe");
             process
         }
         StartPhase::WaitingForAddress => {
             let mut process = StartingProcess::spawn(&mut command);
             process.wait_for_log("address.in_use").await;
-            replace(&path, &text(&new_discovery));
+            replace_file(&path, &config_text(&new_discovery));
             run("kill", &["-HUP", &process.child.id().to_string()]);
             process
         }
@@ -130,9 +129,9 @@
     );
 }
 
-/// The settings refer to zones and machine types by index, and a reload may change the indices. The endpoint
-/// list must be converted in the same step, even if discovery sends no update. Otherwise a job bound to one
-/// machine type would be sent to the other one.
+/// The settings refer to zones and machine types by index, and a reload may change the indices. The reload
+/// must convert the endpoint list in the same step, even if discovery sends no update. Otherwise a job bound
+/// to one machine type would be sent to the other one.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -141,17 +140,17 @@
     for _ in 0..2 {
         workers.push(TcpListener::bind("127.0.0.1:0").await.expect("a free port"));
     }
-    let listed = |(number, kind): (usize, &str)| {
+    let entry = |(number, kind): (usize, &str)| {
         let mut instance = instance(number, workers[number].local_addr().expect("a bound listener"), "up");
         instance["machineType"] = kind.into();
         instance
     };
-    let endpoints: Vec<_> = ["small", "large"].into_iter().enumerate().map(listed).collect();
+    let endpoints: Vec<_> = ["small", "large"].into_iter().enumerate().map(entry).collect();
     let mut config = daemon_config("127.0.0.1:1".parse().expect("a valid address"), json!(endpoints));
     config["settings"]["kinds"] = json!(["small", "large"]);
     config["settings"]["specifics"] = json!({"class_kind": [1, -1, -1]});
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let (mut daemon, _silent) = Process::start_serving(&mut config, folder.path()).await;
+    let (mut daemon, _discovery) = Process::start_serving(&mut config, folder.path()).await;
     config["settings"]["kinds"] = json!(["large", "small"]);
     config["settings"]["specifics"] = json!({"class_kind": [0, -1, -1]});
     for round in 0..2 {
@@ -173,7 +172,7 @@
             assert_eq!(status(callback.read().await.as_ref()), "200");
             assert_eq!(status(client.read().await.as_ref()), "200");
         }
-        replace(&daemon.config_path, &config.to_string());
+        replace_file(&daemon.config_path, &config.to_string());
         daemon.signal("-HUP");
         daemon.wait_for_log("configuration.applied").await;
     }
@@ -226,13 +225,13 @@
 #[tokio::test]
 async fn new_settings_apply_and_open_requests_keep_their_class() {
     let mut harness = Harness::start(2).await;
-    let (mut removed_class, removed_class_id) = harness.submit_job("unsafe", "k").await;
-    let (removed_class_worker, mut wire) = harness.accept_worker_connection().await;
+    let (mut unsafe_client, unsafe_id) = harness.submit_job("unsafe", "k").await;
+    let (first_worker, mut wire) = harness.accept_worker_connection().await;
     wire.read().await.expect("the job");
     wire.send(ACCEPTED).await;
-    let (mut accepted_as_safe, accepted_as_safe_id) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker_connection().await;
-    second.read().await.expect("the job, at the idle worker");
+    let (mut safe_client, safe_id) = harness.submit_job("safe", "k").await;
+    let (_, mut second_connection) = harness.accept_worker_connection().await;
+    second_connection.read().await.expect("the job, at the idle worker");
 
     let mut new_config = daemon_config(harness.discovery.local_addr().unwrap(), json!(harness.instances));
     let services = new_config["settings"]["services"].as_array_mut().expect("a list of classes");
@@ -248,28 +247,28 @@
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("configuration.applied").await.contains("keyed,fresh,safe"));
 
-    let mut removed_class_client = dial(harness.daemon.address).await;
-    removed_class_client.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
-    assert_eq!(status(removed_class_client.read().await.as_ref()), "400", "the class no longer exists");
+    let mut late_unsafe_client = dial(harness.daemon.address).await;
+    late_unsafe_client.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
+    assert_eq!(status(late_unsafe_client.read().await.as_ref()), "400", "the class no longer exists");
     // The connection fails before the 202. The job that was accepted when class safe allowed retries is
     // retried; a job of the new class safe is not.
-    drop(second);
+    drop(second_connection);
     wire.read().await.expect("the retried job");
     wire.send(ACCEPTED).await;
-    harness.send_callback(&accepted_as_safe_id, removed_class_worker, "done").await;
-    assert_eq!(status(accepted_as_safe.read().await.as_ref()), "200");
-    let (mut new_safe, _) = harness.submit_job("safe", "k").await;
-    let (_, mut second) = harness.accept_worker_connection().await;
-    second.read().await.expect("the job");
-    drop(second);
-    assert_eq!(status(new_safe.read().await.as_ref()), "502");
-    let (mut fresh, fresh_id) = harness.submit_job("fresh", "k").await;
+    harness.send_callback(&safe_id, first_worker, "done").await;
+    assert_eq!(status(safe_client.read().await.as_ref()), "200");
+    let (mut new_safe_client, _) = harness.submit_job("safe", "k").await;
+    let (_, mut second_connection) = harness.accept_worker_connection().await;
+    second_connection.read().await.expect("the job");
+    drop(second_connection);
+    assert_eq!(status(new_safe_client.read().await.as_ref()), "502");
+    let (mut fresh_client, fresh_id) = harness.submit_job("fresh", "k").await;
     wire.read().await.expect("the job, since the other worker has failed twice");
     wire.send(ACCEPTED).await;
-    harness.send_callback(&fresh_id, removed_class_worker, "done").await;
-    assert_eq!(status(fresh.read().await.as_ref()), "200");
-    harness.send_callback(&removed_class_id, removed_class_worker, "done").await;
-    assert_eq!(status(removed_class.read().await.as_ref()), "200");
+    harness.send_callback(&fresh_id, first_worker, "done").await;
+    assert_eq!(status(fresh_client.read().await.as_ref()), "200");
+    harness.send_callback(&unsafe_id, first_worker, "done").await;
+    assert_eq!(status(unsafe_client.read().await.as_ref()), "200");
 }
 
 /// An invalid file is rejected as a whole, including its valid `discovery` address and classes, and the log
@@ -295,8 +294,9 @@
     client.post_request("/fresh/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(client.read().await.as_ref()), "400");
     // A file with two faults causes two log lines.
-    let both = with(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
-    std::fs::write(&harness.daemon.config_path, both).expect("the write succeeds");
+    let two_faults =
+        with_value(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
+    std::fs::write(&harness.daemon.config_path, two_faults).expect("the write succeeds");
     harness.daemon.signal("-HUP");
     assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("not a number above 0"));
     assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("not a number above 0"));
@@ -306,14 +306,14 @@
 const MAX_ATTEMPTS: &str = "/settings/limits/max_attempts";
 
 /// Returns the configuration with the value at `path` replaced.
-fn with(config: &Value, path: &str, value: Value) -> String {
+fn with_value(config: &Value, path: &str, value: Value) -> String {
     let mut invalid = config.clone();
     *invalid.pointer_mut(path).expect("the configuration has the key") = value;
     invalid.to_string()
 }
 
 /// Returns the configuration without `key` of the object at `path`.
-fn without(config: &Value, path: &str, key: &str) -> String {
+fn without_key(config: &Value, path: &str, key: &str) -> String {
     let mut invalid = config.clone();
     let object = invalid.pointer_mut(path).and_then(Value::as_object_mut).expect("an object");
     object.remove(key).expect("the configuration has the key");
@@ -323,7 +323,7 @@
 /// Returns invalid configuration texts, each with the key or fault that the log must name.
 fn invalid_configurations(valid: &Value) -> Vec<(String, &'static str)> {
     let text = valid.to_string();
-    let without = |path: &str, key: &str| without(valid, path, key);
+    let without_key = |path: &str, key: &str| without_key(valid, path, key);
     let mut cases = vec![
         (String::new(), "class"),
         ("{}".to_string(), "settings"),
@@ -331,21 +331,21 @@
         (text[..text.len() - 1].to_string(), "not a JSON object"),
         (text.replace("60000000", "NaN"), "not a JSON object"),
         (text.replace("60000000", "1e999"), "not a JSON object"),
-        (without("", "settings"), "settings"),
-        (without("", "discovery"), "discovery"),
-        (without("", "limits"), "limits"),
-        (without("", "admin"), "admin"),
-        (without("/settings", "services"), "settings.services"),
-        (without("/settings/limits", "dial_timeout"), "settings.limits.dial_timeout"),
-        (without("/settings/rules", "cold"), "settings.rules.cold"),
-        (without("/settings/services/1", "importance"), "settings.services[1].importance"),
-        (without("/settings/services/2", "deadline"), "settings.services[2].deadline"),
-        (without("/settings/services/2", "window"), "window"),
+        (without_key("", "settings"), "settings"),
+        (without_key("", "discovery"), "discovery"),
+        (without_key("", "limits"), "limits"),
+        (without_key("", "admin"), "admin"),
+        (without_key("/settings", "services"), "settings.services"),
+        (without_key("/settings/limits", "dial_timeout"), "settings.limits.dial_timeout"),
+        (without_key("/settings/rules", "cold"), "settings.rules.cold"),
+        (without_key("/settings/services/1", "importance"), "settings.services[1].importance"),
+        (without_key("/settings/services/2", "deadline"), "settings.services[2].deadline"),
+        (without_key("/settings/services/2", "window"), "window"),
     ];
     for value in [json!(0), json!(-1), json!(0.5), json!("5"), json!(null), json!(true), json!([])] {
-        cases.push((with(valid, DEADLINE, value.clone()), "settings.services[2].deadline"));
-        cases.push((with(valid, MAX_ATTEMPTS, value), "settings.limits.max_attempts"));
+        cases.push((with_value(valid, DEADLINE, value.clone()), "settings.services[2].deadline"));
+        cases.push((with_value(valid, MAX_ATTEMPTS, value), "settings.limits.max_attempts"));
     }
-    cases.push((with(valid, MAX_ATTEMPTS, json!(1u64 << 32)), "settings.limits.max_attempts"));
+    cases.push((with_value(valid, MAX_ATTEMPTS, json!(1u64 << 32)), "settings.limits.max_attempts"));
     cases
 }
