--- a/crates/testkit/src/report/tables.rs
+++ b/crates/testkit/src/report/tables.rs
@@ -36,9 +36,9 @@
         };
         let Answers { served, rejected, failed, lost, unreachable, unanswered } = self.answers;
         row("jobs", self.jobs.to_string());
-        row("requests", self.requests.to_string());
+        row("tries", self.requests.to_string());
         row("answers", format!("{served} served, {rejected} rejected, {failed} failed"));
-        row("unanswered", format!("{lost} lost, {unreachable} unreachable, {unanswered} timed out"));
+        row("without an answer", format!("{lost} lost, {unreachable} unreachable, {unanswered} timed out"));
         row("exactly once", exactly_once_text(self.violations.len()));
         row("service", format!("{:.3} of the requested priority weight was served in time", self.service));
         if let Some(attempts) = self.attempts_per_job {
--- a/crates/testkit/src/scheduler/admin.rs
+++ b/crates/testkit/src/scheduler/admin.rs
@@ -27,11 +27,11 @@
             Ok(Ok(answer)) if is_wanted(answer.trim_end()) => return Ok(()),
             Ok(Ok(answer)) => answer.trim_end().to_string(),
             Ok(Err(error)) => error.to_string(),
-            Err(_) => "no answer in time".to_string(),
+            Err(_) => "nothing".to_string(),
         };
         if started.elapsed() > STATE_TIMEOUT {
             return Err(Failure::CheckFailed(format!(
-                "{command}: unexpected last answer of the admin interface: {answer:?}"
+                "{command}: the admin interface did not give the expected answer in time; last answer: {answer:?}"
             )));
         }
         sleep(POLL_INTERVAL).await;
