--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -17,7 +17,7 @@
     /// An accepted attempt received no response before its client's deadline.
     Unanswered(u64),
     /// The connection of an attempt ended without a response while no scheduler was down.
-    Lost(u64),
+    ConnectionLost(u64),
     /// An attempt was answered with a result that does not belong to a finished run of the attempt's job.
     ForeignResult(u64),
     /// A keyed job finished twice, or started again after workers had forgotten its key.
@@ -35,7 +35,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Violation::Unanswered(id) => write!(f, "request {id:016x} was never answered"),
-            Violation::Lost(id) => write!(f, "request {id:016x} lost its connection without an outage"),
+            Violation::ConnectionLost(id) => {
+                write!(f, "request {id:016x} lost its connection without an outage")
+            }
             Violation::ForeignResult(id) => {
                 write!(f, "request {id:016x} received a result that no worker produced for it")
             }
@@ -205,12 +207,12 @@
             return;
         }
         match attempt.outcome {
-            Outcome::Broken(_) => self.violations.push(Violation::Lost(attempt.id)),
+            Outcome::Broken(_) => self.violations.push(Violation::ConnectionLost(attempt.id)),
             Outcome::Unanswered => self.violations.push(Violation::Unanswered(attempt.id)),
             _ => {}
         }
         if self.ran_before_resend(attempt) {
-            self.violations.push(Violation::Lost(attempt.id));
+            self.violations.push(Violation::ConnectionLost(attempt.id));
         }
     }
 
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -119,7 +119,7 @@
 )]
 #[case::broken_connection(
     |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Broken(String::new()),
-    &[Violation::Lost(0)]
+    &[Violation::ConnectionLost(0)]
 )]
 #[case::resent_before_it_ran(
     |records: &mut Records| {
@@ -130,7 +130,7 @@
 )]
 #[case::resent_after_it_ran(
     |records: &mut Records| records.attempt(IDEMPOTENT).resent = Some(milliseconds(10)),
-    &[Violation::Lost(0)]
+    &[Violation::ConnectionLost(0)]
 )]
 #[case::no_connection(
     |records: &mut Records| records.attempt(IDEMPOTENT).outcome = Outcome::Unreachable(String::new()),
@@ -194,7 +194,7 @@
     records.attempt(NON_IDEMPOTENT).outcome = Outcome::Served(run_result(2, 3));
     assert_eq!(records.violations(&[outage(0, 900)]), []);
     let without_excuse = records.violations(&[outage(1_001, 2_000)]);
-    assert_eq!(without_excuse, [Violation::Lost(2), Violation::NonIdempotentRanTwice(2)]);
+    assert_eq!(without_excuse, [Violation::ConnectionLost(2), Violation::NonIdempotentRanTwice(2)]);
 }
 
 #[test]
