--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -36,7 +36,7 @@
         match self {
             Violation::Unanswered(id) => write!(f, "request {id:016x} was never answered"),
             Violation::ConnectionLost(id) => {
-                write!(f, "request {id:016x} lost its connection without an outage")
+                write!(f, "request {id:016x} lost its connection outside outages")
             }
             Violation::ForeignResult(id) => {
                 write!(f, "request {id:016x} received a result that no worker produced for it")
