--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface of the discovery service: calls for the list, and watches that wait for a change.
 
 use super::{Health, Shared};
-use crate::wire::{Message, Wire};
+use crate::wire::{HttpConnection, Message};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +18,14 @@
     loop {
         tokio::select! {
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                connections.spawn(serve_connection(shared.clone(), Wire::new(stream), scheduler));
+                connections.spawn(serve_connection(shared.clone(), HttpConnection::new(stream), scheduler));
             },
             Some(_) = connections.join_next(), if !connections.is_empty() => {}
         }
     }
 }
 
-async fn serve_connection(shared: Arc<Shared>, mut wire: Wire, scheduler: usize) {
+async fn serve_connection(shared: Arc<Shared>, mut wire: HttpConnection, scheduler: usize) {
     while let Some(request) = wire.read().await {
         let since = query_number(&request, "index");
         if let Some(since) = since {
@@ -77,7 +77,7 @@
 }
 
 /// Writes an answer's head and the first half of its body.
-async fn write_half(wire: &mut Wire, document: &str) -> io::Result<()> {
+async fn write_half(wire: &mut HttpConnection, document: &str) -> io::Result<()> {
     let (length, first_half) = (document.len(), &document[..document.len() / 2]);
     wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{first_half}")).await
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,9 +3,9 @@
 //! [`load_balancer::LoadBalancer`] in front of the schedulers, and [`client`]s with a seeded load.
 //!
 //! Each stand-in is a value that owns its sockets and tasks; dropping the value ends them. A test controls a
-//! stand-in by calling its methods. Where a test must stop inside a message, [`wire::Wire`] serves as either
-//! end of a connection. The crate does not depend on the daemon's code: it implements the protocol a second
-//! time, so that a mistake in either implementation becomes visible.
+//! stand-in by calling its methods. Where a test must stop inside a message, [`wire::HttpConnection`] serves
+//! as either end of a connection. The crate does not depend on the daemon's code: it implements the protocol
+//! a second time, so that a mistake in either implementation becomes visible.
 //!
 //! ```no_run
 //! # async fn example() -> std::io::Result<()> {
--- a/crates/testbed/src/load_balancer.rs
+++ b/crates/testbed/src/load_balancer.rs
@@ -6,7 +6,7 @@
 //! answers the checks still receives connections until the detection delay has passed. The load balancer does
 //! not interpret the bytes that it relays.
 
-use crate::wire::Wire;
+use crate::wire::HttpConnection;
 use crate::{AbortOnDrop, Port};
 use std::io;
 use std::net::SocketAddr;
@@ -140,7 +140,7 @@
 
 /// Returns a scheduler's answer to one readiness check, or `None` if the scheduler does not answer.
 async fn query_readiness(address: SocketAddr) -> Option<bool> {
-    let mut wire = Wire::dial(address).await.ok()?;
+    let mut wire = HttpConnection::connect(address).await.ok()?;
     wire.write(READINESS_REQUEST).await.ok()?;
     let answer = wire.read().await?;
     Some(answer.status() == "200")
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,8 +1,8 @@
 //! One end of an HTTP/1.1 connection, implemented without an HTTP library so that a test can stop at any byte
 //! of a message.
 //!
-//! [`Wire`] owns the socket and the received bytes that follow the last message. It neither retries failed
-//! operations nor corrects invalid messages.
+//! [`HttpConnection`] owns the socket and the received bytes that follow the last message that was read. Failed
+//! operations are not retried, and invalid messages are not corrected.
 
 use std::io;
 use std::net::SocketAddr;
@@ -53,24 +53,24 @@
 }
 
 /// One end of an HTTP/1.1 connection.
-pub struct Wire {
+pub struct HttpConnection {
     stream: TcpStream,
     /// Received bytes that follow the last message that was read.
     received: Vec<u8>,
 }
 
-impl Wire {
+impl HttpConnection {
     /// Wraps a connection that the caller has accepted or made.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         // With the option, small writes do not wait for acknowledgements. A failure is ignored: it only makes
         // writes slower.
         let _ = stream.set_nodelay(true);
-        Wire { stream, received: Vec::new() }
+        HttpConnection { stream, received: Vec::new() }
     }
 
     /// Connects to an address.
-    pub async fn dial(address: SocketAddr) -> io::Result<Wire> {
-        TcpStream::connect(address).await.map(Wire::new)
+    pub async fn connect(address: SocketAddr) -> io::Result<HttpConnection> {
+        TcpStream::connect(address).await.map(HttpConnection::new)
     }
 
     /// Returns the socket, for operations that are not HTTP.
@@ -114,7 +114,7 @@
         Some(message)
     }
 
-    /// Reads the body of a message, after [`Wire::read_head`].
+    /// Reads the body of a message, after [`HttpConnection::read_head`].
     pub async fn read_body(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.received.len() < length {
             self.receive().await?;
--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -1,7 +1,7 @@
 //! Callbacks: requests by which a worker reports a job's state to the scheduler, retried until the scheduler
 //! answers.
 
-use crate::wire::Wire;
+use crate::wire::HttpConnection;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, StatusCode};
@@ -152,7 +152,7 @@
 
 /// Sends a body one byte at a time, without retries.
 async fn deliver_byte_by_byte(scheduler: SocketAddr, body: &str) {
-    let Ok(mut wire) = Wire::dial(scheduler).await else { return };
+    let Ok(mut wire) = HttpConnection::connect(scheduler).await else { return };
     let length = body.len();
     let text = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
     // This delivery has no retries: the callback is lost if the scheduler does not read it.
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -6,7 +6,7 @@
 use super::script::JobBehavior;
 use super::state::WorkerState;
 use crate::runs::AttemptArrival;
-use crate::wire::{Message, Wire};
+use crate::wire::{HttpConnection, Message};
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     pub(super) worker: Arc<WorkerState>,
     scheduler: SocketAddr,
     /// The worker's end of the connection; `None` once the connection was reset.
-    pub(super) wire: Option<Wire>,
+    pub(super) wire: Option<HttpConnection>,
 }
 
 impl Drop for Connection {
@@ -38,7 +38,7 @@
 
 impl Connection {
     /// Creates the state of an accepted connection.
-    pub(super) fn new(worker: Arc<WorkerState>, scheduler: SocketAddr, wire: Wire) -> Connection {
+    pub(super) fn new(worker: Arc<WorkerState>, scheduler: SocketAddr, wire: HttpConnection) -> Connection {
         Connection { worker, scheduler, wire: Some(wire) }
     }
 
--- a/crates/testbed/src/worker/server.rs
+++ b/crates/testbed/src/worker/server.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::execution::JobFuture;
 use super::state::WorkerState;
-use crate::wire::Wire;
+use crate::wire::HttpConnection;
 use futures_util::future::select_all;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -67,7 +67,7 @@
         if self.connections.len() >= self.worker.spec.max_connections {
             return;
         }
-        let mut connection = Connection::new(self.worker.clone(), scheduler, Wire::new(stream));
+        let mut connection = Connection::new(self.worker.clone(), scheduler, HttpConnection::new(stream));
         let job_starts = self.job_starts.clone();
         self.connections.spawn(async move { connection.run(&job_starts).await });
     }
--- a/crates/testbed/tests/clients.rs
+++ b/crates/testbed/tests/clients.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use vetchbridge_testbed::arrivals::{Arrivals, ClassLoad, Idempotency, LoadSpec, TenantLoad};
 use vetchbridge_testbed::client::{Clients, Outcome};
-use vetchbridge_testbed::wire::{Message, Wire};
+use vetchbridge_testbed::wire::{HttpConnection, Message};
 
 /// Time limit for one test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -60,7 +60,7 @@
     let (_stop, stopped) = tokio::sync::watch::channel(false);
     let scheduler_side = async {
         let (stream, _) = scheduler.accept().await.expect("a client connects");
-        let mut wire = Wire::new(stream);
+        let mut wire = HttpConnection::new(stream);
         let first = wire.read().await.expect("a job arrives");
         // The clients must not honor this time: a client that did would exceed the time limit of the test.
         wire.answer(503, "retry-after: 3000\r\n", "").await.expect("the answer is sent");
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use vetchbridge_testbed::runs::Runs;
-use vetchbridge_testbed::wire::{Message, Wire};
+use vetchbridge_testbed::wire::{HttpConnection, Message};
 use vetchbridge_testbed::worker::{Worker, WorkerSpec};
 
 /// Time limit for one test.
@@ -37,8 +37,8 @@
     }
 
     /// Sends a job on a new connection and returns the connection.
-    pub async fn send(&self, id: u64, headers: &str, body: &str) -> Wire {
-        let mut wire = Wire::dial(self.address()).await.expect("the worker listens");
+    pub async fn send(&self, id: u64, headers: &str, body: &str) -> HttpConnection {
+        let mut wire = HttpConnection::connect(self.address()).await.expect("the worker listens");
         wire.post("/c/k", &format!("x-trace-id: {id:016x}\r\n{headers}"), body)
             .await
             .expect("the job is sent");
@@ -46,9 +46,9 @@
     }
 
     /// Accepts the connection of the next callback.
-    pub async fn accept_callback(&self) -> Wire {
+    pub async fn accept_callback(&self) -> HttpConnection {
         let (stream, _) = self.callbacks.accept().await.expect("a callback arrives");
-        Wire::new(stream)
+        HttpConnection::new(stream)
     }
 
     /// Answers the next callback with 200 and returns the callback's request.
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use vetchbridge_testbed::discovery::{Discovery, Health};
 use vetchbridge_testbed::runs::Runs;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 use vetchbridge_testbed::worker::{Worker, WorkerSpec};
 
 /// Time limit for one test.
@@ -19,7 +19,7 @@
     let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
         .await
         .expect("the worker starts");
-    let mut wire = Wire::dial(discovery.address(0)).await.expect("discovery listens");
+    let mut wire = HttpConnection::connect(discovery.address(0)).await.expect("discovery listens");
     let mut call = async |target: &str| -> serde_json::Value {
         wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the call is sent");
         serde_json::from_slice(&wire.read().await.expect("an answer").body).unwrap_or_default()
@@ -41,7 +41,7 @@
     let old_address = discovery.address(0);
     let new_address = discovery.move_to_new_port(0).expect("another port is free");
     assert_ne!(old_address, new_address);
-    Wire::dial(new_address).await.expect("discovery listens on the new port");
+    HttpConnection::connect(new_address).await.expect("discovery listens on the new port");
 }
 
 #[rstest]
@@ -53,7 +53,7 @@
         .await
         .expect("the worker starts");
     let call = async |target: &str| {
-        let mut wire = Wire::dial(discovery.address(0)).await.expect("discovery listens");
+        let mut wire = HttpConnection::connect(discovery.address(0)).await.expect("discovery listens");
         wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the call is sent");
         // An unresponsive service keeps the connection open until the caller closes the connection.
         tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("the sending side closes");
--- a/crates/testbed/tests/load_balancer.rs
+++ b/crates/testbed/tests/load_balancer.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use vetchbridge_testbed::load_balancer::LoadBalancer;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 use vetchbridge_testbed::{AbortOnDrop, Port};
 
 /// Time limit for one test.
@@ -33,7 +33,7 @@
             let (stream, _) = scheduler.accept().await.expect("a client connects");
             let scheduler_ready = scheduler_ready.clone();
             tokio::spawn(async move {
-                let mut wire = Wire::new(stream);
+                let mut wire = HttpConnection::new(stream);
                 while wire.read().await.is_some() {
                     let status = if scheduler_ready.load(Ordering::Relaxed) { 200 } else { 503 };
                     wire.answer(status, "", "ok").await.expect("the answer is sent");
@@ -45,7 +45,8 @@
         tokio::task::yield_now().await;
     }
     for _ in 0..3 {
-        let mut client = Wire::dial(balancer.address()).await.expect("the load balancer listens");
+        let mut client =
+            HttpConnection::connect(balancer.address()).await.expect("the load balancer listens");
         client.post("/c/k", "", "").await.expect("the request is sent");
         assert_eq!(client.read().await.expect("an answer").text(), "ok");
     }
@@ -60,6 +61,6 @@
     while balancer.ready_schedulers() > 0 {
         tokio::task::yield_now().await;
     }
-    let mut client = Wire::dial(balancer.address()).await.expect("the load balancer listens");
+    let mut client = HttpConnection::connect(balancer.address()).await.expect("the load balancer listens");
     assert!(client.read().await.is_none(), "no scheduler is left");
 }
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use vetchbridge_testbed::runs::{run_result, RunEnd};
-use vetchbridge_testbed::wire::{Message, Wire};
+use vetchbridge_testbed::wire::{HttpConnection, Message};
 use vetchbridge_testbed::worker::{JobBehavior, WorkerSpec};
 
 #[rstest]
@@ -150,7 +150,7 @@
     assert_eq!(worker.next_state().await, "lost");
     assert_eq!(worker.runs.all()[0].end, RunEnd::Lost);
     assert!(wire.read().await.is_none());
-    assert!(Wire::dial(worker.address()).await.is_err());
+    assert!(HttpConnection::connect(worker.address()).await.is_err());
     worker.worker.restart().expect("the port is still reserved");
     assert!(worker.worker.started_at_ms() > 0);
     assert_eq!(worker.send(2, "", "").await.read().await.expect("an answer").status(), "202");
--- a/crates/testbed/tests/worker_probes.rs
+++ b/crates/testbed/tests/worker_probes.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use vetchbridge_testbed::stats::{Field, StatsSpec};
-use vetchbridge_testbed::wire::{Message, Wire};
+use vetchbridge_testbed::wire::{HttpConnection, Message};
 use vetchbridge_testbed::worker::{JobBehavior, ProbeBehavior, ProbeSpec, WorkerSpec};
 
 /// Returns a configuration of load reports without delay.
@@ -17,7 +17,7 @@
 }
 
 /// Sends a `GET` request and returns the answer, or `None` if there is none.
-async fn get(wire: &mut Wire, target: &str) -> Option<Message> {
+async fn get(wire: &mut HttpConnection, target: &str) -> Option<Message> {
     wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the request is sent");
     wire.read().await
 }
@@ -45,7 +45,7 @@
     let worker =
         TestWorker::start(WorkerSpec { stats: Some(load_reports(true)), ..WorkerSpec::new("s-0") }).await;
     worker.worker.script_jobs([JobBehavior::NoResponse]);
-    let mut wire = Wire::dial(worker.address()).await.expect("the worker listens");
+    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     for target in ["/stats", "/health/live", "/jobs/1"] {
         let answer = get(&mut wire, target).await.expect("an answer");
         assert_eq!((answer.status(), &*answer.text()), ("404", ""), "{target}");
@@ -69,7 +69,7 @@
     let mut running = worker.send(1, "", ENDLESS_WORK).await;
     running.read().await.expect("an answer");
     assert_eq!(worker.next_state().await, "started");
-    let mut probe = Wire::dial(worker.address()).await.expect("the worker listens");
+    let mut probe = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     probe.write("GET /stats HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the request is sent");
     running.write("DELETE /jobs/1 HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the request is sent");
     assert_eq!(running.read().await.expect("an answer").status(), "200");
@@ -95,7 +95,7 @@
         ProbeBehavior::NoResponse,
         ProbeBehavior::Reset,
     ]);
-    let mut wire = Wire::dial(worker.address()).await.expect("the worker listens");
+    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     let start = std::time::Instant::now();
     assert_eq!(get(&mut wire, "/health/live").await.expect("the late answer").status(), "200");
     assert!(start.elapsed() >= delay);
@@ -103,9 +103,9 @@
     wire.write("GET /health/live HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the request is sent");
     tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("the sending side closes");
     assert!(wire.read().await.is_none(), "the probe was answered");
-    let mut wire = Wire::dial(worker.address()).await.expect("the worker listens");
+    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     assert!(get(&mut wire, "/health/live").await.is_none(), "the connection was not reset");
-    let mut wire = Wire::dial(worker.address()).await.expect("the worker listens");
+    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     assert_eq!(
         get(&mut wire, "/health/live").await.expect("the answer after the scripted probes").status(),
         "200"
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -16,7 +16,7 @@
 use tokio::time::{interval, Instant};
 use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::client::{Clients, JobRecord, LoadRecord, Outcome};
-use vetchbridge_testbed::{wire::Wire, AbortOnDrop, Port};
+use vetchbridge_testbed::{wire::HttpConnection, AbortOnDrop, Port};
 
 /// A way to run the daemon: a set of log options.
 struct Variant {
@@ -179,7 +179,7 @@
         let mut poll = interval(RELAY_POLL_INTERVAL);
         for _ in 0..RELAY_POLLS {
             poll.tick().await;
-            if Wire::dial(self.address).await.is_ok() {
+            if HttpConnection::connect(self.address).await.is_ok() {
                 return Ok(());
             }
         }
--- a/crates/testkit/src/soak/faulty_clients.rs
+++ b/crates/testkit/src/soak/faulty_clients.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// The prefix of the faulty clients' request ids; no request of the load has it.
 const ID_PREFIX: u64 = 0xdead_0000_0000_0000;
@@ -69,7 +69,7 @@
 
     /// Submits a long job and disconnects when `after` has passed since the request was sent.
     pub(super) async fn disconnect(&self, address: SocketAddr, after: Duration, epoch: Instant) {
-        let Ok(mut wire) = Wire::dial(address).await else { return };
+        let Ok(mut wire) = HttpConnection::connect(address).await else { return };
         let id = self.next_id();
         let headers = format!("X-Trace-Id: {id:016x}\r\nX-Qos: position\r\nX-Expires-In: 3000m\r\n");
         if wire.post("/position/leaves", &headers, "work_us=1500000").await.is_err() {
@@ -85,7 +85,7 @@
     /// Sends the beginning of a request, which ends within the body or within the headers, and waits for the
     /// response or the end of the connection.
     pub(super) async fn stall(&self, address: SocketAddr, within_body: bool, epoch: Instant) {
-        let Ok(mut wire) = Wire::dial(address).await else { return };
+        let Ok(mut wire) = HttpConnection::connect(address).await else { return };
         let id = self.next_id();
         let head = format!(
             "POST /position/stops HTTP/1.1\r\nhost: x\r\nX-Trace-Id: {id:016x}\r\nX-Qos: position\r\n"
@@ -105,7 +105,7 @@
     pub(super) async fn flood(&self, address: SocketAddr, count: usize, duration: Duration) {
         let mut open = Vec::with_capacity(count);
         for _ in 0..count {
-            open.extend(Wire::dial(address).await.ok());
+            open.extend(HttpConnection::connect(address).await.ok());
         }
         sleep(duration).await;
     }
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use vetchbridge_scheduling::{EndpointState, EndpointUpdate, Outcome};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -33,7 +33,7 @@
     let engine = Engine::new(scheduler, upstream, unbounded_channel().0, unbounded_channel().0);
 
     engine.execute(&mut engine.lock_state(), Action::Probe(worker_id));
-    let mut worker = Wire::new(listener.accept().await.expect("a connection").0);
+    let mut worker = HttpConnection::new(listener.accept().await.expect("a connection").0);
     assert_eq!(worker.read().await.expect("a probe").line, "GET /stats HTTP/1.1");
 
     // The first probe is in flight and holds the only permit, so a second probe is not sent.
--- a/crates/vetchbridge/tests/client_connection_limits.rs
+++ b/crates/vetchbridge/tests/client_connection_limits.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
 
@@ -25,7 +25,7 @@
 
     /// Connects clients until the daemon has no free descriptor and fails to accept a connection. Returns the
     /// clients.
-    async fn use_up_descriptors(&mut self) -> Vec<Wire> {
+    async fn use_up_descriptors(&mut self) -> Vec<HttpConnection> {
         const DESCRIPTORS: u64 = 40;
         self.limit_descriptors(DESCRIPTORS);
         let mut clients = Vec::new();
@@ -42,7 +42,7 @@
     /// Sends the endpoint list once and stops discovery, so that calls to discovery no longer use a
     /// descriptor.
     async fn stop_discovery(&mut self) {
-        let mut watch = Wire::new(self.discovery.accept().await.expect("the watch").0);
+        let mut watch = HttpConnection::new(self.discovery.accept().await.expect("the watch").0);
         watch.read_target().await;
         watch.send_endpoints(5, json!(self.instances)).await;
         watch.read_target().await;
@@ -92,7 +92,7 @@
     let mut harness = Harness::start_with_descriptor_limit(0, &[], 1024).await;
     harness.limit_descriptors(40);
     let start = Instant::now();
-    let mut clients: Vec<Wire> = Vec::new();
+    let mut clients: Vec<HttpConnection> = Vec::new();
     for _ in 0..100 {
         clients.push(dial(harness.daemon.address).await);
     }
@@ -139,7 +139,7 @@
 
 /// Submits jobs for the only worker until a new connection is rejected. Returns the connections that await a
 /// response, and the ids of their jobs.
-async fn fill_budget_with_pending_requests(harness: &mut Harness) -> Vec<(Wire, String)> {
+async fn fill_budget_with_pending_requests(harness: &mut Harness) -> Vec<(HttpConnection, String)> {
     let mut pending = Vec::new();
     loop {
         let (mut client, id) = harness.submit_job("safe", "k").await;
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// The kernel's code for a connection that only the remote side has closed.
 const CLOSE_WAIT: &str = "08";
@@ -29,7 +29,7 @@
 ///
 /// If `running` is given, the daemon must still be running: another request is answered after the close, and
 /// a reset would have arrived by then.
-async fn assert_closed_without_reset(client: &mut Wire, running: Option<&Harness>) {
+async fn assert_closed_without_reset(client: &mut HttpConnection, running: Option<&Harness>) {
     let mut unread = Vec::new();
     let (here, there) = local_and_peer_addresses(client);
     client.socket().read_to_end(&mut unread).await.expect("no reset");
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -27,7 +27,7 @@
 use vetchbridge::workers::{parse_request_id, Payload, UpstreamGroup};
 use vetchbridge_scheduling::Scheduler;
 use vetchbridge_scheduling::{ClassId, EndpointDelivery, Event, Request, Settings, TenantId};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// Time limit of a test, so that a test that hangs fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -110,15 +110,15 @@
 
     /// Accepts the next connection to the discovery service; returns the connection and the target of its
     /// request.
-    pub async fn accept_call(&self) -> (Wire, String) {
-        let mut wire = Wire::new(self.discovery.accept().await.expect("a call").0);
+    pub async fn accept_call(&self) -> (HttpConnection, String) {
+        let mut wire = HttpConnection::new(self.discovery.accept().await.expect("a call").0);
         let target = wire.read().await.expect("a call").target().to_string();
         (wire, target)
     }
 
     /// Answers the first call: the saved list is current. Returns the connection after reading the watch that
     /// follows on it.
-    pub async fn confirm_saved_list(&self) -> Wire {
+    pub async fn confirm_saved_list(&self) -> HttpConnection {
         let (mut wire, _) = self.accept_call().await;
         answer_changes(&mut wire, 1, json!([])).await;
         wire.read().await.expect("the watch continues");
@@ -212,32 +212,32 @@
 }
 
 /// Answers a call with changes.
-pub async fn answer_changes(wire: &mut Wire, generation: u32, instances: Value) {
+pub async fn answer_changes(wire: &mut HttpConnection, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": false, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
 /// Answers a call with a complete list.
-pub async fn answer_complete_list(wire: &mut Wire, generation: u32, instances: Value) {
+pub async fn answer_complete_list(wire: &mut HttpConnection, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": true, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
 /// Rejects a call with status 503, as an overloaded service does.
-pub async fn reject_call(wire: &mut Wire) {
+pub async fn reject_call(wire: &mut HttpConnection) {
     wire.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
 }
 
 /// Answers a call with the part of a document before `cut`. The connection stays open until the caller drops
 /// it.
-pub async fn answer_part(wire: &mut Wire, document: &str, cut: &str) {
+pub async fn answer_part(wire: &mut HttpConnection, document: &str, cut: &str) {
     let (part, _) = document.split_once(cut).expect("`cut` is in the document");
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{part}", document.len());
     wire.write(&answer).await.expect("the scheduler reads");
 }
 
 /// Answers a call with the part of a document before `cut`, and closes the connection.
-pub async fn answer_part_and_close(mut wire: Wire, document: &str, cut: &str) {
+pub async fn answer_part_and_close(mut wire: HttpConnection, document: &str, cut: &str) {
     answer_part(&mut wire, document, cut).await;
 }
 
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
-use vetchbridge_testbed::wire::{Message, Wire};
+use vetchbridge_testbed::wire::{HttpConnection, Message};
 
 /// Time limit of a test, so that a test that hangs fails. No test measures time.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -47,7 +47,7 @@
     async fn send_endpoints(&mut self, generation: u32, instances: Value);
 }
 
-impl WireExt for Wire {
+impl WireExt for HttpConnection {
     async fn send(&mut self, text: &str) {
         self.write(text).await.expect("the peer reads");
     }
@@ -90,13 +90,13 @@
 }
 
 /// Returns the local address and the peer address of a connection.
-pub fn local_and_peer_addresses(wire: &mut Wire) -> (SocketAddr, SocketAddr) {
+pub fn local_and_peer_addresses(wire: &mut HttpConnection) -> (SocketAddr, SocketAddr) {
     let socket = wire.socket();
     (socket.local_addr().expect("bound"), socket.peer_addr().expect("connected"))
 }
 
 /// Waits until the peer's kernel has acknowledged all bytes written; the peer's process need not read them.
-pub async fn wait_until_delivered(wire: &mut Wire) {
+pub async fn wait_until_delivered(wire: &mut HttpConnection) {
     let (here, there) = local_and_peer_addresses(wire);
     let is_pending = |connection: TcpTableEntry| !connection.unacknowledged.trim_matches('0').is_empty();
     while tcp_table_entry(here, there).is_some_and(is_pending) {
@@ -104,8 +104,8 @@
     }
 }
 
-pub async fn dial(address: SocketAddr) -> Wire {
-    Wire::dial(address).await.expect("the daemon listens")
+pub async fn dial(address: SocketAddr) -> HttpConnection {
+    HttpConnection::connect(address).await.expect("the daemon listens")
 }
 
 pub fn status(answer: Option<&Message>) -> &str {
@@ -120,7 +120,7 @@
 /// Answers the first discovery request of a daemon that has just started: the saved endpoint list is
 /// unchanged. Closes the connection, so the daemon sends its next request on a new one.
 pub async fn confirm_endpoint_list(discovery: &TcpListener) {
-    let mut wire = Wire::new(discovery.accept().await.expect("the first call").0);
+    let mut wire = HttpConnection::new(discovery.accept().await.expect("the first call").0);
     assert_eq!(wire.read_target().await, "/registry/instances?index=1&wait=0");
     let unchanged = r#"{"generation":1,"reset":false,"instances":[]}"#;
     wire.answer(200, "connection: close\r\n", unchanged).await.expect("the peer reads");
@@ -347,14 +347,14 @@
     }
 
     /// Accepts the next connection to any worker; returns the worker's number and the connection.
-    pub async fn accept_worker_connection(&self) -> (usize, Wire) {
+    pub async fn accept_worker_connection(&self) -> (usize, HttpConnection) {
         let accepts = self.workers.iter().map(|worker| Box::pin(worker.accept()));
         let (accepted, number, _) = select_all(accepts).await;
-        (number, Wire::new(accepted.expect("a connection").0))
+        (number, HttpConnection::new(accepted.expect("a connection").0))
     }
 
     /// Sends a request of this class on a new connection; returns the connection and the request's id.
-    pub async fn submit_job(&mut self, class: &str, key: &str) -> (Wire, String) {
+    pub async fn submit_job(&mut self, class: &str, key: &str) -> (HttpConnection, String) {
         self.last_request_id += 1;
         let id = format!("{:016x}", self.last_request_id);
         let mut client = dial(self.daemon.address).await;
@@ -381,7 +381,8 @@
     pub async fn serve_jobs_at_worker_0(&mut self, class: &str) {
         for key in 0..8 {
             let (mut client, id) = self.submit_job(class, &key.to_string()).await;
-            let mut worker = Wire::new(self.workers[0].accept().await.expect("a connection to worker 0").0);
+            let mut worker =
+                HttpConnection::new(self.workers[0].accept().await.expect("a connection to worker 0").0);
             worker.read().await.expect("the job");
             // The worker closes the connection after each job, so that the next job needs a new connection.
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
@@ -398,7 +399,8 @@
         let (mut client, next) = self.submit_job("safe", "k").await;
         let mut calls = FuturesUnordered::new();
         loop {
-            let read_request = async |(number, mut wire): (usize, Wire)| (number, wire.read().await, wire);
+            let read_request =
+                async |(number, mut wire): (usize, HttpConnection)| (number, wire.read().await, wire);
             let (number, call, mut wire) = tokio::select! {
                 dialled = self.accept_worker_connection() => {
                     calls.push(read_request(dialled));
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -15,14 +15,14 @@
     parse_request_id, worker_id, AttemptResult, Payload, SendConditions, UpstreamGroup, WorkerEndpoint,
 };
 use vetchbridge_scheduling::{EndpointState, EndpointUpdate, Outcome};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// Runs a worker that rejects every job and keeps its connections open. Sends the worker's number to `closed`
 /// for each connection that the other side closes.
 async fn reject_jobs(number: usize, listener: TcpListener, closed: UnboundedSender<usize>) {
     loop {
         let (mut wire, closed) =
-            (Wire::new(listener.accept().await.expect("a connection").0), closed.clone());
+            (HttpConnection::new(listener.accept().await.expect("a connection").0), closed.clone());
         tokio::spawn(async move {
             while wire.read().await.is_some() {
                 wire.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -18,7 +18,7 @@
 use vetchbridge::discovery::document::InstanceState;
 use vetchbridge::discovery::request::DiscoveryRequest;
 use vetchbridge_scheduling::EndpointDelivery;
-use vetchbridge_testbed::wire::{Message, Wire};
+use vetchbridge_testbed::wire::{HttpConnection, Message};
 
 /// One change makes the service answer the watches of all schedulers at the same time. If the next watches
 /// then stay without an answer, they must end at different times, so that the schedulers do not call the
@@ -75,14 +75,14 @@
 async fn a_silent_watch_is_reopened_before_its_updates_count_as_notified() {
     let mut scheduler = TestScheduler::with_scheduler_count(300).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let mut wire = Wire::new(scheduler.discovery.accept().await.expect("the watch").0);
+    let mut wire = HttpConnection::new(scheduler.discovery.accept().await.expect("the watch").0);
     let target = |call: Option<Message>| call.expect("a call to discovery").target().to_string();
     assert!(target(wire.read().await).contains("index=1&wait="));
     answer_changes(&mut wire, 2, json!([])).await;
     assert!(target(wire.read().await).contains("index=2&wait="));
     let called_at = Instant::now();
     // The service sends nothing more, and the connection stays open.
-    let mut next = Wire::new(scheduler.discovery.accept().await.expect("the next watch").0);
+    let mut next = HttpConnection::new(scheduler.discovery.accept().await.expect("the next watch").0);
     assert!(target(next.read().await).contains("index=2&wait="), "the call names the last known generation");
     assert!(called_at.elapsed() < Duration::from_secs(6), "{:?} after the call", called_at.elapsed());
 }
@@ -104,7 +104,7 @@
 
 impl CallFailure {
     /// Makes the call on this connection fail. Returns the connection if it stays open.
-    async fn fail(self, mut wire: Wire) -> Option<Wire> {
+    async fn fail(self, mut wire: HttpConnection) -> Option<HttpConnection> {
         let document = r#"{"generation":9,"reset":true,"instances":[{"instanceId":"s-cut"}]}"#;
         match self {
             CallFailure::Refused => reject_call(&mut wire).await,
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 use vetchbridge_scheduling::EndpointDelivery;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// Time after which a scheduler that has not called discovery again counts as having stopped.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
@@ -43,7 +43,7 @@
     };
     let mut scheduler = TestScheduler::new(setup).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let accept = || async { Wire::new(scheduler.discovery.accept().await.expect("the watch").0) };
+    let accept = || async { HttpConnection::new(scheduler.discovery.accept().await.expect("the watch").0) };
     let mut wire = accept().await;
     // How the watch ends, and the maximum time from its call to the next call, in milliseconds.
     let ends = [
--- a/crates/vetchbridge/tests/endpoint_updates.rs
+++ b/crates/vetchbridge/tests/endpoint_updates.rs
@@ -6,7 +6,7 @@
 use common::*;
 use rstest::rstest;
 use serde_json::json;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// The watch continues from the generation last received. A list that can't be parsed changes nothing. A
 /// draining worker gets no new job.
@@ -18,7 +18,7 @@
     let address = |n: usize, harness: &Harness| harness.workers[n].local_addr().unwrap();
     let lists =
         [json!([instance(0, address(0, &harness), "up")]), json!([{"instanceId": "s-0", "lifecycle": "?"}])];
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     for (list, generation) in lists.into_iter().zip([1, 5]) {
         let target = watch.read_target().await;
         assert!(target.starts_with(&format!("/registry/instances?index={generation}&wait=")), "{target}");
@@ -37,7 +37,7 @@
 async fn draining_entries_of_a_truncated_endpoint_list_apply() {
     let mut harness = Harness::start(2).await;
     let draining = instance(1, harness.workers[1].local_addr().unwrap(), "draining");
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
     let truncated_document = format!(
         "{{\"generation\": 5, \"reset\": true, \"instances\": [{draining}, {{\"instanceId\": \"s-0\", "
@@ -45,7 +45,7 @@
     watch.send(&format!("HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n{truncated_document}")).await;
     drop(watch);
     // The generation is unchanged.
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the next watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the next watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
     harness.serve_jobs_at_worker_0("safe").await;
 }
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::sleep;
 use vetchbridge_scheduling::{Occupancy, PeerMessage};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 pub const WORKERS: usize = 1200;
 pub const SCHEDULERS: usize = 1200;
@@ -64,7 +64,7 @@
 
 pub async fn run_worker(stream: TcpStream, name_length: usize, scheduler: SchedulerAddress) {
     let number = worker_number(stream.local_addr().expect("connected"));
-    let mut wire = Wire::new(stream);
+    let mut wire = HttpConnection::new(stream);
     while let Some(job) = wire.read().await {
         let id = job.header("x-trace-id").expect("a job has an id").to_string();
         wire.send(ACCEPTED).await;
@@ -94,12 +94,12 @@
     let list = Arc::new(list);
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
-        tokio::spawn(answer_calls(Wire::new(stream), list.clone(), format, calls.clone()));
+        tokio::spawn(answer_calls(HttpConnection::new(stream), list.clone(), format, calls.clone()));
     }
 }
 
 pub async fn answer_calls(
-    mut wire: Wire,
+    mut wire: HttpConnection,
     list: Arc<Value>,
     format: ListFormat,
     calls: UnboundedSender<String>,
@@ -125,7 +125,7 @@
     }
 }
 
-pub async fn write_in_pieces(wire: &mut Wire, body: &str) -> std::io::Result<()> {
+pub async fn write_in_pieces(wire: &mut HttpConnection, body: &str) -> std::io::Result<()> {
     wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
     for piece in body.as_bytes().chunks(PIECE_BYTES) {
         wire.write(std::str::from_utf8(piece).expect("ASCII")).await?;
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -27,7 +27,7 @@
 };
 use vetchbridge_scheduling::Scheduler;
 use vetchbridge_scheduling::*;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
@@ -55,8 +55,8 @@
         TcpStream::connect(self.address).await.expect("the queue is empty")
     }
 
-    async fn accept(&self) -> Wire {
-        Wire::new(self.listener.accept().await.expect("a connection").0)
+    async fn accept(&self) -> HttpConnection {
+        HttpConnection::new(self.listener.accept().await.expect("a connection").0)
     }
 }
 
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// A pipelined request: the client sends it before the response to its first request.
 const PIPELINED_REQUEST: &str =
@@ -28,7 +28,7 @@
 impl Disconnect {
     /// Disconnects, and waits until the kernel has registered the disconnect at the daemon's end of the
     /// connection.
-    async fn run(self, mut client: Wire) {
+    async fn run(self, mut client: HttpConnection) {
         let (here, there) = local_and_peer_addresses(&mut client);
         {
             let _lock = spawn_lock();
@@ -55,7 +55,7 @@
     #[values(true, false)] while_suspended: bool,
 ) {
     let mut harness = Harness::start(0).await;
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
     client.send(pipelined).await;
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -16,7 +16,7 @@
 use vetchbridge_scheduling::{
     EndpointState, EndpointUpdate, LoadReport, LoadReportSource, Outcome, RequestId, WorkerId,
 };
-use vetchbridge_testbed::{wire::Wire, Port};
+use vetchbridge_testbed::{wire::HttpConnection, Port};
 
 /// A test that makes no progress fails after this time; no test measures time.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -45,8 +45,8 @@
         Fixture { group, listener, worker_id: worker_id("s-0") }
     }
 
-    async fn accept(&self) -> Wire {
-        Wire::new(self.listener.accept().await.expect("a connection").0)
+    async fn accept(&self) -> HttpConnection {
+        HttpConnection::new(self.listener.accept().await.expect("a connection").0)
     }
 
     /// Makes a probe, to which the worker responds with this status, these header lines and this body.
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::spawn_blocking;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// What the starting process does when the signal arrives.
 #[derive(Clone, Copy, PartialEq)]
@@ -122,7 +122,7 @@
     drop(address_holder);
     process.wait_for_log("daemon.listening").await;
     process.wait_for_log("configuration.applied").await;
-    let mut wire = Wire::new(new_discovery.accept().await.expect("a call to discovery").0);
+    let mut wire = HttpConnection::new(new_discovery.accept().await.expect("a call to discovery").0);
     assert_eq!(
         wire.read_target().await,
         "/registry/instances",
@@ -164,7 +164,7 @@
                 accepted = workers[1].accept() => (1, accepted),
             };
             assert_eq!(worker, 1, "round {round}, job {number}: the job is bound to large machines");
-            let mut wire = Wire::new(accepted.expect("a connection").0);
+            let mut wire = HttpConnection::new(accepted.expect("a connection").0);
             wire.read().await.expect("the job");
             wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             let mut callback = dial(daemon.address).await;
@@ -189,7 +189,7 @@
 async fn sighup_switches_to_the_new_discovery_service() {
     let mut harness = Harness::start(1).await;
     let worker_address = harness.workers[0].local_addr().unwrap();
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
     watch.send_endpoints(70, json!([instance(0, worker_address, "up")])).await;
     assert!(watch.read_target().await.contains("index=70&"));
@@ -206,7 +206,7 @@
         let file = daemon_config(address, json!([])).to_string();
         std::fs::write(&harness.daemon.config_path, file).expect("the write succeeds");
         harness.daemon.signal("-HUP");
-        let mut watch = Wire::new(new_service.accept().await.expect("the new watch").0);
+        let mut watch = HttpConnection::new(new_service.accept().await.expect("the new watch").0);
         assert_eq!(watch.read_target().await, "/registry/instances");
         watch.send_endpoints(generation, json!([instance(0, worker_address, "up")])).await;
         assert!(watch.read_target().await.contains(&format!("index={generation}&")));
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -15,7 +15,7 @@
 use vetchbridge::request::Answer;
 use vetchbridge::workers::Callback;
 use vetchbridge_scheduling::{Event, Idempotency};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 const REQUEST_ID: &str = "00000000000000ab";
 /// A length of body that exceeds the sockets' buffers.
@@ -27,7 +27,7 @@
     a: TcpListener,
     b: TcpListener,
     /// The connection of the watch on the endpoint list. The watch gets no response.
-    _watch: Wire,
+    _watch: HttpConnection,
 }
 
 impl TwoWorkers {
@@ -82,12 +82,12 @@
     let mut answer = scheduler.submit(REQUEST_ID, Bytes::from(vec![b'w'; body_bytes]));
     let (mut stream, first) = workers.next_attempt().await;
     read_bytes(&mut stream, bytes_read).await;
-    Wire::new(stream).reset();
+    HttpConnection::new(stream).reset();
     if retried {
         let (mut stream, second) = workers.next_attempt().await;
         assert_ne!(first, second);
         read_bytes(&mut stream, body_bytes).await;
-        Wire::new(stream).answer(202, "", "").await.expect("the scheduler reads");
+        HttpConnection::new(stream).answer(202, "", "").await.expect("the scheduler reads");
         let done = json!({"id": REQUEST_ID, "from": second, "state": "done", "result": "made"}).to_string();
         let callback: Callback = serde_json::from_str(&done).expect("a callback");
         assert!(scheduler.upstream.dispatch_callback(&callback));
@@ -128,7 +128,7 @@
         accepted = workers.a.accept() => (accepted, &workers.b),
         accepted = workers.b.accept() => (accepted, &workers.a),
     };
-    let mut first = Wire::new(accepted.expect("a connection").0);
+    let mut first = HttpConnection::new(accepted.expect("a connection").0);
     first.read().await.expect("the job");
     first.answer(500, "", "").await.expect("the scheduler reads");
     let retried = tokio::select! {
@@ -169,6 +169,6 @@
     restarted["startedAtMs"] = (scheduler.engine.clock.now() / 1000).into();
     let warm_worker = instance("s-b", warm_listener.local_addr().expect("bound"));
     answer_changes(&mut watch, 3, json!([restarted, warm_worker])).await;
-    let mut worker = Wire::new(warm_listener.accept().await.expect("a connection").0);
+    let mut worker = HttpConnection::new(warm_listener.accept().await.expect("a connection").0);
     assert_eq!(worker.read().await.expect("the job").header("x-trace-id"), Some(REQUEST_ID));
 }
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::json;
 use tokio::net::TcpListener;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// A worker receives the target, headers and body that the client sent. A callback may arrive before the 202,
 /// twice, or for an unknown attempt.
@@ -108,10 +108,10 @@
     let mut harness = Harness::start(0).await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
     let workers = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
     watch.send_endpoints(5, json!([instance(0, workers.local_addr().expect("bound"), "up")])).await;
-    let mut worker = Wire::new(workers.accept().await.expect("the job's connection").0);
+    let mut worker = HttpConnection::new(workers.accept().await.expect("the job's connection").0);
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
     harness.send_callback(&id, 0, "done").await;
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -10,7 +10,7 @@
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// The previous process may still hold the address, so binding is retried.
 #[rstest]
@@ -58,7 +58,7 @@
 /// Submits a job and waits until the daemon has accepted it. The job is sent on two connections: the daemon
 /// accepts the first and rejects the second as a duplicate, which shows that the job is open. Returns the
 /// connection of the accepted job.
-async fn submit_accepted_job(daemon: &Process) -> Wire {
+async fn submit_accepted_job(daemon: &Process) -> HttpConnection {
     let headers = format!("X-Trace-Id: {JOB_ID}\r\nX-Qos: safe\r\n");
     let (mut one, mut other) = (dial(daemon.address).await, dial(daemon.address).await);
     one.post_request("/safe/k", &headers, "work").await;
@@ -82,8 +82,8 @@
 
 /// Accepts the job at this worker, which must receive it next, and completes the job. `number` is the
 /// worker's number in the endpoint list.
-async fn serve(daemon: &Process, worker: &TcpListener, number: usize, client: &mut Wire) {
-    let mut connection = Wire::new(worker.accept().await.expect("the job's connection").0);
+async fn serve(daemon: &Process, worker: &TcpListener, number: usize, client: &mut HttpConnection) {
+    let mut connection = HttpConnection::new(worker.accept().await.expect("the job's connection").0);
     assert_eq!(connection.read().await.expect("the job").header("x-trace-id"), Some(JOB_ID));
     connection.send(ACCEPTED).await;
     let done = json!({"id": JOB_ID, "from": format!("s-{number}"), "state": "done", "result": "made"});
@@ -103,7 +103,7 @@
     let ((removed, removed_at), (added, added_at)) = (bind_worker().await, bind_worker().await);
     let (discovery, daemon, _folder) =
         start_unconfirmed(delivery, json!([instance(0, removed_at, "up")])).await;
-    let mut watch = Wire::new(discovery.accept().await.expect("the first call").0);
+    let mut watch = HttpConnection::new(discovery.accept().await.expect("the first call").0);
     assert_eq!(
         watch.read_target().await,
         "/registry/instances?index=1&wait=0",
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::timeout;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// Time limit after which a test counts as stuck. Far longer than a job takes, and shorter than a job's
 /// deadline.
@@ -47,7 +47,7 @@
         let headers = format!("X-Trace-Id: {id}\r\nX-Qos: safe\r\n");
         reused.post_request("/safe/k", &headers, &"work ".repeat(300)).await;
         let job = async {
-            let mut worker = Wire::new(harness.workers[0].accept().await.expect("a connection").0);
+            let mut worker = HttpConnection::new(harness.workers[0].accept().await.expect("a connection").0);
             let request = worker.read().await.expect("the job");
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             request
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::path::Path;
 use vetchbridge::upgrade::{self, message::VERSION};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// Two processes work as one scheduler during an upgrade. Client connections and the endpoint list are handed
 /// over, and no client connection is closed. A callback reaches its attempt in either process, and a request
@@ -18,7 +18,7 @@
 #[tokio::test]
 async fn a_successor_takes_over_without_any_client_noticing() {
     let mut harness = Harness::start(1).await;
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
     watch.send_endpoints(70, json!(harness.instances)).await;
     assert!(watch.read_target().await.contains("index=70&"));
@@ -34,7 +34,7 @@
 
     let successor = harness.start_successor();
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the successor's watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the successor's watch").0);
     assert!(
         watch.read_target().await.contains("index=70&"),
         "the successor watches from the generation handed over"
