--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -25,8 +25,8 @@
     }
 }
 
-async fn serve_connection(shared: Arc<Shared>, mut wire: HttpConnection, scheduler: usize) {
-    while let Some(request) = wire.read().await {
+async fn serve_connection(shared: Arc<Shared>, mut connection: HttpConnection, scheduler: usize) {
+    while let Some(request) = connection.read().await {
         let since = query_number(&request, "index");
         if let Some(since) = since {
             let wait = query_number(&request, "wait").unwrap_or(0).min(MAX_WAIT_MS);
@@ -39,13 +39,13 @@
             (state.endpoints.document(scheduler, since).to_string(), state.health)
         };
         let written = match health {
-            Health::Up => wire.answer(200, "", &document).await,
-            Health::Failing => wire.answer(503, "", "").await,
-            Health::Resetting => return wire.reset(),
-            Health::Unresponsive => return wire.wait_for_close().await,
+            Health::Up => connection.answer(200, "", &document).await,
+            Health::Failing => connection.answer(503, "", "").await,
+            Health::Resetting => return connection.reset(),
+            Health::Unresponsive => return connection.wait_for_close().await,
             Health::Truncating => {
                 // A failed write needs no handling: the connection closes in either case.
-                let _ = write_half(&mut wire, &document).await;
+                let _ = write_half(&mut connection, &document).await;
                 return;
             }
         };
@@ -77,7 +77,7 @@
 }
 
 /// Writes an answer's head and the first half of its body.
-async fn write_half(wire: &mut HttpConnection, document: &str) -> io::Result<()> {
+async fn write_half(connection: &mut HttpConnection, document: &str) -> io::Result<()> {
     let (length, first_half) = (document.len(), &document[..document.len() / 2]);
-    wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{first_half}")).await
+    connection.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{first_half}")).await
 }
--- a/crates/testbed/src/load_balancer.rs
+++ b/crates/testbed/src/load_balancer.rs
@@ -140,8 +140,8 @@
 
 /// Returns a scheduler's answer to one readiness check, or `None` if the scheduler does not answer.
 async fn query_readiness(address: SocketAddr) -> Option<bool> {
-    let mut wire = HttpConnection::connect(address).await.ok()?;
-    wire.write(READINESS_REQUEST).await.ok()?;
-    let answer = wire.read().await?;
+    let mut connection = HttpConnection::connect(address).await.ok()?;
+    connection.write(READINESS_REQUEST).await.ok()?;
+    let answer = connection.read().await?;
     Some(answer.status() == "200")
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The first line: the request line or the status line.
-    pub line: String,
+    pub start_line: String,
     /// Names and values of the headers; names in lower case, values as received.
     pub headers: Vec<(String, String)>,
     /// The body of the message.
@@ -33,12 +33,12 @@
 
     /// Returns the method of a request.
     pub fn method(&self) -> &str {
-        self.line.split(' ').next().unwrap_or_default()
+        self.start_line.split(' ').next().unwrap_or_default()
     }
 
     /// Returns the path and query of a request.
     pub fn target(&self) -> &str {
-        self.line.split(' ').nth(1).unwrap_or_default()
+        self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
     /// Returns the status code of an answer.
@@ -98,10 +98,10 @@
         let head: Vec<u8> = self.received.drain(..end).collect();
         let text = String::from_utf8(head).ok()?;
         let mut lines = text.trim_end().split("\r\n");
-        let line = lines.next()?.to_string();
+        let start_line = lines.next()?.to_string();
         let headers = lines.filter_map(|line| line.split_once(':'));
         let headers = headers.map(|(name, value)| (name.to_lowercase(), value.trim().to_string())).collect();
-        let message = Message { line, headers, body: Vec::new() };
+        let message = Message { start_line, headers, body: Vec::new() };
         let length = message.header("content-length").map_or(Some(0), |length| length.parse().ok())?;
         (length <= MAX_PART_BYTES).then_some((message, length))
     }
--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -152,11 +152,11 @@
 
 /// Sends a body one byte at a time, without retries.
 async fn deliver_byte_by_byte(scheduler: SocketAddr, body: &str) {
-    let Ok(mut wire) = HttpConnection::connect(scheduler).await else { return };
+    let Ok(mut connection) = HttpConnection::connect(scheduler).await else { return };
     let length = body.len();
     let text = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
     // This delivery has no retries: the callback is lost if the scheduler does not read it.
-    if wire.write_byte_by_byte(&text).await.is_ok() {
-        wire.read().await;
+    if connection.write_byte_by_byte(&text).await.is_ok() {
+        connection.read().await;
     }
 }
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -25,7 +25,7 @@
     pub(super) worker: Arc<WorkerState>,
     scheduler: SocketAddr,
     /// The worker's end of the connection; `None` once the connection was reset.
-    pub(super) wire: Option<HttpConnection>,
+    pub(super) http: Option<HttpConnection>,
 }
 
 impl Drop for Connection {
@@ -38,8 +38,8 @@
 
 impl Connection {
     /// Creates the state of an accepted connection.
-    pub(super) fn new(worker: Arc<WorkerState>, scheduler: SocketAddr, wire: HttpConnection) -> Connection {
-        Connection { worker, scheduler, wire: Some(wire) }
+    pub(super) fn new(worker: Arc<WorkerState>, scheduler: SocketAddr, http: HttpConnection) -> Connection {
+        Connection { worker, scheduler, http: Some(http) }
     }
 
     /// Serves requests until the connection ends. Sends the executions of accepted jobs to `job_starts`.
@@ -49,30 +49,30 @@
 
     /// Resets the connection.
     pub(super) fn reset(&mut self) {
-        if let Some(wire) = self.wire.take() {
-            wire.reset();
+        if let Some(http) = self.http.take() {
+            http.reset();
         }
     }
 
     /// Writes a complete answer; each line in `headers` ends with `\r\n`.
     pub(super) async fn answer(&mut self, status: u16, headers: &str, body: &str) -> KeepAlive {
-        self.wire.as_mut()?.answer(status, headers, body).await.ok()
+        self.http.as_mut()?.answer(status, headers, body).await.ok()
     }
 
     /// Sends no bytes until the scheduler closes the connection.
     pub(super) async fn stay_silent(&mut self) -> KeepAlive {
-        self.wire.as_mut()?.wait_for_close().await;
+        self.http.as_mut()?.wait_for_close().await;
         None
     }
 
     /// Reads one request and answers it.
     async fn serve_request(&mut self, job_starts: &UnboundedSender<JobFuture>) -> KeepAlive {
-        let wire = self.wire.as_mut()?;
-        let (head, length) = timeout(self.worker.spec.idle_timeout, wire.read_head()).await.ok()??;
+        let http = self.http.as_mut()?;
+        let (head, length) = timeout(self.worker.spec.idle_timeout, http.read_head()).await.ok()??;
         match head.method() {
             "DELETE" => self.serve_cancellation(head.target()).await,
             "GET" => {
-                wire.read_body(length).await?;
+                http.read_body(length).await?;
                 self.serve_probe(head.target()).await
             }
             _ => self.serve_job(head, length, job_starts).await,
@@ -100,7 +100,7 @@
             self.reset();
             return None;
         }
-        let message = Message { body: self.wire.as_mut()?.read_body(length).await?, ..head };
+        let message = Message { body: self.http.as_mut()?.read_body(length).await?, ..head };
         let id = match request_id(&message) {
             Some(Ok(id)) => id,
             Some(Err(_)) => return self.answer(400, "", "").await,
@@ -134,9 +134,9 @@
                 ControlFlow::Break(None)
             }
             JobBehavior::HalfAnswer => {
-                if let Some(wire) = &mut self.wire {
+                if let Some(http) = &mut self.http {
                     // A failed write needs no handling: the connection closes in either case.
-                    let _ = wire.write("HTTP/1.1 202 Acc").await;
+                    let _ = http.write("HTTP/1.1 202 Acc").await;
                 }
                 ControlFlow::Break(None)
             }
@@ -166,7 +166,7 @@
             }
             JobBehavior::ByteByByte => {
                 let answer = "HTTP/1.1 202 X\r\ncontent-length: 0\r\n\r\n";
-                self.wire.as_mut()?.write_byte_by_byte(answer).await.ok()?;
+                self.http.as_mut()?.write_byte_by_byte(answer).await.ok()?;
             }
             _ => self.answer(202, "", "").await?,
         }
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -41,12 +41,12 @@
         if let ControlFlow::Break(keep_alive) = self.misbehave_at_probe(behavior).await {
             return keep_alive;
         }
-        let wire = self.wire.as_mut()?;
+        let http = self.http.as_mut()?;
         let served = tokio::select! {
             served = self.worker.do_probe_work() => served,
             // The scheduler cancelled the probe: dropping the other future removes the probe from the slot
             // queue.
-            () = wire.wait_for_close() => return None,
+            () = http.wait_for_close() => return None,
         };
         if !served {
             return self.answer(503, "", "").await;
--- a/crates/testbed/tests/clients.rs
+++ b/crates/testbed/tests/clients.rs
@@ -60,15 +60,15 @@
     let (_stop, stopped) = tokio::sync::watch::channel(false);
     let scheduler_side = async {
         let (stream, _) = scheduler.accept().await.expect("a client connects");
-        let mut wire = HttpConnection::new(stream);
-        let first = wire.read().await.expect("a job arrives");
+        let mut connection = HttpConnection::new(stream);
+        let first = connection.read().await.expect("a job arrives");
         // The clients must not honor this time: a client that did would exceed the time limit of the test.
-        wire.answer(503, "retry-after: 3000\r\n", "").await.expect("the answer is sent");
-        (first, wire.read().await.expect("the job is retried"), wire)
+        connection.answer(503, "retry-after: 3000\r\n", "").await.expect("the answer is sent");
+        (first, connection.read().await.expect("the job is retried"), connection)
     };
     let jobs = clients.run(tokio::time::Instant::now(), load_duration, stopped, |_| {});
     let load_task = tokio::spawn(jobs);
-    let (first, retry, mut wire) = scheduler_side.await;
+    let (first, retry, mut connection) = scheduler_side.await;
     let headers = ["x-customer", "x-size-hint", "x-props", "idempotency-key", "x-second-try"];
     let header_values = |message: &Message| headers.map(|name| message.header(name).map(str::to_string));
     let optional = |value: &str| optional_headers.then(|| value.to_string());
@@ -76,8 +76,8 @@
     assert_eq!(header_values(&first), [optional("t"), hint.clone(), props.clone(), None, None]);
     assert_eq!(header_values(&retry), [optional("t"), hint, props, None, optional("1")]);
     assert_eq!(first.text(), if optional_headers { "work_us=3000 slots=2" } else { "work_us=3000" });
-    wire.answer(500, "", "").await.expect("the answer is sent");
-    drop((wire, scheduler));
+    connection.answer(500, "", "").await.expect("the answer is sent");
+    drop((connection, scheduler));
     let record = load_task.await.expect("the load ends").expect("the load is valid");
     let outcomes: Vec<_> = record.jobs[0].attempts.iter().map(|attempt| attempt.outcome.clone()).collect();
     assert_eq!(outcomes, [Outcome::Rejected, Outcome::Failed(500)]);
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -38,11 +38,12 @@
 
     /// Sends a job on a new connection and returns the connection.
     pub async fn send(&self, id: u64, headers: &str, body: &str) -> HttpConnection {
-        let mut wire = HttpConnection::connect(self.address()).await.expect("the worker listens");
-        wire.post("/c/k", &format!("x-trace-id: {id:016x}\r\n{headers}"), body)
+        let mut connection = HttpConnection::connect(self.address()).await.expect("the worker listens");
+        connection
+            .post("/c/k", &format!("x-trace-id: {id:016x}\r\n{headers}"), body)
             .await
             .expect("the job is sent");
-        wire
+        connection
     }
 
     /// Accepts the connection of the next callback.
@@ -53,9 +54,9 @@
 
     /// Answers the next callback with 200 and returns the callback's request.
     pub async fn next_callback(&self) -> Message {
-        let mut wire = self.accept_callback().await;
-        let request = wire.read().await.expect("the callback is complete");
-        wire.answer(200, "connection: close\r\n", "").await.expect("the answer is sent");
+        let mut connection = self.accept_callback().await;
+        let request = connection.read().await.expect("the callback is complete");
+        connection.answer(200, "connection: close\r\n", "").await.expect("the answer is sent");
         request
     }
 
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -19,10 +19,13 @@
     let worker = Worker::start(WorkerSpec::new("s-0"), Runs::default(), &[discovery.address(0)])
         .await
         .expect("the worker starts");
-    let mut wire = HttpConnection::connect(discovery.address(0)).await.expect("discovery listens");
+    let mut connection = HttpConnection::connect(discovery.address(0)).await.expect("discovery listens");
     let mut call = async |target: &str| -> serde_json::Value {
-        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the call is sent");
-        serde_json::from_slice(&wire.read().await.expect("an answer").body).unwrap_or_default()
+        connection
+            .write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n"))
+            .await
+            .expect("the call is sent");
+        serde_json::from_slice(&connection.read().await.expect("an answer").body).unwrap_or_default()
     };
     let list = call("/registry/instances").await;
     assert_eq!((list["reset"].as_bool(), list["instances"].as_array().map(Vec::len)), (Some(true), Some(0)));
@@ -53,11 +56,14 @@
         .await
         .expect("the worker starts");
     let call = async |target: &str| {
-        let mut wire = HttpConnection::connect(discovery.address(0)).await.expect("discovery listens");
-        wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the call is sent");
+        let mut connection = HttpConnection::connect(discovery.address(0)).await.expect("discovery listens");
+        connection
+            .write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n"))
+            .await
+            .expect("the call is sent");
         // An unresponsive service keeps the connection open until the caller closes the connection.
-        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("the sending side closes");
-        wire.read().await.map(|answer| answer.text())
+        tokio::io::AsyncWriteExt::shutdown(connection.socket()).await.expect("the sending side closes");
+        connection.read().await.map(|answer| answer.text())
     };
     for health in [Health::Unresponsive, Health::Truncating, Health::Resetting] {
         discovery.set_health(health);
--- a/crates/testbed/tests/load_balancer.rs
+++ b/crates/testbed/tests/load_balancer.rs
@@ -33,10 +33,10 @@
             let (stream, _) = scheduler.accept().await.expect("a client connects");
             let scheduler_ready = scheduler_ready.clone();
             tokio::spawn(async move {
-                let mut wire = HttpConnection::new(stream);
-                while wire.read().await.is_some() {
+                let mut connection = HttpConnection::new(stream);
+                while connection.read().await.is_some() {
                     let status = if scheduler_ready.load(Ordering::Relaxed) { 200 } else { 503 };
-                    wire.answer(status, "", "ok").await.expect("the answer is sent");
+                    connection.answer(status, "", "ok").await.expect("the answer is sent");
                 }
             });
         }
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -15,8 +15,8 @@
 #[tokio::test]
 async fn a_worker_runs_a_job_and_retries_its_callbacks_until_they_are_answered() {
     let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
-    let mut wire = worker.send(0xab, "", "").await;
-    assert_eq!(wire.read().await.expect("an answer").status(), "202");
+    let mut connection = worker.send(0xab, "", "").await;
+    assert_eq!(connection.read().await.expect("an answer").status(), "202");
     // The first attempt to send the callback receives no answer.
     drop(worker.accept_callback().await);
     assert_eq!(worker.next_state().await, "started");
@@ -93,16 +93,16 @@
     let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
     let receives_no_response = behavior == JobBehavior::NoResponse;
     worker.worker.script_jobs([behavior]);
-    let mut wire = worker.send(1, "", "").await;
+    let mut connection = worker.send(1, "", "").await;
     if receives_no_response {
-        tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("the sending side closes");
+        tokio::io::AsyncWriteExt::shutdown(connection.socket()).await.expect("the sending side closes");
     }
-    assert_eq!(wire.read().await.as_ref().map(Message::status), answer);
+    assert_eq!(connection.read().await.as_ref().map(Message::status), answer);
     for state in states {
         assert_eq!(worker.next_state().await, *state);
     }
-    let mut wire = worker.send(2, "", "").await;
-    assert_eq!(wire.read().await.expect("the next job is served").status(), "202");
+    let mut connection = worker.send(2, "", "").await;
+    assert_eq!(connection.read().await.expect("the next job is served").status(), "202");
 }
 
 #[rstest]
@@ -143,13 +143,13 @@
 async fn a_killed_worker_resets_connections_refuses_new_ones_and_restarts_at_its_port() {
     let worker =
         TestWorker::start(WorkerSpec { progress_interval: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
-    let mut wire = worker.send(1, "", ENDLESS_WORK).await;
-    assert_eq!(wire.read().await.expect("an answer").status(), "202");
+    let mut connection = worker.send(1, "", ENDLESS_WORK).await;
+    assert_eq!(connection.read().await.expect("an answer").status(), "202");
     assert_eq!(worker.next_state().await, "started");
     worker.worker.kill(true).await;
     assert_eq!(worker.next_state().await, "lost");
     assert_eq!(worker.runs.all()[0].end, RunEnd::Lost);
-    assert!(wire.read().await.is_none());
+    assert!(connection.read().await.is_none());
     assert!(HttpConnection::connect(worker.address()).await.is_err());
     worker.worker.restart().expect("the port is still reserved");
     assert!(worker.worker.started_at_ms() > 0);
@@ -164,17 +164,17 @@
     let worker =
         TestWorker::start(WorkerSpec { progress_interval: Duration::ZERO, ..WorkerSpec::new("s-0") }).await;
     worker.worker.script_jobs([JobBehavior::CallbackBeforeAnswer, JobBehavior::InvalidCallback]);
-    let mut wire = worker.send(1, "", "").await;
+    let mut connection = worker.send(1, "", "").await;
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
-    assert_eq!(wire.read().await.expect("the answer follows the callbacks").status(), "202");
-    let mut wire = worker.send(2, "", "").await;
-    assert_eq!(wire.read().await.expect("an answer").status(), "202");
+    assert_eq!(connection.read().await.expect("the answer follows the callbacks").status(), "202");
+    let mut connection = worker.send(2, "", "").await;
+    assert_eq!(connection.read().await.expect("an answer").status(), "202");
     assert!(serde_json::from_slice::<serde_json::Value>(&worker.next_callback().await.body).is_err());
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
     worker.worker.set_slowdown(10.0);
     let start = std::time::Instant::now();
-    let mut wire = worker.send(3, "", "work_us=20000").await;
-    wire.read().await.expect("an answer");
+    let mut connection = worker.send(3, "", "work_us=20000").await;
+    connection.read().await.expect("an answer");
     assert_eq!((worker.next_state().await, worker.next_state().await), ("started".into(), "done".into()));
     assert!(start.elapsed() >= Duration::from_millis(190), "{:?}", start.elapsed());
 }
--- a/crates/testbed/tests/worker_probes.rs
+++ b/crates/testbed/tests/worker_probes.rs
@@ -17,9 +17,12 @@
 }
 
 /// Sends a `GET` request and returns the answer, or `None` if there is none.
-async fn get(wire: &mut HttpConnection, target: &str) -> Option<Message> {
-    wire.write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n")).await.expect("the request is sent");
-    wire.read().await
+async fn get(connection: &mut HttpConnection, target: &str) -> Option<Message> {
+    connection
+        .write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n"))
+        .await
+        .expect("the request is sent");
+    connection.read().await
 }
 
 #[rstest]
@@ -29,25 +32,25 @@
     let probes = Some(ProbeSpec { deep: false, work: Duration::ZERO });
     let spec = WorkerSpec { slots: 1, stats: Some(load_reports(false)), probes, ..WorkerSpec::new("s-0") };
     let worker = TestWorker::start(spec).await;
-    let mut wire = worker.send(1, "", ENDLESS_WORK).await;
-    wire.read().await.expect("an answer");
+    let mut connection = worker.send(1, "", ENDLESS_WORK).await;
+    connection.read().await.expect("an answer");
     assert_eq!(worker.next_state().await, "started");
     let post =
         format!("POST /c/k HTTP/1.1\r\nhost: x\r\nx-trace-id: {:016x}\r\ncontent-length: 0\r\n\r\n", 2);
-    wire.write(&post).await.expect("the request is sent");
-    wire.read().await.expect("an answer");
-    let load = get(&mut wire, "/stats").await.expect("an answer");
+    connection.write(&post).await.expect("the request is sent");
+    connection.read().await.expect("an answer");
+    let load = get(&mut connection, "/stats").await.expect("an answer");
     assert_eq!((load.status(), &*load.text()), ("200", r#"{"inflight":2,"queue":1,"x0":0}"#));
-    let live = get(&mut wire, "/health/live").await.expect("an answer");
+    let live = get(&mut connection, "/health/live").await.expect("an answer");
     assert_eq!((live.status(), &*live.text()), ("200", ""));
     assert_eq!((worker.runs.probes(), worker.runs.counts().arrived), (2, 2));
 
     let worker =
         TestWorker::start(WorkerSpec { stats: Some(load_reports(true)), ..WorkerSpec::new("s-0") }).await;
     worker.worker.script_jobs([JobBehavior::NoResponse]);
-    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
+    let mut connection = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     for target in ["/stats", "/health/live", "/jobs/1"] {
-        let answer = get(&mut wire, target).await.expect("an answer");
+        let answer = get(&mut connection, target).await.expect("an answer");
         assert_eq!((answer.status(), &*answer.text()), ("404", ""), "{target}");
     }
     assert_eq!(worker.runs.probes(), 0);
@@ -95,19 +98,19 @@
         ProbeBehavior::NoResponse,
         ProbeBehavior::Reset,
     ]);
-    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
+    let mut connection = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     let start = std::time::Instant::now();
-    assert_eq!(get(&mut wire, "/health/live").await.expect("the late answer").status(), "200");
+    assert_eq!(get(&mut connection, "/health/live").await.expect("the late answer").status(), "200");
     assert!(start.elapsed() >= delay);
-    assert_eq!(get(&mut wire, "/health/live").await.expect("the rejection").status(), "503");
-    wire.write("GET /health/live HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the request is sent");
-    tokio::io::AsyncWriteExt::shutdown(wire.socket()).await.expect("the sending side closes");
-    assert!(wire.read().await.is_none(), "the probe was answered");
-    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
-    assert!(get(&mut wire, "/health/live").await.is_none(), "the connection was not reset");
-    let mut wire = HttpConnection::connect(worker.address()).await.expect("the worker listens");
+    assert_eq!(get(&mut connection, "/health/live").await.expect("the rejection").status(), "503");
+    connection.write("GET /health/live HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the request is sent");
+    tokio::io::AsyncWriteExt::shutdown(connection.socket()).await.expect("the sending side closes");
+    assert!(connection.read().await.is_none(), "the probe was answered");
+    let mut connection = HttpConnection::connect(worker.address()).await.expect("the worker listens");
+    assert!(get(&mut connection, "/health/live").await.is_none(), "the connection was not reset");
+    let mut connection = HttpConnection::connect(worker.address()).await.expect("the worker listens");
     assert_eq!(
-        get(&mut wire, "/health/live").await.expect("the answer after the scripted probes").status(),
+        get(&mut connection, "/health/live").await.expect("the answer after the scripted probes").status(),
         "200"
     );
 }
--- a/crates/testkit/src/soak/faulty_clients.rs
+++ b/crates/testkit/src/soak/faulty_clients.rs
@@ -69,14 +69,14 @@
 
     /// Submits a long job and disconnects when `after` has passed since the request was sent.
     pub(super) async fn disconnect(&self, address: SocketAddr, after: Duration, epoch: Instant) {
-        let Ok(mut wire) = HttpConnection::connect(address).await else { return };
+        let Ok(mut connection) = HttpConnection::connect(address).await else { return };
         let id = self.next_id();
         let headers = format!("X-Trace-Id: {id:016x}\r\nX-Qos: position\r\nX-Expires-In: 3000m\r\n");
-        if wire.post("/position/leaves", &headers, "work_us=1500000").await.is_err() {
+        if connection.post("/position/leaves", &headers, "work_us=1500000").await.is_err() {
             return;
         }
         sleep(after).await;
-        drop(wire);
+        drop(connection);
         self.observations()
             .disconnected
             .push(DisconnectedClient { request_id: id, closed_at: epoch.elapsed() });
@@ -85,17 +85,17 @@
     /// Sends the beginning of a request, which ends within the body or within the headers, and waits for the
     /// response or the end of the connection.
     pub(super) async fn stall(&self, address: SocketAddr, within_body: bool, epoch: Instant) {
-        let Ok(mut wire) = HttpConnection::connect(address).await else { return };
+        let Ok(mut connection) = HttpConnection::connect(address).await else { return };
         let id = self.next_id();
         let head = format!(
             "POST /position/stops HTTP/1.1\r\nhost: x\r\nX-Trace-Id: {id:016x}\r\nX-Qos: position\r\n"
         );
         let text = if within_body { format!("{head}content-length: 100\r\n\r\nhalf") } else { head };
-        if wire.write(&text).await.is_err() {
+        if connection.write(&text).await.is_err() {
             return;
         }
         let stalled = Instant::now();
-        let response = timeout(STALL_TIMEOUT, wire.read()).await;
+        let response = timeout(STALL_TIMEOUT, connection.read()).await;
         let ended_after = response.is_ok().then(|| stalled.elapsed());
         let stalled_at = stalled.duration_since(epoch);
         self.observations().stalled.push(StalledClient { stalled_at, ended_after });
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -34,7 +34,7 @@
 
     engine.execute(&mut engine.lock_state(), Action::Probe(worker_id));
     let mut worker = HttpConnection::new(listener.accept().await.expect("a connection").0);
-    assert_eq!(worker.read().await.expect("a probe").line, "GET /stats HTTP/1.1");
+    assert_eq!(worker.read().await.expect("a probe").start_line, "GET /stats HTTP/1.1");
 
     // The first probe is in flight and holds the only permit, so a second probe is not sent.
     let event = engine.probe(worker_id).await;
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -152,7 +152,7 @@
     harness.send_callback("00000000000000cd", number, "started").await;
     disconnect.run(client).await;
     let (_, mut worker) = harness.accept_worker_connection().await;
-    assert_eq!(worker.read().await.expect("a request").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
+    assert_eq!(worker.read().await.expect("a request").start_line, "DELETE /jobs/00000000000000cd HTTP/1.1");
     drop(worker);
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -112,7 +112,7 @@
         let mut wire = fixture.accept().await;
         for body in ["{\"queue\":2}", "TEXT queue=3, x0=1"] {
             let probe = wire.read().await.expect("a probe");
-            assert_eq!(probe.line, "GET /stats HTTP/1.1");
+            assert_eq!(probe.start_line, "GET /stats HTTP/1.1");
             assert_eq!((probe.header("x-trace-id"), probe.body.len()), (None, 0));
             wire.answer(200, "", body).await.expect("the group reads the response");
         }
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -23,7 +23,7 @@
     client.post_request("/safe/a%2Fb?q=%20", headers, "some work").await;
     let (number, mut worker) = harness.accept_worker_connection().await;
     let job = worker.read().await.expect("the job");
-    assert_eq!(job.line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
+    assert_eq!(job.start_line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
     assert_eq!(job.header("x-trace-id"), Some("00000000000000ab"));
     assert_eq!(job.header("idempotency-key"), Some("5c0f"));
     assert!(job.header("x-expires-in").is_some_and(|remaining| remaining.ends_with('u')), "{job:?}");
@@ -76,7 +76,7 @@
         harness.send_callback(&id, number, "started").await;
     }
     drop(client);
-    let cancellation = worker.read().await.map(|call| call.line);
+    let cancellation = worker.read().await.map(|call| call.start_line);
     assert_eq!(cancellation, accepted.then(|| format!("DELETE /jobs/{id} HTTP/1.1")));
 }
 
