--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -22,23 +22,23 @@
 
 /// How the service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
+pub enum ResponseMode {
     /// Answers normally.
-    Up,
+    Normal,
     /// Answers with 503; waiting watches get this answer at once.
-    Failing,
+    Error,
     /// Resets the connection instead of answering, including connections of waiting watches.
-    Resetting,
+    Reset,
     /// Accepts connections, keeps them open and does not answer.
-    Unresponsive,
+    Silent,
     /// Sends half of the answer, then closes the connection.
-    Truncating,
+    Truncate,
 }
 
 /// The state that the tasks of all ports share.
 struct State {
     endpoints: EndpointList,
-    health: Health,
+    response_mode: ResponseMode,
     /// Time from the publication of a change until the list contains the change.
     update_delay: Duration,
     /// Number of calls handled so far; a watch counts when its wait ends.
@@ -48,7 +48,7 @@
 /// The state of one discovery service, and the signal for its watches.
 struct Shared {
     state: Mutex<State>,
-    /// Wakes the waiting watches after each change of the list or of `health`.
+    /// Wakes the waiting watches after each change of the list or of `response_mode`.
     changed: watch::Sender<()>,
 }
 
@@ -81,7 +81,7 @@
     pub async fn start(schedulers: usize) -> io::Result<Discovery> {
         let state = State {
             endpoints: EndpointList::default(),
-            health: Health::Up,
+            response_mode: ResponseMode::Normal,
             update_delay: Duration::ZERO,
             calls: 0,
         };
@@ -127,8 +127,8 @@
     }
 
     /// Sets how the service answers calls from now on.
-    pub fn set_health(&self, health: Health) {
-        self.shared.state().health = health;
+    pub fn set_response_mode(&self, mode: ResponseMode) {
+        self.shared.state().response_mode = mode;
         self.shared.changed.send_replace(());
     }
 
@@ -138,11 +138,11 @@
         self.shared.state().update_delay = delay;
     }
 
-    /// Answers as `health` states for `duration`, then normally again.
-    pub async fn fail_for(&self, health: Health, duration: Duration) {
-        self.set_health(health);
+    /// Answers as `mode` states for `duration`, then normally again.
+    pub async fn fail(&self, mode: ResponseMode, duration: Duration) {
+        self.set_response_mode(mode);
         sleep(duration).await;
-        self.set_health(Health::Up);
+        self.set_response_mode(ResponseMode::Normal);
     }
 
     /// Returns the number of calls handled so far; a watch counts when its wait ends.
--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP interface of the discovery service: calls for the list, and watches that wait for a change.
 
-use super::{Health, Shared};
+use super::{ResponseMode, Shared};
 use crate::wire::{HttpConnection, Message};
 use std::io;
 use std::sync::Arc;
@@ -33,17 +33,17 @@
             // A timeout is no error: the call is answered with or without a change.
             let _ = timeout(Duration::from_millis(wait), wait_for_change(&shared, since)).await;
         }
-        let (document, health) = {
+        let (document, response_mode) = {
             let mut state = shared.state();
             state.calls += 1;
-            (state.endpoints.document(scheduler, since).to_string(), state.health)
+            (state.endpoints.document(scheduler, since).to_string(), state.response_mode)
         };
-        let written = match health {
-            Health::Up => connection.answer(200, "", &document).await,
-            Health::Failing => connection.answer(503, "", "").await,
-            Health::Resetting => return connection.reset(),
-            Health::Unresponsive => return connection.wait_for_close().await,
-            Health::Truncating => {
+        let written = match response_mode {
+            ResponseMode::Normal => connection.answer(200, "", &document).await,
+            ResponseMode::Error => connection.answer(503, "", "").await,
+            ResponseMode::Reset => return connection.reset(),
+            ResponseMode::Silent => return connection.wait_for_close().await,
+            ResponseMode::Truncate => {
                 // A failed write needs no handling: the connection closes in either case.
                 let _ = write_half(&mut connection, &document).await;
                 return;
@@ -68,7 +68,7 @@
         changed.borrow_and_update();
         let wait_is_over = {
             let state = shared.state();
-            state.endpoints.version() != since || state.health != Health::Up
+            state.endpoints.version() != since || state.response_mode != ResponseMode::Normal
         };
         if wait_is_over || changed.changed().await.is_err() {
             return;
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 use std::time::Duration;
-use vetchbridge_testbed::discovery::{Discovery, Health};
+use vetchbridge_testbed::discovery::{Discovery, ResponseMode};
 use vetchbridge_testbed::runs::Runs;
 use vetchbridge_testbed::wire::HttpConnection;
 use vetchbridge_testbed::worker::{Worker, WorkerSpec};
@@ -36,9 +36,9 @@
     assert_eq!(changes["instances"][0]["hostPort"], worker.addresses()[0].to_string());
     // A waiting watch ends when discovery starts to fail.
     let watch = format!("/registry/instances?index={}&wait=60000", changes["generation"]);
-    let (failed, ()) = tokio::join!(call(&watch), async { discovery.set_health(Health::Failing) });
+    let (failed, ()) = tokio::join!(call(&watch), async { discovery.set_response_mode(ResponseMode::Error) });
     assert!(failed.is_null());
-    discovery.set_health(Health::Up);
+    discovery.set_response_mode(ResponseMode::Normal);
     discovery.remove(&worker);
     assert_eq!(call(&watch).await["instances"][0]["lifecycle"], "removed");
     let old_address = discovery.address(0);
@@ -61,15 +61,15 @@
             .write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n"))
             .await
             .expect("the call is sent");
-        // An unresponsive service keeps the connection open until the caller closes the connection.
+        // In the silent mode, the service keeps the connection open until the caller closes it.
         tokio::io::AsyncWriteExt::shutdown(connection.socket()).await.expect("the sending side closes");
         connection.read().await.map(|answer| answer.text())
     };
-    for health in [Health::Unresponsive, Health::Truncating, Health::Resetting] {
-        discovery.set_health(health);
-        assert_eq!(call("/registry/instances").await, None, "{health:?}");
+    for mode in [ResponseMode::Silent, ResponseMode::Truncate, ResponseMode::Reset] {
+        discovery.set_response_mode(mode);
+        assert_eq!(call("/registry/instances").await, None, "{mode:?}");
     }
-    discovery.set_health(Health::Up);
+    discovery.set_response_mode(ResponseMode::Normal);
     discovery.set_update_delay(Duration::from_secs(2));
     discovery.list_as_up(&worker);
     let list = call("/registry/instances").await.expect("a list");
--- a/crates/testkit/src/plan/fault.rs
+++ b/crates/testkit/src/plan/fault.rs
@@ -3,7 +3,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use vetchbridge::config::units::HumanDuration;
-use vetchbridge_testbed::discovery::Health;
+use vetchbridge_testbed::discovery::ResponseMode;
 
 /// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
@@ -25,10 +25,10 @@
 
 impl PlannedFaultKind {
     /// Returns how discovery responds during the fault; `None` if the fault does not affect discovery.
-    pub fn discovery_health(self) -> Option<Health> {
+    pub fn response_mode(self) -> Option<ResponseMode> {
         match self {
-            PlannedFaultKind::DiscoveryError => Some(Health::Failing),
-            PlannedFaultKind::DiscoveryReset => Some(Health::Resetting),
+            PlannedFaultKind::DiscoveryError => Some(ResponseMode::Error),
+            PlannedFaultKind::DiscoveryReset => Some(ResponseMode::Reset),
             PlannedFaultKind::LoadReportDelay | PlannedFaultKind::WorkerCrash => None,
         }
     }
--- a/crates/testkit/src/runner/faults.rs
+++ b/crates/testkit/src/runner/faults.rs
@@ -78,8 +78,8 @@
     workers: &[Worker],
 ) -> Result<(), Failure> {
     let duration = fault.duration.duration();
-    if let Some(health) = fault.kind.discovery_health() {
-        discovery.fail_for(health, duration).await;
+    if let Some(mode) = fault.kind.response_mode() {
+        discovery.fail(mode, duration).await;
     } else if fault.kind == PlannedFaultKind::LoadReportDelay {
         delay_load_reports(workers, fault.delay.duration(), duration).await;
     } else {
--- a/crates/testkit/src/soak/inject/discovery.rs
+++ b/crates/testkit/src/soak/inject/discovery.rs
@@ -5,7 +5,7 @@
 use crate::Failure;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
-use vetchbridge_testbed::discovery::Health;
+use vetchbridge_testbed::discovery::ResponseMode;
 
 /// By how much discovery delays the publication of changes during a [`FaultKind::DiscoveryDelay`].
 pub(in crate::soak) const PUBLICATION_DELAY: Duration = Duration::from_millis(800);
@@ -23,10 +23,10 @@
         while let Some(kind) = schedule.next().await {
             let (duration, started) = (schedule.duration(0.3, 3.0), Instant::now());
             match kind {
-                FaultKind::DiscoveryError => self.discovery.fail_for(Health::Failing, duration).await,
-                FaultKind::DiscoveryReset => self.discovery.fail_for(Health::Resetting, duration).await,
-                FaultKind::DiscoveryTimeout => self.discovery.fail_for(Health::Unresponsive, duration).await,
-                FaultKind::DiscoveryTruncation => self.discovery.fail_for(Health::Truncating, duration).await,
+                FaultKind::DiscoveryError => self.discovery.fail(ResponseMode::Error, duration).await,
+                FaultKind::DiscoveryReset => self.discovery.fail(ResponseMode::Reset, duration).await,
+                FaultKind::DiscoveryTimeout => self.discovery.fail(ResponseMode::Silent, duration).await,
+                FaultKind::DiscoveryTruncation => self.discovery.fail(ResponseMode::Truncate, duration).await,
                 _ => {
                     self.discovery.set_update_delay(PUBLICATION_DELAY);
                     sleep(duration).await;
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -12,7 +12,7 @@
 use vetchbridge::config::file;
 use vetchbridge_testbed::audit::{audit_jobs, Audit, Violation};
 use vetchbridge_testbed::client::Clients;
-use vetchbridge_testbed::discovery::Health;
+use vetchbridge_testbed::discovery::ResponseMode;
 use vetchbridge_testbed::worker::JobBehavior;
 use vetchbridge_testkit::deployment::Deployment;
 use vetchbridge_testkit::plan::Plan;
@@ -43,7 +43,7 @@
 
 /// Runs a deployment while its discovery is unavailable and each worker misbehaves, and audits the run. The
 /// schedulers are configured by `scheduler_plan`; the clients and the audit use `plan`.
-async fn run_deployment(scheduler_plan: &Plan, plan: &Plan, outage: Health) -> Audit {
+async fn run_deployment(scheduler_plan: &Plan, plan: &Plan, outage: ResponseMode) -> Audit {
     let mut deployment =
         Deployment::start(scheduler_plan, Some(&daemon()), None, &[]).await.expect("a deployment");
     let (started, spec) = (Instant::now(), plan.load_spec());
@@ -53,7 +53,7 @@
     let faults = async {
         deployment.workers.iter().for_each(|worker| worker.script_jobs(misbehavior()));
         sleep(OUTAGE_START).await;
-        deployment.discovery.fail_for(outage, OUTAGE_TIME).await;
+        deployment.discovery.fail(outage, OUTAGE_TIME).await;
         let calls = deployment.discovery.calls();
         // Each scheduler draws the time of its next call at random; this loop waits for the first call after
         // the outage.
@@ -84,8 +84,8 @@
     let plan = scans();
     let runs = async {
         tokio::join!(
-            run_deployment(&plan, &plan, Health::Failing),
-            run_deployment(&plan, &plan, Health::Resetting)
+            run_deployment(&plan, &plan, ResponseMode::Error),
+            run_deployment(&plan, &plan, ResponseMode::Reset)
         )
     };
     let (failing, resetting) = timeout(TEST_TIMEOUT, runs).await.expect("the runs end in time");
@@ -103,7 +103,7 @@
 async fn schedulers_that_retry_non_idempotent_jobs_are_detected() {
     let (mut scheduler_plan, plan) = (scans(), scans());
     scheduler_plan.daemon.class.iter_mut().for_each(|class| class.repeat = file::Repeat::Safe);
-    let verdict = timeout(TEST_TIMEOUT, run_deployment(&scheduler_plan, &plan, Health::Failing))
+    let verdict = timeout(TEST_TIMEOUT, run_deployment(&scheduler_plan, &plan, ResponseMode::Error))
         .await
         .expect("the runs end in time");
     assert!(
