--- a/crates/testbed/src/arrivals/load.rs
+++ b/crates/testbed/src/arrivals/load.rs
@@ -70,9 +70,9 @@
     /// Whether retries carry the header `x-second-try`.
     pub marks_retries: bool,
     /// Maximum number of retries of a job.
-    pub retries: u32,
-    /// Pause before a retry, unless the client honors a `Retry-After`.
-    pub pause: Duration,
+    pub max_retries: u32,
+    /// Time that a client waits before a retry, unless the client honors a `Retry-After`.
+    pub retry_delay: Duration,
 }
 
 /// An invalid setting of a load.
--- a/crates/testbed/src/client/job.rs
+++ b/crates/testbed/src/client/job.rs
@@ -34,13 +34,13 @@
 
     /// Makes attempts until the job is served, a retry is not allowed, or the job's deadline has passed.
     pub(super) async fn run(mut self) -> JobRecord {
-        for number in 0..=self.clients.spec.retries {
+        for number in 0..=self.clients.spec.max_retries {
             let remaining = self.remaining();
             if remaining.is_zero() {
                 break;
             }
-            let Some(pause) = self.attempt(number, remaining).await else { break };
-            sleep(pause).await;
+            let Some(delay) = self.attempt(number, remaining).await else { break };
+            sleep(delay).await;
         }
         self.record
     }
@@ -50,7 +50,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Makes one attempt and records it. Returns the pause before the next attempt, or `None` if the job is
+    /// Makes one attempt and records it. Returns the time to wait before the next attempt, or `None` if the job is
     /// not retried.
     async fn attempt(&mut self, number: u32, remaining: Duration) -> Option<Duration> {
         let id = attempt_id(self.record.arrival.id_seed, number);
@@ -60,9 +60,9 @@
         let response = self.send(&request, remaining, &mut resent);
         let response = timeout(remaining + RESPONSE_GRACE, response).await;
         let Response { outcome, retry_after } = response.unwrap_or_else(|_| Outcome::Unanswered.into());
-        let will_retry = self.allows_retry(&outcome, sent) && number < self.clients.spec.retries;
+        let will_retry = self.allows_retry(&outcome, sent) && number < self.clients.spec.max_retries;
         self.record.attempts.push(Attempt { id, sent, resent, ended: self.load_start.elapsed(), outcome });
-        will_retry.then(|| self.pause(id, retry_after))
+        will_retry.then(|| self.retry_delay(id, retry_after))
     }
 
     /// Sends a request. If the connection breaks, sends the request once more on a new connection: the
@@ -85,14 +85,15 @@
     /// Whether the outcome of an attempt allows a retry; `sent` is when the attempt was sent.
     fn allows_retry(&self, outcome: &Outcome, sent: Duration) -> bool {
         let first_sent = self.record.attempts.first().map_or(sent, |first| first.sent);
-        let until_retry = self.load_start.elapsed().saturating_sub(first_sent) + self.clients.spec.pause;
+        let until_retry =
+            self.load_start.elapsed().saturating_sub(first_sent) + self.clients.spec.retry_delay;
         may_retry(self.idempotency, outcome, until_retry)
     }
 
-    /// Returns the pause before the next attempt.
-    fn pause(&self, id: u64, retry_after: Option<Duration>) -> Duration {
+    /// Returns the time to wait before the next attempt.
+    fn retry_delay(&self, id: u64, retry_after: Option<Duration>) -> Duration {
         let spec = &self.clients.spec;
         let honored = retry_after.filter(|_| honors_retry_after(id, spec.retry_after_share));
-        honored.unwrap_or(spec.pause)
+        honored.unwrap_or(spec.retry_delay)
     }
 }
--- a/crates/testbed/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -30,8 +30,8 @@
         hint_spread: Some(0.0),
         retry_after_share: 1.0,
         marks_retries: true,
-        retries: 0,
-        pause: Duration::ZERO,
+        max_retries: 0,
+        retry_delay: Duration::ZERO,
     }
 }
 
--- a/crates/testbed/tests/clients.rs
+++ b/crates/testbed/tests/clients.rs
@@ -36,8 +36,8 @@
         hint_spread: optional_headers.then_some(0.0),
         retry_after_share: 0.0,
         marks_retries: optional_headers,
-        retries: 1,
-        pause: Duration::ZERO,
+        max_retries: 1,
+        retry_delay: Duration::ZERO,
     }
 }
 
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -145,8 +145,8 @@
             hint_spread: self.load.hints.then_some(self.load.hint_spread),
             retry_after_share: self.load.retry_after_share,
             marks_retries: self.load.marks_retries,
-            retries: self.load.max_retries,
-            pause: self.load.retry_delay.duration(),
+            max_retries: self.load.max_retries,
+            retry_delay: self.load.retry_delay.duration(),
         }
     }
 }
