--- a/crates/testkit/src/report/mod.rs
+++ b/crates/testkit/src/report/mod.rs
@@ -40,7 +40,8 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub affinity: Option<f64>,
     /// The share of the requested priority weight that was served in time.
-    pub service: f64,
+    #[serde(rename = "service")]
+    pub in_time_share: f64,
     /// The number of probes that workers received, per job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probes_per_job: Option<f64>,
@@ -98,7 +99,7 @@
             attempts_per_job: workers.map(|workers| per_job(workers.attempts)),
             repeats_dropped: workers.map(|workers| workers.repeats_dropped),
             affinity: workers.map(|_| verdict.affinity),
-            service: verdict.in_time_share,
+            in_time_share: verdict.in_time_share,
             probes_per_job: workers.and_then(|workers| workers.probes).map(per_job),
             classes: class_summaries.collect(),
             tenants: tenant_summaries.collect(),
--- a/crates/testkit/src/report/tables.rs
+++ b/crates/testkit/src/report/tables.rs
@@ -40,7 +40,10 @@
         row("answers", format!("{served} served, {rejected} rejected, {failed} failed"));
         row("without an answer", format!("{lost} lost, {unreachable} unreachable, {unanswered} timed out"));
         row("exactly once", exactly_once_text(self.violations.len()));
-        row("service", format!("{:.3} of the requested priority weight was served in time", self.service));
+        row(
+            "service",
+            format!("{:.3} of the requested priority weight was served in time", self.in_time_share),
+        );
         if let Some(attempts) = self.attempts_per_job {
             row("attempts per job", format!("{attempts:.3}"));
         }
