--- a/crates/testbed/src/client/job.rs
+++ b/crates/testbed/src/client/job.rs
@@ -50,8 +50,8 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Makes one attempt and records it. Returns the time to wait before the next attempt, or `None` if the job is
-    /// not retried.
+    /// Makes one attempt and records it. Returns the time to wait before the next attempt, or `None` if the
+    /// job is not retried.
     async fn attempt(&mut self, number: u32, remaining: Duration) -> Option<Duration> {
         let id = attempt_id(self.record.arrival.id_seed, number);
         let request = AttemptRequest { target: self.clients.next_target(), id, number };
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -163,7 +163,7 @@
         let conn_idle = self.optional(limits, "conn_idle", "settings.limits.conn_idle");
         let names = NameTables {
             zones: self.optional(Some(json), "areas", "settings.areas").unwrap_or_default(),
-            kinds: self.optional(Some(json), "kinds", "settings.kinds").unwrap_or_default(),
+            machine_types: self.optional(Some(json), "kinds", "settings.kinds").unwrap_or_default(),
             classes: self.entry_names(json, "services"),
             tenants: self.entry_names(json, "accounts"),
         };
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -268,7 +268,7 @@
     };
     let names = NameTables {
         zones: file.fleet.zones.clone(),
-        kinds: file.fleet.kinds.clone(),
+        machine_types: file.fleet.kinds.clone(),
         classes: file.class.iter().map(|class| class.name.clone()).collect(),
         tenants: file.tenant.iter().map(|tenant| tenant.name.clone()).collect(),
     };
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -92,7 +92,7 @@
         Endpoint {
             worker: worker_id(&self.instance_id),
             zone: ZoneId(index_of(&names.zones, &self.zone)),
-            machine_type: MachineTypeId(index_of(&names.kinds, &self.machine_type)),
+            machine_type: MachineTypeId(index_of(&names.machine_types, &self.machine_type)),
             cell: CellId(self.cell),
             state: self.endpoint_state(),
             weight: self.weight,
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -58,7 +58,7 @@
             engine.handle(Event::Settings(Box::new(settings)));
         }
         self.document = config.platform_document;
-        if (&old.names.zones, &old.names.kinds) != (&names.zones, &names.kinds) {
+        if (&old.names.zones, &old.names.machine_types) != (&names.zones, &names.machine_types) {
             // The scheduler has the endpoints with the old indices of zones and machine types. No job may be
             // placed by the old indices, so the endpoints are sent again with the new ones.
             let endpoints = endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -15,7 +15,7 @@
     /// Names of zones.
     pub zones: Vec<String>,
     /// Names of machine types.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// Names of request classes.
     pub classes: Vec<String>,
     /// Names of tenants.
