--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -35,7 +35,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Violation::Unanswered(id) => write!(f, "request {id:016x} was never answered"),
-            Violation::ConnectionLost(id) => write!(f, "request {id:016x} lost connection without an outage"),
+            Violation::ConnectionLost(id) => write!(f, "request {id:016x} lost its connection (no outage)"),
             Violation::ForeignResult(id) => {
                 write!(f, "request {id:016x} received a result that no worker produced for it")
             }
--- a/crates/testkit/src/cli/bench.rs
+++ b/crates/testkit/src/cli/bench.rs
@@ -8,9 +8,9 @@
 use std::path::PathBuf;
 use vetchbridge::config::units::HumanDuration;
 
-/// File descriptors per connection, over all targets.
+/// Number of file descriptors per connection, over all targets.
 const DESCRIPTORS_PER_CONNECTION: u64 = 8;
-/// File descriptors for everything but connections.
+/// Number of file descriptors for everything but connections.
 const SPARE_DESCRIPTORS: u64 = 256;
 
 #[derive(Debug, Args)]
--- a/crates/testkit/src/cli/demo.rs
+++ b/crates/testkit/src/cli/demo.rs
@@ -12,9 +12,9 @@
 use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::client::Clients;
 
-/// File descriptors per job per second of the load.
+/// Number of file descriptors for each job per second of the load.
 const DESCRIPTORS_PER_RATE: f64 = 4.0;
-/// File descriptors per worker.
+/// Number of file descriptors per worker.
 const DESCRIPTORS_PER_WORKER: u64 = 64;
 
 #[derive(Debug, Args)]
--- a/crates/testkit/src/cli/load.rs
+++ b/crates/testkit/src/cli/load.rs
@@ -13,7 +13,7 @@
 use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::client::Clients;
 
-/// File descriptors for everything but connections.
+/// Number of file descriptors for everything but connections.
 const SPARE_DESCRIPTORS: u64 = 64;
 
 #[derive(Debug, Args)]
@@ -21,10 +21,11 @@
     /// Address to send the load to; repeat for several addresses, which are used in turn
     #[arg(long, required = true, value_name = "ADDRESS")]
     to: Vec<SocketAddr>,
-    /// Jobs per second, as an open loop [default: as in the plan]
+    /// Rate of an open loop, in jobs per second [default: as in the plan]
     #[arg(long, conflicts_with = "connections")]
     rate: Option<f64>,
-    /// Number of connections to keep busy, as a closed loop instead of a rate
+    /// Number of connections of a closed loop, each of which sends its next job when the previous one has
+    /// ended; replaces the rate
     #[arg(long)]
     connections: Option<usize>,
     /// How long the load lasts, such as 30s [default: as in the plan]
--- a/crates/testkit/src/cli/mod.rs
+++ b/crates/testkit/src/cli/mod.rs
@@ -72,7 +72,7 @@
 The last line contains the totals. The exit code is 0 only if no invariant was violated and, in a
 test of at least 30 s, every kind of platform fault and of system call fault happened.")]
     Soak(SoakCommand),
-    /// Measure the daemon's processor time per request compared with a plain relay's
+    /// Measure the daemon's processor time per request and compare it with a plain relay's
     #[command(after_help = "Example:\n  vetchbridge-testkit bench --connections 32 --turn 3s --rounds 5")]
     Bench(BenchCommand),
     /// Forward every request to one address; `bench` runs this relay for comparison
--- a/crates/testkit/src/cli/plan.rs
+++ b/crates/testkit/src/cli/plan.rs
@@ -39,9 +39,7 @@
 fn show(name: &str) -> Result<(), Failure> {
     let Some((_, text)) = plan::BUILT_IN.iter().find(|(known, _)| *known == name) else {
         let names = plan::BUILT_IN.map(|(known, _)| known).join(", ");
-        return Err(Failure::BadInput(format!(
-            "{name}: no built-in plan has this name; choose one of {names}"
-        )));
+        return Err(Failure::BadInput(format!("{name}: no built-in plan has this name; use one of {names}")));
     };
     print(text)
 }
--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -48,7 +48,7 @@
 }
 
 fn one_of(names: &[String]) -> String {
-    format!("one of {}", names.join(", "))
+    format!("use one of {}", names.join(", "))
 }
 
 fn check_workers(plan: &Plan, text: &Text<'_>) -> Vec<Fault> {
@@ -67,8 +67,8 @@
             let key = format!("peers[{index}].prefix");
             faults.push(text.fault(
                 &key,
-                "another table of [[peers]] has this prefix",
-                "choose a unique prefix",
+                "already in use by another table of [[peers]]",
+                "use a unique prefix",
             ));
         }
     }
@@ -107,7 +107,7 @@
     for (index, fault) in plan.faults.iter().enumerate() {
         let worker_exists = fault.worker.as_ref().is_some_and(|worker| names.contains(worker));
         if fault.kind == PlannedFaultKind::WorkerCrash && !worker_exists {
-            let remedy = "a prefix of [[peers]] and a number, such as prefix-0";
+            let remedy = "use a prefix of [[peers]] and a number, such as prefix-0";
             faults.push(text.fault(&format!("trouble[{index}].peer"), "no such worker", remedy));
         }
     }
--- a/crates/testkit/tests/commands.rs
+++ b/crates/testkit/tests/commands.rs
@@ -92,7 +92,7 @@
         (
             "kind = \"fast\"\nslots",
             "kind = \"fastt\"\nslots",
-            &["peers[0].kind: not in daemon.fleet.kinds; one of fast"],
+            &["peers[0].kind: not in daemon.fleet.kinds; use one of fast"],
         ),
         (
             "name = \"handover\"\nshare",
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -91,7 +91,7 @@
             match value {
                 None => self.add_fault(&key, "missing"),
                 Some(value) if value.as_f64().is_none_or(|number| number < 1.0) => {
-                    self.add_fault(&key, format!("{value} is not a number above 0"));
+                    self.add_fault(&key, format!("found {value}, expected a number above 0"));
                 }
                 Some(_) => {}
             }
--- a/crates/vetchbridge/src/config/schema.rs
+++ b/crates/vetchbridge/src/config/schema.rs
@@ -120,7 +120,7 @@
         }
         let found = found.map_or_else(|| value.get_ref().type_str().to_string(), |text| format!("{text:?}"));
         let remedy = format!("use one of {}", allowed.join(", "));
-        self.add_fault(value.span().start, path, format!("{found} is not an allowed value"), remedy);
+        self.add_fault(value.span().start, path, format!("found {found}, expected an allowed value"), remedy);
     }
 
     /// Validates a value against the type that the schema names.
@@ -184,7 +184,7 @@
             _ => self.add_fault(
                 start,
                 path,
-                format!("{} is not a finite number", number.as_str()),
+                format!("found {}, expected a finite number", number.as_str()),
                 "write a finite number",
             ),
         }
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -144,8 +144,8 @@
         let (tier, file) = (&self.file.tier, self.file);
         let addresses = tier.each.len();
         if tier.messages.is_some() && addresses > 0 && addresses != tier.schedulers as usize {
-            let what = format!("{addresses} addresses for {} schedulers", tier.schedulers);
-            self.add_fault("tier.each", what, "list one for each scheduler");
+            let what = format!("found {addresses} addresses, expected {}", tier.schedulers);
+            self.add_fault("tier.each", what, "list one address for each scheduler");
         }
         if file.fleet.load == Load::Probes && !file.attempts.probe {
             let remedy = "set attempts.probe = true, or fleet.load = \"off\"";
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -15,19 +15,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TextFormatError {
     /// The text is not a duration.
-    #[error("{0:?} is not a duration")]
+    #[error("found {0:?}, expected a duration")]
     InvalidDuration(String),
     /// The duration in microseconds does not fit in 64 bits.
     #[error("the duration {0:?} is too long")]
     DurationTooLong(String),
     /// The text is not a number of bytes.
-    #[error("{0:?} is not a size")]
+    #[error("found {0:?}, expected a size")]
     InvalidSize(String),
     /// The text is not an IP address with a port.
-    #[error("{0:?} is not an IP address with a port")]
+    #[error("found {0:?}, expected an IP address with a port")]
     InvalidAddress(String),
     /// The text is not a hexadecimal number of at most 64 bits.
-    #[error("{text:?}: {reason}")]
+    #[error("found {text:?}, expected a hexadecimal number: {reason}")]
     InvalidSeed {
         /// The text that does not parse.
         text: String,
--- a/crates/vetchbridge/src/logs/mod.rs
+++ b/crates/vetchbridge/src/logs/mod.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The filter does not parse.
-    #[error("{filter:?} is not a log filter: {source}")]
+    #[error("found {filter:?}, expected a log filter: {source}")]
     InvalidFilter {
         /// The filter.
         filter: String,
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -46,15 +46,15 @@
 )]
 #[case::duration_text(
     "[rules]\ncold_time = \"soon\"",
-    "2:13: rules.cold_time: \"soon\" is not a duration; write a number"
+    "2:13: rules.cold_time: found \"soon\", expected a duration; write a number"
 )]
 #[case::size(
     "[limits]\nmemory = \"much\"",
-    "2:10: limits.memory: \"much\" is not a size; write a number with a unit"
+    "2:10: limits.memory: found \"much\", expected a size; write a number with a unit"
 )]
 #[case::enum_value(
     "[fleet]\nweights = \"heavy\"",
-    "2:11: fleet.weights: \"heavy\" is not an allowed value; use one of off,"
+    "2:11: fleet.weights: found \"heavy\", expected an allowed value; use one of off,"
 )]
 #[case::range(
     "[rules]\ncold_share = 1.5",
@@ -63,10 +63,10 @@
 #[case::hexadecimal("[attempts]\nmax = 0x0", "2:7: attempts.max: 0 is out of range; use at least 1")]
 #[case::address(
     "listen = \"localhost:80\"",
-    "1:10: listen: \"localhost:80\" is not an IP address with a port; write an IP"
+    "1:10: listen: found \"localhost:80\", expected an IP address with a port; write an IP"
 )]
-#[case::seed("seed = \"xyz\"", "1:8: seed: \"xyz\": invalid digit")]
-#[case::filter("[log]\nfilter = \"a=b=c=d\"", "2:10: log.filter: \"a=b=c=d\" is not a log filter")]
+#[case::seed("seed = \"xyz\"", "1:8: seed: found \"xyz\", expected a hexadecimal number: invalid digit")]
+#[case::filter("[log]\nfilter = \"a=b=c=d\"", "2:10: log.filter: found \"a=b=c=d\", expected a log filter")]
 #[case::missing(
     "[[class]]\nname = \"c\"\nrepeat = \"safe\"\naim = \"1s\"",
     "1:1: class[0].deadline: missing; The client's"
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -298,8 +298,8 @@
     let both = with(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
     std::fs::write(&harness.daemon.config_path, both).expect("the write succeeds");
     harness.daemon.signal("-HUP");
-    assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("not a number above 0"));
-    assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("not a number above 0"));
+    assert!(harness.daemon.wait_for_log("services[2].deadline").await.contains("expected a number above 0"));
+    assert!(harness.daemon.wait_for_log("limits.max_attempts").await.contains("expected a number above 0"));
 }
 
 const DEADLINE: &str = "/settings/services/2/deadline";
