--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -18,7 +18,7 @@
 /// The largest ratio of a hint to the work that the hint estimates.
 const MAX_HINT_FACTOR: f64 = 1e3;
 
-/// One job as it arrives.
+/// The arrival of one job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// When the job arrives, from the start of the load.
@@ -41,7 +41,7 @@
 
 /// The distributions from which the jobs of one class are drawn.
 struct ClassDistributions {
-    /// The sum of the shares of the classes up to and including this one, as a fraction of the total.
+    /// The sum of the shares of the classes up to and including this class, as a fraction of the total.
     cumulative_share: f64,
     work: LogNormal<f64>,
     object: Zipf<f64>,
--- a/crates/testbed/src/arrivals/load.rs
+++ b/crates/testbed/src/arrivals/load.rs
@@ -19,7 +19,7 @@
 pub struct ClassLoad {
     /// The name of the class, which is the first segment of the request path.
     pub name: String,
-    /// The share of jobs, relative to the shares of the others.
+    /// The share of the jobs, relative to the shares of the other classes.
     pub share: f64,
     /// The priority weight of a second of work; the audit uses it to weigh the jobs served in time.
     pub priority_weight: f64,
@@ -48,7 +48,7 @@
 pub struct TenantLoad {
     /// The name of the tenant.
     pub name: String,
-    /// The share of jobs, relative to the shares of the others.
+    /// The share of the jobs, relative to the shares of the other tenants.
     pub share: f64,
 }
 
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -75,7 +75,7 @@
     }
 
     /// Sends jobs in an open loop from `load_start` on, for `duration` or until `stop` is true, then waits
-    /// for the jobs in flight. Calls `on_progress` after each change.
+    /// for the jobs in flight. Calls `on_progress` after each change of the progress.
     pub async fn run(
         self,
         load_start: Instant,
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -158,7 +158,7 @@
         self.write(&format!("HTTP/1.1 {status} X\r\n{headers}content-length: {length}\r\n\r\n{body}")).await
     }
 
-    /// Resets the connection, as the end of a process can do.
+    /// Resets the connection, as happens when a process ends abruptly.
     pub fn reset(self) {
         let _ = self.stream.set_zero_linger();
     }
--- a/crates/testbed/src/worker/reporting.rs
+++ b/crates/testbed/src/worker/reporting.rs
@@ -1,4 +1,4 @@
-//! Sending of a worker's callbacks, with a load report where one is configured.
+//! Sends a worker's callbacks, with a load report if load reports are configured.
 
 use super::callbacks::{Callback, Delivery, JobUpdate};
 use super::state::WorkerState;
--- a/crates/testkit/src/cli/load.rs
+++ b/crates/testkit/src/cli/load.rs
@@ -60,7 +60,9 @@
             }
             None => {
                 let mut progress = Progress::new(duration);
-                clients.run(Instant::now(), duration, interrupt.subscribe(), |at| progress.show(at)).await
+                clients
+                    .run(Instant::now(), duration, interrupt.subscribe(), |current| progress.show(current))
+                    .await
             }
         };
         let record = record.map_err(|error| Failure::BadInput(error.to_string()))?;
--- a/crates/testkit/src/cli/plan.rs
+++ b/crates/testkit/src/cli/plan.rs
@@ -8,7 +8,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(super) enum PlanCommand {
-    /// Print the demonstration's plan
+    /// Print the default plan, which `demo` runs
     Default,
     /// Print a built-in plan
     Show {
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -121,7 +121,7 @@
     /// The workers' zone. Without it, the workers are distributed over daemon.fleet.zones in turn.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// The workers' kind of machine, one of daemon.fleet.kinds.
+    /// The workers' machine type, one of daemon.fleet.kinds.
     pub kind: String,
     /// The number of slots: the jobs that a worker runs at once.
     #[schemars(range(min = 1))]
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -1,5 +1,5 @@
-//! The plain relay that the daemon's cost is compared with. It serves clients by axum, as the daemon does,
-//! and calls its worker by hyper-util's client, without scheduling, callbacks or records.
+//! The plain relay that the daemon's cost is compared with. The relay serves clients by axum, as the daemon
+//! does, and calls its worker by hyper-util's client, without scheduling, callbacks or records.
 
 use crate::{io_failure, Failure};
 use axum::body::Body;
--- a/crates/testkit/src/runner/mod.rs
+++ b/crates/testkit/src/runner/mod.rs
@@ -54,7 +54,8 @@
     let mut progress = Progress::new(plan.duration);
     let started = Instant::now();
     let offset = started.duration_since(deployment.epoch);
-    let load = clients.run(started, plan.duration, interrupt.subscribe(), move |at| progress.show(at));
+    let load =
+        clients.run(started, plan.duration, interrupt.subscribe(), move |current| progress.show(current));
     let Deployment { schedulers, workers, discovery, load_balancer, .. } = &mut *deployment;
     let mut outages = Vec::new();
     let scheduler_faults = inject_scheduler_faults(
--- a/crates/testkit/src/runner/progress.rs
+++ b/crates/testkit/src/runner/progress.rs
@@ -29,21 +29,21 @@
     }
 
     /// Shows the progress of a load.
-    pub fn show(&mut self, at: LoadProgress) {
+    pub fn show(&mut self, progress: LoadProgress) {
         let text = format!(
             "{:.0} of {:.0} s, {} sent, {} in flight",
-            at.elapsed.as_secs_f64(),
+            progress.elapsed.as_secs_f64(),
             self.total.as_secs_f64(),
-            at.sent,
-            at.sent - at.ended
+            progress.sent,
+            progress.sent - progress.ended
         );
         match &self.bar {
             Some(bar) => {
-                bar.set_position(at.elapsed.min(self.total).as_millis() as u64);
+                bar.set_position(progress.elapsed.min(self.total).as_millis() as u64);
                 bar.set_message(text);
             }
-            None if at.elapsed >= self.last_line + LINE_INTERVAL => {
-                self.last_line = at.elapsed;
+            None if progress.elapsed >= self.last_line + LINE_INTERVAL => {
+                self.last_line = progress.elapsed;
                 eprintln!("{text}");
             }
             None => {}
--- a/crates/testkit/src/scheduler/mod.rs
+++ b/crates/testkit/src/scheduler/mod.rs
@@ -25,7 +25,7 @@
 /// The number of log lines that an error message about an exit contains.
 const LOG_TAIL_LINES: usize = 3;
 
-/// The options of a scheduler's process beside its configuration.
+/// The options of a scheduler's process, in addition to its configuration.
 #[derive(Clone, Debug, Default)]
 pub struct LaunchOptions {
     /// Additional command-line arguments.
@@ -37,9 +37,9 @@
 /// How the predecessor ends in an upgrade, once the successor is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorEnd {
-    /// By a graceful shutdown.
+    /// The predecessor shuts down gracefully.
     Graceful,
-    /// By SIGKILL, which loses all of the predecessor's requests.
+    /// The predecessor is killed by SIGKILL, which loses all of its requests.
     Killed,
 }
 
--- a/crates/testkit/src/scheduler/process.rs
+++ b/crates/testkit/src/scheduler/process.rs
@@ -1,4 +1,4 @@
-//! Child processes: signals to one of them, and the registry of all running ones.
+//! Child processes: signals to a child process, and the registry of all running child processes.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants of the soak test, beside those of the exactly-once audit, as pure functions of the
+//! The invariants of the soak test, in addition to those of the exactly-once audit, as pure functions of the
 //! evidence.
 
 use super::fault::{FaultKind, InjectedFault};
--- a/crates/testkit/src/soak/inject/schedule.rs
+++ b/crates/testkit/src/soak/inject/schedule.rs
@@ -15,7 +15,7 @@
 pub(super) struct FaultSchedule {
     pub(super) random: Pcg64,
     kinds: Vec<FaultKind>,
-    next: usize,
+    next_index: usize,
     until: Instant,
 }
 
@@ -24,7 +24,7 @@
         let mut random = Pcg64::seed_from_u64(seed ^ (track << 48));
         let mut kinds = kinds.to_vec();
         kinds.shuffle(&mut random);
-        FaultSchedule { random, kinds, next: 0, until }
+        FaultSchedule { random, kinds, next_index: 0, until }
     }
 
     /// Waits for a random pause and returns the next kind; `None` once the end of the load is reached.
@@ -34,12 +34,12 @@
         if Instant::now() >= self.until {
             return None;
         }
-        if self.next == self.kinds.len() {
+        if self.next_index == self.kinds.len() {
             self.kinds.shuffle(&mut self.random);
-            self.next = 0;
+            self.next_index = 0;
         }
-        self.next += 1;
-        Some(self.kinds[self.next - 1])
+        self.next_index += 1;
+        Some(self.kinds[self.next_index - 1])
     }
 
     /// Returns a random element of a slice that is not empty.
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -96,7 +96,8 @@
     let log = FaultLog::new(deployment.epoch);
     let faulty_clients = FaultyClients::default();
     let mut progress = Progress::new(spec.duration);
-    let load_run = clients.run(started, spec.duration, interrupt.subscribe(), |at| progress.show(at));
+    let load_run =
+        clients.run(started, spec.duration, interrupt.subscribe(), |current| progress.show(current));
     let addresses: Vec<SocketAddr> = deployment.schedulers.iter().map(Scheduler::address).collect();
     let injector = FaultInjector {
         seed: spec.seed,
--- a/crates/testkit/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -74,20 +74,20 @@
 
 impl Run {
     #[track_caller]
-    fn succeeds(&self, success: bool) -> &Self {
+    fn assert_success(&self, success: bool) -> &Self {
         assert_eq!(self.success, success, "{}\n{}", self.stdout, self.stderr);
         self
     }
 
     #[track_caller]
-    fn prints(&self, line: &str) -> &Self {
+    fn assert_prints(&self, line: &str) -> &Self {
         let times = self.stdout.lines().filter(|printed| *printed == line).count();
         assert_eq!(times, 1, "{line:?} is printed {times} times\n{}\n{}", self.stdout, self.stderr);
         self
     }
 
     #[track_caller]
-    fn reports(&self, line: &str) -> &Self {
+    fn assert_reports(&self, line: &str) -> &Self {
         assert!(
             self.stderr.lines().any(|printed| printed == line),
             "no {line:?}\n{}\n{}",
@@ -179,9 +179,9 @@
             workspace.write_known_red(text);
         }
         let run = workspace.test("");
-        assert_eq!(run.succeeds(true).counts(), [8, 0, 0], "{}", run.stdout);
+        assert_eq!(run.assert_success(true).counts(), [8, 0, 0], "{}", run.stdout);
         assert!(!run.stdout.contains("known red"), "{}", run.stdout);
-        workspace.test("two::stories fails").succeeds(false);
+        workspace.test("two::stories fails").assert_success(false);
     }
 }
 
@@ -190,27 +190,30 @@
     let workspace = Workspace::new();
     workspace.write_known_red("first::stories fails | the cause | issue 7\n");
     let run = workspace.test("first::stories fails");
-    run.succeeds(true).prints("known red: first::stories fails: failed as known (the cause; issue 7)");
+    run.assert_success(true)
+        .assert_prints("known red: first::stories fails: failed as known (the cause; issue 7)");
     // The output of the listed test is shown, but not as a result that counts.
     assert!(run.stdout.contains("\n  | first::stories fails fails as configured\n"), "{}", run.stdout);
     // The counted tests include the doc test and the tests with an extended or equal name elsewhere.
     assert_eq!(run.counts(), [7, 0, 1], "{}", run.stdout);
-    run.prints("test fails_more ... ok").prints("test what::fails ... ok").prints("test fails ... ok");
+    run.assert_prints("test fails_more ... ok")
+        .assert_prints("test what::fails ... ok")
+        .assert_prints("test fails ... ok");
     let last = run.stdout.lines().rfind(|line| !line.is_empty()).expect("a line");
     assert!(last.starts_with("test result: ok. 1 passed"), "{last}");
 }
 
 #[test]
-fn three_may_be_listed_among_them_cases_and_tests_of_a_program() {
+fn up_to_three_tests_may_be_listed_including_cases_and_tests_of_a_program() {
     let workspace = Workspace::new();
     workspace.write_known_red(
         "first what::case_1 | a | 1\n\n  two::bin/two starts|b|2\ntwo::stories fails | c | see https://host/3 ",
     );
     let run = workspace.test("first what::case_1,two::bin/two starts,two::stories fails");
-    run.succeeds(true).prints("known red: first what::case_1: failed as known (a; 1)");
-    run.prints("known red: two::bin/two starts: failed as known (b; 2)");
-    run.prints("known red: two::stories fails: failed as known (c; see https://host/3)");
-    run.prints("test what::case_10 ... ok");
+    run.assert_success(true).assert_prints("known red: first what::case_1: failed as known (a; 1)");
+    run.assert_prints("known red: two::bin/two starts: failed as known (b; 2)");
+    run.assert_prints("known red: two::stories fails: failed as known (c; see https://host/3)");
+    run.assert_prints("test what::case_10 ... ok");
     assert_eq!(run.counts(), [5, 0, 3], "{}", run.stdout);
 }
 
@@ -226,7 +229,8 @@
         "first doc",
     ] {
         let run = workspace.test(&format!("first::stories fails,{other}"));
-        run.succeeds(false).prints("known red: first::stories fails: failed as known (the cause; issue 7)");
+        run.assert_success(false)
+            .assert_prints("known red: first::stories fails: failed as known (the cause; issue 7)");
         assert_eq!(run.counts()[1], 1, "{other}: {}", run.stdout);
     }
 }
@@ -235,7 +239,7 @@
 fn a_listed_test_that_passes_is_reported_for_removal_and_does_not_fail_the_run() {
     let workspace = Workspace::new();
     workspace.write_known_red("\nfirst::stories fails | the cause | issue 7\n");
-    workspace.test("").succeeds(true).prints(
+    workspace.test("").assert_success(true).assert_prints(
         "known red: first::stories fails: PASSES NOW; remove line 2 of KNOWN-RED.txt unless the test is flaky \
          (the cause; issue 7)",
     );
@@ -248,8 +252,9 @@
     let start = Instant::now();
     let mut command = workspace.command("make", &["test"]);
     let run = Workspace::run(command.env("HANGING", "first::stories fails").env("KNOWN_RED_LIMIT", "1"));
-    run.succeeds(true)
-        .prints("known red: first::stories fails: timed out after 1 s, failed as known (the cause; issue 7)");
+    run.assert_success(true).assert_prints(
+        "known red: first::stories fails: timed out after 1 s, failed as known (the cause; issue 7)",
+    );
     assert_eq!(run.counts(), [7, 0, 1], "{}", run.stdout);
     assert!(start.elapsed() < Duration::from_secs(60), "{:?}", start.elapsed());
 }
@@ -269,7 +274,7 @@
     let workspace = Workspace::new();
     workspace.write_known_red(text);
     let run = workspace.test("");
-    assert!(run.succeeds(false).stderr.contains(&format!("KNOWN-RED.txt:{fault}")), "{}", run.stderr);
+    assert!(run.assert_success(false).stderr.contains(&format!("KNOWN-RED.txt:{fault}")), "{}", run.stderr);
     assert_eq!(run.counts(), [0; 3], "{}", run.stdout);
 }
 
@@ -289,18 +294,18 @@
     ] {
         workspace.write_known_red(&format!("two::stories fails | a | 1\n{name} | b | 2\n"));
         let run = workspace.test("");
-        run.succeeds(false).reports(&format!(
+        run.assert_success(false).assert_reports(&format!(
             "KNOWN-RED.txt:2: there is no test \"{name}\"; write it as .ci/test --list prints it, or remove the line"
         ));
         assert_eq!(run.counts(), [0; 3], "{}", run.stdout);
     }
     let run = Workspace::run(&mut workspace.command(".ci/test", &["--list"]));
-    run.succeeds(true)
-        .prints("first::stories fails")
-        .prints("two::stories fails")
-        .prints("two::bin/two starts");
+    run.assert_success(true)
+        .assert_prints("first::stories fails")
+        .assert_prints("two::stories fails")
+        .assert_prints("two::bin/two starts");
     assert_eq!(run.stdout.lines().count(), 7, "{}", run.stdout);
-    Workspace::run(&mut workspace.command(".ci/test", &["fails"])).succeeds(false);
+    Workspace::run(&mut workspace.command(".ci/test", &["fails"])).assert_success(false);
 }
 
 #[test]
@@ -311,14 +316,14 @@
         .expect("the file is written");
     assert!(workspace
         .test("first::stories fails")
-        .succeeds(false)
+        .assert_success(false)
         .stderr
         .contains("cannot find function `nothing`"));
 }
 
 /// CI runs the Makefile's targets in order and stops at the first that fails.
 #[rstest]
-#[case::all_hold("true", true, &["lint", "test", "demo", "demo", "soak"])]
+#[case::all_pass("true", true, &["lint", "test", "demo", "demo", "soak"])]
 #[case::a_test_fails("false", false, &["lint", "test"])]
 fn ci_runs_lint_and_test_of_the_makefile(
     #[case] result: &str,
@@ -331,6 +336,6 @@
     fs::write(workspace.path().join("Makefile"), makefile).expect("the file is written");
     let run = Workspace::run(&mut workspace.command(".ci/run", &[]));
     let run_steps: Vec<_> =
-        run.succeeds(success).stdout.lines().filter_map(|line| line.strip_prefix("step ")).collect();
+        run.assert_success(success).stdout.lines().filter_map(|line| line.strip_prefix("step ")).collect();
     assert_eq!(run_steps, steps);
 }
--- a/crates/vetchbridge/src/cli/default_file.rs
+++ b/crates/vetchbridge/src/cli/default_file.rs
@@ -4,8 +4,8 @@
 use crate::config::file;
 use serde_json::{Map, Value};
 
-/// Returns a file with every key, preceded by a comment with its meaning. Keys without a default are
-/// commented out.
+/// Returns a file with every key, preceded by a comment with the key's meaning. Keys that the example lacks
+/// are commented out.
 pub(super) fn default_file() -> String {
     let schema = file::schema();
     let values = serde_json::to_value(file::example()).unwrap_or_default();
--- a/crates/vetchbridge/src/cli/mod.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -48,7 +48,7 @@
     Serve(Serve),
     /// Check configuration files: print each value with its origin, or all faults
     #[command(
-        after_help = "Example:\n  vetchbridge check deploy/lima-callao.toml\n\nExits with 2 if any file has a fault."
+        after_help = "Example:\n  vetchbridge check deploy/lima-callao.toml\n\nExits with code 2 if any file has a fault."
     )]
     Check {
         /// Print the result as JSON
@@ -73,7 +73,7 @@
 
 #[derive(Debug, Subcommand)]
 enum ConfigCommand {
-    /// Print a file with every key, its meaning and its default
+    /// Print an example file with every key, its meaning, and its default or an example value
     Default,
     /// Print the JSON Schema of the configuration file, for use in editors
     Schema,
--- a/crates/vetchbridge/src/config/file/classes.rs
+++ b/crates/vetchbridge/src/config/file/classes.rs
@@ -73,7 +73,7 @@
     /// Priority of the class in the workers' queues, used if fleet.queue_order is priority.
     #[serde(default)]
     pub priority: i64,
-    /// Whether answers are streamed.
+    /// Whether the answers of this class are streamed.
     #[serde(default)]
     pub stream: bool,
 }
--- a/crates/vetchbridge/src/config/file/fleet.rs
+++ b/crates/vetchbridge/src/config/file/fleet.rs
@@ -139,7 +139,7 @@
     /// Machine type of the worker, one of fleet.kinds; the first machine type if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Number of the worker's cell.
+    /// Number of the worker's cell, to which class.group = "cell" refers.
     #[serde(default)]
     pub cell: u32,
     /// Size of the worker relative to other workers.
--- a/crates/vetchbridge/src/config/file/mod.rs
+++ b/crates/vetchbridge/src/config/file/mod.rs
@@ -117,8 +117,8 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Maximum number of open descriptors. Client connections may use those that the process itself and its
-    /// connections to workers do not need.
+    /// Maximum number of open descriptors. Client connections may use the descriptors that the process
+    /// itself and its connections to workers do not need.
     #[schemars(range(min = 16))]
     pub sockets: u64,
     /// Memory that the process may use. Bodies of jobs may use at most an eighth of it, and bodies of
@@ -144,10 +144,10 @@
     /// Zone of this scheduler, one of fleet.zones; the first zone if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Minimum interval between two batches of events.
+    /// Minimum interval between two batches of events that the scheduler handles.
     pub tick: HumanDuration,
-    /// UDP address on which this scheduler receives messages of the other schedulers. If absent, it sends and
-    /// receives none. attempts.messages must be true as well.
+    /// UDP address on which this scheduler receives messages of the other schedulers. If absent, the
+    /// scheduler sends and receives no such messages. attempts.messages must be true as well.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub messages: Option<Address>,
     /// UDP address of each scheduler, including this one, in the order of their numbers.
