--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface of the discovery service: calls for the list, and watches that wait for a change.
 
-use super::{Health, Shared};
-use crate::wire::{Message, Wire};
+use super::{ResponseMode, Shared};
+use crate::wire::{HttpConnection, Message};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,34 +18,34 @@
     loop {
         tokio::select! {
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                connections.spawn(serve_connection(shared.clone(), Wire::new(stream), scheduler));
+                connections.spawn(serve_connection(shared.clone(), HttpConnection::new(stream), scheduler));
             },
             Some(_) = connections.join_next(), if !connections.is_empty() => {}
         }
     }
 }
 
-async fn serve_connection(shared: Arc<Shared>, mut wire: Wire, scheduler: usize) {
-    while let Some(request) = wire.read().await {
+async fn serve_connection(shared: Arc<Shared>, mut connection: HttpConnection, scheduler: usize) {
+    while let Some(request) = connection.read().await {
         let since = query_number(&request, "index");
         if let Some(since) = since {
             let wait = query_number(&request, "wait").unwrap_or(0).min(MAX_WAIT_MS);
             // A timeout is no error: the call is answered with or without a change.
             let _ = timeout(Duration::from_millis(wait), wait_for_change(&shared, since)).await;
         }
-        let (document, health) = {
+        let (document, response_mode) = {
             let mut state = shared.state();
             state.calls += 1;
-            (state.endpoints.document(scheduler, since).to_string(), state.health)
+            (state.endpoints.document(scheduler, since).to_string(), state.response_mode)
         };
-        let written = match health {
-            Health::Up => wire.answer(200, "", &document).await,
-            Health::Failing => wire.answer(503, "", "").await,
-            Health::Resetting => return wire.reset(),
-            Health::Unresponsive => return wire.wait_for_close().await,
-            Health::Truncating => {
+        let written = match response_mode {
+            ResponseMode::Normal => connection.answer(200, "", &document).await,
+            ResponseMode::Error => connection.answer(503, "", "").await,
+            ResponseMode::Reset => return connection.reset(),
+            ResponseMode::Silent => return connection.wait_for_close().await,
+            ResponseMode::Truncate => {
                 // A failed write needs no handling: the connection closes in either case.
-                let _ = write_half(&mut wire, &document).await;
+                let _ = write_half(&mut connection, &document).await;
                 return;
             }
         };
@@ -68,7 +68,7 @@
         changed.borrow_and_update();
         let wait_is_over = {
             let state = shared.state();
-            state.endpoints.version() != since || state.health != Health::Up
+            state.endpoints.version() != since || state.response_mode != ResponseMode::Normal
         };
         if wait_is_over || changed.changed().await.is_err() {
             return;
@@ -77,7 +77,7 @@
 }
 
 /// Writes an answer's head and the first half of its body.
-async fn write_half(wire: &mut Wire, document: &str) -> io::Result<()> {
+async fn write_half(connection: &mut HttpConnection, document: &str) -> io::Result<()> {
     let (length, first_half) = (document.len(), &document[..document.len() / 2]);
-    wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{first_half}")).await
+    connection.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{first_half}")).await
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,8 +1,8 @@
 //! One end of an HTTP/1.1 connection, implemented without an HTTP library so that a test can stop at any byte
 //! of a message.
 //!
-//! [`Wire`] owns the socket and the received bytes that follow the last message. It neither retries failed
-//! operations nor corrects invalid messages.
+//! [`HttpConnection`] owns the socket and the received bytes that follow the last message that was read. Failed
+//! operations are not retried, and invalid messages are not corrected.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The first line: the request line or the status line.
-    pub line: String,
+    pub start_line: String,
     /// Names and values of the headers; names in lower case, values as received.
     pub headers: Vec<(String, String)>,
     /// The body of the message.
@@ -33,12 +33,12 @@
 
     /// Returns the method of a request.
     pub fn method(&self) -> &str {
-        self.line.split(' ').next().unwrap_or_default()
+        self.start_line.split(' ').next().unwrap_or_default()
     }
 
     /// Returns the path and query of a request.
     pub fn target(&self) -> &str {
-        self.line.split(' ').nth(1).unwrap_or_default()
+        self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
     /// Returns the status code of an answer.
@@ -53,24 +53,24 @@
 }
 
 /// One end of an HTTP/1.1 connection.
-pub struct Wire {
+pub struct HttpConnection {
     stream: TcpStream,
     /// Received bytes that follow the last message that was read.
     received: Vec<u8>,
 }
 
-impl Wire {
+impl HttpConnection {
     /// Wraps a connection that the caller has accepted or made.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         // With the option, small writes do not wait for acknowledgements. A failure is ignored: it only makes
         // writes slower.
         let _ = stream.set_nodelay(true);
-        Wire { stream, received: Vec::new() }
+        HttpConnection { stream, received: Vec::new() }
     }
 
     /// Connects to an address.
-    pub async fn dial(address: SocketAddr) -> io::Result<Wire> {
-        TcpStream::connect(address).await.map(Wire::new)
+    pub async fn connect(address: SocketAddr) -> io::Result<HttpConnection> {
+        TcpStream::connect(address).await.map(HttpConnection::new)
     }
 
     /// Returns the socket, for operations that are not HTTP.
@@ -98,10 +98,10 @@
         let head: Vec<u8> = self.received.drain(..end).collect();
         let text = String::from_utf8(head).ok()?;
         let mut lines = text.trim_end().split("\r\n");
-        let line = lines.next()?.to_string();
+        let start_line = lines.next()?.to_string();
         let headers = lines.filter_map(|line| line.split_once(':'));
         let headers = headers.map(|(name, value)| (name.to_lowercase(), value.trim().to_string())).collect();
-        let message = Message { line, headers, body: Vec::new() };
+        let message = Message { start_line, headers, body: Vec::new() };
         let length = message.header("content-length").map_or(Some(0), |length| length.parse().ok())?;
         (length <= MAX_PART_BYTES).then_some((message, length))
     }
@@ -114,7 +114,7 @@
         Some(message)
     }
 
-    /// Reads the body of a message, after [`Wire::read_head`].
+    /// Reads the body of a message, after [`HttpConnection::read_head`].
     pub async fn read_body(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.received.len() < length {
             self.receive().await?;
@@ -158,7 +158,7 @@
         self.write(&format!("HTTP/1.1 {status} X\r\n{headers}content-length: {length}\r\n\r\n{body}")).await
     }
 
-    /// Resets the connection, as the end of a process can do.
+    /// Resets the connection, as happens when a process ends abruptly.
     pub fn reset(self) {
         let _ = self.stream.set_zero_linger();
     }
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// A pipelined request: the client sends this request before it has the response to an earlier one.
 const PIPELINED_REQUEST: &str =
@@ -28,7 +28,7 @@
 impl Disconnect {
     /// Disconnects, and waits until the kernel has registered the disconnect at the daemon's end of the
     /// connection.
-    async fn run(self, mut client: Wire) {
+    async fn run(self, mut client: HttpConnection) {
         let (client_address, daemon_address) = local_and_peer_addresses(&mut client);
         {
             let _lock = spawn_lock();
@@ -57,7 +57,7 @@
     #[values(true, false)] while_suspended: bool,
 ) {
     let mut harness = Harness::start(0).await;
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
     client.send(pipelined).await;
@@ -154,7 +154,7 @@
     harness.send_callback("00000000000000cd", number, "started").await;
     disconnect.run(client).await;
     let (_, mut worker) = harness.accept_worker_connection().await;
-    assert_eq!(worker.read().await.expect("a request").line, "DELETE /jobs/00000000000000cd HTTP/1.1");
+    assert_eq!(worker.read().await.expect("a request").start_line, "DELETE /jobs/00000000000000cd HTTP/1.1");
     drop(worker);
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -16,7 +16,7 @@
 use vetchbridge_scheduling::{
     EndpointState, EndpointUpdate, LoadReport, LoadReportSource, Outcome, RequestId, WorkerId,
 };
-use vetchbridge_testbed::{wire::Wire, Port};
+use vetchbridge_testbed::{wire::HttpConnection, Port};
 
 /// The time after which a hanging test fails. No test in this file measures time.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -45,8 +45,8 @@
         Fixture { group, listener, worker_id: worker_id("s-0") }
     }
 
-    async fn accept(&self) -> Wire {
-        Wire::new(self.listener.accept().await.expect("a connection").0)
+    async fn accept(&self) -> HttpConnection {
+        HttpConnection::new(self.listener.accept().await.expect("a connection").0)
     }
 
     /// Sends a probe. The worker responds with this status, these header lines and this body.
@@ -112,7 +112,7 @@
         let mut wire = fixture.accept().await;
         for body in ["{\"queue\":2}", "TEXT queue=3, x0=1"] {
             let probe = wire.read().await.expect("a probe");
-            assert_eq!(probe.line, "GET /stats HTTP/1.1");
+            assert_eq!(probe.start_line, "GET /stats HTTP/1.1");
             assert_eq!((probe.header("x-trace-id"), probe.body.len()), (None, 0));
             wire.answer(200, "", body).await.expect("the group reads the response");
         }
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::json;
 use tokio::net::TcpListener;
-use vetchbridge_testbed::wire::Wire;
+use vetchbridge_testbed::wire::HttpConnection;
 
 /// A worker receives the target, headers and body that the client sent. A callback may arrive before the 202,
 /// twice, or for an unknown attempt.
@@ -23,7 +23,7 @@
     client.post_request("/safe/a%2Fb?q=%20", headers, "some work").await;
     let (number, mut worker) = harness.accept_worker_connection().await;
     let job = worker.read().await.expect("the job");
-    assert_eq!(job.line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
+    assert_eq!(job.start_line, "POST /safe/a%2Fb?q=%20 HTTP/1.1");
     assert_eq!(job.header("x-trace-id"), Some("00000000000000ab"));
     assert_eq!(job.header("idempotency-key"), Some("5c0f"));
     assert!(job.header("x-expires-in").is_some_and(|remaining| remaining.ends_with('u')), "{job:?}");
@@ -76,7 +76,7 @@
         harness.send_callback(&id, number, "started").await;
     }
     drop(client);
-    let cancellation = worker.read().await.map(|call| call.line);
+    let cancellation = worker.read().await.map(|call| call.start_line);
     assert_eq!(cancellation, accepted.then(|| format!("DELETE /jobs/{id} HTTP/1.1")));
 }
 
@@ -108,10 +108,10 @@
     let mut harness = Harness::start(0).await;
     let (mut client, id) = harness.submit_job("safe", "k").await;
     let workers = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let mut watch = Wire::new(harness.discovery.accept().await.expect("the watch").0);
+    let mut watch = HttpConnection::new(harness.discovery.accept().await.expect("the watch").0);
     watch.read_target().await;
     watch.send_endpoints(5, json!([instance(0, workers.local_addr().expect("a bound socket"), "up")])).await;
-    let mut worker = Wire::new(workers.accept().await.expect("the job's connection").0);
+    let mut worker = HttpConnection::new(workers.accept().await.expect("the job's connection").0);
     worker.read().await.expect("the job");
     worker.send(ACCEPTED).await;
     harness.send_callback(&id, 0, "done").await;
