--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -390,7 +390,8 @@
     pub async fn serve_jobs_at_worker_0(&mut self, class: &str) {
         for key in 0..8 {
             let (mut client, id) = self.submit_job(class, &key.to_string()).await;
-            let mut worker = HttpConnection::new(self.workers[0].accept().await.expect("a connection to worker 0").0);
+            let mut worker =
+                HttpConnection::new(self.workers[0].accept().await.expect("a connection to worker 0").0);
             worker.read().await.expect("the job");
             // The worker closes the connection after each job, so that the next job needs a new connection.
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
@@ -407,7 +408,8 @@
         let (mut client, next_id) = self.submit_job("safe", "k").await;
         let mut reads = FuturesUnordered::new();
         loop {
-            let read_request = async |(number, mut wire): (usize, HttpConnection)| (number, wire.read().await, wire);
+            let read_request =
+                async |(number, mut wire): (usize, HttpConnection)| (number, wire.read().await, wire);
             let (number, request, mut wire) = tokio::select! {
                 dialled = self.accept_worker_connection() => {
                     reads.push(read_request(dialled));
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -62,8 +62,7 @@
     let [(_a, first), (_b, other_attempt), (_c, second)] = cancels;
     let (mut first, mut other_attempt) = (attempt(0xab, first), attempt(0xcd, other_attempt));
     assert!(
-        futures_util::poll!(&mut first).is_pending()
-            && futures_util::poll!(&mut other_attempt).is_pending()
+        futures_util::poll!(&mut first).is_pending() && futures_util::poll!(&mut other_attempt).is_pending()
     );
     assert_eq!(violation_count(), 0, "each request has one attempt at the worker");
     let mut second = attempt(0xab, second);
--- a/crates/vetchbridge/tests/shutdown.rs
+++ b/crates/vetchbridge/tests/shutdown.rs
@@ -116,6 +116,9 @@
     harness.send_callback(&id, number, "started").await;
     harness.daemon.signal("-TERM");
     assert_eq!(status(client.read().await.as_ref()), "503");
-    assert_eq!(worker.read().await.expect("the cancellation").start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
+    assert_eq!(
+        worker.read().await.expect("the cancellation").start_line,
+        format!("DELETE /jobs/{id} HTTP/1.1")
+    );
     assert!(harness.daemon.child.wait().expect("the daemon ends").success());
 }
