--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -13,7 +13,7 @@
 /// Maximum time by which a wait is shortened. One change makes the service answer the watches of all
 /// schedulers together; different waits keep the next calls of these schedulers from ending together.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_millis(800);
-/// Maximum time that the response to a watch call may take beyond its wait (docs/design/list-refresh.md).
+/// Maximum time that the response to a watch call may take beyond its wait (docs/design/endpoint-refresh.md).
 const WATCH_RESPONSE_MARGIN: Duration = Duration::from_secs(1);
 /// Maximum time for the response to a call that does not wait for a change. This limit is longer than the
 /// time for which the service queues a call: a call that is abandoned sooner may still cost the service the
