--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -1,9 +1,9 @@
 //! The engine: sole owner of the scheduler, its clock and its timers.
 //!
-//! Every event enters through [`Engine::handle`] or [`Engine::open_request`]. Every action that the scheduler
-//! returns is executed at once: the engine passes the action to the request, the upstream group, the endpoint
-//! watcher or the peer socket. Executing an action never waits, so that the lock is held only while one event
-//! is handled. The engine must never reject, drop or reorder an action.
+//! Every event for the scheduler enters through [`Engine::handle`] or [`Engine::open_request`]. Every action
+//! that the scheduler returns is executed at once: the engine passes the action to the request, the upstream
+//! group, the endpoint watcher or the peer socket. Executing an action never waits, so that the engine's lock
+//! is held only while one event is handled. The engine must never reject, drop or reorder an action.
 
 mod clock;
 mod timers;
@@ -31,17 +31,18 @@
     Send {
         /// The worker that the attempt is sent to.
         worker: WorkerId,
-        /// How long to wait for the attempt to end, in microseconds; `None` for as long as the client waits.
+        /// How long to wait for the attempt to end, in microseconds; `None` to wait until the request's
+        /// deadline.
         timeout: Option<Micros>,
     },
-    /// Cancels an attempt.
+    /// Cancels the attempt of the request that has this number.
     Cancel(AttemptNo),
-    /// Answers the client that the request is rejected.
+    /// Sends the client the final answer that the request is rejected.
     Reject {
         /// How long the client should wait before a retry, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// Answers the client that the request has failed.
+    /// Sends the client the final answer that the request has failed.
     Fail,
 }
 
@@ -49,23 +50,25 @@
 struct EngineState {
     scheduler: Scheduler,
     timers: TimerQueue,
-    /// The sender of commands to each open request.
+    /// For each open request, the sender of the scheduler's commands to the request's task.
     command_senders: HashMap<RequestId, UnboundedSender<RequestCommand>>,
-    /// The actions of the current event; kept between events to reuse the allocation.
+    /// The actions that the scheduler returned for the current event; the list is kept between events to
+    /// reuse its allocation.
     actions: Vec<Action>,
 }
 
-/// Runs the scheduler: passes events to it and executes its actions.
+/// Runs the scheduler: passes events to the scheduler and executes the actions that it returns.
 pub struct Engine {
     /// The scheduler's clock.
     pub clock: Clock,
     state: Mutex<EngineState>,
-    /// Notified when a timer is set that fires before all others.
+    /// Notified when a timer is set that fires before all other pending timers.
     earlier_timer: Notify,
     upstream: Arc<UpstreamGroup>,
     discovery_requests: UnboundedSender<DiscoveryRequest>,
     peer_messages: UnboundedSender<OutgoingMessage>,
-    /// A reference to this engine for the tasks of probes, which report their outcomes to the engine.
+    /// A reference to this engine for the tasks that probe workers, which report the probes' outcomes to the
+    /// engine.
     weak_self: Weak<Engine>,
 }
 
@@ -116,7 +119,7 @@
         Some(receiver)
     }
 
-    /// Removes the sender of a request's commands once the request's context has ended.
+    /// Removes the sender of a request's commands. The request's task calls this when it ends.
     pub fn close_request(&self, id: RequestId) {
         self.lock_state().command_senders.remove(&id);
     }
@@ -131,7 +134,8 @@
         self.lock_state().command_senders.len()
     }
 
-    /// Handles an event while the caller holds the lock on the state.
+    /// Passes one event to the scheduler and executes the resulting actions; the caller holds the lock on the
+    /// state.
     fn handle_locked(&self, state: &mut EngineState, event: Event) {
         let mut actions = std::mem::take(&mut state.actions);
         state.scheduler.handle(self.clock.now(), event, &mut actions);
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Makes one probe and returns the event that reports its outcome.
+    /// Probes a worker once and returns the event that reports the probe's outcome.
     async fn probe(&self, worker: WorkerId) -> Event {
         let sent_at = self.clock.now();
         let (outcome, load) = self.upstream.probe(worker).await;
@@ -198,7 +202,8 @@
         Event::Probed { worker, outcome, latency, load }
     }
 
-    /// Waits for each timer and passes it to the scheduler when it fires. Runs until the process ends.
+    /// Waits for the time of each pending timer and then passes the timer to the scheduler. Runs until the
+    /// process ends.
     pub async fn run_timers(self: Arc<Self>) {
         loop {
             let next_at = self.lock_state().timers.next_at();
--- a/crates/vetchbridge/src/engine/clock.rs
+++ b/crates/vetchbridge/src/engine/clock.rs
@@ -1,4 +1,4 @@
-//! The scheduler's clock.
+//! The scheduler's clock, which gives the time in microseconds.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
@@ -14,7 +14,7 @@
 }
 
 impl Clock {
-    /// Starts a clock at the current Unix time.
+    /// Starts a clock that shows the current Unix time.
     pub fn start() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start_instant: Instant::now(), start_time: since_epoch.as_micros() as Micros }
@@ -25,7 +25,7 @@
         self.start_time + self.start_instant.elapsed().as_micros() as Micros
     }
 
-    /// Returns the runtime's instant at which the clock shows `time`.
+    /// Returns the async runtime's instant at which this clock shows `time`; `time` is in microseconds.
     pub fn instant_at(&self, time: Micros) -> Instant {
         self.start_instant + Duration::from_micros(time.saturating_sub(self.start_time))
     }
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the engine with an upstream group and a scripted worker. They are unit tests, since the engine's
-//! execution of actions is private.
+//! Tests of the engine with an upstream group and a scripted worker. They are unit tests, since the functions
+//! of the engine that execute actions are private.
 
 use super::*;
 use crate::config::{file, read_text};
@@ -43,7 +43,7 @@
 }
 
 /// Timers fire in the order of their times, whatever the order in which they were set. Timers with equal
-/// times fire in the order of their tokens.
+/// times fire in the order of their token numbers.
 #[test]
 fn timers_fire_in_the_order_of_their_times() {
     let mut timers = TimerQueue::default();
--- a/crates/vetchbridge/src/engine/timers.rs
+++ b/crates/vetchbridge/src/engine/timers.rs
@@ -1,11 +1,11 @@
-//! The scheduler's pending timers.
+//! The scheduler's pending timers, which are the timers that have not fired yet.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use vetchbridge_scheduling::{Micros, TimerToken};
 
-/// One timer that has not fired. The fields are declared in the order by which timers are sorted: time, then
-/// token.
+/// One timer that has not fired yet. The order of the fields determines the order of timers: by time first,
+/// then by token.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PendingTimer {
     at: Micros,
@@ -17,19 +17,21 @@
 pub(super) struct TimerQueue(BinaryHeap<Reverse<PendingTimer>>);
 
 impl TimerQueue {
-    /// Adds a timer. Returns whether the timer fires before all others.
+    /// Adds a timer that fires at `at`, in microseconds of the scheduler's clock. Returns whether the timer
+    /// fires before all other pending timers.
     pub(super) fn add(&mut self, at: Micros, token: TimerToken) -> bool {
         let is_first = self.next_at().is_none_or(|first| at < first);
         self.0.push(Reverse(PendingTimer { at, token }));
         is_first
     }
 
-    /// Returns when the first timer fires.
+    /// Returns the time at which the earliest pending timer fires, in microseconds; `None` if no timer is
+    /// pending.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Removes the first timer and returns its token.
+    /// Removes the earliest pending timer and returns its token.
     pub(super) fn pop(&mut self) -> Option<TimerToken> {
         self.0.pop().map(|Reverse(timer)| timer.token)
     }
--- a/crates/vetchbridge/src/lib.rs
+++ b/crates/vetchbridge/src/lib.rs
@@ -2,11 +2,11 @@
 //! sockets, timers and signals. The decision module alone decides which worker gets a job, when a job is
 //! retried and what a client is told. [`serve::run`] runs the daemon.
 //!
-//! A module handles each kind of counterpart: [`clients`], [`workers`], [`discovery`], [`peers`] (the other
-//! schedulers), operators ([`admin`]), and the predecessor or successor of an [`upgrade`]. [`request`]
-//! carries one request from its arrival to its answer, [`engine`] passes events to the decision module and
-//! carries out its actions, and [`lifecycle`] defines the states of the process from its start to its
-//! shutdown.
+//! Each kind of counterpart of the daemon has its own module: [`clients`], [`workers`], [`discovery`],
+//! [`peers`] (the other schedulers), [`admin`] (operators), and [`upgrade`] (the predecessor or successor
+//! process of an upgrade). [`request`] carries one request from its arrival to its final answer, [`engine`]
+//! passes events to the decision module and carries out the returned actions, and [`lifecycle`] defines the
+//! states of the process from its start to its shutdown.
 
 #![deny(missing_docs)]
 
--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -1,8 +1,8 @@
-//! Datagrams between the schedulers of one tier.
+//! Sends and receives the datagrams between the schedulers of one deployment (a tier).
 //!
-//! This module owns the UDP socket while the daemon runs. Messages pass through unchanged; a datagram that is
-//! too long or comes from an unknown address is logged and dropped. The module itself never replies to a
-//! message and never resends one.
+//! This module owns the UDP socket for messages to other schedulers (peers) while the daemon runs. The
+//! content of messages passes through unchanged. A datagram that is too long or comes from an unknown address
+//! is logged and dropped. The module itself never replies to a message and never resends one.
 
 use crate::config::Peers;
 use crate::engine::Engine;
@@ -18,21 +18,21 @@
 
 /// Maximum length in bytes of a datagram between schedulers.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Size of the receive buffer in bytes. One byte more than the maximum makes a datagram that is too long
-/// detectable.
+/// Size in bytes of the receive buffer for peers' datagrams. One byte more than the maximum length makes a
+/// datagram that is too long detectable.
 const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
-/// A message that the scheduler sends to its peers.
+/// A message that this scheduler sends to one or all of its peers.
 #[derive(Debug)]
 pub struct OutgoingMessage {
     /// The peer or peers that receive the message.
     pub to: Recipient,
-    /// The encoded message.
+    /// The message in its encoded form, as sent in the datagram.
     pub data: Vec<u8>,
 }
 
-/// Prepares the socket and returns the task that sends and receives messages until the engine closes
-/// `outgoing`. While this process has a successor, the successor alone receives the peers' messages.
+/// Prepares the UDP socket and returns the task that sends and receives the peers' messages until the engine
+/// closes `outgoing`. While this process has a successor process, the successor alone receives messages.
 pub fn run(
     config: Peers,
     socket: std::net::UdpSocket,
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -1,7 +1,7 @@
 //! The life cycle of one request, from its submission to exactly one answer.
 //!
 //! Each request has its own task, which executes the decision module's commands for the request, owns the
-//! request's attempts and sends its answer. The task is independent of the protocol: the client server
+//! request's attempts and sends the final answer. The task is independent of the protocol: the client server
 //! creates the [`SubmittedRequest`] and renders the [`Answer`]. The task never chooses a worker, a delay or
 //! an answer by itself, and reports every event to the decision module through the engine.
 
@@ -32,22 +32,22 @@
     pub payload: Payload,
     /// The settings that were in force when the request was read; they apply until the request ends.
     pub settings: Arc<SettingsSnapshot>,
-    /// The request's share of the memory for bodies, released when the request ends; `None` if no memory was
-    /// reserved.
+    /// The request's reservation of the memory for request bodies, released when the request ends; `None` if
+    /// no memory was reserved.
     pub body_permit: Option<OwnedSemaphorePermit>,
 }
 
 /// The one final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A worker's result.
+    /// A worker has run the job; this is the job's result.
     Served(Bytes),
-    /// The request is rejected; a retry by the client is harmless.
+    /// The request is rejected. The client can retry the request safely.
     Rejected {
         /// How long the client should wait before a retry, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// The request failed; it may have run.
+    /// The request failed, and a worker may have run its job.
     Failed,
     /// The request's id belongs to another request that is still open.
     Duplicate,
@@ -67,9 +67,9 @@
 
 /// Submits a request to the decision module, and returns the receiver of the request's one final answer.
 ///
-/// The settings must not change between the reading of the request and this call. The request runs in its own
-/// task, since attempts may outlive the client's connection; dropping the receiver means that the client has
-/// disconnected.
+/// The caller must not let the settings change between the reading of the request and this call. The request
+/// runs in its own task, since attempts may outlive the client's connection. When the caller drops the
+/// receiver, the request is treated as one whose client has disconnected.
 pub fn submit(
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
@@ -109,7 +109,8 @@
     while context.answer_sender.is_some() || !in_flight.is_empty() {
         tokio::select! {
             biased;
-            // The client comes before the commands: no attempt may start once the client has disconnected.
+            // The client's disconnect is checked before the commands, since no attempt may start after the
+            // client has disconnected.
             () = client_disconnected(&mut context.answer_sender) => context.on_client_disconnected(),
             command = context.commands.recv() => match command {
                 Some(RequestCommand::Send { worker, timeout }) => {
@@ -121,7 +122,7 @@
                     context.conclude_unserved(Answer::Rejected { retry_after });
                 }
                 Some(RequestCommand::Fail) => context.conclude_unserved(Answer::Failed),
-                // Unreachable: the engine keeps the sender of the commands until `close_request`.
+                // Unreachable: the engine keeps the sender of the request's commands until `close_request`.
                 None => return,
             },
             Some(finished) = in_flight.next() => context.finish_attempt(finished, &upstream),
@@ -137,7 +138,7 @@
     }
 }
 
-/// The state of one open request. The request is registered with the engine until this context is dropped.
+/// The state of one open request. The request stays registered with the engine until this state is dropped.
 struct RequestContext {
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
@@ -148,18 +149,20 @@
     /// All attempts so far, indexed by attempt number.
     attempts: Vec<AttemptRecord>,
     commands: UnboundedReceiver<RequestCommand>,
-    /// The sender of the answer; present until the request is answered or its client disconnects.
+    /// The sender of the request's final answer; present until the request is answered or its client
+    /// disconnects.
     answer_sender: Option<oneshot::Sender<Answer>>,
-    /// Set once the request is answered or its client disconnects; shared with the attempts.
+    /// Set when the request is answered or its client disconnects; shared with the request's attempts.
     concluded: Arc<AtomicBool>,
     _body_permit: Option<OwnedSemaphorePermit>,
 }
 
 /// The record that a request keeps of one of its attempts.
 struct AttemptRecord {
-    /// The sender that cancels the attempt; present until the attempt is cancelled.
+    /// The sender of the signal that cancels the attempt; present until the attempt is cancelled.
     cancel: Option<oneshot::Sender<()>>,
-    /// When the attempt was sent; `None` once the attempt is known to have never run.
+    /// When the attempt was started, in microseconds of the engine's clock; `None` once the attempt is known
+    /// to have never run.
     may_have_run_since: Option<Micros>,
 }
 
@@ -230,9 +233,9 @@
     }
 
     /// Returns the time before which the first byte of an attempt must be written: the attempt's deadline or,
-    /// for a retry of a keyed job, the end of the deduplication window. The decision module checks the same
-    /// limits when it sends the attempt, but connecting may take until after them. Returns `sent_at`, so that
-    /// the attempt is not sent, for a retry of a non-idempotent job.
+    /// for a retry of a keyed job, the end of the deduplication window if that is earlier. The decision
+    /// module checks the same limits when it sends the attempt, but connecting to the worker may take until
+    /// after them. For a retry of a non-idempotent job, returns `sent_at`, so that the attempt is not sent.
     fn first_byte_deadline(&self, sent_at: Micros, deadline: Micros) -> Micros {
         let class = self.settings.settings.classes.get(self.class.0 as usize);
         let idempotency = class.map(|class| class.idempotency).unwrap_or_default();
@@ -256,13 +259,13 @@
     fn cancel_attempt(&mut self, number: AttemptNo) {
         let attempt = self.attempts.get_mut(number.0 as usize);
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
-            // Sending fails if the attempt has ended; nothing is left to cancel then.
+            // Sending the cancellation fails if the attempt has ended; nothing is left to cancel then.
             let _ = cancel.send(());
         }
     }
 
-    /// Answers the request if the attempt has a result, and reports the attempt's outcome to the decision
-    /// module.
+    /// Sends the final answer to the request if the attempt has a result, and reports the attempt's outcome
+    /// to the decision module.
     fn finish_attempt(&mut self, finished: FinishedAttempt, upstream: &UpstreamGroup) {
         let FinishedAttempt { number, worker, sent_at, result, load } = finished;
         let outcome = match result {
@@ -302,8 +305,8 @@
         self.engine.handle(Event::ClientDisconnected(self.id));
     }
 
-    /// Answers without a worker's result, and logs the number of attempts and the remaining time for
-    /// diagnosis.
+    /// Answers the request without a worker's result. For diagnosis, logs the number of attempts and the time
+    /// that remains until the request's deadline.
     fn conclude_unserved(&mut self, answer: Answer) {
         let may_have_run =
             self.attempts.iter().filter(|attempt| attempt.may_have_run_since.is_some()).count();
@@ -324,7 +327,7 @@
             self.concluded.store(true, Ordering::Relaxed);
             let class = self.settings.names.classes.get(self.class.0 as usize).map_or("", String::as_str);
             debug!(request = %HexRequestId(self.id), class, answer = answer.name(), "request.answered");
-            // Sending fails if the client has just disconnected; the answer is dropped then.
+            // Sending the answer fails if the client has just disconnected; the answer is dropped then.
             let _ = answer_sender.send(answer);
         }
     }
@@ -332,8 +335,8 @@
 
 impl Drop for RequestContext {
     fn drop(&mut self) {
-        // If the task is cancelled, the decision module must not wait for a request that no longer has a
-        // task.
+        // If the request's task is cancelled, the decision module is told that the client has disconnected,
+        // so that it does not wait for a request that no longer has a task.
         if let Some(answer_sender) = self.answer_sender.take() {
             if !answer_sender.is_closed() {
                 record_violation(
--- a/crates/vetchbridge/src/workers/attempt.rs
+++ b/crates/vetchbridge/src/workers/attempt.rs
@@ -27,7 +27,7 @@
     NotServed(Outcome),
 }
 
-/// An attempt's result, and the load report on the response or callback that ended the attempt.
+/// An attempt's result, and the worker's load report on the response or callback that ended the attempt.
 type AttemptEnd = (AttemptResult, Option<LoadReport>);
 
 /// The conditions under which an attempt is sent. They are checked again just before the attempt's first byte
@@ -50,8 +50,8 @@
 }
 
 impl UpstreamGroup {
-    /// Makes one attempt. Returns the attempt's result, and the load report on the response or callback that
-    /// ended the attempt.
+    /// Sends a request to a worker as one attempt, and waits until the attempt ends. Returns the attempt's
+    /// result, and the worker's load report on the response or callback that ended the attempt.
     pub async fn attempt(
         &self,
         request: RequestId,
@@ -62,7 +62,8 @@
         on_progress: impl Fn(JobProgress),
     ) -> (AttemptResult, Option<LoadReport>) {
         let Some(worker) = self.worker(worker_id) else { return not_served(Outcome::ConnectFailed) };
-        // Subscribes before the first byte is written, since a callback may arrive before the 202.
+        // Subscribes to the worker's callbacks before the attempt's first byte is written, since a callback
+        // may arrive before the worker's 202 response.
         let subscription = self.callbacks.subscribe(request, worker_id);
         let SendConditions { timeout, first_byte_timeout, concluded } = conditions;
         let first_byte_deadline = Instant::now() + first_byte_timeout.min(timeout);
@@ -89,7 +90,8 @@
                     attempt.on_response(response)
                 }
                 () = &mut accept_timed_out, if attempt.phase != Phase::Accepted => {
-                    // Returning drops the exchange and closes its connection, which cancels the job.
+                    // Returning from this function drops the exchange and closes its connection, which makes
+                    // the worker cancel the job.
                     Some(not_served(Outcome::NoResponse))
                 }
                 () = &mut timed_out => Some(attempt.time_out()),
@@ -101,8 +103,8 @@
     }
 }
 
-/// Resolves once the accept timeout has passed since the worker was connected. A responsive worker accepts or
-/// rejects a job at once.
+/// Resolves when the accept timeout, plus the connection's reuse delay, has passed since the attempt got a
+/// connection to the worker. A responsive worker accepts or rejects a job at once.
 fn accept_timed_out(
     progress: &ExchangeProgress,
     accept_timeout: Duration,
@@ -122,17 +124,18 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// The worker is available, or its availability has not been checked yet. If the worker becomes
-    /// unavailable before the request's first byte is written, the attempt ends without sending the request.
+    /// unavailable before the attempt's first byte is written, the attempt ends without being sent.
     Writing,
-    /// The worker became unavailable after the request's first byte was written. The attempt continues, and
-    /// the worker's availability no longer matters.
+    /// The worker became unavailable after the attempt's first byte was written. The attempt continues, and
+    /// later changes of the worker's availability are ignored.
     AwaitingResponse,
     /// The worker has accepted the job, and reports on it by callbacks.
     Accepted,
 }
 
-/// An attempt in flight. `response` is declared, and so dropped, before `subscription`: callbacks can still
-/// be dispatched to the attempt until its connection is closed.
+/// An attempt in flight. The field `response` is declared, and so dropped, before `subscription`: dropping
+/// `response` closes the attempt's connection, and until then the worker's callbacks can still be dispatched
+/// to the attempt.
 struct Attempt<'a> {
     group: &'a UpstreamGroup,
     worker: &'a Worker,
@@ -158,12 +161,13 @@
         Attempt { group, worker, payload, permission, phase, progress, response, subscription }
     }
 
-    /// Whether the worker may have received a part of the request.
+    /// Whether the worker may have received at least the first byte of the attempt.
     fn may_have_reached_worker(&self) -> bool {
         self.phase == Phase::Accepted || self.progress.first_byte_written()
     }
 
-    /// Cancels the job if the worker has accepted it. Before that, dropping the exchange cancels the job.
+    /// Cancels the job at the worker if the worker has accepted the job. A job that is not accepted yet is
+    /// cancelled by dropping the attempt's exchange.
     fn cancel_job(&self) {
         if self.phase == Phase::Accepted {
             self.worker.cancel_job(&self.payload.id);
@@ -195,7 +199,8 @@
 
     fn on_response(&mut self, response: Result<WorkerResponse, ExchangeError>) -> Option<AttemptEnd> {
         match response {
-            // The worker accepts the job by the head of its response; the body may never end.
+            // The worker accepts the job by the head of its response. The attempt does not wait for the body,
+            // which may never end.
             Ok(response) if response.status == StatusCode::ACCEPTED => {
                 debug!(request = self.payload.id, worker = self.worker.name, "attempt.accepted");
                 self.phase = Phase::Accepted;
@@ -218,7 +223,7 @@
 
     fn on_callback(&mut self, callback: Callback, on_progress: impl Fn(JobProgress)) -> Option<AttemptEnd> {
         let state = callback.state;
-        // A result is valid for the request even if an earlier attempt produced it.
+        // A job's result is valid for the request even if an earlier attempt of the request produced it.
         if state != CallbackState::Done && self.is_from_earlier_attempt(state) {
             debug!(
                 request = self.payload.id,
@@ -252,16 +257,17 @@
         Some((result, self.group.load_report_settings().report_from_response(load)))
     }
 
-    /// Whether a callback must be about an earlier attempt: the request of this attempt is not fully written,
-    /// or a callback in the same state has recently ended an earlier attempt at this worker and may be
-    /// retried now.
+    /// Whether a callback with this job state must be about an earlier attempt at the same worker. That is so
+    /// if this attempt is not accepted and either its request is not fully written, or a callback with the
+    /// same state has recently ended an earlier attempt, so that the worker may be retrying the earlier
+    /// callback.
     fn is_from_earlier_attempt(&self, state: CallbackState) -> bool {
         self.phase != Phase::Accepted
             && (!self.progress.last_byte_written() || self.subscription.ended_earlier_attempt(state))
     }
 
-    /// Marks the job as accepted when a callback arrives before the 202 has been read. The 202 is read in the
-    /// background, so that the connection can be reused.
+    /// Marks the job as accepted when a callback about the job arrives before the worker's 202 response has
+    /// been read. The 202 is read in the background, so that the connection can be reused.
     fn accept_by_callback(&mut self) {
         let response = std::mem::replace(&mut self.response, Box::pin(std::future::pending()));
         finish_in_background(response);
@@ -269,7 +275,7 @@
     }
 }
 
-/// Returns the outcome of an attempt that the worker did not accept.
+/// Returns the outcome of an attempt to which the worker responded with a status other than 202.
 fn response_outcome(response: &WorkerResponse) -> Outcome {
     if response.job_never_ran() {
         Outcome::Rejected
@@ -280,8 +286,8 @@
     }
 }
 
-/// Whether a status means that the request itself is invalid; 408 and 429 are about the worker's time and
-/// load.
+/// Whether a worker's response status means that the request itself is invalid. The statuses 408 and 429 are
+/// about the worker's time and load instead.
 fn is_invalid_request(status: StatusCode) -> bool {
     status.is_client_error()
         && status != StatusCode::REQUEST_TIMEOUT
--- a/crates/vetchbridge/src/workers/attempt/tests.rs
+++ b/crates/vetchbridge/src/workers/attempt/tests.rs
@@ -6,8 +6,8 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// A worker may start to drain while an attempt still dials it; the job must not be written to the worker
-/// then.
+/// A worker may start to drain while an attempt is still connecting to the worker. The job must not be
+/// written to the worker then.
 #[tokio::test]
 async fn an_attempt_that_is_dialling_when_its_worker_drains_is_never_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -25,7 +25,8 @@
     let conditions = SendConditions::with_timeout(MINUTE);
     let attempt = group.attempt(RequestId(0xab), worker_id, &payload, conditions, cancelled, |_| {});
     tokio::pin!(attempt);
-    // The first poll starts the dial, which cannot end before the runtime polls its sockets.
+    // The first poll of the attempt starts to open the connection, which cannot complete before the runtime
+    // polls its sockets.
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
     update(EndpointState::Draining);
     let written = async {
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -1,8 +1,8 @@
 //! Callbacks of workers, and their dispatch to the attempts that wait for them.
 //!
-//! Each attempt owns a [`CallbackSubscription`]; dropping the subscription ends it. A callback without a
-//! subscriber is not stored. For [`CALLBACK_RETRY_WINDOW`] the router remembers which callbacks ended an
-//! attempt without a result.
+//! Each attempt owns a [`CallbackSubscription`]; dropping the value unsubscribes the attempt. A callback
+//! without a subscriber is not stored. For [`CALLBACK_RETRY_WINDOW`] the router remembers which callbacks
+//! ended an attempt without a result.
 
 use super::{lock_ignoring_poison, parse_request_id, worker_id};
 use crate::invariants::{record_violation, Invariant};
@@ -19,20 +19,21 @@
 /// How long after the end of an attempt its worker may still retry the callback that ended the attempt.
 const CALLBACK_RETRY_WINDOW: Duration = Duration::from_secs(2);
 
-/// A worker's report about a job. Workers send callbacks to the address that clients use.
+/// A worker's report about the progress or the end of a job. Workers send callbacks to the address that
+/// clients use.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Callback {
-    /// The id of the request.
+    /// The id of the request that the job belongs to.
     pub id: String,
-    /// The name of the worker in the endpoint list.
+    /// The name in the endpoint list of the worker that sends the callback.
     #[serde(rename = "from")]
     pub worker: String,
     /// The state of the job.
     pub state: CallbackState,
-    /// The fraction of the job that is done.
+    /// The fraction of the job that is done; used only while the job is running.
     #[serde(default, rename = "share")]
     pub fraction: f64,
-    /// The result of the job.
+    /// The result of the job; used only if the job is done.
     #[serde(default)]
     pub result: String,
     /// The worker's load report, unparsed: a malformed report must not invalidate the callback.
@@ -87,7 +88,8 @@
 pub(super) struct CallbackSubscription {
     router: Arc<Mutex<RouterState>>,
     key: AttemptKey,
-    /// The states in callbacks that recently ended earlier attempts of this request at the same worker.
+    /// The job states in the callbacks that recently ended earlier attempts of this request at the same
+    /// worker.
     earlier_end_states: Vec<CallbackState>,
     /// The callbacks about this attempt, in the order of their arrival.
     pub(super) callbacks: UnboundedReceiver<Callback>,
@@ -100,13 +102,14 @@
 }
 
 impl CallbackSubscription {
-    /// Whether a callback in this state has recently ended an earlier attempt of this request at the same
-    /// worker. If so, a new callback in this state may be a retry of the earlier callback.
+    /// Whether a callback with this job state has recently ended an earlier attempt of this request at the
+    /// same worker. If so, a new callback with this state may be a retry of the earlier callback.
     pub(super) fn ended_earlier_attempt(&self, state: CallbackState) -> bool {
         self.earlier_end_states.contains(&state)
     }
 
-    /// Records the state in the callback that ended this attempt, for a later attempt at the same worker.
+    /// Records the job state in the callback that ended this attempt, so that a later attempt at the same
+    /// worker can recognise a retry of the callback.
     pub(super) fn record_end_state(&self, state: CallbackState) {
         let ended = EndedAttempt { ended_at: Instant::now(), key: self.key, state };
         lock_ignoring_poison(&self.router).ended.push_back(ended);
@@ -114,7 +117,7 @@
 }
 
 impl CallbackRouter {
-    /// Subscribes an attempt to its callbacks.
+    /// Subscribes an attempt of a request to the callbacks from this worker about the request.
     pub(super) fn subscribe(&self, request: RequestId, worker: WorkerId) -> CallbackSubscription {
         let key = AttemptKey { request, worker };
         let (sender, callbacks) = unbounded_channel();
@@ -139,7 +142,8 @@
     }
 
     /// Dispatches a callback to the attempt that the callback is about. Returns false if no such attempt is
-    /// in flight. A callback with a malformed request id is logged and dropped; the result is then true.
+    /// in flight in this process. Returns true for a callback with a malformed request id, which is logged
+    /// and dropped.
     pub(super) fn dispatch(&self, callback: &Callback) -> bool {
         let Some(request) = parse_request_id(&callback.id) else {
             warn!(worker = callback.worker, "callback.malformed");
@@ -148,7 +152,7 @@
         let key = AttemptKey { request, worker: worker_id(&callback.worker) };
         let state = lock_ignoring_poison(&self.0);
         let Some(subscriber) = state.subscribers.get(&key) else { return false };
-        // Sending fails only if the attempt is ending; the callback is dropped then.
+        // Sending to the attempt fails only if the attempt is ending; the callback is dropped then.
         drop(subscriber.send(callback.clone()));
         true
     }
--- a/crates/vetchbridge/src/workers/client.rs
+++ b/crates/vetchbridge/src/workers/client.rs
@@ -1,6 +1,6 @@
 //! The HTTP client of one worker, with its pool of connections.
 //!
-//! The upstream group chooses the workers whose idle connections are closed.
+//! The upstream group decides for which workers idle connections are closed.
 
 use super::connection_count::ConnectionCount;
 use super::dial::Dialer;
@@ -12,11 +12,11 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::Instant;
 
-/// The maximum number of idle connections kept for one worker. A few suffice, since a job occupies a
-/// connection only until the worker's 202.
+/// The maximum number of idle connections that the pool keeps for one worker. A few suffice, since a job
+/// occupies a connection only until the worker responds with 202.
 const MAX_IDLE_PER_WORKER: usize = 8;
 
-/// An HTTP client whose connections are counted.
+/// An HTTP client whose connections are registered with a [`ConnectionCount`].
 pub(super) type HttpClient = Client<Dialer, Full<Bytes>>;
 
 /// The HTTP client of one worker. Dropping the client closes the idle connections of its pool.
@@ -27,12 +27,13 @@
 }
 
 impl WorkerClient {
-    /// Creates a client without connections. `total_count` counts the connections to all workers.
+    /// Creates a worker's client without connections. `total_count` counts the connections to all workers.
     pub(super) fn new(timeouts: Timeouts, total_count: ConnectionCount) -> WorkerClient {
         let connector = Connector::new(Some(timeouts.dial).filter(|timeout| !timeout.is_zero()));
         let connection_count = ConnectionCount::default();
         let http = Client::builder(TokioExecutor::new())
-            // Only the decision module retries: it must know of every attempt.
+            // The HTTP client must not retry by itself: only the decision module retries, and it must know of
+            // every attempt.
             .retry_canceled_requests(false)
             .pool_idle_timeout(timeouts.idle)
             .pool_max_idle_per_host(MAX_IDLE_PER_WORKER)
@@ -41,7 +42,7 @@
         WorkerClient { http, connection_count, last_used: Instant::now() }
     }
 
-    /// Returns the HTTP client for one request, and records the time of its use.
+    /// Returns the HTTP client for one request, and records the current time as its last use.
     pub(super) fn for_request(&mut self) -> HttpClient {
         self.last_used = Instant::now();
         self.http.clone()
@@ -52,7 +53,8 @@
         self.connection_count.get()
     }
 
-    /// Returns when this client was last used for a request, or was created.
+    /// Returns when this client was last used for a request; if it was never used, when the client was
+    /// created.
     pub(super) fn last_used(&self) -> Instant {
         self.last_used
     }
--- a/crates/vetchbridge/src/workers/connection.rs
+++ b/crates/vetchbridge/src/workers/connection.rs
@@ -1,8 +1,8 @@
 //! A connection to a worker, and the meter that counts the bytes written to the connection.
 //!
-//! The meter shows whether a request was written completely and so may have run. The connection checks the
-//! send permission before the first byte of each request, and delays that byte until [`REUSE_DELAY`] has
-//! passed since the last response.
+//! The meter shows whether a request was written completely, since the worker may have run only such a
+//! request. The connection checks the send permission before the first byte of each request, and delays that
+//! byte until [`REUSE_DELAY`] has passed since the connection last received bytes.
 
 use super::connection_count::ConnectionGuard;
 use super::expiry::ExpiryHeader;
@@ -23,8 +23,9 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 use tracing::debug;
 
-/// How long a connection is not reused after a response. The delay detects a worker that responds twice,
-/// whose second response would otherwise be taken for the response to the next request.
+/// How long a connection waits after a worker's response before the next request is written. The delay
+/// detects a worker that responds twice, whose second response would otherwise be taken for the response to
+/// the next request.
 pub(super) const REUSE_DELAY: Duration = Duration::from_millis(20);
 
 /// Counts the bytes written to a connection, and stores the send permission and the expiry header of the
@@ -35,12 +36,13 @@
 #[derive(Default)]
 struct MeterState {
     bytes_written: u64,
-    /// The part of `bytes_written` that belongs to earlier exchanges.
+    /// The number of bytes in `bytes_written` that belong to earlier exchanges.
     bytes_before_exchange: u64,
-    /// The permission of the current exchange; present until the first byte of the exchange is written.
+    /// The permission to write the current exchange's request; present until the request's first byte is
+    /// written.
     permission: Option<SendPermission>,
     expiry: Option<ExpiryHeader>,
-    /// Whether any further write fails.
+    /// Whether the connection is closed for writing, so that any further write fails.
     closed: bool,
     /// When bytes were last read from the connection.
     last_read: Option<Instant>,
@@ -49,8 +51,8 @@
 impl WriteMeter {
     /// Starts an exchange whose request has been handed to this connection and is not written yet.
     ///
-    /// The runtime has one thread, and the connection's own task does the writing: no byte is written between
-    /// the handover of the request and this call.
+    /// No byte of the request is written between its handover to the connection and this call: the runtime
+    /// has one thread, and the connection's own task does the writing.
     pub(super) fn begin_exchange(&self, permission: SendPermission, expiry: Option<ExpiryHeader>) {
         let state = &mut *lock_ignoring_poison(&self.0);
         state.bytes_before_exchange = state.bytes_written;
@@ -63,7 +65,7 @@
         lock_ignoring_poison(&self.0).exchange_bytes()
     }
 
-    /// Makes any further write fail, which ends the connection.
+    /// Makes any further write to the connection fail, which ends the connection.
     pub(super) fn close(&self) {
         lock_ignoring_poison(&self.0).closed = true;
     }
@@ -76,7 +78,8 @@
         state.expiry.as_mut()?.replace_value(position as usize, pieces)
     }
 
-    /// Counts the bytes of a write; the first byte of an exchange uses up its send permission.
+    /// Counts the bytes of a write to the connection. The write of an exchange's first byte removes the
+    /// exchange's send permission.
     fn record_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &result {
             let state = &mut *lock_ignoring_poison(&self.0);
@@ -103,13 +106,13 @@
 }
 
 impl WorkerConnection {
-    /// Creates a connection that stays counted for as long as it holds these guards.
+    /// Creates a connection that stays counted in the connection counts for as long as it holds these guards.
     pub(super) fn new(io: TokioIo<RetryingStream>, guards: [ConnectionGuard; 2]) -> WorkerConnection {
         WorkerConnection { io, meter: WriteMeter::default(), reuse_delay: None, _guards: guards }
     }
 
-    /// Resolves once bytes may be written. An error before a request's first byte means that no byte of the
-    /// request was written.
+    /// Resolves when bytes may be written to the connection. An error before a request's first byte means
+    /// that no byte of the request was written.
     fn poll_write_permission(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let reusable_at = {
             let state = lock_ignoring_poison(&self.meter.0);
@@ -123,7 +126,7 @@
         Poll::Ready(self.check_first_byte())
     }
 
-    /// Resolves once the connection may be reused.
+    /// Resolves when the connection may be reused for another request, which is not before `reusable_at`.
     fn poll_reuse_delay(&mut self, reusable_at: Option<Instant>, cx: &mut Context<'_>) -> Poll<()> {
         let must_wait = |at: &Instant| self.reuse_delay.is_none() && Instant::now() < *at;
         if let Some(reusable_at) = reusable_at.filter(must_wait) {
@@ -136,9 +139,11 @@
         Poll::Ready(())
     }
 
-    /// Checks that the connection has no unread bytes and has not ended, and that the request may be sent.
+    /// Checks directly before a request's first byte that the worker has sent no unread bytes and has not
+    /// closed the connection, and that the request may still be sent.
     fn check_first_byte(&self) -> io::Result<()> {
-        // Asks the kernel, since the runtime knows only the socket's state at its last poll of all sockets.
+        // Asks the kernel about unread bytes, since the runtime knows only the socket's state at its last
+        // poll of all sockets.
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         let received = retry_on_intr(|| recv(self.io.inner(), &mut [0; 1], flags));
         let is_quiet = received == Err(Errno::AGAIN);
@@ -175,8 +180,8 @@
         if read.is_ready() {
             let state = &mut *lock_ignoring_poison(&self.meter.0);
             if state.permission.is_some() {
-                // Bytes that arrive before the request is written, or the end of the connection, must not be
-                // taken for the response to the request.
+                // Bytes that arrive before the request is written must not be taken for the response to the
+                // request, and neither must the end of the connection.
                 state.closed = true;
                 return Poll::Ready(Err(connection_aborted()));
             }
--- a/crates/vetchbridge/src/workers/connection_count.rs
+++ b/crates/vetchbridge/src/workers/connection_count.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// A counter of the connections that are open now; clones share the counter.
+/// A counter of the connections that are currently open. Clones of the counter share its value.
 #[derive(Clone, Default)]
 pub struct ConnectionCount(Arc<AtomicUsize>);
 
@@ -11,13 +11,13 @@
 pub struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// Counts one more connection until the returned guard is dropped.
+    /// Counts one more connection as open until the returned guard is dropped.
     pub fn register(&self) -> ConnectionGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
         ConnectionGuard(self.0.clone())
     }
 
-    /// Returns the number of connections counted now.
+    /// Returns the number of connections that are currently counted.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/vetchbridge/src/workers/dial.rs
+++ b/crates/vetchbridge/src/workers/dial.rs
@@ -1,4 +1,4 @@
-//! Dials connections to workers. Each connection is counted from the start of its dial.
+//! Opens connections to workers (dials them). Each connection is counted as open from the start of its dial.
 
 use super::connection::WorkerConnection;
 use super::connection_count::ConnectionCount;
@@ -9,11 +9,11 @@
 use std::task::{Context, Poll};
 use tower_service::Service;
 
-/// Dials workers for an HTTP client.
+/// Opens the connections of one worker's HTTP client.
 #[derive(Clone)]
 pub(super) struct Dialer {
     connector: Connector,
-    /// The count of all connections, and the count of the connections to this worker.
+    /// The count of the connections to all workers, and the count of the connections to this worker.
     counts: [ConnectionCount; 2],
 }
 
--- a/crates/vetchbridge/src/workers/endpoint.rs
+++ b/crates/vetchbridge/src/workers/endpoint.rs
@@ -15,9 +15,9 @@
     pub name: &'a str,
     /// The worker's host and port.
     pub address: &'a str,
-    /// The worker's state.
+    /// The worker's state: whether it accepts jobs, is draining or was removed.
     pub state: EndpointState,
-    /// When the worker's process last started, in microseconds of Unix time; 0 if the process started long
+    /// When the worker's process last started, in microseconds of Unix time; 0 if that is unknown or long
     /// ago.
     pub started_at: Micros,
 }
@@ -27,14 +27,14 @@
     pub(super) name: String,
     pub(super) address: Authority,
     pub(super) client: Mutex<WorkerClient>,
-    /// When the process started, in microseconds of Unix time by the wall clock of another machine; 0 if the
-    /// process started long ago.
+    /// When the worker's process started, in microseconds of Unix time, read from the wall clock of another
+    /// machine; 0 if that is unknown or long ago.
     started_at: Micros,
     pub(super) availability: watch::Sender<Availability>,
 }
 
 impl Worker {
-    /// Creates the worker of an endpoint, at the endpoint's parsed address.
+    /// Creates a worker from an entry of the endpoint list and the parsed address of that entry.
     pub(super) fn new(endpoint: &WorkerEndpoint<'_>, address: Authority, client: WorkerClient) -> Worker {
         Worker {
             name: endpoint.name.to_string(),
@@ -45,11 +45,12 @@
         }
     }
 
-    /// Whether an endpoint describes this worker process rather than a newer one of the same name.
+    /// Whether an entry of the endpoint list describes this worker process rather than a newer process with
+    /// the worker's name.
     ///
     /// Start times are compared for equality only, since the wall clock that they were read from may have
-    /// been stepped. The start time of an endpoint that is not ready is ignored, since it may come from an
-    /// older list.
+    /// been stepped. The start time of an entry whose state is not ready is ignored, since such an entry may
+    /// come from an older endpoint list.
     pub(super) fn is_same_process(&self, endpoint: &WorkerEndpoint<'_>, address: &Authority) -> bool {
         let same_start = self.started_at == endpoint.started_at
             || endpoint.started_at == 0
@@ -65,12 +66,12 @@
     Ready,
     /// The worker is draining or was removed.
     Draining,
-    /// Another process uses the worker's name now, so that decisions made for this process are void.
+    /// Another process has taken over the worker's name, so that decisions made for this process are void.
     Replaced,
 }
 
 impl Availability {
-    /// Returns the availability of a worker in this state.
+    /// Returns the availability of a worker that has this state in the endpoint list.
     pub(super) fn from_state(state: EndpointState) -> Availability {
         if state == EndpointState::Ready {
             Availability::Ready
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Returns the outcome of an attempt of which no byte has been written; `None` while the worker is ready.
+    /// Returns the outcome of an attempt if no byte of it has been written to the worker; `None` while the
+    /// worker is ready.
     pub(super) fn outcome_if_unwritten(self) -> Option<Outcome> {
         match self {
             Availability::Ready => None,
@@ -89,8 +91,8 @@
     }
 }
 
-/// Resolves once requests may no longer be written to a worker. Returns the outcome of an attempt of which no
-/// byte has been written.
+/// Resolves when requests may no longer be written to a worker. Returns the outcome of an attempt of which no
+/// byte has been written to the worker.
 pub(super) async fn wait_until_unavailable(availability: &mut watch::Receiver<Availability>) -> Outcome {
     // The sender is a part of the worker, to which the caller holds a reference, so the wait cannot fail.
     match availability.wait_for(|current| *current != Availability::Ready).await {
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -1,7 +1,7 @@
 //! One HTTP exchange with a worker: writes the request, reads the response, and classifies a failure by
 //! whether the worker can have received the whole request.
 //!
-//! The modules `attempt` and `probe` interpret the response.
+//! The modules `attempt` and `probe` interpret the worker's response.
 
 use super::client::HttpClient;
 use super::connection::WriteMeter;
@@ -26,23 +26,23 @@
     /// The connection failed before the request's last byte was written: the worker has not run the request.
     #[error("the connection failed before the request was written")]
     RequestIncomplete,
-    /// The connection failed after the request's last byte, or at an unknown point: the worker may have run
-    /// the request.
+    /// The connection failed after the request's last byte was written, or at an unknown point: the worker
+    /// may have run the request.
     #[error("the connection failed before the response was read")]
     ResponseMissing,
 }
 
-/// Resolves to the response of an exchange once the response's head has been read.
+/// Resolves to the worker's response when the head of the response has been read.
 pub(super) type ResponseFuture = Pin<Box<dyn Future<Output = Result<WorkerResponse, ExchangeError>> + Send>>;
 
-/// A request in flight to a worker. Dropping `response` closes the connection.
+/// A request in flight to a worker. Dropping `response` before it has resolved closes the connection.
 pub(super) struct Exchange {
     pub(super) progress: ExchangeProgress,
     pub(super) response: ResponseFuture,
 }
 
-/// Reports how much of a request has been written. Valid until the response arrives, since the connection may
-/// carry another request after the response.
+/// Reports how much of a request has been written to its connection. The report is valid only until the
+/// response arrives, since the connection may carry another request afterwards.
 pub(super) struct ExchangeProgress {
     connection: CaptureConnection,
     request_length: u64,
@@ -54,18 +54,18 @@
         self.connection.connection_metadata().is_some()
     }
 
-    /// Resolves once the request has been assigned a connection.
+    /// Resolves when the request has been assigned a connection.
     pub(super) fn wait_for_connection(&self) -> impl Future<Output = ()> + use<> {
         let mut connection = self.connection.clone();
         async move { drop(connection.wait_for_connection_metadata().await) }
     }
 
-    /// Whether the request's first byte has been written.
+    /// Whether the request's first byte has been written to the connection.
     pub(super) fn first_byte_written(&self) -> bool {
         write_meter(&self.connection).is_some_and(|meter| meter.exchange_bytes() > 0)
     }
 
-    /// Whether the request's last byte has been written.
+    /// Whether the request's last byte has been written to the connection.
     pub(super) fn last_byte_written(&self) -> bool {
         write_meter(&self.connection).is_some_and(|meter| meter.exchange_bytes() >= self.request_length)
     }
@@ -78,8 +78,8 @@
     extensions.remove::<WriteMeter>()
 }
 
-/// Closes the connection of a request when dropped before the response has arrived, so that no further byte
-/// is written of a request that nobody waits for.
+/// Closes the connection of a request if this value is dropped before the worker's response has arrived, so
+/// that no further byte of the request is written when nobody waits for the response.
 struct AbortOnDrop(Option<WriteMeter>);
 
 impl Drop for AbortOnDrop {
@@ -101,8 +101,8 @@
 }
 
 impl RequestSender {
-    /// Writes the request, if it is still permitted once it has a connection, and reads the head of the
-    /// response.
+    /// Writes the request to its connection, provided that the send permission still holds when the
+    /// connection is ready, and reads the head of the worker's response.
     fn send(mut self, request: Request<Full<Bytes>>) -> ResponseFuture {
         Box::pin(async move {
             let (mut abort_on_drop, mut permission) = (AbortOnDrop(None), Some(self.permission));
@@ -146,8 +146,8 @@
 }
 
 impl Worker {
-    /// Starts an exchange with this worker; the request is written only if `permission` allows it at the
-    /// first byte.
+    /// Starts an exchange with this worker. The request is written only if `permission` still holds directly
+    /// before the first byte.
     pub(super) fn exchange(&self, request: &WorkerRequest<'_>, permission: SendPermission) -> Exchange {
         let mut http_request = request.to_http(&self.address);
         let request_length = request_length(&http_request);
@@ -161,8 +161,8 @@
         Exchange { progress, response: sender.send(http_request) }
     }
 
-    /// Cancels a job that the worker has accepted. An attempt that is not accepted is cancelled by dropping
-    /// its exchange.
+    /// Asks the worker to cancel a job that it has accepted. An attempt that the worker has not accepted is
+    /// cancelled by dropping its exchange instead.
     pub(super) fn cancel_job(&self, id: &str) {
         // A request id is 16 hexadecimal digits, so parsing the path cannot fail.
         let Ok(path) = format!("/jobs/{id}").parse() else { return };
@@ -171,8 +171,8 @@
     }
 }
 
-/// Completes an exchange in the background although nobody waits for the response, so that its connection can
-/// be reused.
+/// Completes an exchange in the background when nobody waits for the worker's response, so that the
+/// connection can be reused.
 pub(super) fn finish_in_background(response: ResponseFuture) {
     tokio::spawn(timeout(BACKGROUND_READ_TIMEOUT, async { response.await.map(WorkerResponse::drain_body) }));
 }
--- a/crates/vetchbridge/src/workers/expiry.rs
+++ b/crates/vetchbridge/src/workers/expiry.rs
@@ -1,8 +1,8 @@
 //! The header that tells a worker how long the daemon waits for its response.
 //!
-//! The header is set when the request is built. Since connecting may take long, the value is replaced by the
-//! remaining time when the first byte is written. The replacement keeps the length of the request, so that
-//! the count of its bytes remains valid.
+//! The header is set when the request is built. Since connecting to the worker may take long, the header's
+//! value is replaced by the remaining time when the request's first byte is written. The replacement keeps
+//! the length of the request, so that the byte count of the request remains valid.
 
 use hyper::header::HeaderName;
 use hyper::Request;
@@ -10,14 +10,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How many bytes of a request are copied at most to replace the header's value. A request of up to this
-/// length is written in one call.
+/// Maximum number of bytes of a request that are copied to replace the header's value. A request of up to
+/// this length is written to the connection in one call.
 const MAX_COPIED_BYTES: usize = 8 * 1024;
 
 /// The name of the expiry header.
 pub(super) const EXPIRES_IN_HEADER: &str = "x-expires-in";
 
-/// Returns the header's value for a timeout: the number of microseconds, followed by `u`.
+/// Returns the expiry header's value for a timeout: the timeout in microseconds, followed by `u`.
 pub(super) fn header_value(timeout: Duration) -> String {
     format!("{}u", timeout.as_micros())
 }
@@ -25,15 +25,16 @@
 /// The expiry header of one request, located in the request's bytes.
 pub(super) struct ExpiryHeader {
     deadline: Instant,
-    /// The position of the header's value in the request's bytes.
+    /// The position of the expiry header's value in the request's bytes.
     value_range: Range<usize>,
-    /// The replacement value: the time that remained at the first byte. `None` before the first byte.
+    /// The value that replaces the header's original value: the time until the deadline, measured when the
+    /// request's first byte is written. `None` before then.
     written_value: Option<Vec<u8>>,
 }
 
 impl ExpiryHeader {
-    /// Locates the header in a request whose headers are all set. Returns `None` if the request has no such
-    /// header.
+    /// Locates the expiry header in a request whose headers are all set. Returns `None` if the request has no
+    /// expiry header.
     pub(super) fn locate<B>(request: &Request<B>, deadline: Instant) -> Option<ExpiryHeader> {
         let mut start = request_line_length(request);
         for (name, value) in request.headers() {
@@ -47,9 +48,11 @@
         None
     }
 
-    /// Copies the request's bytes from `position` on, and replaces the header's value by the remaining time.
+    /// Copies the request's bytes from `position` on, and replaces the expiry header's value by the time that
+    /// remains until the deadline.
     ///
-    /// The copy may be shorter than `pieces`. Returns `None` if `position` is past the header's value.
+    /// The copy may be shorter than `pieces` together, which hold the request's bytes from `position` on.
+    /// Returns `None` if `position` is past the expiry header's value.
     pub(super) fn replace_value<'a>(
         &mut self,
         position: usize,
@@ -76,12 +79,13 @@
         Some(bytes)
     }
 
-    /// Returns the header's value for the remaining time, padded to the length of the original value.
+    /// Returns the expiry header's value for the time between `now` and the deadline, padded with zeros to
+    /// the length of the original value.
     fn remaining_value(&self, now: Instant) -> Vec<u8> {
         let width = self.value_range.len();
         let remaining = self.deadline.saturating_duration_since(now).max(Duration::from_micros(1));
         let mut text = format!("{:0>width$}", header_value(remaining)).into_bytes();
-        // The remaining time only shrinks, so the value is never longer than the original.
+        // The remaining time only shrinks, so the new value is never longer than the original value.
         text.truncate(width);
         text
     }
--- a/crates/vetchbridge/src/workers/expiry/tests.rs
+++ b/crates/vetchbridge/src/workers/expiry/tests.rs
@@ -16,8 +16,8 @@
     (request, bytes)
 }
 
-/// The value is replaced correctly, and all other bytes stay unchanged, however the bytes are split over
-/// pieces and writes.
+/// The expiry header's value is replaced correctly, and all other bytes of the request stay unchanged,
+/// however the bytes are split over pieces and writes.
 #[tokio::test(start_paused = true)]
 async fn the_time_remaining_at_the_first_byte_is_written_however_the_request_is_split() {
     let timeout = Duration::from_micros(5_000_000);
@@ -28,7 +28,7 @@
         let first = expiry
             .replace_value(0, [&bytes[..split / 2], &bytes[split / 2..]].into_iter())
             .expect("the header's value is not written yet");
-        // The kernel accepted the bytes up to the split; the others follow later.
+        // The first write accepts the bytes up to the split; the second write contains the remaining bytes.
         tokio::time::advance(Duration::from_micros(300_000)).await;
         let rest = if split == 0 {
             first.clone()
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -20,39 +20,41 @@
 
 /// The workers in the endpoint list, and the attempts and probes in flight to them.
 ///
-/// The group never chooses a worker or the time of a probe, and never retries a request by itself. It writes
-/// no request to a worker that is draining, even if the worker started to drain while the attempt was waiting
-/// for a connection.
+/// The group never chooses a worker or the time of a probe, and never retries a request by itself. The group
+/// writes no request to a worker that is draining, even if the worker started to drain while the attempt was
+/// waiting for a connection.
 pub struct UpstreamGroup {
     workers: Mutex<HashMap<WorkerId, Arc<Worker>>>,
     pub(super) callbacks: CallbackRouter,
     timeouts: Mutex<Timeouts>,
     load_report_settings: Mutex<LoadReportSettings>,
-    /// One permit for each probe that may be in flight. Probes are limited because each may use a descriptor.
+    /// One permit for each probe that may be in flight at once. The number of probes is limited because each
+    /// probe may use a file descriptor.
     pub(super) probe_permits: Semaphore,
     connection_count: ConnectionCount,
-    /// The number of connections beyond which idle connections are closed.
+    /// The number of connections to workers beyond which idle connections are closed.
     max_connections: AtomicUsize,
 }
 
 /// The time limits of exchanges with workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Timeouts {
-    /// How long a dial may take; zero for no limit.
+    /// How long opening a connection to a worker (a dial) may take; zero for no limit.
     pub(super) dial: Duration,
-    /// How long a connected worker may take to respond that it accepts or rejects a job.
+    /// How long a worker may take, once connected, to respond that it accepts or rejects a job.
     pub(super) accept: Duration,
-    /// How long a connection may be idle before it is closed.
+    /// How long a connection to a worker may be idle before the daemon closes it.
     pub(super) idle: Duration,
 }
 
 impl Timeouts {
     /// Creates the time limits. `worker_idle_timeout` is how long workers keep an idle connection open.
     fn new(dial: Duration, worker_idle_timeout: Duration) -> Timeouts {
-        // Half of the workers' own timeout, so that no request is written to a connection that its worker is
-        // just closing.
+        // Half of the timeout after which workers close an idle connection, so that no request is written to
+        // a connection that its worker is just closing.
         let idle = worker_idle_timeout / 2;
-        // The same as the dial timeout, since a responsive worker needs one round trip for either.
+        // The accept timeout equals the dial timeout, since a responsive worker needs one round trip for
+        // either.
         let accept = if dial.is_zero() { DEFAULT_ACCEPT_TIMEOUT } else { dial };
         Timeouts { dial, accept, idle }
     }
@@ -61,8 +63,8 @@
 impl UpstreamGroup {
     /// Creates a group without workers.
     ///
-    /// `worker_idle_timeout` is how long workers keep an idle connection open; `max_probes` limits the probes
-    /// in flight.
+    /// `worker_idle_timeout` is how long workers keep an idle connection open; `max_probes` is the maximum
+    /// number of probes in flight at once.
     pub fn new(dial_timeout: Duration, worker_idle_timeout: Duration, max_probes: usize) -> UpstreamGroup {
         UpstreamGroup {
             workers: Mutex::default(),
@@ -75,24 +77,24 @@
         }
     }
 
-    /// Sets which load reports are used and how they are interpreted; until this call, every report is
-    /// ignored.
+    /// Sets which load reports of workers are used and how they are interpreted. Until this call, every load
+    /// report is ignored.
     pub fn set_load_report_settings(&self, settings: LoadReportSettings) {
         *lock_ignoring_poison(&self.load_report_settings) = settings;
     }
 
-    /// Returns the live count of connections to workers, which includes dials.
+    /// Returns the live count of connections to workers, including connections that are still being opened.
     pub fn connection_count(&self) -> ConnectionCount {
         self.connection_count.clone()
     }
 
-    /// Sets the number of connections beyond which idle connections are closed; until this call, the number
-    /// is unlimited.
+    /// Sets the number of connections to workers beyond which idle connections are closed. Until this call,
+    /// the number is unlimited.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
-    /// Sets new time limits for every worker; attempts in flight keep the old limits.
+    /// Sets new time limits for the exchanges with every worker. Attempts in flight keep the old limits.
     pub fn set_timeouts(&self, dial_timeout: Duration, worker_idle_timeout: Duration) {
         let timeouts = Timeouts::new(dial_timeout, worker_idle_timeout);
         if std::mem::replace(&mut *lock_ignoring_poison(&self.timeouts), timeouts) != timeouts {
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Adds the worker of an endpoint, or replaces the worker if its process is a new one, and sets the
-    /// worker's availability.
+    /// Adds the worker that an entry of the endpoint list describes, or replaces the worker if the entry
+    /// describes a new process, and sets the worker's availability.
     fn update_worker(&self, workers: &mut HashMap<WorkerId, Arc<Worker>>, endpoint: &WorkerEndpoint<'_>) {
         let WorkerEndpoint { worker_id, name, address, state, .. } = *endpoint;
         match address.parse::<Authority>() {
@@ -159,10 +161,11 @@
         }
     }
 
-    /// Closes idle connections beyond the limit, starting with the least recently used worker.
+    /// Closes idle connections while the number of connections to workers exceeds its maximum, starting with
+    /// the least recently used worker.
     ///
-    /// All connections of a chosen worker are closed; a connection in use is closed once its exchange has
-    /// ended.
+    /// All idle connections of a chosen worker are closed. A connection of that worker that is in use is
+    /// closed when its exchange has ended.
     pub(super) fn evict_idle_connections(&self) {
         let max_connections = self.max_connections.load(Ordering::Relaxed);
         if self.connection_count.get() <= max_connections {
@@ -192,8 +195,8 @@
             .unwrap_or_default()
     }
 
-    /// Dispatches a callback to the attempt that the callback is about. Returns false if this process has no
-    /// such attempt.
+    /// Dispatches a worker's callback to the attempt that the callback is about. Returns false if this
+    /// process has no such attempt.
     pub fn dispatch_callback(&self, callback: &Callback) -> bool {
         self.callbacks.dispatch(callback)
     }
--- a/crates/vetchbridge/src/workers/identifiers.rs
+++ b/crates/vetchbridge/src/workers/identifiers.rs
@@ -9,7 +9,7 @@
 /// The number of hexadecimal digits in a request id.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// Returns the FNV-1a hash of a name, which is the same in every process.
+/// Returns the FNV-1a hash of a name. The hash of a name is the same in every process.
 pub fn name_hash(name: &str) -> u64 {
     name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
--- a/crates/vetchbridge/src/workers/load_report.rs
+++ b/crates/vetchbridge/src/workers/load_report.rs
@@ -1,18 +1,18 @@
-//! Load reports of workers: parsing, and which reports are used under the settings in force.
+//! Load reports of workers: how reports are parsed, and which reports the settings in force allow to be used.
 //!
-//! Reports are advisory: a report that cannot be parsed is logged and ignored.
+//! Load reports are advisory: a load report that cannot be parsed is logged and ignored.
 
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use tracing::debug;
 use vetchbridge_scheduling::{LoadReport, LoadReportSource};
 
-/// The response header that carries a load report.
+/// The header of a worker's response that carries the worker's load report.
 pub const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
 
-/// The optional prefixes that name a report's format.
+/// The optional prefixes of a worker's load report that name the report's format.
 const FORMAT_PREFIXES: [&str; 2] = ["TEXT", "JSON"];
-/// How much of a malformed report is logged, in bytes.
+/// Maximum length of the start of a malformed load report that is logged, in bytes.
 const MAX_LOGGED_BYTES: usize = 80;
 
 /// The field of a load report that holds the worker's free slots. Each deployment defines the meaning of
@@ -29,8 +29,8 @@
 }
 
 impl FreeSlotsField {
-    /// Chooses the field from the deployment's descriptions of `x0` and `x1`. Without a description, `x0`
-    /// holds the free slots.
+    /// Chooses the field that holds the free slots from the deployment's descriptions of the fields `x0` and
+    /// `x1`. Without a description, `x0` holds the free slots.
     pub fn from_descriptions(x0: Option<&str>, x1: Option<&str>) -> FreeSlotsField {
         let means_free_slots = |description: &str| description.trim().eq_ignore_ascii_case("free slots");
         match (x0.is_none_or(means_free_slots), x1.is_some_and(means_free_slots)) {
@@ -41,12 +41,12 @@
     }
 }
 
-/// Settings of which load reports are used, and how their fields are interpreted.
+/// Settings that define which load reports of workers are used, and how the reports' fields are interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReportSettings {
-    /// The messages that load reports are taken from.
+    /// The kinds of worker messages that load reports are taken from.
     pub source: LoadReportSource,
-    /// The field that holds the free slots.
+    /// The field of a load report that holds the worker's free slots.
     pub free_slots: FreeSlotsField,
 }
 
@@ -57,13 +57,14 @@
 }
 
 impl LoadReportSettings {
-    /// Parses the report on the response or callback that ended an attempt; `None` if such reports are not
-    /// used.
+    /// Parses the worker's load report on the response or callback that ended an attempt. Returns `None` if
+    /// the settings exclude such reports, or if the report is absent or malformed.
     pub fn report_from_response(self, text: Option<&[u8]>) -> Option<LoadReport> {
         self.parse_or_log(text.filter(|_| self.source == LoadReportSource::Responses))
     }
 
-    /// Parses the report on the response to a probe; `None` if no reports are used.
+    /// Parses the worker's load report on the response to a probe. Returns `None` if the settings exclude all
+    /// load reports, or if the report is absent or malformed.
     pub fn report_from_probe(self, text: Option<&[u8]>) -> Option<LoadReport> {
         self.parse_or_log(text.filter(|_| self.source != LoadReportSource::Never))
     }
@@ -79,9 +80,11 @@
     }
 }
 
-/// Parses a report: a JSON object, or `name=value, name=value`, optionally prefixed with its format.
+/// Parses a worker's load report: a JSON object, or `name=value, name=value`, optionally prefixed with the
+/// name of its format.
 ///
-/// Ignores values that are not finite numbers of at least 0. Returns `None` if no known field is left.
+/// Ignores values that are not finite numbers of at least 0. Returns `None` if no field with a known name is
+/// left.
 pub fn parse(text: &str, free_slots: FreeSlotsField) -> Option<LoadReport> {
     let text = strip_format_prefixes(text);
     let mut report = LoadReport::default();
@@ -98,7 +101,8 @@
         *field = value.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0);
     };
     if text.starts_with('{') {
-        // Values stay unparsed here, since a value that is out of range must not invalidate the others.
+        // The values of the JSON object stay unparsed at first, since a value that is out of range must not
+        // invalidate the other values.
         let object: BTreeMap<String, &RawValue> = serde_json::from_str(text).ok()?;
         for (name, value) in &object {
             set_field(name, value.get());
@@ -112,7 +116,7 @@
     (report != LoadReport::default()).then_some(report)
 }
 
-/// Strips the prefixes that name the report's format. A prefix counts only if white space follows it.
+/// Strips the prefixes that name a load report's format. A prefix counts only if white space follows it.
 fn strip_format_prefixes(text: &str) -> &str {
     let mut text = text.trim();
     for prefix in FORMAT_PREFIXES {
--- a/crates/vetchbridge/src/workers/load_report/tests.rs
+++ b/crates/vetchbridge/src/workers/load_report/tests.rs
@@ -45,7 +45,8 @@
     assert_eq!(parse(text, FreeSlotsField::X0), None);
 }
 
-/// The deployment's descriptions decide which field holds the free slots.
+/// The deployment's descriptions of the fields `x0` and `x1` decide which field holds the worker's free
+/// slots.
 #[rstest]
 #[case(None, None, Some(3.0))]
 #[case(Some("free slots"), Some("free memory"), Some(3.0))]
--- a/crates/vetchbridge/src/workers/message.rs
+++ b/crates/vetchbridge/src/workers/message.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long the rest of a response is read in the background when nobody waits for it.
+/// How long the rest of a worker's response is read in the background when nobody waits for the response.
 pub(super) const BACKGROUND_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest response body that is read, in bytes.
+/// The longest body of a worker's response that is read, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The header that carries the id of a request.
+/// The request header that carries the id of a client's request to the worker.
 const REQUEST_ID_HEADER: &str = "x-trace-id";
-/// The header that carries the key by which workers deduplicate retries.
+/// The request header that carries the key by which workers deduplicate retries.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// The response header by which a worker declares that it has not started the job.
 const NEVER_RAN_HEADER: &str = "x-never-ran";
@@ -27,13 +27,13 @@
 
 /// The part of a client's request that is forwarded to a worker unchanged.
 pub struct Payload {
-    /// The request's id as the client wrote it.
+    /// The request's id as the client wrote it, before parsing.
     pub id: String,
-    /// The path and query of the request.
+    /// The path and query of the client's request.
     pub target: PathAndQuery,
     /// The key by which workers deduplicate retries.
     pub idempotency_key: Option<String>,
-    /// The body of the request.
+    /// The body of the client's request.
     pub body: Bytes,
 }
 
@@ -41,9 +41,9 @@
 pub(super) enum WorkerRequest<'a> {
     /// Asks the worker to run a job.
     Job {
-        /// The part of the client's request that is forwarded.
+        /// The part of the client's request that is forwarded to the worker.
         payload: &'a Payload,
-        /// How long the daemon waits for the result.
+        /// How long the daemon waits for the job's result.
         timeout: Duration,
     },
     /// Asks for the worker's health and load.
@@ -56,8 +56,8 @@
 }
 
 impl WorkerRequest<'_> {
-    /// Returns how long the daemon waits for the result; `None` for a request that does not tell the worker a
-    /// time limit.
+    /// Returns how long the daemon waits for the job's result; `None` for a request in which the worker is
+    /// told no time limit.
     pub(super) fn timeout(&self) -> Option<Duration> {
         match self {
             WorkerRequest::Job { timeout, .. } => Some(*timeout),
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns the length of a whole request on the wire, in bytes.
+/// Returns the length on the wire of a whole request to a worker, in bytes.
 pub(super) fn request_length(request: &Request<Full<Bytes>>) -> u64 {
     let line = request_line_length(request);
     let headers: usize = request.headers().iter().map(|(name, value)| header_length(name, value.len())).sum();
@@ -122,12 +122,12 @@
 }
 
 impl WorkerResponse {
-    /// Whether the worker declares that it has not started the job.
+    /// Whether the worker declares in the response's headers that it has not started the job.
     pub(super) fn job_never_ran(&self) -> bool {
         self.headers.get(NEVER_RAN_HEADER).is_some_and(|value| value == "1")
     }
 
-    /// Returns the load report in the response's headers.
+    /// Returns the worker's load report in the response's headers.
     pub(super) fn load_report(&self) -> Option<&[u8]> {
         self.headers.get(LOAD_REPORT_HEADER).map(axum::http::HeaderValue::as_bytes)
     }
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Reads and discards the body in the background; the connection can be reused once the body has been
-    /// read.
+    /// Reads and discards the response's body in the background. The connection can be reused when the body
+    /// has been read.
     pub(super) fn drain_body(mut self) {
         if !self.body.is_end_stream() {
             tokio::spawn(timeout(BACKGROUND_READ_TIMEOUT, async move { drop(self.read_body().await) }));
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -1,7 +1,7 @@
 //! Checks just before a request's first byte whether the request may still be written to its worker.
 //!
-//! The decision module decides to send a request before the request has a connection, and connecting may take
-//! long.
+//! The second check is needed because the decision module decides to send a request before the request has a
+//! connection, and connecting may take long.
 
 use super::endpoint::Availability;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,25 +16,25 @@
     /// The worker is draining or was removed.
     #[error("the worker is draining or was removed")]
     WorkerDraining,
-    /// Another process uses the worker's name now.
+    /// Another process has taken over the worker's name.
     #[error("the worker was replaced by another process")]
     WorkerReplaced,
     /// The request has been answered, or its client has disconnected.
     #[error("the request is concluded")]
     RequestConcluded,
-    /// The request's deadline has passed, or the window in which the request may be retried.
+    /// The request's deadline has passed, or the time window in which the request may be retried has ended.
     #[error("the deadline for the first byte has passed")]
     DeadlinePassed,
 }
 
-/// The conditions under which a request may be written.
+/// The conditions under which a request may be written to its worker.
 #[derive(Clone)]
 pub(super) struct SendPermission {
     /// The worker's availability; `None` if the request may be written whatever the availability is.
     availability: Option<watch::Receiver<Availability>>,
     /// Set once the request has been answered or its client has disconnected.
     concluded: Arc<AtomicBool>,
-    /// The time before which the first byte must be written; `None` for no limit.
+    /// The time before which the request's first byte must be written; `None` for no limit.
     first_byte_deadline: Option<Instant>,
 }
 
@@ -49,7 +49,8 @@
         SendPermission { availability: Some(availability), ..SendPermission::always() }
     }
 
-    /// Limits the permission to the time before `first_byte_deadline` and before `concluded` is set.
+    /// Returns this permission with two more conditions: the first byte must be written before
+    /// `first_byte_deadline` and before `concluded` is set.
     pub(super) fn until(self, first_byte_deadline: Instant, concluded: Arc<AtomicBool>) -> SendPermission {
         SendPermission { concluded, first_byte_deadline: Some(first_byte_deadline), ..self }
     }
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Checks the request's own conditions, without the worker's availability: the client still waits, and
+    /// Checks the conditions of the request, without the worker's availability: the client still waits, and
     /// the deadline for the first byte has not passed.
     pub(super) fn check_request(&self) -> Result<(), SendDenied> {
         if self.concluded.load(Ordering::Relaxed) {
--- a/crates/vetchbridge/src/workers/permission/tests.rs
+++ b/crates/vetchbridge/src/workers/permission/tests.rs
@@ -4,7 +4,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Returns the permission of a request whose first byte must be written within one second.
+/// Returns the send permission of a request whose first byte must be written within one second.
 fn permission(availability: Availability, concluded: bool) -> SendPermission {
     let availability = watch::Sender::new(availability).subscribe();
     let concluded = Arc::new(AtomicBool::new(concluded));
--- a/crates/vetchbridge/src/workers/probe.rs
+++ b/crates/vetchbridge/src/workers/probe.rs
@@ -1,4 +1,4 @@
-//! One health check of a worker (a probe), from its dial to its outcome.
+//! One health check of a worker (a probe), from the opening of its connection to its outcome.
 
 use super::endpoint::{wait_until_unavailable, Availability};
 use super::exchange::{Exchange, ExchangeError};
@@ -12,20 +12,21 @@
 use tokio::time::Instant;
 use vetchbridge_scheduling::{LoadReport, Outcome, WorkerId};
 
-/// How long a probe may take, including its dial. A worker rejects a probe that has been queued for 500 ms;
-/// the timeout is longer, so that the rejection is read and the connection can be reused.
+/// How long a probe of a worker may take, including the time to connect. A worker rejects a probe that has
+/// been queued for 500 ms; the timeout is longer, so that the rejection is read and the connection can be
+/// reused.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A response to a probe, and the complete body; the body is `None` if the connection failed before the end
-/// of the body.
+/// A worker's response to a probe, and the complete body of the response; the body is `None` if the
+/// connection failed before the end of the body.
 type ProbeResponse = (WorkerResponse, Option<Bytes>);
 
 impl UpstreamGroup {
-    /// Probes a worker over the same connection pool as attempts. Returns the outcome and the load report on
-    /// the response.
+    /// Probes a worker over the connection pool that attempts at the worker use too. Returns the probe's
+    /// outcome, and the worker's load report on the response to the probe.
     ///
-    /// Ends within `PROBE_TIMEOUT`. Sends nothing to a worker that is draining, or while the maximum number
-    /// of probes is in flight.
+    /// The probe ends within `PROBE_TIMEOUT`. Nothing is sent if the worker is draining, or if the maximum
+    /// number of probes is already in flight.
     pub async fn probe(&self, worker_id: WorkerId) -> (Outcome, Option<LoadReport>) {
         let Ok(_permit) = self.probe_permits.try_acquire() else { return (Outcome::NotSent, None) };
         let Some(worker) = self.worker(worker_id) else { return (Outcome::ConnectFailed, None) };
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Returns the result of a probe that the worker responded to.
+    /// Returns the outcome and the load report of a probe to which the worker responded.
     fn probe_result(&self, (response, body): ProbeResponse) -> (Outcome, Option<LoadReport>) {
         let Some(body) = body else { return (Outcome::Reset, None) };
         let outcome = match response.status {
@@ -56,7 +57,8 @@
     }
 }
 
-/// Reads the response to a probe. The error is the outcome of a probe without a response.
+/// Reads the worker's response to a probe. The error is the outcome of a probe to which the worker did not
+/// respond.
 async fn read_response(
     exchange: Exchange,
     mut availability: watch::Receiver<Availability>,
