--- a/crates/vetchbridge/src/clients/body.rs
+++ b/crates/vetchbridge/src/clients/body.rs
@@ -1,6 +1,7 @@
 //! Reads the bodies of jobs and callbacks, within a maximum length, a time limit and a memory limit.
 //!
-//! Memory is reserved before a body is read. If not enough memory is free, the request is rejected at once.
+//! Memory for a body is reserved before the body is read. If not enough memory is free, the request is
+//! rejected at once.
 
 use super::connection::ClientConnection;
 use axum::body::{to_bytes, Body, HttpBody};
@@ -13,13 +14,15 @@
 use std::time::Duration;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Maximum length of a body in bytes.
+/// Maximum length in bytes of the body of a job or callback.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// How long before the close of the connection a late body is rejected, so that the client gets a response.
+/// How long before the time limit for a request's arrival, after which its connection is closed, a body that
+/// is still incomplete is rejected. The client thus gets a response before the close.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
-/// Unit of memory reservations, in bytes.
+/// Size in bytes of the blocks in which memory for bodies is reserved.
 const BLOCK_BYTES: usize = 1024;
-/// Divisor for the share of the process's memory that the bodies of one kind may use.
+/// The process's memory divided by this number is the memory that the bodies of one kind (jobs or callbacks)
+/// may use together.
 const MEMORY_DIVISOR: usize = 8;
 
 /// The memory for the bodies of one kind: jobs or callbacks.
@@ -28,8 +31,8 @@
 }
 
 impl BodyMemory {
-    /// Creates the memory for bodies in a process that may use `process_bytes` of memory. At least one body
-    /// of the maximum length fits.
+    /// Creates the memory for the bodies of one kind in a process that may use `process_bytes` of memory. At
+    /// least one body of the maximum length fits.
     pub(super) fn new(process_bytes: usize) -> BodyMemory {
         let bytes = (process_bytes / MEMORY_DIVISOR).clamp(MAX_BODY_BYTES, usize::MAX >> 4);
         BodyMemory { blocks: Arc::new(Semaphore::new(bytes / BLOCK_BYTES)) }
@@ -42,20 +45,20 @@
     }
 }
 
-/// Why a body was not read. The connection closes after the response, since the rest of the body may still
-/// arrive.
+/// Why the body of a request was not read. The connection closes after the error response, since the rest of
+/// the body may still arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
     /// The body is longer than [`MAX_BODY_BYTES`].
     TooLong,
-    /// Not enough memory for bodies is free.
+    /// Not enough of the memory for bodies of this kind is free.
     NoMemory,
     /// The body did not arrive in time.
     Timeout,
 }
 
 impl BodyError {
-    /// Returns the status code of the response.
+    /// Returns the status code of the response that reports this error to the client.
     fn status(self) -> StatusCode {
         match self {
             BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Returns the body of the response.
+    /// Returns the body of the response that reports this error to the client.
     fn text(self) -> &'static str {
         match self {
             BodyError::TooLong => "a body holds no more than 64 KiB\n",
@@ -86,8 +89,8 @@
     }
 }
 
-/// Reads a whole body, and marks the connection as awaiting a response. Returns the body and the permit for
-/// its memory.
+/// Reads the whole body of a request, and marks the connection as awaiting the response. Returns the body,
+/// and the permit for its memory; the memory is released when the permit is dropped.
 pub(super) async fn read(
     body: Body,
     connection: &ClientConnection,
--- a/crates/vetchbridge/src/clients/budget.rs
+++ b/crates/vetchbridge/src/clients/budget.rs
@@ -1,4 +1,4 @@
-//! The division of the process's file descriptors among client connections, worker connections and the rest.
+//! Divides the process's file descriptors among client connections, connections to workers and other uses.
 
 use crate::workers::ConnectionCount;
 
@@ -6,39 +6,44 @@
 /// streams, the runtime, listeners, signals, peers, discovery and a hand-over. An idle process has 14 of
 /// these descriptors open.
 pub(super) const PROCESS_DESCRIPTORS: usize = 24;
-/// Divisor for the share of the descriptor limit that is kept free for new connections to workers.
+/// The descriptor limit of the process divided by this number is the number of descriptors that are kept free
+/// for new connections to workers.
 const FREE_DIVISOR: usize = 8;
-/// Divisor for the minimum share of the descriptor limit that client connections get.
+/// The descriptor limit of the process divided by this number is the minimum number of descriptors for client
+/// connections.
 const MIN_CLIENTS_DIVISOR: usize = 4;
-/// Divisor for the minimum share of the descriptor limit that connections to workers get.
+/// The descriptor limit of the process divided by this number is the minimum number of descriptors for
+/// connections to workers.
 const MIN_WORKERS_DIVISOR: usize = 4;
-/// Divisor for the share of the descriptor limit that callback connections may use beyond the clients' share.
-/// The share for callbacks is part of the share that is kept free.
+/// The descriptor limit of the process divided by this number is the maximum number of callback connections
+/// that may be open beyond the clients' share of the descriptors. Their descriptors come from the descriptors
+/// that are kept free for new connections to workers.
 const EXTRA_CALLBACKS_DIVISOR: usize = 32;
-/// Minimum for the number of callback connections that may be open beyond the clients' share.
+/// Minimum value for the maximum number of callback connections that may be open beyond the clients' share of
+/// the descriptors.
 const MIN_EXTRA_CALLBACKS: usize = 2;
 
-/// The use of the descriptor budget by the other processes of this scheduler during an upgrade.
+/// What the other processes of this scheduler use of the descriptor budget while an upgrade is in progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OtherProcesses {
-    /// Number of other processes.
+    /// Number of other processes of this scheduler.
     pub(super) count: usize,
-    /// Number of client connections of all other processes together.
+    /// Number of client connections of all other processes of this scheduler together.
     pub(super) client_connections: usize,
 }
 
-/// The budget that divides the descriptors of the process.
+/// The budget that divides the file descriptors of the process among their uses.
 pub(super) struct DescriptorBudget {
     /// Maximum number of descriptors that the process may have open.
     max_descriptors: usize,
     /// Number of descriptors reserved for other uses in addition to [`PROCESS_DESCRIPTORS`].
     reserved_descriptors: usize,
-    /// Number of open connections to workers.
+    /// Live count of the open connections to workers.
     worker_connections: ConnectionCount,
 }
 
 impl DescriptorBudget {
-    /// Creates the budget of a process that may have `max_descriptors` descriptors open.
+    /// Creates the budget of a process that may have `max_descriptors` file descriptors open.
     pub(super) fn new(
         max_descriptors: usize,
         reserved_descriptors: usize,
@@ -47,15 +52,17 @@
         DescriptorBudget { max_descriptors, reserved_descriptors, worker_connections }
     }
 
-    /// Returns the number of descriptors that are reserved, needed by the processes themselves, or kept free.
+    /// Returns the number of descriptors that connections can't use: reserved descriptors, descriptors that
+    /// each process needs for itself, and descriptors that are kept free.
     fn overhead(&self, others: OtherProcesses) -> usize {
         self.reserved_descriptors
             + PROCESS_DESCRIPTORS * (1 + others.count)
             + self.max_descriptors / FREE_DIVISOR
     }
 
-    /// Returns the maximum number of client connections of this process. The clients of all processes
-    /// together get the descriptors that connections to workers leave, and at least their minimum share.
+    /// Returns the maximum number of client connections of this process. The client connections of all
+    /// processes of this scheduler together get the descriptors that connections to workers leave, and at
+    /// least the minimum number for client connections.
     pub(super) fn max_client_connections(&self, others: OtherProcesses) -> usize {
         let taken = self.overhead(others) + self.worker_connections.get();
         let clients =
@@ -63,9 +70,9 @@
         clients.saturating_sub(others.client_connections)
     }
 
-    /// Returns the number of connections to workers above which idle ones are closed. Connections to workers
-    /// get the descriptors that client connections leave, less some headroom for more client connections, and
-    /// at least their minimum share.
+    /// Returns the number of connections to workers above which idle connections to workers are closed.
+    /// Connections to workers get the descriptors that client connections leave, less some headroom for more
+    /// client connections, and at least the minimum number for connections to workers.
     pub(super) fn max_worker_connections(&self, client_connections: usize, others: OtherProcesses) -> usize {
         let clients_with_headroom =
             client_connections + others.client_connections + self.max_descriptors / FREE_DIVISOR;
@@ -74,7 +81,8 @@
         self.max_descriptors.saturating_sub(taken).max(self.max_descriptors / MIN_WORKERS_DIVISOR)
     }
 
-    /// Returns the maximum number of callback connections beyond the clients' share.
+    /// Returns the maximum number of callback connections that may be open beyond the clients' share of the
+    /// descriptors.
     pub(super) fn max_extra_callbacks(&self) -> usize {
         (self.max_descriptors / EXTRA_CALLBACKS_DIVISOR).max(MIN_EXTRA_CALLBACKS)
     }
--- a/crates/vetchbridge/src/clients/chunked_body.rs
+++ b/crates/vetchbridge/src/clients/chunked_body.rs
@@ -1,19 +1,20 @@
-//! Finds the last byte of a chunked body (RFC 9112, section 7.1), without keeping the content of the body.
+//! Finds the last byte of the chunked body of an HTTP request (RFC 9112, section 7.1), without keeping the
+//! content of the body.
 //!
-//! The module accepts the syntax that hyper accepts. A body that hyper would continue to read must not count
-//! as complete here.
+//! The module accepts the same syntax as hyper, which reads the body after this module. The module must not
+//! treat a body as complete while hyper would continue to read it.
 
-/// The result of advancing over received bytes.
+/// The result of advancing the position in a chunked body over received bytes.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// All bytes belong to the body, and the body is not complete.
+    /// All received bytes belong to the body, and the body is not complete yet.
     Incomplete,
     /// The body is complete.
     Complete {
-        /// Number of the bytes that belong to the body.
+        /// Number of the received bytes that belong to the body.
         length: usize,
     },
-    /// The bytes are not a valid chunked body.
+    /// The received bytes are not a valid continuation of a chunked body.
     Malformed,
 }
 
@@ -32,9 +33,9 @@
     DataCarriageReturn,
     /// The line feed after the data of a chunk.
     DataLineFeed,
-    /// A line after the last chunk. `is_empty`: whether no byte of the line has arrived.
+    /// A trailer line, which follows the last chunk. `is_empty`: whether no byte of the line has arrived.
     Trailer { is_empty: bool },
-    /// The line feed at the end of a line after the last chunk. `is_empty`: whether the line is empty.
+    /// The line feed at the end of a trailer line. `is_empty`: whether the line is empty.
     TrailerLineFeed { is_empty: bool },
 }
 
@@ -45,12 +46,12 @@
 }
 
 impl ChunkedBody {
-    /// Creates a body of which nothing has arrived.
+    /// Creates a chunked body of which no byte has arrived.
     pub(super) fn new() -> ChunkedBody {
         ChunkedBody { position: Position::Size { size: 0, has_digits: false } }
     }
 
-    /// Advances over received bytes, at most to the end of the body.
+    /// Advances the position over received bytes, at most to the end of the body.
     pub(super) fn advance(&mut self, bytes: &[u8]) -> Progress {
         let mut offset = 0;
         while offset < bytes.len() {
@@ -77,8 +78,8 @@
 }
 
 impl Position {
-    /// Returns the position after a byte that is not chunk data; `None` if the byte is not allowed at this
-    /// position.
+    /// Returns the position in the body after a byte that is not chunk data; `None` if the byte is not
+    /// allowed at this position.
     fn after_byte(self, byte: u8) -> Option<Position> {
         match (self, byte) {
             (Position::Size { size, has_digits: true }, b'\r') => Some(Position::SizeLineFeed { size }),
--- a/crates/vetchbridge/src/clients/chunked_body/tests.rs
+++ b/crates/vetchbridge/src/clients/chunked_body/tests.rs
@@ -1,10 +1,10 @@
-//! Chunked bodies, with every split of their bytes into two reads.
+//! Tests that chunked bodies are tracked correctly for every split of their bytes into two reads.
 
 use super::*;
 use rstest::rstest;
 
-/// Returns the result of reading the bytes before `cut` and, if the body is incomplete by then, the bytes
-/// after it.
+/// Returns the result of advancing over the bytes before `cut` and, if the body is incomplete by then, over
+/// the bytes after `cut`.
 fn read_in_two_pieces(bytes: &[u8], cut: usize) -> Progress {
     let mut body = ChunkedBody::new();
     match body.advance(&bytes[..cut]) {
--- a/crates/vetchbridge/src/clients/connection/lingering_close.rs
+++ b/crates/vetchbridge/src/clients/connection/lingering_close.rs
@@ -1,4 +1,4 @@
-//! Closes a connection without losing its last response.
+//! Closes a client connection without losing the last response on it.
 
 use super::super::framing::MAX_HEAD_BYTES;
 use super::time_limits::LINGER_TIMEOUT;
@@ -8,16 +8,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Maximum number of bytes that are read and dropped before the close.
+/// Maximum number of bytes that are read from the client and dropped before a connection is closed
+/// completely.
 const MAX_DROPPED_BYTES: usize = 1 << 20;
 
-/// Closes this side, then reads and drops further input until the client closes its side too, the limit on
-/// time or on bytes is reached, or another connection needs the descriptor.
+/// Closes the daemon's side of a connection, then reads and drops further input until the client closes its
+/// side too, the time limit or the limit on dropped bytes is reached, or another connection needs the
+/// descriptor.
 pub(crate) async fn lingering_close(stream: RequestStream) {
     let RequestStream { mut socket, connection } = stream;
     connection.start_lingering();
     tokio::select! {
-        // The result is ignored, since there is no more to send.
+        // The result of the shutdown is ignored, since nothing more has to be sent on the connection.
         _ = timeout(LINGER_TIMEOUT, shut_down_and_drop_input(&mut socket)) => {}
         () = connection.wait_for_forced_close() => {}
     }
--- a/crates/vetchbridge/src/clients/connection/mod.rs
+++ b/crates/vetchbridge/src/clients/connection/mod.rs
@@ -25,14 +25,15 @@
     id: ConnectionId,
     state: Mutex<ConnectionState>,
     eviction_order: Arc<Mutex<EvictionOrder>>,
-    /// Notified when an eviction or a time limit may require the connection to close.
+    /// Notified when the task that serves the connection must check whether an eviction or a time limit
+    /// requires the connection to close.
     close_check: Notify,
-    /// Notified when a response has been sent.
+    /// Notified when a response has been sent on this connection.
     response_sent: Notify,
 }
 
 impl ClientConnection {
-    /// Creates the state of a connection that has just been accepted. The id must be unique within the
+    /// Creates the state of a client connection that has just been accepted. The id must be unique within the
     /// eviction order.
     pub(super) fn new(id: ConnectionId, eviction_order: Arc<Mutex<EvictionOrder>>) -> ClientConnection {
         let state = ConnectionState::new(Instant::now());
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Changes the state, and updates the eviction order accordingly.
+    /// Changes the connection's state, and updates the eviction order accordingly.
     fn update<T>(&self, change: impl FnOnce(&mut ConnectionState) -> T) -> T {
         let state = &mut *lock_ignoring_poison(&self.state);
         let (rank_before, was_evicted) = (state.eviction_rank(), state.is_evicted());
@@ -82,13 +83,14 @@
         self.trigger_close_check();
     }
 
-    /// Resolves when the connection is between requests and no byte of the next request has been read.
+    /// Resolves when the connection is between requests: no request is in progress, and no byte of the next
+    /// request has been read.
     pub(super) async fn wait_until_between_requests(&self) {
         self.wait_for_phase(|phase| matches!(phase, Phase::New | Phase::Idle)).await;
     }
 
-    /// Resolves when the connection is between requests and has had a response. Before the first response,
-    /// the first request may be in transit.
+    /// Resolves when the connection is between requests and has carried a response. Before the first
+    /// response, the connection is not treated as idle, since the first request may be in transit.
     pub(super) async fn wait_until_idle(&self) {
         self.wait_for_phase(|phase| phase == Phase::Idle).await;
     }
@@ -108,38 +110,38 @@
         lock_ignoring_poison(&self.state).phase_started_at + REQUEST_TIMEOUT
     }
 
-    /// Whether a request's body may conceal another request.
+    /// Whether the body of any request on the connection may conceal another request.
     pub(super) fn has_ambiguous_framing(&self) -> bool {
         lock_ignoring_poison(&self.state).framing.is_ambiguous
     }
 
-    /// Whether the connection closes after the current response, because the next request can't be tracked or
-    /// stored or because the connection is chosen for eviction.
+    /// Whether the connection closes after the current response, because the next request can't be tracked,
+    /// the next request can't be stored, or the connection is chosen for eviction.
     pub(super) fn closes_after_response(&self) -> bool {
         lock_ignoring_poison(&self.state).closes_after_response()
     }
 
-    /// Records that this side closes the connection.
+    /// Records that the daemon closes its side of the connection.
     pub(super) fn start_lingering(&self) {
         self.update(|state| state.start_lingering(Instant::now()));
     }
 
-    /// Records that another process has sent a response on the connection.
+    /// Records that another process of this scheduler has already sent a response on the connection.
     pub(super) fn mark_kept_alive(&self) {
         self.update(|state| (state.phase, state.response_count) = (Phase::Idle, 1));
     }
 
-    /// Whether the connection has had a response.
+    /// Whether a response has been sent on the connection, by this process or by an earlier one.
     pub(super) fn is_kept_alive(&self) -> bool {
         lock_ignoring_poison(&self.state).response_count > 0
     }
 
-    /// Records that the request is complete and awaits its response.
+    /// Records that the current request is complete and awaits its response.
     pub(super) fn mark_awaiting_response(&self) {
         self.update(|state| state.phase = Phase::AwaitingResponse);
     }
 
-    /// Records that the response is ready and is sent from now on.
+    /// Records that the response to the current request is ready and that its sending starts.
     pub(super) fn mark_sending_response(&self) {
         self.update(|state| {
             state.enter(Phase::SendingResponse, Instant::now());
@@ -147,7 +149,8 @@
         });
     }
 
-    /// Records received bytes; returns how many of them belong to the current request.
+    /// Records bytes that were received from the client; returns how many of them belong to the current
+    /// request.
     pub(super) fn record_received(&self, bytes: &[u8]) -> usize {
         self.update(|state| state.record_received(bytes, Instant::now()))
     }
@@ -169,7 +172,7 @@
         })
     }
 
-    /// Whether more pipelined input can be read.
+    /// Whether more pipelined input may be read from the socket.
     fn accepts_pipelined_input(&self) -> bool {
         lock_ignoring_poison(&self.state).accepts_pipelined_input()
     }
@@ -179,8 +182,8 @@
         lock_ignoring_poison(&self.state).store_pipelined_input(bytes);
     }
 
-    /// Records that all output has been flushed. Returns whether the flush completed a response and input of
-    /// the next request is stored.
+    /// Records that all output of the connection has been flushed. Returns true if the flush completed a
+    /// response and input of the next request is already stored.
     pub(super) fn record_flush(&self) -> bool {
         let sent = self.update(|state| {
             let is_response = state.phase == Phase::SendingResponse;
@@ -194,17 +197,17 @@
         sent.has_pipelined_input
     }
 
-    /// Whether the connection has exceeded a time limit.
+    /// Whether the connection has exceeded the time limit of its current phase.
     pub(super) fn has_timed_out(&self, now: Instant) -> bool {
         lock_ignoring_poison(&self.state).has_timed_out(now)
     }
 
-    /// Whether this side is closed and the client has not closed its side yet.
+    /// Whether the daemon has closed its side of the connection and the client has not closed its side yet.
     pub(super) fn is_lingering(&self) -> bool {
         lock_ignoring_poison(&self.state).phase == Phase::Lingering
     }
 
-    /// Returns why this side closes the connection now.
+    /// Returns the reason why the daemon closes the connection at the moment.
     pub(super) fn close_reason(&self) -> CloseReason {
         lock_ignoring_poison(&self.state).close_reason(Instant::now())
     }
@@ -214,7 +217,7 @@
         lock_ignoring_poison(&self.state).phase == Phase::AwaitingResponse
     }
 
-    /// Whether the connection awaits a response or may still be sending one.
+    /// Whether the connection awaits a response, or may still be sending a response at time `now`.
     pub(super) fn has_pending_response(&self, now: Instant) -> bool {
         lock_ignoring_poison(&self.state).has_pending_response(now)
     }
--- a/crates/vetchbridge/src/clients/connection/request_stream.rs
+++ b/crates/vetchbridge/src/clients/connection/request_stream.rs
@@ -1,8 +1,8 @@
 //! The socket of a client connection, from which hyper reads one request at a time.
 //!
-//! Until the response to the current request is sent, hyper reads no further input, only the end of the
-//! stream. If hyper had a byte of the next request in its buffer, it would not notice that the client has
-//! disconnected.
+//! Until the response to the current request is sent, hyper gets no further input from this stream, only the
+//! end of the input. If hyper had a byte of the next request in its buffer, it would not notice that the
+//! client has disconnected.
 
 use super::ClientConnection;
 use crate::net::RetryingStream;
@@ -12,27 +12,28 @@
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Maximum number of bytes of pipelined input that are read at once.
+/// Maximum number of bytes of pipelined input (input after the current request) that are read at once.
 const PIPELINED_READ_BYTES: usize = 512;
 
-/// A client's socket. The connection's state records the input that is read from the socket.
+/// A client's socket. The state of the connection records the input that is read from the socket.
 pub(crate) struct RequestStream {
     pub(super) socket: RetryingStream,
     pub(super) connection: Arc<ClientConnection>,
 }
 
 impl RequestStream {
-    /// Creates the stream of a connection.
+    /// Creates the stream of a client connection from its socket and its state.
     pub(crate) fn new(socket: RetryingStream, connection: Arc<ClientConnection>) -> RequestStream {
         RequestStream { socket, connection }
     }
 
-    /// Returns the socket, for a connection that another process takes over.
+    /// Returns the socket, so that it can be passed to the process that takes the connection over.
     pub(crate) fn into_socket(self) -> RetryingStream {
         self.socket
     }
 
-    /// Resolves when the client has disconnected; stores pipelined input meanwhile.
+    /// Resolves when the client has disconnected. Until then, stores the pipelined input that the client
+    /// sends.
     fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut bytes = [0; PIPELINED_READ_BYTES];
         while self.connection.accepts_pipelined_input() {
@@ -43,7 +44,8 @@
             }
             self.connection.store_pipelined_input(piece.filled());
         }
-        // Reading is paused until the response is sent. The flush of the response wakes this task.
+        // The stored input has reached its maximum, so reading is paused until the response is sent. The
+        // flush of the response wakes this task.
         Poll::Pending
     }
 }
@@ -80,7 +82,8 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.socket).poll_flush(cx);
         if matches!(result, Poll::Ready(Ok(()))) && self.connection.record_flush() {
-            // Wakes this task to read the stored input, since the socket may not become readable again.
+            // Wakes this task to read the stored pipelined input, since the socket may not become readable
+            // again.
             cx.waker().wake_by_ref();
         }
         result
--- a/crates/vetchbridge/src/clients/connection/state.rs
+++ b/crates/vetchbridge/src/clients/connection/state.rs
@@ -1,4 +1,5 @@
-//! The state of a client connection. This module performs no I/O, and callers pass in the current time.
+//! The state of a client connection. This module performs no I/O and reads no clock; callers pass in the
+//! current time.
 
 use super::super::eviction::{EvictionGroup, EvictionRank};
 use super::super::framing::{RequestFraming, MAX_HEAD_BYTES};
@@ -12,19 +13,19 @@
 pub(super) enum Phase {
     /// No byte has been received on the connection.
     New,
-    /// A request has arrived in part.
+    /// A part of a request has arrived.
     ReceivingRequest,
-    /// A complete request awaits its response.
+    /// A complete request has arrived, and its response is not ready yet.
     AwaitingResponse,
-    /// The response is being sent.
+    /// The response to the current request is being sent to the client.
     SendingResponse,
     /// The connection is kept alive between requests.
     Idle,
-    /// This side has closed the connection; further input is dropped.
+    /// The daemon has closed its side of the connection; further input from the client is dropped.
     Lingering,
 }
 
-/// Why this side closes a connection.
+/// Why the daemon closes a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
     /// Another connection needs the descriptor.
@@ -48,7 +49,7 @@
     }
 }
 
-/// The state of a connection directly after a response has been sent.
+/// The facts about a connection that matter directly after a response has been sent on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ResponseSent {
     /// Whether input of the next request is stored already.
@@ -60,16 +61,18 @@
 /// The state of a connection.
 pub(super) struct ConnectionState {
     pub(super) phase: Phase,
-    /// When the phase began; for the phase that receives the first request, when the connection was accepted.
+    /// When the phase began. For the phase in which the first request is received, this is the time when the
+    /// connection was accepted.
     pub(super) phase_started_at: Instant,
-    /// Number of responses on the connection so far.
+    /// Number of responses on the connection whose sending has started.
     pub(super) response_count: u32,
     /// The phase in which the connection was chosen for eviction; `None` if the connection is not chosen.
     pub(super) evicted_in_phase: Option<Phase>,
     pub(super) framing: RequestFraming,
     /// Whether the current request has been read to its last byte.
     pub(super) is_request_complete: bool,
-    /// Input after the current request, stored until the response is sent.
+    /// Pipelined input: the bytes that follow the current request, stored until the response to the current
+    /// request is sent.
     pipelined_input: Vec<u8>,
     /// Whether more pipelined input has arrived than can be stored. If so, the connection closes after the
     /// current response.
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Starts a phase.
+    /// Records that the connection enters a phase at time `now`.
     pub(super) fn enter(&mut self, phase: Phase, now: Instant) {
         self.phase = phase;
         self.phase_started_at = now;
@@ -101,7 +104,7 @@
         self.evicted_in_phase.is_some()
     }
 
-    /// Returns the rank in the eviction order; `None` if the connection can't be evicted.
+    /// Returns the connection's rank in the eviction order; `None` if the connection can't be evicted.
     pub(super) fn eviction_rank(&self) -> Option<EvictionRank> {
         if self.is_evicted() {
             return None;
@@ -118,12 +121,14 @@
         Some(EvictionRank { group, since: self.phase_started_at })
     }
 
-    /// Records received bytes; returns how many of them belong to the current request.
+    /// Records bytes that were received from the client; returns how many of them belong to the current
+    /// request.
     pub(super) fn record_received(&mut self, bytes: &[u8], now: Instant) -> usize {
         let length = self.framing.advance(bytes);
         self.is_request_complete = length > 0 && self.framing.is_request_complete();
         match self.phase {
-            // The time of the first request counts from the connect, so the start of the phase is kept.
+            // The time limit for the first request counts from the client's connect, so the start of the
+            // phase is kept.
             Phase::New => self.phase = Phase::ReceivingRequest,
             Phase::Idle => self.enter(Phase::ReceivingRequest, now),
             Phase::ReceivingRequest | Phase::AwaitingResponse | Phase::SendingResponse | Phase::Lingering => {
@@ -132,7 +137,7 @@
         length
     }
 
-    /// Whether pipelined input is stored.
+    /// Whether input after the current request (pipelined input) is stored.
     pub(super) fn has_pipelined_input(&self) -> bool {
         !self.pipelined_input.is_empty()
     }
@@ -147,10 +152,11 @@
         self.pipelined_input = pipelined;
     }
 
-    /// Whether more pipelined input can be read.
+    /// Whether more pipelined input may be read from the socket.
     pub(super) fn accepts_pipelined_input(&self) -> bool {
-        // Once the head of the response is written, it can't announce that the connection closes. Reading
-        // therefore pauses when `MAX_HEAD_BYTES` are stored.
+        // Once the head of the response is written, the response can't announce any more that the connection
+        // closes. While a response is sent, reading therefore pauses when `MAX_HEAD_BYTES` bytes of pipelined
+        // input are stored.
         self.phase != Phase::SendingResponse || self.pipelined_input.len() < MAX_HEAD_BYTES
     }
 
@@ -165,7 +171,7 @@
         }
     }
 
-    /// Records that the response has been sent.
+    /// Records that the response to the current request has been sent to the client.
     pub(super) fn record_response_sent(&mut self, now: Instant) -> ResponseSent {
         let has_pipelined_input = self.has_pipelined_input();
         let is_idle = self.framing.is_between_requests() && !has_pipelined_input;
@@ -174,8 +180,9 @@
         ResponseSent { has_pipelined_input, is_evicted: self.is_evicted() }
     }
 
-    /// Records that this side closes the connection. The connection counts against the budget until the
-    /// client closes its side too, even if the connection was chosen for eviction.
+    /// Records that the daemon closes its side of the connection. The connection then counts against the
+    /// descriptor budget until the client closes its side too, even if the connection was chosen for
+    /// eviction.
     pub(super) fn start_lingering(&mut self, now: Instant) {
         self.enter(Phase::Lingering, now);
         self.evicted_in_phase = None;
@@ -192,12 +199,14 @@
         self.phase.time_limit().is_some_and(|limit| now >= self.phase_started_at + limit)
     }
 
-    /// Whether an eviction or a time limit closes the connection now. If a request became complete after the
-    /// connection was chosen for eviction, the connection closes after the response to that request.
+    /// Whether an eviction or a time limit requires the connection to be closed at time `now`. If a request
+    /// became complete after the connection was chosen for eviction, the connection closes after the response
+    /// to that request.
     pub(super) fn must_close(&self, now: Instant) -> bool {
         match self.phase {
             Phase::New | Phase::Idle => true,
-            // Only an eviction chosen after lingering began counts; an earlier notification does not.
+            // Lingering ends early only if the connection was chosen for eviction after lingering began; an
+            // earlier notification does not count.
             Phase::Lingering => self.is_evicted(),
             Phase::ReceivingRequest => {
                 self.has_timed_out(now) || self.evicted_in_phase == Some(Phase::ReceivingRequest)
@@ -207,7 +216,7 @@
         }
     }
 
-    /// Returns why this side closes the connection now.
+    /// Returns the reason why the daemon closes the connection at time `now`.
     pub(super) fn close_reason(&self, now: Instant) -> CloseReason {
         match (self.has_timed_out(now), self.phase) {
             _ if self.is_evicted() => CloseReason::Evicted,
@@ -217,7 +226,7 @@
         }
     }
 
-    /// Whether the connection awaits a response or may still be sending one.
+    /// Whether the connection awaits a response, or may still be sending a response at time `now`.
     pub(super) fn has_pending_response(&self, now: Instant) -> bool {
         match self.phase {
             Phase::AwaitingResponse => true,
--- a/crates/vetchbridge/src/clients/connection/tests.rs
+++ b/crates/vetchbridge/src/clients/connection/tests.rs
@@ -1,9 +1,9 @@
-//! The time limits of a client connection.
+//! Tests of the time limits of a client connection.
 
 use super::*;
 
-/// The time limit of a request covers its head and body; the time of the first request counts from the
-/// connect.
+/// The time limit for the arrival of a request covers its head and body. The time for the first request
+/// counts from the client's connect.
 #[tokio::test(start_paused = true)]
 async fn an_incomplete_request_times_out_and_a_request_that_awaits_its_response_does_not() {
     let connection = ClientConnection::new(1, Arc::default());
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -1,8 +1,8 @@
 //! All client connections of the process, including the connections on which workers send callbacks.
 //!
-//! Admits new connections within the descriptor budget, evicts other connections for them, and closes
-//! connections that exceed their time limits. A connection that must not be evicted is never closed to make
-//! room for another.
+//! This module admits new connections within the descriptor budget, evicts other connections to make room for
+//! them, and closes connections that exceed their time limits. A connection that must not be evicted is never
+//! closed to make room for another connection.
 
 use super::budget::{DescriptorBudget, OtherProcesses};
 use super::connection::ClientConnection;
@@ -13,10 +13,10 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
 
-/// The open connections, and the order of their eviction.
+/// The open client connections, and the order in which they are evicted.
 #[derive(Default)]
 struct ConnectionTable {
-    /// The open connections, including connections that are chosen for eviction.
+    /// The open connections by their ids, including connections that are chosen for eviction.
     open: BTreeMap<ConnectionId, Arc<ClientConnection>>,
     last_id: ConnectionId,
     eviction_order: Arc<Mutex<EvictionOrder>>,
@@ -28,7 +28,7 @@
         self.open.len().saturating_sub(lock_ignoring_poison(&self.eviction_order).pending_evictions)
     }
 
-    /// Evicts the next connection of the eviction order; returns `false` if no connection can be evicted.
+    /// Evicts the next connection in the eviction order; returns `false` if no connection can be evicted.
     fn evict_next(&self, new_connections: NewConnections, now: Instant) -> bool {
         let next = lock_ignoring_poison(&self.eviction_order).next_to_evict(new_connections, now);
         let Some(connection) = next.and_then(|id| self.open.get(&id)) else { return false };
@@ -37,15 +37,15 @@
     }
 }
 
-/// The client connections of the process, and their budget.
+/// The client connections of the process, and the descriptor budget that limits their number.
 pub(super) struct ClientConnections {
     budget: DescriptorBudget,
     table: Mutex<ConnectionTable>,
-    /// The callback connections that are open beyond the clients' share of the budget.
+    /// The number of callback connections that are open beyond the clients' share of the budget.
     extra_callbacks: ConnectionCount,
 }
 
-/// The place of one connection in the budget, released when the slot is dropped.
+/// The place of one client connection in the descriptor budget; released when this value is dropped.
 pub(super) struct ConnectionSlot<'a> {
     connections: &'a ClientConnections,
     id: ConnectionId,
@@ -60,12 +60,12 @@
 }
 
 impl ClientConnections {
-    /// Creates an empty set of connections with this budget.
+    /// Creates an empty set of client connections that is limited by this descriptor budget.
     pub(super) fn new(budget: DescriptorBudget) -> ClientConnections {
         ClientConnections { budget, table: Mutex::default(), extra_callbacks: ConnectionCount::default() }
     }
 
-    /// Returns the number of open connections.
+    /// Returns the number of open client connections.
     pub(super) fn count(&self) -> usize {
         lock_ignoring_poison(&self.table).open.len()
     }
@@ -75,8 +75,9 @@
         self.budget.max_worker_connections(self.count(), others)
     }
 
-    /// Returns the time until which no connection is to be accepted: when the next recently accepted
-    /// connection becomes old enough to be evicted. Returns `None` if the next connection can be admitted
+    /// Returns the time until which accepting client connections is paused. The pause is needed if the next
+    /// connection could be admitted only by evicting a recently accepted connection that is still too young;
+    /// it ends when that connection becomes old enough. Returns `None` if the next connection can be admitted
     /// without that eviction, or if no recently accepted connection exists.
     pub(super) fn accept_paused_until(&self, others: OtherProcesses) -> Option<Instant> {
         let (now, table) = (Instant::now(), lock_ignoring_poison(&self.table));
@@ -86,12 +87,12 @@
         order.next_new_connection_evictable_at(now).filter(|_| !order.can_evict(excess, now))
     }
 
-    /// Admits a new connection. Evicts other connections if the budget is used up; returns `None` if too few
-    /// can be evicted.
+    /// Admits a new client connection. Evicts other connections if the descriptor budget is used up; returns
+    /// `None` if too few connections can be evicted.
     pub(super) fn admit(&self, others: OtherProcesses) -> Option<ConnectionSlot<'_>> {
         let table = &mut *lock_ignoring_poison(&self.table);
-        // One eviction may not be enough: a connection that was evicted earlier counts again while it
-        // lingers, since it still has its descriptor.
+        // One eviction may not be enough: a connection that was evicted earlier counts again while it lingers
+        // after its close, since it still has its descriptor.
         while table.non_evicted_count() >= self.budget.max_client_connections(others) {
             if !table.evict_next(NewConnections::Evictable, Instant::now()) {
                 return None;
@@ -104,27 +105,28 @@
         Some(ConnectionSlot { connections: self, id, connection })
     }
 
-    /// Admits a connection beyond the clients' share for one callback, since a pending request may be waiting
-    /// for the callback. Returns `None` if too many such connections are open.
+    /// Admits a connection beyond the clients' share of the budget for one callback, since a pending request
+    /// may be waiting for the callback. Returns `None` if too many such connections are open.
     pub(super) fn admit_extra_callback(&self) -> Option<ConnectionGuard> {
         (self.extra_callbacks.get() < self.budget.max_extra_callbacks())
             .then(|| self.extra_callbacks.register())
     }
 
-    /// Whether any connection awaits a response or may still be sending one.
+    /// Whether any client connection awaits a response, or a response on it may still be in the process of
+    /// being sent.
     pub(super) fn has_pending_response(&self) -> bool {
         let now = Instant::now();
         lock_ignoring_poison(&self.table).open.values().any(|connection| connection.has_pending_response(now))
     }
 
-    /// Whether any connection is closed on this side while its client may not have read the last response
-    /// yet.
+    /// Whether any client connection is lingering: the daemon has closed its side, but the client may not
+    /// have read the last response yet.
     pub(super) fn has_lingering(&self) -> bool {
         lock_ignoring_poison(&self.table).open.values().any(|connection| connection.is_lingering())
     }
 
-    /// Closes the connections that exceed a time limit, and evicts connections if their descriptors are
-    /// needed for connections to workers.
+    /// Closes the client connections that exceed a time limit, and evicts client connections if their
+    /// descriptors are needed for connections to workers.
     pub(super) fn enforce_limits(&self, others: OtherProcesses) {
         let (now, table) = (Instant::now(), lock_ignoring_poison(&self.table));
         table
--- a/crates/vetchbridge/src/clients/connections/tests.rs
+++ b/crates/vetchbridge/src/clients/connections/tests.rs
@@ -1,4 +1,5 @@
-//! Admission and eviction of client connections, and the share of the budget for connections to workers.
+//! Tests of the admission and eviction of client connections, and of the share of the descriptor budget for
+//! connections to workers.
 
 use super::*;
 use crate::clients::budget::PROCESS_DESCRIPTORS;
@@ -29,7 +30,7 @@
     for evicted in [new, incomplete, one_response, kept_alive] {
         admitted.push(connections.admit(NO_OTHER_PROCESSES).expect("an eviction"));
         admitted.last().unwrap().connection.mark_awaiting_response();
-        // Resolves only for the connection that was chosen for eviction.
+        // The call resolves only for the connection that was chosen for eviction.
         evicted.connection.wait_for_forced_close().await;
     }
     assert!(connections.admit(NO_OTHER_PROCESSES).is_none(), "no other connection may be evicted");
@@ -37,7 +38,8 @@
     assert!(connections.admit(NO_OTHER_PROCESSES).is_some(), "the dropped slot is free again");
 }
 
-/// Clients get all descriptors that the process and connections to workers leave, not a fixed share.
+/// Client connections get all descriptors that the process and connections to workers leave, not a fixed
+/// share.
 #[tokio::test(start_paused = true)]
 async fn clients_get_what_workers_leave_and_are_evicted_when_workers_need_more() {
     let workers = ConnectionCount::default();
@@ -59,8 +61,8 @@
     assert_eq!(max_clients(0) - max_clients(1), PROCESS_DESCRIPTORS);
 }
 
-/// In a burst of connections, a new connection does not evict another one that has had no time to send
-/// anything.
+/// In a burst of new connections, a new connection does not evict another new connection that has had no time
+/// to send anything.
 #[tokio::test(start_paused = true)]
 async fn a_new_connection_has_time_to_send_its_request_before_it_is_evicted() {
     let connections = room_for_six_connections();
@@ -77,8 +79,8 @@
     slots[1].connection.wait_for_forced_close().await;
 }
 
-/// A client's next request may arrive when its connection is chosen for eviction. The request is answered,
-/// and then the connection closes.
+/// A client's next request may arrive at the moment when its connection is chosen for eviction. The request
+/// is answered first, and then the connection closes.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_arrives_during_the_eviction_gets_its_response_first() {
     let connections = room_for_six_connections();
@@ -97,8 +99,8 @@
     forced_close.await;
 }
 
-/// An evicted connection that lingers counts against the budget, and closes at once when another connection
-/// needs its descriptor.
+/// An evicted connection that lingers after its close still counts against the budget, and is closed
+/// completely as soon as another connection needs its descriptor.
 #[tokio::test(start_paused = true)]
 async fn lingering_connections_count_and_are_evicted_first() {
     let connections = room_for_six_connections();
@@ -133,7 +135,8 @@
     ClientConnections::new(DescriptorBudget::new(limit, reserved, workers))
 }
 
-/// Returns an empty set of connections with room for six, a quarter of the descriptor limit.
+/// Returns an empty set of client connections with room for six connections, a quarter of the descriptor
+/// limit.
 fn room_for_six_connections() -> ClientConnections {
     connections_with_limit(24, 0, ConnectionCount::default())
 }
@@ -162,7 +165,8 @@
     }
 }
 
-/// The cost of an admission and of the eviction for it does not depend on the number of open connections.
+/// The cost of admitting a connection, and of the eviction that makes room for it, does not depend on the
+/// number of open connections.
 #[test]
 fn the_cost_of_a_new_connection_does_not_grow_with_the_number_of_connections() {
     const NEW_CONNECTIONS: usize = 500;
@@ -187,8 +191,8 @@
     };
     let mut elapsed = [Duration::ZERO; 2];
     for _ in 0..ROUNDS {
-        // Each round uses new tables, since no connection is closed here and evicted connections stay in
-        // the table.
+        // Each round uses new connection tables, since this test never closes a connection and evicted
+        // connections thus stay in their table.
         for (elapsed, limit) in elapsed.iter_mut().zip([1_000, 16_000]) {
             *elapsed += time_admissions(&full_table(limit));
         }
--- a/crates/vetchbridge/src/clients/eviction.rs
+++ b/crates/vetchbridge/src/clients/eviction.rs
@@ -1,8 +1,8 @@
 //! The order in which client connections are evicted when another connection needs a descriptor.
 //!
-//! The order is updated whenever a connection changes its state, so that the cost of an eviction does not
-//! grow with the number of connections. Connections are divided into groups. Within a group, the connection
-//! that has been in its state for longest is evicted first.
+//! The eviction order is updated whenever a connection changes its state, so that the cost of an eviction
+//! does not grow with the number of connections. Connections are divided into groups, which are evicted one
+//! after the other. Within a group, the connection that has been in its state for longest is evicted first.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,28 +11,30 @@
 /// The id of a connection, unique within the process.
 pub(super) type ConnectionId = u64;
 
-/// How long a connection without a complete request is safe from eviction: the rest of the request may be in
-/// transit.
+/// How long a connection without a complete request is safe from eviction, since the rest of the request may
+/// be in transit.
 pub(super) const MIN_AGE: Duration = Duration::from_millis(250);
-/// How long a new connection is safe from eviction for another new connection. A younger connection has had
-/// no time to send anything.
+/// How long a new connection is safe from eviction in favor of another new connection. A younger connection
+/// has had no time to send anything.
 const MIN_AGE_FOR_NEW_CONNECTION: Duration = Duration::from_millis(10);
 
 /// The groups of connections, in the order in which the groups are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvictionGroup {
-    /// This side has closed the connection after the last response; the client has not closed its side yet.
+    /// The daemon has closed its side of the connection after the last response; the client has not closed
+    /// its side yet.
     Lingering,
     /// No byte has been received on the connection.
     New,
-    /// A request other than a callback has arrived in part.
+    /// A part of a request has arrived; the request is not a callback.
     ReceivingRequest,
-    /// Idle after at most one response. Connections that clients have reused are kept longer.
+    /// The connection is idle after at most one response. Connections that clients have reused are kept
+    /// longer.
     IdleAfterOneResponse,
-    /// Idle after several responses.
+    /// The connection is idle after several responses.
     IdleKeepAlive,
-    /// A worker's connection that is idle between callbacks. A worker's connection is needed more than a
-    /// client's connection, since the client can connect again.
+    /// The connection of a worker is idle between callbacks. Such a connection is needed more than a client's
+    /// connection, since the client can connect again.
     IdleCallback,
 }
 
@@ -40,7 +42,7 @@
     /// The number of groups.
     const COUNT: usize = 6;
 
-    /// The groups whose connections may be evicted at any age.
+    /// The groups whose connections may be evicted however short the time in their state is.
     const AT_ANY_AGE: [EvictionGroup; 4] = [
         EvictionGroup::Lingering,
         EvictionGroup::IdleAfterOneResponse,
@@ -57,21 +59,22 @@
     pub(super) since: Instant,
 }
 
-/// Whether a new connection younger than [`MIN_AGE`] may be evicted when no other connection can be.
+/// Whether a new connection that is younger than [`MIN_AGE`] may be evicted when no other connection can be
+/// evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NewConnections {
-    /// New connections may be evicted, since the descriptor is for another new connection.
+    /// New connections may be evicted, since the descriptor is needed for another new connection.
     Evictable,
-    /// New connections must not be evicted, since the descriptor is for a connection to a worker.
+    /// New connections must not be evicted, since the descriptor is needed for a connection to a worker.
     Protected,
 }
 
-/// The eviction order of all connections.
+/// The eviction order of all client connections.
 #[derive(Debug, Default)]
 pub(super) struct EvictionOrder {
     /// The connections that can be evicted, by group and by the time when they entered their state.
     groups: [BTreeSet<(Instant, ConnectionId)>; EvictionGroup::COUNT],
-    /// Number of connections that are chosen for eviction and that this side has not closed yet.
+    /// Number of connections that are chosen for eviction and that the daemon has not closed yet.
     pub(super) pending_evictions: usize,
 }
 
@@ -80,7 +83,8 @@
         &self.groups[group as usize]
     }
 
-    /// Moves a connection from one rank to another. A connection without a rank can't be evicted.
+    /// Moves a connection from one rank in the eviction order to another. A connection without a rank can't
+    /// be evicted.
     pub(super) fn update(
         &mut self,
         connection: ConnectionId,
@@ -121,7 +125,7 @@
             .or_else(new_connection)
     }
 
-    /// Whether `count` connections can be evicted for new connections now.
+    /// Whether at least `count` connections can be evicted at time `now` to make room for new connections.
     pub(super) fn can_evict(&self, count: usize, now: Instant) -> bool {
         let at_any_age: usize = EvictionGroup::AT_ANY_AGE.iter().map(|group| self.group(*group).len()).sum();
         let old_enough = |group, min_age| {
@@ -133,7 +137,8 @@
         at_any_age + new + receiving >= count
     }
 
-    /// Returns when the next new connection becomes old enough to be evicted for another new connection.
+    /// Returns when the next new connection that is still too young becomes old enough to be evicted for
+    /// another new connection; `None` if no new connection is too young.
     pub(super) fn next_new_connection_evictable_at(&self, now: Instant) -> Option<Instant> {
         let new = self.group(EvictionGroup::New);
         let youngest_evictable = now.checked_sub(MIN_AGE_FOR_NEW_CONNECTION);
--- a/crates/vetchbridge/src/clients/eviction/tests.rs
+++ b/crates/vetchbridge/src/clients/eviction/tests.rs
@@ -1,8 +1,8 @@
-//! The eviction order without connections.
+//! Tests of the eviction order, which need no client connections.
 
 use super::*;
 
-/// All groups, in the order in which they are evicted.
+/// All groups of connections, in the order in which the groups are evicted.
 const GROUPS: [EvictionGroup; EvictionGroup::COUNT] = [
     EvictionGroup::Lingering,
     EvictionGroup::New,
--- a/crates/vetchbridge/src/clients/framing.rs
+++ b/crates/vetchbridge/src/clients/framing.rs
@@ -1,47 +1,48 @@
-//! Tracks the requests of one connection: where one request ends and the next one begins. hyper does not
-//! report this.
+//! Tracks the requests on one client connection: where one request ends and the next request begins. hyper
+//! does not report this.
 //!
-//! Heads are parsed with hyper's parser and hyper's limits, so that this module and hyper find the same
-//! requests. Of each request, only the path, the length and the transfer encoding are read.
+//! Request heads are parsed with hyper's parser and hyper's limits, so that this module and hyper find the
+//! same requests. Of each request, only the path, the length and the transfer encoding are read.
 
 use super::chunked_body::{ChunkedBody, Progress};
 use super::protocol::{CALLBACK_PATH, CALLBACK_REQUEST_LINE};
 
-/// Maximum length of a request's head in bytes. Also the size of hyper's read buffer, which bounds the memory
-/// of a connection.
+/// Maximum length of a request's head in bytes. This is also the size of hyper's read buffer, which bounds
+/// the memory of a client connection.
 pub(super) const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Maximum number of header lines of a request; equal to hyper's default.
 const MAX_HEADERS: usize = 100;
 
-/// A position in the byte stream from a client.
+/// A position in the byte stream that a client sends on one connection.
 #[derive(Debug, PartialEq, Eq)]
 enum Position {
-    /// In a head; contains the bytes of the head that have arrived.
+    /// In the head of a request; contains the bytes of the head that have arrived.
     Head(Vec<u8>),
-    /// In a body of known length; `remaining` is the number of its bytes that have not arrived.
+    /// In a request body of known length; `remaining` is the number of its bytes that have not arrived.
     Body { remaining: u64 },
-    /// In a chunked body.
+    /// In a chunked request body.
     Chunked(ChunkedBody),
-    /// After a chunked body. The connection closes after the pending response, so further input is not read.
+    /// After a chunked request body. The connection closes after the pending response, so further input is
+    /// not read.
     Ended,
     /// After input in which the end of a request can't be found. The connection closes after the pending
     /// response.
     Untracked,
 }
 
-/// The framing of a connection's requests, as far as they have arrived.
+/// The framing of the requests on one connection, as far as the requests have arrived.
 #[derive(Debug)]
 pub(super) struct RequestFraming {
     position: Position,
-    /// Whether any request had both a `Content-Length` and a `Transfer-Encoding`, so that its body may
-    /// conceal another request.
+    /// Whether any request on the connection had both a `Content-Length` and a `Transfer-Encoding`, so that
+    /// its body may conceal another request.
     pub(super) is_ambiguous: bool,
     /// Whether the current request is a callback.
     pub(super) is_callback: bool,
 }
 
 impl RequestFraming {
-    /// Creates the framing of a connection on which nothing has arrived.
+    /// Creates the framing of a connection on which no byte has arrived.
     pub(super) fn new() -> RequestFraming {
         RequestFraming { position: Position::Head(Vec::new()), is_ambiguous: false, is_callback: false }
     }
@@ -51,18 +52,19 @@
         self.position == Position::Ended || self.is_between_requests()
     }
 
-    /// Whether requests after the current one can't be tracked.
+    /// Whether requests after the current request can't be tracked, so that the connection must close after
+    /// the response to the current request.
     pub(super) fn is_last_request(&self) -> bool {
         matches!(self.position, Position::Chunked(_) | Position::Ended | Position::Untracked)
     }
 
-    /// Whether the position is between two requests: no byte of the next request has arrived.
+    /// Whether the position is between two requests, where no byte of the next request has arrived.
     pub(super) fn is_between_requests(&self) -> bool {
         matches!(&self.position, Position::Head(head) if head.is_empty())
     }
 
-    /// Advances over received bytes, at most to the end of the current request. Returns how many of the bytes
-    /// belong to the current request; the other bytes belong to the next request.
+    /// Advances the position over received bytes, at most to the end of the current request. Returns how many
+    /// of the bytes belong to the current request; the other bytes belong to the next request.
     pub(super) fn advance(&mut self, received: &[u8]) -> usize {
         let mut consumed = 0;
         while consumed < received.len() {
@@ -74,8 +76,8 @@
         consumed
     }
 
-    /// Advances within the current part of the request, at most to the end of that part. Returns the number
-    /// of bytes that belong to the part.
+    /// Advances the position within the current part of the request, at most to the end of that part. Returns
+    /// the number of bytes that belong to the part.
     fn advance_position(&mut self, bytes: &[u8]) -> usize {
         match &mut self.position {
             Position::Head(_) => self.advance_head(bytes),
@@ -93,7 +95,7 @@
                     self.position = Position::Ended;
                     length
                 }
-                // hyper finds the same error, responds to it and closes the connection.
+                // hyper finds the same error in the chunked body, responds to it and closes the connection.
                 Progress::Malformed => {
                     self.position = Position::Untracked;
                     bytes.len()
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Advances within a head, at most to its end. Returns the number of bytes that belong to the head.
+    /// Advances the position within a request's head, at most to its end. Returns the number of bytes that
+    /// belong to the head.
     fn advance_head(&mut self, bytes: &[u8]) -> usize {
         let Position::Head(head) = &mut self.position else { return 0 };
         let already_received = head.len();
@@ -129,9 +132,9 @@
     }
 }
 
-/// The result of parsing the part of a head that has arrived.
+/// The result of parsing the part of a request's head that has arrived.
 enum ParsedHead {
-    /// The head has not arrived completely.
+    /// The head has not arrived completely yet.
     Incomplete,
     /// The head has arrived completely.
     Complete {
@@ -141,14 +144,14 @@
         is_callback: bool,
         /// Whether the head has both a `Content-Length` and a `Transfer-Encoding`.
         is_ambiguous: bool,
-        /// The position after the head.
+        /// The position in the client's byte stream after the head.
         next: Position,
     },
     /// The head is too long or malformed.
     Invalid,
 }
 
-/// Parses the part of a head that has arrived.
+/// Parses the part of a request's head that has arrived.
 fn parse_head(head: &[u8]) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -175,7 +178,7 @@
     headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
 
-/// Returns the position after a head without a `Transfer-Encoding`.
+/// Returns the position after a request head without a `Transfer-Encoding`.
 fn position_after_head(content_length: Option<&[u8]>) -> Position {
     let content_length = content_length.and_then(|value| std::str::from_utf8(value).ok());
     match content_length.map_or(Ok(0), |value| value.trim().parse()) {
--- a/crates/vetchbridge/src/clients/framing/tests.rs
+++ b/crates/vetchbridge/src/clients/framing/tests.rs
@@ -1,4 +1,4 @@
-//! The framing of requests, with every split of their bytes into two reads.
+//! Tests that requests are tracked correctly for every split of their bytes into two reads.
 
 use super::*;
 
--- a/crates/vetchbridge/src/clients/handler.rs
+++ b/crates/vetchbridge/src/clients/handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP of clients and callbacks: turns an HTTP request into a
+//! Handles the HTTP requests of clients and the callbacks of workers: turns an HTTP request into a
 //! [`SubmittedRequest`](crate::request::SubmittedRequest), and an [`Answer`] into an HTTP response.
 //!
 //! A malformed request is rejected before it reaches the decision module.
@@ -24,7 +24,7 @@
 use tower_service::Service;
 use tracing::{debug, warn};
 
-/// Returns the routes of a server.
+/// Returns the HTTP routes of the server for clients and callbacks.
 pub(super) fn router(server: Arc<ClientServer>) -> Router {
     Router::new()
         .route(READINESS_PATH, get(readiness))
@@ -34,7 +34,8 @@
 }
 
 impl ClientServer {
-    /// Returns the response to a request, with `Connection: close` if the connection closes after it.
+    /// Returns the response to an HTTP request. The response has `Connection: close` if the connection closes
+    /// after it.
     pub(super) async fn respond(
         &self,
         mut request: hyper::Request<Incoming>,
@@ -58,8 +59,8 @@
 }
 
 async fn readiness(State(server): State<Arc<ClientServer>>) -> StatusCode {
-    // A successor continues to serve clients when this process ends, unless operators have quiesced the
-    // scheduler.
+    // A successor process continues to serve clients when this process ends, unless operators have quiesced
+    // the scheduler.
     let successor_serves = server.process_links.has_successor() && !server.lifecycle.is_quiesced();
     if successor_serves || server.lifecycle.state().is_ready() {
         StatusCode::OK
@@ -133,19 +134,19 @@
     render(answer.await.unwrap_or(Answer::Failed))
 }
 
-/// Returns the response to a request whose body was not read.
+/// Returns the error response to a request whose body was not read.
 fn reject_body(error: BodyError) -> Response {
     debug!(reason = %error, "request.rejected");
     error.into_response()
 }
 
-/// Returns the response to a malformed request.
+/// Returns the error response to a malformed request.
 fn reject_malformed(error: &MalformedRequest) -> Response {
     debug!(reason = %error, "request.malformed");
     (StatusCode::BAD_REQUEST, format!("{error}\n")).into_response()
 }
 
-/// Returns the response that carries an answer.
+/// Returns the HTTP response that carries the final answer to a request.
 fn render(answer: Answer) -> Response {
     match answer {
         Answer::Served(result) => (StatusCode::OK, result).into_response(),
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -1,6 +1,6 @@
 //! Reads a request to run a job from the path and headers of its HTTP request.
 //!
-//! A request that can be read in two ways is malformed. The body is passed on unparsed.
+//! A request whose meaning is ambiguous is malformed. The body is passed on to the worker unparsed.
 
 use super::protocol::{
     is_slots_property, CLASS, EXPECTED_WORK, HOST, IDEMPOTENCY_KEY, PROPERTIES, REQUEST_ID, RETRY, TENANT,
@@ -17,7 +17,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use vetchbridge_scheduling::{Class, ClassId, Idempotency, Micros, Request};
 
-/// Why a request is malformed. The text is the body of the response.
+/// Why a client's request is malformed. The error's text is the body of the error response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum MalformedRequest {
     /// The value of a header is not printable ASCII.
@@ -32,28 +32,29 @@
     /// The request's id is not 16 hex digits.
     #[error("{}: not 16 hex digits", REQUEST_ID)]
     InvalidRequestId,
-    /// The target is not a path, or contains characters that need escaping.
+    /// The request's target is not a path, or contains characters that need escaping.
     #[error("not a path of plain characters")]
     InvalidPath,
     /// The path and the class header name different classes.
     #[error("{}: not the class in the path", CLASS)]
     ClassMismatch,
-    /// The settings have no class of this name.
+    /// The settings have no request class of this name.
     #[error("no class {0:?}")]
     UnknownClass(String),
-    /// The class requires an idempotency key, and the request has none.
+    /// The request's class requires an idempotency key, and the request has none.
     #[error("{}: missing, its class needs one", IDEMPOTENCY_KEY)]
     MissingIdempotencyKey,
     /// The client's timeout is not a number with the unit `m` or `u`.
     #[error("{}: not a number with unit m or u", TIMEOUT)]
     InvalidTimeout,
-    /// The expected work is not a number.
+    /// The value of the header for the expected work is not a number.
     #[error("{}: unreadable", EXPECTED_WORK)]
     InvalidExpectedWork,
 }
 
-/// Reads a request to run a job. `now` is when the last byte of the request arrived, in microseconds; the
-/// request's deadline counts from then. The request holds `body_permit` until it ends.
+/// Reads a request to run a job. `now` is the time when the last byte of the request arrived, in microseconds
+/// of the engine's clock; the request's deadline counts from `now`. The request holds `body_permit` until the
+/// request ends.
 pub(super) fn read(
     parts: &Parts,
     body: Bytes,
@@ -111,7 +112,8 @@
     uri.path_and_query().filter(is_plain).ok_or(MalformedRequest::InvalidPath)
 }
 
-/// Returns the idempotency key; an error if the class requires one and the request has none.
+/// Returns the request's idempotency key; an error if the request's class requires a key and the request has
+/// none.
 fn idempotency_key(headers: &HeaderMap, class: &Class) -> Result<Option<String>, MalformedRequest> {
     let key = single_header(headers, IDEMPOTENCY_KEY)?.map(str::to_string);
     if key.is_none() && matches!(class.idempotency, Idempotency::Keyed { .. }) {
@@ -120,14 +122,15 @@
     Ok(key)
 }
 
-/// Returns the tenant's name. The tenant affects only the priority: a request with a repeated tenant
-/// header has no tenant, and is not rejected.
+/// Returns the name of the request's tenant. The tenant affects only the priority, so a request with a
+/// repeated tenant header is not rejected but treated as a request without a tenant.
 fn tenant_name(headers: &HeaderMap) -> Option<&[u8]> {
     let mut names = headers.get_all(TENANT).iter();
     names.next().filter(|_| names.next().is_none()).map(HeaderValue::as_bytes)
 }
 
-/// Returns how long the client waits for the response, in microseconds, limited to the deadline of the class.
+/// Returns how long the client waits for the response, in microseconds, limited to the deadline of the
+/// request's class.
 fn timeout(headers: &HeaderMap, class: &Class) -> Result<Micros, MalformedRequest> {
     let timeout = match single_header(headers, TIMEOUT)? {
         Some(value) => parse_duration(value).ok_or(MalformedRequest::InvalidTimeout)?,
@@ -136,15 +139,16 @@
     Ok(timeout.min(class.deadline))
 }
 
-/// Returns the expected work in microseconds; `None` if the request does not state any.
+/// Returns the amount of work that the client expects the job to take, in microseconds; `None` if the request
+/// does not state any.
 fn expected_work(headers: &HeaderMap) -> Result<Option<Micros>, MalformedRequest> {
     let Some(value) = single_header(headers, EXPECTED_WORK)? else { return Ok(None) };
     let work = parse_number(value).ok_or(MalformedRequest::InvalidExpectedWork)?;
     Ok(Some(work as Micros))
 }
 
-/// Returns the number of worker slots that the request takes: the first positive number in a slots property,
-/// or 1.
+/// Returns the number of worker slots that the request takes: the first positive number among the values of
+/// slots properties, or 1 if there is none.
 fn slots(headers: &HeaderMap) -> Result<f64, MalformedRequest> {
     let properties = single_header(headers, PROPERTIES)?.unwrap_or("");
     let mut values = properties
--- a/crates/vetchbridge/src/clients/job/tests.rs
+++ b/crates/vetchbridge/src/clients/job/tests.rs
@@ -1,4 +1,4 @@
-//! Reading requests with valid and invalid values of each header.
+//! Tests of reading requests to run jobs, with valid and invalid values of each header.
 
 use super::*;
 use crate::config::read_text;
@@ -6,7 +6,8 @@
 
 const NOW: Micros = 1_000_000;
 
-/// Returns settings with one class and these tenants; `accounts` is the JSON list of the configuration file.
+/// Returns settings with one request class and these tenants; `accounts` is the JSON list of tenants in the
+/// configuration file.
 fn settings(accounts: &str) -> Arc<SettingsSnapshot> {
     let text = format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
--- a/crates/vetchbridge/src/clients/mod.rs
+++ b/crates/vetchbridge/src/clients/mod.rs
@@ -1,7 +1,7 @@
 //! The server for clients and for workers' callbacks: the listener, its connections, and the HTTP on them.
 //!
-//! All behaviour of the daemon that clients, and workers that send callbacks, can observe is in this module.
-//! The module neither chooses nor contacts workers.
+//! This module contains all behaviour of the daemon that its clients can observe, and that workers can
+//! observe when they send callbacks. The module neither chooses nor contacts workers.
 
 mod body;
 mod budget;
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -21,9 +21,10 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::warn;
 
-/// How long to wait after a failed accept. Responses that are sent meanwhile release descriptors.
+/// How long to wait after accepting a client connection failed. Responses that are sent meanwhile release
+/// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often the time limits of connections and the descriptor budget are enforced.
+/// Interval at which the time limits of client connections and the descriptor budget are enforced.
 const ENFORCEMENT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A client connection that another process of this scheduler served before.
@@ -43,7 +44,7 @@
 /// The queue of handed-over connections that this process does not serve yet.
 struct HandoverQueue {
     sender: UnboundedSender<HandedOverConnection>,
-    /// The receiving end; `None` once the accept loop has it.
+    /// The receiving end of the queue; `None` after the accept loop has taken it.
     receiver: Mutex<Option<UnboundedReceiver<HandedOverConnection>>>,
 }
 
@@ -62,11 +63,14 @@
     pub(super) lifecycle: Arc<Lifecycle>,
     pub(super) process_links: Arc<ProcessLinks>,
     pub(super) connections: ClientConnections,
-    /// Memory for the bodies of jobs. A job holds its share until the job ends.
+    /// Memory for the bodies of jobs. The request of a job holds its part of the memory until the request
+    /// ends.
     pub(super) job_memory: BodyMemory,
-    /// Memory for the bodies of callbacks. It is separate because jobs must not use it up.
+    /// Memory for the bodies of callbacks. The memory is separate from the memory for jobs, so that jobs
+    /// can't use it up.
     pub(super) callback_memory: BodyMemory,
-    /// The connections that other processes of this scheduler have handed over, not served yet.
+    /// The connections that other processes of this scheduler have handed over and that this process does not
+    /// serve yet.
     handovers: HandoverQueue,
 }
 
@@ -98,23 +102,23 @@
         })
     }
 
-    /// Whether any request is open, or any connection awaits a response or may still be sending one.
+    /// Whether any request is open, or any client connection awaits a response or may still be sending one.
     pub fn has_pending_responses(&self) -> bool {
         self.connections.has_pending_response() || self.engine.open_request_count() > 0
     }
 
-    /// Whether any connection is closed on this side while its client may not have read the last response
-    /// yet.
+    /// Whether any client connection is lingering: the daemon has closed its side, but the client may not
+    /// have read the last response yet.
     pub fn has_lingering_connections(&self) -> bool {
         self.connections.has_lingering()
     }
 
-    /// Returns the longest deadline of all classes in the current settings.
+    /// Returns the longest deadline of all request classes in the current settings.
     pub fn longest_deadline(&self) -> Duration {
         self.settings.get().longest_deadline()
     }
 
-    /// Returns the number of client connections.
+    /// Returns the number of open client connections of this process.
     pub fn connection_count(&self) -> usize {
         self.connections.count()
     }
@@ -122,11 +126,12 @@
     /// Takes over a client connection that another process served before. `is_kept_alive`: whether a response
     /// has been sent on the connection.
     pub fn take_over_connection(&self, descriptor: OwnedFd, is_kept_alive: bool) {
-        // Sending fails only when the process ends: the accept loop keeps the receiver until then.
+        // Sending the connection to the accept loop fails only when the process ends: the accept loop keeps
+        // the receiver until then.
         let _ = self.handovers.sender.send(HandedOverConnection { descriptor, is_kept_alive });
     }
 
-    /// Returns what the other processes of this scheduler use of the descriptor budget.
+    /// Returns how much of the descriptor budget the other processes of this scheduler use.
     pub(super) fn other_processes(&self) -> OtherProcesses {
         OtherProcesses {
             count: self.process_links.process_count(),
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Accepts connections until the process ends, but not while a successor accepts them.
+    /// Accepts client connections until the process ends, but not while a successor process accepts them.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let Some(mut receiver) = super::lock_ignoring_poison(&self.handovers.receiver).take() else { return };
         let router = handler::router(self.clone());
@@ -161,8 +166,8 @@
             match incoming {
                 Ok(incoming) => {
                     tokio::spawn(self.clone().serve_connection(incoming, router.clone()));
-                    // In a burst of connections, lets the task of this connection read input before the next
-                    // connection may evict this one.
+                    // In a burst of new connections, this yield lets the task of this connection read input
+                    // before the next connection may evict this connection.
                     tokio::task::yield_now().await;
                 }
                 Err(error) => {
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -1,4 +1,5 @@
-//! Serves one client connection in this process, until the connection ends or the successor takes it over.
+//! Serves one client connection in this process, until the connection ends or the successor process takes it
+//! over.
 
 use super::connection::{lingering_close, ClientConnection, RequestStream};
 use super::framing::MAX_HEAD_BYTES;
@@ -21,36 +22,36 @@
 
 /// How long a connection beyond the descriptor budget may take to send the start of a callback.
 const CALLBACK_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time limit for a callback on a connection beyond the descriptor budget, including the time to forward the
-/// callback to another process.
+/// Time limit for serving a callback on a connection beyond the descriptor budget, including the time to
+/// forward the callback to another process.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Interval between checks of a request line that has arrived only in part.
+/// Interval between checks whether the rest of a callback's request line has arrived.
 const CALLBACK_PEEK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The logged reason for the rejection of a connection beyond the budget.
+/// The logged reason for the rejection of a connection beyond the descriptor budget.
 const NO_EVICTION_POSSIBLE: &str = "no connection can be evicted";
 
-/// A connection that this process starts to serve.
+/// A client connection that this process starts to serve.
 pub(super) struct IncomingConnection {
     pub(super) stream: TcpStream,
-    /// Whether another process has sent a response on the connection.
+    /// Whether another process of this scheduler has already sent a response on the connection.
     pub(super) is_kept_alive: bool,
 }
 
-/// Why this process stopped serving a connection.
+/// Why this process stopped serving a client connection.
 enum ServingEnd {
     /// hyper has finished: the client has disconnected, or the last response has been sent.
     Finished(hyper::Result<()>),
     /// An eviction or a time limit closes the connection.
     ClosedByLimit,
-    /// The connection waits for a request, and the successor takes the connection over.
+    /// No request is in progress on the connection; the successor process takes the connection over.
     HandedOver,
     /// The connection is idle, and the process is draining.
     Drained,
 }
 
 impl ClientServer {
-    /// Serves a connection until the connection ends or another process takes it over.
+    /// Serves a client connection until the connection ends or another process takes it over.
     pub(super) async fn serve_connection(self: Arc<Self>, incoming: IncomingConnection, router: Router) {
         let IncomingConnection { stream, is_kept_alive } = incoming;
         let Some(slot) = &self.connections.admit(self.other_processes()) else {
@@ -67,8 +68,8 @@
         let io = TokioIo::new(RequestStream::new(RetryingStream::new(stream), connection.clone()));
         let mut serving = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service);
         let end = tokio::select! {
-            // hyper is polled first, since a connection that is chosen for eviction may have received a
-            // request, which must be answered.
+            // hyper's future is polled first, since a connection that is chosen for eviction may already have
+            // received a request, which must be answered.
             biased;
             result = Pin::new(&mut serving) => ServingEnd::Finished(result),
             () = connection.wait_for_forced_close() => ServingEnd::ClosedByLimit,
@@ -94,22 +95,22 @@
         lingering_close(serving.into_parts().io.into_inner()).await;
     }
 
-    /// Resolves when this process has a successor and the connection is between requests.
+    /// Resolves when this process has a successor process and no request is in progress on the connection.
     async fn wait_for_handover(&self, connection: &ClientConnection) {
         let mut successor = self.process_links.successor();
         loop {
             drop(successor.wait_for(Option::is_some).await);
             connection.wait_until_between_requests().await;
-            // The successor may have ended while a request was in flight.
+            // The successor process may have ended while a request was in progress on the connection.
             if self.process_links.has_successor() {
                 return;
             }
         }
     }
 
-    /// Resolves when the process is draining and the connection is idle. A connection without a response so
-    /// far is not idle, since its first request may be in transit; the response to that request closes the
-    /// connection.
+    /// Resolves when the process closes idle connections (as it does when it drains or shuts down) and the
+    /// connection is idle. A connection without a response so far is not idle, since its first request may be
+    /// in transit; the response to that request closes the connection.
     async fn wait_for_drain(&self, connection: &ClientConnection) {
         let mut state = self.lifecycle.subscribe();
         loop {
@@ -142,8 +143,8 @@
         debug!(?result, "callback.served_beyond_budget");
     }
 
-    /// Passes a connection that is between requests to the successor. Input that arrives meanwhile stays in
-    /// the socket's receive buffer.
+    /// Passes a connection on which no request is in progress to the successor process. Input that arrives
+    /// meanwhile stays in the socket's receive buffer.
     fn hand_over(&self, socket: RetryingStream, is_kept_alive: bool) {
         let (successor, descriptor) = (self.process_links.successor().borrow().clone(), socket.into_std());
         let is_sent = descriptor.map(|stream| {
@@ -166,8 +167,8 @@
     }
 }
 
-/// Whether the input of a connection starts with the request line of a callback. The input stays in the
-/// socket's receive buffer.
+/// Whether the input of a connection starts with the request line of a callback. The input is only peeked at,
+/// so it stays in the socket's receive buffer.
 async fn starts_with_callback(stream: &TcpStream) -> bool {
     let mut head = [0; CALLBACK_REQUEST_LINE.len()];
     loop {
