--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! HTTP calls to the discovery service.
 //!
-//! This module forms the service's URIs and reads its responses. The [watcher](super::watcher) decides when
-//! to make a call and what its response means.
+//! This module forms the discovery service's URIs and reads the service's responses. The
+//! [watcher](super::watcher) decides when to make a call to the service and what the response means.
 
 use crate::discovery::document::EndpointDocument;
 use crate::discovery::partial::PartialDocument;
@@ -19,28 +19,28 @@
 use thiserror::Error as ThisError;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Maximum time to establish a connection.
+/// Maximum time to establish a connection to the discovery service.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum time to receive the body after the head of a response. This scheduler counts as notified of an
-/// entry once the service has written that entry, so a stalled body must not delay the entries that have
-/// arrived.
+/// Maximum time to receive the body of the discovery service's response after its head. The service treats
+/// this scheduler as notified of an entry as soon as it has written the entry, so a stalled body must not
+/// delay the use of the entries that have arrived.
 const BODY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after which an idle connection is closed.
+/// Time after which an idle connection to the discovery service is closed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Maximum length of a document in bytes.
+/// Maximum length in bytes of an endpoint document.
 const MAX_DOCUMENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// The part of the endpoint list that a call requests.
+/// The part of the endpoint list that a call to the discovery service requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Query {
-    /// The complete list.
+    /// The complete endpoint list.
     Complete,
-    /// The changes since a generation.
+    /// The changes of the endpoint list since a generation.
     ChangesSince {
-        /// The generation that the scheduler has.
+        /// The generation of the endpoint list that this scheduler has.
         generation: u64,
-        /// How long the service may hold the call until the list changes; zero requests an immediate
-        /// response.
+        /// How long the discovery service may hold the call until the endpoint list changes; zero requests an
+        /// immediate response.
         wait: Duration,
     },
 }
@@ -66,7 +66,7 @@
     /// No connection was established within [`CONNECT_TIMEOUT`].
     #[error("no connection established within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
-    /// The response did not begin within this time.
+    /// The service's response did not begin within this time.
     #[error("no response received within {0:?}")]
     ResponseTimeout(Duration),
     /// The connection failed before the response began.
@@ -75,17 +75,17 @@
     /// The service responded with a status other than 200.
     #[error("the service responded with status {0}")]
     Status(StatusCode),
-    /// The response body was truncated, stalled or malformed.
+    /// The body of the service's response was truncated, stalled or malformed.
     #[error("{cause}")]
     Body {
-        /// Why the body could not be read.
+        /// Why the body could not be read or decoded.
         cause: BodyError,
-        /// The parts of the document that arrived complete.
+        /// The parts of the endpoint document that arrived complete.
         partial: PartialDocument,
     },
 }
 
-/// Why the body of a response could not be read.
+/// Why the body of the discovery service's response could not be read.
 #[derive(Debug, ThisError)]
 pub(super) enum BodyError {
     /// The connection failed, or the body is longer than [`MAX_DOCUMENT_BYTES`].
@@ -94,24 +94,24 @@
     /// The body was not complete within [`BODY_TIMEOUT`].
     #[error("the response body was not complete within {BODY_TIMEOUT:?}")]
     Stalled,
-    /// The body is not a valid document.
+    /// The body is not a valid endpoint document.
     #[error("invalid endpoint document: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
 impl CallError {
-    /// Whether the call timed out before any response. An overloaded service still responds, with a late
-    /// refusal.
+    /// Whether the call timed out before any response of the discovery service. An overloaded service, in
+    /// contrast, still responds, with a late refusal.
     pub(super) fn is_unanswered(&self) -> bool {
         matches!(self, CallError::ConnectTimeout | CallError::ResponseTimeout(_))
     }
 
-    /// Whether at least one entry of the document arrived complete.
+    /// Whether the call failed, but at least one entry of the endpoint document arrived complete.
     pub(super) fn has_instances(&self) -> bool {
         matches!(self, CallError::Body { partial, .. } if !partial.instances.is_empty())
     }
 
-    /// Returns the parts of the document that arrived complete; empty if no body was received.
+    /// Returns the parts of the endpoint document that arrived complete; empty if no body was received.
     pub(super) fn into_partial(self) -> PartialDocument {
         match self {
             CallError::Body { partial, .. } => partial,
@@ -126,7 +126,7 @@
 }
 
 impl DiscoveryClient {
-    /// Creates a client without connections.
+    /// Creates a client of the discovery service that has no connections yet.
     pub(super) fn new() -> DiscoveryClient {
         let http = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(POOL_IDLE_TIMEOUT)
@@ -135,7 +135,8 @@
         DiscoveryClient { http }
     }
 
-    /// Makes one call, which fails unless the response begins within `response_timeout`.
+    /// Makes one call to the discovery service at `address`. The call fails unless the response begins within
+    /// `response_timeout`.
     pub(super) fn call(
         &self,
         address: SocketAddr,
@@ -162,7 +163,8 @@
     }
 }
 
-/// Reads the document in a response. The error carries the parts that arrived complete.
+/// Reads the endpoint document in a response. The error carries the parts of the document that arrived
+/// complete.
 async fn read_document(response: Response<Incoming>) -> Result<EndpointDocument, CallError> {
     let mut text = Vec::new();
     let read = read_body(response.into_body(), &mut text).await;
@@ -170,7 +172,8 @@
     document.map_err(|cause| CallError::Body { cause, partial: PartialDocument::parse(&text) })
 }
 
-/// Appends the body to `text`. After a failure, `text` holds the part that arrived before.
+/// Appends the body of a response to `text`. After a failure, `text` holds the part of the body that arrived
+/// before the failure.
 async fn read_body(body: Incoming, text: &mut Vec<u8>) -> Result<(), BodyError> {
     let mut body = Limited::new(body, MAX_DOCUMENT_BYTES);
     let deadline = Instant::now() + BODY_TIMEOUT;
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -1,6 +1,6 @@
 //! The discovery service's endpoint document, and its conversion to the scheduler's types.
 //!
-//! The JSON field names of the discovery protocol are defined in this module alone.
+//! This module alone defines the JSON field names of the discovery protocol.
 
 use crate::snapshot::NameTables;
 use crate::workers::worker_id;
@@ -10,26 +10,27 @@
 
 /// Index of a zone or machine type that the settings do not name. No class and no scheduler has this index.
 const UNKNOWN_INDEX: u32 = u32::MAX;
-/// Microseconds per millisecond. The protocol's times are in milliseconds, the scheduler's in microseconds.
+/// Microseconds per millisecond. Times in the discovery protocol are in milliseconds, and times in the
+/// scheduler are in microseconds.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// The source of the endpoint list.
+/// The source from which the daemon gets the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointSource {
     /// The discovery service at this address.
     Service(SocketAddr),
-    /// A list in the configuration, which changes only when the configuration does.
+    /// An endpoint list in the configuration, which changes only when the configuration does.
     Fixed(EndpointDocument),
 }
 
-/// A complete endpoint list, or the changes since an earlier one.
+/// A complete endpoint list, or the changes since an earlier endpoint list.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointDocument {
-    /// Version of the list; it grows with each change.
+    /// The generation (version number) of the endpoint list, which grows with each change of the list.
     pub generation: u64,
-    /// Whether `instances` is the complete list rather than changes to an earlier one.
+    /// Whether `instances` is the complete endpoint list rather than the changes to an earlier list.
     pub reset: bool,
-    /// The listed or changed workers.
+    /// The workers in the complete list, or the workers that have changed.
     pub instances: Vec<Instance>,
 }
 
@@ -51,7 +52,7 @@
     /// The worker's cell.
     #[serde(default)]
     pub cell: u32,
-    /// The worker's state.
+    /// The worker's state as the discovery service reports it.
     pub lifecycle: InstanceState,
     /// The worker's capacity relative to that of other workers.
     #[serde(default = "default_weight")]
@@ -69,7 +70,7 @@
     Up,
     /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// The worker has left. This state appears only in documents that list changes.
+    /// The worker has left the endpoint list. This state appears only in documents that list changes.
     Removed,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl Instance {
-    /// Returns the worker's state as the scheduler's type.
+    /// Returns the worker's state, converted to the scheduler's type.
     pub fn endpoint_state(&self) -> EndpointState {
         match self.lifecycle {
             InstanceState::Up => EndpointState::Ready,
@@ -96,7 +97,7 @@
             cell: CellId(self.cell),
             state: self.endpoint_state(),
             weight: self.weight,
-            // Unix time needs no conversion: the engine's clock reads Unix time too.
+            // Only the unit is converted, since the engine's clock reads Unix time too.
             started_at: self.started_at_ms.saturating_mul(MICROS_PER_MILLI),
         }
     }
--- a/crates/vetchbridge/src/discovery/endpoint_list.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list.rs
@@ -1,7 +1,8 @@
-//! The endpoint list as last published, with entries as the discovery service sent them.
+//! The endpoint list as last published, with the entries in the form in which the discovery service sent
+//! them.
 //!
 //! The [watcher](super::watcher) updates the list. An upgrade hands the list over to the successor process. A
-//! reload that renumbers zones or machine types converts the entries again.
+//! configuration reload that changes the numbers of zones or machine types converts the entries again.
 
 use crate::discovery::document::{EndpointSource, Instance, InstanceState};
 use crate::snapshot::NameTables;
@@ -18,8 +19,9 @@
 }
 
 impl EndpointList {
-    /// Records that updates come from another source. Keeps the entries until the new source has answered,
-    /// and clears the generation, since generations of two sources can't be compared.
+    /// Records that updates of the endpoint list come from another source from now on. The entries are kept
+    /// until the new source has responded. The generation is cleared, since the generations of two sources
+    /// can't be compared.
     pub fn change_source(&mut self, source: &EndpointSource) {
         self.source = match source {
             EndpointSource::Service(address) => Some(*address),
@@ -28,8 +30,8 @@
         self.generation = None;
     }
 
-    /// Applies an update. An update without a generation, such as one read from a truncated document, keeps
-    /// the previous generation.
+    /// Applies an update of the endpoint list. An update without a generation, such as an update read from a
+    /// truncated document, keeps the previous generation.
     pub fn apply(&mut self, update: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
         if update.is_complete() {
             self.instances.clear();
@@ -44,18 +46,18 @@
         self.generation = generation.or(self.generation);
     }
 
-    /// Returns the entries, and their generation if the current source has provided one.
+    /// Returns the entries of the list, and their generation if the current source has provided a generation.
     pub fn snapshot(&self) -> (Vec<Instance>, Option<u64>) {
         (self.instances.values().cloned().collect(), self.generation)
     }
 
-    /// Returns the entries as the scheduler's type.
+    /// Returns the entries of the list, converted to the scheduler's type.
     pub fn endpoints(&self, names: &NameTables) -> Vec<Endpoint> {
         self.instances.values().map(|instance| instance.to_endpoint(names)).collect()
     }
 
-    /// Returns the address of the discovery service that the list comes from; `None` for a list in the
-    /// configuration.
+    /// Returns the address of the discovery service that the list comes from; `None` if the list comes from
+    /// the configuration.
     pub fn source(&self) -> Option<SocketAddr> {
         self.source
     }
--- a/crates/vetchbridge/src/discovery/endpoint_list/tests.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the endpoint list, without a watcher.
+//! Unit tests of the endpoint list; they need no endpoint watcher.
 
 use super::*;
 use serde_json::json;
--- a/crates/vetchbridge/src/discovery/partial/tests.rs
+++ b/crates/vetchbridge/src/discovery/partial/tests.rs
@@ -1,4 +1,5 @@
-//! Unit tests of reading truncated documents; the reader is private to the discovery module.
+//! Unit tests of reading truncated endpoint documents. They are unit tests because the reader is private to
+//! the discovery module.
 
 use super::*;
 use serde_json::json;
@@ -11,8 +12,8 @@
     partial.instances.iter().map(|instance| instance.instance_id.as_str()).collect()
 }
 
-/// Truncates a document at every length. The parser returns a prefix of the document's entries and never a
-/// value that the document does not contain.
+/// Truncates an endpoint document at every length. The parser returns a prefix of the document's entries and
+/// never a value that the document does not contain.
 #[test]
 fn every_prefix_of_a_document_yields_only_its_complete_parts() {
     let document =
--- a/crates/vetchbridge/src/discovery/request.rs
+++ b/crates/vetchbridge/src/discovery/request.rs
@@ -1,7 +1,8 @@
 //! Requests to the endpoint watcher from the rest of the daemon.
 //!
 //! These requests have a module of their own so that the engine and the watcher need not depend on each
-//! other: the engine forwards the scheduler's requests, and the watcher sends events to the engine.
+//! other: the engine forwards the scheduler's requests to the watcher, and the watcher sends events to the
+//! engine.
 
 use crate::discovery::document::EndpointSource;
 
@@ -12,8 +13,9 @@
     Subscribe,
     /// Stop watching the endpoint list.
     Unsubscribe,
-    /// Fetch the complete list once.
+    /// Fetch the complete endpoint list once.
     Fetch,
-    /// Follow this source instead. A configuration reload sends this request; the scheduler never does.
+    /// Follow this source of the endpoint list instead of the current source. A configuration reload sends
+    /// this request; the scheduler never does.
     ChangeSource(EndpointSource),
 }
--- a/crates/vetchbridge/src/discovery/schedule/tests.rs
+++ b/crates/vetchbridge/src/discovery/schedule/tests.rs
@@ -1,4 +1,5 @@
-//! Unit tests of the schedule, without a clock or a service; the schedule is private to the discovery module.
+//! Unit tests of the schedule of calls to the discovery service; they need no clock and no service. They are
+//! unit tests because the schedule is private to the discovery module.
 
 use super::*;
 use rstest::rstest;
@@ -18,8 +19,8 @@
     assert_eq!(schedule.next_watch_times(0, confirmed), IMMEDIATE);
 }
 
-/// A scheduler must know of a change 6 s after its watch fell silent. The time limits of a watch call leave
-/// time in these 6 s for the next call and its answer.
+/// A scheduler must know of a change of the endpoint list 6 s after its watch fell silent. The time limits of
+/// a watch call leave time in these 6 s for the next call and its response.
 #[test]
 fn a_silent_watch_is_detected_in_time_for_another_call() {
     let mut schedule = DiscoverySchedule::new(Instant::now());
@@ -44,7 +45,8 @@
         let mut sorted = waits;
         sorted.sort_unstable();
         let closest = sorted.windows(2).map(|pair| pair[1] - pair[0]).min().expect("at least two waits");
-        // 20 waits that are spread evenly over 800 ms are 40 ms apart; half of that suffices.
+        // 20 waits that are spread evenly over 800 ms are 40 ms apart; at least half of that distance is
+        // required.
         assert!(closest >= Duration::from_millis(20), "{sorted:?}");
     }
 }
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -1,13 +1,14 @@
 //! The endpoint watcher: calls the discovery service and publishes each update of the endpoint list.
 //!
-//! The watcher owns the last known generation and the calls in flight. It publishes updates in the order in
-//! which answers arrive, each to the upstream group first and then to the scheduler. A call that fails causes
-//! one `Failed` update and ends the watch until the scheduler subscribes again, after its backoff. If lists
-//! are pushed, the scheduler never subscribes: the watch delivers the pushed lists, and the watcher opens a
-//! watch at the start and whenever one has ended.
+//! The watcher owns the last known generation of the endpoint list and the calls in flight to the discovery
+//! service. It publishes updates in the order in which responses arrive, each to the upstream group first and
+//! then to the scheduler. A call that fails causes one `Failed` update and ends the watch until the scheduler
+//! subscribes again, after its backoff. If lists are pushed, the scheduler never subscribes: the watch
+//! delivers the pushed lists, and the watcher opens a watch at the start and whenever the watch has ended.
 //!
-//! The watcher makes every other call at the scheduler's request, or after a change of the service's address.
-//! The watcher never replaces the list by an unreadable one, and never compares generations of two services.
+//! The watcher makes every other call at the scheduler's request, or after a change of the discovery
+//! service's address. The watcher never replaces the list by an unreadable list, and never compares the
+//! generations of two services.
 
 use crate::discovery::client::{CallError, DiscoveryClient, Query};
 use crate::discovery::document::{EndpointDocument, EndpointSource, Instance};
@@ -30,28 +31,29 @@
 
 /// The endpoint list that the process has at its start.
 pub struct InitialEndpoints {
-    /// The entries and their generation.
+    /// The entries of the list and their generation.
     pub document: EndpointDocument,
-    /// Whether the generation was assigned by the current discovery service. Otherwise the watcher fetches
-    /// the complete list first.
+    /// Whether the generation was assigned by the discovery service that is currently configured. Otherwise
+    /// the watcher fetches the complete list first.
     pub generation_valid: bool,
-    /// Whether a predecessor handed over the list, and discovery had confirmed the list to the predecessor or
-    /// the predecessor already served without a confirmation. Otherwise the list may be of any age.
+    /// Whether a predecessor process handed over the list, and either discovery had confirmed the list to the
+    /// predecessor or the predecessor already served without a confirmation. Otherwise the list may be of any
+    /// age.
     pub confirmed_by_predecessor: bool,
 }
 
-/// A call in flight.
+/// A call to the discovery service that is in flight.
 struct Call {
-    /// The watcher's generation when the call was made.
+    /// The watcher's generation of the endpoint list when the call was made.
     known_generation: Option<u64>,
-    /// When the call is to be hedged; `None` if it is not hedged.
+    /// When the call is to be hedged by a second call; `None` if the call is not hedged.
     hedge_at: Option<Instant>,
     response: Pin<Box<dyn Future<Output = Result<EndpointDocument, CallError>> + Send>>,
 }
 
-/// The result of a finished call.
+/// The result of a finished call to the discovery service.
 struct Answer {
-    /// The watcher's generation when the call was made.
+    /// The watcher's generation of the endpoint list when the call was made.
     known_generation: Option<u64>,
     result: Result<EndpointDocument, CallError>,
 }
@@ -65,13 +67,14 @@
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     endpoint_list: Arc<Mutex<EndpointList>>,
-    /// The generation last published from the current source; `None` before the first complete list of this
+    /// The generation last published from the current source; `None` before the first complete list from this
     /// source.
     generation: Option<u64>,
     /// Whether the published list is confirmed, as [`Self::confirmed`] defines it.
     confirmed: watch::Sender<bool>,
     watch: Option<Call>,
-    /// A second call, made while the watch call may have been lost. The hedge may outlive the watch call.
+    /// The hedge: a second call, made because the watch call may have been lost. The hedge may outlive the
+    /// watch call.
     hedge: Option<Call>,
     fetch: Option<Call>,
 }
@@ -126,7 +129,8 @@
         self.confirmed.subscribe()
     }
 
-    /// Handles requests and follows the source until all senders of requests are dropped.
+    /// Handles requests and follows the source of the endpoint list until all senders of requests are
+    /// dropped.
     pub async fn run(mut self, mut requests: UnboundedReceiver<DiscoveryRequest>) {
         loop {
             let delivery = self.settings.get().settings.endpoint_delivery;
@@ -148,7 +152,7 @@
 
     fn handle_request(&mut self, request: DiscoveryRequest) {
         match request {
-            // After a change of the source a watch is open already.
+            // A watch may be open already, after a change of the source.
             DiscoveryRequest::Subscribe if self.watch.is_some() => {}
             DiscoveryRequest::Subscribe => self.open_watch(),
             DiscoveryRequest::Unsubscribe => (self.watch, self.hedge) = (None, None),
@@ -157,8 +161,8 @@
         }
     }
 
-    /// Follows another source. Cancels calls to the previous source and keeps its list until the new source
-    /// has answered.
+    /// Follows another source of the endpoint list. Cancels the calls to the previous source and keeps its
+    /// list until the new source has responded.
     fn change_source(&mut self, source: EndpointSource) {
         if self.is_current_service(&source) {
             return;
@@ -170,14 +174,14 @@
         self.open_watch();
     }
 
-    /// Whether `source` is the discovery service that the watcher already follows. False for a list in the
-    /// configuration, which is always published again.
+    /// Whether `source` is the discovery service that the watcher already follows. Returns false for a list
+    /// in the configuration, which is always published again.
     fn is_current_service(&self, source: &EndpointSource) -> bool {
         use EndpointSource::Service;
         matches!((&self.source, source), (Service(current), Service(new)) if current == new)
     }
 
-    /// Makes the next watch call. The first call to a source requests the complete list.
+    /// Makes the next watch call. The first call to a source requests the complete endpoint list.
     fn open_watch(&mut self) {
         let call = match (self.generation, &self.source) {
             (None, _) => self.call_for_complete_list(),
@@ -198,7 +202,7 @@
         self.watch = Some(Call { hedge_at, ..call });
     }
 
-    /// Hedges the watch call: makes a second call with the same query and an immediate response.
+    /// Hedges the watch call by a second call, which has the same query but requests an immediate response.
     fn open_hedge(&mut self) {
         if let Some(watch) = &mut self.watch {
             watch.hedge_at = None;
@@ -235,7 +239,8 @@
         self.watch = None;
         self.schedule.record_watch_end(Instant::now());
         if self.handle_answer(answer) {
-            // The service treats a call as part of the same watch only if it arrives within 200 ms.
+            // The discovery service treats the next call as part of the same watch only if the call arrives
+            // within 200 ms.
             self.hedge = None;
             self.open_watch();
         }
@@ -244,7 +249,8 @@
     fn handle_hedge_answer(&mut self, answer: Answer) {
         self.hedge = None;
         match &answer.result {
-            // The hedged watch call reports its own failure; a second report would count the failure twice.
+            // The watch call that was hedged reports its own failure; a second report would count the failure
+            // twice.
             Err(error) if !error.has_instances() => debug!(reason = %error, "discovery.hedge_failed"),
             _ => {
                 if self.handle_answer(answer) {
@@ -259,7 +265,8 @@
         self.handle_answer(answer);
     }
 
-    /// Publishes the update in an answer. Returns whether the answer was a complete document.
+    /// Publishes the update in the result of a call. Returns whether the result was a complete endpoint
+    /// document.
     fn handle_answer(&mut self, answer: Answer) -> bool {
         match answer.result {
             Ok(document) => {
@@ -278,9 +285,9 @@
     }
 
     fn handle_document(&mut self, known_generation: Option<u64>, document: EndpointDocument) {
-        // A complete list with a lower generation shows that the service was reset, but only if no other call
-        // has changed the watcher's generation in the meantime. Otherwise the list is older than the
-        // published one.
+        // A complete list with a lower generation shows that the discovery service was reset, but only if no
+        // other call has changed the watcher's generation in the meantime. Otherwise the received list is
+        // older than the published list.
         let service_was_reset = document.reset && known_generation == self.generation;
         if self.is_older(document.generation) && !service_was_reset {
             debug!(generation = document.generation, "endpoints.stale_update");
@@ -293,13 +300,14 @@
     fn handle_failure(&mut self, error: CallError) {
         let reason = error.to_string();
         let PartialDocument { generation, mut instances } = error.into_partial();
-        // An entry of a leaving worker is used whatever the document's generation is. An entry of a ready
-        // worker is used only if the document has a generation that is no lower than the published one.
+        // An entry of a worker that is leaving is used whatever the document's generation is. An entry of a
+        // ready worker is used only if the document has a generation that is no lower than the published
+        // generation.
         let is_recent = generation.is_some_and(|generation| !self.is_older(generation));
         instances.retain(|instance| is_recent || instance.endpoint_state() != EndpointState::Ready);
         warn!(reason, entries = instances.len(), "discovery.failed");
-        // The entries are part of the `Failed` update: a `Changes` update would count as an answer and end
-        // the scheduler's backoff.
+        // The entries are published as part of the `Failed` update: a `Changes` update would count as a
+        // successful response and end the scheduler's backoff.
         self.publish(EndpointUpdate::Failed, None, &instances);
     }
 
@@ -307,7 +315,7 @@
         self.generation.is_some_and(|known| generation < known)
     }
 
-    /// Publishes a document and records its generation.
+    /// Publishes an endpoint document and records its generation.
     fn accept_document(&mut self, update: EndpointUpdate, document: EndpointDocument) {
         let (generation, entries) = (document.generation, document.instances.len());
         debug!(?update, generation, entries, "endpoints.updated");
@@ -316,7 +324,8 @@
         self.confirmed.send_replace(true);
     }
 
-    /// Applies an update to the list kept for a successor, then to the upstream group, then to the scheduler.
+    /// Applies an update to the endpoint list that is kept for a successor process, then to the upstream
+    /// group, then to the scheduler.
     fn publish(&self, update: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
         self.endpoint_list().apply(update, generation, instances);
         let names = &self.settings.get().names;
@@ -345,7 +354,7 @@
     }
 }
 
-/// Waits for the answer to `call`; forever if `call` is `None`.
+/// Waits for the result of `call`; forever if `call` is `None`.
 async fn wait_for_answer(call: &mut Option<Call>) -> Answer {
     match call {
         Some(call) => Answer { known_generation: call.known_generation, result: (&mut call.response).await },
