--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -80,7 +80,8 @@
 }
 
 impl EndpointWatcher {
-    /// Creates a watcher and publishes the initial list. Makes no call; [`Self::run`] does.
+    /// Creates a watcher and publishes the initial endpoint list. Makes no call to the discovery service;
+    /// [`Self::run`] does.
     pub fn start(
         source: EndpointSource,
         settings: Arc<CurrentSettings>,
@@ -110,7 +111,7 @@
 
     fn publish_initial(&mut self, initial: InitialEndpoints) {
         if let EndpointSource::Fixed(document) = &self.source {
-            // The list in the configuration is complete, and no service has to be called.
+            // The endpoint list in the configuration is complete, and no discovery service has to be called.
             return self.accept_document(EndpointUpdate::Snapshot, document.clone());
         }
         self.generation = initial.generation_valid.then_some(initial.document.generation);
@@ -123,8 +124,9 @@
         self.confirmed.send_replace(initial.confirmed_by_predecessor);
     }
 
-    /// Returns a receiver of whether the list is confirmed: a call has been answered since the start, the
-    /// list comes from the configuration, or a predecessor handed over a confirmed list.
+    /// Returns a receiver of whether the published endpoint list is confirmed. The list is confirmed if a
+    /// call has returned a complete document since the start, the list comes from the configuration, or a
+    /// predecessor process handed over a confirmed list.
     pub fn confirmed(&self) -> watch::Receiver<bool> {
         self.confirmed.subscribe()
     }
--- a/crates/vetchbridge/src/lifecycle/clock.rs
+++ b/crates/vetchbridge/src/lifecycle/clock.rs
@@ -1,4 +1,4 @@
-//! Runs the lifecycle's state machine in real time and publishes its state.
+//! Runs the state machine of the process's lifecycle in real time and publishes its state.
 //!
 //! [`Lifecycle`] owns the [`LifecycleMachine`] of this process. The module [`state`](crate::lifecycle::state)
 //! alone defines what each state allows.
@@ -10,7 +10,8 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-/// The lifecycle of this process. Its methods change the state, and a watch channel publishes each change.
+/// The lifecycle of this process. Methods of this type change the lifecycle's state, and a watch channel
+/// publishes each change.
 pub struct Lifecycle {
     started_at: Instant,
     machine: Mutex<LifecycleMachine>,
@@ -26,7 +27,7 @@
         Lifecycle { started_at: Instant::now(), machine: Mutex::new(machine), state }
     }
 
-    /// Returns the current state.
+    /// Returns the current state of the lifecycle.
     pub fn state(&self) -> LifecycleState {
         *self.state.borrow()
     }
@@ -36,27 +37,28 @@
         self.with_machine(|machine, _| machine.is_quiesced())
     }
 
-    /// Returns a receiver that is notified of each change of the state.
+    /// Returns a receiver that is notified of each change of the lifecycle's state.
     pub fn subscribe(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
 
-    /// Records that the start is complete; from then on the process can serve.
+    /// Records that the start of the process is complete, so that the process can serve.
     pub fn start_serving(&self) {
         self.with_machine(super::state::LifecycleMachine::start_serving);
     }
 
-    /// Starts to drain clients. An operator's command calls this.
+    /// Starts to drain clients from this process. Called for an operator's command.
     pub fn quiesce(&self) {
         self.with_machine(super::state::LifecycleMachine::quiesce);
     }
 
-    /// Ends the drain and accepts clients again. An operator's command calls this.
+    /// Ends the drain, so that the process accepts new clients again. Called for an operator's command.
     pub fn resume(&self) -> Result<(), Unavailable> {
         self.with_machine(|machine, _| machine.resume())
     }
 
-    /// Starts the graceful shutdown. Clients wait at most `longest_deadline` for a response.
+    /// Starts the graceful shutdown of the process. `longest_deadline` is the longest time for which a client
+    /// waits for a response.
     pub fn begin_shutdown(&self, longest_deadline: Duration) {
         self.with_machine(|machine, now| machine.begin_shutdown(now, longest_deadline));
     }
@@ -76,8 +78,8 @@
         result
     }
 
-    /// Makes each timed transition when the transition is due, and logs every change of the state, until the
-    /// process ends.
+    /// Makes each timed transition of the lifecycle when the transition is due, and logs every change of the
+    /// state, until the process ends.
     pub async fn run_transitions(&self) {
         let mut changes = self.subscribe();
         let mut logged = "";
--- a/crates/vetchbridge/src/lifecycle/state.rs
+++ b/crates/vetchbridge/src/lifecycle/state.rs
@@ -7,31 +7,32 @@
 
 use std::time::Duration;
 
-/// Time between the start of a drain and the closing of idle connections. A load balancer that has not yet
-/// noticed that this scheduler is not ready may still send requests on idle connections.
+/// Time between the start of a drain and the closing of idle client connections. Until then, a load balancer
+/// that has not yet noticed that this scheduler is not ready may still send requests on idle connections.
 pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Upper limit on the deadline for which the shutdown waits: the longest deadline of all classes, but at most
-/// this long. SIGKILL arrives no earlier than this limited deadline plus 0.7 s after SIGTERM.
+/// Upper limit on the request deadline for which the shutdown waits. The shutdown waits for the longest
+/// deadline of all request classes, but at most for this limit. SIGKILL arrives no earlier than this limited
+/// deadline plus 0.7 s after SIGTERM.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// Time between the limited deadline and the final responses to open requests. SIGKILL, which arrives later,
-/// would discard these requests without a response.
+/// Time between the end of the deadline for which the shutdown waits and the final responses to requests that
+/// are still open. SIGKILL, which arrives later, would discard these requests without a response.
 const FINAL_RESPONSE_DELAY: Duration = Duration::from_millis(300);
-/// Time between the last reuse of connections and the final responses. Requests accepted until then have this
-/// time to complete.
+/// Time during a shutdown between the last reuse of client connections and the final responses to open
+/// requests. Requests that were accepted until the last reuse have this time to complete.
 const CONNECTION_CLOSE_LEAD: Duration = Duration::from_secs(1);
 
 /// The state of a process in its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// The process can't serve yet.
+    /// The process is starting and can't serve yet.
     Starting,
     /// The process is ready for new clients.
     Serving,
     /// An operator drains the process: the process is not ready, and each response closes its connection.
     /// Requests that arrive are still accepted.
     Draining,
-    /// As `Draining`, and idle connections are closed too. The state lasts until an operator resumes the
-    /// process or the process shuts down.
+    /// As in `Draining`, and idle client connections are closed too. The state lasts until an operator
+    /// resumes the process or the process shuts down.
     Drained,
     /// The process shuts down gracefully.
     ShuttingDown(ShutdownPhase),
@@ -43,14 +44,14 @@
     /// The process is not ready for new clients. Clients with a connection are still served on it: clients
     /// keep using open connections, and the other schedulers may be restarting too.
     Draining,
-    /// Each response closes its connection, and idle connections are closed, as in
+    /// Each response closes its connection, and idle client connections are closed, as in
     /// [`LifecycleState::Drained`].
     Drained,
     /// No further request is accepted, and open requests get their final response.
     Terminating,
 }
 
-/// Why the process can't serve.
+/// Why the process can't serve clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unavailable {
     /// The process is starting.
@@ -62,7 +63,7 @@
 }
 
 impl LifecycleState {
-    /// Returns an error unless the process can serve requests.
+    /// Returns an error unless a process in this state can serve requests.
     pub fn ensure_can_serve(self) -> Result<(), Unavailable> {
         match self {
             LifecycleState::Starting => Err(Unavailable::Starting),
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Whether load balancers may send new clients to this process.
+    /// Whether load balancers may send new clients to a process in this state.
     pub fn is_ready(self) -> bool {
         self == LifecycleState::Serving
     }
 
-    /// Whether each response closes its connection.
+    /// Whether each response to a client closes its connection in this state.
     pub fn closes_after_response(self) -> bool {
         !matches!(
             self,
@@ -86,7 +87,7 @@
         )
     }
 
-    /// Whether idle connections are closed.
+    /// Whether idle client connections are closed in this state.
     pub fn closes_idle_connections(self) -> bool {
         matches!(
             self,
@@ -95,7 +96,7 @@
         )
     }
 
-    /// Whether new requests are accepted.
+    /// Whether new requests are accepted in this state.
     pub fn accepts_requests(self) -> bool {
         self != LifecycleState::ShuttingDown(ShutdownPhase::Terminating)
     }
@@ -116,7 +117,8 @@
 #[derive(Debug)]
 pub struct LifecycleMachine {
     state: LifecycleState,
-    /// When the drain or the shutdown started, as the time since the process started.
+    /// When the drain or the shutdown started, as the time since the process started; zero before either has
+    /// started.
     phase_started_at: Duration,
     /// Whether operators have quiesced this scheduler, possibly before the process could serve.
     quiesced: bool,
@@ -136,17 +138,17 @@
         }
     }
 
-    /// Returns the current state.
+    /// Returns the current state of the lifecycle.
     pub fn state(&self) -> LifecycleState {
         self.state
     }
 
-    /// Whether operators have quiesced this scheduler.
+    /// Whether operators have quiesced this scheduler, and have not resumed it since.
     pub fn is_quiesced(&self) -> bool {
         self.quiesced
     }
 
-    /// Records that the start is complete; from then on the process can serve.
+    /// Records that the start of the process is complete, so that the process can serve.
     pub fn start_serving(&mut self, now: Duration) {
         if self.state == LifecycleState::Starting {
             self.state = LifecycleState::Serving;
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Starts to drain clients, at an operator's command. While the process starts or shuts down, the command
-    /// is only recorded.
+    /// Starts to drain clients from this process, at an operator's command. While the process starts or shuts
+    /// down, the command is only recorded.
     pub fn quiesce(&mut self, now: Duration) {
         self.quiesced = true;
         if self.state == LifecycleState::Serving {
@@ -165,7 +167,8 @@
         }
     }
 
-    /// Ends the drain and accepts clients again, at an operator's command.
+    /// Ends the drain, at an operator's command, so that the process accepts new clients again. Returns an
+    /// error if the process is shutting down.
     pub fn resume(&mut self) -> Result<(), Unavailable> {
         if let LifecycleState::ShuttingDown(_) = self.state {
             return Err(Unavailable::ShuttingDown);
@@ -177,8 +180,8 @@
         Ok(())
     }
 
-    /// Starts the graceful shutdown. Clients wait at most `longest_deadline` for a response. A second call
-    /// has no effect.
+    /// Starts the graceful shutdown of the process. `longest_deadline` is the longest time for which a client
+    /// waits for a response. A second call has no effect.
     pub fn begin_shutdown(&mut self, now: Duration, longest_deadline: Duration) {
         if !matches!(self.state, LifecycleState::ShuttingDown(_)) {
             self.state = LifecycleState::ShuttingDown(ShutdownPhase::Draining);
@@ -192,7 +195,8 @@
         self.phase_started_at = now;
     }
 
-    /// Returns when the next timed transition is due; `None` if the current state has none.
+    /// Returns when the next timed transition is due, as the time since the process started; `None` if the
+    /// current state has no timed transition.
     pub fn next_transition_at(&self) -> Option<Duration> {
         match self.state {
             LifecycleState::Draining => Some(self.phase_started_at + IDLE_CLOSE_DELAY),
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Makes every timed transition that is due at `now`.
+    /// Makes every timed transition that is due at `now`, the time since the process started.
     pub fn advance(&mut self, now: Duration) {
         while self.next_transition_at().is_some_and(|at| at <= now) {
             self.state = match self.state {
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -1,6 +1,6 @@
 //! Runs the daemon from its start to the end of its shutdown. This module never handles a request itself.
 //!
-//! [`run`] takes over from the predecessor process if one serves, opens the sockets, connects the daemon's
+//! [`run`] takes over from the predecessor process if there is one, opens the sockets, connects the daemon's
 //! components and starts their tasks, waits for SIGTERM, and shuts down gracefully.
 //!
 //! | module | responsibility |
@@ -35,10 +35,10 @@
 /// Why the daemon failed to start serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The signal notifications can't be started.
+    /// The notifications of signals to this process can't be started.
     #[error("cannot watch for signals: {0}")]
     Signals(io::Error),
-    /// An address can't be bound.
+    /// A socket can't be bound to its address.
     #[error("cannot bind {address}: {source}")]
     Bind {
         /// The address from the configuration.
@@ -46,16 +46,16 @@
         /// The error of the system call.
         source: io::Error,
     },
-    /// The client listener can't be used.
+    /// The listener for clients can't be used.
     #[error("cannot use the client listener: {0}")]
     ClientListener(io::Error),
     /// The socket for messages between schedulers can't be used.
     #[error("cannot use the peer socket: {0}")]
     PeerSocket(io::Error),
-    /// The hand-over socket can't be published at its path.
+    /// The socket that successor processes connect to can't be published at its path.
     #[error("cannot publish the hand-over socket at {}: {source}", path.display())]
     PublishHandover {
-        /// The path of the hand-over socket.
+        /// The path at which the socket was to be published.
         path: PathBuf,
         /// The error of the system call.
         source: io::Error,
@@ -88,15 +88,16 @@
     Ok(())
 }
 
-/// Takes over from the process that serves as this scheduler; returns `None` if no process does or the
-/// take-over is rejected.
+/// Takes over from the process that already serves as this scheduler; returns `None` if no such process is
+/// found or the take-over is rejected.
 async fn take_over(config: &mut Config) -> Option<InheritedState> {
     let path = config.handover_path.as_ref()?;
     match upgrade::take_over(path, &config.name, config.listen).await {
         TakeoverOutcome::Inherited(inherited) => Some(*inherited),
         TakeoverOutcome::NoPredecessor => None,
         TakeoverOutcome::Rejected => {
-            // The other process keeps the hand-over path, so no successor can take over from this process.
+            // The process that rejected the take-over keeps the hand-over path, so no successor process can
+            // take over from this process.
             config.handover_path = None;
             None
         }
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -1,7 +1,7 @@
-//! Reads and applies the configuration again at each SIGHUP.
+//! Reads the daemon's configuration again and applies it at each SIGHUP.
 //!
-//! [`Reloader`] owns the platform's configuration document in force; a new document is checked against the
-//! document in force. An invalid configuration is rejected as a whole.
+//! [`Reloader`] owns the configuration document in the platform's format that is in force; a new document is
+//! checked against it. An invalid configuration is rejected as a whole.
 
 use super::startup::SharedState;
 use crate::config::{self, Config, Flags};
@@ -15,7 +15,7 @@
 use tracing::{error, info, warn};
 use vetchbridge_scheduling::{EndpointUpdate, Event};
 
-/// Applies new configurations to the components that can change their settings while the daemon runs.
+/// Applies a new configuration to those components that can change their settings while the daemon runs.
 pub(super) struct Reloader {
     pub flags: Flags,
     pub logs: Logs,
@@ -27,7 +27,7 @@
 
 impl Reloader {
     /// Reads the configuration again at each SIGHUP until the process ends. A process that drains or shuts
-    /// down handles SIGHUP too, since it still places jobs and needs an up-to-date endpoint list.
+    /// down handles SIGHUP too, since it still places jobs on workers and needs an up-to-date endpoint list.
     pub async fn run(mut self, hangup: Arc<Notify>) {
         loop {
             hangup.notified().await;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Applies the settings, the discovery source and the log filter. All other values take effect at the
-    /// next start.
+    /// Applies the settings, the source of the endpoint list and the log filter of a configuration. All other
+    /// values take effect at the next start.
     fn apply(&mut self, config: Config) {
         let SharedState { engine, upstream, current_settings, endpoint_list } = &self.shared;
         if let Err(error) = self.logs.set_filter(&config.log.filter.0) {
@@ -60,7 +60,8 @@
         self.document = config.platform_document;
         if (&old.names.zones, &old.names.machine_types) != (&names.zones, &names.machine_types) {
             // The scheduler has the endpoints with the old indices of zones and machine types. No job may be
-            // placed by the old indices, so the endpoints are sent again with the new ones.
+            // placed by the old indices, so the endpoints are passed to the scheduler again with the new
+            // indices.
             let endpoints = endpoint_list.lock().unwrap_or_else(PoisonError::into_inner).endpoints(&names);
             engine.handle(Event::Endpoints { update: EndpointUpdate::Renumbered, endpoints });
         }
--- a/crates/vetchbridge/src/serve/shutdown.rs
+++ b/crates/vetchbridge/src/serve/shutdown.rs
@@ -1,21 +1,23 @@
-//! The graceful shutdown: every accepted request gets its response before the process ends.
+//! The graceful shutdown of the daemon, in which every accepted request gets its response before the process
+//! ends.
 
 use crate::upgrade::HandoverServer;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 use vetchbridge_scheduling::Event;
 
-/// Minimum time that the listener stays open after SIGTERM, since new connections still arrive.
+/// Minimum time that the listener for clients stays open after SIGTERM, since new connections still arrive.
 const MIN_LISTEN_TIME: Duration = Duration::from_millis(900);
-/// Time without pending work after which the process ends. In this time the kernel sends the last responses.
+/// Time without pending work after which the process ends. During this time the kernel sends the last
+/// responses.
 const QUIET_TIME: Duration = Duration::from_millis(100);
-/// Interval between checks for pending work.
+/// Interval between checks whether work is still pending.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Additional time for clients to close their connections after the last responses. If the process closed a
-/// connection with unread input, the kernel would discard the response.
+/// connection with unread input, the kernel would discard the last response.
 const LINGER_TIME: Duration = Duration::from_millis(200);
 
-/// Starts the graceful shutdown and returns once the shutdown is complete.
+/// Starts the graceful shutdown of the daemon and returns when the shutdown is complete.
 pub(super) async fn shut_down(server: &HandoverServer) {
     server.lifecycle.begin_shutdown(server.client_server.longest_deadline());
     sleep(MIN_LISTEN_TIME).await;
@@ -36,10 +38,11 @@
     }
 }
 
-/// Whether a response or a message to another process has yet to be sent, or clients may still send requests.
+/// Whether a response to a client or a message to another process has yet to be sent, or clients may still
+/// send requests.
 fn has_pending_work(server: &HandoverServer) -> bool {
-    // Clients keep sending requests on an open connection. Clients without a connection are sent to another
-    // scheduler.
+    // Clients keep sending requests on an open connection. Clients without a connection are directed to
+    // another scheduler.
     let clients_may_send_requests =
         server.client_server.connection_count() > 0 && !server.lifecycle.state().closes_idle_connections();
     server.client_server.has_pending_responses()
--- a/crates/vetchbridge/src/serve/sockets.rs
+++ b/crates/vetchbridge/src/serve/sockets.rs
@@ -1,4 +1,5 @@
-//! Opens the daemon's listening and peer sockets, or uses those that a predecessor handed over.
+//! Opens the daemon's listening sockets and its socket for messages to other schedulers (peers), or uses the
+//! sockets that a predecessor process handed over.
 
 use super::ServeError;
 use crate::config::Config;
@@ -11,24 +12,25 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tracing::warn;
 
-/// Number of connections that the kernel queues until they are accepted; a smaller `net.core.somaxconn` takes
-/// precedence. The queue overflows only if more workers than this call back at the same time.
+/// Number of new connections that the kernel queues until the daemon accepts them; a smaller
+/// `net.core.somaxconn` takes precedence. The queue overflows only if more workers than this number send
+/// callbacks on new connections at the same time.
 const BACKLOG: u32 = 4096;
 
-/// Sockets that a predecessor handed over.
+/// The sockets that a predecessor process handed over.
 #[derive(Default)]
 pub(super) struct InheritedSockets {
     pub client_listener: Option<std::net::TcpListener>,
     pub peer_socket: Option<UdpSocket>,
 }
 
-/// The daemon's listening and peer sockets.
+/// The daemon's listening sockets and its socket for messages to other schedulers (peers).
 pub(super) struct Sockets {
     pub client_listener: TcpListener,
-    /// A duplicate of the client listener, to be handed over to a successor.
+    /// A duplicate of the client listener, to be handed over to a successor process.
     pub listener_duplicate: std::net::TcpListener,
-    /// The listener that successors connect to; `None` if no path is configured or the socket can't be
-    /// opened.
+    /// The listener that successor processes connect to; `None` if no path is configured or the socket can't
+    /// be opened.
     pub handover_listener: Option<HandoverListener>,
     /// The socket for messages between schedulers; `None` if the configuration has no peers. An error here
     /// does not keep the daemon from serving.
@@ -36,8 +38,8 @@
 }
 
 impl Sockets {
-    /// Opens the sockets that were not inherited. The hand-over listener is published last, so that a
-    /// successor connects only after this process has the client listener.
+    /// Opens the sockets that were not inherited from a predecessor process. The hand-over listener is
+    /// published last, so that a successor process connects only after this process has the client listener.
     pub async fn open(config: &Config, inherited: InheritedSockets) -> Result<Sockets, ServeError> {
         let mut handover_listener = match config.handover_path.as_deref() {
             Some(path) => open_handover_listener(path).await,
@@ -46,8 +48,8 @@
         let client_listener = if let Some(listener) = inherited.client_listener {
             into_tokio_listener(listener).map_err(ServeError::ClientListener)?
         } else {
-            // A successor can't inherit the listener if the hand-over socket is unavailable. SO_REUSEPORT
-            // then lets the next process of this scheduler listen at the same address.
+            // A successor process can't inherit the client listener if the hand-over socket is unavailable.
+            // SO_REUSEPORT then lets the next process of this scheduler listen at the same address.
             let reuse_port = config.handover_path.is_some() && handover_listener.is_none();
             bind_with_retry(config.listen, || listen(config.listen, reuse_port)).await?
         };
@@ -90,8 +92,8 @@
     TcpListener::from_std(listener)
 }
 
-/// Binds an address. Retries for a limited time if another process uses the address or the system lacks
-/// resources.
+/// Binds a socket to an address by calling `bind`. Retries for a limited time if another process uses the
+/// address or the system lacks resources.
 pub(super) async fn bind_with_retry<T>(
     address: SocketAddr,
     bind: impl Fn() -> io::Result<T>,
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -1,5 +1,5 @@
-//! Creates the daemon's components with the state that a predecessor handed over, connects them and starts
-//! their tasks.
+//! Creates the daemon's components, using the state that a predecessor process handed over if there is one,
+//! connects the components and starts their tasks.
 
 use super::reload::Reloader;
 use super::sockets::{InheritedSockets, Sockets};
@@ -28,8 +28,8 @@
 use tracing::{error, info};
 use vetchbridge_scheduling::{Scheduler, LIST_CONFIRMATION_TIMEOUT};
 
-/// Number of descriptors of the process per concurrent health check of a worker. Health checks thus use at
-/// most an eighth of the descriptors, which is half of the minimum share of connections to workers.
+/// Number of file descriptors of the process for each concurrent health check of a worker. Health checks thus
+/// use at most an eighth of the descriptors, which is half of the minimum share of connections to workers.
 const DESCRIPTORS_PER_PROBE: usize = 8;
 
 /// The inputs of [`start`].
@@ -39,22 +39,22 @@
     pub logs: Logs,
     /// Notified at each SIGHUP.
     pub hangup: Arc<Notify>,
-    /// The state that a predecessor handed over, if one did.
+    /// The state that a predecessor process handed over, if there was one.
     pub inherited: Option<InheritedState>,
     pub lifecycle: Arc<Lifecycle>,
     pub process_links: Arc<ProcessLinks>,
 }
 
-/// The connection to a predecessor, kept after this process has inherited the predecessor's sockets and
-/// endpoint list.
+/// The connection to a predecessor process, kept after this process has inherited the predecessor's sockets
+/// and endpoint list.
 struct Predecessor {
     socket: HandoverSocket,
     /// Number of client connections that the predecessor had.
     connections: usize,
 }
 
-/// The sockets and the endpoint list that the process starts with, inherited from a predecessor if one handed
-/// them over.
+/// The sockets and the endpoint list that the process starts with, inherited from a predecessor process if it
+/// handed them over.
 struct InitialState {
     sockets: InheritedSockets,
     initial_endpoints: InitialEndpoints,
@@ -126,8 +126,8 @@
     Ok(handover_server)
 }
 
-/// Splits the state that a predecessor handed over. Without a predecessor, the initial endpoints are the
-/// saved ones of the configuration, which may be of any age.
+/// Splits the state that a predecessor process handed over into its parts. Without a predecessor, the initial
+/// endpoint list is the list that was saved in the configuration, which may be of any age.
 fn initial_state(
     inherited: Option<InheritedState>,
     saved_endpoints: EndpointDocument,
@@ -193,7 +193,7 @@
 }
 
 /// Starts the exchange of datagrams with other schedulers. Returns a duplicate of the socket, to be handed
-/// over to a successor.
+/// over to a successor process.
 fn start_peer_messages(
     peers: Peers,
     socket: Result<UdpSocket, ServeError>,
@@ -208,8 +208,8 @@
     Ok(duplicate)
 }
 
-/// Starts the endpoint watcher with the initial list. The returned receiver becomes true once the list is
-/// confirmed.
+/// Starts the endpoint watcher with the initial endpoint list. The returned receiver becomes true when the
+/// list is confirmed.
 fn start_discovery(
     source: EndpointSource,
     initial_endpoints: InitialEndpoints,
@@ -229,16 +229,16 @@
     confirmed
 }
 
-/// Makes the process ready once its endpoint list is confirmed, or after [`LIST_CONFIRMATION_TIMEOUT`]
-/// without a confirmation.
+/// Makes the process ready for clients when its endpoint list is confirmed, or after
+/// [`LIST_CONFIRMATION_TIMEOUT`] without a confirmation.
 fn start_serving(lifecycle: &Arc<Lifecycle>, mut list_confirmed: watch::Receiver<bool>) {
     if *list_confirmed.borrow() {
         return lifecycle.start_serving();
     }
     let lifecycle = lifecycle.clone();
     tokio::spawn(async move {
-        // After the time limit the decision module uses the saved list, since discovery has provided no
-        // better one.
+        // After the time limit the decision module uses the saved endpoint list, since discovery has provided
+        // no better list.
         let time_limit = Duration::from_micros(LIST_CONFIRMATION_TIMEOUT);
         let _ = timeout(time_limit, list_confirmed.wait_for(|confirmed| *confirmed)).await;
         lifecycle.start_serving();
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -1,4 +1,5 @@
-//! Exchanges messages between two linked processes until either of them ends. Both processes run this code.
+//! Exchanges messages between two linked processes of a scheduler until either of them ends. Both processes
+//! run this code.
 
 use super::message::{Envelope, HandoverMessage};
 use super::predecessor::HandoverServer;
@@ -13,13 +14,14 @@
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 
-/// Interval at which the number of client connections is checked and, if it has changed, sent.
+/// Interval at which this process checks its number of client connections and, if the number has changed,
+/// sends it to the other process.
 const CONNECTION_COUNT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl HandoverServer {
-    /// Announces to the predecessor, connected through `socket`, that this process serves from now on, and
-    /// keeps the link to it. `predecessor_connections` is the number of client connections that the
-    /// predecessor had.
+    /// Announces to the predecessor process, connected through `socket`, that this process serves from now
+    /// on, and keeps the link to the predecessor. `predecessor_connections` is the number of client
+    /// connections that the predecessor had.
     pub fn announce_takeover(self: &Arc<Self>, socket: HandoverSocket, predecessor_connections: usize) {
         let (link, outgoing) = Link::new();
         link.record(&HandoverMessage::ConnectionCount(predecessor_connections));
@@ -29,8 +31,8 @@
         tokio::spawn(async move { server.run_link(socket, link, outgoing).await });
     }
 
-    /// Adds a link, and sends the ids of this process's open requests to the process at the other end.
-    /// Requests that open or close later are sent to all linked processes.
+    /// Adds the link to another process, and sends that process the ids of this process's open requests. When
+    /// a request opens or closes later, all linked processes are told.
     pub(super) fn register(&self, link: &Arc<Link>) {
         self.process_links.add(link.clone());
         for id in self.engine.open_request_ids() {
@@ -90,7 +92,8 @@
                     "upgrade.taken_over"
                 );
                 self.process_links.set_successor(link.clone());
-                // From now on the successor opens its own connections to workers.
+                // From now on the successor process opens its own connections to workers, so idle connections
+                // of this process are no longer needed.
                 self.upstream.close_all_idle_connections();
             }
             HandoverMessage::ClientConnection { reused } => {
@@ -105,7 +108,8 @@
         }
     }
 
-    /// Passes a forwarded callback to its attempt, in this process or in a third one, and sends the reply.
+    /// Passes a worker's callback that another process forwarded to the callback's attempt, in this process
+    /// or in a third process, and sends the reply.
     fn handle_callback(&self, link: Arc<Link>, number: u64, callback: Callback) {
         let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
         tokio::spawn(async move {
@@ -114,8 +118,9 @@
             } else {
                 process_links.forward(&callback, Some(&link)).await
             };
-            // If a third process did not reply, no reply is sent either: the sender's own time limit expires,
-            // and the callback counts as unanswered at the sender too.
+            // If a third process did not reply, this process sends no reply either. The time limit of the
+            // process that forwarded the callback then expires, and the callback counts as unanswered there
+            // too.
             if forwarded != ForwardOutcome::Unanswered {
                 let known = forwarded == ForwardOutcome::Known;
                 link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -1,8 +1,9 @@
-//! The messages between two processes of one scheduler, and their encoding.
+//! The hand-over messages between two processes of one scheduler, and their encoding.
 //!
 //! Each message is encoded as one JSON value; some messages also carry file descriptors. The JSON names are
-//! those of version 1 of the hand-over and must not change; this module maps the Rust names to them. A
-//! message that can't be decoded, such as one of another version, ends the link.
+//! those of version 1 of the hand-over messages and must not change; this module maps the Rust names to them.
+//! A message that can't be decoded, such as a message of another version, ends the link between the
+//! processes.
 
 use crate::discovery::document::Instance;
 use crate::workers::Callback;
@@ -10,38 +11,42 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// The version of the hand-over messages. A process does not take over from one that uses another version.
+/// The version of the hand-over messages. A process does not take over from a process that uses another
+/// version.
 pub const VERSION: u32 = 1;
 /// Maximum length of an encoded message, in bytes. A callback with a body of 64 KiB fits, encoded as JSON.
 pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Maximum length of a message with several endpoints, in bytes. A longer endpoint gets a message of its own.
+/// Maximum length of a message with several entries of the endpoint list, in bytes. A longer entry gets a
+/// message of its own.
 const MAX_BATCH_BYTES: usize = 32 * 1024;
 
 /// A message from one process of a scheduler to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// From the successor: asks to take over from the process of the scheduler with this name and address.
+    /// Sent by the successor: asks to take over from the process that serves as the scheduler with this name
+    /// and address.
     Hello {
-        /// The sender's message version; [`VERSION`] in this build.
+        /// The version of the sender's hand-over messages; [`VERSION`] in this build.
         version: u32,
         /// The scheduler's name.
         name: String,
         /// The address at which clients connect to the scheduler.
         listen: SocketAddr,
     },
-    /// From the predecessor: its state. Carries the descriptors of the listener for clients and, if there is
-    /// one, of the socket for messages between schedulers.
+    /// Sent by the predecessor: its state. The message carries the descriptors of the listener for clients
+    /// and, if there is one, of the socket for messages between schedulers.
     Offer(Offer),
-    /// From the predecessor: a part of its endpoint list. An empty message marks the end of the list.
+    /// Sent by the predecessor: a part of its endpoint list. An empty message marks the end of the list.
     #[serde(rename = "Entries")]
     Endpoints(Vec<Instance>),
-    /// From the predecessor: rejects the hand-over for this reason.
+    /// Sent by the predecessor: rejects the other process as a successor, for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// From the successor: announces that it serves from now on.
+    /// Sent by the successor: announces that it serves from now on.
     #[serde(rename = "Taken")]
     TookOver,
-    /// Passes on a client connection that is between two requests. Carries the connection's descriptor.
+    /// Passes a client connection on which no request is in progress to the other process. The message
+    /// carries the connection's descriptor.
     #[serde(rename = "Connection")]
     ClientConnection {
         /// Whether the connection has already carried a response.
@@ -57,7 +62,7 @@
     /// The request with this id is no longer open at the sender.
     #[serde(rename = "Closed")]
     RequestClosed(u64),
-    /// Forwards a callback for which the sender has no attempt.
+    /// Forwards a worker's callback for which the sender has no attempt.
     #[serde(rename = "Callback")]
     ForwardedCallback {
         /// Identifies the callback in its [`HandoverMessage::CallbackReply`].
@@ -65,12 +70,12 @@
         /// The callback.
         callback: Callback,
     },
-    /// Replies to a forwarded callback.
+    /// Replies to a forwarded callback with whether an attempt was found for it.
     #[serde(rename = "Heard")]
     CallbackReply {
         /// The `number` of the forwarded callback.
         number: u64,
-        /// Whether an attempt was found for the callback.
+        /// Whether an attempt was found for the forwarded callback.
         known: bool,
     },
 }
@@ -82,7 +87,8 @@
     pub quiesced: bool,
     /// The address of the discovery service from which the endpoint list was received.
     pub source: Option<SocketAddr>,
-    /// The generation of the endpoint list at that discovery service, if it has one.
+    /// The generation of the endpoint list at that discovery service; `None` if the generation is unknown or
+    /// the list can't be sent completely.
     pub generation: Option<u64>,
     /// Whether discovery has confirmed the endpoint list to the predecessor, or the predecessor already
     /// serves without a confirmation.
@@ -92,43 +98,43 @@
     pub connections: usize,
 }
 
-/// Returns the value of `confirmed` for an offer without that field: older versions, which don't send it,
-/// serve immediately after their start.
+/// Returns the value of `confirmed` for an offer without that field. Older versions, which don't send the
+/// field, serve immediately after their start.
 fn confirmed_by_default() -> bool {
     true
 }
 
-/// A message and the descriptors that accompany it.
+/// A hand-over message and the file descriptors that accompany it.
 #[derive(Debug)]
 pub struct Envelope {
-    /// The message.
+    /// The hand-over message.
     pub message: HandoverMessage,
-    /// The descriptors.
+    /// The file descriptors that accompany the message.
     pub descriptors: Vec<OwnedFd>,
 }
 
 impl HandoverMessage {
-    /// Encodes the message.
+    /// Encodes the message as JSON.
     pub fn encode(&self) -> Vec<u8> {
         // Encoding can't fail: a message has no map with keys other than strings and no type whose encoding
         // can fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Decodes a message.
+    /// Decodes a message from JSON.
     pub fn decode(bytes: &[u8]) -> Result<HandoverMessage, serde_json::Error> {
         serde_json::from_slice(bytes)
     }
 }
 
-/// Splits an endpoint list into batches, one for each [`HandoverMessage::Endpoints`]. Omits an endpoint that
-/// is too long for any message.
+/// Splits the entries of an endpoint list into batches, one for each [`HandoverMessage::Endpoints`]. Omits an
+/// entry that is too long for any message.
 pub fn batch_endpoints(instances: Vec<Instance>) -> Vec<Vec<Instance>> {
     let overhead = HandoverMessage::Endpoints(Vec::new()).encode().len();
     let mut batches: Vec<Vec<Instance>> = Vec::new();
     let mut bytes_left = 0;
     for instance in instances {
-        // The 1 is for the comma before the next endpoint.
+        // The 1 is for the comma before the next entry.
         let length = serde_json::to_vec(&instance).map_or(MAX_MESSAGE_BYTES, |entry| entry.len()) + 1;
         if overhead + length > MAX_MESSAGE_BYTES {
             continue;
--- a/crates/vetchbridge/src/upgrade/message/tests.rs
+++ b/crates/vetchbridge/src/upgrade/message/tests.rs
@@ -1,4 +1,4 @@
-//! The limits and the encoding of hand-over messages.
+//! Tests of the length limits and the encoding of hand-over messages.
 
 use super::*;
 
@@ -16,7 +16,7 @@
     );
 }
 
-/// Decoding an encoded message returns the same message; an incomplete message is not decoded.
+/// Decoding an encoded message returns the original message; an incomplete message can't be decoded.
 #[test]
 fn a_message_is_decoded_completely_or_not_at_all() {
     let offer = Offer { quiesced: true, source: None, generation: Some(7), confirmed: false, connections: 3 };
--- a/crates/vetchbridge/src/upgrade/mod.rs
+++ b/crates/vetchbridge/src/upgrade/mod.rs
@@ -1,12 +1,14 @@
-//! Upgrades: a new process of a scheduler (the successor) takes over from the old one (the predecessor).
+//! Upgrades of a running scheduler: a new process of the scheduler (the successor) takes over from the old
+//! process (the predecessor).
 //!
-//! When a process starts, it first connects to the process that already serves as the same scheduler, if one
-//! does. The successor inherits the listener for clients, the socket for messages between schedulers, and the
-//! endpoint list that the predecessor received last. The listener's descriptor itself is passed, so
+//! When a process starts, it first connects to the process that already serves as the same scheduler, if
+//! there is one. The successor inherits the listener for clients, the socket for messages between schedulers,
+//! and the endpoint list that the predecessor received last. The listener's descriptor itself is passed, so
 //! connections queued there are not lost. Once the successor has sent
 //! [`TookOver`](HandoverMessage::TookOver), the predecessor accepts no connections; it passes on each client
 //! connection as soon as the connection is between two requests. A callback is forwarded to the process that
-//! has its attempt, and both processes treat a request id as open while it is open in either.
+//! has the callback's attempt, and both processes treat a request id as open while the request is open in
+//! either process.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -19,7 +21,7 @@
 //! | [`socket`] | the Unix sockets that carry messages and descriptors |
 //!
 //! This module never ends a process. If the successor fails, the predecessor continues to serve; the
-//! predecessor ends when it receives SIGTERM.
+//! predecessor ends only when it receives SIGTERM.
 
 mod exchange;
 pub mod message;
@@ -35,5 +37,6 @@
 
 use std::time::Duration;
 
-/// Time limit for sending or receiving the offer and the endpoint list. A new process has 6 s to start.
+/// Time limit for sending or receiving the predecessor's offer and endpoint list. A new process has 6 s to
+/// start.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -1,4 +1,4 @@
-//! The predecessor's side of an upgrade: the process that serves hands over to its successor.
+//! The predecessor's side of an upgrade: the process that serves hands over to its successor process.
 //!
 //! This module owns the hand-over listener. If a successor fails, this process continues to serve as before.
 
@@ -22,9 +22,10 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Time limit for the first message of a process that has connected, and for sending a rejection to it.
+/// Time limit for the first message of a process that has connected as a successor, and for sending a
+/// rejection to that process.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay after an accept on the hand-over listener fails.
+/// Delay before the next accept after an accept on the hand-over listener has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Why a process that has connected is rejected as a successor. The text is sent to that process.
@@ -44,23 +45,23 @@
     Receive(#[from] ReceiveError),
 }
 
-/// Hands over to successors, and holds everything that a successor takes over.
+/// Hands over to successor processes, and holds everything that a successor takes over.
 pub struct HandoverServer {
     /// The scheduler's name.
     pub name: String,
-    /// The address at which clients connect.
+    /// The address at which clients connect to the scheduler.
     pub listen: SocketAddr,
     /// The listener for clients.
     pub listener: TcpListener,
     /// The socket for messages between schedulers, if there is one.
     pub peer_socket: Option<UdpSocket>,
-    /// The endpoint list.
+    /// The endpoint list as last published.
     pub endpoint_list: Arc<Mutex<EndpointList>>,
     /// The lifecycle of this process.
     pub lifecycle: Arc<Lifecycle>,
     /// The engine, which runs the decision module.
     pub engine: Arc<Engine>,
-    /// The connections to workers.
+    /// The workers in the endpoint list, and the connections to them.
     pub upstream: Arc<UpstreamGroup>,
     /// The server of client connections.
     pub client_server: Arc<ClientServer>,
@@ -69,8 +70,8 @@
 }
 
 impl HandoverServer {
-    /// Hands over to each successor that connects to the listener, which is published at `path`. Runs until
-    /// the process ends.
+    /// Hands over to each successor process that connects to the hand-over listener, which is published at
+    /// `path`. Runs until this process ends.
     pub async fn run(self: Arc<Self>, path: PathBuf, mut listener: HandoverListener) {
         loop {
             tokio::select! {
@@ -81,7 +82,8 @@
                         sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
-                // A successor that has ended may have published its own listener at the path.
+                // A successor process that has ended may have published its own listener at the path, so this
+                // process publishes a new listener there.
                 () = self.process_links.wait_for_removed_link() => if !self.process_links.has_successor() {
                     match publish_listener(&path) {
                         Ok(published) => listener = published,
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Hands over to the process that has connected, if it is a successor of this scheduler, and keeps the
-    /// link to it.
+    /// Hands over to the process that has connected, if that process is a successor of this scheduler's
+    /// process, and keeps the link to it.
     async fn hand_over(self: Arc<Self>, socket: HandoverSocket) {
         match self.receive_hello(&socket).await {
             Ok(true) => {}
@@ -115,8 +117,8 @@
         self.run_link(socket, link, outgoing).await;
     }
 
-    /// Receives the first message of the process that has connected. Returns `true` if that process is a
-    /// successor, `false` if it has closed the connection.
+    /// Receives the first message of the process that has connected. Returns `true` if that process may
+    /// become the successor, `false` if it has closed the connection.
     async fn receive_hello(&self, socket: &HandoverSocket) -> Result<bool, Rejection> {
         let received = timeout(HELLO_TIMEOUT, MessageReader::new(socket).next()).await;
         let Some(envelope) = received.map_err(|_| Rejection::NoHello)?? else { return Ok(false) };
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Sends the offer with the sockets, then the endpoint list and the empty message that marks the end of
-    /// the list.
+    /// Sends the successor the offer with the sockets, then the endpoint list and the empty message that
+    /// marks the end of the list.
     async fn send_offer(&self, socket: &HandoverSocket) -> io::Result<()> {
         let ((instances, generation), source) = {
             let endpoint_list = self.endpoint_list.lock().unwrap_or_else(PoisonError::into_inner);
@@ -144,8 +146,8 @@
         };
         let total = instances.len();
         let batches = batch_endpoints(instances);
-        // If an endpoint is too long to be sent, the offer has no generation, and the successor fetches the
-        // complete list from discovery.
+        // If an entry of the endpoint list is too long to be sent, the offer has no generation, and the
+        // successor fetches the complete list from discovery.
         let complete = batches.iter().map(Vec::len).sum::<usize>() == total;
         let offer = HandoverMessage::Offer(Offer {
             quiesced: self.lifecycle.is_quiesced(),
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -1,8 +1,8 @@
 //! The links to the other processes of this scheduler: to a successor, or to a predecessor that is ending.
 //!
-//! A link holds the reported state of the other process and the queue of messages to it; `exchange` sends the
-//! messages. No call waits for a process that has ended, and requests are not delayed if there is no other
-//! process.
+//! A link holds the state that the other process has reported, and the queue of messages to that process; the
+//! module `exchange` sends the messages. No call waits for a process that has ended, and requests are not
+//! delayed if there is no other process.
 
 use crate::upgrade::message::{Envelope, HandoverMessage};
 use crate::workers::Callback;
@@ -15,14 +15,14 @@
 use tracing::warn;
 use vetchbridge_scheduling::RequestId;
 
-/// Maximum number of messages that are queued for one process. Further messages are dropped: a process that
-/// is this far behind is treated as one that hangs.
+/// Maximum number of messages that are queued for one process. Further messages are dropped, since a process
+/// that is this far behind is treated as a process that hangs.
 const QUEUE_CAPACITY: usize = 8192;
-/// Time limit for the reply to a forwarded callback. A worker retries a callback that gets no successful
-/// response.
+/// Time limit for another process's reply to a forwarded callback. A worker retries a callback that gets no
+/// successful response.
 const CALLBACK_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The result of forwarding a callback to the other processes.
+/// The result of forwarding a worker's callback to the other processes of this scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardOutcome {
     /// One of the processes has the callback's attempt.
@@ -33,16 +33,17 @@
     Unanswered,
 }
 
-/// The reported state of another process.
+/// The state that another process of this scheduler has reported.
 #[derive(Default)]
 struct RemoteState {
-    /// The ids of the requests that are open in that process.
+    /// The ids of the requests that are open in the other process.
     open_requests: HashSet<u64>,
-    /// The number of client connections of that process.
+    /// The number of client connections of the other process.
     connections: usize,
-    /// The forwarded callbacks that await a reply, by their number.
+    /// For each forwarded callback that awaits a reply, by its number, the sender that passes on whether the
+    /// callback's attempt was found.
     pending_callbacks: HashMap<u64, oneshot::Sender<bool>>,
-    /// The number of the last callback that was forwarded.
+    /// The number that identifies the last callback that was forwarded to the other process.
     last_callback: u64,
 }
 
@@ -58,14 +59,15 @@
 }
 
 impl Link {
-    /// Returns a new link and the queue of messages to send to the other process.
+    /// Returns a new link to another process, and the receiver of the messages that are queued for that
+    /// process.
     pub fn new() -> (Arc<Link>, mpsc::Receiver<Envelope>) {
         let (outgoing, queue) = mpsc::channel(QUEUE_CAPACITY);
         (Arc::new(Link { outgoing, remote: Mutex::default() }), queue)
     }
 
-    /// Queues a message with its descriptors. Returns `false` if the queue is full or the link has ended; the
-    /// message is then dropped.
+    /// Queues a message with its descriptors for the other process. Returns `false` if the queue is full or
+    /// the link has ended; the message is then dropped.
     pub fn send(&self, message: HandoverMessage, descriptors: Vec<OwnedFd>) -> bool {
         self.outgoing.try_send(Envelope { message, descriptors }).is_ok()
     }
@@ -75,7 +77,7 @@
         self.outgoing.capacity() < QUEUE_CAPACITY
     }
 
-    /// Forwards a callback to the other process and waits for the reply.
+    /// Forwards a worker's callback to the other process and waits for the reply.
     async fn forward(&self, callback: Callback) -> ForwardOutcome {
         let (reply_sender, reply) = oneshot::channel();
         let number = {
@@ -109,7 +111,7 @@
             }
             HandoverMessage::CallbackReply { number, known } => {
                 if let Some(reply_sender) = remote.pending_callbacks.remove(number) {
-                    // Sending fails if the wait for the reply has timed out.
+                    // Passing the reply on fails if the wait for the reply has timed out.
                     let _ = reply_sender.send(*known);
                 }
             }
@@ -158,17 +160,18 @@
         self.link_removed.notify_one();
     }
 
-    /// Waits until a link has been removed.
+    /// Waits until a link to another process has been removed.
     pub async fn wait_for_removed_link(&self) {
         self.link_removed.notified().await;
     }
 
-    /// Marks the process at the other end of `link` as the successor, which serves instead of this process.
+    /// Marks the process at the other end of `link` as the successor, which serves clients instead of this
+    /// process.
     pub fn set_successor(&self, link: Arc<Link>) {
         self.successor.send_replace(Some(link));
     }
 
-    /// Returns a receiver that is notified when the successor changes.
+    /// Returns a receiver that is notified when this process gets a successor or loses it.
     pub fn successor(&self) -> watch::Receiver<Option<Arc<Link>>> {
         self.successor.subscribe()
     }
@@ -178,8 +181,8 @@
         self.successor.borrow().is_some()
     }
 
-    /// Forwards a callback to the other processes, one after the other, until one has its attempt. Skips the
-    /// process at the other end of `from`, which sent the callback.
+    /// Forwards a worker's callback to the other processes, one after the other, until one of them has the
+    /// callback's attempt. Skips the process at the other end of `from`, which sent the callback.
     pub async fn forward(&self, callback: &Callback, from: Option<&Arc<Link>>) -> ForwardOutcome {
         let links = lock_ignoring_poison(&self.links).clone();
         let mut result = ForwardOutcome::Unknown;
@@ -203,7 +206,7 @@
             .any(|link| lock_ignoring_poison(&link.remote).open_requests.contains(&id.0))
     }
 
-    /// Returns the total number of client connections of the other processes.
+    /// Returns the total number of client connections that the other processes of this scheduler have.
     pub fn connection_count(&self) -> usize {
         lock_ignoring_poison(&self.links)
             .iter()
@@ -211,19 +214,19 @@
             .sum()
     }
 
-    /// Returns the number of other processes.
+    /// Returns the number of other processes of this scheduler.
     pub fn process_count(&self) -> usize {
         lock_ignoring_poison(&self.links).len()
     }
 
-    /// Queues a message to every other process.
+    /// Queues a message to every other process of this scheduler.
     pub fn broadcast(&self, message: impl Fn() -> HandoverMessage) {
         for link in lock_ignoring_poison(&self.links).iter() {
             link.send(message(), Vec::new());
         }
     }
 
-    /// Whether messages to any other process are still queued.
+    /// Whether messages to any other process of this scheduler are still queued.
     pub fn has_queued(&self) -> bool {
         lock_ignoring_poison(&self.links).iter().any(|link| link.has_queued())
     }
--- a/crates/vetchbridge/src/upgrade/process_links/tests.rs
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the reported state of other processes and of forwarding callbacks to them.
+//! Tests of the state that other processes of a scheduler report, and of forwarding callbacks to these
+//! processes.
 
 use super::*;
 use crate::workers::CallbackState;
@@ -8,8 +9,8 @@
     Callback { id, worker, state: CallbackState::Started, fraction: 0.0, result: String::new(), load: None }
 }
 
-/// Removing a link drops the state of the process at the other end; removing the successor's link also clears
-/// the successor.
+/// Removing a link drops the reported state of the process at the other end; removing the successor's link
+/// also means that this process has no successor any more.
 #[test]
 fn removing_a_link_drops_the_requests_and_connections_of_its_process() {
     let process_links = ProcessLinks::default();
@@ -48,8 +49,8 @@
     assert_eq!((process_links.connection_count(), process_links.has_successor()), (0, false));
 }
 
-/// A callback is forwarded to each process except the one that sent it. A process that hangs delays it only
-/// until the time limit; a process that has ended does not delay it.
+/// A callback is forwarded to each process except the process that sent it. A process that hangs delays the
+/// forwarding only until the time limit; a process that has ended does not delay it.
 #[tokio::test(start_paused = true)]
 async fn a_callback_is_forwarded_to_each_other_process_in_turn() {
     let process_links = ProcessLinks::default();
@@ -81,7 +82,8 @@
         queues[2].1.as_mut().expect("a queue").try_recv().is_err(),
         "the callback is not sent back to the third process"
     );
-    // Now the fourth process sent the callback; the second may have the attempt and does not reply.
+    // In this second round, the fourth process sent the callback; the second process may have the attempt and
+    // does not reply.
     let unanswered = process_links.forward(&callback, Some(&queues[3].0)).await;
     assert_eq!(unanswered, ForwardOutcome::Unanswered, "no reply from the second process");
 }
--- a/crates/vetchbridge/src/upgrade/socket.rs
+++ b/crates/vetchbridge/src/upgrade/socket.rs
@@ -1,8 +1,8 @@
 //! Unix sockets that carry whole messages (`SOCK_SEQPACKET`) and file descriptors (`SCM_RIGHTS`).
 //!
 //! This module makes the system calls and does not interpret the messages. Tokio does not support such
-//! sockets, so they are registered with it as stream sockets, whose readiness works in the same way; only
-//! this module reads and writes them. The process that receives a descriptor owns it.
+//! sockets, so they are registered with Tokio as stream sockets, whose readiness works in the same way; only
+//! this module reads and writes the sockets. A process that receives a descriptor owns that descriptor.
 
 use rustix::cmsg_space;
 use rustix::io::{retry_on_intr, Errno};
@@ -20,7 +20,7 @@
 
 /// Maximum number of descriptors in one message.
 const MAX_DESCRIPTORS: usize = 2;
-/// Maximum number of successors that may wait in the listener's queue.
+/// Maximum number of connections of successor processes that may wait in the listener's queue.
 const ACCEPT_BACKLOG: i32 = 4;
 
 fn new_socket() -> io::Result<OwnedFd> {
@@ -28,7 +28,7 @@
     Ok(socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// The socket to which successors connect.
+/// The listening socket to which successor processes connect.
 pub struct HandoverListener {
     socket: UnixListener,
     /// The temporary path of the socket; `None` once the socket has been published.
@@ -36,7 +36,8 @@
 }
 
 impl HandoverListener {
-    /// Listens at a temporary path in the same directory as `path`, to which no process connects.
+    /// Listens at a temporary path in the same directory as `path`. No process connects to the temporary
+    /// path.
     pub fn open(path: &Path) -> io::Result<HandoverListener> {
         let temporary_path = path.with_extension(std::process::id().to_string());
         let _ = std::fs::remove_file(&temporary_path);
@@ -49,7 +50,8 @@
         })
     }
 
-    /// Moves the socket to `path`. Replaces the socket of a process that has ended or has handed over.
+    /// Moves the socket to `path`, where successor processes connect. Replaces the socket of a process that
+    /// has ended or has handed over.
     pub fn publish(&mut self, path: &Path) -> io::Result<()> {
         match self.unpublished_path.take() {
             Some(temporary_path) => std::fs::rename(temporary_path, path),
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Accepts the next connection. Returns an error if the process that connected belongs to another user.
+    /// Accepts the next connection of a process. Returns an error if that process belongs to another user.
     pub async fn accept(&self) -> io::Result<HandoverSocket> {
         let (accepted, _) = self.socket.accept().await?;
         if accepted.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
@@ -78,7 +80,7 @@
     }
 }
 
-/// A message that was received into a caller's buffer.
+/// A message that was received into the caller's buffer.
 pub struct ReceivedMessage {
     /// The length of the message, in bytes.
     pub length: usize,
@@ -86,7 +88,7 @@
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// One end of a connection between two processes.
+/// One end of a connection between two processes of a scheduler.
 pub struct HandoverSocket(UnixStream);
 
 impl HandoverSocket {
@@ -111,7 +113,7 @@
         sent.await.map(drop)
     }
 
-    /// Receives the next message into `buffer`; returns `None` once the other process has closed the
+    /// Receives the next message into `buffer`; returns `None` when the other process has closed the
     /// connection.
     pub async fn receive(&self, buffer: &mut [u8]) -> io::Result<Option<ReceivedMessage>> {
         let received = self.0.async_io(Interest::READABLE, || {
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -1,7 +1,8 @@
-//! The successor's side of an upgrade: a process that starts takes over from the process that serves.
+//! The successor's side of an upgrade: a process that starts takes over from the process that serves as the
+//! same scheduler.
 //!
-//! This module owns the connection to the predecessor until everything has been inherited. If the take-over
-//! fails, the process starts without a predecessor.
+//! This module owns the connection to the predecessor process until everything has been inherited. If the
+//! take-over fails, the new process starts without a predecessor.
 
 use super::message::{Envelope, HandoverMessage, Offer, VERSION};
 use super::reader::{MessageReader, ReceiveError};
@@ -20,25 +21,26 @@
     pub listener: TcpListener,
     /// The socket for messages between schedulers, if the predecessor has one.
     pub peer_socket: Option<UdpSocket>,
-    /// The predecessor's state.
+    /// The state of the predecessor.
     pub offer: Offer,
-    /// The endpoint list.
+    /// The endpoint list that the predecessor received last.
     pub endpoints: EndpointDocument,
-    /// The connection to the predecessor.
+    /// The connection to the predecessor, over which both processes exchange further messages.
     pub socket: HandoverSocket,
 }
 
-/// The result of an attempt to take over.
+/// The result of an attempt to take over from a predecessor process.
 pub enum TakeoverOutcome {
-    /// A process of the same scheduler has handed over.
+    /// A process of the same scheduler has handed over its sockets and state.
     Inherited(Box<InheritedState>),
-    /// No process listens at the path, or the process there failed or did not respond in time.
+    /// No process listens at the hand-over path, or the process there failed or did not respond in time.
     NoPredecessor,
-    /// The process at the path is running and has rejected this process as its successor.
+    /// The process that listens at the hand-over path is running and has rejected this process as its
+    /// successor.
     Rejected,
 }
 
-/// Why nothing could be inherited from the process at the path.
+/// Why nothing could be inherited from the process that listens at the hand-over path.
 #[derive(Debug, thiserror::Error)]
 enum TakeoverError {
     #[error("{0}")]
@@ -60,8 +62,8 @@
     let socket = match HandoverSocket::connect(path) {
         Ok(socket) => socket,
         Err(error) => {
-            // A missing file is the usual case and is not logged. Any other error is: for example, a crashed
-            // process may have left its socket file behind.
+            // A missing socket file is the usual case and is not logged. Any other error is logged: for
+            // example, a crashed process may have left its socket file behind.
             if error.kind() != io::ErrorKind::NotFound {
                 info!(path = %path.display(), %error, "upgrade.no_predecessor");
             }
@@ -74,7 +76,8 @@
             warn!(path = %path.display(), reason, "upgrade.takeover_rejected");
             TakeoverOutcome::Rejected
         }
-        // The other process may have ended after the connection was made; this process can then use the path.
+        // The other process may have ended after the connection was made. This process can then use the
+        // hand-over path for its own socket.
         Ok(Err(error)) => {
             warn!(path = %path.display(), reason = %error, "upgrade.takeover_failed");
             TakeoverOutcome::NoPredecessor
@@ -108,7 +111,7 @@
     Ok(InheritedState { listener, peer_socket, offer, endpoints, socket })
 }
 
-/// Receives the endpoint list, up to the empty message that marks the end of the list.
+/// Receives the predecessor's endpoint list, up to the empty message that marks the end of the list.
 async fn receive_endpoints(
     reader: &mut MessageReader<'_>,
     generation: u64,
