--- a/crates/vetchbridge/src/admin/command.rs
+++ b/crates/vetchbridge/src/admin/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the admin interface: parsing, execution and responses.
+//! The commands that operators send to the admin interface: parsing, execution and responses.
 
 use crate::lifecycle::clock::Lifecycle;
 use crate::lifecycle::state::{LifecycleState, Unavailable};
@@ -9,15 +9,15 @@
 /// An operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
-    /// Report whether this scheduler can serve, and its state.
+    /// Report whether this scheduler can serve clients, and the state of its lifecycle.
     Health,
-    /// Start to drain clients.
+    /// Start to drain clients from this scheduler.
     Quiesce,
-    /// End the drain and accept clients again.
+    /// End the drain, so that this scheduler accepts new clients again.
     Resume,
 }
 
-/// Why a command was not carried out. The response is `fail` followed by the error's text.
+/// Why an operator's command was not carried out. The response is `fail` followed by the error's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CommandError {
     #[error("the connection broke")]
@@ -70,7 +70,7 @@
 }
 
 impl Command {
-    /// Carries out the command and returns the state afterwards.
+    /// Carries out the command and returns the state of the process's lifecycle afterwards.
     fn execute(
         self,
         lifecycle: &Lifecycle,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Carries out the command in a line and returns the response, without a line feed.
+/// Carries out the command in a line that an operator sent, and returns the response without a line feed.
 pub(super) fn respond(line: &[u8], lifecycle: &Lifecycle, process_links: &ProcessLinks) -> String {
     let text = std::str::from_utf8(line).map_err(|_| CommandError::NotText);
     let state =
--- a/crates/vetchbridge/src/admin/mod.rs
+++ b/crates/vetchbridge/src/admin/mod.rs
@@ -1,9 +1,10 @@
-//! The admin interface: a separate listener, on which each connection carries one command line and one
-//! response line.
+//! The admin interface, through which operators control the daemon: a separate listener, on which each
+//! connection carries one command line and one response line.
 //!
-//! This module owns the listener and its connections. The number of connections, the time of each and the
-//! bytes of each are limited. At the limit, a connection without input is closed in favor of the next one. A
-//! command only calls the lifecycle, and no connection delays another.
+//! This module owns the listener and its connections. It limits the number of connections, the time that each
+//! connection stays open and the bytes that are read from each connection. At the maximum number, a
+//! connection without input is closed in favor of the next connection. A command only calls the lifecycle,
+//! and no connection delays another connection.
 
 mod command;
 
@@ -21,34 +22,36 @@
 use tokio::time::timeout;
 use tracing::{debug, info, warn};
 
-/// Maximum length of a command line in bytes, including the line feed.
+/// Maximum length of an operator's command line in bytes, including the line feed.
 pub const LINE_LIMIT: usize = 256;
-/// Time limit for reading a command, and for writing its response. Some clients take 4 s to send a complete
-/// line.
+/// Time limit for reading a command line, and also for writing its response. Some clients take 4 s to send a
+/// complete line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which further input is read and discarded after the response. Closing the connection with unread
-/// input would reset it and discard the response.
+/// Time for which further input on a connection is read and discarded after the response. Closing the
+/// connection with unread input would reset the connection and discard the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause after a failed accept.
+/// Pause before the next accept after accepting a connection to the admin interface has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Maximum number of concurrent connections, however many descriptors the process may have.
+/// Maximum number of concurrent connections to the admin interface, however many file descriptors the process
+/// may have.
 const MAX_CONNECTIONS: usize = 16;
-/// Number of the process's descriptors per allowed connection.
+/// Number of file descriptors of the process for each allowed connection to the admin interface.
 const DESCRIPTORS_PER_CONNECTION: usize = 16;
 
-/// Returns the maximum number of concurrent connections in a process that may have this many descriptors.
+/// Returns the maximum number of concurrent connections to the admin interface of a process that may have
+/// this many file descriptors.
 pub fn max_connections(descriptors: usize) -> usize {
     (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(2, MAX_CONNECTIONS)
 }
 
-/// A connection that may still be open.
+/// A connection to the admin interface that may still be open.
 struct OpenConnection {
     /// Whether any input has arrived on the connection.
     has_input: Arc<AtomicBool>,
     task: AbortHandle,
 }
 
-/// Serves the admin interface until the program ends.
+/// Serves the admin interface until the process ends.
 pub async fn serve(
     listener: TcpListener,
     lifecycle: Arc<Lifecycle>,
@@ -77,7 +80,8 @@
     }
 }
 
-/// Closes the oldest connection without input; if all have input, the oldest connection.
+/// Closes the connection that was accepted first among the connections without input; if all connections have
+/// had input, closes the connection that was accepted first of all.
 fn evict_one(connections: &mut VecDeque<OpenConnection>) {
     let without_input =
         connections.iter().position(|connection| !connection.has_input.load(Ordering::Relaxed));
@@ -114,7 +118,7 @@
     let _ = timeout(LINGER_TIMEOUT, discard_input).await;
 }
 
-/// Reads a command line, up to its line feed or the end of the input.
+/// Reads an operator's command line, up to its line feed or the end of the input.
 async fn read_line(stream: &mut RetryingStream, has_input: &AtomicBool) -> Result<Vec<u8>, CommandError> {
     let mut line = Vec::new();
     let mut buffer = [0; LINE_LIMIT];
--- a/crates/vetchbridge/src/invariants.rs
+++ b/crates/vetchbridge/src/invariants.rs
@@ -1,7 +1,8 @@
-//! Counts and logs violations of the daemon's invariants.
+//! Counts and logs violations of the daemon's invariants, which are conditions that must always hold.
 //!
-//! The code that could violate an invariant checks it. Each violation is logged with the request and the
-//! reason, and the daemon continues. The number of violations is logged when the process ends.
+//! The code that could violate an invariant checks the invariant itself. Each violation is logged with the
+//! request and the reason, and the daemon continues. The number of violations is logged when the process
+//! ends.
 
 use crate::logs::HexRequestId;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -30,7 +31,7 @@
     error!(?invariant, request, reason, "invariant.violated");
 }
 
-/// Returns the number of violations so far.
+/// Returns the number of violations of invariants since the process started.
 pub fn violation_count() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
 }
--- a/crates/vetchbridge/src/logs/format.rs
+++ b/crates/vetchbridge/src/logs/format.rs
@@ -1,4 +1,4 @@
-//! Formats of log lines.
+//! The formats in which the daemon writes log lines.
 
 use super::writer::DroppedLinesNotice;
 
@@ -25,7 +25,8 @@
 }
 
 impl LogFormat {
-    /// Returns the function that formats the number of dropped lines as a line in this format.
+    /// Returns the function that formats the notice of dropped lines, a log line in this format that reports
+    /// how many lines were dropped.
     pub(super) fn dropped_lines_notice(self) -> DroppedLinesNotice {
         match self {
             LogFormat::Text => |dropped| format!("WARN log.lines_dropped lines={dropped}\n"),
--- a/crates/vetchbridge/src/logs/mod.rs
+++ b/crates/vetchbridge/src/logs/mod.rs
@@ -1,8 +1,8 @@
-//! The log: writes one line per event to standard error, as text or as JSON. The message of a line is the
-//! event's name.
+//! The daemon's log: writes one line per event to standard error, as text or as JSON. The message of a line
+//! is the event's name.
 //!
-//! This module owns the log subscriber and its filter; events reach the subscriber only through `tracing`.
-//! `format` defines the formats of a line, and `writer` writes lines without blocking.
+//! This module owns the log subscriber and its filter; events reach the subscriber only through the crate
+//! `tracing`. The module `format` defines the formats of a line, and `writer` writes lines without blocking.
 
 mod format;
 mod writer;
@@ -19,29 +19,29 @@
 use vetchbridge_scheduling::RequestId;
 use writer::LossyWriter;
 
-/// Log filter if none is configured.
+/// The log filter that applies if none is configured.
 pub const DEFAULT_FILTER: &str = "info";
 
 /// An error while starting the log or changing its filter.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// The filter does not parse.
+    /// The text of the log filter can't be parsed.
     #[error("{filter:?} is not a log filter: {source}")]
     InvalidFilter {
-        /// The filter.
+        /// The text of the log filter.
         filter: String,
-        /// Why the filter does not parse.
+        /// Why the text can't be parsed.
         source: ParseError,
     },
     /// The process already has a log subscriber.
     #[error(transparent)]
     AlreadyStarted(#[from] TryInitError),
-    /// The filter can't be replaced.
+    /// The log filter in force can't be replaced.
     #[error(transparent)]
     Reload(#[from] reload::Error),
 }
 
-/// Displays a request's id as 16 hexadecimal digits, the form that the client sent.
+/// Displays a request's id as 16 hexadecimal digits, the form in which clients send the id.
 pub struct HexRequestId(pub RequestId);
 
 impl fmt::Display for HexRequestId {
@@ -57,7 +57,7 @@
 }
 
 impl Logs {
-    /// Starts the log of the process.
+    /// Starts the log of the process with this line format and this log filter.
     pub fn start(format: LogFormat, filter: &str) -> Result<Logs, LogError> {
         let (filter, handle) = reload::Layer::new(parse_filter(filter)?);
         let writer = LossyWriter::new(io::stderr(), format.dropped_lines_notice());
@@ -76,14 +76,14 @@
         Ok(Logs { filter: handle })
     }
 
-    /// Replaces the log filter.
+    /// Replaces the log filter that is in force.
     pub fn set_filter(&self, filter: &str) -> Result<(), LogError> {
         self.filter.reload(parse_filter(filter)?)?;
         Ok(())
     }
 }
 
-/// Parses a filter in the form of `RUST_LOG`.
+/// Parses a log filter in the form of the environment variable `RUST_LOG`.
 pub fn parse_filter(filter: &str) -> Result<EnvFilter, LogError> {
     let parsed = EnvFilter::builder().parse(filter);
     parsed.map_err(|source| LogError::InvalidFilter { filter: filter.to_string(), source })
--- a/crates/vetchbridge/src/logs/writer.rs
+++ b/crates/vetchbridge/src/logs/writer.rs
@@ -1,6 +1,6 @@
-//! The log writer, which never blocks the daemon's only thread. If a line can't be written at once, the
-//! writer drops and counts the line. When a later line can be written, the writer first reports the number of
-//! dropped lines.
+//! The log writer, which never blocks the daemon's only thread. If a log line can't be written at once, the
+//! writer drops the line and counts it. When a later line can be written, the writer first reports the number
+//! of dropped lines.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Maximum length of a line in bytes: a pipe that polls as writable takes this much without blocking
-/// (`PIPE_BUF`, pipe(7)).
+/// Maximum length of a log line in bytes; longer lines are cut. A pipe that polls as writable takes this many
+/// bytes without blocking (`PIPE_BUF`, pipe(7)).
 const MAX_LINE_BYTES: usize = 4096;
 
-/// Formats the line that reports how many lines were dropped.
+/// A function that formats the log line that reports how many lines were dropped.
 pub(super) type DroppedLinesNotice = fn(u64) -> String;
 
-/// A writer that drops lines instead of blocking. Clones share the count of dropped lines.
+/// A log writer that drops lines instead of blocking. Clones share the count of dropped lines.
 pub(super) struct LossyWriter<W> {
     output: Arc<W>,
     dropped: Arc<AtomicU64>,
@@ -24,7 +24,8 @@
 }
 
 impl<W> LossyWriter<W> {
-    /// Creates a writer to `output` that formats its reports of dropped lines with `notice`.
+    /// Creates a log writer to `output`. The function `notice` formats the lines that report how many lines
+    /// were dropped.
     pub(super) fn new(output: W, notice: DroppedLinesNotice) -> LossyWriter<W> {
         LossyWriter { output: Arc::new(output), dropped: Arc::default(), notice }
     }
@@ -36,11 +37,11 @@
     }
 }
 
-/// Whether a write of up to [`MAX_LINE_BYTES`] does not block.
+/// Whether a write of up to [`MAX_LINE_BYTES`] to this file descriptor does not block.
 fn is_writable(fd: BorrowedFd<'_>) -> bool {
     let mut fds = [PollFd::from_borrowed_fd(fd, PollFlags::OUT)];
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // An output whose reader has closed it also polls as writable; a write to it fails at once.
+    // An output that its reader has closed also polls as writable; a write to the output fails at once.
     poll(&mut fds, Some(&no_wait)).is_ok_and(|ready| ready > 0)
 }
 
@@ -48,7 +49,7 @@
 where
     for<'a> &'a W: Write,
 {
-    /// Writes a complete line or drops it.
+    /// Writes one log line, which is cut at [`MAX_LINE_BYTES`], or drops it.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut output = &*self.output;
         if !is_writable(output.as_fd()) {
--- a/crates/vetchbridge/src/logs/writer/tests.rs
+++ b/crates/vetchbridge/src/logs/writer/tests.rs
@@ -1,18 +1,19 @@
-//! Tests of the log writer with a reader that stops reading.
+//! Tests of the log writer with a reader that stops reading the log.
 
 use super::*;
 use crate::logs::LogFormat;
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 
-/// While the reader does not read, the writer drops lines without blocking. The next line that can be written
-/// is preceded by the number of dropped lines.
+/// While the reader of the log does not read, the writer drops lines without blocking. The next line that can
+/// be written is preceded by a line with the number of dropped lines.
 #[test]
 fn the_writer_drops_and_counts_lines_while_the_output_is_full() {
     let (writer, mut reader) = UnixStream::pair().expect("a socket pair is created");
     let mut log = LossyWriter::new(writer, LogFormat::Text.dropped_lines_notice());
     let line = [b'x'; 1000];
-    // The lines exceed the size of any socket buffer. A writer that blocks would never return from this loop.
+    // The lines together exceed the size of any socket buffer. A writer that blocks would never return from
+    // this loop.
     for _ in 0..10_000 {
         log.write_all(&line).expect("the line is written or dropped");
     }
--- a/crates/vetchbridge/src/net/connector.rs
+++ b/crates/vetchbridge/src/net/connector.rs
@@ -15,8 +15,8 @@
 pub(crate) struct Connector(HttpConnector);
 
 impl Connector {
-    /// Creates a connector with this time limit for opening a connection. `None` leaves the time limit to the
-    /// kernel.
+    /// Creates a connector with this time limit for opening a connection. With `None`, the kernel's time
+    /// limit applies.
     pub(crate) fn new(dial_timeout: Option<Duration>) -> Connector {
         let mut tcp = HttpConnector::new();
         tcp.set_nodelay(true);
--- a/crates/vetchbridge/src/net/mod.rs
+++ b/crates/vetchbridge/src/net/mod.rs
@@ -1,5 +1,6 @@
-//! Sockets that handle transient failures of system calls. Interrupted calls and calls that transfer fewer
-//! bytes than requested are continued; calls that fail for a temporary lack of resources are retried.
+//! Provides sockets that handle transient failures of system calls. System calls that are interrupted or that
+//! transfer fewer bytes than requested are continued; system calls that fail for a temporary lack of
+//! resources are retried.
 
 mod connector;
 mod retry;
--- a/crates/vetchbridge/src/net/retry.rs
+++ b/crates/vetchbridge/src/net/retry.rs
@@ -1,18 +1,18 @@
-//! Retries of the system calls that create resources at the start of the process: which errors are transient,
-//! and how long calls are retried.
+//! Retries the system calls that create sockets and other resources at the start of the process. This module
+//! defines which errors are transient, and how long calls are retried.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Maximum time for which a call is retried. The previous process may still use an address, and descriptors
-/// or kernel memory may be temporarily exhausted.
+/// Maximum time for which a system call is retried. A retry may succeed because the previous process may
+/// still be using an address, or because descriptors or kernel memory may be exhausted only temporarily.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two tries of a call.
+/// Pause between two tries of a system call.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether a call that failed with this error may succeed if it is retried soon.
+/// Whether a system call that failed with this error may succeed if it is retried soon.
 fn is_transient(error: &io::Error) -> bool {
     let transient = [
         Errno::ADDRINUSE,
@@ -28,7 +28,7 @@
     Errno::from_io_error(error).is_some_and(|errno| transient.contains(&errno))
 }
 
-/// The retry state of one call.
+/// The state of the retries of one system call.
 struct RetryState<'a> {
     /// The resource that the call creates, for the log.
     subject: &'a str,
@@ -41,7 +41,8 @@
         RetryState { subject, deadline: Instant::now() + RETRY_TIMEOUT, logged: false }
     }
 
-    /// Returns the result if it is final; `None` if the call is to be retried. Logs the first retry.
+    /// Returns the result of a system call if the result is final; `None` if the call is to be retried. Logs
+    /// the first retry.
     fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
         match result {
             Err(error) if is_transient(&error) && Instant::now() < self.deadline => {
@@ -63,8 +64,8 @@
     }
 }
 
-/// Repeats `call` until it succeeds, fails with a permanent error, or [`RETRY_TIMEOUT`] has passed. Returns
-/// the last result.
+/// Repeats the system call `call` until it succeeds, fails with a permanent error, or [`RETRY_TIMEOUT`] has
+/// passed. Returns the result of the last try.
 pub(crate) async fn retry<T>(subject: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let mut state = RetryState::new(subject);
     loop {
--- a/crates/vetchbridge/src/net/stream.rs
+++ b/crates/vetchbridge/src/net/stream.rs
@@ -1,9 +1,11 @@
-//! A TCP connection that handles short and interrupted system calls correctly.
+//! A TCP connection that handles short and interrupted system calls correctly. A short system call transfers
+//! fewer bytes than requested.
 //!
-//! The runtime's TCP stream assumes after a short read or write that the socket's buffer is empty or full,
-//! and waits for the next readiness edge. A call may be short for other reasons, and then no edge follows.
-//! The runtime's stream also returns EINTR, which callers treat as a failed connection. [`RetryingStream`]
-//! clears the readiness only after EAGAIN, and retries a call that fails with EINTR.
+//! After a short read or write, the TCP stream of the async runtime assumes that the socket's buffer is empty
+//! or full, and waits for the next readiness edge (a notification that the socket has become ready). A call
+//! may be short for other reasons, and then no edge follows. The runtime's stream also returns EINTR, which
+//! callers treat as a failed connection. [`RetryingStream`] clears the readiness only after EAGAIN, and
+//! retries a call that fails with EINTR.
 
 use hyper_util::client::legacy::connect::{Connected, Connection};
 use std::io::{self, ErrorKind, IoSlice};
@@ -13,17 +15,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP connection that retries interrupted calls and does not wait for readiness after a short call.
+/// A TCP connection that retries interrupted system calls, and that does not wait for readiness after a read
+/// or write that transferred fewer bytes than requested.
 #[derive(Debug)]
 pub(crate) struct RetryingStream(TcpStream);
 
 impl RetryingStream {
-    /// Wraps the runtime's TCP stream.
+    /// Wraps a TCP stream of the async runtime.
     pub(crate) fn new(stream: TcpStream) -> RetryingStream {
         RetryingStream(stream)
     }
 
-    /// Deregisters the connection from the runtime and returns the standard library's stream.
+    /// Deregisters the connection from the async runtime and returns it as the standard library's stream.
     pub(crate) fn into_std(self) -> io::Result<std::net::TcpStream> {
         self.0.into_std()
     }
@@ -35,8 +38,8 @@
     }
 }
 
-/// Whether a call with this result is to be retried. After EAGAIN the runtime has cleared the readiness, so
-/// the retry waits for the next readiness edge.
+/// Whether a read or write with this result is to be retried. After EAGAIN the async runtime has cleared the
+/// readiness of the socket, so the retry waits for the next readiness edge.
 fn is_retried<T>(result: &io::Result<T>) -> bool {
     let kind = result.as_ref().err().map(io::Error::kind);
     matches!(kind, Some(ErrorKind::WouldBlock | ErrorKind::Interrupted))
--- a/crates/vetchbridge/src/signals.rs
+++ b/crates/vetchbridge/src/signals.rs
@@ -1,8 +1,9 @@
-//! Signals to this process: SIGHUP reloads the configuration, SIGTERM and SIGINT start the shutdown.
+//! Handles the signals to this process: SIGHUP reloads the configuration, and SIGTERM and SIGINT start the
+//! shutdown.
 //!
-//! The runtime's own signal driver ends the process when a read of its pipe is interrupted, so this module
-//! installs handlers of its own: a handler sets a flag and wakes the watching task through a socket pair. If
-//! a wake-up is lost, the next periodic check of the flags finds the signal.
+//! The async runtime's own signal driver ends the process when a read of its pipe is interrupted, so this
+//! module installs handlers of its own. A handler sets a flag and wakes the task that watches the flags
+//! through a socket pair. If a wake-up is lost, the next periodic check of the flags finds the signal.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
@@ -15,18 +16,20 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Interval between checks of the flags without a wake-up.
+/// Interval between periodic checks of the flags that the signal handlers set, which are made even without a
+/// wake-up.
 const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Installed signal handlers. The handlers record signals until [`SignalHandlers::watch`] reports them.
+/// The installed signal handlers. The handlers record signals from their installation on;
+/// [`SignalHandlers::watch`] then reports the recorded signals.
 pub struct SignalHandlers {
     hangup: Arc<AtomicBool>,
     terminate: Arc<AtomicBool>,
     wake_receiver: StdUnixStream,
 }
 
-/// Notifications of signals. A signal that arrives while no task waits is delivered to the next task that
-/// waits.
+/// Notifications of signals to this process. A signal that arrives while no task waits for it is delivered to
+/// the next task that waits.
 #[derive(Clone, Default)]
 pub struct SignalNotifications {
     /// Notified by SIGHUP: the configuration is to be read again.
@@ -36,7 +39,7 @@
 }
 
 impl SignalHandlers {
-    /// Installs the handlers. Needs no async runtime.
+    /// Installs the signal handlers. Needs no async runtime.
     pub fn install() -> io::Result<SignalHandlers> {
         let (wake_receiver, wake_sender) = StdUnixStream::pair()?;
         wake_receiver.set_nonblocking(true)?;
@@ -44,13 +47,14 @@
         let terminate = Arc::<AtomicBool>::default();
         for (signal, received) in [(SIGHUP, &hangup), (SIGTERM, &terminate), (SIGINT, &terminate)] {
             flag::register(signal, received.clone())?;
-            // Registered after the flag, since a signal's actions run in order of registration.
+            // The wake-up is registered after the flag, since a signal's actions run in the order of their
+            // registration and the flag must be set first.
             pipe::register(signal, wake_sender.try_clone()?)?;
         }
         Ok(SignalHandlers { hangup, terminate, wake_receiver })
     }
 
-    /// Starts a task that reports signals until the runtime ends.
+    /// Starts a task that reports signals until the async runtime ends.
     pub fn watch(self) -> io::Result<SignalNotifications> {
         let notifications = SignalNotifications::default();
         let wake_receiver = UnixStream::from_std(self.wake_receiver)?;
@@ -75,7 +79,7 @@
     }
 }
 
-/// Waits until a handler has written to the socket pair, and reads the written bytes.
+/// Waits until a signal handler has written to the socket pair, and reads the written bytes.
 async fn wait_for_wake_up(wake_receiver: &UnixStream) {
     let mut bytes = [0_u8; 64];
     loop {
@@ -86,8 +90,8 @@
                 Ok(()) => {}
                 Err(_) => return std::future::pending().await,
             },
-            // Not expected, since the handlers keep the other end open. The periodic check continues to find
-            // signals.
+            // This case is not expected, since the signal handlers keep the other end of the socket pair
+            // open. The periodic check continues to find signals.
             _ => return std::future::pending().await,
         }
     }
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The settings in force: an immutable snapshot that a reload replaces as a whole.
+//! The settings that are in force: an immutable snapshot that a configuration reload replaces as a whole.
 //!
 //! This module owns the current snapshot. A request uses one snapshot until the request ends: the snapshot
 //! that was in force when the request was read. The configuration module validates a snapshot's values; this
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use vetchbridge_scheduling::{Class, Settings, Tenant, TenantId};
 
-/// The names that clients, workers and discovery use. The settings refer to each name by its index in the
-/// table.
+/// The names that clients, workers and the discovery service use. The settings refer to each name by its
+/// index in its table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NameTables {
     /// Names of zones.
@@ -23,21 +23,22 @@
     pub tenants: Vec<String>,
 }
 
-/// One version of the settings.
+/// One version of the daemon's settings, which never changes.
 pub struct SettingsSnapshot {
-    /// The scheduler's settings.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The names that the settings' indices refer to.
+    /// The names that the indices in `settings` refer to.
     pub names: NameTables,
     /// Time after which a worker closes an idle connection.
     pub worker_idle_timeout: Duration,
-    /// How load reports of workers are read.
+    /// Which load reports of workers are used, and how their fields are interpreted.
     pub load_reports: LoadReportSettings,
 }
 
 impl SettingsSnapshot {
-    /// Creates a snapshot. If the settings list tenants, one tenant without a name and without a quota is
-    /// added for the requests of unlisted tenants, which must not use up a listed tenant's quota.
+    /// Creates a snapshot of the settings. If the settings list tenants, one tenant without a name and
+    /// without a quota is added for the requests of unlisted tenants, which must not use up a listed tenant's
+    /// quota.
     pub fn new(
         mut settings: Settings,
         names: NameTables,
@@ -50,42 +51,43 @@
         SettingsSnapshot { settings, names, worker_idle_timeout, load_reports }
     }
 
-    /// Returns the tenant with this name. An unlisted tenant gets the added tenant without a quota; if the
-    /// settings list no tenants, every request gets tenant 0.
+    /// Returns the id of the tenant with this name. For an unlisted tenant, returns the id of the added
+    /// tenant without a quota; if the settings list no tenants, returns tenant 0 for every request.
     pub fn tenant(&self, name: Option<&[u8]>) -> TenantId {
         let listed = self.names.tenants.iter().position(|known| Some(known.as_bytes()) == name);
         let unlisted = self.settings.tenants.len().saturating_sub(1);
         TenantId(listed.unwrap_or(unlisted) as u32)
     }
 
-    /// Returns the class with this name and its index.
+    /// Returns the request class with this name and its index; `None` if the settings have no class of this
+    /// name.
     pub fn class(&self, name: &str) -> Option<(u32, &Class)> {
         let index = self.names.classes.iter().position(|known| known == name)?;
         Some((index as u32, self.settings.classes.get(index)?))
     }
 
-    /// Returns the longest deadline of all classes.
+    /// Returns the longest deadline of all request classes.
     pub fn longest_deadline(&self) -> Duration {
         let longest = self.settings.classes.iter().map(|class| class.deadline).max();
         Duration::from_micros(longest.unwrap_or(0))
     }
 }
 
-/// The holder of the snapshot in force.
+/// The holder of the settings snapshot that is in force.
 pub struct CurrentSettings(Mutex<Arc<SettingsSnapshot>>);
 
 impl CurrentSettings {
-    /// Creates the holder with the first snapshot.
+    /// Creates the holder with the first settings snapshot.
     pub fn new(snapshot: SettingsSnapshot) -> CurrentSettings {
         CurrentSettings(Mutex::new(Arc::new(snapshot)))
     }
 
-    /// Returns the snapshot in force.
+    /// Returns the settings snapshot that is in force.
     pub fn get(&self) -> Arc<SettingsSnapshot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts another snapshot in force and returns the previous one.
+    /// Puts another settings snapshot in force and returns the previous snapshot.
     pub fn swap(&self, snapshot: SettingsSnapshot) -> Arc<SettingsSnapshot> {
         let mut current = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut *current, Arc::new(snapshot))
--- a/crates/vetchbridge/src/workers/mod.rs
+++ b/crates/vetchbridge/src/workers/mod.rs
@@ -1,17 +1,18 @@
-//! The upstream group of workers, and the attempts and probes in flight to them.
+//! The daemon's side towards workers: the upstream group (all workers in the endpoint list), and the attempts
+//! and probes in flight to them.
 //!
 //! | Module | Concern |
 //! | --- | --- |
 //! | `group` | the workers in the endpoint list, time limits, and the limit on connections |
 //! | `endpoint` | one worker, and whether requests may be written to it |
-//! | `attempt` | one attempt, from its dial to its outcome |
-//! | `probe` | one health check |
-//! | `exchange` | one HTTP exchange, and whether the worker can have received the request |
+//! | `attempt` | one attempt of a request at a worker, from the opening of its connection to its outcome |
+//! | `probe` | one health check of a worker |
+//! | `exchange` | one HTTP exchange with a worker, and whether the worker can have received the request |
 //! | `message` | the HTTP requests to workers, and the workers' responses |
 //! | `permission` | whether a request may still be written, checked before its first byte |
 //! | `expiry` | the header that tells a worker how long the daemon waits for the response |
 //! | `client`, `dial`, `connection`, `connection_count` | the connection pool of a worker |
-//! | `callbacks` | callbacks, and their dispatch to attempts |
+//! | `callbacks` | callbacks of workers, and their dispatch to attempts |
 //! | [`load_report`] | load reports of workers, and which of them are used |
 //! | `identifiers` | ids of workers and requests |
 
