--- a/crates/vetchbridge/src/clients/budget.rs
+++ b/crates/vetchbridge/src/clients/budget.rs
@@ -36,7 +36,8 @@
 pub(super) struct DescriptorBudget {
     /// Maximum number of descriptors that the process may have open.
     max_descriptors: usize,
-    /// Number of descriptors reserved for other uses in addition to [`PROCESS_DESCRIPTORS`].
+    /// Number of descriptors that are reserved for other uses, such as the admin interface, in addition to
+    /// [`PROCESS_DESCRIPTORS`].
     reserved_descriptors: usize,
     /// Live count of the open connections to workers.
     worker_connections: ConnectionCount,
--- a/crates/vetchbridge/src/clients/connection/state.rs
+++ b/crates/vetchbridge/src/clients/connection/state.rs
@@ -34,7 +34,7 @@
     ResponseTimeout,
     /// The request has not arrived in time.
     RequestTimeout,
-    /// None of the other reasons applies any longer.
+    /// None of the other reasons applies any longer at the time of the close.
     Other,
 }
 
--- a/crates/vetchbridge/src/clients/protocol.rs
+++ b/crates/vetchbridge/src/clients/protocol.rs
@@ -1,5 +1,5 @@
-//! Paths and header names of the HTTP protocol between clients and this daemon. The names of the constants
-//! are the terms that the code uses.
+//! Paths and header names of the HTTP protocol in which clients, workers that send callbacks, and load
+//! balancers talk to this daemon. The names of the constants are the terms that the code uses.
 
 /// Path at which load balancers check whether this daemon is ready for new clients.
 pub(super) const READINESS_PATH: &str = "/health/ready";
--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -63,13 +63,13 @@
     /// The HTTP request could not be built.
     #[error(transparent)]
     InvalidRequest(#[from] http::Error),
-    /// No connection was established within [`CONNECT_TIMEOUT`].
+    /// No connection to the discovery service was established within [`CONNECT_TIMEOUT`].
     #[error("no connection established within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
     /// The service's response did not begin within this time.
     #[error("no response received within {0:?}")]
     ResponseTimeout(Duration),
-    /// The connection failed before the response began.
+    /// The connection to the discovery service failed before the response began.
     #[error(transparent)]
     Transport(legacy::Error),
     /// The service responded with a status other than 200.
@@ -88,7 +88,7 @@
 /// Why the body of the discovery service's response could not be read.
 #[derive(Debug, ThisError)]
 pub(super) enum BodyError {
-    /// The connection failed, or the body is longer than [`MAX_DOCUMENT_BYTES`].
+    /// The connection to the discovery service failed, or the body is longer than [`MAX_DOCUMENT_BYTES`].
     #[error("{0}")]
     Interrupted(Box<dyn Error + Send + Sync>),
     /// The body was not complete within [`BODY_TIMEOUT`].
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use vetchbridge_scheduling::{CellId, Endpoint, EndpointState, MachineTypeId, ZoneId};
 
-/// Index of a zone or machine type that the settings do not name. No class and no scheduler has this index.
+/// Index that stands for a zone or machine type that the settings do not name. No request class and no
+/// scheduler has this index.
 const UNKNOWN_INDEX: u32 = u32::MAX;
 /// Microseconds per millisecond. Times in the discovery protocol are in milliseconds, and times in the
 /// scheduler are in microseconds.
@@ -68,7 +69,7 @@
 pub enum InstanceState {
     /// The worker accepts new jobs.
     Up,
-    /// The worker finishes its jobs and accepts no new ones.
+    /// The worker finishes its current jobs and accepts no new jobs.
     Draining,
     /// The worker has left the endpoint list. This state appears only in documents that list changes.
     Removed,
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Converts the entry to the scheduler's type.
+    /// Converts the worker's entry to the scheduler's type, in which zones and machine types are indices into
+    /// `names`.
     pub fn to_endpoint(&self, names: &NameTables) -> Endpoint {
         Endpoint {
             worker: worker_id(&self.instance_id),
--- a/crates/vetchbridge/src/discovery/partial/tests.rs
+++ b/crates/vetchbridge/src/discovery/partial/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!((complete.generation, names(&complete)), (Some(1234), vec!["w-0", "w-1"]));
 }
 
-/// A number at the very end of the text may lack its last digits.
+/// In a truncated document, a number at the very end of the text may lack its last digits.
 #[test]
 fn a_generation_at_the_end_of_the_text_is_ignored() {
     assert_eq!(PartialDocument::parse(br#"{"generation":12"#).generation, None);
--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -11,7 +11,7 @@
 /// connection is detected only after this time.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
 /// Maximum time by which the wait of a watch call is shortened. When the list changes, the discovery service
-/// answers the watch calls of all schedulers together; different waits keep the next calls of these
+/// responds to the watch calls of all schedulers together; different waits keep the next calls of these
 /// schedulers from ending together.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_millis(800);
 /// Maximum time that the response to a watch call may take beyond its wait (docs/design/list-refresh.md).
@@ -21,7 +21,7 @@
 /// sooner may still cost the service the work.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Time after which a watch call is hedged by a second call. A call is hedged only if the call before it was
-/// unanswered, because it may then have been lost as well.
+/// unanswered, because in that case the new call may have been lost as well.
 const HEDGE_DELAY: Duration = Duration::from_millis(1100);
 /// Maximum number of schedulers in a deployment whose schedulers hedge their calls. The discovery service
 /// serves one call after another; when the service is overloaded, the hedged calls of many schedulers would
@@ -62,7 +62,7 @@
     last_outcome: CallOutcome,
     /// Number of watch calls so far that asked the discovery service to wait for a change.
     waiting_calls: u32,
-    /// Earliest time at which the watcher may reopen a watch that has ended.
+    /// Earliest time at which the watcher may reopen a watch on the discovery service that has ended.
     reopen_at: Instant,
     /// Whether the watcher reopens an ended watch without a request from the scheduler. Otherwise the
     /// scheduler reopens the watch by subscribing.
@@ -70,7 +70,7 @@
 }
 
 impl DiscoverySchedule {
-    /// Creates a schedule whose first watch may be opened at once.
+    /// Creates a schedule that allows the watcher to open the first watch at `now`.
     pub(super) fn new(now: Instant) -> DiscoverySchedule {
         DiscoverySchedule {
             last_outcome: CallOutcome::Answered,
@@ -108,10 +108,10 @@
         self.reopens_by_itself.then_some(self.reopen_at)
     }
 
-    /// Returns the time limits of the next watch call.
+    /// Returns the time limits of the next watch call to the discovery service.
     ///
     /// Before the first response of the discovery service (`confirmed` is false) and after a failed call, the
-    /// call requests an immediate response, which shows soonest that the service is reachable.
+    /// watch call requests an immediate response, which shows soonest that the service is reachable.
     pub(super) fn next_watch_times(&mut self, scheduler_index: u32, confirmed: bool) -> WatchTimes {
         if self.last_outcome != CallOutcome::Answered || !confirmed {
             return WatchTimes { wait: Duration::ZERO, timeout: RESPONSE_TIMEOUT };
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -58,7 +58,8 @@
     result: Result<EndpointDocument, CallError>,
 }
 
-/// Follows the endpoint list of one source at a time.
+/// Keeps the daemon's endpoint list up to date from one source at a time, and publishes each update of the
+/// list.
 pub struct EndpointWatcher {
     source: EndpointSource,
     client: DiscoveryClient,
@@ -187,8 +188,8 @@
     fn open_watch(&mut self) {
         let call = match (self.generation, &self.source) {
             (None, _) => self.call_for_complete_list(),
-            // A list in the configuration has been published already and can't change, so this call never
-            // ends.
+            // An endpoint list in the configuration has been published already and can't change, so the watch
+            // call for it never ends.
             (Some(_), EndpointSource::Fixed(_)) => self.new_call(pending()),
             (Some(generation), EndpointSource::Service(_)) => {
                 let scheduler_index = self.settings.get().settings.scheduler_index;
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -1,4 +1,5 @@
-//! The engine: sole owner of the scheduler, its clock and its timers.
+//! The engine, which is the only owner of the decision module's [`Scheduler`], of its clock and of its
+//! timers.
 //!
 //! Every event for the scheduler enters through [`Engine::handle`] or [`Engine::open_request`]. Every action
 //! that the scheduler returns is executed at once: the engine passes the action to the request, the upstream
@@ -27,7 +28,7 @@
 /// A command of the scheduler for one request.
 #[derive(Debug)]
 pub enum RequestCommand {
-    /// Sends an attempt to a worker.
+    /// Sends the request to a worker as a new attempt.
     Send {
         /// The worker that the attempt is sent to.
         worker: WorkerId,
@@ -46,7 +47,7 @@
     Fail,
 }
 
-/// The state behind the engine's lock, used by one event at a time.
+/// The part of the engine's state that the engine's lock protects, so that only one event at a time uses it.
 struct EngineState {
     scheduler: Scheduler,
     timers: TimerQueue,
--- a/crates/vetchbridge/src/invariants.rs
+++ b/crates/vetchbridge/src/invariants.rs
@@ -12,7 +12,8 @@
 /// A condition that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// An attempt at a worker starts only if no other attempt of the same request is waiting at that worker.
+    /// An attempt at a worker starts only if no other attempt of the same request is in flight at that
+    /// worker.
     OneAttemptPerWorker,
     /// A non-idempotent job is not sent again after an attempt that may have run.
     NonIdempotentJobSentOnce,
--- a/crates/vetchbridge/src/net/retry.rs
+++ b/crates/vetchbridge/src/net/retry.rs
@@ -30,7 +30,7 @@
 
 /// The state of the retries of one system call.
 struct RetryState<'a> {
-    /// The resource that the call creates, for the log.
+    /// The name that the log uses for the resource that the system call creates.
     subject: &'a str,
     deadline: Instant,
     logged: bool,
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -54,7 +54,7 @@
 }
 
 impl Answer {
-    /// Returns the name of the answer in the log.
+    /// Returns the name that the log uses for this kind of answer.
     fn name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `sockets` | opens the sockets, or uses those that a predecessor handed over |
+//! | `sockets` | opens the sockets, or uses the sockets that a predecessor process handed over |
 //! | `startup` | connects the components and starts their tasks |
 //! | `reload` | reads and applies the configuration at each SIGHUP |
 //! | `shutdown` | waits until every accepted request has its response |
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -1,7 +1,7 @@
 //! Reads the daemon's configuration again and applies it at each SIGHUP.
 //!
 //! [`Reloader`] owns the configuration document in the platform's format that is in force; a new document is
-//! checked against it. An invalid configuration is rejected as a whole.
+//! checked against the document in force. An invalid configuration is rejected as a whole.
 
 use super::startup::SharedState;
 use crate::config::{self, Config, Flags};
--- a/crates/vetchbridge/src/serve/sockets.rs
+++ b/crates/vetchbridge/src/serve/sockets.rs
@@ -32,8 +32,8 @@
     /// The listener that successor processes connect to; `None` if no path is configured or the socket can't
     /// be opened.
     pub handover_listener: Option<HandoverListener>,
-    /// The socket for messages between schedulers; `None` if the configuration has no peers. An error here
-    /// does not keep the daemon from serving.
+    /// The socket for messages between schedulers; `None` if the configuration has no peers. If the socket
+    /// can't be opened, the daemon still serves.
     pub peer_socket: Option<Result<UdpSocket, ServeError>>,
 }
 
@@ -102,7 +102,8 @@
     bind_result.map_err(|source| ServeError::Bind { address, source })
 }
 
-/// Listens at an address. `reuse_port` lets another process of this scheduler listen at the same address.
+/// Listens for TCP connections at an address. `reuse_port` lets another process of this scheduler listen at
+/// the same address.
 pub(super) fn listen(address: SocketAddr, reuse_port: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -49,7 +49,7 @@
 /// and endpoint list.
 struct Predecessor {
     socket: HandoverSocket,
-    /// Number of client connections that the predecessor had.
+    /// Number of client connections that the predecessor had when it sent its offer.
     connections: usize,
 }
 
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -23,13 +23,13 @@
     pub tenants: Vec<String>,
 }
 
-/// One version of the daemon's settings, which never changes.
+/// One immutable version of the daemon's settings, with the names that the settings refer to.
 pub struct SettingsSnapshot {
     /// The settings of the decision module.
     pub settings: Settings,
     /// The names that the indices in `settings` refer to.
     pub names: NameTables,
-    /// Time after which a worker closes an idle connection.
+    /// Time after which a worker closes an idle connection that the daemon has opened to it.
     pub worker_idle_timeout: Duration,
     /// Which load reports of workers are used, and how their fields are interpreted.
     pub load_reports: LoadReportSettings,
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Sends and receives the messages of a link until either process ends, then removes the link.
+    /// Sends and receives the messages of a link to another process until either process ends, then removes
+    /// the link.
     pub(super) async fn run_link(
         &self,
         socket: HandoverSocket,
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -65,9 +65,9 @@
     /// Forwards a worker's callback for which the sender has no attempt.
     #[serde(rename = "Callback")]
     ForwardedCallback {
-        /// Identifies the callback in its [`HandoverMessage::CallbackReply`].
+        /// A number that identifies the forwarded callback in the [`HandoverMessage::CallbackReply`] to it.
         number: u64,
-        /// The callback.
+        /// The forwarded callback.
         callback: Callback,
     },
     /// Replies to a forwarded callback with whether an attempt was found for it.
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -1,4 +1,5 @@
-//! The links to the other processes of this scheduler: to a successor, or to a predecessor that is ending.
+//! The links to the other processes of this scheduler: to a successor process, or to a predecessor process
+//! that is ending.
 //!
 //! A link holds the state that the other process has reported, and the queue of messages to that process; the
 //! module `exchange` sends the messages. No call waits for a process that has ended, and requests are not
@@ -99,7 +100,7 @@
         forwarded
     }
 
-    /// Updates the reported state of the other process from a message that it sent.
+    /// Updates the reported state of the other process from a message that the other process sent.
     pub fn record(&self, message: &HandoverMessage) {
         let remote = &mut *lock_ignoring_poison(&self.remote);
         match message {
--- a/crates/vetchbridge/src/upgrade/socket.rs
+++ b/crates/vetchbridge/src/upgrade/socket.rs
@@ -99,7 +99,7 @@
         Ok(HandoverSocket(UnixStream::from_std(socket.into())?))
     }
 
-    /// Sends one message with its descriptors.
+    /// Sends one message with its descriptors to the process at the other end.
     pub async fn send(&self, message: &[u8], descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
         let sent = self.0.async_io(Interest::WRITABLE, || {
             let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -57,7 +57,8 @@
     Receive(#[from] ReceiveError),
 }
 
-/// Takes over from the process that listens at `path`, if it serves as the scheduler `name` at `listen`.
+/// Takes over from the process that listens at `path`, if that process serves as the scheduler `name` at the
+/// address `listen`.
 pub async fn take_over(path: &Path, name: &str, listen: SocketAddr) -> TakeoverOutcome {
     let socket = match HandoverSocket::connect(path) {
         Ok(socket) => socket,
--- a/crates/vetchbridge/src/workers/attempt.rs
+++ b/crates/vetchbridge/src/workers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at a worker, from its dial to its outcome.
+//! One attempt of a request at a worker, from the opening of its connection to its outcome.
 
 use super::callbacks::{Callback, CallbackState, CallbackSubscription};
 use super::connection::REUSE_DELAY;
@@ -30,13 +30,14 @@
 /// An attempt's result, and the worker's load report on the response or callback that ended the attempt.
 type AttemptEnd = (AttemptResult, Option<LoadReport>);
 
-/// The conditions under which an attempt is sent. They are checked again just before the attempt's first byte
-/// is written, since connecting may take long.
+/// The conditions under which an attempt is sent. The conditions are checked again just before the attempt's
+/// first byte is written, since connecting to the worker may take long.
 #[derive(Clone, Debug)]
 pub struct SendConditions {
-    /// How long the attempt may take in total.
+    /// How long the attempt may take in total, including the time to connect.
     pub timeout: Duration,
-    /// The time within which the first byte of the attempt must be written.
+    /// The time within which the first byte of the attempt must be written, counted from the start of the
+    /// attempt.
     pub first_byte_timeout: Duration,
     /// Set once the request has been answered or its client has disconnected.
     pub concluded: Arc<AtomicBool>,
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -28,7 +28,7 @@
     /// The name in the endpoint list of the worker that sends the callback.
     #[serde(rename = "from")]
     pub worker: String,
-    /// The state of the job.
+    /// The state of the job that the callback reports.
     pub state: CallbackState,
     /// The fraction of the job that is done; used only while the job is running.
     #[serde(default, rename = "share")]
@@ -41,7 +41,7 @@
     pub load: Option<Box<RawValue>>,
 }
 
-/// The states of a job that a callback reports.
+/// The states of a job that a callback can report.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CallbackState {
@@ -49,7 +49,7 @@
     Started,
     /// The job is running.
     Running,
-    /// The job is done.
+    /// The job is done, and the callback carries the job's result.
     Done,
     /// The job failed; it may have run.
     Failed,
@@ -76,7 +76,8 @@
 #[derive(Default)]
 struct RouterState {
     subscribers: HashMap<AttemptKey, UnboundedSender<Callback>>,
-    /// The attempts that ended within the retry window, the earliest first.
+    /// The attempts that a callback has recently ended without a result, the earliest first; entries older
+    /// than [`CALLBACK_RETRY_WINDOW`] are dropped.
     ended: VecDeque<EndedAttempt>,
 }
 
--- a/crates/vetchbridge/src/workers/client.rs
+++ b/crates/vetchbridge/src/workers/client.rs
@@ -48,7 +48,8 @@
         self.http.clone()
     }
 
-    /// Returns the number of connections of this client, including dials and connections in use.
+    /// Returns the number of connections of this client, including connections that are still being opened
+    /// and connections in use.
     pub(super) fn connection_count(&self) -> usize {
         self.connection_count.get()
     }
--- a/crates/vetchbridge/src/workers/connection.rs
+++ b/crates/vetchbridge/src/workers/connection.rs
@@ -1,8 +1,8 @@
 //! A connection to a worker, and the meter that counts the bytes written to the connection.
 //!
-//! The meter shows whether a request was written completely, since the worker may have run only such a
-//! request. The connection checks the send permission before the first byte of each request, and delays that
-//! byte until [`REUSE_DELAY`] has passed since the connection last received bytes.
+//! A worker may have run a request only if the request was written completely, which the meter shows. The
+//! connection checks the send permission before the first byte of each request, and delays that byte until
+//! [`REUSE_DELAY`] has passed since the connection last received bytes.
 
 use super::connection_count::ConnectionGuard;
 use super::expiry::ExpiryHeader;
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Applies an update of the endpoint list to the workers.
+    /// Applies an update of the endpoint list to the group's workers.
     pub fn apply_endpoints<'a>(
         &self,
         update: EndpointUpdate,
--- a/crates/vetchbridge/src/workers/message.rs
+++ b/crates/vetchbridge/src/workers/message.rs
@@ -46,7 +46,7 @@
         /// How long the daemon waits for the job's result.
         timeout: Duration,
     },
-    /// Asks for the worker's health and load.
+    /// Asks the worker for its health and load.
     Probe,
     /// Cancels an accepted job.
     CancelJob {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Builds the HTTP request to the worker at `address`, with every header; hyper adds none.
+    /// Builds the HTTP request to the worker at `address`, with every header; hyper adds no further header.
     pub(super) fn to_http(&self, address: &Authority) -> Request<Full<Bytes>> {
         let (method, target, body) = match self {
             WorkerRequest::Job { payload, .. } => {
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -1,7 +1,7 @@
 //! Checks just before a request's first byte whether the request may still be written to its worker.
 //!
-//! The second check is needed because the decision module decides to send a request before the request has a
-//! connection, and connecting may take long.
+//! The check is needed because the decision module decides to send a request before the request has a
+//! connection, and connecting to the worker may take so long that the decision no longer holds.
 
 use super::endpoint::Availability;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -55,7 +55,7 @@
         SendPermission { concluded, first_byte_deadline: Some(first_byte_deadline), ..self }
     }
 
-    /// Checks whether the request's first byte may be written now.
+    /// Checks whether the request's first byte may be written at the moment of this call.
     pub(super) fn check(&self) -> Result<(), SendDenied> {
         let availability = self.availability.as_ref().map(|availability| *availability.borrow());
         match availability {
