--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -148,7 +148,7 @@
 }
 
 /// Returns the number of worker slots that the request takes: the first positive number among the values of
-/// slots properties, or 1 if there is none.
+/// slots properties, or 1 if the request states no such number.
 fn slots(headers: &HeaderMap) -> Result<f64, MalformedRequest> {
     let properties = single_header(headers, PROPERTIES)?.unwrap_or("");
     let mut values = properties
