--- a/crates/syscall-faults/src/plan.rs
+++ b/crates/syscall-faults/src/plan.rs
@@ -1,5 +1,5 @@
-//! The list of faults, the parser of `SYSCALL_FAULTS`, and the decision whether one call fails. This module
-//! makes no system calls.
+//! The list of system call faults, the parser of the variable `SYSCALL_FAULTS`, and the decision whether a
+//! fault is injected into a call. This module makes no system calls.
 
 /// A way in which a system call can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,9 +13,9 @@
     ReceiveBroken,
     /// `send` and `writev` return EINTR.
     SendInterrupted,
-    /// `send` and `writev` write fewer bytes than requested.
+    /// `send` and `writev` write fewer bytes than requested. A request for one byte is not shortened.
     SendShort,
-    /// `send` and `writev` are delayed by less than [`LONGEST_STALL_MICROS`].
+    /// `send` and `writev` are delayed by less than [`LONGEST_STALL_MICROS`] before they write.
     SendStalled,
     /// `sendto` of a datagram returns ENOBUFS.
     DatagramUnsent,
@@ -31,7 +31,7 @@
     FileWriteFailed,
     /// `fsync` and `fdatasync` return EIO.
     FileSyncFailed,
-    /// `CLOCK_REALTIME` is stepped forward or back.
+    /// `CLOCK_REALTIME` is stepped forward or back by a fixed number of seconds.
     ClockStepped,
 }
 
@@ -53,23 +53,25 @@
     "clock.stepped",
 ];
 
-/// The upper bound of the delay between the process's decision to write and the write, in microseconds.
+/// Exclusive upper limit of the delay that [`Fault::SendStalled`] adds before a write, in microseconds.
 pub(crate) const LONGEST_STALL_MICROS: u64 = 150_000;
 
-/// The faults to inject into one process.
+/// The faults to inject into one process, and how often.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Plan {
     seed: u64,
-    /// For each fault, the share of calls into which it is injected, from 0 to 1.
+    /// For each fault, the probability (0 to 1) that it is injected into a call that it can affect.
     rates: [f64; FAULT_NAMES.len()],
-    /// The step of the wall clock, in microseconds; 0 for no step.
+    /// The step of the wall clock (`CLOCK_REALTIME`), in microseconds; 0 for no step.
     pub(crate) clock_step_micros: i64,
-    /// The time from the process's first reading of `CLOCK_REALTIME` to the step, in microseconds.
+    /// The time from the process's first reading of `CLOCK_REALTIME` to the step of this clock, in
+    /// microseconds.
     pub(crate) clock_step_after_micros: i64,
 }
 
 impl Plan {
-    /// Parses `name=value` pairs that are separated by commas. `clock.step` and `clock.after` are in seconds.
+    /// Parses the text of `SYSCALL_FAULTS`: `name=value` pairs that are separated by commas. The values of
+    /// `clock.step` and `clock.after` are in seconds.
     pub(crate) fn parse(text: &str) -> Result<Plan, String> {
         let mut plan = Plan {
             seed: 0,
@@ -103,8 +105,9 @@
         Ok(plan)
     }
 
-    /// Decides whether the fault is injected into the call with this number. Returns a random number that
-    /// selects the call's error, length or delay, or `None` if the fault is not injected.
+    /// Decides whether the fault is injected into its call number `call`, counted from 0 over the calls that
+    /// the fault can affect. Returns a random number that selects the call's error, length or delay, or
+    /// `None` if the fault is not injected.
     pub(crate) fn draw(&self, fault: Fault, call: u64) -> Option<u64> {
         let rate = self.rates[fault as usize];
         if rate <= 0.0 {
--- a/crates/syscall-faults/tests/preload.rs
+++ b/crates/syscall-faults/tests/preload.rs
@@ -1,4 +1,5 @@
-//! Tests of the library in a real process: this test program starts itself again with the library preloaded.
+//! Tests of the fault injection library in a real process: this test program starts itself again with the
+//! library preloaded.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,8 +12,9 @@
     program.with_file_name("libsyscall_faults.so")
 }
 
-/// Runs one of the ignored tests of this file, `test`, in a process with these faults. Returns how often each
-/// fault was injected, in the order of the library's list of faults.
+/// Runs `test`, one of the ignored tests of this file, in a child process into which `faults` are injected,
+/// in the format of `SYSCALL_FAULTS`. Returns how often each fault was injected, in the order of the
+/// library's list of faults.
 fn run_with_faults(test: &str, faults: &str) -> Vec<u64> {
     let counts_path = std::env::temp_dir().join(format!("syscall-faults-{}-{test}", std::process::id()));
     let status = Command::new(std::env::current_exe().expect("this program has a path"))
@@ -27,7 +29,7 @@
     counts.chunks_exact(8).map(|count| u64::from_le_bytes(count.try_into().expect("8 bytes"))).collect()
 }
 
-/// Opens a TCP connection and returns its client's and its server's end.
+/// Opens a TCP connection and returns the client's end and the server's end.
 fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let client = TcpStream::connect(listener.local_addr().expect("a bound socket"))
