--- a/crates/vetchbridge/tests/admin.rs
+++ b/crates/vetchbridge/tests/admin.rs
@@ -1,4 +1,5 @@
-//! The admin interface on a socket: the response to each command, and the eviction of silent connections.
+//! The admin interface of the daemon on a TCP socket: the response to each command, and the eviction of
+//! connections that send no command.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -27,7 +28,8 @@
     response
 }
 
-/// Each kind of command line gets its documented response, and the lifecycle's state matches the response.
+/// Each kind of command line gets its documented response, and the state of the daemon's lifecycle matches
+/// the response.
 #[tokio::test]
 async fn each_command_has_its_response() {
     let lifecycle = Arc::new(Lifecycle::new(false));
@@ -62,7 +64,7 @@
     assert_eq!(send_command(address, b"quiesce\n").await, "ok ending\n");
 }
 
-/// Connections without a complete command must not keep other clients out.
+/// Admin connections without a complete command must not keep other admin clients from connecting.
 #[tokio::test]
 async fn silent_connections_are_evicted_to_admit_new_clients() {
     let lifecycle = Arc::new(Lifecycle::new(false));
--- a/crates/vetchbridge/tests/client_connection_limits.rs
+++ b/crates/vetchbridge/tests/client_connection_limits.rs
@@ -1,5 +1,5 @@
-//! The limits on client connections: idle clients leave enough descriptors for callbacks, readiness checks
-//! and jobs.
+//! The daemon's limits on client connections: idle clients leave enough file descriptors for the callbacks of
+//! workers, readiness checks and jobs.
 #![allow(missing_docs)]
 
 mod common;
@@ -16,22 +16,24 @@
 const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
 
 impl Harness {
-    /// Sets the limit on the descriptors of the running daemon, independently of its configuration.
+    /// Sets the operating system's limit on the file descriptors of the running daemon. The limit in the
+    /// daemon's configuration stays the same.
     fn limit_descriptors(&self, max: u64) {
         let pid = Pid::from_raw(self.daemon.child.id() as i32).expect("a process");
         let limit = Rlimit { current: Some(max), maximum: Some(1024) };
         prlimit(Some(pid), Resource::Nofile, limit).expect("the limit is set");
     }
 
-    /// Connects clients until the daemon has no free descriptor and fails to accept a connection. Returns the
-    /// clients.
+    /// Opens client connections until the daemon has no free file descriptor and fails to accept a
+    /// connection. Returns the client connections.
     async fn use_up_descriptors(&mut self) -> Vec<Wire> {
         const DESCRIPTORS: u64 = 40;
         self.limit_descriptors(DESCRIPTORS);
         let mut clients = Vec::new();
         for _ in 0..=DESCRIPTORS {
             let mut client = dial(self.daemon.address).await;
-            // A client that has had a response may stay idle; a client that sends nothing times out.
+            // The daemon keeps the idle connection of a client that had a response, and closes the connection
+            // of a client that sent nothing after a timeout.
             client.send(READINESS_REQUEST).await;
             clients.push(client);
         }
@@ -39,8 +41,8 @@
         clients
     }
 
-    /// Sends the endpoint list once and stops discovery, so that calls to discovery no longer use a
-    /// descriptor.
+    /// Answers one watch with the complete endpoint list and then stops the discovery service, so that the
+    /// daemon's connection to discovery no longer uses a file descriptor.
     async fn stop_discovery(&mut self) {
         let mut watch = Wire::new(self.discovery.accept().await.expect("the watch").0);
         watch.read_target().await;
@@ -55,9 +57,9 @@
     }
 }
 
-/// Idle connections of clients and callbacks use up the budget, discovery is down, and no connection to a
-/// worker is open. The daemon still dials a worker for a job, accepts the callback, answers the job and
-/// answers readiness checks.
+/// Idle connections of clients and callbacks use up the budget of client connections, discovery is down, and
+/// no connection to a worker is open. The daemon still dials a worker for a job, accepts the worker's
+/// callback, answers the job and answers readiness checks.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -88,8 +90,9 @@
     }
 }
 
-/// When no descriptor is free because the process has fewer than configured, accepting pauses. Accepting
-/// resumes once descriptors are free again.
+/// The daemon pauses accepting connections when the operating system permits fewer file descriptors than the
+/// daemon's configuration and none is free. The daemon accepts connections again once file descriptors are
+/// free.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -113,16 +116,16 @@
     assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
-/// If no descriptor is free for the dial, the attempt never ran and does not count as a failure of the
-/// worker. Even a non-idempotent job is rejected at once with a short Retry-After that does not grow with
-/// repetition. A job succeeds once descriptors are free again.
+/// If no file descriptor is free to dial a worker, the attempt never ran and does not count as a failure of
+/// the worker. Even a non-idempotent job is rejected at once, with a short Retry-After that does not grow
+/// when further jobs are rejected. A job succeeds once file descriptors are free again.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_dial_without_a_descriptor_is_no_failure_of_its_worker() {
     const REPETITIONS: usize = 2;
-    // With only one worker, an ejected worker would still be used. The Retry-After header would reveal an
-    // ejection, since it would show for how long the worker is ejected.
+    // The daemon uses its only worker even if the worker is ejected as an outlier. The Retry-After header
+    // would reveal an ejection, because the header would contain the remaining time of the ejection.
     let mut harness = Harness::start_with_descriptor_limit(1, &[], 1024).await;
     harness.stop_discovery().await;
     let mut client = dial(harness.daemon.address).await;
@@ -143,8 +146,8 @@
     drop(clients);
 }
 
-/// Submits jobs for the only worker until a new connection is rejected. Returns the connections that await a
-/// response, and the ids of their jobs.
+/// Submits jobs for the only worker until the daemon rejects a new connection. Returns the client connections
+/// that await a response, each with the id of its job.
 async fn fill_budget_with_pending_requests(harness: &mut Harness) -> Vec<(Wire, String)> {
     let mut pending = Vec::new();
     loop {
@@ -166,8 +169,8 @@
     }
 }
 
-/// If every connection awaits a response, no connection can be evicted. A new connection is closed at once
-/// and unread, and the other connections are not affected.
+/// If every client connection awaits a response, the daemon can evict none of them. The daemon closes a new
+/// connection at once without reading from it, and the other connections are not affected.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -182,7 +185,8 @@
     }
 }
 
-/// A callback is served even if no other new connection is admitted, since pending requests may wait for it.
+/// The daemon serves a worker's callback even if it admits no other new connection, since the response to a
+/// pending request may depend on the callback.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -191,7 +195,8 @@
     let pending = fill_budget_with_pending_requests(&mut harness).await;
     let mut callbacks = Vec::new();
     for (_, id) in &pending {
-        // A callback must be served even if workers keep the connections of earlier callbacks open.
+        // The connections of the earlier callbacks stay open, since the daemon must serve a callback even if
+        // workers keep such connections open.
         let mut callback = dial(harness.daemon.address).await;
         let body = json!({"id": id, "from": "s-0", "state": "started"}).to_string();
         callback.post_request("/callback", "", &body).await;
@@ -204,8 +209,8 @@
     }
 }
 
-/// Any number of pipelined requests on one connection does not block requests on other connections. If the
-/// client disconnects, none of its requests is sent to a worker.
+/// Any number of pipelined requests on one client connection does not block requests on other connections. If
+/// the client disconnects, none of its requests is sent to a worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -223,8 +228,8 @@
         wait_until_delivered(&mut client).await;
         harness.daemon.resume();
         clients.push(client);
-        // The client's first job may have caused a dial if the daemon noticed the disconnect a moment later.
-        // No request is written on that connection.
+        // The daemon may have dialled the worker for the client's first job before it noticed the disconnect.
+        // The daemon must not write a request on the connection that it dialled.
         harness.assert_only_next_job_arrives().await;
     }
     for client in &mut clients {
--- a/crates/vetchbridge/tests/client_input.rs
+++ b/crates/vetchbridge/tests/client_input.rs
@@ -1,4 +1,4 @@
-//! Invalid and incomplete input from clients, and connections without any input.
+//! The daemon's handling of clients that send invalid or incomplete requests, or nothing at all.
 #![allow(missing_docs)]
 
 mod common;
@@ -17,15 +17,16 @@
         client.post_request(target, &headers, &body).await;
         assert_eq!(status(client.read().await.as_ref()), expected, "{target} {headers}");
     }
-    // The request is rejected because of its length: no byte of the body is sent.
+    // The daemon rejects the request because of the length in its header, before the client has sent a byte
+    // of the body.
     let mut too_large = dial(harness.daemon.address).await;
     too_large.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n").await;
     assert_eq!(status(too_large.read().await.as_ref()), "413");
     let (mut client, id) = harness.submit_job("safe", "k").await;
     let (number, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
-    // A second request with the id of an open request is rejected. Otherwise its client would get the
-    // response to the open request.
+    // A second request with the id of a request that is not answered yet is rejected. Otherwise the second
+    // client would get the response to the first request.
     let mut duplicate = dial(harness.daemon.address).await;
     duplicate.post_request("/safe/k", &format!("X-Trace-Id: {id}\r\n"), "").await;
     assert_eq!(status(duplicate.read().await.as_ref()), "409");
@@ -34,7 +35,7 @@
     assert_eq!(status(client.read().await.as_ref()), "200");
 }
 
-/// Returns invalid requests as target, headers, body and the expected status of the response.
+/// Returns invalid requests, each as its target, headers, body and the expected status of the response.
 fn invalid_requests() -> Vec<(&'static str, String, String, &'static str)> {
     let id = "X-Trace-Id: 00000000000000ab\r\n";
     let too_long = "x".repeat(64 * 1024 + 1);
@@ -65,8 +66,8 @@
     cases.map(|(target, headers, body, status)| (target, headers, body.to_string(), status)).to_vec()
 }
 
-/// A connection without a complete request is closed at the time limit. An incomplete body gets a response
-/// before the close.
+/// The daemon closes a client connection that has not sent a complete request within the time limit. If only
+/// the body is incomplete, the client gets a response before the close.
 #[rstest]
 #[case::silent("", None)]
 #[case::half_a_head("POST /safe/k HTTP/1.1\r\nX-Tr", None)]
@@ -82,7 +83,8 @@
     assert!(client.read().await.is_none(), "the connection is closed");
 }
 
-/// Any number of connections without input leaves enough descriptors for a client, a worker and a callback.
+/// Any number of client connections that send nothing leaves enough file descriptors for a client with a job,
+/// a worker and a callback.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -97,8 +99,9 @@
     assert_eq!(status(client.read().await.as_ref()), "200");
 }
 
-/// Clients get more than half of the descriptors when workers need few of them. Any number of jobs in flight,
-/// idle connections and incomplete requests leaves enough descriptors for a further job.
+/// Client connections may use more than half of the daemon's file descriptors when workers need few of them.
+/// Any number of jobs in flight, idle connections and incomplete requests leaves enough file descriptors for
+/// a further job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -118,7 +121,7 @@
         in_flight.push(harness.submit_job("safe", "k").await);
         let (_, mut worker) = harness.accept_worker_connection().await;
         worker.read().await.expect("the job");
-        // The worker closes its connection, so that the next job needs a new one.
+        // The worker closes its connection, so that the next job needs a new connection.
         worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     }
     for (client, id) in &mut in_flight {
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -10,7 +10,7 @@
 use tokio::io::AsyncReadExt;
 use vetchbridge_testbed::wire::Wire;
 
-/// The kernel's code for a connection that only the remote side has closed.
+/// The code in `/proc/net/tcp` for the TCP state CLOSE_WAIT: only the remote side has closed the connection.
 const CLOSE_WAIT: &str = "08";
 const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
 /// A worker's response that accepts a job and closes the connection, so that the next job needs a new
@@ -24,11 +24,11 @@
     )
 }
 
-/// Checks that the daemon closes its side of the connection without a reset. A reset would discard data that
-/// is in transit.
+/// Checks that the daemon closes its side of a client connection without a TCP reset. A reset would discard
+/// data that is in transit.
 ///
-/// If `running_daemon` is given, the daemon must still be running: another request is answered after the
-/// close, and a reset would have arrived by then.
+/// If `running_daemon` is given, the daemon must still be running, and it answers another request after the
+/// close. A reset would have arrived by then.
 async fn assert_closed_without_reset(client: &mut Wire, running_daemon: Option<&Harness>) {
     let mut unread = Vec::new();
     let (client_address, daemon_address) = local_and_peer_addresses(client);
@@ -41,7 +41,8 @@
     assert_eq!(state.as_deref(), Some(CLOSE_WAIT), "only the daemon has closed the connection");
 }
 
-/// A response that closes its connection reaches the client, even if the daemon has not read all input.
+/// The client receives a response after which the daemon closes the connection, even if the daemon has not
+/// read all input of the client.
 #[rstest]
 #[case::too_large("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 62914560\r\n\r\n", "413")]
 #[case::malformed("POST /safe/k HTTP/1.1\r\nno header\r\n\r\n", "400")]
@@ -64,8 +65,8 @@
     assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
-/// After a request whose response closes the connection, no further request of this connection reaches a
-/// worker, whether the further request arrives before or after the response.
+/// After a request whose response closes the client connection, no further request on this connection reaches
+/// a worker, whether the client sends the further request before or after the response.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -86,8 +87,8 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
-/// A chunked job is the last request of its connection. No request after this job reaches a worker, whether
-/// the client sends the requests in one write or in pieces.
+/// A job with a chunked body is the last request on its client connection. No request after this job reaches
+/// a worker, whether the client sends the requests in one write or byte by byte.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -111,8 +112,8 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
-/// A quiesced daemon closes idle connections. A connection on which a part of a request has arrived is not
-/// idle: the daemon reads the rest of the request and answers it.
+/// A quiesced daemon closes idle client connections. A connection on which a part of a request has arrived is
+/// not idle: the daemon reads the rest of the request and answers the request.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -127,7 +128,8 @@
     client.send(&job[..received]).await;
     wait_until_delivered(&mut client).await;
     harness.daemon.admin_command("quiesce").await;
-    // The idle connection is closed after half a second. `client` would be closed too if it counted as idle.
+    // The daemon closes the idle connection after half a second. If the daemon took `client` for idle, it
+    // would close this connection too.
     assert_closed_without_reset(&mut idle, Some(&harness)).await;
     client.send(&job[received..]).await;
     let (number, mut worker) = tokio::select! {
@@ -142,8 +144,8 @@
     assert_closed_without_reset(&mut client, Some(&harness)).await;
 }
 
-/// A request may arrive at the moment when the daemon closes the idle connection. Then either the request is
-/// answered completely, or the connection is closed and the request is not forwarded.
+/// A request may arrive at the moment when the daemon closes its idle client connection. Then either the
+/// request is answered completely, or the connection is closed and the request is not forwarded to a worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -154,7 +156,7 @@
     assert_eq!(status(client.read().await.as_ref()), "200");
     harness.daemon.admin_command("quiesce").await;
     harness.daemon.suspend().await;
-    // The idle timeout expires while the daemon is suspended.
+    // The idle timeout of the client connection (half a second) expires while the daemon is suspended.
     tokio::time::sleep(Duration::from_millis(600)).await;
     client.send(&job_request("00000000000000a1", 4)).await;
     wait_until_delivered(&mut client).await;
@@ -177,7 +179,7 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
 
-/// When the daemon shuts down, its last responses arrive complete, whether a client sends a further request
+/// The last responses of a daemon that shuts down arrive complete, whether a client sends a further request
 /// before or after its response.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
@@ -200,8 +202,9 @@
     assert_closed_without_reset(&mut late_client, None).await;
 }
 
-/// A request may arrive, on an open or a new connection, at the moment when the drain ends. Then either the
-/// request is answered completely, or its connection is closed and the request is not forwarded.
+/// A request may arrive, on an open or a new client connection, at the moment when the drain period of a
+/// daemon that shuts down ends. Then either the request is answered completely, or its connection is closed
+/// and the request is not forwarded to a worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -227,7 +230,8 @@
     if let Some(answer) = answer {
         assert_eq!((answer.status(), answer.header("connection")), ("503", Some("close")));
     } else {
-        // A connection that the daemon had dialled for the request would be accepted before this one.
+        // If the daemon had dialled the worker for the request, the worker would accept that connection
+        // before this one.
         let mut marker = dial(harness.workers[0].local_addr().expect("a bound socket")).await;
         let (_, mut first) = harness.accept_worker_connection().await;
         assert_eq!(
@@ -238,8 +242,8 @@
     }
 }
 
-/// An evicted connection is closed without a reset. If its client is slow to close the other side, new
-/// clients are still admitted.
+/// A client connection that the daemon evicts to admit other clients is closed without a TCP reset. The
+/// daemon admits new clients even if the evicted client is slow to close its side.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -252,7 +256,7 @@
         assert_eq!(status(client.read().await.as_ref()), "200");
         clients.push(client);
     }
-    // The oldest connection is evicted first.
+    // The daemon evicts the oldest of the idle connections first.
     assert_closed_without_reset(&mut clients[0], Some(&harness)).await;
     assert_eq!(harness.assert_only_next_job_arrives().await, 0);
 }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! The harness for tests that run the daemon as a process, with scripted workers, discovery and clients.
 //!
-//! Owns the processes and the listeners of one test. The harness never waits for a fixed time. It checks a
-//! response only where the harness's next step depends on this response. Each test file uses only some of
-//! these helpers.
+//! The harness owns the processes and the listeners of one test. The harness never waits for a fixed time. It
+//! checks a response only where the harness's next step depends on this response. Each test file uses only
+//! some of these helpers.
 #![allow(dead_code, missing_docs)]
 
 use futures_util::future::select_all;
@@ -20,25 +20,26 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use vetchbridge_testbed::wire::{Message, Wire};
 
-/// The time after which a hanging test fails. The limit does not check how fast the daemon is.
+/// The time after which a hanging test fails. This timeout does not check how fast the daemon is.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// The number of file descriptors that the daemon may open, unless a test sets another limit.
 pub const DESCRIPTOR_LIMIT: u32 = 64;
-/// The file name of the hand-over socket of the scheduler `n0`.
+/// The file name of the scheduler `n0`'s hand-over socket, at which a successor process takes over from the
+/// daemon.
 pub const HANDOVER_SOCKET: &str = "vetchbridge-n0.handover";
 /// The response with which a worker accepts a job.
 pub const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
 
-/// Locks the start of child processes. Between fork and exec, a child that another test starts holds a copy
-/// of every socket of this process, so a socket that is closed at that moment stays open. Tests hold this
-/// lock while they start a child, and while they close a socket whose closure the daemon must notice before a
-/// later event.
+/// Locks the start of child processes. Between fork and exec, a child process that another test starts holds
+/// a copy of every socket of this process, so a socket that this process closes at that moment stays open.
+/// Tests hold this lock while they start a child process, and while they close a socket whose closure the
+/// daemon must notice before a later event.
 pub fn spawn_lock() -> MutexGuard<'static, ()> {
     static SPAWN_LOCK: Mutex<()> = Mutex::new(());
     SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reads and writes on a connection; each method panics if the operation fails.
+/// Reads and writes on a connection to the daemon; each method panics if the operation fails.
 pub trait WireExt {
     async fn send(&mut self, text: &str);
     async fn post_request(&mut self, target: &str, headers: &str, body: &str);
@@ -66,10 +67,10 @@
     }
 }
 
-/// A connection's entry in `/proc/net/tcp`; the numbers are hexadecimal.
+/// A connection's entry in `/proc/net/tcp`; the numbers in the entry are hexadecimal.
 pub struct TcpTableEntry {
     pub state: String,
-    /// Number of bytes that are written and not yet acknowledged.
+    /// Number of bytes that this end has written and the other end's kernel has not yet acknowledged.
     pub unacknowledged: String,
 }
 
@@ -113,14 +114,15 @@
     answer.expect("an answer").status()
 }
 
-/// Returns the discovery service's entry for worker `number`.
+/// Returns the entry of worker `number` in an endpoint list of the discovery service.
 pub fn instance(number: usize, address: SocketAddr, lifecycle: &str) -> Value {
     json!({"instanceId": format!("s-{number}"), "hostPort": address.to_string(), "zone": "a", "machineType": "m",
            "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// Answers the first discovery request of a daemon that has just started: the saved endpoint list is
-/// unchanged. Closes the connection, so the daemon sends its next request on a new one.
+/// Answers the first discovery request of a daemon that has just started with no changes to the saved
+/// endpoint list. Closes the connection, so that the daemon sends its next discovery request on a new
+/// connection.
 pub async fn confirm_endpoint_list(discovery: &TcpListener) {
     let mut wire = Wire::new(discovery.accept().await.expect("the first call").0);
     assert_eq!(wire.read_target().await, "/registry/instances?index=1&wait=0");
@@ -128,7 +130,8 @@
     wire.answer(200, "connection: close\r\n", unchanged).await.expect("the peer reads");
 }
 
-/// Returns a configuration with up to two attempts per request and one class of each idempotency.
+/// Returns a configuration of the daemon with up to two attempts per request and one class of each
+/// idempotency.
 pub fn daemon_config(discovery: SocketAddr, instances: Value) -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "repeat": repeat, "group": "all", "window": 5_000_000, "aim": 500_000,
@@ -149,8 +152,8 @@
     daemon_command_with_faults(config, "")
 }
 
-/// Returns the command and path of [`daemon_command`]; `faults` selects system calls of the daemon that fail,
-/// in the format of the variable `SYSCALL_FAULTS`. An empty text selects none.
+/// Returns a command that starts the daemon, and the path of its configuration file. `faults` selects system
+/// calls of the daemon that fail, in the format of the variable `SYSCALL_FAULTS`; an empty text selects none.
 pub fn daemon_command_with_faults(config: &str, faults: &str) -> (Command, PathBuf) {
     static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -167,20 +170,21 @@
     (command, path)
 }
 
-/// Returns a prefix for a shell command that preloads the library for failing system calls into the command.
+/// Returns the start of a shell command that runs the command after it with injected system call faults, by
+/// preloading the fault injection library.
 fn preload_prefix(faults: &str) -> String {
     let library = std::env::current_exe().expect("a path").with_file_name("libsyscall_faults.so");
     assert!(library.is_file(), "{}: missing; it is built with the tests of the workspace", library.display());
     format!("env LD_PRELOAD={} SYSCALL_FAULTS={faults}", library.display())
 }
 
-/// A process of the daemon; killed when dropped.
+/// A process of the daemon, which is killed when the value is dropped.
 pub struct Process {
     pub child: Child,
     pub config_path: PathBuf,
-    /// The address for clients and callbacks.
+    /// The address on which the daemon accepts clients and the callbacks of workers.
     pub address: SocketAddr,
-    /// The address of the admin interface.
+    /// The address of the daemon's admin interface.
     pub admin: SocketAddr,
     /// The lines that the daemon logs after it has begun to listen.
     pub log: UnboundedReceiver<String>,
@@ -194,8 +198,8 @@
 }
 
 impl Process {
-    /// Starts the daemon and waits until it listens. If `folder` holds the hand-over socket of a
-    /// predecessor, the daemon takes over from the predecessor.
+    /// Starts the daemon and waits until it listens. If `folder` holds the hand-over socket of a predecessor
+    /// process, the daemon takes over from that process.
     pub fn start(config: &Value, folder: &Path) -> Process {
         Process::start_with_faults(config, folder, "")
     }
@@ -226,8 +230,8 @@
         Process { child, config_path: path, address, admin, log }
     }
 
-    /// Starts the daemon with a discovery service of its own and waits until the daemon serves. The discovery
-    /// service confirms the saved list and then sends nothing more.
+    /// Starts the daemon with a new scripted discovery service and waits until the daemon serves. The
+    /// discovery service confirms the saved endpoint list and then sends nothing more.
     pub async fn start_serving(config: &mut Value, folder: &Path) -> (Process, TcpListener) {
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         config["discovery"] = discovery.local_addr().expect("a bound socket").to_string().into();
@@ -237,7 +241,7 @@
         (process, discovery)
     }
 
-    /// Sends a command to the admin interface and returns the response.
+    /// Sends a command to the daemon's admin interface and returns the response.
     pub async fn admin_command(&self, command: &str) -> String {
         let mut stream = TcpStream::connect(self.admin).await.expect("the admin interface listens");
         stream.write_all(format!("{command}\n").as_bytes()).await.expect("the write succeeds");
@@ -246,7 +250,7 @@
         answer
     }
 
-    /// Waits for the next log line that contains `event` and returns the line.
+    /// Waits for the daemon's next log line that contains `event` and returns the line.
     pub async fn wait_for_log(&mut self, event: &str) -> String {
         loop {
             let line = self.log.recv().await.expect("the daemon runs");
@@ -265,8 +269,8 @@
         assert!(started.and_then(|mut kill| kill.wait()).expect("kill runs").success());
     }
 
-    /// Suspends the process until [`Process::resume`]. Events that occur meanwhile are all pending when the
-    /// process resumes, in their order of arrival.
+    /// Suspends the daemon's process until [`Process::resume`]. Events that occur meanwhile are all pending
+    /// when the process resumes, in their order of arrival.
     pub async fn suspend(&self) {
         self.signal("-STOP");
         let threads = || {
@@ -274,7 +278,7 @@
                 std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the process runs");
             tasks.map(|task| task.expect("a thread").path().join("stat"))
         };
-        // A thread that has not stopped yet could still read some of the events that follow.
+        // A thread of the daemon that has not stopped yet could still read some of the events that follow.
         while !threads().all(|stat| std::fs::read_to_string(stat).is_ok_and(|stat| stat.contains(") T "))) {
             tokio::task::yield_now().await;
         }
@@ -285,33 +289,33 @@
     }
 }
 
-/// A daemon with scripted workers and a scripted discovery service.
+/// A running daemon with scripted workers and a scripted discovery service.
 pub struct Harness {
     pub daemon: Process,
-    /// The folder of the hand-over socket.
+    /// The folder of the daemon's hand-over socket.
     pub folder: tempfile::TempDir,
-    /// The entries of the saved endpoint list.
+    /// The entries of the endpoint list that is saved in the daemon's configuration.
     pub instances: Vec<Value>,
     pub discovery: TcpListener,
-    /// The listeners of the scripted workers; a worker's number is its index.
+    /// The listeners of the scripted workers. The index of a listener is the worker's number.
     pub workers: Vec<TcpListener>,
     pub last_request_id: u64,
 }
 
 impl Harness {
-    /// Starts a daemon with this number of scripted workers, and waits until the daemon serves.
+    /// Starts a daemon with `workers` scripted workers, and waits until the daemon serves.
     pub async fn start(workers: usize) -> Harness {
         Harness::start_with_other_workers(workers, &[]).await
     }
 
-    /// Starts a daemon as [`Harness::start`] does. The endpoint list also contains `others`, after the
-    /// scripted workers.
+    /// Starts a daemon as [`Harness::start`] does. The endpoint list also contains workers at the addresses
+    /// `others`, after the scripted workers.
     pub async fn start_with_other_workers(workers: usize, others: &[SocketAddr]) -> Harness {
         Harness::start_with_descriptor_limit(workers, others, DESCRIPTOR_LIMIT).await
     }
 
-    /// Starts a daemon as [`Harness::start_with_other_workers`] does, with `sockets` as its limit on
-    /// descriptors.
+    /// Starts a daemon as [`Harness::start_with_other_workers`] does, with `sockets` as the daemon's limit on
+    /// file descriptors.
     pub async fn start_with_descriptor_limit(workers: usize, others: &[SocketAddr], sockets: u32) -> Harness {
         Harness::start_configured(workers, others, sockets, "").await
     }
@@ -341,28 +345,31 @@
         Harness { daemon, folder, instances, discovery, workers: listeners, last_request_id: 0xab00 }
     }
 
-    /// Starts a successor of the daemon. The successor's saved endpoint list is empty.
+    /// Starts a successor process, which takes over from the daemon. The successor's saved endpoint list is
+    /// empty.
     pub fn start_successor(&self) -> Process {
         let mut config = daemon_config(self.discovery.local_addr().unwrap(), json!([]));
         config["listen"] = self.daemon.address.to_string().into();
         Process::start(&config, self.folder.path())
     }
 
-    /// Requests `/health/ready` on a new connection and returns the response.
+    /// Requests the daemon's `/health/ready` on a new connection and returns the response.
     pub async fn get_readiness(&self) -> Message {
         let mut load_balancer = dial(self.daemon.address).await;
         load_balancer.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
         load_balancer.read().await.expect("an answer")
     }
 
-    /// Accepts the next connection to any worker; returns the worker's number and the connection.
+    /// Accepts the daemon's next connection to any scripted worker. Returns the worker's number and the
+    /// connection.
     pub async fn accept_worker_connection(&self) -> (usize, Wire) {
         let accepts = self.workers.iter().map(|worker| Box::pin(worker.accept()));
         let (accepted, number, _) = select_all(accepts).await;
         (number, Wire::new(accepted.expect("a connection").0))
     }
 
-    /// Sends a request of this class on a new connection; returns the connection and the request's id.
+    /// Sends a request of this class to the daemon on a new connection. Returns the client connection and the
+    /// request's id.
     pub async fn submit_job(&mut self, class: &str, key: &str) -> (Wire, String) {
         self.last_request_id += 1;
         let id = format!("{:016x}", self.last_request_id);
@@ -377,7 +384,8 @@
         (client, id)
     }
 
-    /// Sends a worker's callback for a job. The daemon must acknowledge the callback whatever its `state`.
+    /// Sends a worker's callback for a job to the daemon, which must acknowledge the callback whatever its
+    /// `state`.
     pub async fn send_callback(&self, id: &str, worker: usize, state: &str) {
         let mut wire = dial(self.daemon.address).await;
         let body =
@@ -386,13 +394,14 @@
         assert_eq!(status(wire.read().await.as_ref()), "200");
     }
 
-    /// Sends requests with several keys; worker 0 must receive and serve all of them.
+    /// Sends requests of a class with several keys, and checks that worker 0 receives all of them. Worker 0
+    /// serves them.
     pub async fn serve_jobs_at_worker_0(&mut self, class: &str) {
         for key in 0..8 {
             let (mut client, id) = self.submit_job(class, &key.to_string()).await;
             let mut worker = Wire::new(self.workers[0].accept().await.expect("a connection to worker 0").0);
             worker.read().await.expect("the job");
-            // The worker closes the connection after each job, so that the next job needs a new connection.
+            // The worker closes its connection after each job, so that the next job needs a new connection.
             worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             self.send_callback(&id, 0, "done").await;
             assert_eq!(status(client.read().await.as_ref()), "200");
@@ -400,8 +409,8 @@
     }
 
     /// Sends one more request, and checks that no other job reaches a worker before the job of this request.
-    /// All earlier connections to workers must have ended, so that each job needs a new connection. Returns
-    /// the number of connections to workers that ended without a request.
+    /// All earlier connections from the daemon to workers must have ended, so that each job needs a new
+    /// connection. Returns the number of connections to workers that ended without a request.
     pub async fn assert_only_next_job_arrives(&mut self) -> usize {
         let mut empty_connections = 0;
         let (mut client, next_id) = self.submit_job("safe", "k").await;
@@ -427,7 +436,8 @@
         }
     }
 
-    /// Serves the job with this id at the worker that the daemon connects to next.
+    /// Accepts the daemon's next connection to a worker, receives a job on it, and completes the job with
+    /// this id.
     pub async fn serve_next_attempt(&self, id: &str) {
         let (number, mut worker) = self.accept_worker_connection().await;
         worker.read().await.expect("the job");
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -1,6 +1,7 @@
-//! Compatibility between versions: the JSON of hand-over messages and callbacks, the numbers that all
-//! schedulers of a tier derive from names, and configuration files, compared with literals. If one of these
-//! names or numbers changes, processes of two versions can't work side by side.
+//! Compatibility between versions of the daemon. The tests compare the JSON of hand-over messages and
+//! callbacks, the numbers that all schedulers of a tier derive from names, and the values of configuration
+//! files with literals. If one of these names or numbers changes, processes of two versions can't work side
+//! by side.
 
 use serde_json::{json, Value};
 use std::process::Command;
@@ -120,7 +121,7 @@
 }
 
 /// The fixtures are a configuration that `config default` of version e0ba539 printed, another configuration
-/// of that version, and the values that its `check` printed for each.
+/// of that version, and the values that the `check` command of that version printed for each of them.
 #[test]
 fn configuration_files_of_version_e0ba539_keep_their_values() {
     let fixtures = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures");
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -32,8 +32,8 @@
     String::from_utf8(run_vetchbridge(&["config", "default"]).stdout).expect("valid UTF-8")
 }
 
-/// Each file has one fault that the schema finds. The error names the position, the key, the problem and the
-/// remedy.
+/// Each file has one fault that the schema finds. The error message names the position, the key, the problem
+/// and the remedy.
 #[rstest]
 #[case::unknown("[attempts]\nmaks = 3", "2:1: attempts.maks: unknown key; did you mean \"max\"?")]
 #[case::unknown_without_similar_key(
@@ -83,7 +83,8 @@
     assert!(fault.contains(&format!("shape.toml:{expected}")), "{fault}");
 }
 
-/// Each file is valid under the schema but has an invalid or inconsistent value.
+/// Each file is valid under the schema but has a value that is invalid or contradicts another value of the
+/// file.
 #[rstest]
 #[case::kind(
     "repeat = \"unsafe\"",
@@ -163,8 +164,8 @@
     assert_eq!(load(&flags).expect("the configuration is valid").name, "flag");
 }
 
-/// The settings for probes and load reports in a TOML file reach the scheduler's settings and the connections
-/// to workers.
+/// The settings for probes and load reports in a TOML file reach the scheduler's settings and the code that
+/// reads workers' load reports.
 #[test]
 fn settings_for_probes_and_load_reports_take_effect() {
     let text = default_file().replace("load = \"off\"", "load = \"probes\"").replace("\"x0\"", "\"x1\"");
@@ -204,8 +205,8 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains(&address));
 }
 
-/// Any text is either accepted or rejected with a message that says what is wrong. The texts are edits of the
-/// default file.
+/// The configuration check accepts any text or rejects it with a message that says what is wrong, and never
+/// panics. The texts are random edits of the default file.
 #[test]
 fn no_text_makes_the_check_panic() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -1,4 +1,4 @@
-//! The limit on the number of connections to workers.
+//! The limit on the number of connections that an upstream group keeps open to its workers.
 #![allow(missing_docs)]
 
 mod common;
@@ -18,7 +18,7 @@
 use vetchbridge_testbed::wire::Wire;
 
 /// Runs a worker that rejects every job and keeps its connections open. Sends the worker's number to `closed`
-/// for each connection that the other side closes.
+/// for each connection that the upstream group closes.
 async fn reject_jobs(number: usize, listener: TcpListener, closed: UnboundedSender<usize>) {
     loop {
         let (mut wire, closed) =
@@ -32,15 +32,15 @@
     }
 }
 
-/// Beyond the limit, idle connections to the least recently used workers are closed. Connections to other
-/// workers stay open.
+/// If the group would exceed its limit on connections, it closes idle connections to the least recently used
+/// workers. Connections to other workers stay open.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn idle_connections_of_the_least_recently_used_workers_are_evicted() {
     const MAX_CONNECTIONS: usize = 8;
     const OTHER_WORKERS: usize = 12;
-    // The idle timeout is longer than the test, so that no connection expires.
+    // The idle timeout of connections is longer than the test, so that no connection expires.
     let group = UpstreamGroup::new(TEST_TIMEOUT, 10 * TEST_TIMEOUT, 1);
     group.set_max_connections(MAX_CONNECTIONS);
     let (closed_sender, mut closed_connections) = unbounded_channel();
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -1,6 +1,6 @@
-//! Responses of workers that are truncated, sent twice or never end, and connections that end while they are
-//! idle. The worker is a blocking socket, so that the bytes that the worker writes are in the kernel before
-//! the runtime polls any socket.
+//! Responses of workers that are truncated, sent twice or never end, and connections to workers that end
+//! while they are idle. The worker is a blocking socket, so that the bytes that the worker writes are in the
+//! kernel before the runtime polls any socket.
 #![allow(missing_docs)]
 
 mod common;
@@ -23,17 +23,17 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
-/// A response by which a worker declares that it has not started the job.
+/// A response by which a worker rejects a job and declares that it has not started the job.
 const REJECTED: &str = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// An upstream group with one worker, `s-0`.
+/// An upstream group (the daemon's connections to its workers) with one worker, `s-0`.
 struct Fixture {
     group: UpstreamGroup,
     listener: TcpListener,
     worker: WorkerId,
 }
 
-/// The worker's end of a connection.
+/// The worker's end of a connection from the upstream group.
 struct WorkerConnection(TcpStream);
 
 impl WorkerConnection {
@@ -41,7 +41,8 @@
         self.0.write_all(text.as_bytes()).expect("the write succeeds");
     }
 
-    /// Reads the next complete request; `None` if the connection was closed between two requests.
+    /// Reads the next complete request from the upstream group. Returns `None` if the connection was closed
+    /// between two requests.
     async fn read_request(&mut self) -> Option<String> {
         let mut stream = self.0.try_clone().expect("a descriptor");
         spawn_blocking(move || {
@@ -82,7 +83,7 @@
         let listener = self.listener.try_clone().expect("a descriptor");
         let accept = move || listener.accept().expect("a connection").0;
         let stream = spawn_blocking(accept).await.expect("the blocking accept ends");
-        // The runtime waits for blocking calls when it ends, so a read must not block forever.
+        // The runtime waits for blocking calls when it ends, so a blocking read must have a timeout.
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the option is set");
         WorkerConnection(stream)
     }
@@ -103,8 +104,8 @@
         self.attempt_with(payload(None, "work"), cancelled).await
     }
 
-    /// Returns a connection that has just become idle: one attempt on it was rejected, and the response was
-    /// read to the end.
+    /// Returns the worker's end of a connection that has just become idle: one attempt on it was rejected,
+    /// and the upstream group has read the worker's response to the end.
     async fn idle_connection(&self) -> WorkerConnection {
         let worker = async {
             let mut connection = self.accept().await;
@@ -114,7 +115,7 @@
         };
         let (result, connection) = tokio::join!(self.attempt(), worker);
         assert_eq!(result, AttemptResult::NotServed(Outcome::Rejected));
-        // Lets the pool's own tasks run, which return the connection to the pool.
+        // Lets the tasks of the connection pool run, which return the connection to the pool.
         for _ in 0..8 {
             tokio::task::yield_now().await;
         }
@@ -136,7 +137,7 @@
     AttemptResult::Served(Bytes::from_static(b"made"))
 }
 
-/// What the worker does on an idle connection.
+/// What the worker does on a connection that is idle.
 #[derive(Clone, Copy)]
 enum WorkerAction {
     RespondAgain(&'static str),
@@ -146,8 +147,9 @@
 
 /// A worker may send bytes on an idle connection or close the connection, and the kernel may hold this input
 /// before the daemon has read it. Then the next request is not written, counts as never run whatever its
-/// class, and does not take the unread bytes for its response. The test covers both the time within the reuse
-/// delay after the last response and the time after the reuse delay.
+/// class, and does not take the unread bytes for its response. The test covers two cases: the worker acts
+/// within the reuse delay, which is the pause between a response and the next request on the connection, or
+/// after the reuse delay.
 #[rstest]
 #[case::accepted_again(WorkerAction::RespondAgain(ACCEPTED))]
 #[case::rejected_again(WorkerAction::RespondAgain(REJECTED))]
@@ -168,7 +170,8 @@
     }
     let attempt = fixture.attempt();
     tokio::pin!(attempt);
-    // The first poll hands the request to the connection's task, which has not run since then.
+    // The first poll hands the request to the task of the connection, which has not run since the previous
+    // response.
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
     match action {
         WorkerAction::RespondAgain(response) => connection.write(response),
@@ -188,8 +191,9 @@
     fixture.idle_connection().await;
 }
 
-/// A worker's second response that arrives some milliseconds late is not taken for the response to the next
-/// request, because that request is not written before the reuse delay has passed.
+/// A second response of a worker to one request, which arrives some milliseconds late, is not taken for the
+/// response to the next request, because the next request is not written before the connection's reuse delay
+/// has passed.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -199,7 +203,7 @@
     let attempt = fixture.attempt();
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
-    // Lets every task run, including the connection's.
+    // Lets every task run, including the task of the connection.
     for _ in 0..4 {
         tokio::task::yield_now().await;
     }
@@ -211,7 +215,7 @@
     assert_eq!(bytes_read, 0, "no byte was written");
 }
 
-/// An idle connection without input is reused.
+/// An idle connection is reused if the worker has sent nothing on it.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -227,7 +231,7 @@
     }
 }
 
-/// A request that is cancelled within the reuse delay of its connection is not written and never ran.
+/// A request that is cancelled within the reuse delay of its connection is not written, so that it never ran.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -247,8 +251,8 @@
     assert_eq!(connection.read_request().await, None);
 }
 
-/// An incomplete or informational response counts as no response once the accept timeout has passed. After a
-/// complete head, the body does not affect the outcome.
+/// An incomplete or informational response of a worker counts as no response once the accept timeout of the
+/// attempt has passed. After a complete response head, the response body does not affect the outcome.
 #[rstest]
 #[case::half_a_line("HTTP/1.1 20", Outcome::NoResponse)]
 #[case::half_a_head("HTTP/1.1 202 Accepted\r\ncontent-le", Outcome::NoResponse)]
@@ -278,9 +282,9 @@
     assert_eq!(result, AttemptResult::NotServed(expected));
 }
 
-/// The head of a 202 accepts the job, even if the body never ends: the connection is abandoned after a
-/// timeout, but the job goes on until it ends or is cancelled by a `DELETE` request. An informational
-/// response before the 202 does not accept the job.
+/// The head of a worker's 202 response accepts the job, even if the body never ends: the connection is
+/// abandoned after a timeout, but the job goes on until it ends or is cancelled by a `DELETE` request. An
+/// informational response before the 202 does not accept the job.
 #[rstest]
 #[case::ends("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n")]
 #[case::never_ends("HTTP/1.1 202 Accepted\r\ncontent-length: 10\r\n\r\nabc")]
@@ -294,14 +298,14 @@
         let mut connection = fixture.accept().await;
         connection.read_request().await.expect("the job");
         connection.write(response);
-        // This sleep is longer than the accept timeout.
+        // This sleep is longer than the accept timeout of the attempt, which is 500 ms.
         tokio::time::sleep(Duration::from_secs(1)).await;
         if completes {
             fixture.send_callback("done");
             return;
         }
         cancel.send(()).expect("the attempt is in flight");
-        // A response that has not ended occupies its connection, so the cancellation comes on another
+        // A response that has not ended occupies its connection, so the `DELETE` request arrives on another
         // connection.
         let is_complete = response.contains("content-length: 0");
         let cancellation = if is_complete {
@@ -315,8 +319,8 @@
     assert_eq!(result, if completes { served() } else { AttemptResult::NotServed(Outcome::Cancelled) });
 }
 
-/// A request whose connection breaks after the request's last byte may have run, with or without a key or a
-/// body.
+/// A request whose connection breaks after the request's last byte was written may have run, with or without
+/// an idempotency key or a body.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -335,9 +339,9 @@
     assert_eq!(result, AttemptResult::NotServed(Outcome::Reset));
 }
 
-/// A worker retries a callback that was not acknowledged. If the callback has ended an attempt, its retry
-/// does not end the next attempt at the same worker before the worker has accepted that next attempt. A
-/// callback after the 202 belongs to the new attempt.
+/// A worker sends a callback again if the scheduler did not acknowledge it. If the callback has ended an
+/// attempt, its repetition does not end the next attempt at the same worker before the worker has accepted
+/// that next attempt. A callback after the worker's 202 response belongs to the new attempt.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The 1,200 workers, the peers and the discovery service of a large deployment of 1,200 schedulers; one
-//! scheduler is under test.
+//! A simulated large deployment of 1,200 workers and 1,200 schedulers. One scheduler is under test; its
+//! workers, its peers (the other schedulers) and its discovery service are simulated.
 //!
 //! Each worker has its own loopback address (from 127.1.0.0). One listener accepts the connections to all
 //! workers and distinguishes the workers by the local address of the connection.
@@ -20,14 +20,14 @@
 
 pub const WORKERS: usize = 1200;
 pub const SCHEDULERS: usize = 1200;
-/// The number of sockets that the peers share.
+/// The number of UDP sockets that the simulated peers share.
 pub const PEER_SOCKETS: usize = 12;
-/// The generation of the endpoint list.
+/// The generation of the discovery service's endpoint list.
 pub const GENERATION: u32 = 70;
-/// Length of a long worker name, in bytes: a hundred entries with such names do not fit into one hand-over
-/// message.
+/// Length of a long worker name, in bytes: a hundred endpoint list entries with such names do not fit into
+/// one hand-over message.
 pub const LONG_NAME_BYTES: usize = 2000;
-/// Length of each piece of an endpoint list that is written in pieces, in bytes.
+/// Length of each piece of an endpoint list that the discovery service writes in pieces, in bytes.
 pub const PIECE_BYTES: usize = 1024;
 
 /// The current listen address of the scheduler under test, shared with the workers and updated at each start;
@@ -38,8 +38,8 @@
     scheduler.lock().unwrap_or_else(PoisonError::into_inner).expect("a scheduler runs")
 }
 
-/// Returns a worker's name, which ends with `length` letters. Names sort in the order of the workers'
-/// numbers.
+/// Returns the name of worker `number`, which ends with `length` letters. The names sort in the order of the
+/// workers' numbers.
 pub fn worker_name(number: usize, length: usize) -> String {
     format!("w-{number:04}-{}", "x".repeat(length))
 }
@@ -54,8 +54,8 @@
     (address.to_bits() - Ipv4Addr::new(127, 1, 0, 0).to_bits()) as usize
 }
 
-/// Runs all workers. Each worker accepts every job at once and keeps the connection open; the result of a job
-/// is the worker's number.
+/// Runs all simulated workers. Each worker accepts every job at once, sends the callback at once and keeps
+/// the connection open. The result of a job is the number of its worker.
 pub async fn run_workers(listener: TcpListener, name_length: usize, scheduler: SchedulerAddress) {
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
@@ -63,7 +63,7 @@
     }
 }
 
-/// Serves the jobs on one connection to a worker; see [`run_workers`].
+/// Serves the jobs on one connection from the scheduler to a worker; see [`run_workers`].
 pub async fn run_worker(stream: TcpStream, name_length: usize, scheduler: SchedulerAddress) {
     let number = worker_number(stream.local_addr().expect("a connected socket"));
     let mut wire = Wire::new(stream);
@@ -78,15 +78,15 @@
     }
 }
 
-/// The way in which discovery writes the endpoint list.
+/// The way in which the discovery service writes the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFormat {
     Compact,
     IndentedInPieces,
 }
 
-/// Runs the discovery service. Answers a request for the complete list with `list`, and a watch with no
-/// changes once its wait time has passed. Sends the target of each request to `calls`.
+/// Runs the simulated discovery service. Answers a request for the complete endpoint list with `list`, and a
+/// watch with no changes once the watch's wait time has passed. Sends the target of each request to `calls`.
 pub async fn run_discovery(
     listener: TcpListener,
     list: Value,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Answers the requests on one connection to the discovery service; see [`run_discovery`].
+/// Answers the requests on one connection from the scheduler to the discovery service; see [`run_discovery`].
 pub async fn answer_calls(
     mut wire: Wire,
     list: Arc<Value>,
@@ -111,7 +111,7 @@
         let target = call.target().to_string();
         let wait = target.split("wait=").nth(1).map_or(0, |wait| wait.parse().expect("milliseconds"));
         let is_watch = target.contains(&format!("index={GENERATION}&"));
-        // Sending fails once the test has closed the receiver.
+        // Sending to `calls` fails once the test has closed the receiver, which is no error.
         let _ = calls.send(target);
         if is_watch {
             sleep(Duration::from_millis(wait)).await;
@@ -128,7 +128,7 @@
     }
 }
 
-/// Writes a response with this body, in pieces of [`PIECE_BYTES`].
+/// Writes a response with this body, in pieces of [`PIECE_BYTES`] bytes.
 pub async fn write_in_pieces(wire: &mut Wire, body: &str) -> std::io::Result<()> {
     wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
     for piece in body.as_bytes().chunks(PIECE_BYTES) {
@@ -139,13 +139,13 @@
     Ok(())
 }
 
-/// Runs the peers that share one socket. Answers each occupancy query with an occupancy of zero, and sends
-/// the socket's number to `datagrams` for each datagram received.
+/// Runs the simulated peers that share one UDP socket. Answers each occupancy query with an occupancy of
+/// zero, and sends the socket's number to `datagrams` for each datagram received.
 pub async fn run_peers(number: usize, socket: UdpSocket, datagrams: UnboundedSender<usize>) {
     let mut buffer = [0; 256];
     loop {
         let (length, sender) = socket.recv_from(&mut buffer).await.expect("a datagram");
-        // Sending fails once the test has closed the receiver.
+        // Sending to `datagrams` fails once the test has closed the receiver, which is no error.
         let _ = datagrams.send(number);
         if let Some((PeerMessage::OccupancyQuery { .. }, worker)) = PeerMessage::decode(&buffer[..length]) {
             let reply =
@@ -163,16 +163,16 @@
     /// The complete endpoint list.
     pub endpoint_list: Value,
     pub scheduler: SchedulerAddress,
-    /// The targets of the requests that discovery received.
+    /// The targets of the requests that the discovery service received.
     pub discovery_calls: UnboundedReceiver<String>,
-    /// The numbers of the sockets at which peers received datagrams.
+    /// For each datagram that a peer received, the number of the socket at which it arrived.
     pub datagram_sockets: UnboundedReceiver<usize>,
     pub last_job: u64,
 }
 
 impl Fleet {
-    /// Creates a deployment whose workers have names slightly longer than `name_length`, and whose discovery
-    /// service writes its list in `format`.
+    /// Creates a deployment whose workers have names slightly longer than `name_length` bytes, and whose
+    /// discovery service writes its endpoint list in `format`.
     pub async fn new(name_length: usize, format: ListFormat) -> Fleet {
         let workers = TcpListener::bind("0.0.0.0:0").await.expect("a free port");
         let port = workers.local_addr().expect("a bound socket").port();
@@ -200,7 +200,7 @@
         Fleet { folder, config, endpoint_list, scheduler, discovery_calls, datagram_sockets, last_job: 0 }
     }
 
-    /// Starts the scheduler with `known` as the endpoint list saved by an earlier run.
+    /// Starts the scheduler under test with `known` as the endpoint list saved by an earlier run.
     pub fn start(&mut self, known: &Value) -> Process {
         let mut config = self.config.clone();
         config["known"] = known.clone();
@@ -210,18 +210,18 @@
         process
     }
 
-    /// Starts the scheduler with the complete endpoint list.
+    /// Starts the scheduler under test with the complete endpoint list as its saved list.
     pub fn start_with_list(&mut self) -> Process {
         self.start(&self.endpoint_list.clone())
     }
 
-    /// Starts the scheduler with an empty endpoint list.
+    /// Starts the scheduler under test with an empty saved endpoint list.
     pub fn start_without_list(&mut self) -> Process {
         self.start(&json!({"generation": 1, "reset": true, "instances": []}))
     }
 
-    /// Submits jobs with different keys, one after the other on one connection. Returns the numbers of the
-    /// workers that served them.
+    /// Submits jobs with different keys to the scheduler under test, one after the other on one connection.
+    /// Returns the numbers of the workers that served these jobs.
     pub async fn submit_jobs(&mut self, jobs: u64) -> BTreeSet<usize> {
         let first = self.last_job + 1;
         self.last_job += jobs;
@@ -239,14 +239,14 @@
         );
     }
 
-    /// Waits for the next request to discovery and returns its target.
+    /// Waits for the scheduler's next request to the discovery service and returns the target of the request.
     pub async fn next_discovery_call(&mut self) -> String {
         self.discovery_calls.recv().await.expect("discovery runs")
     }
 }
 
 /// Submits the jobs with these numbers to a scheduler, one after the other on one connection. Returns the
-/// numbers of the workers that served them.
+/// numbers of the workers that served these jobs.
 pub async fn submit_jobs_to(scheduler: SocketAddr, jobs: RangeInclusive<u64>) -> BTreeSet<usize> {
     let mut client = dial(scheduler).await;
     let mut workers = BTreeSet::new();
@@ -261,7 +261,7 @@
 }
 
 /// Returns the configuration of the last of 1,200 schedulers that exchange datagrams. The other schedulers
-/// share the sockets at `peers`.
+/// share the UDP sockets at `peers`.
 pub fn large_deployment_config(discovery: SocketAddr, peers: &[SocketAddr]) -> Value {
     let reserved = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let own_address = reserved.local_addr().expect("a bound socket");
@@ -279,7 +279,7 @@
     config
 }
 
-/// Waits until the scheduler reports that it is ready.
+/// Waits until the scheduler answers a readiness check with status 200.
 pub async fn wait_until_ready(process: &Process) {
     loop {
         let mut client = dial(process.address).await;
