--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -1,8 +1,10 @@
-//! A scheduler within the test process: engine, upstream group and endpoint watcher, with a scripted
-//! discovery service.
+//! A scheduler within the test process: its engine, its upstream group (the connections to workers) and its
+//! endpoint watcher, with a scripted discovery service.
 //!
-//! For tests that can't run the daemon as a process: tests that pause the clock in place of long waits, and
-//! tests of a body that the kernel would buffer completely. Each test file uses only some of these helpers.
+//! These helpers serve tests that can't run the daemon as a process: tests that pause the runtime's clock
+//! instead of waiting for a long time, and tests of a body that is longer than the kernel's socket buffers,
+//! since the kernel would buffer completely any body that the daemon accepts. Each test file uses only some
+//! of these helpers.
 #![allow(dead_code, missing_docs)]
 
 use bytes::Bytes;
@@ -30,10 +32,10 @@
 
 /// The time after which a hanging test fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The deadline of the class `receipt`, in microseconds.
+/// The deadline of requests of the class `receipt`, in microseconds.
 const DEADLINE_US: u64 = 60_000_000;
 
-/// The properties in which the schedulers of the tests differ.
+/// The properties in which the schedulers of different tests differ.
 pub struct SchedulerSetup {
     pub scheduler_index: u32,
     pub scheduler_count: u32,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Starts the endpoint watcher with `instances` as its saved list, of generation 1.
+    /// Starts the endpoint watcher with `instances` as its saved endpoint list, of generation 1.
     pub fn start_endpoint_watcher(&mut self, instances: Value) {
         let saved = json!({"generation": 1, "reset": true, "instances": instances});
         let document = serde_json::from_value(saved).expect("a document");
@@ -107,16 +109,16 @@
         tokio::spawn(watcher.run(self.discovery_request_receiver.take().expect("started once")));
     }
 
-    /// Accepts the next connection to the discovery service; returns the connection and the target of its
-    /// request.
+    /// Accepts the scheduler's next connection to the discovery service. Returns the connection and the
+    /// target of the first request on it.
     pub async fn accept_call(&self) -> (Wire, String) {
         let mut wire = Wire::new(self.discovery.accept().await.expect("a call to discovery").0);
         let target = wire.read().await.expect("a call to discovery").target().to_string();
         (wire, target)
     }
 
-    /// Answers the first call: the saved list is current. Returns the connection after reading the watch that
-    /// follows on it.
+    /// Answers the scheduler's first call to discovery with no changes, so that the saved endpoint list is
+    /// current. Returns the connection after reading the next watch call on it.
     pub async fn confirm_saved_list(&self) -> Wire {
         let (mut wire, _) = self.accept_call().await;
         answer_changes(&mut wire, 1, json!([])).await;
@@ -129,13 +131,13 @@
         self.discovery_request_sender.send(request).expect("the watcher runs");
     }
 
-    /// Returns the name and state of each worker in the endpoint list.
+    /// Returns the name and state of each worker in the scheduler's endpoint list.
     pub fn listed_workers(&self) -> Vec<(String, InstanceState)> {
         let (instances, _) = self.endpoint_list.lock().expect("no panic").snapshot();
         instances.into_iter().map(|instance| (instance.instance_id, instance.lifecycle)).collect()
     }
 
-    /// Replaces the current settings without sending the scheduler an event.
+    /// Replaces the current settings of the scheduler's daemon without sending the scheduler an event.
     pub fn replace_settings(&self, settings: Settings) {
         let old = self.settings.get();
         self.settings.swap(Snapshot {
@@ -146,8 +148,8 @@
         });
     }
 
-    /// Applies settings as a reload does. The discovery service stays the same; `delivery` becomes the way in
-    /// which endpoint lists are delivered.
+    /// Applies settings as a reload of the configuration does. The discovery service stays the same;
+    /// `delivery` becomes the way in which endpoint lists reach the scheduler.
     pub fn reload_with_delivery(&self, delivery: EndpointDelivery) {
         let mut settings = self.settings.get().settings.clone();
         settings.endpoint_delivery = delivery;
@@ -156,7 +158,7 @@
         self.send_discovery_request(DiscoveryRequest::ChangeSource(self.discovery_source()));
     }
 
-    /// Submits a request of the class `receipt` with the key `k`.
+    /// Submits a request of the class `receipt` with the key `k` to the scheduler.
     pub fn submit(&self, id: &str, body: Bytes) -> oneshot::Receiver<Answer> {
         let request = Request {
             id: parse_request_id(id).expect("an id"),
@@ -194,12 +196,12 @@
                       "tip_multiple": 2.5, "fall": 2_000_000}}})
 }
 
-/// Returns the discovery service's entry for a worker that is up.
+/// Returns the discovery service's endpoint list entry for a worker that is up.
 pub fn instance(name: &str, address: SocketAddr) -> Value {
     json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "lifecycle": "up"})
 }
 
-/// Returns a worker's entry with its state changed to draining.
+/// Returns a worker's endpoint list entry with its state changed to draining.
 pub fn as_draining(mut instance: Value) -> Value {
     instance["lifecycle"] = "draining".into();
     instance
@@ -210,24 +212,25 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// Answers a discovery call with changes to the endpoint list.
+/// Answers a call to discovery with changes to the endpoint list.
 pub async fn answer_changes(wire: &mut Wire, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": false, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Answers a discovery call with a complete endpoint list.
+/// Answers a call to discovery with a complete endpoint list.
 pub async fn answer_complete_list(wire: &mut Wire, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": true, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Rejects a discovery call with status 503, as an overloaded service does.
+/// Rejects a call to discovery with status 503, as an overloaded discovery service does, and closes the
+/// connection.
 pub async fn reject_call(wire: &mut Wire) {
     wire.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
 }
 
-/// Answers a discovery call with the part of `document` before the text `cut`. The connection stays open
+/// Answers a call to discovery with the part of `document` before the text `cut`. The connection stays open
 /// until the caller drops `wire`.
 pub async fn answer_part(wire: &mut Wire, document: &str, cut: &str) {
     let (part, _) = document.split_once(cut).expect("`cut` is in the document");
@@ -235,13 +238,13 @@
     wire.write(&answer).await.expect("the scheduler reads");
 }
 
-/// Answers a discovery call with the part of `document` before the text `cut`, and closes the connection.
+/// Answers a call to discovery with the part of `document` before the text `cut`, and closes the connection.
 pub async fn answer_part_and_close(mut wire: Wire, document: &str, cut: &str) {
     answer_part(&mut wire, document, cut).await;
 }
 
-/// Waits until every task is idle. The test's clock must be paused: a paused clock advances only when no task
-/// can run, so the sleep ends only then.
+/// Waits until every task of the runtime is idle. The test must have paused the runtime's clock: a paused
+/// clock advances only when no task can run, so the sleep ends only then.
 pub async fn wait_until_idle() {
     tokio::time::sleep(Duration::from_millis(1)).await;
 }
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -147,9 +147,9 @@
 
 /// A worker may send bytes on an idle connection or close the connection, and the kernel may hold this input
 /// before the daemon has read it. Then the next request is not written, counts as never run whatever its
-/// class, and does not take the unread bytes for its response. The test covers two cases: the worker acts
-/// within the reuse delay, which is the pause between a response and the next request on the connection, or
-/// after the reuse delay.
+/// class, and does not take the unread bytes for its response. The reuse delay is the time after a response
+/// during which its connection is not reused. The test covers requests that start within the reuse delay and
+/// requests that start after it.
 #[rstest]
 #[case::accepted_again(WorkerAction::RespondAgain(ACCEPTED))]
 #[case::rejected_again(WorkerAction::RespondAgain(REJECTED))]
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -1,5 +1,5 @@
-//! The schedule of calls to the discovery service: how long watches wait, and how soon the next call follows
-//! a failed one.
+//! The schedule of a scheduler's calls to the discovery service: how long watches wait for a change, and how
+//! soon the next call follows a failed call.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -20,9 +20,9 @@
 use vetchbridge_scheduling::EndpointDelivery;
 use vetchbridge_testbed::wire::{Message, Wire};
 
-/// One change makes the service answer the watches of all schedulers at the same time. If the next watches
-/// then stay without an answer, they must end at different times, so that the schedulers do not call the
-/// service all at once. The waits must differ by scheduler and by call.
+/// One change makes the discovery service answer the watches of all schedulers at the same time. If the next
+/// watches then stay without an answer, they must end at different times, so that the schedulers do not call
+/// the service all at once. The wait times of the watches must differ by scheduler and by call.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -30,7 +30,8 @@
     const SCHEDULERS: u32 = 20;
     let mut schedulers = Vec::new();
     for scheduler_index in 0..SCHEDULERS {
-        // With pushed lists the watch opens at once. Both deliveries use the same waits.
+        // With pushed endpoint lists, the scheduler opens its watch at once. Watches have the same wait times
+        // with pushed and with polled lists.
         let setup = SchedulerSetup {
             scheduler_index,
             scheduler_count: SCHEDULERS,
@@ -65,10 +66,10 @@
     }
 }
 
-/// If a watch gets no answer, its scheduler counts as notified of an update 6 s after the watch's call. The
-/// scheduler must reopen the watch within these 6 s, in a tier of any size. The previous watch call was
-/// answered, so the failure counts as a failure of this scheduler alone, and the next call need not be spread
-/// over the tier.
+/// If a watch gets no answer, its scheduler counts as notified of an update 6 s after the call that opened
+/// the watch. The scheduler must reopen the watch within these 6 s, in a tier of any size. The previous watch
+/// call was answered, so the failure counts as a failure of this scheduler alone, and the next call need not
+/// be spread over the tier.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -81,29 +82,29 @@
     answer_changes(&mut wire, 2, json!([])).await;
     assert!(target(wire.read().await).contains("index=2&wait="));
     let called_at = Instant::now();
-    // The service sends nothing more, and the connection stays open.
+    // The discovery service sends nothing more, and the connection stays open.
     let mut next = Wire::new(scheduler.discovery.accept().await.expect("the next watch").0);
     assert!(target(next.read().await).contains("index=2&wait="), "the call names the last known generation");
     assert!(called_at.elapsed() < Duration::from_secs(6), "{:?} after the call", called_at.elapsed());
 }
 
-/// The ways in which the service can make a call fail.
+/// The ways in which the discovery service can make a call fail.
 #[derive(Clone, Copy, Debug)]
 enum CallFailure {
-    /// The service refuses the call with status 503.
+    /// The discovery service refuses the call with status 503.
     Refused,
-    /// The service resets the connection.
+    /// The discovery service resets the connection.
     Reset,
-    /// The response ends within an entry, and the connection is closed.
+    /// The response ends in the middle of an entry of the endpoint list, and the connection is closed.
     Truncated,
-    /// The response stalls within an entry, and the connection stays open.
+    /// The response stalls in the middle of an entry of the endpoint list, and the connection stays open.
     Stalled,
-    /// The service sends no response, and the connection stays open.
+    /// The discovery service sends no response, and the connection stays open.
     Silent,
 }
 
 impl CallFailure {
-    /// Makes the call on this connection fail. Returns the connection if it stays open.
+    /// Makes the call to discovery on this connection fail. Returns the connection if it stays open.
     async fn fail(self, mut wire: Wire) -> Option<Wire> {
         let document = r#"{"generation":9,"reset":true,"instances":[{"instanceId":"s-cut"}]}"#;
         match self {
@@ -120,10 +121,10 @@
     }
 }
 
-/// A scheduler counts as notified of a change 6 s after the service has the change and can be reached, and
-/// has half a second more to stop sending. The service may recover just after a call was lost, and may queue
-/// the next call for two seconds. The next call must therefore follow within 3.5 s of a failed call, for
-/// every kind of failure and any number of failures in a row.
+/// A scheduler counts as notified of a change 6 s after the discovery service has the change and can be
+/// reached, and may keep sending to a removed worker for half a second more. The service may recover just
+/// after a call was lost, and may queue the next call for two seconds. The next call must therefore follow
+/// within 3.5 s of a failed call, for every kind of failure and any number of failures in a row.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -156,19 +157,21 @@
     }
 }
 
-/// Returns the local addresses of connections to this address that are dialled but not yet established.
+/// Returns the local addresses of connections to `address` that are dialled but not yet established.
 fn pending_dials(address: SocketAddr) -> Vec<String> {
     const SYN_SENT: &str = "02";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of connections");
     let port = format!(":{:04X}", address.port());
-    // The table may be long and is read repeatedly, so lines without the port are dropped before the split.
+    // The kernel's connection table may be long and is read repeatedly, so lines without the port are dropped
+    // before lines are split into columns.
     let entries = table.lines().filter(|line| line.contains(&port));
     let entries = entries.map(|line| line.split_whitespace().collect::<Vec<_>>());
     let dials = entries.filter(|entry| entry.len() > 3 && entry[2].ends_with(&port) && entry[3] == SYN_SENT);
     dials.map(|entry| entry[1].to_string()).collect()
 }
 
-/// The first call counts as lost if its connection is never established; the next call must follow in time.
+/// If the connection of the first call to discovery is never established, the call counts as lost, and the
+/// next call must follow within 3.5 s.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -182,12 +185,14 @@
     let _filler = TcpStream::connect(address).await.expect("the backlog accepts one connection");
     let started = Instant::now();
     scheduler.start_endpoint_watcher(json!([]));
-    // Advances the paused clock by less than the pause before the next call; no real time passes.
+    // Advances the runtime's paused clock by less than the pause before the next call to discovery. No real
+    // time passes.
     let advance = || sleep(Duration::from_millis(25));
     while pending_dials(address).is_empty() {
         advance().await;
     }
-    // When the first dial is abandoned, other dials may be pending too.
+    // Other dials may be pending too when the scheduler abandons the first dial, so the test looks for the
+    // first one.
     let first = pending_dials(address).remove(0);
     while pending_dials(address).contains(&first) {
         advance().await;
@@ -197,8 +202,9 @@
     assert!(started.elapsed() <= Duration::from_millis(3_500), "{:?} after the start", started.elapsed());
 }
 
-/// The call after a failed one must not wait for a change, since its answer shows that the service is
-/// reachable again. A subscription while a watch is open must not open a second watch.
+/// The call to discovery after a failed call must not wait for a change, since its answer shows that the
+/// service is reachable again. If the scheduler subscribes while a watch is open, the watcher must not open a
+/// second watch.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -218,8 +224,8 @@
     assert!(target.contains("index=2&wait=") && !target.ends_with("wait=0"), "{target}");
 }
 
-/// A truncated document must not count as an answer. If every document were truncated and hundreds of
-/// schedulers called again at once each time, the service would not recover.
+/// A truncated document from discovery must not count as an answer. If every document were truncated and
+/// hundreds of schedulers called again at once each time, the discovery service would not recover.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -1,4 +1,5 @@
-//! Pushed and polled endpoint lists: whether the watcher or the scheduler opens the watch, and when.
+//! The watch on the discovery service with pushed and with polled endpoint lists: whether the endpoint
+//! watcher or the scheduler opens the watch, and when.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -17,10 +18,11 @@
 
 /// Time without a call to discovery after which a scheduler counts as having stopped its calls.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
-/// Number of schedulers in a large tier, where the pause after a second failure in a row is long.
+/// Number of schedulers in a large tier, in which a scheduler pauses for a long time after its second failed
+/// call to discovery in a row.
 const LARGE_TIER: u32 = 300;
 
-/// The ways in which a watch ends.
+/// The ways in which a watch on the discovery service ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchEnd {
     Refusal,
@@ -29,9 +31,9 @@
     Answer,
 }
 
-/// If lists are pushed, the scheduler never subscribes. The watcher must open the watch at the start,
-/// whatever the saved list contains, and must reopen the watch promptly after an answer, a refusal, a reset
-/// or a call without an answer.
+/// If endpoint lists are pushed, the scheduler never subscribes to them. The endpoint watcher must open the
+/// watch at the start, whatever the saved list contains, and must reopen the watch promptly after an answer,
+/// a refusal, a reset or a call without an answer.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -45,7 +47,8 @@
     scheduler.start_endpoint_watcher(json!([]));
     let accept = || async { Wire::new(scheduler.discovery.accept().await.expect("the watch").0) };
     let mut wire = accept().await;
-    // How the watch ends, and the maximum time from its call to the next call, in milliseconds.
+    // How the discovery service ends the watch, and the maximum time from the call that opened this watch to
+    // the next call to discovery, in milliseconds.
     let ends = [
         (WatchEnd::Refusal, 200),
         (WatchEnd::Reset, 200),
@@ -60,7 +63,7 @@
         match end {
             WatchEnd::Refusal => reject_call(&mut wire).await,
             WatchEnd::Reset => wire.reset(),
-            // The connection stays open without a response.
+            // The connection to discovery stays open without a response.
             WatchEnd::NoAnswer => unanswered = Some(wire),
             WatchEnd::Answer => {
                 answer_changes(&mut wire, 2, json!([])).await;
@@ -79,10 +82,11 @@
     }
 }
 
-/// A reload may change the delivery between polled and pushed lists while a watch is open or just after a
-/// watch has failed. An open watch continues. The delivery in force decides how soon the next watch opens:
-/// polls in a large tier back off for a long time after the second failure in a row, while the watch of a
-/// pushed list reopens promptly, since a service that pushes lists serves this scheduler alone.
+/// A reload of the configuration may change the delivery between polled and pushed endpoint lists while a
+/// watch is open or just after a watch has failed. An open watch continues. The delivery in force decides how
+/// soon the next watch opens: polls in a large tier back off for a long time after the second failure in a
+/// row, while the watch for a pushed list reopens promptly, since a service that pushes lists serves this
+/// scheduler alone.
 #[rstest]
 #[case::pushed_while_a_watch_is_open(EndpointDelivery::Poll, EndpointDelivery::Push, true)]
 #[case::pushed_after_a_failure(EndpointDelivery::Poll, EndpointDelivery::Push, false)]
@@ -108,7 +112,7 @@
         assert!(wire.read().await.expect("the same watch continues").target().contains("index=3&"));
     }
     let mut waited = Duration::ZERO;
-    // Two of the failures come after the reload.
+    // In both cases, two failures of a watch come after the reload.
     for failure in 0..if watch_is_open { 2 } else { 3 } {
         let failed_at = Instant::now();
         reject_call(&mut wire).await;
--- a/crates/vetchbridge/tests/discovery_documents.rs
+++ b/crates/vetchbridge/tests/discovery_documents.rs
@@ -1,5 +1,5 @@
-//! Which entries of the discovery service's documents are published if a document is truncated or out of
-//! date.
+//! Which entries of the discovery service's endpoint lists are published to the scheduler if a list is
+//! truncated or out of date.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -14,9 +14,9 @@
 use vetchbridge::discovery::document::InstanceState;
 use vetchbridge::discovery::request::DiscoveryRequest;
 
-/// The truncated document lists s-a as up and s-b as draining. A draining entry is published whatever the
-/// document's generation. An entry of a worker that is up, possibly as a new process, is published only if
-/// the document is no older than the published list.
+/// The truncated endpoint list contains s-a as up and s-b as draining. A draining entry is published whatever
+/// the generation of the truncated list. An entry of a worker that is up, possibly as a new process, is
+/// published only if the truncated list is no older than the published list.
 #[rstest]
 #[case::newer(6, InstanceState::Up)]
 #[case::same(5, InstanceState::Up)]
@@ -33,7 +33,7 @@
     let (a, b) = (instance("s-a", unused_address()), instance("s-b", unused_address()));
     answer_complete_list(&mut wire, 5, json!([as_draining(a.clone()), b])).await;
     wire.read().await.expect("the watch continues");
-    // An indented document that ends within its third entry.
+    // This text is an indented document that ends within its third entry.
     let entries = json!([a, as_draining(b), {"instanceId": "s-c"}]);
     let document = json!({"generation": generation, "reset": false, "instances": entries});
     let text = serde_json::to_string_pretty(&document).expect("the document is valid JSON");
@@ -43,9 +43,9 @@
     assert_eq!(scheduler.listed_workers(), expected);
 }
 
-/// A complete list that arrives after newer updates of the watch must not undo these updates. If no other
-/// call was answered in the meantime, a complete list with a lower generation shows that the service was
-/// reset, and is published.
+/// A complete endpoint list that arrives after newer updates of the watch must not undo these updates. If no
+/// other call to discovery was answered in the meantime, a complete list with a lower generation shows that
+/// the discovery service was reset, and is published.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
--- a/crates/vetchbridge/tests/discovery_hedge.rs
+++ b/crates/vetchbridge/tests/discovery_hedge.rs
@@ -1,4 +1,5 @@
-//! Hedged calls: a second call while the first is in flight and may have been lost.
+//! Hedged calls to discovery: a scheduler makes a second call while the first call is in flight and may have
+//! been lost.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -14,8 +15,8 @@
 use tokio::time::Instant;
 use vetchbridge::discovery::document::InstanceState;
 
-/// In tiers that hedge calls, two lost calls in a row must leave time for the answer to the third. The worst
-/// case is a service that recovers just after a call was made.
+/// In tiers that hedge calls to discovery, two lost calls in a row must leave time for the answer to the
+/// third call. The worst case is a discovery service that recovers just after a call was made.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
@@ -27,8 +28,8 @@
 
 async fn assert_third_calls_in_time(scheduler_count: u32, seed: u64) {
     /// Maximum time from a failed call to the third call after it. A scheduler counts as notified of an
-    /// update after 6 s and may keep sending for half a second more, so this limit leaves over a second for
-    /// the answer.
+    /// update after 6 s and may keep sending to a removed worker for half a second more, so this limit leaves
+    /// over a second for the answer to the third call.
     const MAX_TIME_TO_THIRD_CALL: Duration = Duration::from_millis(4_900);
     let mut scheduler =
         TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
@@ -48,14 +49,14 @@
             "{scheduler_count} schedulers: {elapsed:?} from call {from} to {to}: {calls:?}"
         );
     };
-    // The watch is reset, and the next two calls are lost.
+    // The watch is reset, and the next two calls to discovery are lost.
     assert_in_time(0, 3);
-    // A call stays without an answer, and the next two calls are lost too.
+    // A call to discovery stays without an answer, and the next two calls are lost too.
     (2..calls.len() - 3).for_each(|call| assert_in_time(call, call + 3));
 }
 
-/// An overloaded service refuses calls after a delay. Hedged calls would add to the service's load and delay
-/// every caller.
+/// An overloaded discovery service refuses calls after a delay. Hedged calls would add to the service's load
+/// and delay the answers to all schedulers.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test(start_paused = true)]
--- a/crates/vetchbridge/tests/endpoint_updates.rs
+++ b/crates/vetchbridge/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates from discovery in the daemon as a process.
+//! Updates of the endpoint list from discovery, received by the daemon as a process.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,8 +8,8 @@
 use serde_json::json;
 use vetchbridge_testbed::wire::Wire;
 
-/// The watch continues from the generation last received. A list that can't be parsed changes nothing. A
-/// worker that a complete list no longer contains gets no new job.
+/// The watch on discovery continues from the generation that the daemon last received. An endpoint list that
+/// can't be parsed changes nothing. A worker that a complete list no longer contains gets no new job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -24,13 +24,13 @@
         assert!(target.starts_with(&format!("/registry/instances?index={generation}&wait=")), "{target}");
         watch.send_endpoints(5, list).await;
     }
-    // The invalid list ended the watch. The decision module opens the next watch from the last known
-    // generation.
+    // The invalid list ended the watch. The decision module opens the next watch on discovery from the last
+    // known generation.
     assert!(watch.read_target().await.contains("index=5&"));
     harness.serve_jobs_at_worker_0("safe").await;
 }
 
-/// A truncated list is not applied, except for its entries of draining workers.
+/// An endpoint list whose response is truncated is not applied, except for its entries of draining workers.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -44,7 +44,8 @@
     );
     watch.send(&format!("HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n{truncated_document}")).await;
     drop(watch);
-    // The truncated list did not change the known generation.
+    // The daemon's next watch starts from generation 1, since the truncated list did not change the known
+    // generation.
     let mut watch = Wire::new(harness.discovery.accept().await.expect("the next watch").0);
     assert!(watch.read_target().await.contains("index=1&"));
     harness.serve_jobs_at_worker_0("safe").await;
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Violations of invariants are counted. The file has a single test, since the process has a single counter.
+//! Violations of the daemon's invariants are counted. The file has a single test, since the process has a
+//! single counter.
 #![allow(missing_docs)]
 
 use bytes::Bytes;
@@ -70,7 +71,8 @@
     assert_eq!(violation_count(), 1);
 }
 
-/// Submits a request while no worker is known, and then drops the runtime that runs the request.
+/// Submits a request while no worker is known, and then drops the runtime that runs the request. If
+/// `client_waits` is true, returns the receiver on which the client waits for the answer.
 fn abort_an_open_request(client_waits: bool) -> Option<oneshot::Receiver<Answer>> {
     let class = json!({"name": "safe", "repeat": "safe", "aim": 500_000, "deadline": 60_000_000});
     let document = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "discovery": "127.0.0.1:1",
--- a/crates/vetchbridge/tests/large_configuration.rs
+++ b/crates/vetchbridge/tests/large_configuration.rs
@@ -42,7 +42,7 @@
     run_check("large.toml", &configuration_file(WORKERS));
 }
 
-/// Returns a TOML configuration with `size` workers and `size` schedulers.
+/// Returns a TOML configuration file with `size` workers and `size` schedulers.
 fn configuration_file(size: usize) -> String {
     let addresses: Vec<String> = (0..size).map(|n| worker_address(n, 7000).to_string()).collect();
     let mut file = format!(
@@ -58,7 +58,8 @@
     file
 }
 
-/// Returns the processor time of reading a configuration of this size: the minimum of three measurements.
+/// Returns the processor time of reading a configuration with `size` workers and `size` schedulers: the
+/// minimum of three measurements.
 fn read_time(size: usize) -> Duration {
     let now = || Duration::try_from(clock_gettime(ClockId::ThreadCPUTime)).expect("the time is not negative");
     let file = configuration_file(size);
@@ -72,8 +73,8 @@
 }
 
 /// The time to read a configuration is proportional to its length and not to the square of its length. Four
-/// times as many workers and schedulers must take less than eight times as long; quadratic time would make it
-/// sixteen times.
+/// times as many workers and schedulers must take less than eight times as long; a quadratic time would be
+/// sixteen times as long.
 #[test]
 fn the_time_to_read_a_configuration_is_not_quadratic() {
     let (quarter, whole) = (read_time(WORKERS / 4), read_time(WORKERS));
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -13,9 +13,9 @@
 use vetchbridge::discovery::document::Instance;
 use vetchbridge::upgrade::message::{batch_endpoints, HandoverMessage, MAX_MESSAGE_BYTES};
 
-/// The scheduler starts with a saved list, serves, and hands the complete list over to a successor. The
-/// successor continues to watch from the list's generation. Another process then restarts with the saved
-/// list.
+/// The scheduler starts with a saved endpoint list, serves jobs, and hands the complete list over to a
+/// successor process. The successor continues to watch discovery from the list's generation. After the
+/// successor has ended, another process starts with the saved list.
 #[rstest]
 #[case::names_of_usual_length(8)]
 #[case::long_names(LONG_NAME_BYTES)]
@@ -26,7 +26,7 @@
     let mut first = fleet.start_with_list();
     wait_until_ready(&first).await;
     fleet.assert_complete_list_is_used().await;
-    // The list's generation is handed over only once discovery has confirmed the list.
+    // The generation of the endpoint list is handed over only once discovery has confirmed the list.
     while !fleet.next_discovery_call().await.contains(&format!("index={GENERATION}&")) {}
 
     let mut successor = fleet.start_without_list();
@@ -60,7 +60,8 @@
     );
 }
 
-/// A list of 1,200 workers is read from discovery, in each format and with long entries.
+/// The scheduler reads an endpoint list of 1,200 workers from discovery, indented and in pieces, or with long
+/// entries.
 #[rstest]
 #[case::indented_in_pieces(8, ListFormat::IndentedInPieces)]
 #[case::long_names(LONG_NAME_BYTES, ListFormat::Compact)]
@@ -68,7 +69,8 @@
 #[tokio::test]
 async fn a_large_list_is_read_from_discovery(#[case] name_length: usize, #[case] format: ListFormat) {
     let mut fleet = Fleet::new(name_length, format).await;
-    // A single scheduler polls at once; with many schedulers, each waits for its turn.
+    // A single scheduler polls discovery at once. In a tier of many schedulers, each scheduler waits for its
+    // turn.
     fleet.config["settings"]["me"] = 0.into();
     fleet.config["settings"]["balancers"] = 1.into();
     let process = fleet.start_without_list();
@@ -76,8 +78,8 @@
     fleet.assert_complete_list_is_used().await;
 }
 
-/// Pooled connections to workers do not use up the descriptors: no connection to another worker, no callback
-/// and no client fails for lack of a descriptor.
+/// Idle connections to workers do not use up the scheduler's file descriptors: no connection to another
+/// worker, no callback and no client fails for lack of a descriptor.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -86,8 +88,8 @@
     const JOBS_EACH: u64 = 8;
     let mut fleet = Fleet::new(8, ListFormat::Compact).await;
     fleet.config["limits"]["sockets"] = 256.into();
-    // With one attempt and a short deadline, neither a retry nor a wait for the expiry of idle connections
-    // can hide a failed connection.
+    // Each job has one attempt and a short deadline, so that neither a retry nor a wait until idle
+    // connections expire can hide a failed connection.
     fleet.config["settings"]["services"][0]["deadline"] = 5_000_000.into();
     fleet.config["settings"]["limits"]["max_attempts"] = 1.into();
     let process = fleet.start_with_list();
@@ -103,7 +105,7 @@
 }
 
 /// Many schedulers may share a directory for their hand-over sockets. Each scheduler's socket is found only
-/// by its own successor, even if the schedulers' long names have the same beginning.
+/// by its own successor process, even if the schedulers' long names have the same beginning.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -129,8 +131,8 @@
     }
 }
 
-/// If an entry is too long for a hand-over message, the successor requests the complete list from discovery,
-/// and no worker is missing.
+/// If an entry of the endpoint list is too long for a hand-over message, the successor process requests the
+/// complete list from discovery, so that no worker is missing.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -147,8 +149,8 @@
     fleet.assert_complete_list_is_used().await;
 }
 
-/// Entries of various lengths are split into hand-over messages. No message exceeds the maximum length, and
-/// no entry that fits into a message is lost.
+/// The predecessor process splits an endpoint list with entries of various lengths into hand-over messages.
+/// No message exceeds the maximum length, and no entry that fits into a message is lost.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[test]
@@ -158,7 +160,7 @@
         entry["instanceId"] = "\"".repeat(length).into();
         serde_json::from_value(entry).expect("an entry")
     };
-    // Each quote in a name takes two bytes in JSON.
+    // Each quotation mark in a worker's name takes two bytes in JSON.
     let lengths =
         (0..WORKERS)
             .map(|number| if number % 100 == 0 { MAX_MESSAGE_BYTES / 2 - 200 } else { number % 97 * 11 });
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -1,7 +1,7 @@
 //! Connections to workers that are established long after the decision to send: one test for each condition
-//! that may no longer hold at the first byte. The delay comes from a full accept queue: the kernel drops the
-//! SYN of the dial, and retransmits the SYN after a second. The tests wait for the connection, not for a
-//! fixed time.
+//! of an attempt that may no longer hold when its first byte can be written. The delay comes from the
+//! worker's full accept queue: the kernel drops the SYN of the dial, and retransmits the SYN after a second.
+//! The tests wait for the connection, not for a fixed time.
 #![allow(missing_docs)]
 
 mod common;
@@ -31,7 +31,7 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
-/// When the worker's process started, in microseconds.
+/// The time at which the worker's process started, in microseconds, before any change by a test.
 const STARTED_AT: Micros = 7;
 
 /// A listener whose accept queue holds one connection.
@@ -49,8 +49,8 @@
         FullQueueListener { listener, address }
     }
 
-    /// Fills the accept queue with a connection. No other connection is established until this one is
-    /// accepted.
+    /// Fills the accept queue with a connection. No other connection to the listener is established until
+    /// this connection is accepted.
     async fn fill(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("the queue is empty")
     }
@@ -83,7 +83,7 @@
     serde_json::from_value(body).expect("a callback")
 }
 
-/// The change that happens while an attempt waits for its connection.
+/// The change that happens while an attempt waits for the connection to its worker.
 #[derive(Clone, Copy, PartialEq)]
 enum Change {
     Unchanged,
@@ -97,7 +97,8 @@
 }
 
 impl Change {
-    /// Makes the change.
+    /// Makes this change, except that [`Change::DeadlinePassed`] happens by itself when the attempt's timeout
+    /// passes.
     fn apply(self, group: &UpstreamGroup, listener: &FullQueueListener, concluded: &AtomicBool) {
         match self {
             Change::Unchanged | Change::DeadlinePassed => {}
@@ -115,9 +116,9 @@
     }
 }
 
-/// A connection is established long after its dial began. If the conditions of the attempt no longer hold at
-/// the first byte, no byte is written, and the attempt never ran. A callback that arrives before the
-/// connection is established belongs to an earlier attempt.
+/// The connection of an attempt is established long after its dial began. If the conditions of the attempt no
+/// longer hold when the first byte can be written, no byte is written, and the attempt never ran. A callback
+/// that arrives before the connection is established belongs to an earlier attempt.
 #[rstest]
 #[case::nothing_changes(Change::Unchanged, AttemptResult::Served("made".into()))]
 #[case::the_request_is_concluded(Change::RequestConcluded, AttemptResult::NotServed(Outcome::NotSent))]
@@ -141,7 +142,7 @@
     let _filler = listener.fill().await;
     let mut conditions = SendConditions::with_timeout(MINUTE);
     if change == Change::DeadlinePassed {
-        // This timeout expires before the kernel retransmits the SYN.
+        // This timeout of the attempt expires before the kernel retransmits the SYN.
         conditions.first_byte_timeout = Duration::from_micros(1);
     }
     let (concluded, payload, (_cancel, cancelled)) =
@@ -182,15 +183,15 @@
     }
 }
 
-/// The `x-expires-in` header tells a worker how long the scheduler waits for the response. A connection that
-/// is established late shortens this time, since the client does not wait longer.
+/// The `x-expires-in` header tells a worker how long the scheduler waits for the response. If the connection
+/// is established late, the time in the header is shorter, since the client does not wait longer.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn a_late_connection_carries_the_time_that_remains_at_its_first_byte() {
     const TIMEOUT: Duration = Duration::from_secs(5);
-    /// How long reading the first byte may take here; less than the second before the kernel retransmits the
-    /// SYN.
+    /// The maximum time that reading the first byte takes in this test. The limit is shorter than the second
+    /// before the kernel retransmits the SYN.
     const MAX_READ_DELAY: Duration = Duration::from_millis(500);
     let (listener, group) = (FullQueueListener::open(), UpstreamGroup::new(MINUTE, MINUTE, 1));
     update_endpoint(&group, &listener, EndpointState::Ready, 0);
@@ -276,7 +277,7 @@
 }
 
 /// Returns a configuration with one class of keyed jobs, whose deduplication window is shorter than the
-/// kernel's retransmission delay.
+/// kernel's delay before it retransmits a SYN.
 fn keyed_config() -> Config {
     let class = json!({"name": "pay", "repeat": "keyed", "group": "all", "window": 500_000, "aim": 500_000,
                        "deadline": 60_000_000, "late_share": 0.5});
@@ -301,7 +302,8 @@
     }
 }
 
-/// Adds two workers at these listeners to the group and to the decision module.
+/// Adds two workers, which listen at these listeners, to the upstream group and to the engine's decision
+/// module.
 fn add_workers(upstream: &UpstreamGroup, engine: &Engine, workers: &[FullQueueListener; 2]) {
     let (names, ready) = (["s-0", "s-1"], EndpointState::Ready);
     let addresses = workers.each_ref().map(|worker| worker.address.to_string());
@@ -326,7 +328,8 @@
 }
 
 /// A keyed job may have run at its first worker. The connection to the second worker is established after the
-/// deduplication window has passed: the retry is not written, and the client gets its answer at once.
+/// deduplication window has passed. The retry is then not written, and the client gets its final answer at
+/// once.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -353,13 +356,14 @@
         while upstream.connections().get() < 2 {
             tokio::task::yield_now().await;
         }
-        // Accepting the filler makes room in the queue for the retransmitted SYN, a second after the first
-        // SYN.
+        // Accepting the connection that fills the queue makes room for the retransmitted SYN, which arrives a
+        // second after the first SYN.
         drop(second.accept().await);
         second.accept().await.read().await
     };
     let (late_request, answer) = tokio::join!(late_request, answer);
     assert_eq!(late_request, None, "the deduplication window has passed");
-    // A rejection would promise that a retry is harmless, but workers no longer deduplicate a retry.
+    // The answer must not be a rejection. A rejection would promise that a retry is harmless, but workers no
+    // longer deduplicate a retry of this job.
     assert_eq!(answer.expect("an answer"), Answer::Failed);
 }
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -10,15 +10,15 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use vetchbridge_testbed::wire::Wire;
 
-/// A pipelined request: the client sends this request before it has the response to an earlier one.
+/// A pipelined request: the client sends this request before it has the response to its earlier request.
 const PIPELINED_REQUEST: &str =
     "POST /safe/x HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cc\r\ncontent-length: 4\r\n\r\nnext";
 
-/// The kernel's codes for states of a connection.
+/// The codes in `/proc/net/tcp` for states of a TCP connection.
 const ESTABLISHED: &str = "01";
 const SYN_SENT: &str = "02";
 
-/// How a client disconnects.
+/// How a client closes its connection to the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disconnect {
     Close,
@@ -26,8 +26,8 @@
 }
 
 impl Disconnect {
-    /// Disconnects, and waits until the kernel has registered the disconnect at the daemon's end of the
-    /// connection.
+    /// Disconnects the client, and waits until the kernel has registered the disconnect at the daemon's end
+    /// of the connection.
     async fn run(self, mut client: Wire) {
         let (client_address, daemon_address) = local_and_peer_addresses(&mut client);
         {
@@ -45,9 +45,9 @@
     }
 }
 
-/// A queued job is not sent to a worker if its client disconnects before the first endpoint is listed,
-/// whatever input follows the job. If `while_suspended` is true, the daemon is suspended while first the
-/// endpoint list and then the disconnect arrive.
+/// A job that waits for a worker is not sent if its client disconnects before the endpoint list contains a
+/// worker, whatever input follows the job. If `while_suspended` is true, the daemon is suspended while first
+/// the endpoint list and then the disconnect arrive.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -81,7 +81,8 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// A job whose client has disconnected when its first attempt fails is not retried.
+/// The daemon does not retry a job if its client has disconnected by the time at which the first attempt
+/// fails.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -103,7 +104,7 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// A client's disconnect cancels its attempt, even if pipelined input follows the job.
+/// A client's disconnect cancels the attempt of its job, even if pipelined input follows the job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -121,8 +122,8 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// A client's disconnect cancels its attempt, even if pipelined input follows a chunked job. The client sends
-/// the job in one write or in pieces.
+/// A client's disconnect cancels the attempt of its job, even if pipelined input follows a job with a chunked
+/// body. The client sends the job in one write or byte by byte.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -149,7 +150,8 @@
     let (number, mut worker) = harness.accept_worker_connection().await;
     let job = worker.read().await.expect("the job");
     assert_eq!(job.text(), if body.len() > 5 { "work" } else { "" });
-    // Once the worker has accepted the job, only the client's disconnect cancels the attempt.
+    // The worker accepts the job and closes its connection, so that only the client's disconnect can cancel
+    // the attempt.
     worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     harness.send_callback("00000000000000cd", number, "started").await;
     disconnect.run(client).await;
@@ -159,8 +161,8 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// A job is not accepted if its client disconnects before the last byte of the job, or together with this
-/// byte.
+/// The daemon does not accept a job if its client disconnects before the last byte of the job, or together
+/// with this byte.
 #[rstest]
 #[case::half_a_head("POST /safe/k HTTP/1.1\r\nhost: x\r\nx-trace-id: 00000000000000cd\r\ncont")]
 #[case::half_a_body(
@@ -187,7 +189,8 @@
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
-/// Pipelined requests are answered in the order of their arrival, with one job in flight at a time.
+/// The pipelined requests of a client are answered in the order of their arrival, with one job in flight at a
+/// time.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -210,7 +213,7 @@
     assert_eq!(status(client.read().await.as_ref()), "200", "the connection is reused");
 }
 
-/// A job that waits for a connection to its worker is not sent if the client disconnects before the
+/// A job that waits for a connection to its worker is not sent if its client disconnects before the
 /// connection is established.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
@@ -224,8 +227,8 @@
     let full_listener = socket.listen(1).expect("a listener");
     let address = full_listener.local_addr().expect("a bound socket");
     let mut harness = Harness::start_with_other_workers(0, &[address]).await;
-    // These connections fill the accept queue. No other connection is established until one of them is
-    // accepted.
+    // These connections fill the worker's accept queue. No other connection to the worker is established
+    // until one of them is accepted.
     let queue_fillers = [TcpStream::connect(address).await, TcpStream::connect(address).await];
     let (mut client, _) = harness.submit_job("safe", "k").await;
     client.send(pipelined).await;
@@ -238,6 +241,6 @@
         drop(full_listener.accept().await.expect("a connection that fills the queue"));
     }
     harness.workers.push(full_listener);
-    // The dial that was in progress may have succeeded; no request may be sent on its connection.
+    // The daemon's dial that was in progress may have succeeded. No request may be sent on its connection.
     assert!(harness.assert_only_next_job_arrives().await <= 1);
 }
--- a/crates/vetchbridge/tests/lifecycle.rs
+++ b/crates/vetchbridge/tests/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The transitions of the lifecycle's state machine, and what each state allows.
+//! The transitions of the state machine for the daemon's lifecycle (starting, serving, draining, shutting
+//! down), and what each state allows.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
@@ -6,13 +7,13 @@
 use std::time::Duration;
 use vetchbridge::lifecycle::state::{LifecycleMachine, LifecycleState, ShutdownPhase, Unavailable};
 
-/// Returns a time of the lifecycle's clock; `ms` is in milliseconds.
+/// Returns the time `ms` milliseconds after the start of the lifecycle's clock.
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Follows a process from its start to its shutdown. The process is not ready before it can serve, while it
-/// drains, or while it shuts down.
+/// Follows a daemon process from its start to its shutdown. The process is not ready for new clients before
+/// it can serve, while an operator drains it, or while it shuts down.
 #[test]
 fn a_drain_can_be_resumed_and_a_shutdown_cannot() {
     let mut machine = LifecycleMachine::new(false);
@@ -40,7 +41,7 @@
     assert!(!machine.state().accepts_requests() && machine.state().closes_idle_connections());
 }
 
-/// An operator's commands during the start take effect once the process can serve.
+/// An operator's commands during the start of a daemon process take effect once the process can serve.
 #[test]
 fn a_process_quiesced_while_it_starts_drains_as_soon_as_it_serves() {
     for (calls, ready) in [("q", false), ("qr", true), ("rq", false), ("", true)] {
@@ -59,8 +60,9 @@
     assert_eq!(successor.state(), LifecycleState::Draining);
 }
 
-/// SIGKILL arrives 0.7 s after the longest deadline, of which at most 3 s count. The final responses must
-/// precede SIGKILL. Clients may use open connections until 1 s before the final responses.
+/// The platform kills a process (SIGKILL) 0.7 s after the longest deadline of its classes has passed since
+/// SIGTERM; at most 3 s of the deadline count. The process must send its final responses before SIGKILL.
+/// Clients may use open connections until 1 s before the final responses.
 #[test]
 fn a_shutdown_serves_open_connections_and_is_complete_before_sigkill() {
     for (deadline_ms, connections_close_ms, terminates_ms) in
@@ -104,8 +106,8 @@
     })]
 
     /// For calls in any order: a shutdown is final and its phase never goes back, a process is ready exactly
-    /// when it can serve and is not quiesced, and without further calls the process reaches a state without a
-    /// timed transition.
+    /// when it can serve and is not quiesced, and without further calls the process reaches a state that no
+    /// timer ends.
     #[test]
     fn the_lifecycle_stays_consistent_for_calls_in_any_order(calls in prop::collection::vec((0..5u8, 0..900u64), 1..40)) {
         let mut machine = LifecycleMachine::new(false);
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -1,5 +1,6 @@
-//! Probes and load reports of scripted workers on loopback sockets: one test for each way in which a probe
-//! can end, and for each way in which a report can arrive.
+//! Probes (health checks) of workers and the load reports of workers: one test for each way in which a probe
+//! can end, and for each way in which a load report can arrive. The workers are scripted and listen on
+//! loopback sockets.
 #![allow(missing_docs)]
 
 use bytes::Bytes;
@@ -23,7 +24,7 @@
 const MINUTE: Duration = Duration::from_secs(60);
 const REQUEST_ID: &str = "00000000000000ab";
 
-/// An upstream group with one worker, `s-0`.
+/// An upstream group (the connections to workers) with one worker, `s-0`.
 struct Fixture {
     group: UpstreamGroup,
     listener: TcpListener,
@@ -49,7 +50,7 @@
         Wire::new(self.listener.accept().await.expect("a connection").0)
     }
 
-    /// Sends a probe. The worker responds with this status, these header lines and this body.
+    /// Sends a probe to the worker. The worker responds with this status, these header lines and this body.
     async fn probe(&self, status: u16, headers: &str, body: &str) -> (Outcome, Option<LoadReport>) {
         let responding = async {
             let mut wire = self.accept().await;
@@ -60,8 +61,8 @@
         tokio::join!(self.group.probe(self.worker_id), responding).0
     }
 
-    /// Makes an attempt. The worker responds with this status and these header lines, and then sends the
-    /// callback if one is given.
+    /// Makes an attempt at the worker. The worker responds with this status and these header lines, and then
+    /// sends the callback if one is given.
     async fn attempt(
         &self,
         response: (u16, &str),
@@ -93,13 +94,13 @@
     }
 }
 
-/// Returns a load report with only the number of queued jobs.
+/// Returns a load report that contains only the number of queued jobs.
 fn queued(jobs: f64) -> LoadReport {
     LoadReport { queued: Some(jobs), ..LoadReport::default() }
 }
 
-/// Probes carry no request id and use pooled connections, since a new connection would cost the worker
-/// additional work.
+/// Probes carry no request id and use connections from the connection pool, since a new connection would cost
+/// the worker additional work.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -144,7 +145,8 @@
     assert_eq!(fixture.probe(status, headers, body).await, (expected, load));
 }
 
-/// The body of a response is read only up to a limit; a longer body is not used as a report.
+/// The body of a response to a probe is read only up to a maximum length. A longer body is not used as a load
+/// report.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -153,7 +155,7 @@
     let responding = async {
         let mut wire = fixture.accept().await;
         wire.read().await.expect("a probe");
-        // The group may close the connection before the whole response is written.
+        // The upstream group may close the connection before the worker has written the whole response.
         let _ = wire.answer(200, "", &format!("queue=1,{}", " ".repeat(1 << 20))).await;
     };
     let (result, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
@@ -177,7 +179,8 @@
     assert_eq!(result, (Outcome::Reset, None));
 }
 
-/// A probe without a response ends at its timeout, closes its connection and releases its permit.
+/// A probe that gets no response ends when its timeout expires, closes its connection and releases its
+/// permit, so that the next probe can be sent.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -186,8 +189,8 @@
     let unresponsive = async {
         let mut wire = fixture.accept().await;
         wire.read().await.expect("a probe");
-        // Only the probe's timeout is pending from here on, so the paused clock advances directly to this
-        // timeout.
+        // Only the probe's timeout is pending from here on, so the runtime's paused clock advances directly
+        // to this timeout.
         tokio::time::pause();
         wire.wait_for_close().await;
         tokio::time::resume();
@@ -208,8 +211,8 @@
     assert_eq!(fixture.group.probe(WorkerId(7)).await, (Outcome::ConnectFailed, None));
 }
 
-/// No byte of a probe is written to a worker that starts to drain before the probe or during the probe's
-/// dial.
+/// No byte of a probe is written to a worker that starts to drain before the probe or while the probe dials
+/// the worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -218,7 +221,7 @@
     let address = fixture.listener.local_addr().expect("a bound socket");
     let probe = fixture.group.probe(fixture.worker_id);
     tokio::pin!(probe);
-    // The first poll starts the dial, which cannot end before the runtime polls its sockets.
+    // The first poll of the probe starts the dial, which cannot end before the runtime polls its sockets.
     assert!(futures_util::poll!(probe.as_mut()).is_pending());
     update_endpoint(&fixture.group, address, EndpointState::Draining);
     let written = async {
@@ -234,8 +237,8 @@
     assert_eq!(fixture.group.probe(fixture.worker_id).await, (Outcome::ConnectFailed, None));
 }
 
-/// The number of probes in flight is limited, since each may use a descriptor. A probe beyond the limit is
-/// not sent and ends at once.
+/// The number of probes in flight is limited, since each probe may use a file descriptor. A probe beyond the
+/// limit is not sent and ends at once.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -249,8 +252,9 @@
     assert_eq!(fixture.group.probe(fixture.worker_id).await, (Outcome::NotSent, None));
 }
 
-/// The load report is taken from the response or callback that ended the attempt. If a callback ended the
-/// attempt, a report on the 202 response is ignored, since that report predates the job.
+/// The load report is taken from the worker's response or callback that ended the attempt. If a callback
+/// ended the attempt, a load report on the worker's 202 response is ignored, since that report predates the
+/// job.
 #[rstest]
 #[case::rejected((503, "X-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Rejected), Some(queued(2.0)))]
 #[case::failed((500, "Endpoint-Load-Metrics: queue=2\r\n"), None, AttemptResult::NotServed(Outcome::Error), Some(queued(2.0)))]
@@ -272,7 +276,7 @@
     assert_eq!(fixture.attempt(response, callback.as_deref()).await, (expected, load));
 }
 
-/// A report on a response is ignored if the settings take reports from probes only.
+/// A load report on the response to a job is ignored if the settings take load reports from probes only.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration reloads by SIGHUP in the daemon as a process: during its start, and while it serves.
+//! Reloads of the daemon's configuration by SIGHUP, while the daemon starts and while it serves.
 #![allow(missing_docs)]
 
 mod common;
@@ -16,14 +16,14 @@
 use tokio::task::spawn_blocking;
 use vetchbridge_testbed::wire::Wire;
 
-/// What the starting process does when the signal arrives.
+/// What the starting daemon does when SIGHUP arrives.
 #[derive(Clone, Copy, PartialEq)]
 enum StartPhase {
     ReadingConfiguration,
     WaitingForAddress,
 }
 
-/// A process that is starting. Dropping the value kills the process.
+/// A daemon process that is starting. Dropping the value kills the process.
 struct StartingProcess {
     child: Child,
     log: UnboundedReceiver<String>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Replaces the contents of the file atomically.
+/// Replaces the contents of a file atomically, by renaming another file.
 fn replace_file(path: &Path, text: &str) {
     let temporary = path.with_extension("fresh");
     fs::write(&temporary, text).expect("the write succeeds");
@@ -75,8 +75,8 @@
     assert!(started.and_then(|mut child| child.wait()).expect("the program runs").success(), "{program}");
 }
 
-/// An operator may change the configuration and send SIGHUP while the process is still starting. The signal
-/// must not end the process, and the process must not keep the configuration that it read before the signal.
+/// An operator may change the configuration and send SIGHUP while the daemon is still starting. SIGHUP must
+/// not end the process, and the process must not keep the configuration that it read before SIGHUP.
 #[rstest]
 #[case::reading_configuration(StartPhase::ReadingConfiguration)]
 #[case::waiting_for_address(StartPhase::WaitingForAddress)]
@@ -97,8 +97,8 @@
     command.env("BALANCER_DISCOVERY", address(&old_discovery).to_string()).env("TMPDIR", folder.path());
     let mut process = match phase {
         StartPhase::ReadingConfiguration => {
-            // The configuration file is a named pipe. Opening its write end succeeds once the process has
-            // opened the file.
+            // The configuration file is a named pipe. Opening the pipe's write end succeeds once the daemon
+            // has opened the pipe to read its configuration.
             fs::remove_file(&path).expect("the file exists");
             run("mkfifo", &[path.to_str().expect("a UTF-8 path")]);
             let process = StartingProcess::spawn(&mut command);
@@ -130,8 +130,8 @@
 }
 
 /// The settings refer to zones and machine types by index, and a reload may change the indices. The reload
-/// must convert the endpoint list in the same step, even if discovery sends no update. Otherwise a job bound
-/// to one machine type would be sent to the other one.
+/// must convert the endpoint list in the same step, even if discovery sends no update. Otherwise a job that
+/// may run on only one machine type would be sent to a worker of the other machine type.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -178,10 +178,10 @@
     }
 }
 
-/// After SIGHUP the daemon watches the discovery service that the file names, whatever the environment says.
-/// Generations of two services can't be compared, so the daemon first fetches the new service's complete list
-/// and accepts it even with a lower generation. An invalid file changes nothing, and a job in flight is not
-/// affected.
+/// After SIGHUP the daemon watches the discovery service that its configuration file names, whatever the
+/// environment variables say. Generations of two discovery services can't be compared, so the daemon first
+/// fetches the new service's complete endpoint list and accepts it even with a lower generation. An invalid
+/// configuration file changes nothing, and a job in flight is not affected.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -218,8 +218,8 @@
     assert!(harness.daemon.child.wait().expect("the daemon ends").success());
 }
 
-/// New settings apply at SIGHUP, even if they renumber classes. An open request keeps the class under which
-/// it was accepted, including in its retries, even if the new settings no longer have this class.
+/// New settings apply at SIGHUP, even if they give the classes other numbers. An open request keeps the class
+/// under which it was accepted, including in its retries, even if the new settings no longer have this class.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -235,7 +235,8 @@
 
     let mut new_config = daemon_config(harness.discovery.local_addr().unwrap(), json!(harness.instances));
     let services = new_config["settings"]["services"].as_array_mut().expect("a list of classes");
-    // The classes safe, unsafe, keyed become keyed, fresh, safe. Jobs of class safe may no longer be retried.
+    // The classes safe, unsafe, keyed become keyed, fresh, safe. Jobs of the new class safe may not be
+    // retried.
     services.rotate_right(1);
     services[1] = services[2].clone();
     services[1]["name"] = "fresh".into();
@@ -250,8 +251,8 @@
     let mut late_unsafe_client = dial(harness.daemon.address).await;
     late_unsafe_client.post_request("/unsafe/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(late_unsafe_client.read().await.as_ref()), "400", "the class no longer exists");
-    // The connection fails before the 202. The job that was accepted when class safe allowed retries is
-    // retried; a job of the new class safe is not.
+    // The worker's connection fails before a 202 response. The job that was accepted when class safe allowed
+    // retries is retried; a job of the new class safe is not.
     drop(second_connection);
     wire.read().await.expect("the retried job");
     wire.send(ACCEPTED).await;
@@ -271,8 +272,8 @@
     assert_eq!(status(unsafe_client.read().await.as_ref()), "200");
 }
 
-/// An invalid file is rejected as a whole, including its valid `discovery` address and classes, and the log
-/// names each fault.
+/// An invalid configuration file is rejected as a whole, including its valid `discovery` address and classes,
+/// and the log names each fault.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -293,7 +294,7 @@
     let mut client = dial(harness.daemon.address).await;
     client.post_request("/fresh/k", "X-Trace-Id: 00000000000000aa\r\n", "").await;
     assert_eq!(status(client.read().await.as_ref()), "400");
-    // A file with two faults causes two log lines.
+    // A configuration file with two faults causes two log lines.
     let two_faults =
         with_value(&new_config, DEADLINE, json!(0)).replace("\"max_attempts\":2", "\"max_attempts\":0");
     std::fs::write(&harness.daemon.config_path, two_faults).expect("the write succeeds");
@@ -305,14 +306,14 @@
 const DEADLINE: &str = "/settings/services/2/deadline";
 const MAX_ATTEMPTS: &str = "/settings/limits/max_attempts";
 
-/// Returns the configuration with the value at `path` replaced.
+/// Returns the text of the configuration with the value at `path` replaced.
 fn with_value(config: &Value, path: &str, value: Value) -> String {
     let mut invalid = config.clone();
     *invalid.pointer_mut(path).expect("the configuration has the key") = value;
     invalid.to_string()
 }
 
-/// Returns the configuration without `key` of the object at `path`.
+/// Returns the text of the configuration without `key` of the object at `path`.
 fn without_key(config: &Value, path: &str, key: &str) -> String {
     let mut invalid = config.clone();
     let object = invalid.pointer_mut(path).and_then(Value::as_object_mut).expect("an object");
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of one request: when the request is sent again, and to which worker, after a connection broke
-//! or a worker restarted.
+//! The attempts of one request: when the request is sent again after a connection broke or a worker
+//! restarted, and to which worker.
 #![allow(missing_docs)]
 
 #[path = "common/in_process.rs"]
@@ -18,7 +18,7 @@
 use vetchbridge_testbed::wire::Wire;
 
 const REQUEST_ID: &str = "00000000000000ab";
-/// Length of a body that the sockets' buffers can't hold, in bytes.
+/// Length of a job's body that the buffers of the connection's sockets can't hold, in bytes.
 const LONG_BODY_BYTES: usize = 16 << 20;
 
 /// A scheduler with two listening workers, `s-a` and `s-b`, whose saved endpoint list is confirmed.
@@ -26,7 +26,7 @@
     scheduler: TestScheduler,
     a: TcpListener,
     b: TcpListener,
-    /// The connection of the watch on the endpoint list. The watch gets no response.
+    /// The connection of the scheduler's watch on discovery, which gets no response.
     _watch: Wire,
 }
 
@@ -43,7 +43,8 @@
         TwoWorkers { scheduler, a, b, _watch: watch }
     }
 
-    /// Accepts the next attempt and reads its head. Returns the connection and the worker's name.
+    /// Accepts the connection of the next attempt at either worker and reads the attempt's request head.
+    /// Returns the connection and the worker's name.
     async fn next_attempt(&self) -> (TcpStream, &'static str) {
         let (accepted, name) = tokio::select! {
             accepted = self.a.accept() => (accepted, "s-a"),
@@ -66,7 +67,8 @@
 }
 
 /// A worker cannot have started a job whose connection broke before the last byte was written, so the job is
-/// retried. If the connection broke after the last byte, the job may have run, and the request fails.
+/// retried. If the connection broke after the last byte, the non-idempotent job may have run, and its request
+/// fails.
 #[rstest]
 #[case::before(LONG_BODY_BYTES, 1, true)]
 #[case::after(4, 4, false)]
@@ -98,15 +100,16 @@
             _ = workers.next_attempt() => panic!("the job was sent again"),
             answer = &mut answer => assert_eq!(answer.expect("an answer"), Answer::Failed),
         }
-        // Waits until the request is closed: a later attempt of this job is impossible from then on.
+        // Waits until the scheduler has closed the request, since no later attempt of its job can start from
+        // then on.
         while scheduler.engine.open_request_count() > 0 {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// The scheduler decides by its current settings, which may change while a request is open. The request's own
-/// task checks each attempt by the settings that were in force when the request was accepted.
+/// The scheduler decides on retries by its current settings, which may change while a request is open. The
+/// task of the request checks each attempt by the settings that were in force when the request was accepted.
 #[rstest]
 #[case::non_idempotent_when_it_was_accepted(false)]
 #[case::idempotent_in_both_settings(true)]
@@ -142,9 +145,9 @@
     assert_eq!(retried, idempotent);
 }
 
-/// A worker restarts under its name and address while a job waits for a connection to it. The new process is
-/// warming up, and no worker has received the job yet, so the job is placed again at once, at a worker with
-/// capacity.
+/// A worker restarts under the same name and address while a job waits for a connection to this worker. The
+/// worker's new process is warming up, and no worker has received the job yet, so the job is placed again at
+/// once, at a worker with capacity.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -152,7 +155,8 @@
     let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
-    // The accept queue holds one connection; while it is full, no other connection is established.
+    // The worker's accept queue holds one connection; while the queue is full, no other connection is
+    // established.
     let full_listener = socket.listen(0).expect("a listener");
     let full_address = full_listener.local_addr().expect("a bound socket");
     let _filler = TcpStream::connect(full_address).await.expect("the connection that fills the queue");
--- a/crates/vetchbridge/tests/request_life.rs
+++ b/crates/vetchbridge/tests/request_life.rs
@@ -1,4 +1,4 @@
-//! Requests through the daemon's process, between a scripted client and scripted workers: forwarding,
+//! Requests through the daemon as a process, between a scripted client and scripted workers: forwarding,
 //! callbacks, cancellation and rejection.
 #![allow(missing_docs)]
 
@@ -10,8 +10,8 @@
 use tokio::net::TcpListener;
 use vetchbridge_testbed::wire::Wire;
 
-/// A worker receives the target, headers and body that the client sent. A callback may arrive before the 202,
-/// twice, or for an unknown attempt.
+/// A worker receives the target, headers and body that the client sent. A callback of the worker may arrive
+/// before the worker's 202 response, twice, or for an unknown attempt.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -35,13 +35,14 @@
     harness.send_callback("00000000000000ab", number, "done").await;
     let answer = client.read().await;
     assert_eq!((status(answer.as_ref()), answer.as_ref().unwrap().text().as_str()), ("200", "made"));
-    // The daemon reuses the connection, since it still reads the 202 after the job is done.
+    // The daemon reads the worker's 202 response although the job is already done, so that it can reuse the
+    // connection.
     worker.send(ACCEPTED).await;
     client.post_request("/safe/c", "X-Trace-Id: 00000000000000ac\r\n", "more").await;
     assert_eq!(worker.read_target().await, "/safe/c");
 }
 
-/// Responses and callbacks may arrive in pieces of any size, and are read completely.
+/// Responses and callbacks of workers may arrive in pieces of any size, and the daemon reads them completely.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -60,8 +61,8 @@
     assert_eq!(client.read().await.expect("an answer").text(), "made");
 }
 
-/// When a client disconnects, the attempt of its request is cancelled: after the 202 by a `DELETE` request,
-/// before the 202 by closing the connection to the worker.
+/// When a client disconnects, the attempt of its request is cancelled. After the worker's 202 response the
+/// daemon sends a `DELETE` request, and before the 202 the daemon closes its connection to the worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -72,7 +73,8 @@
     worker.read().await.expect("the job");
     if accepted {
         worker.send(ACCEPTED).await;
-        // The response to the callback shows that the daemon has read the 202, which was sent before.
+        // The response to the callback shows that the daemon has read the 202 response, which the worker sent
+        // before the callback.
         harness.send_callback(&id, number, "started").await;
     }
     drop(client);
@@ -80,7 +82,8 @@
     assert_eq!(cancellation, accepted.then(|| format!("DELETE /jobs/{id} HTTP/1.1")));
 }
 
-/// A request that every worker rejects is rejected at once, with the time after which the client may retry.
+/// A request that every worker rejects is rejected at once, with a Retry-After header: the time after which
+/// the client may send the request again.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -99,8 +102,8 @@
     assert!(seconds > 0.0 && seconds <= 2.0, "{seconds}");
 }
 
-/// A job that arrives before the first endpoint waits for an endpoint; the endpoint list may arrive seconds
-/// after the daemon has started.
+/// A job that arrives while the endpoint list is empty waits for the first endpoint. The endpoint list may
+/// arrive seconds after the daemon has started.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/shutdown.rs
+++ b/crates/vetchbridge/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! Drains by operators, and the graceful shutdown of the daemon as a process.
+//! Drains of the daemon by operators, and the graceful shutdown of the daemon after SIGTERM. The daemon runs
+//! as a process.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,9 +7,9 @@
 use common::*;
 use rstest::rstest;
 
-/// A graceful shutdown must not lose an accepted request. After SIGTERM the process is not ready, but still
-/// serves clients that have a connection, since the other schedulers may be restarting too. Later the
-/// process closes the connections and ends.
+/// A graceful shutdown must not lose an accepted request. After SIGTERM the daemon is not ready for new
+/// clients, but still serves clients that have a connection, since the other schedulers may be restarting
+/// too. Later the daemon closes the connections and ends.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -23,7 +24,7 @@
     let mut incomplete = dial(harness.daemon.address).await;
     incomplete.send("POST /safe/k HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nwork").await;
     harness.daemon.signal("-TERM");
-    // The daemon may not have received the signal yet, so its readiness is polled.
+    // The daemon may not have received SIGTERM yet, so the test polls the daemon's readiness.
     let not_ready = loop {
         let answer = harness.get_readiness().await;
         if answer.status() == "503" {
@@ -39,7 +40,7 @@
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), ("200", None));
     }
-    // A client sends a further request on its connection.
+    // An early client sends a further request on its open connection.
     early.post_request("/safe/k", "X-Trace-Id: 00000000000000aa\r\n", "work").await;
     worker.read().await.expect("the next job");
     worker.send(ACCEPTED).await;
@@ -53,9 +54,9 @@
     drop(incomplete);
 }
 
-/// A scheduler that operators drain is not ready and closes idle connections. It still serves requests that
-/// arrive and then closes their connections, accepts callbacks, and keeps running. Operators can resume it at
-/// any time, also during the drain.
+/// A scheduler that operators drain is not ready for new clients and closes idle connections. The scheduler
+/// still serves requests that arrive and then closes their connections, accepts callbacks, and keeps running.
+/// Operators can resume the scheduler at any time, also during the drain.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -65,7 +66,8 @@
     let mut idle = dial(harness.daemon.address).await;
     idle.send("GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert_eq!(status(idle.read().await.as_ref()), "200");
-    // A client that has connected but sent nothing must get a response to a job that it sends later.
+    // A client that connected before the drain and sent nothing must get a response to a job that it sends
+    // during the drain.
     let mut slow = dial(harness.daemon.address).await;
     let (mut early, early_id) = harness.submit_job("safe", "k").await;
     let (number, mut worker) = harness.accept_worker_connection().await;
@@ -102,8 +104,8 @@
     );
 }
 
-/// A request that can't be completed before the process ends must get a final response, and its attempt must
-/// be canceled.
+/// A request that can't be completed before the daemon ends must get a final response, and its attempt must
+/// be cancelled.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/starting.rs
+++ b/crates/vetchbridge/tests/starting.rs
@@ -1,4 +1,5 @@
-//! The start of the daemon as a process: what the daemon waits for before it is ready, and for how long.
+//! The start of the daemon as a process: what the daemon waits for before it is ready for clients, and for
+//! how long.
 #![allow(missing_docs)]
 
 mod common;
@@ -12,7 +13,8 @@
 use tokio::net::TcpListener;
 use vetchbridge_testbed::wire::Wire;
 
-/// The previous process may still hold the listen address, so the daemon retries to bind it.
+/// The previous process of the daemon may still hold the listen address, so the daemon retries to bind the
+/// address.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -28,7 +30,7 @@
     let listens = tokio::task::spawn_blocking(move || {
         let mut log = log.map_while(Result::ok);
         let in_use = log.by_ref().any(|line| line.contains("address.in_use"));
-        // The address is freed only after the daemon has failed to bind it.
+        // The test frees the address only after the daemon has failed to bind it.
         drop(address_holder);
         in_use && log.any(|line| line.contains("daemon.listening"))
     });
@@ -38,8 +40,8 @@
     assert!(listens, "the daemon retries until it listens");
 }
 
-/// Starts a daemon with this saved endpoint list. Returns the listener of its discovery service, which does
-/// not answer by itself, the daemon, and the daemon's folder.
+/// Starts a daemon with this saved endpoint list, which discovery has not confirmed. Returns the listener of
+/// the daemon's discovery service, which does not answer by itself, the daemon, and the daemon's folder.
 async fn start_unconfirmed(delivery: &str, saved: Value) -> (TcpListener, Process, tempfile::TempDir) {
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let mut config = daemon_config(discovery.local_addr().expect("a bound listener"), saved);
@@ -72,7 +74,7 @@
     accepted
 }
 
-/// The identifier of the job in these tests.
+/// The request id of the job that these tests submit.
 const JOB_ID: &str = "00000000000000ab";
 
 async fn bind_worker() -> (TcpListener, SocketAddr) {
@@ -81,8 +83,8 @@
     (listener, address)
 }
 
-/// Accepts the job at this worker, which must receive it next, and completes the job. `number` is the
-/// worker's number in the endpoint list.
+/// Accepts the next connection to `worker`, checks that it carries the job, and completes the job. `number`
+/// is the worker's number in the endpoint list.
 async fn serve(daemon: &Process, worker: &TcpListener, number: usize, client: &mut Wire) {
     let mut connection = Wire::new(worker.accept().await.expect("the job's connection").0);
     assert_eq!(connection.read().await.expect("the job").header("x-trace-id"), Some(JOB_ID));
@@ -94,9 +96,9 @@
     assert_eq!(status(client.read().await.as_ref()), "200");
 }
 
-/// The saved list still has a worker that was removed while no process of this scheduler ran. The process
-/// must not be ready before discovery has confirmed the list, and must not send a job that arrives earlier to
-/// the removed worker.
+/// The saved endpoint list still has a worker that was removed while no process of this scheduler ran. The
+/// new process must not be ready before discovery has confirmed the list, and must not send a job that
+/// arrives before the confirmation to the removed worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -119,8 +121,8 @@
     assert!(removed.accept().now_or_never().is_none(), "the removed worker was dialled");
 }
 
-/// If discovery can't be reached, the saved list is the best available list. After a time limit the scheduler
-/// must be ready and must place waiting jobs by the saved list.
+/// If discovery can't be reached, the saved endpoint list is the best available list. After a time limit the
+/// scheduler must be ready and must choose workers for waiting jobs from the saved list.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -135,7 +137,8 @@
     serve(&daemon, &saved, 0, &mut client).await;
 }
 
-/// The list that a successor inherits counts as confirmed only if the predecessor's list was confirmed.
+/// The endpoint list that a successor process inherits counts as confirmed by discovery only if the
+/// predecessor's list was confirmed.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -148,7 +151,7 @@
     while successor.admin_command("health").await != "ok serving\n" {}
 }
 
-/// With an invalid configuration the daemon exits with an error, and the log names the key.
+/// If its configuration is invalid, the daemon exits with an error, and the log names the invalid key.
 #[rstest]
 #[case::listen("/listen", json!("nowhere"), "listen")]
 #[case::seed("/seed", json!("seed"), "seed")]
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -1,5 +1,5 @@
-//! The daemon loses no response when its system calls fail in ways that Linux documents. A seed selects which
-//! calls fail.
+//! The daemon loses no response when its system calls fail in ways that Linux documents. The fault injection
+//! library makes the calls fail; a seed selects which calls.
 #![allow(missing_docs)]
 
 mod common;
@@ -16,10 +16,11 @@
 /// job's deadline.
 const STUCK_AFTER: Duration = Duration::from_secs(20);
 
-/// Number of jobs sent on one reused connection; after each, one more job is sent on a connection of its own.
+/// Number of jobs sent on one reused client connection. After each of these jobs, one more job is sent on a
+/// new connection.
 const JOBS: usize = 40;
 
-/// The faults of reads and writes, separately and combined.
+/// The faults of reads and writes that the tests inject, separately and combined.
 const TRANSFER_FAULTS: [&str; 5] = [
     "recv.interrupted=0.2",
     "send.interrupted=0.2",
@@ -28,8 +29,8 @@
     "recv.interrupted=0.1,send.interrupted=0.1,recv.short=0.3,send.short=0.3,wait.interrupted=0.1",
 ];
 
-/// A system call that is interrupted, or that transfers fewer bytes than requested, neither ends nor delays a
-/// transfer.
+/// A system call that is interrupted, or that transfers fewer bytes than requested, neither ends nor delays
+/// the transfer of a job or response.
 #[tokio::test]
 async fn no_job_is_lost_to_calls_that_are_interrupted_or_cut_short() {
     for faults in TRANSFER_FAULTS {
@@ -71,7 +72,8 @@
     assert_eq!(harness.daemon.admin_command("health").await, "ok serving\n");
 }
 
-/// Tokio reads signal notifications from a socket, and this read may be interrupted like any other.
+/// The signals still take effect: Tokio reads signal notifications from a socket, and this read may be
+/// interrupted like any other.
 #[rstest]
 #[timeout(STUCK_AFTER)]
 #[tokio::test]
@@ -86,8 +88,8 @@
     assert!(harness.daemon.child.wait().expect("the daemon ends").success());
 }
 
-/// Resources that are unavailable at one moment may be available at the next: the daemon retries while it
-/// starts.
+/// The daemon retries to create sockets while it starts, because resources that are unavailable at one moment
+/// may be available at the next.
 #[tokio::test]
 async fn the_daemon_retries_to_create_sockets_while_it_starts() {
     for seed in 1..=8 {
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Upgrades of the daemon: a new process takes over from the process that serves.
+//! Upgrades of the daemon: a new process (the successor) takes over from the process that serves (the
+//! predecessor, or old process).
 #![allow(missing_docs)]
 
 mod common;
@@ -10,9 +11,10 @@
 use vetchbridge::upgrade::{self, message::VERSION};
 use vetchbridge_testbed::wire::Wire;
 
-/// Two processes work as one scheduler during an upgrade. Client connections and the endpoint list are handed
-/// over, and no client connection is closed. A callback reaches its attempt in either process, and a request
-/// id that is open in one process is rejected by the other. SIGTERM ends only the old process.
+/// The old process and its successor work as one scheduler during an upgrade. Client connections and the
+/// endpoint list are handed over, and no client connection is closed. A callback reaches its attempt in
+/// either process, and a request id that is open in one process is rejected by the other. SIGTERM ends only
+/// the old process.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -39,7 +41,8 @@
         watch.read_target().await.contains("index=70&"),
         "the successor watches from the generation handed over"
     );
-    // The old process knows of its successor by the time it hands connections over.
+    // By the time at which the old process hands connections over, it knows of its successor, so the
+    // successor serves this job.
     let (mut client, id) = harness.submit_job("safe", "k").await;
     let (number, mut new_worker) = harness.accept_worker_connection().await;
     assert_eq!(new_worker.read().await.expect("the job").header("x-trace-id"), Some(id.as_str()));
@@ -71,8 +74,8 @@
     }
 }
 
-/// If a successor starts and dies while a request is in flight, the request's connection stays with the old
-/// process.
+/// If a successor process starts and dies while a request is in flight, the request's client connection stays
+/// with the old process.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -84,7 +87,7 @@
     worker.send(ACCEPTED).await;
     let mut successor = harness.start_successor();
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
-    // This response shows that the old process knows of its successor.
+    // This response of the admin interface shows that the old process knows of its successor.
     assert_eq!(harness.daemon.admin_command("quiesce").await, "fail handed over; ask the successor\n");
     successor.child.kill().expect("the process is killed");
     harness.daemon.wait_for_log("upgrade.successor_lost").await;
@@ -95,8 +98,8 @@
     assert_eq!(status(client.read().await.as_ref()), "200", "the connection is still served");
 }
 
-/// The socket for messages between schedulers is handed over too: two processes can't both bind its address,
-/// and the address must stay bound throughout the upgrade.
+/// The UDP socket for messages between schedulers is handed over to the successor process too: two processes
+/// can't both bind its address, and the address must stay bound throughout the upgrade.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -121,8 +124,8 @@
     assert_eq!(error.kind(), std::io::ErrorKind::AddrInUse);
 }
 
-/// After a successor has died, the old process serves as before and another successor can take over, also
-/// while the scheduler is quiesced.
+/// After a successor process has died, the old process serves as before and another successor can take over,
+/// also while the scheduler is quiesced.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -132,7 +135,8 @@
         let mut successor = harness.start_successor();
         assert_eq!(successor.admin_command("health").await, "ok serving\n");
         successor.child.kill().expect("the process is killed");
-        // New connections wait in the shared listener's queue until the old process notices the death.
+        // New client connections wait in the shared listener's queue until the old process notices the
+        // successor's death.
         assert_eq!(harness.get_readiness().await.status(), "200");
     }
     harness.daemon.admin_command("quiesce").await;
@@ -141,7 +145,8 @@
     assert_eq!(harness.get_readiness().await.status(), "503");
     second.admin_command("resume").await;
     let third = harness.start_successor();
-    // The first process rejects the command: its state is no longer that of the scheduler.
+    // The first process rejects the command, because its lifecycle state is no longer the state of the
+    // scheduler.
     assert_eq!(harness.daemon.admin_command("quiesce").await, "fail handed over; ask the successor\n");
     assert_eq!(third.admin_command("health").await, "ok serving\n");
     second.signal("-TERM");
@@ -149,7 +154,7 @@
     assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
-/// A process starts whatever it finds at the path of the hand-over socket.
+/// The daemon starts whatever file it finds at the path of its hand-over socket.
 #[rstest]
 #[case::nothing(|_: &Path| {})]
 #[case::garbage(|path: &Path| std::fs::write(path, "garbage").expect("the write succeeds"))]
@@ -169,8 +174,8 @@
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
 }
 
-/// A process that connects to the hand-over socket does not disturb the daemon if it is not a successor, or
-/// if it is a successor that hangs.
+/// A process that connects to the daemon's hand-over socket does not disturb the daemon if the process is not
+/// a successor of the daemon, or if it is a successor that hangs.
 #[rstest]
 #[case::garbage(b"garbage".to_vec(), "Refused")]
 #[case::another_name(hello(VERSION, "n1"), "Refused")]
@@ -197,13 +202,14 @@
     assert_eq!(harness.start_successor().admin_command("health").await, "ok serving\n");
 }
 
-/// Returns a `Hello` message. The test replaces `LISTEN` in it with the daemon's address.
+/// Returns the `Hello` message with which a successor process begins a hand-over. The test replaces `LISTEN`
+/// in the message with the daemon's address.
 fn hello(version: u32, name: &str) -> Vec<u8> {
     json!({"Hello": {"version": version, "name": name, "listen": "LISTEN"}}).to_string().into_bytes()
 }
 
-/// If no Unix socket can be created, a process still starts, and the next process starts beside it at the
-/// same address.
+/// If the daemon can't create its Unix socket for hand-overs, it still starts, and the next process of the
+/// daemon starts beside it at the same address.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/worker_failures.rs
+++ b/crates/vetchbridge/tests/worker_failures.rs
@@ -1,4 +1,4 @@
-//! The ways in which a worker may fail, and their effects on the attempt and on the request.
+//! The ways in which a worker may fail, and the effects of the failure on the attempt and on its request.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,8 +10,8 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpSocket;
 
-/// A job that may have run is retried only if its class is idempotent; a job that never ran is always
-/// retried.
+/// A job that may have run on the failed worker is retried only if its class is idempotent. A job that never
+/// ran is always retried.
 #[rstest]
 #[case::error("HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n", "", true)]
 #[case::unavailable("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n", "", true)]
@@ -46,8 +46,8 @@
 }
 
 /// A callback about an attempt that has ended is acknowledged and otherwise ignored, even if the callback
-/// carries a result: the job is in flight at another worker by then, and the first attempt may have failed
-/// before it completed.
+/// carries a result. When the callback arrives, the job is in flight at another worker, and the first attempt
+/// may have failed before it completed.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -76,7 +76,8 @@
     assert_eq!((answer.status(), answer.text().as_str()), ("200", "made"));
 }
 
-/// An attempt at a connected worker that does not accept the job times out long before the client's deadline.
+/// An attempt at a worker that accepts the connection but does not accept the job times out long before the
+/// client's deadline.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -92,8 +93,8 @@
     assert!(unresponsive.read().await.is_none(), "the daemon cancels the attempt by closing the connection");
 }
 
-/// A request that one worker finds invalid would be invalid at every worker: the request is not retried, and
-/// the failure does not count against the worker.
+/// A request that one worker finds invalid (status 400) would be invalid at every worker. The request is not
+/// retried, and the failure does not count against the worker.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -124,7 +125,7 @@
     harness.serve_jobs_at_worker_0("unsafe").await;
 }
 
-/// A connection that the worker closed while the connection was idle is never written to.
+/// The daemon never writes a request to a connection that the worker closed while the connection was idle.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
