--- a/crates/vetchbridge/src/config/file/classes.rs
+++ b/crates/vetchbridge/src/config/file/classes.rs
@@ -4,32 +4,32 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Whether a request may run more than once.
+/// Whether the job of a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// The request may run any number of times.
+    /// The job may run any number of times.
     Safe,
-    /// Workers drop repeats of the request for a limited time.
+    /// The job may be sent more than once, since workers drop repeats of the request for a limited time.
     Keyed,
-    /// The request must not run more than once.
+    /// The job must not run more than once.
     Unsafe,
 }
 
-/// Which workers drop a repeat of a keyed request.
+/// Which workers drop a repeat of a keyed request that another worker may already have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
-    /// All workers.
+    /// All workers drop the repeat.
     #[default]
     All,
-    /// The workers in the zone of the worker that may have run the request.
+    /// The workers in the zone of the worker that may have run the request drop the repeat.
     Zone,
-    /// The workers in the cell of the worker that may have run the request.
+    /// The workers in the cell of the worker that may have run the request drop the repeat.
     Cell,
 }
 
-/// Returns the default worth of a class.
+/// Returns the weight of an answer of a class that sets none.
 fn default_worth() -> f64 {
     1.0
 }
@@ -38,53 +38,55 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name of the class, which is the first part of its requests' paths.
+    /// Name of the class. The first part of the path in a request's URL names the request's class.
     pub name: String,
-    /// Whether a request may run more than once: safe (any number of times), keyed (workers drop repeats
-    /// within window) or unsafe (never).
+    /// Whether the job of a request may run more than once: safe (any number of times), keyed (it may be sent
+    /// again, because workers drop repeats within window) or unsafe (never).
     pub repeat: Repeat,
-    /// Latency objective: an answer within this time has its full worth.
+    /// Latency objective: an answer within this time after the request has its full weight.
     pub aim: HumanDuration,
-    /// Multiple of the job's own running time that is added to aim.
+    /// Time added to aim for long jobs, as a multiple of the job's own running time.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub stretch: f64,
-    /// The client's total time to wait for an answer, including its retries.
+    /// The client's total time to wait for an answer, including the client's own retries.
     pub deadline: HumanDuration,
-    /// Weight of an answer that arrives within aim, relative to other classes.
+    /// Weight of an answer that arrives within aim, relative to answers of other classes.
     #[serde(default = "default_worth")]
     #[schemars(range(min = 0.0))]
     pub worth: f64,
-    /// Fraction of worth that an answer later than aim still has.
+    /// Fraction of its weight (worth) that an answer still has if it arrives later than aim.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub late_share: f64,
-    /// For a keyed class: which workers drop a repeat: all, zone (the workers in the zone of the worker that
-    /// may have run the request) or cell (the workers in that worker's cell).
+    /// For a keyed class: which workers drop a repeat of a request: all, zone (the workers in the zone of the
+    /// worker that may have run the request) or cell (the workers in that worker's cell).
     #[serde(default)]
     pub group: Group,
-    /// For a keyed class (required): how long workers drop repeats, counted from the first attempt that may
-    /// have run.
+    /// For a keyed class (required): how long workers drop repeats of a request, counted from the first
+    /// attempt that may have run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window: Option<HumanDuration>,
-    /// The only machine type that runs this class, one of fleet.kinds. If absent, every machine type runs it.
+    /// The only machine type whose workers run this class, one of fleet.kinds. If absent, workers of every
+    /// machine type run it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Priority of the class in the workers' queues, used if fleet.queue_order is priority.
+    /// Priority of the class in the queues of workers. Workers use the priority if fleet.queue_order is
+    /// priority.
     #[serde(default)]
     pub priority: i64,
-    /// Whether answers are streamed.
+    /// Whether the answers of this class are streamed to the client.
     #[serde(default)]
     pub stream: bool,
 }
 
-/// A tenant.
+/// A tenant, whose clients share a quota.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// Name of the tenant.
     pub name: String,
-    /// Quota of the tenant in requests per second, over all schedulers.
+    /// Quota of the tenant: requests per second, summed over all schedulers.
     #[schemars(range(min = 0.0))]
     pub allowance_per_s: f64,
 }
--- a/crates/vetchbridge/src/config/file/fleet.rs
+++ b/crates/vetchbridge/src/config/file/fleet.rs
@@ -1,72 +1,74 @@
-//! Workers in the configuration file: properties that all workers share (`[fleet]`) and the list of workers
-//! (`[[peer]]`).
+//! Workers in the configuration file: the properties that all workers share (`[fleet]`) and the list of
+//! workers (`[[peer]]`).
 
 use super::super::units::{Address, HumanDuration};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// How changes of the worker list reach the scheduler.
+/// How changes of the worker list reach the scheduler from the discovery service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Follow {
-    /// The scheduler polls discovery for changes.
+    /// The scheduler polls the discovery service for changes of the worker list.
     #[default]
     Ask,
-    /// Discovery sends changes without being asked.
+    /// The discovery service sends changes of the worker list without being asked.
     Push,
 }
 
-/// What a worker's weight is derived from.
+/// What the weights in the worker list are derived from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Weights {
-    /// Weights are ignored: every worker has weight 1.
+    /// The weights in the worker list are ignored: every worker has weight 1.
     #[default]
     Off,
-    /// The registered size of the worker.
+    /// A worker's weight is its registered size.
     Nominal,
-    /// The approximate size of the worker.
+    /// A worker's weight is its approximate size.
     Rough,
-    /// The size of the worker reduced by its load. Such weights are ignored.
+    /// A worker's weight is its size reduced by its load. The scheduler ignores such weights: every worker
+    /// has weight 1.
     Live,
 }
 
-/// The order in which workers serve their queues.
+/// The order in which each worker serves the jobs in its queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum QueueOrder {
-    /// In order of arrival; the first job waits until it fits.
+    /// Jobs are served in order of arrival. If the first job does not fit, it waits until it fits, and so do
+    /// the jobs behind it.
     #[default]
     Fifo,
-    /// The first queued job that fits.
+    /// The first queued job that fits is served next.
     Backfill,
-    /// By the priority of the jobs' classes.
+    /// Jobs are served by the priority of their classes.
     Priority,
 }
 
-/// When workers send load reports.
+/// When workers send load reports to the scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Load {
     /// Workers send no load reports.
     #[default]
     Off,
-    /// With the outcome of an attempt and with probe responses.
+    /// Workers send a load report with the outcome of each attempt and with each response to a probe.
     Answers,
-    /// With probe responses only.
+    /// Workers send a load report only with each response to a probe.
     Probes,
 }
 
-/// The field of a load report that holds the number of free slots.
+/// The field of a worker's load report that holds the number of the worker's free slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum FreeSlots {
-    /// The field x0.
+    /// The field x0 holds the number of free slots.
     #[default]
     X0,
-    /// The field x1.
+    /// The field x1 holds the number of free slots.
     X1,
-    /// No field holds the free slots.
+    /// No field of the load report holds the number of free slots.
     Untold,
 }
 
@@ -74,32 +76,35 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Names of the zones.
+    /// Names of the zones in which workers and schedulers run.
     #[schemars(length(min = 1))]
     pub zones: Vec<String>,
-    /// Names of the machine types.
+    /// Names of the workers' machine types.
     #[schemars(length(min = 1))]
     pub kinds: Vec<String>,
-    /// How changes of the worker list reach the scheduler: ask (the scheduler polls discovery) or push
-    /// (discovery sends changes without being asked).
+    /// How changes of the worker list reach the scheduler: ask (the scheduler polls the discovery service) or
+    /// push (the discovery service sends changes without being asked).
     pub follow: Follow,
-    /// What a worker's weight is derived from: off (weights are ignored), nominal (the registered size),
-    /// rough (the approximate size) or live (the size reduced by the load; ignored, as with off).
+    /// What the weights in the worker list are derived from: off (the scheduler ignores the weights), nominal
+    /// (the registered size of each worker), rough (the approximate size) or live (the size reduced by the
+    /// worker's load; the scheduler ignores these weights, as with off).
     pub weights: Weights,
-    /// The order in which workers serve their queues: fifo (the first job waits until it fits), backfill (the
-    /// first job that fits) or priority (by class.priority).
+    /// The order in which each worker serves the jobs in its queue: fifo (in order of arrival; the first job
+    /// blocks the others until it fits), backfill (the first job that fits) or priority (by the priority of
+    /// the jobs' classes, class.priority).
     pub queue_order: QueueOrder,
-    /// Whether workers report the start of a job.
+    /// Whether workers send a callback when a job starts to run.
     pub tells_start: bool,
-    /// Interval between progress reports of a job; 0s if workers send none.
+    /// Interval between the progress reports that a worker sends for a running job; 0s if workers send none.
     pub progress: HumanDuration,
     /// Time after which workers close an idle connection. The scheduler closes its idle connections to
     /// workers after half of this time.
     pub conn_idle: HumanDuration,
-    /// When workers send load reports: off (never), answers (with the outcome of an attempt and with probe
-    /// responses) or probes (with probe responses only).
+    /// When workers send load reports to the scheduler: off (never), answers (with the outcome of each
+    /// attempt and with each response to a probe) or probes (only with each response to a probe).
     pub load: Load,
-    /// The field of a load report that holds the number of free slots: x0, x1 or untold (neither).
+    /// The field of a worker's load report that holds the number of the worker's free slots: x0, x1 or untold
+    /// (no field holds it).
     pub free_slots: FreeSlots,
 }
 
@@ -125,13 +130,14 @@
     1.0
 }
 
-/// A worker.
+/// A worker in the configuration's worker list.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Worker {
-    /// Name of the worker. The hash ring is built from the names, so every scheduler must use the same ones.
+    /// Name of the worker. Every scheduler must use the same names, because the hash ring that assigns jobs
+    /// to workers is built from the names.
     pub name: String,
-    /// Address on which the worker listens.
+    /// Address on which the worker accepts jobs.
     pub address: Address,
     /// Zone of the worker, one of fleet.zones; the first zone if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -139,10 +145,11 @@
     /// Machine type of the worker, one of fleet.kinds; the first machine type if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Number of the worker's cell.
+    /// Number of the worker's cell, a group of workers. Keyed classes with class.group = cell refer to cells.
     #[serde(default)]
     pub cell: u32,
-    /// Size of the worker relative to other workers.
+    /// Weight of the worker, which is its size relative to other workers. fleet.weights says whether the
+    /// scheduler uses the weight.
     #[serde(default = "default_weight")]
     #[schemars(range(min = 0.0))]
     pub weight: f64,
--- a/crates/vetchbridge/src/config/file/mod.rs
+++ b/crates/vetchbridge/src/config/file/mod.rs
@@ -1,9 +1,9 @@
 //! The daemon's own configuration format: every key with its meaning, its unit and its default.
 //!
 //! The JSON Schema, the commented default file and the validation are generated from the types in this
-//! module. Their fields are named like the keys of the file; `translate` maps the keys to the scheduler's
-//! settings. This module reads neither files nor environment variables and repeats none of the scheduler's
-//! rules.
+//! module. Their fields are named like the keys of the configuration file; `translate` maps the keys to the
+//! scheduler's settings. This module reads neither files nor environment variables and repeats none of the
+//! scheduler's rules.
 
 // `config default` prints the doc comments of the keys as plain text, so they contain no Markdown.
 #![allow(clippy::doc_markdown, rustdoc::broken_intra_doc_links)]
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct File {
-    /// Name of this scheduler. --name and BALANCER_NAME override it.
+    /// Name of this scheduler. The flag --name and the environment variable BALANCER_NAME override it.
     pub name: String,
     /// Address on which the scheduler accepts clients and the callbacks of workers. --listen and
     /// BALANCER_LISTEN override it.
@@ -33,19 +33,19 @@
     /// absent, there is no admin interface. BALANCER_ADMIN overrides it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub admin: Option<Address>,
-    /// Path of the Unix socket for upgrades: a process that is started with the same name and addresses
-    /// connects to it and takes over from the running process. The folder must belong to this scheduler
-    /// alone. If absent, upgrades are off.
+    /// Path of the Unix socket for upgrades. A new process with the same name and the same addresses connects
+    /// to this socket and takes over from the running process without closing client connections. The
+    /// socket's folder must belong to this scheduler alone. If absent, upgrades are off.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub handover: Option<PathBuf>,
-    /// Address of the discovery service. If absent, [[peer]] must list all workers. --discovery and
-    /// BALANCER_DISCOVERY override it.
+    /// Address of the discovery service, which keeps the list of workers. If absent, the [[peer]] entries
+    /// must list all workers. --discovery and BALANCER_DISCOVERY override it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<Address>,
     /// Seed of the scheduler's random numbers. If absent, each start uses a new seed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub seed: Option<Seed>,
-    /// Logging.
+    /// Logging: one line per event on standard error.
     pub log: Log,
     /// Resource limits of the process.
     pub limits: Limits,
@@ -53,21 +53,25 @@
     pub tier: Tier,
     /// Properties that all workers share.
     pub fleet: Fleet,
-    /// What the scheduler may do to serve a request.
+    /// What the scheduler may do to serve a request: attempts, probes and messages to the other schedulers.
     pub attempts: Attempts,
-    /// Times and factors of the rules that the scheduler follows.
+    /// Times and factors of the rules that the scheduler follows, for deadlines, workers that leave, and
+    /// workers that have just started.
     pub rules: Rules,
-    /// Costs, as fractions of the overall result. The scheduler only compares one cost with another.
+    /// Costs of serving requests, as fractions of the overall result. The scheduler only compares one cost
+    /// with another.
     pub prices: Prices,
-    /// How requests are weighted.
+    /// How requests are weighted against one another.
     pub worth: Worth,
-    /// A class of requests; at least one is required. The order of the classes gives their numbers.
+    /// A class of requests; at least one is required. The order of the [[class]] entries gives the classes
+    /// their numbers.
     pub class: Vec<Class>,
-    /// A tenant. Without tenants, clients have no quotas.
+    /// A tenant, for whose clients a quota applies. Without tenants, clients have no quotas.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenant: Vec<Tenant>,
-    /// A worker. Without a discovery service, the entries are the whole worker list; with one, the entries
-    /// are the list that the scheduler last received.
+    /// A worker. Without a discovery service, the [[peer]] entries are the complete worker list. With a
+    /// discovery service, they are the list that the scheduler last received, which it uses if the service
+    /// does not answer at the start.
     #[serde(rename = "peer", skip_serializing_if = "Vec::is_empty")]
     pub workers: Vec<Worker>,
 }
@@ -102,8 +106,8 @@
 pub struct Log {
     /// Format of a log line: text or json. --log-format overrides it.
     pub format: LogFormat,
-    /// Which events are logged, as in RUST_LOG. --log-filter and RUST_LOG override it. SIGHUP applies a
-    /// changed filter.
+    /// Which events are logged, in the syntax of RUST_LOG. --log-filter and the environment variable RUST_LOG
+    /// override it. After a change of this key, send SIGHUP to the process to apply the new filter.
     pub filter: Filter,
 }
 
@@ -117,12 +121,13 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Maximum number of open descriptors. Client connections may use those that the process itself and its
-    /// connections to workers do not need.
+    /// Maximum number of file descriptors (connections, files and other open objects) that the process may
+    /// have open. Client connections may use the descriptors that the process itself and its connections to
+    /// workers do not need.
     #[schemars(range(min = 16))]
     pub sockets: u64,
-    /// Memory that the process may use. Bodies of jobs may use at most an eighth of it, and bodies of
-    /// callbacks another eighth.
+    /// Memory that the process may use. The bodies of jobs may use at most an eighth of this memory, and the
+    /// bodies of workers' callbacks another eighth.
     pub memory: Size,
 }
 
@@ -136,23 +141,25 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tier {
-    /// Number of this scheduler, from 0.
+    /// Number of this scheduler in the tier, counted from 0.
     pub me: u32,
     /// Number of schedulers in the tier.
     #[schemars(range(min = 1))]
     pub schedulers: u32,
-    /// Zone of this scheduler, one of fleet.zones; the first zone if absent.
+    /// Zone in which this scheduler runs, one of fleet.zones; the first zone if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Minimum interval between two batches of events.
+    /// Minimum interval between two batches of events that the scheduler handles. The scheduler allows for
+    /// this delay before deadlines.
     pub tick: HumanDuration,
-    /// UDP address on which this scheduler receives messages of the other schedulers. If absent, it sends and
-    /// receives none. attempts.messages must be true as well.
+    /// UDP address on which this scheduler receives messages of the other schedulers. If absent, the
+    /// scheduler neither sends nor receives such messages. attempts.messages must be true as well.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub messages: Option<Address>,
-    /// UDP address of each scheduler, including this one, in the order of their numbers.
+    /// UDP addresses for messages between schedulers: one for each scheduler, including this one, in the
+    /// order of the schedulers' numbers.
     pub each: Vec<Address>,
-    /// UDP address that reaches all schedulers.
+    /// UDP address for a message to all schedulers at once.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub all: Option<Address>,
 }
@@ -171,27 +178,29 @@
     }
 }
 
-/// What the scheduler may do to serve a request.
+/// What the scheduler may do to serve a request: attempts, probes and messages to the other schedulers.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Attempts {
     /// Maximum number of attempts for one request.
     #[schemars(range(min = 1))]
     pub max: u32,
-    /// Time within which a connection must be established and a worker must accept a job; otherwise the
-    /// attempt has failed.
+    /// Time within which a connection to a worker must be established, and within which the worker must then
+    /// accept the job. Otherwise the attempt has failed.
     pub dial_timeout: HumanDuration,
-    /// Whether a request may have two attempts in flight at once (hedging), if its class may be repeated.
+    /// Whether a request may have two attempts in flight at once (hedging), if its class permits more than
+    /// one run.
     pub second_copies: bool,
     /// Whether the scheduler may send probes (health checks) to workers.
     pub probe: bool,
-    /// Whether the scheduler may cancel an attempt.
+    /// Whether the scheduler may cancel an attempt at a worker.
     pub cancel: bool,
-    /// Whether responses to rejected clients carry Retry-After.
+    /// Whether the scheduler's responses to rejected requests carry a Retry-After header.
     pub retry_after: bool,
-    /// Longest Retry-After.
+    /// Longest time that the scheduler writes into a Retry-After header.
     pub max_retry_after: HumanDuration,
-    /// Whether schedulers may send messages to one another.
+    /// Whether the schedulers of the tier may send messages to one another. tier.messages and tier.each set
+    /// their addresses.
     pub messages: bool,
 }
 
@@ -210,27 +219,31 @@
     }
 }
 
-/// Times and factors of the rules that the scheduler follows.
+/// Times and factors of the rules that the scheduler follows, for deadlines, workers that leave, and workers
+/// that have just started.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Time after the client's deadline within which a final answer still counts.
+    /// Time after a request's deadline within which a final answer to the client still counts.
     pub answer_slack: HumanDuration,
-    /// Time within which the scheduler must stop sending to a draining or removed worker.
+    /// Time within which the scheduler must stop sending jobs to a worker that drains or was removed from the
+    /// worker list.
     pub drain_grace: HumanDuration,
-    /// If fleet.follow is ask: a scheduler that has not polled for this long counts as notified of a change.
+    /// Time after which a scheduler that has not polled the discovery service counts as notified of a change
+    /// of the worker list. Used only if fleet.follow is ask.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ask_within: Option<HumanDuration>,
-    /// Fraction of its full capacity that a worker has at least when it starts.
+    /// Smallest capacity that a worker may have just after its start, as a fraction of its full capacity. The
+    /// scheduler assumes that the capacity grows from there to the full capacity within cold_time.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub cold_share: f64,
-    /// Time after its start by which a worker has its full capacity.
+    /// Time that a worker takes from its start until it has its full capacity.
     pub cold_time: HumanDuration,
-    /// A worker that is warming up fails if it is sent more than this multiple of its current capacity for
-    /// fall_time.
+    /// Load at which a worker that is warming up fails, as a multiple of its current capacity. The worker
+    /// fails if it is sent more than this load for fall_time.
     #[schemars(range(min = 0.0))]
     pub fall_multiple: f64,
-    /// How long an overload by fall_multiple lasts before the worker fails.
+    /// How long a worker that is warming up withstands more load than fall_multiple permits before it fails.
     pub fall_time: HumanDuration,
 }
 
@@ -248,31 +261,33 @@
     }
 }
 
-/// Costs, as fractions of the overall result.
+/// Costs of serving requests, as fractions of the overall result.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// Cost of attempts that cross zones.
+    /// Cost of attempts that cross from one zone to another.
     #[schemars(range(min = 0.0))]
     pub cross_zone: f64,
-    /// Cost of one probe per request.
+    /// Cost of sending one probe to a worker for every request.
     #[schemars(range(min = 0.0))]
     pub probe: f64,
-    /// Cost of one new connection per request.
+    /// Cost of opening one new connection to a worker for every request.
     #[schemars(range(min = 0.0))]
     pub handshake: f64,
-    /// Cost of work that did not lead to a served answer.
+    /// Cost of the workers' work that did not lead to a served answer.
     #[schemars(range(min = 0.0))]
     pub waste: f64,
 }
 
-/// How requests are weighted.
+/// How requests are weighted against one another.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Worth {
-    /// Whether a request is weighted by its work; otherwise all requests of a class have the same weight.
+    /// Whether the weight of a request grows with its work. Otherwise all requests of a class have the same
+    /// weight.
     pub by_work: bool,
-    /// Weight of a request that exceeds its tenant's quota, as a fraction of its ordinary weight.
+    /// Weight of a request that exceeds the quota of its tenant, as a fraction of the request's ordinary
+    /// weight.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub over_share: f64,
 }
@@ -283,7 +298,7 @@
     }
 }
 
-/// Returns a small valid file: the defaults, one class and one worker.
+/// Returns a small valid configuration file: the defaults, one class and one worker.
 pub fn example() -> File {
     let class = Class {
         name: "job".to_string(),
@@ -304,7 +319,7 @@
     File { class: vec![class], workers: vec![worker], ..File::default() }
 }
 
-/// Returns the JSON Schema of the format.
+/// Returns the JSON Schema of the configuration file.
 pub fn schema() -> serde_json::Value {
     super::schema::schema_of::<File>()
 }
