--- a/crates/vetchbridge/src/cli/default_file.rs
+++ b/crates/vetchbridge/src/cli/default_file.rs
@@ -1,16 +1,16 @@
-//! The commented configuration file that `config default` prints, generated from the schema and the example
-//! of the format.
+//! The commented configuration file that `config default` prints, generated from the JSON Schema and the
+//! example of the configuration file.
 
 use crate::config::file;
 use serde_json::{Map, Value};
 
-/// Returns a file with every key, preceded by a comment with its meaning. Keys without a default are
-/// commented out.
+/// Returns a configuration file with every key, preceded by a comment with its meaning. Keys without a
+/// default value are commented out.
 pub(super) fn default_file() -> String {
     let schema = file::schema();
     let values = serde_json::to_value(file::example()).unwrap_or_default();
     let mut text = format!("# {}\n", schema["description"].as_str().unwrap_or_default());
-    // Tables come last, since every key after a table's header belongs to that table.
+    // Tables come last in a TOML file, since every key after a table's header belongs to that table.
     let mut tables = String::new();
     for (name, schema) in schema["properties"].as_object().unwrap_or(&Map::new()) {
         let value = &values[name];
@@ -26,7 +26,8 @@
     text + &tables
 }
 
-/// Formats a list of tables by its first entry. The list is commented out if the example has no entry.
+/// Formats a list of tables, such as `[[class]]`, by its first entry. The list is commented out if the
+/// example file has no entry.
 fn table_list(name: &str, schema: &Value, keys: &Map<String, Value>, first: Option<&Value>) -> String {
     let comment_marker = if first.is_some() { "" } else { "#" };
     let mut text = format!("\n# {}\n{comment_marker}[[{name}]]\n", description(schema));
@@ -36,7 +37,7 @@
     text
 }
 
-/// Formats a key with its value, or commented out with an example value if the key has no default.
+/// Formats a key with its value. A key without a default value is commented out and gets an example value.
 fn key_line(name: &str, schema: &Value, value: Option<&Value>) -> String {
     match value {
         Some(value) => format!("# {}\n{name} = {value}\n", description(schema)),
@@ -48,7 +49,7 @@
     schema["description"].as_str().map(|text| text.replace('\n', " ")).unwrap_or_default()
 }
 
-/// Returns an example value for a key without a default.
+/// Returns an example value for a configuration key without a default value.
 fn example_value(schema: &Value) -> &'static str {
     match schema["format"].as_str() {
         Some("span") => "\"1s\"",
--- a/crates/vetchbridge/src/cli/mod.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! The command line of the daemon: subcommands, flags, exit codes and output. Other modules do the work.
+//! The daemon's command line: subcommands, flags, exit codes and output. Other modules do the work of the
+//! subcommands.
 
 mod default_file;
 
@@ -41,7 +42,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run the daemon (the default without a subcommand)
+    /// Run the scheduler daemon (the default without a subcommand)
     #[command(
         after_help = "Example:\n  vetchbridge serve --config vetchbridge.toml --listen 127.0.0.1:9000"
     )]
@@ -54,11 +55,11 @@
         /// Print the result as JSON
         #[arg(long)]
         json: bool,
-        /// Configuration files, in TOML or in the platform's JSON format
+        /// Configuration files to check, in TOML or in the platform's JSON format
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Print an example or the schema of the configuration file
+    /// Print an example of the configuration file, or its JSON Schema
     Config {
         #[command(subcommand)]
         subject: ConfigCommand,
@@ -73,7 +74,7 @@
 
 #[derive(Debug, Subcommand)]
 enum ConfigCommand {
-    /// Print a file with every key, its meaning and its default
+    /// Print an example configuration file with every key, its meaning and its default
     Default,
     /// Print the JSON Schema of the configuration file, for use in editors
     Schema,
@@ -81,7 +82,8 @@
 
 #[derive(Debug, Default, Args)]
 struct Serve {
-    /// Configuration file. If `BALANCER_CONFIG` is set, only the log settings of this file are used
+    /// Configuration file. If the environment variable `BALANCER_CONFIG` is set, the document that it names
+    /// is used instead, and only the log settings of this file apply
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// Name of this scheduler
@@ -96,12 +98,12 @@
     /// Format of log lines
     #[arg(long, value_enum, value_name = "FORMAT")]
     log_format: Option<LogFormat>,
-    /// Filter of log events, as in `RUST_LOG`
+    /// Which events are logged, in the syntax of `RUST_LOG`, such as `info`
     #[arg(long, value_name = "FILTER")]
     log_filter: Option<String>,
 }
 
-/// Exit code if the input is invalid and nothing was started.
+/// Exit code if the configuration or a flag is invalid and nothing was started.
 const EXIT_BAD_INPUT: u8 = 2;
 /// Exit code after a system error, such as an address that is in use.
 const EXIT_SYSTEM: u8 = 3;
@@ -123,7 +125,7 @@
     }
 }
 
-/// Prints to standard output. Ignores the error if the reader has closed the pipe.
+/// Prints a text to standard output. Ignores the error if the reader has closed the pipe.
 fn print(text: &str) -> ExitCode {
     match io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => ExitCode::from(EXIT_SYSTEM),
@@ -173,12 +175,12 @@
 /// the configuration is read would terminate the process.
 fn prepare_runtime() -> io::Result<(Runtime, SignalHandlers)> {
     let signals = retry_blocking("signals", SignalHandlers::install)?;
-    // The daemon has one core. With a single thread, no lock is ever contended.
+    // The daemon has one processor core, so the runtime has a single thread, and no lock is ever contended.
     let runtime = retry_blocking("runtime", || runtime::Builder::new_current_thread().enable_all().build())?;
     Ok((runtime, signals))
 }
 
-/// Prints the values of each file, or all of its faults.
+/// Prints the configuration values of each file, or all faults of the file.
 fn check(files: &[PathBuf], json: bool) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     let mut reports = Vec::new();
@@ -202,7 +204,7 @@
     code
 }
 
-/// Formats the values in force, one per line, each with its origin.
+/// Formats the configuration values of a file, one per line, each with its origin.
 fn values_table(file: &str, values: &[EffectiveValue]) -> String {
     let text = |value: &EffectiveValue| format!("{} = {}", value.key, value.value);
     let width = values.iter().map(|value| text(value).chars().count()).max().unwrap_or(0).min(60);
--- a/crates/vetchbridge/src/config/fault.rs
+++ b/crates/vetchbridge/src/config/fault.rs
@@ -1,20 +1,20 @@
-//! A fault in a configuration: its position, the key, the problem and the remedy.
+//! A fault in the daemon's configuration: its position, the key, the problem and the remedy.
 
 use std::fmt;
 
-/// A fault in a configuration.
+/// A fault in the daemon's configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Fault {
-    /// Where the value comes from: a file's name, `environment` or another source.
+    /// The source that has the fault: a file's name, `environment` or another source.
     pub source: String,
-    /// Line and column, counted from 1; `None` if the source has no positions.
+    /// Line and column of the fault in the source, counted from 1; `None` if the source has no positions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at: Option<(usize, usize)>,
-    /// Path of the key; empty if the fault concerns the whole text.
+    /// Path of the configuration key with the fault; empty if the fault concerns the whole text.
     pub key: String,
-    /// The problem.
+    /// The problem, for the user.
     pub what: String,
-    /// What the user should do or write instead; may be empty.
+    /// What the user should do or write instead; empty if there is no advice.
     pub remedy: String,
 }
 
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -1,14 +1,14 @@
-//! Reads and validates the daemon's configuration and fills in its defaults.
+//! Reads and validates the daemon's configuration and fills in its default values.
 //!
-//! Flags override environment variables, which override the file, which overrides the defaults. The file is
-//! either TOML in the daemon's own format ([`mod@file`]) or the platform's JSON document (`platform`), whose
-//! path is in the environment variable `BALANCER_CONFIG`. Reading returns a [`Config`] or every [`Fault`] at
-//! once. This module opens no sockets and sends the scheduler no events.
+//! Command line flags override environment variables, which override the configuration file, which overrides
+//! the defaults. The file is either TOML in the daemon's own format ([`mod@file`]) or the platform's JSON
+//! document (`platform`), whose path is in the environment variable `BALANCER_CONFIG`. Reading returns a
+//! [`Config`] or every [`Fault`] at once. This module opens no sockets and sends the scheduler no events.
 //!
 //! A TOML file is processed in four steps: [`text`] finds the keys and their positions, [`schema`] validates
 //! the file against the JSON Schema, `precedence` applies flags and environment variables, and `translate`
-//! converts the result to the settings of the scheduler and the daemon and reports the faults that a schema
-//! can't find.
+//! converts the result to the settings of the scheduler and the daemon. `translate` also reports the faults
+//! that a schema can't find.
 
 mod fault;
 pub mod file;
@@ -31,47 +31,48 @@
 use std::path::{Path, PathBuf};
 use text::Text;
 
-/// The daemon's configuration.
+/// The daemon's valid configuration.
 pub struct Config {
     /// Name of this scheduler.
     pub name: String,
     /// Address on which the scheduler accepts clients and the callbacks of workers.
     pub listen: SocketAddr,
-    /// Address of the admin interface; `None` if there is none.
+    /// Address of the admin interface; `None` if the daemon has no admin interface.
     pub admin: Option<SocketAddr>,
-    /// Path of the Unix socket at which a successor takes over; `None` if upgrades are off.
+    /// Path of the Unix socket at which a successor process takes over from this process; `None` if upgrades
+    /// are off.
     pub handover_path: Option<PathBuf>,
-    /// Source of the worker list.
+    /// Source of the worker list: the discovery service or the configuration file.
     pub endpoint_source: EndpointSource,
-    /// Maximum number of open descriptors.
+    /// Maximum number of file descriptors that the process may have open.
     pub max_sockets: usize,
     /// Memory that the process may use, in bytes.
     pub max_memory: usize,
-    /// Addresses for messages between schedulers; `None` if schedulers may not exchange messages.
+    /// Addresses for messages between schedulers; `None` if this scheduler may not exchange messages.
     pub peers: Option<Peers>,
-    /// Worker list that this scheduler last received.
+    /// The worker list that this scheduler last received from the discovery service.
     pub saved_list: EndpointDocument,
-    /// Validated settings.
+    /// The validated settings of the scheduler.
     pub snapshot: Snapshot,
     /// Seed of the scheduler's random numbers.
     pub seed: u64,
-    /// The platform's document, unchanged; `None` if the configuration is a TOML file.
+    /// The platform's JSON document as it was read; `None` if the configuration is a TOML file.
     pub platform_document: Option<Value>,
-    /// Log settings.
+    /// Format and filter of the log.
     pub log: file::Log,
 }
 
-/// Addresses for messages between the schedulers of the tier.
+/// UDP addresses for messages between the schedulers of the tier.
 pub struct Peers {
-    /// Address on which this scheduler receives datagrams.
+    /// Address on which this scheduler receives datagrams of the other schedulers.
     pub listen: SocketAddr,
-    /// Address of each scheduler, in the order of their numbers.
+    /// Address of each scheduler of the tier, in the order of the schedulers' numbers.
     pub addresses: Vec<SocketAddr>,
-    /// Address that reaches all schedulers.
+    /// Address for a datagram to all schedulers at once; `None` if there is no such address.
     pub broadcast_address: Option<SocketAddr>,
 }
 
-/// All faults of an invalid configuration.
+/// All faults of a configuration that was rejected.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError(pub Vec<Fault>);
 
@@ -92,11 +93,11 @@
     }
 }
 
-/// A configuration and the origins of its values.
+/// A valid configuration and the origins of its values.
 pub struct LoadedConfig {
     /// The configuration in the form that the daemon uses.
     pub config: Config,
-    /// Every value in force with its origin, for display.
+    /// Every configuration value in force with its origin, for the output of `check`.
     pub effective: Vec<EffectiveValue>,
 }
 
@@ -104,30 +105,32 @@
     std::env::var(key).ok().filter(|value| !value.is_empty())
 }
 
-/// Why a configuration is read. At a reload, a file may be newer than the environment variables, which are as
-/// old as the process.
+/// Why the configuration is read. At a reload, the file may be newer than the environment variables, which
+/// are as old as the process.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadReason {
     Start,
     Reload,
 }
 
-/// Reads the configuration at the start of the process.
+/// Reads the configuration when the process starts.
 ///
 /// # Errors
 ///
-/// Returns every fault of the file or document, the flags and the environment variables.
+/// Returns every fault of the configuration file or the platform's document, the flags and the environment
+/// variables.
 pub fn load(flags: &Flags) -> Result<Config, ConfigError> {
     read_sources(flags, ReadReason::Start)
 }
 
-/// Reads the configuration again in a running daemon. The environment variables for `discovery` and for the
-/// log filter no longer override the file.
+/// Reads the configuration again in a running daemon. The environment variables for the discovery address and
+/// for the log filter no longer override the file. `in_force` is the platform's document that the daemon
+/// currently uses, if any.
 ///
 /// # Errors
 ///
-/// Returns the faults that [`load`] returns, and each key that the document in force has and the new document
-/// lacks. A partly written file must not pass for a complete one.
+/// Returns the faults that [`load`] returns, and a fault for each key that the document in force has and the
+/// new document lacks, so that a partly written file does not pass for a complete document.
 pub fn reload(flags: &Flags, in_force: Option<&Value>) -> Result<Config, ConfigError> {
     let config = read_sources(flags, ReadReason::Reload)?;
     match (in_force, &config.platform_document) {
@@ -157,7 +160,7 @@
         return read(&path.to_string_lossy(), &text, flags, &env).map(|loaded| loaded.config);
     };
     // The platform's document takes precedence over the daemon's own file. Only the log settings, which the
-    // document lacks, are read from the file.
+    // platform's document lacks, are read from the daemon's own file.
     let path = Path::new(&platform);
     let text = std::fs::read_to_string(path).map_err(|error| {
         ConfigError::single("configuration", "BALANCER_CONFIG", &format!("{platform}: {error}"), "")
@@ -176,20 +179,22 @@
     std::fs::read_to_string(path).map_err(|error| ConfigError::single(&source, "", &error, ""))
 }
 
-/// Reads a file of either format, without flags and environment variables, as `check` does.
+/// Reads a configuration file of either format without flags and environment variables, as the command
+/// `check` does.
 ///
 /// # Errors
 ///
-/// Returns every fault of the file.
+/// Returns every fault of the configuration file.
 pub fn read_file(path: &Path) -> Result<LoadedConfig, ConfigError> {
     read_text(&path.to_string_lossy(), &read_to_string(path)?)
 }
 
-/// Reads a text of either format, without flags and environment variables.
+/// Reads a configuration text of either format without flags and environment variables. `source` names the
+/// text in faults.
 ///
 /// # Errors
 ///
-/// Returns every fault of the text.
+/// Returns every fault of the configuration text.
 pub fn read_text(source: &str, text: &str) -> Result<LoadedConfig, ConfigError> {
     read(source, text, &Flags::default(), &|_| None)
 }
@@ -206,7 +211,8 @@
     Ok(LoadedConfig { config, effective })
 }
 
-/// Parses a file and validates it against the schema. Returns all faults that the schema finds.
+/// Parses a TOML configuration file and validates it against the schema. Returns all faults that the schema
+/// finds.
 fn parse_file(source: &str, text: &str) -> Result<File, ConfigError> {
     schema::parse(source, text, &file::schema()).map_err(ConfigError)
 }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration document: JSON, with the same settings object as the simulator uses.
 //!
-//! This module maps the keys of the document. The platform defines the document's format: keys that only this
-//! daemon knows belong in the daemon's own file.
+//! This module maps the keys of the platform's document to the daemon's configuration. The platform defines
+//! the document's format: keys that only this daemon knows belong in the daemon's own file.
 
 use super::precedence::{self, Environment, Overrides};
 use super::{file, Config, ConfigError, EffectiveValue, Fault, Flags, LoadedConfig, Peers};
@@ -16,19 +16,19 @@
 use std::time::Duration;
 use vetchbridge_scheduling::Settings;
 
-/// Default of the maximum number of open descriptors.
+/// Default of the maximum number of file descriptors that the process may have open.
 const DEFAULT_SOCKETS: usize = 1024;
 /// Default of the memory that the process may use, in MiB.
 const DEFAULT_MEMORY_MB: usize = 192;
 /// Default of the time after which workers close an idle connection.
 pub const DEFAULT_CONN_IDLE: Duration = Duration::from_secs(60);
 
-/// Maximum number of characters that a scheduler's name contributes to the name of its handover file. The
-/// path of a Unix socket is limited to 107 characters in total.
+/// Maximum number of characters that a scheduler's name contributes to the file name of its hand-over socket.
+/// The path of a Unix socket is limited to 107 characters in total.
 const MAX_NAME_IN_FILE: usize = 32;
 
-/// Returns the file name of a scheduler's handover socket. Schedulers may share a folder, and their names may
-/// begin with the same characters, so a long name is shortened to a prefix and a hash.
+/// Returns the file name of a scheduler's hand-over socket. Schedulers may share a folder, and their names
+/// may begin with the same characters, so a long name is shortened to a prefix and a hash.
 fn handover_file_name(scheduler: &str) -> String {
     let file_name_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let mut name: String = scheduler.chars().map(file_name_char).collect();
@@ -40,7 +40,7 @@
     format!("vetchbridge-{name}.handover")
 }
 
-/// Reads keys of the document and collects all faults.
+/// Reads keys of the platform's document and collects all faults of the document.
 struct Document<'s> {
     source: &'s str,
     faults: Vec<Fault>,
@@ -66,8 +66,8 @@
         self.optional(Some(object), key, key)
     }
 
-    /// Records a fault like [`Document::add_fault`], unless one was recorded for the same key, with or
-    /// without its index in a list.
+    /// Records a fault like [`Document::add_fault`], unless a fault was already recorded for the same key,
+    /// with or without the key's index in a list.
     fn add_fault_once(&mut self, key: &str, what: impl Into<String>) {
         let without_index = |known: &str| {
             let parts = known.split('[').map(|part| part.split_once(']').map_or(part, |(_, rest)| rest));
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Checks that every deadline and the maximum number of attempts are numbers above 0, and records a fault
-    /// otherwise.
+    /// Checks that every class's deadline and the maximum number of attempts are numbers above 0, and records
+    /// a fault otherwise.
     fn check_positive(&mut self, settings: &Value) {
         let services = settings.get("services").and_then(Value::as_array).into_iter().flatten();
         let deadlines = services.enumerate().map(|(index, service)| {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns the names of all entries of a list in the settings.
+    /// Returns the names of all entries of a list in the document's settings object.
     fn entry_names(&mut self, settings: &Value, list: &str) -> Vec<String> {
         let entries = settings.get(list).and_then(Value::as_array).into_iter().flatten();
         let names = entries.map(|entry| entry.get("name").and_then(Value::as_str).map(str::to_string));
@@ -109,7 +109,7 @@
     }
 }
 
-/// The document's keys outside the settings.
+/// The values of the document's keys outside its settings object.
 struct OwnKeys {
     name: String,
     listen: SocketAddr,
@@ -124,7 +124,8 @@
     broadcast_address: Option<SocketAddr>,
 }
 
-/// The document's settings, and values from them that only the daemon uses.
+/// The scheduler's settings from the document's settings object, and values from this object that only the
+/// daemon uses.
 struct SettingsKeys {
     settings: Settings,
     names: NameTables,
@@ -133,7 +134,7 @@
 }
 
 impl Document<'_> {
-    /// Reads the keys outside the settings. Keys with a fault get placeholder values.
+    /// Reads the document's keys outside its settings object. Keys with a fault get placeholder values.
     fn own_keys(&mut self, root: &Value) -> OwnKeys {
         let (top, limits) = (Some(root), root.get("limits"));
         let placeholder = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -157,7 +158,7 @@
         u64::from_str_radix(&digits, 16).map_err(|error| self.add_fault("seed", error.to_string())).ok()
     }
 
-    /// Reads the settings. Returns `None` if they do not parse.
+    /// Reads the document's settings object. Returns `None` if the settings do not parse.
     fn settings(&mut self, json: &Value) -> Option<SettingsKeys> {
         let limits = json.get("limits");
         let conn_idle = self.optional(limits, "conn_idle", "settings.limits.conn_idle");
@@ -191,7 +192,8 @@
 }
 
 impl OwnKeys {
-    /// Returns the addresses of the peers if messages between schedulers are permitted.
+    /// Returns the addresses for messages between schedulers; `None` if the settings do not permit such
+    /// messages.
     fn peers(&self, settings: &Settings) -> Option<Peers> {
         let listen = self.peer_listen.filter(|_| settings.limits.may_message_peers)?;
         Some(Peers {
@@ -202,7 +204,7 @@
     }
 }
 
-/// Parses the text as a JSON object.
+/// Parses the text of the document as a JSON object.
 fn parse(source: &str, text: &str) -> Result<Map<String, Value>, ConfigError> {
     serde_json::from_str(text).map_err(|error| {
         let at = Some((error.line(), error.column())).filter(|(line, _)| *line > 0);
@@ -212,7 +214,7 @@
     })
 }
 
-/// Overrides keys of the document with the values of flags and environment variables.
+/// Overrides keys of the document with the values of command line flags and environment variables.
 fn apply(root: &mut Map<String, Value>, flags: &Flags, env: &Environment<'_>) -> Overrides {
     let mut overrides = Overrides::default();
     for (variable, key, flag) in [
@@ -230,7 +232,7 @@
     overrides
 }
 
-/// Reads and validates the document's text. Flags and `env` override the keys that they name.
+/// Reads and validates the document's text. Flags and environment variables override the keys that they name.
 pub fn read(
     source: &str,
     text: &str,
@@ -248,7 +250,7 @@
         return Err(ConfigError(document.faults));
     };
     let config = Config {
-        // The platform keeps this folder from one process of a scheduler to the next.
+        // The platform keeps the folder `TMPDIR` from one process of a scheduler to the next.
         handover_path: env("TMPDIR").map(|folder| Path::new(&folder).join(handover_file_name(&own.name))),
         peers: own.peers(&settings.settings),
         name: own.name,
@@ -269,8 +271,9 @@
     Ok(LoadedConfig { config, effective: effective.collect() })
 }
 
-/// Returns a fault for each key that the old document has and the new one lacks. In a list of objects, only
-/// keys that every old entry has are required of the new entries. The saved worker list is not compared.
+/// Returns a fault for each key that the old document has and the new document lacks. In a list of objects,
+/// only keys that every old entry has are required of the new entries. The saved worker list (`known`) is not
+/// compared.
 pub fn check_no_key_removed(old: &Value, new: &Value) -> Result<(), ConfigError> {
     fn entries(value: &Value) -> Option<Vec<&Map<String, Value>>> {
         let list = value.as_array()?.iter().map(Value::as_object).collect::<Option<Vec<_>>>()?;
@@ -289,8 +292,8 @@
             let every_entry_has = |key: &String| old.iter().all(|entry| entry.contains_key(key));
             for key in old.iter().take(1).flat_map(|entry| entry.keys()).filter(|key| every_entry_has(key)) {
                 for (index, entry) in new.iter().enumerate() {
-                    // Only a keyed class has a deduplication scope (`group`) and a deduplication window
-                    // (`window`).
+                    // Only a class of keyed requests has a deduplication scope (`group`) and a deduplication
+                    // window (`window`).
                     let may_be_keyed = entry.get("repeat").is_none_or(|repeat| repeat == "keyed");
                     if !entry.contains_key(key)
                         && (may_be_keyed || !matches!(key.as_str(), "group" | "window"))
--- a/crates/vetchbridge/src/config/precedence.rs
+++ b/crates/vetchbridge/src/config/precedence.rs
@@ -1,5 +1,5 @@
-//! The precedence of configuration sources, and the origin of each value in force. Flags override environment
-//! variables, which override the file, which overrides the defaults.
+//! The precedence of configuration sources, and the origin of each configuration value in force. Command line
+//! flags override environment variables, which override the configuration file, which overrides the defaults.
 
 use super::file::{self, File};
 use super::text::Text;
@@ -13,59 +13,60 @@
 /// Looks up an environment variable. An empty variable counts as absent.
 pub(super) type Environment<'e> = dyn Fn(&str) -> Option<String> + 'e;
 
-/// Values from the command line. They override all other sources.
+/// Values from the command line, which override all other sources of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Flags {
     /// Path of the configuration file.
     pub config: Option<PathBuf>,
-    /// Name of the scheduler.
+    /// Name of this scheduler.
     pub name: Option<String>,
-    /// Address on which the scheduler listens.
+    /// Address on which the scheduler accepts clients and the callbacks of workers.
     pub listen: Option<SocketAddr>,
     /// Address of the discovery service.
     pub discovery: Option<SocketAddr>,
     /// Format of log lines.
     pub log_format: Option<LogFormat>,
-    /// Log filter.
+    /// Filter of log events, as in `RUST_LOG`.
     pub log_filter: Option<String>,
 }
 
-/// A value in force and its origin.
+/// A configuration value in force and its origin.
 #[derive(Debug, PartialEq, serde::Serialize)]
 pub struct EffectiveValue {
-    /// Path of the key.
+    /// Path of the value's key, such as `tier.me` or `class[0].name`.
     pub key: String,
-    /// The value, in the form that the file uses.
+    /// The value, in the form in which the configuration file has it.
     pub value: Value,
     /// Origin of the value: `default`, `flag`, an environment variable, or a file and line.
     pub from: String,
 }
 
-/// A key whose value comes from a flag or an environment variable.
+/// A configuration key whose value comes from a flag or an environment variable.
 struct Override {
     key: &'static str,
     /// `flag`, or the name of the environment variable.
     origin: &'static str,
 }
 
-/// The keys whose values come from flags or environment variables.
+/// The configuration keys whose values come from flags or environment variables.
 #[derive(Default)]
 pub(super) struct Overrides(Vec<Override>);
 
 impl Overrides {
-    /// Records that a flag (if `by_flag`) or an environment variable set a key.
+    /// Records that a flag (if `by_flag`) or an environment variable set the value of a configuration key.
     pub(super) fn record(&mut self, key: &'static str, by_flag: bool, variable: &'static str) {
         let origin = if by_flag { "flag" } else { variable };
         self.0.push(Override { key, origin });
     }
 
-    /// Returns the flag or environment variable that set a key, if any.
+    /// Returns the flag or environment variable that set the value of a configuration key. Returns `None` if
+    /// neither did.
     pub(super) fn origin(&self, key: &str) -> Option<&'static str> {
         self.0.iter().find(|entry| entry.key == key).map(|entry| entry.origin)
     }
 }
 
-/// Overrides a file's values with those of flags and environment variables.
+/// Overrides the values of a configuration file with those of flags and environment variables.
 pub(super) fn apply(
     mut file: File,
     flags: &Flags,
@@ -98,7 +99,7 @@
     Ok((file, overrides))
 }
 
-/// Returns the address from a flag or, without the flag, from an environment variable.
+/// Returns the address from a flag or, if the flag was not given, from an environment variable.
 fn address(
     flag: Option<SocketAddr>,
     variable: &str,
@@ -113,7 +114,7 @@
     text.parse().map(Some).map_err(fault)
 }
 
-/// Returns the log settings in force.
+/// Returns the log settings in force: those of the file, overridden by flags and environment variables.
 pub(super) fn log(file: &File, flags: &Flags, env: &Environment<'_>) -> file::Log {
     let filter = flags.log_filter.clone().or_else(|| env("RUST_LOG")).map(Filter);
     file::Log {
@@ -122,7 +123,7 @@
     }
 }
 
-/// Returns every value in force with its origin.
+/// Returns every configuration value in force with its origin.
 pub(super) fn effective(
     file: &File,
     text: &Text<'_>,
@@ -138,7 +139,8 @@
     values.into_iter().map(|(key, value)| EffectiveValue { from: from(&key), key, value }).collect()
 }
 
-/// Returns the values of a document with the paths of their keys. A list that holds no objects is one value.
+/// Returns the values of a configuration document with the paths of their keys. A list that holds no objects
+/// is one value.
 pub(super) fn leaves(document: Value) -> Vec<(String, Value)> {
     fn walk(path: String, value: Value, found: &mut Vec<(String, Value)>) {
         let join = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
--- a/crates/vetchbridge/src/config/schema.rs
+++ b/crates/vetchbridge/src/config/schema.rs
@@ -1,8 +1,8 @@
-//! Validation of a file's text against the JSON Schema of its format. The validation reports all faults at
-//! once, each with its position.
+//! Validation of a configuration file's text against the JSON Schema of its format. The validation reports
+//! all faults at once, each with its position.
 //!
-//! The validation has no rules for particular keys: the schema, which is generated from the format's types,
-//! holds all rules.
+//! The validation has no rules for particular keys: all rules are in the schema, which is generated from the
+//! types of the format.
 
 use super::text::Text;
 use super::units;
@@ -12,20 +12,23 @@
 use toml::de::{DeFloat, DeInteger, DeTable, DeValue};
 use toml::Spanned;
 
-/// Jaro-Winkler similarity (0 to 1) above which an unknown key counts as a misspelling of a known key.
+/// Jaro-Winkler similarity (0 to 1) above which an unknown configuration key counts as a misspelling of a
+/// known key.
 const MISSPELLING_SIMILARITY: f64 = 0.75;
 
-/// Generates the schema of a format from its types.
+/// Generates the JSON Schema of a file format from its type.
 pub fn schema_of<T: schemars::JsonSchema>() -> Value {
     let settings = schemars::generate::SchemaSettings::draft2020_12();
     settings.with(|s| s.inline_subschemas = true).into_generator().into_root_schema_for::<T>().to_value()
 }
 
-/// Validates and deserializes a text.
+/// Validates a TOML text against a JSON Schema and deserializes it. `source` is the name of the text in
+/// faults.
 ///
 /// # Errors
 ///
-/// Returns all faults that the schema finds, in the order of their positions.
+/// Returns all faults of the text's syntax and all faults that the schema finds, in the order of their
+/// positions.
 pub fn parse<T: DeserializeOwned>(source: &str, text: &str, schema: &Value) -> Result<T, Vec<Fault>> {
     let (parsed, mut faults) = Text::parse(source, text);
     faults.extend(validate(&parsed, schema));
@@ -33,8 +36,8 @@
         faults.sort_by_key(|fault| fault.at);
         return Err(faults);
     }
-    // The validation has checked every key, so deserialization fails only if the schema and the types
-    // disagree.
+    // The validation has already checked every key, so deserialization fails only if the schema and the Rust
+    // types disagree.
     toml::from_str(text).map_err(|error| {
         let at = error.span().map(|span| parsed.place(span.start));
         let (source, key) = (source.to_string(), String::new());
@@ -42,7 +45,7 @@
     })
 }
 
-/// Returns all faults that the schema finds.
+/// Returns all faults of a parsed text that the schema finds.
 fn validate(text: &Text<'_>, schema: &Value) -> Vec<Fault> {
     let mut validation = Validation { text, faults: Vec::new() };
     let root = text.root();
@@ -50,7 +53,7 @@
     validation.faults
 }
 
-/// Walks through a text and its schema in parallel and collects faults.
+/// Walks through a TOML text and its schema in parallel and collects faults.
 struct Validation<'v, 't> {
     text: &'v Text<'t>,
     faults: Vec<Fault>,
@@ -67,7 +70,8 @@
         });
     }
 
-    /// Validates a table: each key must be known, and each required key must be present.
+    /// Validates a TOML table: the schema must know each key of the table, and each required key must be
+    /// present.
     fn table(&mut self, schema: &Value, table: &DeTable<'_>, start: usize, path: &str) {
         let empty = Map::new();
         let known = schema["properties"].as_object().unwrap_or(&empty);
@@ -91,9 +95,9 @@
         }
     }
 
-    /// Validates a value against a schema of any form: optional, enum or type.
+    /// Validates a TOML value against a schema of any form: an optional value, an enum or a type.
     fn value(&mut self, schema: &Value, value: &Spanned<DeValue<'_>>, path: &str) {
-        // The schema of an optional key is a choice between the schema of its value and null.
+        // The schema of an optional configuration key is a choice between the schema of its value and null.
         let variants = schema["anyOf"].as_array().or(schema["oneOf"].as_array());
         let choices: Vec<&Value> = variants.into_iter().flatten().filter(|s| s["type"] != "null").collect();
         if let [single] = choices[..] {
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Validates a value of an enum.
+    /// Validates a TOML value that must be one of the names `allowed`.
     fn enum_value(&mut self, allowed: &[&str], value: &Spanned<DeValue<'_>>, path: &str) {
         let found = value.get_ref().as_str();
         if found.is_some_and(|found| allowed.contains(&found)) {
@@ -123,7 +127,7 @@
         self.add_fault(value.span().start, path, format!("{found} is not an allowed value"), remedy);
     }
 
-    /// Validates a value against the type that the schema names.
+    /// Validates a TOML value against the type that the schema names.
     fn typed_value(&mut self, schema: &Value, value: &Spanned<DeValue<'_>>, path: &str) {
         let start = value.span().start;
         match (type_of(schema), value.get_ref()) {
@@ -191,7 +195,8 @@
     }
 }
 
-/// Returns the type that a schema asks for.
+/// Returns the type of value that a schema requires; the type of an optional value is the one that is not
+/// null.
 fn type_of(schema: &Value) -> &str {
     let types: Vec<&str> = match &schema["type"] {
         Value::String(single) => vec![single],
@@ -201,7 +206,7 @@
     types.first().copied().unwrap_or("object")
 }
 
-/// Returns the remedy for an unknown key: the most similar known key, or all known keys.
+/// Returns the remedy for an unknown configuration key: the most similar known key, or all known keys.
 fn unknown_key_remedy(name: &str, known: &Map<String, Value>) -> String {
     match nearest_key(name, known.keys()) {
         Some(nearest) => format!("did you mean {nearest:?}?"),
@@ -216,7 +221,7 @@
     format!("{path}.{name}")
 }
 
-/// Returns the known key that an unknown one is probably a misspelling of.
+/// Returns the known configuration key of which an unknown key is probably a misspelling, if there is one.
 fn nearest_key<'a>(name: &str, known: impl Iterator<Item = &'a String>) -> Option<&'a str> {
     let scored = known.map(|known| (strsim::jaro_winkler(name, known), known.as_str()));
     let best = scored.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(a.1)));
--- a/crates/vetchbridge/src/config/text.rs
+++ b/crates/vetchbridge/src/config/text.rs
@@ -1,11 +1,11 @@
-//! The text of a configuration file with the positions of its keys, from which faults get their line and
-//! column.
+//! The text of a configuration file with the positions of its keys, from which configuration faults get their
+//! line and column.
 
 use super::Fault;
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// The parsed text of a file, with the positions of its keys.
+/// The parsed text of a configuration file, with the positions of its keys.
 pub struct Text<'t> {
     source: &'t str,
     content: &'t str,
@@ -15,18 +15,18 @@
 }
 
 impl<'t> Text<'t> {
-    /// Returns the name of the file for use in faults.
+    /// Returns the name of the configuration file, which faults name as their source.
     pub(super) fn source(&self) -> &str {
         self.source
     }
 
-    /// Returns the root table.
+    /// Returns the root table of the TOML text.
     pub(super) fn root(&self) -> &Spanned<DeTable<'t>> {
         &self.root
     }
 
-    /// Parses a text. Syntax errors are returned as faults; the parts that are valid TOML can still be
-    /// examined.
+    /// Parses a TOML text; `source` is the name of its file. Syntax errors are returned as faults. The parts
+    /// that are valid TOML can still be examined.
     pub fn parse(source: &'t str, text: &'t str) -> (Text<'t>, Vec<Fault>) {
         let (root, errors) = DeTable::parse_recoverable(text);
         let line_starts =
@@ -45,7 +45,7 @@
         (parsed, faults)
     }
 
-    /// Returns the line and column, counted from 1, of a byte offset.
+    /// Returns the line and column of a byte offset in the text, both counted from 1.
     pub(super) fn place(&self, offset: usize) -> (usize, usize) {
         let offset = offset.min(self.content.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
@@ -53,16 +53,16 @@
         (line, String::from_utf8_lossy(before).chars().count() + 1)
     }
 
-    /// Returns a fault positioned at a key's value or, if the text lacks the key, at the innermost enclosing
-    /// table that the text has.
+    /// Returns a fault of a configuration key, positioned at the key's value or, if the text lacks the key,
+    /// at the innermost enclosing table that the text has.
     pub fn fault(&self, key: &str, what: impl Into<String>, remedy: impl Into<String>) -> Fault {
         let at = self.locate(key).1;
         let (source, key) = (self.source.to_string(), key.to_string());
         Fault { source, at: Some(at), key, what: what.into(), remedy: remedy.into() }
     }
 
-    /// Returns whether the text has this key, and the position of its value or, if the text lacks the key, of
-    /// the innermost enclosing table that the text has.
+    /// Returns whether the text has a configuration key, and the position of the key's value or, if the text
+    /// lacks the key, of the innermost enclosing table that the text has.
     pub fn locate(&self, key: &str) -> (bool, (usize, usize)) {
         let mut offset = self.root.span().start;
         let mut table = Some(self.root.get_ref());
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -1,7 +1,7 @@
-//! Translates a file that is valid under the schema into a [`Config`] and reports the faults that the schema
-//! can't find.
+//! Translates a configuration file that is valid under the schema into a [`Config`] and reports the faults
+//! that the schema can't find.
 //!
-//! This module maps the keys of the file to the fields of the scheduler's settings.
+//! This module maps the keys of the configuration file to the fields of the scheduler's settings.
 
 use super::file::{
     Attempts, File, Follow, FreeSlots, Group, Load, Prices, QueueOrder, Repeat, Rules, Weights,
@@ -18,12 +18,12 @@
     Tenant, ZoneId,
 };
 
-/// Translates a file whose text is `text`. Returns all faults in the order of their positions.
+/// Translates a configuration file; `text` is its text. Returns all faults in the order of their positions.
 pub(super) fn config(file: &File, text: &Text<'_>) -> Result<Config, ConfigError> {
     Translation { file, text, faults: Vec::new() }.config()
 }
 
-/// Translates a file and collects faults.
+/// Translates a configuration file and collects its faults.
 struct Translation<'f> {
     file: &'f File,
     text: &'f Text<'f>,
@@ -31,12 +31,13 @@
 }
 
 impl Translation<'_> {
-    /// Records a fault at a key.
+    /// Records a fault at a configuration key.
     fn add_fault(&mut self, key: impl AsRef<str>, what: impl Into<String>, remedy: impl Into<String>) {
         self.faults.push(self.text.fault(key.as_ref(), what, remedy));
     }
 
-    /// Returns the index of a name in a list of allowed names, or 0 if the name is absent or not in the list.
+    /// Returns the index of a zone's or machine type's name in the list of allowed names. Returns 0 if the
+    /// name is absent or not in the list; the latter is recorded as a fault.
     fn name_index(&mut self, key: String, name: Option<&String>, allowed: &[String], list: &str) -> u32 {
         let Some(name) = name else { return 0 };
         if let Some(index) = allowed.iter().position(|known| known == name) {
@@ -50,7 +51,7 @@
         0
     }
 
-    /// Checks that the names of a list are not empty and not repeated.
+    /// Checks that no name in the entries of a list is empty or repeated.
     fn check_names<'n>(&mut self, list: &str, names: impl Iterator<Item = &'n String>) {
         let mut seen = BTreeSet::new();
         for (index, name) in names.enumerate() {
@@ -105,7 +106,8 @@
         })
     }
 
-    /// Checks that the lists have the required entries and that no name is repeated.
+    /// Checks that the lists of the file (classes, tenants and workers) have the required entries, and that
+    /// no list repeats a name.
     fn check_lists(&mut self) {
         let file = self.file;
         if file.class.is_empty() {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Checks that this scheduler's number is below the number of schedulers.
+    /// Checks that this scheduler's number is below the number of schedulers in the tier.
     fn check_own_number(&mut self) {
         let tier = &self.file.tier;
         if tier.me >= tier.schedulers {
@@ -133,13 +135,14 @@
         }
     }
 
-    /// Returns the index of this scheduler's zone.
+    /// Returns the index of this scheduler's zone in the list of zones.
     fn own_zone(&mut self) -> u32 {
         let (tier, fleet) = (&self.file.tier, &self.file.fleet);
         self.name_index("tier.zone".to_string(), tier.zone.as_ref(), &fleet.zones, "fleet.zones")
     }
 
-    /// Checks keys whose values must agree with one another.
+    /// Checks that the keys for messages between schedulers agree with the number of schedulers, and that the
+    /// keys for load reports agree with the key for probes.
     fn check_tier_and_load(&mut self) {
         let (tier, file) = (&self.file.tier, self.file);
         let addresses = tier.each.len();
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Returns whether a request of a class may run more than once.
+    /// Returns whether a request of the class with this index may run more than once.
     fn idempotency(&mut self, index: usize) -> Idempotency {
         let class = &self.file.class[index];
         let scope = match class.group {
@@ -341,7 +344,7 @@
     }
 }
 
-/// Returns the key of the file for a field of the scheduler's settings.
+/// Returns the configuration file's key for a field of the scheduler's settings.
 fn file_key(field: &str) -> &str {
     match field {
         "me" => "tier.me",
@@ -351,7 +354,7 @@
     }
 }
 
-/// Returns a seed that differs from one start to the next.
+/// Returns a random seed for the scheduler, which differs from one start to the next.
 fn new_seed() -> u64 {
     let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     (since_epoch.as_nanos() as u64) ^ (u64::from(std::process::id()) << 32)
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -1,5 +1,5 @@
 //! Configuration values with a text form, such as durations and sizes: parsing, printing and their JSON
-//! Schema. This module does not know which key a value belongs to.
+//! Schema. This module does not know which configuration key a value belongs to.
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use vetchbridge_scheduling::Micros;
 
-/// Why a text does not parse. [`TextFormat::REMEDY`] describes a valid text.
+/// Why a text does not parse as a configuration value. [`TextFormat::REMEDY`] describes a valid text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TextFormatError {
     /// The text is not a duration.
@@ -39,11 +39,11 @@
     InvalidFilter(String),
 }
 
-/// The text form of a type of configuration value.
+/// A type of configuration value that is written as a text.
 pub trait TextFormat: Sized {
-    /// The value of `format` in the JSON Schema.
+    /// The value of the keyword `format` for this type in the JSON Schema.
     const FORMAT: &'static str;
-    /// Tells users what a valid text is, with an example.
+    /// Tells users what a valid text of this type is, with an example.
     const REMEDY: &'static str;
 }
 
@@ -89,8 +89,8 @@
     }
 }
 
-/// Parses a duration with a fraction in seconds, milliseconds or microseconds, which humantime does not
-/// accept.
+/// Parses a duration that is written with a fraction, in seconds, milliseconds or microseconds. The crate
+/// humantime, which parses all other durations, does not accept fractions.
 fn parse_fraction(text: &str) -> Option<HumanDuration> {
     let number = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let micros_per_unit = match &text[number.len()..] {
@@ -115,7 +115,7 @@
     }
 }
 
-/// A number of bytes, written as `64KiB` or `192MiB`.
+/// A size in bytes, written as `64KiB` or `192MiB`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
@@ -169,7 +169,7 @@
     }
 }
 
-/// A seed of random numbers, written as up to 16 hexadecimal digits.
+/// A seed of the scheduler's random numbers, written as up to 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Seed(pub u64);
 
@@ -194,7 +194,7 @@
     }
 }
 
-/// A log filter in the form of `RUST_LOG`.
+/// A filter of log events, written as in the environment variable `RUST_LOG`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Filter(pub String);
 
@@ -221,8 +221,8 @@
     }
 }
 
-/// Returns what is wrong with a text of this `format`, and the remedy. Returns `None` if the text is valid or
-/// no type has this format.
+/// Checks a text against the type of value whose schema `format` is given. Returns the problem and the
+/// remedy, or `None` if the text is valid or no type has this format.
 pub fn fault(format: &str, text: &str) -> Option<(String, &'static str)> {
     fn parse_fault<U: TextFormat + FromStr<Err = TextFormatError>>(
         text: &str,
