--- a/crates/syscall-faults/src/faults.rs
+++ b/crates/syscall-faults/src/faults.rs
@@ -10,7 +10,8 @@
 /// outbound connections.
 const TRACKED_DESCRIPTORS: usize = 4096;
 
-/// The plan of fault injection in this process, and its counts.
+/// The plan of fault injection in this process (which faults to inject, and how often) and the counts of
+/// calls.
 struct FaultState {
     plan: Plan,
     /// For each fault, the number of calls so far that the fault could affect.
--- a/crates/vetchbridge/src/config/file/classes.rs
+++ b/crates/vetchbridge/src/config/file/classes.rs
@@ -29,7 +29,7 @@
     Cell,
 }
 
-/// Returns the weight of an answer of a class that sets none.
+/// Returns the weight (worth) of answers of a class for which the configuration file sets none.
 fn default_worth() -> f64 {
     1.0
 }
--- a/crates/vetchbridge/src/config/file/fleet.rs
+++ b/crates/vetchbridge/src/config/file/fleet.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Returns the default weight of a worker.
+/// Returns the weight of a worker for which the configuration file sets none.
 fn default_weight() -> f64 {
     1.0
 }
--- a/crates/vetchbridge/src/config/precedence.rs
+++ b/crates/vetchbridge/src/config/precedence.rs
@@ -16,7 +16,7 @@
 /// Values from the command line, which override all other sources of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Flags {
-    /// Path of the configuration file.
+    /// Path of the configuration file; `None` if the flag was not given.
     pub config: Option<PathBuf>,
     /// Name of this scheduler.
     pub name: Option<String>,
--- a/crates/vetchbridge/src/config/text.rs
+++ b/crates/vetchbridge/src/config/text.rs
@@ -9,7 +9,7 @@
 pub struct Text<'t> {
     source: &'t str,
     content: &'t str,
-    /// Byte offset at which each line begins.
+    /// Byte offset in the text at which each line begins.
     line_starts: Vec<usize>,
     root: Spanned<DeTable<'t>>,
 }
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -65,7 +65,7 @@
         HumanDuration(s * 1_000_000)
     }
 
-    /// Converts to the standard library's type.
+    /// Converts the duration to the standard library's type.
     pub fn duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
--- a/crates/vetchbridge/tests/admin.rs
+++ b/crates/vetchbridge/tests/admin.rs
@@ -28,8 +28,8 @@
     response
 }
 
-/// Each kind of command line gets its documented response, and the state of the daemon's lifecycle matches
-/// the response.
+/// Each kind of line that a client sends to the admin interface gets its documented response, and the state
+/// of the daemon's lifecycle matches the response.
 #[tokio::test]
 async fn each_command_has_its_response() {
     let lifecycle = Arc::new(Lifecycle::new(false));
--- a/crates/vetchbridge/tests/closing.rs
+++ b/crates/vetchbridge/tests/closing.rs
@@ -10,7 +10,8 @@
 use tokio::io::AsyncReadExt;
 use vetchbridge_testbed::wire::Wire;
 
-/// The code in `/proc/net/tcp` for the TCP state CLOSE_WAIT: only the remote side has closed the connection.
+/// The code in `/proc/net/tcp` for the TCP state `CLOSE_WAIT`: only the remote side has closed the
+/// connection.
 const CLOSE_WAIT: &str = "08";
 const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n";
 /// A worker's response that accepts a job and closes the connection, so that the next job needs a new
@@ -168,7 +169,8 @@
         harness.send_callback("00000000000000a1", number, "done").await;
     };
     let answer = tokio::select! {
-        // Either the worker gets the job and the client its response, or the connection is closed.
+        // Either the worker gets the job and the client gets its response, or the daemon closes the client
+        // connection.
         () = serve_job => Some(client.read().await.expect("an answer")),
         response = client.read() => response,
     };
@@ -220,7 +222,7 @@
     harness.daemon.signal("-TERM");
     harness.daemon.wait_for_log("state=\"ending\"").await;
     harness.daemon.suspend().await;
-    // The drain period expires while the daemon is suspended.
+    // The drain period of the shutdown expires while the daemon is suspended.
     tokio::time::sleep(Duration::from_millis(3400)).await;
     client.send(&job_request("00000000000000a1", 4)).await;
     wait_until_delivered(&mut client).await;
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -39,7 +39,8 @@
     SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reads and writes on a connection to the daemon; each method panics if the operation fails.
+/// Reads and writes on a connection between the test and the daemon. Each method panics if the operation
+/// fails.
 pub trait WireExt {
     async fn send(&mut self, text: &str);
     async fn post_request(&mut self, target: &str, headers: &str, body: &str);
@@ -78,7 +79,8 @@
 pub fn tcp_table_entry(local: SocketAddr, peer: SocketAddr) -> Option<TcpTableEntry> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table is readable");
     let ports = [local, peer].map(|address| format!(":{:04X}", address.port()));
-    // The table lists the connections of the whole machine; only lines that contain both ports are parsed.
+    // `/proc/net/tcp` lists the connections of the whole machine; only lines that contain both ports are
+    // parsed.
     let mut candidates = table.lines().filter(|line| ports.iter().all(|port| line.contains(port)));
     candidates.find_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -54,7 +54,8 @@
         group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(endpoint));
         tokio::spawn(reject_jobs(number, listener, closed_sender.clone()));
     }
-    // Workers 1 to `OTHER_WORKERS` get one job each. Worker 0 gets a job after each of these jobs.
+    // Workers 1 to `OTHER_WORKERS` get one job each. Worker 0 gets a job after each of these jobs, so that it
+    // is always among the most recently used workers.
     for number in (1..=OTHER_WORKERS).flat_map(|number| [number, 0]) {
         let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
         let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -242,7 +242,8 @@
     let attempt = fixture.attempt_with(payload(None, "work"), cancelled);
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending());
-    // Lets the connection's task receive the request. The task then delays the request.
+    // Lets the task of the connection receive the request. This task then delays the request until the reuse
+    // delay has passed.
     for _ in 0..4 {
         tokio::task::yield_now().await;
     }
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -61,7 +61,8 @@
         previous_waits.clone_from(&waits);
         waits.sort_unstable();
         let min_gap = waits.windows(2).map(|pair| pair[1] - pair[0]).min().expect("at least two waits");
-        // 20 watches that are spread evenly over one second are 50 ms apart; half of that suffices.
+        // If the ends of 20 watches are spread evenly over one second, they are 50 ms apart. The test
+        // requires half of this distance.
         assert!(min_gap >= 25, "{waits:?}");
     }
 }
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -112,7 +112,8 @@
         assert!(wire.read().await.expect("the same watch continues").target().contains("index=3&"));
     }
     let mut waited = Duration::ZERO;
-    // In both cases, two failures of a watch come after the reload.
+    // Two failures of a watch come after the reload. If the reload comes just after a failure, that failure
+    // is the first of three.
     for failure in 0..if watch_is_open { 2 } else { 3 } {
         let failed_at = Instant::now();
         reject_call(&mut wire).await;
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -164,7 +164,8 @@
     };
     tokio::pin!(worker);
     match change {
-        // The attempt ends at once and its dial is dropped, so that no connection is established.
+        // In these cases the attempt ends at once and its dial is dropped, so that no connection is
+        // established.
         Change::WorkerDraining
         | Change::WorkerRestarted
         | Change::WorkerRestartedWithItsClockSteppedBack
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -150,8 +150,7 @@
     let (number, mut worker) = harness.accept_worker_connection().await;
     let job = worker.read().await.expect("the job");
     assert_eq!(job.text(), if body.len() > 5 { "work" } else { "" });
-    // The worker accepts the job and closes its connection, so that only the client's disconnect can cancel
-    // the attempt.
+    // The worker accepts the job. From then on, only the client's disconnect cancels the attempt.
     worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
     harness.send_callback("00000000000000cd", number, "started").await;
     disconnect.run(client).await;
--- a/crates/vetchbridge/tests/request_attempts.rs
+++ b/crates/vetchbridge/tests/request_attempts.rs
@@ -21,7 +21,8 @@
 /// Length of a job's body that the buffers of the connection's sockets can't hold, in bytes.
 const LONG_BODY_BYTES: usize = 16 << 20;
 
-/// A scheduler with two listening workers, `s-a` and `s-b`, whose saved endpoint list is confirmed.
+/// A scheduler with two listening workers, `s-a` and `s-b`. Discovery has confirmed the scheduler's saved
+/// endpoint list.
 struct TwoWorkers {
     scheduler: TestScheduler,
     a: TcpListener,
--- a/crates/vetchbridge/tests/syscall_faults.rs
+++ b/crates/vetchbridge/tests/syscall_faults.rs
@@ -72,8 +72,8 @@
     assert_eq!(harness.daemon.admin_command("health").await, "ok serving\n");
 }
 
-/// The signals still take effect: Tokio reads signal notifications from a socket, and this read may be
-/// interrupted like any other.
+/// Signals to the daemon take effect even if reads are interrupted. Tokio reads signal notifications from a
+/// socket, and this read may be interrupted like any other.
 #[rstest]
 #[timeout(STUCK_AFTER)]
 #[tokio::test]
--- a/crates/vetchbridge/tests/units.rs
+++ b/crates/vetchbridge/tests/units.rs
@@ -1,5 +1,5 @@
-//! Tests that durations and sizes in the configuration are parsed and printed with their units, and that
-//! invalid texts are rejected.
+//! Tests that durations and sizes in the configuration are parsed and printed with units, and that invalid
+//! texts are rejected.
 #![allow(missing_docs)]
 
 use vetchbridge::config::units::{HumanDuration, Size};
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -154,7 +154,7 @@
     assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
-/// The daemon starts whatever file it finds at the path of its hand-over socket.
+/// The daemon can start regardless of which file exists at the path of its hand-over socket.
 #[rstest]
 #[case::nothing(|_: &Path| {})]
 #[case::garbage(|path: &Path| std::fs::write(path, "garbage").expect("the write succeeds"))]
