--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -1,4 +1,4 @@
-//! The limit on the number of connections to workers.
+//! The limit on the number of connections that an upstream group keeps open to its workers.
 #![allow(missing_docs)]
 
 mod common;
@@ -18,7 +18,7 @@
 use vetchbridge_testbed::wire::HttpConnection;
 
 /// Runs a worker that rejects every job and keeps its connections open. Sends the worker's number to `closed`
-/// for each connection that the other side closes.
+/// for each connection that the upstream group closes.
 async fn reject_jobs(number: usize, listener: TcpListener, closed: UnboundedSender<usize>) {
     loop {
         let (mut wire, closed) =
@@ -32,15 +32,15 @@
     }
 }
 
-/// Beyond the limit, idle connections to the least recently used workers are closed. Connections to other
-/// workers stay open.
+/// If the group would exceed its limit on connections, it closes idle connections to the least recently used
+/// workers. Connections to other workers stay open.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
 async fn idle_connections_of_the_least_recently_used_workers_are_evicted() {
     const MAX_CONNECTIONS: usize = 8;
     const OTHER_WORKERS: usize = 12;
-    // The idle timeout is longer than the test, so that no connection expires.
+    // The idle timeout of connections is longer than the test, so that no connection expires.
     let group = UpstreamGroup::new(TEST_TIMEOUT, 10 * TEST_TIMEOUT, 1);
     group.set_max_connections(MAX_CONNECTIONS);
     let (closed_sender, mut closed_connections) = unbounded_channel();
@@ -54,7 +54,8 @@
         group.apply_endpoints(EndpointUpdate::Changes, std::iter::once(endpoint));
         tokio::spawn(reject_jobs(number, listener, closed_sender.clone()));
     }
-    // Workers 1 to `OTHER_WORKERS` get one job each. Worker 0 gets a job after each of these jobs.
+    // Workers 1 to `OTHER_WORKERS` get one job each. Worker 0 gets a job after each of these jobs, so that it
+    // is always among the most recently used workers.
     for number in (1..=OTHER_WORKERS).flat_map(|number| [number, 0]) {
         let (id, target) = ("00000000000000ab".to_string(), "/safe/k".parse().expect("a path"));
         let (request, worker) = (parse_request_id(&id).expect("an id"), worker_id(&worker_name(number, 0)));
