--- a/crates/scheduling/src/actions.rs
+++ b/crates/scheduling/src/actions.rs
@@ -2,12 +2,12 @@
 
 use crate::ids::{AttemptNo, Micros, RequestId, TimerToken, WorkerId};
 
-/// The recipient of a message to other schedulers.
+/// The recipient of a message that this scheduler sends to its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipient {
-    /// One scheduler, by its index.
+    /// The scheduler with this index.
     One(u32),
-    /// All other schedulers.
+    /// All schedulers other than the sender.
     All,
 }
 
@@ -16,53 +16,56 @@
 pub enum Action {
     /// Send an attempt of a request to a worker.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The worker.
+        /// The worker that gets the attempt.
         worker: WorkerId,
-        /// The attempt's timeout; `None` if the request's deadline is the only limit.
+        /// Maximum duration of the attempt, in microseconds; `None` if only the request's deadline limits the
+        /// attempt.
         timeout: Option<Micros>,
     },
-    /// Cancel one attempt.
+    /// Cancel one attempt that is in flight at a worker.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptNo,
     },
-    /// Give the client its final answer: the request was rejected, and a retry is harmless.
+    /// Give the client of a request its final answer: the request was rejected, and a retry by the client is
+    /// harmless.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
         /// The Retry-After for the client, in microseconds; 0 if the client gets no Retry-After.
         retry_after: Micros,
     },
-    /// Give the client its final answer: the request failed, and the job may or may not have run.
+    /// Give the client of a request its final answer: the request failed, and the job may or may not have
+    /// run.
     Fail {
-        /// The request.
+        /// The failed request.
         request: RequestId,
     },
-    /// Send a health check to a worker, which also returns its load.
+    /// Send a health check to a worker. The worker's response may carry a load report.
     Probe(WorkerId),
-    /// Close idle connections to a worker.
+    /// Close the idle connections to this worker.
     CloseIdle(WorkerId),
-    /// Subscribe to changes of the endpoint list (`true`), or unsubscribe (`false`).
+    /// Subscribe to discovery's changes of the endpoint list (`true`), or unsubscribe (`false`).
     Subscribe(bool),
-    /// Fetch the complete endpoint list once.
+    /// Fetch the complete endpoint list from discovery once, without a subscription.
     FetchEndpoints,
-    /// Set a timer: return the token with [`Event::Timer`](crate::Event::Timer) at the given time or soon
-    /// after.
+    /// Set a timer: pass the token to the scheduler with [`Event::Timer`](crate::Event::Timer) at the given
+    /// time or soon after.
     SetTimer {
-        /// When the timer expires.
+        /// When the timer expires, in microseconds of the scheduler's clock.
         at: Micros,
-        /// The token to return.
+        /// The token to pass to the scheduler when the timer expires.
         token: TimerToken,
     },
     /// Send a message of at most 256 bytes to other schedulers.
     SendPeerMessage {
-        /// The recipient.
+        /// The scheduler or schedulers that get the message.
         to: Recipient,
-        /// The encoded message.
+        /// The message, as encoded by [`PeerMessage::encode`](crate::PeerMessage::encode).
         data: Vec<u8>,
     },
     /// Write a line to the scheduler's log.
--- a/crates/scheduling/src/hash.rs
+++ b/crates/scheduling/src/hash.rs
@@ -1,12 +1,12 @@
-//! Hash functions that give the same results on every machine and in every version. With equal hashes,
-//! schedulers make the same choices without exchanging messages.
+//! Hash functions that give the same results on every machine and in every version. Because their hashes are
+//! equal, all schedulers choose the same worker for a key without exchanging messages.
 
-/// Offset basis of 64-bit FNV-1a.
+/// Offset basis of the 64-bit FNV-1a hash function.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Prime of 64-bit FNV-1a.
+/// Prime of the 64-bit FNV-1a hash function.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Mixes the bits of a value with the finaliser of splitmix64.
+/// Mixes the bits of a value as one step of the splitmix64 generator does.
 pub(crate) fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/scheduling/src/ids.rs
+++ b/crates/scheduling/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifier types, and the type of times and durations.
+//! Types that identify requests, workers, attempts and timers, and the type of times and durations.
 
 /// A point in time on the scheduler's clock, or a duration, in microseconds.
 pub type Micros = u64;
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// Identifies a machine type.
+/// Identifies a machine type of workers; a class may require one machine type.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineTypeId(pub u32);
 
@@ -31,12 +31,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// Number of an attempt within its request: 0, 1, 2 ... in the order of the request's
+/// Number of an attempt within its request: 0, 1, 2 and so on, in the order of the request's
 /// [`Action::Send`](crate::Action::Send)s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
-/// An opaque value that is returned with [`Event::Timer`](crate::Event::Timer); only the scheduler
-/// interprets it.
+/// Identifies a timer that the scheduler has set. The embedding program returns the opaque value with
+/// [`Event::Timer`](crate::Event::Timer); only the scheduler interprets the value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -2,13 +2,15 @@
 //!
 //! [`Scheduler`] is a state machine: the embedding program passes one [`Event`] at a time with the current
 //! time, and carries out the returned [`Action`]s in order. The scheduler does no I/O, reads no clock and
-//! derives its random numbers from a seed, so that equal events give equal actions.
+//! derives its random numbers from a seed. Equal sequences of events with the same seed therefore give equal
+//! actions.
 //!
 //! # Choice of a worker
 //!
-//! A request's key is hashed onto a consistent ring on which every worker has virtual points in proportion
-//! to its weight. The first worker clockwise gets the job; if that worker has no capacity, the next worker on
-//! the ring gets the job. Each further rule has a file of its own, listed below.
+//! A request's key is hashed onto a consistent ring on which every worker has virtual points in proportion to
+//! its weight. The first worker clockwise from the key's position gets the job; if that worker has no
+//! capacity, the next worker on the ring gets the job. Each further rule of the choice has a file of its own,
+//! listed in the section "Files".
 //!
 //! # Example
 //!
@@ -52,23 +54,19 @@
 //! let mut scheduler = Scheduler::new(settings(), 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list, from discovery.
-//! let endpoints = [7, 8, 9].map(|n| Endpoint { worker: WorkerId(n), ..Endpoint::default() }).to_vec();
-//! let list = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints };
-//! scheduler.handle(1_000, list, &mut actions);
+//! // Discovery delivers the complete endpoint list. let endpoints = [7, 8, 9].map(|n| Endpoint { worker:
+//! WorkerId(n), ..Endpoint::default() }).to_vec(); let list = Event::Endpoints { update:
+//! EndpointUpdate::Snapshot, endpoints }; scheduler.handle(1_000, list, &mut actions);
 //!
-//! // A client's request arrives and is sent to a worker.
-//! scheduler.handle(2_000, Event::Request(request(1)), &mut actions);
-//! let sent_to =
+//! // A client's request arrives. The scheduler sends the request to a worker. scheduler.handle(2_000,
+//! Event::Request(request(1)), &mut actions); let sent_to =
 //!     |action: &Action| if let Action::Send { worker, .. } = action { Some(*worker) } else { None };
 //! let worker = actions.iter().find_map(sent_to).expect("the request is sent");
 //!
-//! // The worker rejects the request, which is then sent to the next worker on the ring.
-//! actions.clear();
-//! scheduler.handle(3_000, rejection(worker), &mut actions);
-//! assert!(actions.iter().any(|action| sent_to(action).is_some_and(|next| next != worker)));
-//! # Ok::<(), SettingsError>(())
-//! ```
+//! // The worker rejects the request, and the scheduler sends the request to the next worker on the ring.
+//! actions.clear(); scheduler.handle(3_000, rejection(worker), &mut actions);
+//! assert!(actions.iter().any(|action| sent_to(action).is_some_and(|next| next != worker))); # Ok::<(),
+//! SettingsError>(()) ```
 //!
 //! # Files
 //!
--- a/crates/scheduling/src/random.rs
+++ b/crates/scheduling/src/random.rs
@@ -1,10 +1,12 @@
-//! The scheduler's only source of randomness: a seeded generator with the same sequence on every machine.
+//! The scheduler's only source of randomness: a generator whose sequence depends on its seed alone and is the
+//! same on every machine.
 
 use crate::hash::mix;
 
-/// Increment of the generator's state: 2^64 divided by the golden ratio, as in splitmix64.
+/// Amount added to the generator's state for each random number: 2^64 divided by the golden ratio, as in
+/// splitmix64.
 const STATE_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Number of random bits in a fraction: the precision of an `f64`.
+/// Number of random bits in a random fraction, equal to the precision of an `f64`.
 const FRACTION_BITS: u32 = 53;
 
 /// A seeded generator of random fractions.
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -1,20 +1,23 @@
-//! The settings of a scheduler: its index among its peers, request classes, tenants, limits and rules.
+//! The settings of a scheduler: the scheduler's index among its peers, the request classes and tenants, and
+//! the limits and rules of the deployment.
 
 use crate::ids::{MachineTypeId, Micros, ZoneId};
 
-/// Whether a request of a class may run more than once.
+/// Whether workers may run the job of a request of a class more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The request may run any number of times.
+    /// The job may run any number of times.
     Idempotent,
-    /// The workers of one scope drop a repeat of the request within a time window.
+    /// The request has an idempotency key: the workers of one scope drop a repeat of the request within a
+    /// time window after the first attempt.
     Keyed {
         /// The workers that recognise a repeat.
         scope: DeduplicationScope,
-        /// How long the workers drop repeats, counted from the first attempt that may have run.
+        /// How long the workers drop repeats, in microseconds since the first attempt that may have run was
+        /// sent.
         deduplication_window: Micros,
     },
-    /// The request must not run more than once.
+    /// The job must not run more than once.
     #[default]
     NonIdempotent,
 }
@@ -33,27 +36,30 @@
 /// A class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time has the full `priority_weight`.
+    /// Latency objective, in microseconds since the request's arrival. A final answer that meets the latency
+    /// objective has the full `priority_weight`.
     pub latency_objective: Micros,
-    /// Multiple of the job's own running time that is added to the latency objective.
+    /// Multiple of the job's expected work that is added to `latency_objective`.
     pub objective_per_work: f64,
-    /// How long the client waits for an answer in total, over all of its tries.
+    /// How long a client waits for a final answer in total, over the first request and all retries of the
+    /// client, in microseconds.
     pub deadline: Micros,
-    /// Weight of an answer within the latency objective.
+    /// Weight of a request in the overall result if its final answer meets the latency objective.
     pub priority_weight: f64,
-    /// Fraction of `priority_weight` that an answer after the latency objective still has.
+    /// Fraction of `priority_weight` that a request still has if its final answer misses the latency
+    /// objective.
     pub late_weight: f64,
-    /// Whether a request may run more than once.
+    /// Whether workers may run the job of a request more than once.
     pub idempotency: Idempotency,
     /// The only machine type that runs this class; `None` if every machine type does.
     pub machine_type: Option<MachineTypeId>,
-    /// Priority in the queues of workers that use [`QueueOrder::Priority`].
+    /// Priority of the class's jobs in the queues of workers that use [`QueueOrder::Priority`].
     pub priority: i64,
-    /// Whether the answer is streamed.
+    /// Whether workers stream the response to a request of this class.
     pub stream: bool,
 }
 
-/// A tenant.
+/// A tenant of the deployment: requests belong to tenants, and each tenant has a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// The tenant's quota in requests per second, over all schedulers.
@@ -63,9 +69,9 @@
 /// The order in which a worker serves its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// In order of arrival; the first job waits until it fits.
+    /// In order of arrival. No queued job starts before the first job in the queue fits into the free slots.
     Fifo,
-    /// The first queued job that fits.
+    /// The worker starts the first queued job that fits into the free slots.
     Backfill,
     /// By the priority of the jobs' classes.
     Priority,
@@ -74,9 +80,9 @@
 /// When workers send load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// With attempt outcomes and with probe results.
+    /// Workers send a load report with the response to an attempt and with the response to a probe.
     Responses,
-    /// With probe results only.
+    /// Workers send a load report only with the response to a probe.
     Probes,
     /// Workers send no load reports.
     Never,
@@ -95,12 +101,12 @@
 /// What [`Endpoint::weight`](crate::Endpoint::weight) is derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
-    /// Listed weights are ignored: every worker has weight 1.
+    /// The weights in the endpoint list have no meaning and are ignored: every worker has weight 1.
     Fixed,
     /// The registered or approximate size of the worker.
     Size,
-    /// The worker's size reduced by its load at an earlier sample. Every worker has weight 1, since the ring
-    /// must not follow the load.
+    /// The worker's size, reduced by the load that discovery sampled earlier. The scheduler ignores these
+    /// weights and gives every worker weight 1, because the ring must not follow the load.
     Live,
 }
 
@@ -111,15 +117,16 @@
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// A connection that is not established within this time has failed.
+    /// Maximum time to establish a connection to a worker, in microseconds. A connection that takes longer
+    /// has failed.
     pub dial_timeout: Micros,
-    /// Whether the scheduler may send health checks.
+    /// Whether the scheduler may send health checks (probes) to workers.
     pub may_probe: bool,
-    /// Whether the scheduler may cancel an attempt.
+    /// Whether the scheduler may cancel an attempt that is in flight.
     pub may_cancel: bool,
     /// Whether rejected clients are given a Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that clients honour.
+    /// The longest Retry-After that clients honour, in microseconds.
     pub max_retry_after: Micros,
     /// Whether schedulers may send messages to one another.
     pub may_message_peers: bool,
@@ -128,34 +135,36 @@
 /// Times and factors of the rules that schedulers must follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Time after a request's deadline within which a final answer still counts.
+    /// Time after a request's deadline within which the request's final answer still counts, in microseconds.
     pub answer_slack: Micros,
-    /// The scheduler must stop sending to a draining or removed worker within this time.
+    /// Time within which the scheduler must stop sending jobs to a worker that was drained or removed, in
+    /// microseconds.
     pub drain_grace: Micros,
-    /// With [`EndpointDelivery::Poll`]: a scheduler that has not polled for this long counts as notified of a
-    /// change.
+    /// With [`EndpointDelivery::Poll`]: a scheduler that has not polled discovery for this long, in
+    /// microseconds, counts as notified of a change of the endpoint list.
     pub poll_within: Option<Micros>,
-    /// Smallest fraction of its full capacity that a worker has right after its start.
+    /// Smallest fraction of its full capacity that a worker can have right after the start of its process.
     pub slow_start_floor: f64,
-    /// Time after its start by which a worker has its full capacity.
+    /// Time after the start of its process by which a worker has its full capacity, in microseconds.
     pub slow_start_time: Micros,
-    /// A worker that is warming up fails if it is sent more than this multiple of its current capacity for
-    /// `overload_time`.
+    /// A worker that is warming up fails if schedulers send it more work than this multiple of its current
+    /// capacity for `overload_time`.
     pub overload_factor: f64,
-    /// How long an overload by `overload_factor` lasts before the worker fails.
+    /// How long an overload by `overload_factor` lasts before the warming worker fails, in microseconds.
     pub overload_time: Micros,
 }
 
-/// Costs as fractions of the overall result; used only to compare one cost with another.
+/// Costs of the scheduler's choices, as fractions of the deployment's overall result. The values serve only
+/// to compare one cost with another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CostWeights {
-    /// Cost of attempts that cross zones.
+    /// Cost of attempts sent to a worker in another zone.
     pub cross_zone: f64,
-    /// Cost of a health check, per request.
+    /// Cost of the health checks, per request of a client.
     pub probe: f64,
-    /// Cost of work that did not lead to a served answer.
+    /// Cost of the work that workers do on jobs whose request is not served in the end.
     pub waste: f64,
-    /// Cost of a new connection, per request.
+    /// Cost of new connections to workers, per request of a client.
     pub handshake: f64,
 }
 
@@ -168,13 +177,15 @@
     pub scheduler_count: u32,
     /// This scheduler's zone.
     pub zone: ZoneId,
-    /// Classes of requests.
+    /// Classes of requests; [`ClassId`](crate::ClassId) is an index into this list.
     pub classes: Vec<Class>,
-    /// Tenants; empty if the deployment has none.
+    /// Tenants; [`TenantId`](crate::TenantId) is an index into this list. Empty if the deployment has no
+    /// tenants.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request that exceeds its tenant's quota, as a fraction of its ordinary weight.
+    /// Weight of a request that exceeds its tenant's quota, as a fraction of the request's ordinary weight.
     pub over_quota_weight: f64,
-    /// Whether a request is weighted by its work; otherwise all requests of a class have the same weight.
+    /// Whether a request is weighted by the work of its job; otherwise all requests of a class have the same
+    /// weight.
     pub weight_by_work: bool,
     /// How changes of the endpoint list reach the scheduler.
     pub endpoint_delivery: EndpointDelivery,
@@ -184,9 +195,10 @@
     pub weights: WeightSource,
     /// The order in which workers serve their queues.
     pub queue_order: QueueOrder,
-    /// Whether workers report the start of a job.
+    /// Whether workers report to the scheduler that a job has started.
     pub reports_start: bool,
-    /// Interval between progress reports of a job; 0 if workers send none.
+    /// Interval between a worker's progress reports about one job, in microseconds; 0 if workers send no
+    /// progress reports.
     pub progress_interval: Micros,
     /// Limits on what the scheduler may do.
     pub limits: Limits,
@@ -194,16 +206,18 @@
     pub rules: Rules,
     /// Costs that the scheduler weighs against one another.
     pub cost_weights: CostWeights,
-    /// Minimum interval between two batches of events.
+    /// Minimum interval between two batches of events that the embedding program passes to the scheduler, in
+    /// microseconds.
     pub tick: Micros,
 }
 
 impl Settings {
-    /// Checks the settings for values that are out of range.
+    /// Checks that every value of the settings is in range.
     ///
     /// # Errors
     ///
-    /// Returns the first field that is out of range, named by the key that users set.
+    /// Returns the first field whose value is out of range. The error names the field by its key in the
+    /// settings that users write.
     pub fn check(&self) -> Result<(), SettingsError> {
         let invalid = |field, reason| Err(SettingsError { field, reason });
         if self.scheduler_count == 0 || self.scheduler_index >= self.scheduler_count {
@@ -228,12 +242,12 @@
     }
 }
 
-/// An invalid field of [`Settings`].
+/// The error for a field of [`Settings`] whose value is out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The key of the field, as users set it.
+    /// The key of the field in the settings that users write.
     pub field: &'static str,
-    /// The condition that the value violates.
+    /// The condition that the field's value violates.
     pub reason: &'static str,
 }
 
--- a/crates/scheduling/src/timer.rs
+++ b/crates/scheduling/src/timer.rs
@@ -1,15 +1,17 @@
-//! Timers: what the scheduler does when a timer expires, and how a token encodes a timer.
+//! The timers that the scheduler sets: what the scheduler does when a timer expires, and how a [`TimerToken`]
+//! encodes a timer.
 //!
-//! A token contains the timer's kind in its top byte and the request's sequence number in the other bytes.
+//! A token contains the timer's kind in its top byte, and the sequence number of the timer's request in the
+//! other bytes.
 
 use crate::ids::TimerToken;
 
-/// Number of a request in order of arrival.
+/// Number of a request, counted from 0 in the order in which requests arrive at the scheduler.
 pub(crate) type SequenceNumber = u64;
 
-/// Position of the lowest bit of the timer's kind in a token.
+/// Position of the lowest bit of the timer's kind in a [`TimerToken`].
 const KIND_SHIFT: u32 = 56;
-/// The bits of a token that contain the sequence number.
+/// The bits of a [`TimerToken`] that contain the request's sequence number.
 const SEQUENCE_MASK: u64 = (1 << KIND_SHIFT) - 1;
 
 const KIND_DEADLINE: u64 = 0;
@@ -17,21 +19,22 @@
 const KIND_ENDPOINT_POLL: u64 = 2;
 const KIND_ATTEMPT_CHECK: u64 = 3;
 
-/// A timer, by what the scheduler does when it expires.
+/// A timer. Each variant names what the scheduler does when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
     /// Give the request its final answer.
     Deadline(SequenceNumber),
-    /// Look for a worker again: the request is queued, or its occupancy queries are overdue.
+    /// Look for a worker for the request again, because the request is queued or its occupancy queries are
+    /// overdue.
     Placement(SequenceNumber),
-    /// Poll the endpoint list.
+    /// Poll discovery for the endpoint list.
     EndpointPoll,
-    /// Check whether the request's attempt makes progress.
+    /// Check whether the request's attempt in flight makes progress.
     AttemptCheck(SequenceNumber),
 }
 
 impl Timer {
-    /// Returns the token that the embedding program sends back when the timer expires.
+    /// Returns the token that the embedding program returns to the scheduler when the timer expires.
     pub(crate) fn token(self) -> TimerToken {
         let (kind, sequence) = match self {
             Timer::Deadline(sequence) => (KIND_DEADLINE, sequence),
