--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -10,24 +10,25 @@
 use crate::timer::{SequenceNumber, Timer};
 use crate::worker::AttemptId;
 
-/// A connection attempt that fails within the dial timeout divided by this number was refused immediately.
+/// A connection to a worker counts as refused immediately if it fails within the dial timeout divided by this
+/// number.
 const IMMEDIATE_REFUSAL_DIVISOR: Micros = 2;
-/// After a request's deadline, the scheduler waits for the end of the request's attempt in flight for at most
-/// the answer slack divided by this number.
+/// If an attempt is in flight at a request's deadline, the scheduler waits for the attempt's end before the
+/// final answer, for at most the answer slack of the rules divided by this number.
 const ANSWER_SLACK_DIVISOR: Micros = 2;
 
-/// The result of one attempt.
+/// The result of one attempt at a worker, as the embedding program reports the result.
 pub(crate) struct AttemptResult {
     pub(crate) id: AttemptId,
     pub(crate) worker: WorkerId,
     pub(crate) outcome: Outcome,
-    /// Time since the attempt was sent, in microseconds.
+    /// Time from sending the attempt to its end, in microseconds.
     pub(crate) latency: Micros,
-    /// Whether the request is complete and needs no answer any more.
+    /// Whether the request is complete, so that the scheduler must give it no final answer.
     pub(crate) request_closed: bool,
 }
 
-/// Whether an outcome means that the connection or the worker's machine failed.
+/// Whether an outcome means that the connection to the worker or the worker's machine failed.
 fn is_connection_failure(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::ConnectFailed | Outcome::Reset | Outcome::NoResponse)
 }
@@ -76,7 +77,8 @@
         let message = PeerMessage::AttemptFinished { served, connection_failed };
         self.notify_coordinator(now, index, message, actions);
         if outcome == Outcome::NoResponse {
-            // One connection got no response, so the idle connections to the worker may be broken too.
+            // The worker did not respond on one connection, so the idle connections to the worker may be
+            // broken too.
             actions.push(Action::CloseIdle(result.worker));
         }
     }
@@ -88,9 +90,9 @@
             if result.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
     }
 
-    /// Gives a request its final answer when its deadline timer expires. While an attempt is in flight, the
-    /// answer is postponed to shortly after the deadline, because the attempt normally ends by its own
-    /// timeout before then.
+    /// Gives a request its final answer when its deadline timer expires. If an attempt of the request is in
+    /// flight, the final answer is postponed to shortly after the deadline, because the attempt normally ends
+    /// by its own timeout before that time.
     pub(crate) fn on_deadline_timer(
         &mut self,
         now: Micros,
@@ -106,7 +108,7 @@
         self.send_final_answer(now, id, actions);
     }
 
-    /// Gives the final answer to every pending request.
+    /// Gives every pending request its final answer when the scheduler shuts down.
     pub(crate) fn on_shutdown(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in self.requests.ids() {
             self.send_final_answer(now, id, actions);
@@ -126,9 +128,9 @@
         self.close(id, actions);
     }
 
-    /// Returns the Retry-After for a rejected client, in microseconds: the time until the first worker of the
-    /// machine type is expected to take jobs again, but no less than the shortest pause of a queued request
-    /// and no more than the limit in the settings. Returns 0 if clients are given no Retry-After.
+    /// Returns the Retry-After for the client of a rejected request, in microseconds: the time until the
+    /// first worker of the machine type is expected to take jobs again, but at least [`MIN_QUEUE_PAUSE`] and
+    /// at most the longest Retry-After in the settings. Returns 0 if clients are given no Retry-After.
     fn retry_after(&self, now: Micros, kind: Option<MachineTypeId>) -> Micros {
         let limits = &self.settings.limits;
         if !limits.retry_after {
@@ -144,7 +146,8 @@
         shortest.min(limits.max_retry_after)
     }
 
-    /// Removes a complete request and cancels its attempts that are still in flight.
+    /// Removes a request that needs no final answer any more, and cancels its attempts that are still in
+    /// flight.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(id) else { return };
         if !self.settings.limits.may_cancel {
--- a/crates/scheduling/src/coordination.rs
+++ b/crates/scheduling/src/coordination.rs
@@ -1,9 +1,10 @@
-//! Coordination between schedulers: one scheduler is the coordinator of each worker and keeps account of the
-//! attempts that all schedulers have in flight at the worker.
+//! Coordination between schedulers: each worker has one scheduler as its coordinator, which keeps account of
+//! the attempts that all schedulers have in flight at the worker.
 //!
-//! Schedulers notify the coordinator when an attempt starts or ends, and query the worker's occupancy before
-//! they send a job to the worker. Every scheduler computes the coordinator by rendezvous hashing, so
-//! schedulers agree without exchanging messages. A coordinator that does not reply is skipped for a while.
+//! Schedulers notify a worker's coordinator when an attempt at the worker starts or ends, and query the
+//! coordinator for the worker's occupancy before they send a job to the worker. Every scheduler computes the
+//! coordinator by rendezvous hashing, so all schedulers agree on the coordinator without exchanging messages.
+//! A scheduler that does not reply to an occupancy query is not chosen as a coordinator for a while.
 
 use crate::actions::{Action, Recipient};
 use crate::events::Outcome;
@@ -17,29 +18,31 @@
 use crate::worker::OccupancyReport;
 use std::collections::BTreeMap;
 
-/// How long to wait for a coordinator's reply, in microseconds.
+/// How long to wait for a coordinator's reply to an occupancy query, in microseconds.
 pub(crate) const QUERY_TIMEOUT: Micros = 40_000;
-/// How long a coordinator that did not reply is skipped, in microseconds.
+/// How long a scheduler that did not reply to an occupancy query is not chosen as a coordinator, in
+/// microseconds.
 const UNRESPONSIVE_TIME: Micros = 2_000_000;
-/// Maximum time for which a peer's attempt is counted, in microseconds. Without this limit, an attempt would
-/// be counted forever if the message about its end were lost.
+/// Maximum time for which a coordinator counts a peer's attempt as in flight, in microseconds. Without this
+/// maximum, the coordinator would count an attempt forever if the peer's message about the attempt's end were
+/// lost.
 const MAX_PEER_ATTEMPT_AGE: Micros = 4_000_000;
-/// Occupancy reported for a worker that can take no job now, in slots. The value exceeds the slots of any
-/// worker.
+/// Occupancy that a coordinator reports for a warming worker that can take no further job, in slots. The
+/// value exceeds the number of slots of any worker.
 const FULLY_OCCUPIED: f64 = 4000.0;
 
-/// Index of a scheduler among its peers.
+/// Index of a scheduler among all schedulers, from 0.
 pub(crate) type SchedulerIndex = u32;
 
-/// Whether schedulers coordinate. Schedulers coordinate if they may send messages to each other and workers
-/// never report their load.
+/// Whether workers have coordinators. Schedulers coordinate if there are several schedulers, schedulers may
+/// send messages to each other, and workers never report their load.
 pub(crate) fn is_enabled(settings: &Settings) -> bool {
     settings.limits.may_message_peers
         && settings.scheduler_count > 1
         && settings.load_report_source == LoadReportSource::Never
 }
 
-/// An occupancy query that the coordinator has not replied to yet.
+/// An occupancy query about a worker that the worker's coordinator has not replied to yet.
 pub(crate) struct PendingQuery {
     pub(crate) coordinator: SchedulerIndex,
     pub(crate) sent_at: Micros,
@@ -51,16 +54,18 @@
     }
 }
 
-/// Chooses the coordinator of each worker and tracks the peers that do not reply.
+/// Chooses the coordinator of each worker and keeps track of the peers that do not reply to occupancy
+/// queries.
 #[derive(Default)]
 pub(crate) struct Coordinators {
-    /// Peers that did not reply, each with the time until which the peer is skipped.
+    /// Peers that did not reply to an occupancy query, each with the time until which the peer is not chosen
+    /// as a coordinator.
     unresponsive_peers: BTreeMap<SchedulerIndex, Micros>,
 }
 
 impl Coordinators {
-    /// Returns the worker's coordinator: the first responsive scheduler in the order of rendezvous hashing.
-    /// Returns `None` if schedulers don't coordinate.
+    /// Returns the index of the worker's coordinator: the first scheduler in the order of rendezvous hashing
+    /// that is not marked as unresponsive. Returns `None` if schedulers don't coordinate.
     fn coordinator_of(
         &mut self,
         now: Micros,
@@ -81,9 +86,9 @@
         self.unresponsive_peers.insert(peer, now + UNRESPONSIVE_TIME);
     }
 
-    /// Returns the fraction of a warming worker's work budget that this scheduler may spend. The fraction is
-    /// an equal share per scheduler if schedulers don't coordinate. A coordinator spends its own share and
-    /// the shares of all responsive peers.
+    /// Returns the fraction of a warming worker's work budget that this scheduler may spend. If schedulers
+    /// don't coordinate, every scheduler may spend an equal share. If schedulers coordinate, the worker's
+    /// coordinator may spend its own share and the shares of all peers that are not marked as unresponsive.
     pub(crate) fn budget_share(&self, settings: &Settings) -> f64 {
         let schedulers = f64::from(settings.scheduler_count);
         if is_enabled(settings) {
@@ -107,18 +112,19 @@
     }
 }
 
-/// Capacity of a warming worker, reserved briefly for a peer that queried the worker's occupancy.
+/// Capacity of a warming worker that the worker's coordinator reserves for a peer after the peer's occupancy
+/// query, for at most [`QUERY_TIMEOUT`].
 struct Reservation {
     peer: SchedulerIndex,
     made_at: Micros,
     work: Micros,
 }
 
-/// Remaining capacity of a worker that is warming up.
+/// Limits on what schedulers may still send to a worker that is warming up.
 struct WarmingCapacity {
-    /// Slots that may be in use.
+    /// Number of the worker's slots that may be in use in total.
     slots: f64,
-    /// Work that may still be sent to the worker, in microseconds; negative if too much was sent.
+    /// Work that may still be sent to the worker, in microseconds; negative if too much work was sent.
     work: f64,
 }
 
@@ -130,28 +136,30 @@
 }
 
 impl PeerOccupancy {
-    /// Returns the slots that the peers' attempts in flight take.
+    /// Returns the number of slots that the peers' attempts in flight take at the worker.
     fn slots_in_flight(&self, now: Micros) -> f64 {
         self.attempts.iter().filter(|attempt| attempt.is_recent(now)).map(|attempt| attempt.slots).sum()
     }
 
-    /// Records that a peer has sent an attempt. The attempt replaces the peer's reservation, if any.
+    /// Records that a peer has sent an attempt to the worker. The attempt replaces the peer's reservation, if
+    /// any.
     fn record_start(&mut self, now: Micros, peer: SchedulerIndex, slots: f64) {
         self.reservations.retain(|reservation| reservation.peer != peer);
         self.attempts.retain(|attempt| attempt.is_recent(now));
         self.attempts.push(PeerAttempt { peer, started_at: now, slots });
     }
 
-    /// Records that an attempt of a peer has ended. Removes the peer's oldest attempt, because the message
-    /// does not identify the attempt.
+    /// Records that an attempt of a peer at the worker has ended. Removes the peer's oldest attempt, because
+    /// the peer's message does not identify the attempt.
     fn record_end(&mut self, peer: SchedulerIndex) {
         if let Some(position) = self.attempts.iter().position(|attempt| attempt.peer == peer) {
             self.attempts.remove(position);
         }
     }
 
-    /// Reserves capacity for one job of a peer. Returns the number of slots in flight or reserved before this
-    /// reservation, or `None` if the worker can't take the job.
+    /// Reserves capacity of the worker for one job of a peer; `work` is the job's work in microseconds.
+    /// Returns the number of slots in flight or reserved before this reservation, or `None` if the worker
+    /// can't take the job.
     fn reserve(
         &mut self,
         now: Micros,
@@ -173,8 +181,9 @@
 }
 
 impl Scheduler {
-    /// Sends a message about a worker to the worker's coordinator. If this scheduler is the coordinator, or
-    /// if schedulers don't coordinate, charges a started attempt to the worker's work budget instead.
+    /// Sends `message` to the coordinator of the worker at `index`. If this scheduler is the worker's
+    /// coordinator, or if schedulers don't coordinate, sends nothing; a started attempt is then charged to
+    /// the work budget that this scheduler keeps for the worker.
     pub(crate) fn notify_coordinator(
         &mut self,
         now: Micros,
@@ -198,9 +207,9 @@
         self.fleet[index].work_budget.charge(now, overload_rate, work);
     }
 
-    /// Returns, as the coordinator, a worker's occupancy in slots for a peer that has a job with the given
-    /// work. If the worker is warming up, reserves capacity for the peer, or returns [`FULLY_OCCUPIED`] if
-    /// the worker's remaining capacity is too small.
+    /// Returns a worker's occupancy in slots, computed by this scheduler as the worker's coordinator. The
+    /// scheduler `peer` has a job with `work` microseconds of work. If the worker is warming up, reserves
+    /// capacity for that job, or returns [`FULLY_OCCUPIED`] if the worker's remaining capacity is too small.
     fn occupancy_for(&mut self, now: Micros, index: usize, peer: SchedulerIndex, work: Micros) -> f64 {
         self.charge_work_budget(now, index, 0);
         let remaining_work = self.admission(now).remaining_work(index);
@@ -215,8 +224,8 @@
         worker.peer_occupancy.reserve(now, peer, work, in_flight, &capacity).unwrap_or(FULLY_OCCUPIED)
     }
 
-    /// Queries a worker's occupancy from the worker's coordinator, unless a fresh report is available.
-    /// Returns whether the request has to wait for a reply.
+    /// Queries a worker's coordinator for the worker's occupancy, unless a fresh occupancy report is
+    /// available. Returns whether the request `id` has to wait for the coordinator's reply.
     pub(crate) fn query_occupancy(
         &mut self,
         now: Micros,
@@ -231,8 +240,9 @@
         let work = self.requests.get(id).map_or(0, PendingRequest::estimated_work);
         if coordinator == self.settings.scheduler_index {
             let slots = Some(self.occupancy_for(now, index, coordinator, work));
-            // The reported slots already include attempts sent at `now`. A query time after `now` keeps these
-            // attempts from being added to the report a second time.
+            // This scheduler is the worker's coordinator, and the slots in its report already include the
+            // attempts sent at `now`. A query time after `now` keeps these attempts from being added to the
+            // reported slots a second time.
             self.fleet[index].occupancy_report = Some(OccupancyReport { slots, queried_at: now + 1 });
             return false;
         }
@@ -247,7 +257,7 @@
         true
     }
 
-    /// Marks the coordinators whose replies are overdue as unresponsive.
+    /// Marks the coordinators whose replies to occupancy queries are overdue as unresponsive.
     pub(crate) fn expire_queries(&mut self, now: Micros) {
         for worker in self.fleet.iter_mut() {
             if let Some(query) = worker.pending_query.take_if(|query| query.is_overdue(now)) {
@@ -256,7 +266,7 @@
         }
     }
 
-    /// Handles a message from another scheduler.
+    /// Handles a message from another scheduler. Ignores data that can't be decoded.
     pub(crate) fn on_peer_message(
         &mut self,
         now: Micros,
@@ -290,7 +300,7 @@
         }
     }
 
-    /// Builds the reply to a peer's occupancy query.
+    /// Builds the coordinator's reply to a peer's occupancy query about the worker at `index`.
     fn report_occupancy(
         &mut self,
         now: Micros,
@@ -303,7 +313,8 @@
         Occupancy { slots, ejected_for }
     }
 
-    /// Stores a coordinator's reply and places the requests that were waiting for the reply.
+    /// Stores the occupancy in a coordinator's reply about the worker at `index`, and places the requests
+    /// that were waiting for the reply.
     fn on_occupancy_reply(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -1,4 +1,4 @@
-//! The events that a scheduler handles ([`Event`]) and the types that they carry.
+//! The events that a scheduler handles ([`Event`]) and the types of the data in an event.
 
 use crate::ids::{
     AttemptNo, CellId, ClassId, MachineTypeId, Micros, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
@@ -8,10 +8,10 @@
 /// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// The worker accepts new jobs.
+    /// The worker accepts new jobs from schedulers.
     #[default]
     Ready,
-    /// The worker completes its jobs; no new job may be sent.
+    /// The worker completes the jobs that it has. Schedulers may send no new job to the worker.
     Draining,
     /// The worker was removed from the deployment.
     Removed,
@@ -30,32 +30,37 @@
     pub cell: CellId,
     /// The worker's state.
     pub state: EndpointState,
-    /// The worker's size relative to other workers; has no unit.
+    /// The worker's size relative to other workers, without a unit.
     pub weight: f64,
-    /// When the worker's process last started, by another machine's wall clock; 0 if long ago.
+    /// When the worker's process last started, in microseconds by another machine's wall clock; 0 if the
+    /// process started long ago.
     pub started_at: Micros,
 }
 
-/// How the entries of an [`Event::Endpoints`] relate to the endpoint list.
+/// Where the entries of an [`Event::Endpoints`] come from, and which part of the endpoint list they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The entries that have changed.
+    /// The entries of the endpoint list that have changed; the workers in all other entries stay as they
+    /// were.
     Changes,
-    /// The complete list; a worker that is missing from the list was removed.
+    /// The complete endpoint list from discovery; a worker that is missing from the list was removed.
     Snapshot,
-    /// The complete list as this scheduler stored it, possibly long ago.
+    /// The complete endpoint list as this scheduler stored the list before a restart, possibly long ago.
     Restored,
-    /// The complete list as the predecessor handed it over a moment ago.
+    /// The complete endpoint list as the predecessor process handed the list over a moment ago, during an
+    /// upgrade.
     HandedOver,
-    /// A subscription or fetch failed. The entries are those that arrived before the failure; the rest of the
-    /// list stays as it was.
+    /// A subscription at discovery or a fetch from discovery failed. The entries are those that arrived
+    /// before the failure; the rest of the endpoint list stays as it was.
     Failed,
-    /// The current list, with zones and machine types numbered by new settings; not a response of discovery.
+    /// The endpoint list that the scheduler already has, with zones and machine types numbered by new
+    /// settings. The update is not a response of discovery.
     Renumbered,
 }
 
 impl EndpointUpdate {
-    /// Whether a worker that is missing from the entries was removed.
+    /// Whether the entries are the complete endpoint list, so that a worker that is missing from the entries
+    /// was removed.
     #[must_use]
     pub fn is_complete(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Restored | EndpointUpdate::HandedOver)
@@ -67,7 +72,8 @@
         matches!(self, EndpointUpdate::Restored | EndpointUpdate::HandedOver | EndpointUpdate::Failed)
     }
 
-    /// Whether the update came from discovery, as a response or as a pushed change.
+    /// Whether the update of the endpoint list came from discovery, as a response to a poll or as a pushed
+    /// change.
     #[must_use]
     pub fn is_response(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Changes)
@@ -77,17 +83,18 @@
 /// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The request's id.
+    /// Identifies the request in events and actions.
     pub id: RequestId,
     /// The request's class.
     pub class: ClassId,
-    /// The tenant that the request belongs to.
+    /// The tenant to whose quota the request counts.
     pub tenant: TenantId,
     /// Affinity key: requests with equal keys go to the same worker where possible.
     pub key: Option<String>,
-    /// When the client stops waiting for an answer.
+    /// When the client stops waiting for the final answer, in microseconds of the scheduler's clock.
     pub deadline: Micros,
-    /// Expected running time of the job at standard speed; `None` if the client gave no estimate.
+    /// Expected running time of the job on a worker of standard speed, in microseconds; `None` if the client
+    /// gave no estimate.
     pub expected_work: Option<Micros>,
     /// Number of slots that the job occupies at a worker.
     pub slots: f64,
@@ -95,49 +102,50 @@
     pub retry: bool,
 }
 
-/// A worker's load report. A value is `None` if the worker did not send the value or the value was out of
+/// A worker's load report. A field is `None` if the worker did not send the value or if the value was out of
 /// range.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Number of free slots.
+    /// Number of the worker's free slots.
     pub free_slots: Option<f64>,
-    /// Number of requests in flight.
+    /// Number of requests in flight at the worker, from all schedulers.
     pub in_flight: Option<f64>,
-    /// Number of queued requests.
+    /// Number of requests in the worker's queue.
     pub queued: Option<f64>,
-    /// Recent service time without queueing, in milliseconds.
+    /// Recent time that the worker took to serve a request, without the time in the queue, in milliseconds.
     pub service_ms: Option<f64>,
-    /// Busy fraction of the worker's cores.
+    /// Fraction of the worker's cores that are busy.
     pub utilisation: Option<f64>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request was served, and the answer went to the client.
+    /// The worker served the request, and the worker's response went to the client as the final answer.
     Ok,
-    /// The worker returned an error; the job may have run.
+    /// The worker responded with an error; the job may have run.
     Error,
     /// The worker rejected the attempt without starting the job.
     Rejected,
-    /// The worker did not reply in time; the job may have run or may still be running.
+    /// The worker did not respond in time; the job may have run or may still be running.
     Timeout,
-    /// No connection was established; the job never ran.
+    /// No connection to the worker was established; the job never ran.
     ConnectFailed,
-    /// The connection broke; the job may have run.
+    /// The connection to the worker broke; the job may have run.
     Reset,
     /// The worker did not acknowledge the job in time; the job may have run.
     NoResponse,
     /// The worker found the request invalid, as any other worker would; the job never ran.
     Invalid,
-    /// The attempt was cancelled; the job may have run.
+    /// The scheduler cancelled the attempt; the job may have run.
     Cancelled,
-    /// The attempt was not sent: the request was complete, past its deadline or out of attempts.
+    /// The attempt was not sent to the worker, because the request was complete, was past its deadline or had
+    /// used up its attempts.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the job never ran.
+    /// Whether this outcome proves that the worker never ran the job.
     #[must_use]
     pub fn never_ran(self) -> bool {
         match self {
@@ -152,85 +160,88 @@
     }
 }
 
-/// Progress of a running attempt.
+/// A worker's report about the progress of a running job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobProgress {
-    /// The job has started.
+    /// The worker has started the job.
     Started,
-    /// This fraction of the job is done.
+    /// The worker has completed this fraction of the job, from 0 to 1.
     Fraction(f64),
 }
 
 /// An event that a scheduler handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list has changed, or could not be fetched.
+    /// The endpoint list has changed, or the list could not be fetched from discovery.
     Endpoints {
-        /// How the entries relate to the endpoint list.
+        /// Where the entries come from, and which part of the endpoint list they are.
         update: EndpointUpdate,
-        /// The entries.
+        /// The entries of the endpoint list that the update contains.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request has arrived; the request gets exactly one final answer.
+    /// A client's request has arrived. The scheduler gives the request exactly one final answer.
     Request(Request),
     /// An attempt has ended. This event comes exactly once for each [`Action::Send`](crate::Action::Send).
     AttemptFinished {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt that has ended.
         attempt: AttemptNo,
-        /// The worker.
+        /// The worker that the attempt was sent to.
         worker: WorkerId,
         /// How the attempt ended.
         outcome: Outcome,
-        /// Time since the attempt was sent.
+        /// Time from sending the attempt to its end, in microseconds.
         latency: Micros,
-        /// Whether the request is complete and needs no further answer.
+        /// Whether the request is complete, so that the scheduler must give it no final answer.
         request_closed: bool,
         /// The worker's load report, if the worker sent one.
         load: Option<LoadReport>,
     },
-    /// A streamed answer has started; the client gets the answer of this attempt.
+    /// The streamed response of a worker has started. The client gets the response to this attempt as the
+    /// final answer.
     StreamStarted {
-        /// The request.
+        /// The request whose response has started.
         request: RequestId,
-        /// The attempt.
+        /// The attempt whose response has started.
         attempt: AttemptNo,
     },
     /// Progress of a running attempt.
     JobProgress {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt that makes progress.
         attempt: AttemptNo,
-        /// The progress.
+        /// What the worker reported about the attempt.
         progress: JobProgress,
     },
-    /// The client has disconnected; its request needs no answer any more.
+    /// The client of this request has disconnected, so the request needs no final answer any more.
     ClientDisconnected(RequestId),
-    /// A timer has expired.
+    /// A timer that the scheduler set with [`Action::SetTimer`](crate::Action::SetTimer) has expired.
     Timer(TimerToken),
-    /// The scheduler shuts down: every pending request gets its final answer now.
+    /// The scheduler shuts down and gives every pending request its final answer at once.
     ShuttingDown,
     /// The result of one [`Action::Probe`](crate::Action::Probe).
     Probed {
-        /// The worker.
+        /// The worker that the health check was sent to.
         worker: WorkerId,
         /// How the health check ended.
         outcome: Outcome,
-        /// Time since the health check was sent.
+        /// Time from sending the health check to its end, in microseconds.
         latency: Micros,
         /// The worker's load report, if the worker sent one.
         load: Option<LoadReport>,
     },
-    /// New settings, in effect from now on. Pending requests keep their class, which may be missing from the
-    /// new settings or have another index there. The new settings have passed [`Settings::check`].
+    /// New settings that replace the scheduler's settings. Pending requests keep their class, even if the
+    /// class is missing from the new settings or has another index in them. The new settings have passed
+    /// [`Settings::check`].
     Settings(Box<Settings>),
     /// A message from another scheduler.
     PeerMessage {
         /// Index of the scheduler that sent the message.
         from: u32,
-        /// The encoded message.
+        /// The message, as encoded by [`PeerMessage::encode`](crate::PeerMessage::encode); the data may be
+        /// invalid.
         data: Vec<u8>,
     },
 }
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The workers that a scheduler knows, and their ring; both are updated from the endpoint list.
+//! The fleet: the workers that a scheduler knows, and the hash ring of these workers. Updates of the endpoint
+//! list change both.
 
 use crate::events::{Endpoint, EndpointState, EndpointUpdate};
 use crate::ids::{Micros, WorkerId};
@@ -9,13 +10,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// Removed workers are kept while the number of all workers is below twice the number of ready workers plus
-/// this number.
+/// The fleet keeps removed workers while the number of all its workers is below twice the number of ready
+/// workers plus this number.
 const MAX_REMOVED_WORKERS: usize = 64;
-/// A change of a worker's weight by at most this fraction of the weight is ignored.
+/// A change of a worker's listed weight by at most this fraction of the weight is ignored.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
-/// The workers in the order in which they were first listed.
+/// The workers that a scheduler knows, in the order in which the endpoint list first contained them, and
+/// their ring.
 #[derive(Default)]
 pub(crate) struct Fleet {
     workers: Vec<Worker>,
@@ -27,7 +29,7 @@
 }
 
 impl Fleet {
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list to the workers and to the ring.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -50,7 +52,7 @@
         self.drop_removed();
     }
 
-    /// Marks workers that are missing from a complete list as not ready.
+    /// Marks the workers that are missing from a complete endpoint list as not ready.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
         for worker in &mut self.workers {
@@ -58,7 +60,8 @@
         }
     }
 
-    /// Applies one entry of the list; returns the worker's index if its points have to be placed.
+    /// Applies one entry of the endpoint list. Returns the worker's index if the worker's points have to be
+    /// placed on the ring.
     fn apply_entry(&mut self, now: Micros, endpoint: Endpoint, weights: WeightSource) -> Option<usize> {
         let weight = listed_weight(&endpoint, weights);
         let is_ready = endpoint.state == EndpointState::Ready;
@@ -72,8 +75,9 @@
             return None;
         }
         let (zone, machine_type, cell) = (endpoint.zone, endpoint.machine_type, endpoint.cell);
-        // Start times are compared for equality alone, since the clock that dates them may be stepped. A
-        // worker that is not ready may be listed with an older start, which is ignored.
+        // Start times are compared only for equality, because the other machine's wall clock that gives them
+        // may be stepped. The entry of a worker that is not ready may contain an older start time, which is
+        // ignored.
         if is_ready && endpoint.started_at != 0 && endpoint.started_at != worker.endpoint.started_at {
             worker.restart(endpoint, weight, started_at);
         }
@@ -93,8 +97,8 @@
         index
     }
 
-    /// Drops removed workers without attempts in flight once there are many workers, so that memory doesn't
-    /// grow as machines come and go.
+    /// Drops the removed workers that have no attempts in flight, once there are more workers than
+    /// [`MAX_REMOVED_WORKERS`] allows. Otherwise memory would grow as machines come and go.
     fn drop_removed(&mut self) {
         if self.workers.len() < 2 * self.ready_count + MAX_REMOVED_WORKERS {
             return;
@@ -148,7 +152,7 @@
     }
 }
 
-/// Returns the listed weight if it is a valid size, otherwise 1.
+/// Returns the weight in the worker's entry if the weight is a valid size, otherwise 1.
 fn listed_weight(endpoint: &Endpoint, weights: WeightSource) -> f64 {
     let is_valid = weights == WeightSource::Size && endpoint.weight.is_finite() && endpoint.weight > 0.0;
     if is_valid {
--- a/crates/scheduling/src/hot_keys.rs
+++ b/crates/scheduling/src/hot_keys.rs
@@ -1,22 +1,24 @@
-//! Hot keys: keeps decaying counts of requests by key and determines over how many workers the traffic of one
-//! key is spread.
+//! Hot keys: counts the recent requests of each key, and determines over how many workers the requests with
+//! one key are spread.
 
 use crate::ids::Micros;
 use std::collections::BTreeMap;
 
-/// Time constant of the exponential decay of counts, in microseconds.
+/// Time constant of the exponential decay of request counts, in microseconds.
 const DECAY_TIME: f64 = 20e6;
-/// Load that one key may put on a worker before the key is spread over one more worker, as a fraction of the
-/// mean load of a worker.
+/// Largest load that the requests with one key may put on a worker, as a fraction of the mean load of a
+/// worker. If the load is larger, the key is spread over one more worker.
 const MAX_KEY_LOAD: f64 = 0.5;
-/// Maximum number of counted keys. Beyond this number, keys whose counts have decayed below 1 are removed.
+/// Maximum number of keys with a count. If there are more keys, the keys whose counts have decayed below 1
+/// are removed.
 const MAX_KEYS: usize = 1024;
-/// Requests assumed in addition to the counted ones, so that a key isn't spread after only a few requests.
+/// Number of requests that is added to the count of all requests, so that a key isn't spread after only a few
+/// requests.
 const PRIOR_REQUESTS: f64 = 5.0;
-/// Requests assumed instead of [`PRIOR_REQUESTS`] if the load of workers is unknown.
+/// Number of requests that is added instead of [`PRIOR_REQUESTS`] if the load of workers is unknown.
 const PRIOR_REQUESTS_LOAD_UNKNOWN: f64 = 30.0;
 
-/// A count that decays exponentially.
+/// A count of requests that decays exponentially with time.
 #[derive(Clone, Copy, Default)]
 struct DecayingCount {
     count: f64,
@@ -24,7 +26,7 @@
 }
 
 impl DecayingCount {
-    /// Returns the decayed count.
+    /// Returns the count as it has decayed by the time `now`.
     fn decayed(self, now: Micros) -> f64 {
         self.count * (-(now.saturating_sub(self.updated_at) as f64) / DECAY_TIME).exp()
     }
@@ -34,15 +36,16 @@
     }
 }
 
-/// Inputs for the spread of a key that describe the fleet.
+/// The facts about workers and schedulers that determine over how many workers a key is spread.
 pub(crate) struct FleetView {
     pub(crate) ready_workers: usize,
     pub(crate) schedulers: u32,
-    /// Whether the scheduler knows the workers' load, from coordinators or from reports of job starts.
+    /// Whether the scheduler knows the workers' load, from the workers' coordinators or from reports of job
+    /// starts.
     pub(crate) load_is_known: bool,
 }
 
-/// Decaying counts of requests by key and of all requests.
+/// The decaying counts of the requests with each key and of all requests.
 #[derive(Default)]
 pub(crate) struct HotKeys {
     keys: BTreeMap<u64, DecayingCount>,
@@ -50,7 +53,8 @@
 }
 
 impl HotKeys {
-    /// Counts a request with this key. Returns the number of workers over which the key's traffic is spread.
+    /// Counts a request with this key. Returns the number of workers over which the requests with this key
+    /// are spread.
     pub(crate) fn record(&mut self, now: Micros, key_hash: u64, fleet: &FleetView) -> usize {
         self.requests.increment(now);
         let key = self.keys.entry(key_hash).or_default();
@@ -64,8 +68,8 @@
 
     fn spread(&self, count: f64, fleet: &FleetView) -> usize {
         // A single request doesn't make a key hot, so one request is subtracted from the key's count. If the
-        // load is unknown, every scheduler may have seen the key as often as this one has. One request is
-        // then subtracted from the count of all schedulers together.
+        // load of workers is unknown, every scheduler may have seen the key as often as this scheduler has.
+        // One request is then subtracted from the count of all schedulers together.
         let (schedulers, prior_requests) = if fleet.load_is_known {
             (1.0, PRIOR_REQUESTS)
         } else {
--- a/crates/scheduling/src/peer_message.rs
+++ b/crates/scheduling/src/peer_message.rs
@@ -1,7 +1,8 @@
-//! Messages between schedulers and their encoding.
+//! Messages between schedulers about a worker's occupancy, and the encoding of the messages.
 //!
 //! A message has 16 bytes, little-endian: kind (1), flags (1), slots in units of 1/16 slot (2), time in
-//! microseconds (4), worker ID (8). Data from a peer is not trusted: data that can't be decoded is discarded.
+//! microseconds (4), worker ID (8). The receiver does not trust the data of a peer: data that can't be
+//! decoded is discarded.
 
 use crate::ids::{Micros, WorkerId};
 
@@ -10,55 +11,58 @@
 const KIND_ATTEMPT_STARTED: u8 = 2;
 const KIND_ATTEMPT_FINISHED: u8 = 3;
 
-/// Flag of an occupancy reply: the coordinator's endpoint list contains the worker.
+/// Flag of a reply to an occupancy query: the endpoint list of the worker's coordinator contains the worker.
 const FLAG_LISTED: u8 = 1;
-/// Flag of a finished attempt: the attempt was served.
+/// Flag of a message about a finished attempt: the worker served the attempt.
 const FLAG_SERVED: u8 = 1;
-/// Flag of a finished attempt: the connection broke, was never made or gave no response.
+/// Flag of a message about a finished attempt: the connection to the worker broke, was never made or gave no
+/// response.
 const FLAG_CONNECTION_FAILED: u8 = 1 << 1;
 
-/// Encoded units per slot. Messages carry slots as a multiple of 1/16 slot.
+/// Number of encoded units in one slot. Messages carry a number of slots as a multiple of 1/16 slot.
 const ENCODED_UNITS_PER_SLOT: f64 = 16.0;
 
 /// A worker's occupancy, as reported by the worker's coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Occupancy {
-    /// Slots in flight at the worker.
+    /// Slots that all schedulers have in flight at the worker, including reservations.
     pub slots: f64,
     /// How long the worker remains ejected, in microseconds; 0 if the worker is not ejected.
     pub ejected_for: Micros,
 }
 
-/// A message about one worker, sent to or by the worker's coordinator.
+/// A message about one worker that a scheduler sends to the worker's coordinator, or the coordinator to a
+/// scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// To the coordinator: queries the worker's occupancy.
+    /// Sent to the worker's coordinator by a peer that has a job for the worker: queries the worker's
+    /// occupancy.
     OccupancyQuery {
-        /// Work of the job to be sent to the worker, in microseconds.
+        /// Expected work of the job that the peer wants to send to the worker, in microseconds.
         work: Micros,
     },
-    /// From the coordinator: the reply to a query; `None` if the coordinator's endpoint list lacks the
-    /// worker.
+    /// Sent by the worker's coordinator: the reply to a peer's occupancy query; `None` if the coordinator's
+    /// endpoint list lacks the worker.
     OccupancyReply(Option<Occupancy>),
-    /// To the coordinator: an attempt was sent to the worker.
+    /// Sent to the worker's coordinator by a peer that has sent an attempt to the worker.
     AttemptStarted {
-        /// Slots that the attempt takes.
+        /// Number of slots that the attempt takes at the worker.
         slots: f64,
-        /// Work of the attempt, in microseconds.
+        /// Expected work of the attempt's job, in microseconds.
         work: Micros,
     },
-    /// To the coordinator: an attempt at the worker ended.
+    /// Sent to the worker's coordinator by a peer whose attempt at the worker has ended.
     AttemptFinished {
-        /// Whether the attempt was served.
+        /// Whether the worker served the attempt.
         served: bool,
-        /// Whether the attempt's connection broke, was never made or gave no response.
+        /// Whether the attempt's connection to the worker broke, was never made or gave no response.
         connection_failed: bool,
     },
 }
 
 impl PeerMessage {
-    /// Encodes this message about a worker. A value that is too large for its field is encoded as the field's
-    /// maximum.
+    /// Encodes this message about `worker` into 16 bytes. A value that is too large for its field is encoded
+    /// as the field's maximum.
     #[must_use]
     pub fn encode(self, worker: WorkerId) -> Vec<u8> {
         let (kind, flags, slots, time) = match self {
@@ -79,7 +83,8 @@
         [&[kind, flags][..], &slots.to_le_bytes(), &time.to_le_bytes(), &worker.0.to_le_bytes()].concat()
     }
 
-    /// Decodes a datagram into a message and the worker it concerns. Returns `None` if the data is not valid.
+    /// Decodes the data of a datagram into a message and the worker that the message is about. Returns `None`
+    /// if the data is not valid.
     #[must_use]
     pub fn decode(data: &[u8]) -> Option<(PeerMessage, WorkerId)> {
         let [kind, flags, s0, s1, t0, t1, t2, t3, worker @ ..] = data else { return None };
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: sends a request to one of its candidates, queries the occupancy of candidates, or queues the
-//! request.
+//! Placement: sends a request to one of its candidate workers, queries the coordinators for the candidates'
+//! occupancy, or keeps the request queued at the scheduler.
 
 use crate::actions::Action;
 use crate::admission::CandidateRole;
@@ -15,19 +15,20 @@
 use crate::timer::{SequenceNumber, Timer};
 use crate::worker::{AttemptId, InFlightAttempt};
 
-/// Shortest mean pause before a queued request is placed again, in microseconds. The pause grows with the age
-/// of the request.
+/// Shortest mean pause before the scheduler tries again to place a queued request, in microseconds. The pause
+/// grows with the age of the request.
 pub(crate) const MIN_QUEUE_PAUSE: Micros = 200_000;
-/// If late answers are worthless, an attempt times out this fraction of the request's expected work after the
-/// latency objective, because the job may exceed its expected work by that much.
+/// Fraction by which a job is allowed to exceed its expected work. If a late final answer to the request is
+/// worthless, an attempt times out this fraction of the expected work after the latency objective.
 const MAX_OVERRUN: f64 = 0.3;
-/// A request without an attempt in flight is answered this many ticks plus [`ANSWER_MARGIN`] before the
-/// request's deadline.
+/// A request without an attempt in flight gets its final answer this many ticks plus [`ANSWER_MARGIN`] before
+/// the request's deadline.
 const ANSWER_MARGIN_TICKS: Micros = 2;
-/// Time that is added to [`ANSWER_MARGIN_TICKS`] ticks, in microseconds.
+/// Time before a request's deadline, in addition to [`ANSWER_MARGIN_TICKS`] ticks, at which a request without
+/// an attempt in flight gets its final answer, in microseconds.
 const ANSWER_MARGIN: Micros = 2_000;
 
-/// The properties of a request that the choice among its candidates depends on.
+/// The properties of a request on which the choice among its candidate workers depends.
 struct PlacementContext {
     request: RequestId,
     slots: f64,
@@ -36,7 +37,7 @@
     is_spread: bool,
     /// Whether the request has waited for occupancy replies until the query timeout.
     reports_timed_out: bool,
-    /// Whether the latency objective can no longer be met.
+    /// Whether the request can no longer meet its latency objective.
     is_late: bool,
 }
 
@@ -53,18 +54,18 @@
     }
 }
 
-/// The result of choosing among the candidates of a request.
+/// The result of the choice among the candidate workers of a request.
 enum Selection {
-    /// The worker with this index has capacity.
+    /// The candidate with this index in the fleet has capacity.
     Worker(usize),
-    /// Replies to occupancy queries are awaited.
+    /// The choice has to wait for coordinators' replies to occupancy queries.
     AwaitReports,
-    /// No candidate has capacity.
+    /// No candidate has capacity for the request.
     NoCapacity,
 }
 
 impl Scheduler {
-    /// Registers a client's request and places it.
+    /// Registers a client's request as pending and places the request.
     pub(crate) fn on_request(&mut self, now: Micros, request: &Request, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
             return;
@@ -92,7 +93,8 @@
         self.place(now, request.id, actions);
     }
 
-    /// Counts a request with this key and returns over how many workers the key is spread.
+    /// Counts a request with this key and returns the number of workers over which requests with this key are
+    /// spread.
     fn record_key(&mut self, now: Micros, key_hash: u64) -> usize {
         let fleet = FleetView {
             ready_workers: self.fleet.ready_count(),
@@ -102,13 +104,15 @@
         self.hot_keys.record(now, key_hash, &fleet)
     }
 
-    /// Returns how long before its deadline a request without an attempt in flight is answered.
+    /// Returns how long before its deadline a request without an attempt in flight gets its final answer, in
+    /// microseconds.
     fn answer_margin(&self) -> Micros {
         ANSWER_MARGIN_TICKS * self.settings.tick + ANSWER_MARGIN
     }
 
-    /// Sends the request to a worker, queries the occupancy of workers, queues the request, or gives its
-    /// final answer. Does nothing while an attempt is in flight.
+    /// Places a request: sends the request to a worker, queries coordinators for the occupancy of workers,
+    /// queues the request, or gives the request its final answer. Does nothing while an attempt of the
+    /// request is in flight.
     pub(crate) fn place(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.has_attempt_in_flight() {
@@ -136,9 +140,9 @@
         }
     }
 
-    /// Selects the first candidate with capacity. If schedulers coordinate, occupancy is queried first at the
-    /// home alone, which mostly has capacity; then at all other warm candidates together; then at the warming
-    /// candidates.
+    /// Selects the first candidate with capacity. If schedulers coordinate, the occupancy of candidates is
+    /// queried in up to three steps: first of the home alone, because the home mostly has capacity; then of
+    /// all other warm candidates together; then of the warming candidates.
     fn select(
         &mut self,
         now: Micros,
@@ -177,9 +181,9 @@
         }
     }
 
-    /// Returns the role of a candidate for the request. A warming worker is the home of a hot key with a
-    /// probability equal to the worker's warm-up fraction. If schedulers coordinate, only the first candidate
-    /// can be the home; otherwise every candidate can.
+    /// Returns the role of a candidate worker for the request. A warming worker counts as the home of a hot
+    /// key with a probability equal to the worker's warm-up fraction. If schedulers coordinate, only the
+    /// first candidate can be the home; otherwise every candidate can be the home.
     fn candidate_role(
         &mut self,
         now: Micros,
@@ -197,10 +201,11 @@
         }
     }
 
-    /// Returns the worker whose queue the request joins, if any. A late request joins no queue; otherwise
-    /// queues would stay long and make all later requests late. A retry joins a queue only if the worker's
-    /// load is unknown. If the load is known, the retry waits at the scheduler, because other workers have
-    /// not cached the data of the request's key.
+    /// Returns the index of the worker whose queue the request joins, or `None` if the request is to wait at
+    /// the scheduler. A request that can no longer meet its latency objective joins no queue, because queues
+    /// would otherwise stay long and make all later requests late. A retry joins a worker's queue only if the
+    /// worker's load is unknown. If the load is known, the retry waits at the scheduler, because other
+    /// workers have not cached the data of the request's key.
     fn select_queue(&self, now: Micros, context: &PlacementContext, candidates: &[usize]) -> Option<usize> {
         let admission = self.admission(now);
         let index = admission.least_loaded(candidates, context.slots)?;
@@ -208,7 +213,8 @@
         may_join.then_some(index)
     }
 
-    /// Makes the request wait for replies of coordinators. A request that already waits keeps its timer.
+    /// Makes the request wait for the coordinators' replies to occupancy queries, for at most
+    /// [`QUERY_TIMEOUT`]. A request that already waits keeps the timer that ends its wait.
     fn await_reports(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.awaits_occupancy_until.is_none() {
@@ -218,8 +224,8 @@
         }
     }
 
-    /// Queues the request. The request is placed again after a pause that grows with its age, and whenever
-    /// the endpoint list changes.
+    /// Queues the request at the scheduler. The scheduler places the request again after a random pause that
+    /// grows with the request's age, and whenever the endpoint list changes.
     fn queue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let jitter = 0.5 + self.random.next_fraction();
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -235,7 +241,8 @@
         actions.push(Action::SetTimer { at, token: Timer::Placement(request.sequence).token() });
     }
 
-    /// Places the request again if it is queued or its occupancy queries are overdue.
+    /// Handles the expiry of a request's placement timer: places the request again if the request is queued
+    /// or if the replies to its occupancy queries are overdue.
     pub(crate) fn on_placement_timer(
         &mut self,
         now: Micros,
@@ -271,8 +278,8 @@
             actions.push(Action::SetTimer { at, token: Timer::AttemptCheck(request.sequence).token() });
         }
         if worker.is_warming_up(now, &self.settings.rules) {
-            // The report is valid for one attempt only, because the worker's coordinator reserved capacity
-            // for one attempt.
+            // The occupancy report of a warming worker is valid for one attempt only, because the worker's
+            // coordinator reserved capacity for one attempt.
             worker.occupancy_report = None;
         }
         let message = PeerMessage::AttemptStarted { slots: request.slots, work: request.estimated_work() };
--- a/crates/scheduling/src/ring.rs
+++ b/crates/scheduling/src/ring.rs
@@ -5,25 +5,26 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// Virtual points of a worker of mean weight. With this many points, each worker's part of the ring is within
-/// about a tenth of its fair share.
+/// Number of virtual points on the ring of a worker of mean weight. With 96 points, each worker's part of the
+/// ring differs from its fair share by at most about a tenth.
 const POINTS_PER_MEAN_WEIGHT: f64 = 96.0;
-/// Maximum points of a worker as a multiple of [`POINTS_PER_MEAN_WEIGHT`], so that one absurdly large weight
-/// can't take over the ring.
+/// Maximum number of virtual points of a worker, as a multiple of [`POINTS_PER_MEAN_WEIGHT`]. Without the
+/// maximum, a worker with an absurdly large weight would take over the ring.
 const MAX_POINTS_FACTOR: f64 = 8.0;
-/// Range of the ratio of mean weight to weight scale within which the scale is kept.
+/// Range of the workers' mean weight divided by the weight scale of the ring. The ring keeps its weight scale
+/// while the quotient is within this range.
 const SCALE_TOLERANCE: RangeInclusive<f64> = 0.5..=2.0;
-/// Salt that separates the hashes of points from the hashes of keys.
+/// Salt in the hash of a virtual point, so that points are hashed differently from keys.
 const POINT_SALT: u64 = 0x5350;
 
 /// A virtual point of a worker on the ring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Point {
-    /// Position on the ring.
+    /// The point's position on the ring.
     position: u64,
     /// Index of the point's worker in the fleet.
     worker: u32,
-    /// Number of the point among the worker's points, from 0.
+    /// Number of the point among the virtual points of its worker, from 0.
     number: u32,
 }
 
@@ -33,25 +34,28 @@
         self.worker as usize
     }
 
-    /// Whether this point is active at its worker's warm-up fraction, given the worker's number of points.
-    /// All schedulers compute the same active points without exchanging messages.
+    /// Whether this point takes part in the choice of a worker, given the warm-up fraction and the number of
+    /// points of its worker. A warming worker has a part of its points active; all schedulers compute the
+    /// same active points without exchanging messages.
     pub(crate) fn is_active(self, warm_up_fraction: f64, worker_points: u32) -> bool {
         warm_up_fraction >= 1.0 || f64::from(self.number) < warm_up_fraction * f64::from(worker_points)
     }
 }
 
-/// The points of all workers, sorted by position.
+/// The consistent-hashing ring: the virtual points of all workers, sorted by position.
 #[derive(Default)]
 pub(crate) struct Ring {
     points: Vec<Point>,
-    /// Weight of a worker that gets [`POINTS_PER_MEAN_WEIGHT`] points; 0 before the first update. The scale
-    /// is a power of two, so that schedulers agree on its value.
+    /// Weight of a worker that gets [`POINTS_PER_MEAN_WEIGHT`] points; 0 before the first worker is added.
+    /// The weight scale is a power of two near the workers' mean weight, so that all schedulers agree on its
+    /// value.
     weight_scale: f64,
 }
 
 impl Ring {
-    /// Places the points of new or resized workers, given by index. The points of all other workers stay,
-    /// unless the mean weight has left [`SCALE_TOLERANCE`] and all points are placed anew.
+    /// Places the points of workers that are new or whose weight has changed; `changed` holds the indices of
+    /// these workers. The points of all other workers stay, unless the mean weight divided by the weight
+    /// scale has left [`SCALE_TOLERANCE`]: the points of all workers are then placed anew.
     pub(crate) fn place_points(&mut self, workers: &mut [Worker], mut changed: Vec<usize>) {
         if changed.is_empty() {
             return;
@@ -70,7 +74,7 @@
         self.points.sort_by_key(|point| (point.position, point.worker));
     }
 
-    /// Places the points of all workers anew, after the workers' indices have changed.
+    /// Places the points of all workers anew, after the workers' indices in the fleet have changed.
     pub(crate) fn rebuild(&mut self, workers: &mut [Worker]) {
         self.points.clear();
         self.place_points(workers, (0..workers.len()).collect());
@@ -87,7 +91,7 @@
         }));
     }
 
-    /// Iterates over all points clockwise from a position.
+    /// Iterates over the points of all workers, clockwise from a position on the ring.
     pub(crate) fn clockwise_from(&self, position: u64) -> impl Iterator<Item = Point> + '_ {
         let start = self.points.partition_point(|point| point.position < position);
         self.points[start..].iter().chain(&self.points[..start]).copied()
--- a/crates/scheduling/src/scheduler.rs
+++ b/crates/scheduling/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's state, and the dispatch of events to the modules that handle them.
+//! The state of a scheduler, and the dispatch of each event to the module that handles the event.
 
 use crate::actions::Action;
 use crate::admission::SlotsPerWeight;
@@ -30,7 +30,7 @@
 }
 
 impl Scheduler {
-    /// Creates a scheduler that knows no worker yet.
+    /// Creates a scheduler that knows no worker yet. Its random numbers are derived from `seed`.
     ///
     /// # Errors
     ///
@@ -50,7 +50,8 @@
         })
     }
 
-    /// Handles one event and appends the resulting actions, which are to be carried out in order.
+    /// Handles one event at the time `now`, in microseconds, and appends the resulting actions to `actions`.
+    /// The embedding program carries out the actions in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Endpoints { update, endpoints } => self.on_endpoints(now, update, endpoints, actions),
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Replaces the settings. Pending requests and what was learned about workers stay; a lower maximum of
-    /// attempts applies to pending requests too.
+    /// Replaces the settings. The scheduler keeps its pending requests and what it has learned about workers.
+    /// A lower maximum number of attempts applies to pending requests too.
     fn on_settings(&mut self, settings: Settings) {
         self.requests.limit_attempts(settings.limits.max_attempts);
         self.settings = settings;
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -39,7 +39,8 @@
     /// Latency objective, in microseconds since the request's arrival. A final answer that meets the latency
     /// objective has the full `priority_weight`.
     pub latency_objective: Micros,
-    /// Multiple of the job's expected work that is added to `latency_objective`.
+    /// Multiple of the job's running time that is added to `latency_objective`. The scheduler uses the
+    /// expected running time.
     pub objective_per_work: f64,
     /// How long a client waits for a final answer in total, over the first request and all retries of the
     /// client, in microseconds.
@@ -101,11 +102,11 @@
 /// What [`Endpoint::weight`](crate::Endpoint::weight) is derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
-    /// The weights in the endpoint list have no meaning and are ignored: every worker has weight 1.
+    /// The weights in the endpoint list are ignored: every worker has weight 1.
     Fixed,
     /// The registered or approximate size of the worker.
     Size,
-    /// The worker's size, reduced by the load that discovery sampled earlier. The scheduler ignores these
+    /// The worker's size, reduced by the worker's load at an earlier sample. The scheduler ignores these
     /// weights and gives every worker weight 1, because the ring must not follow the load.
     Live,
 }
