--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: decides from the known load of a worker whether the worker has capacity for a job, and whether
-//! a job may join the worker's queue.
+//! Admission: decides from what the scheduler knows about a worker's load whether the worker has capacity for
+//! a job, and whether a job may join the worker's queue.
 
 use crate::coordination;
 use crate::fleet::Fleet;
@@ -9,18 +9,20 @@
 use crate::slow_start::usable_slot_fraction;
 use crate::worker::Worker;
 
-/// A job may join a worker's queue if the worker then has at most this many slots in flight per slot.
+/// A job may join a worker's queue if the slots in flight at the worker, including the job's slots, are at
+/// most this multiple of the worker's estimated number of slots.
 const MAX_QUEUE_FACTOR: f64 = 2.0;
-/// Limit for a worker whose load is unknown, as a multiple of its fair share of the slots that this scheduler
-/// has in flight at all workers.
+/// Limit on the slots that this scheduler has in flight at a worker whose load is unknown, as a multiple of
+/// the worker's fair share of the slots that this scheduler has in flight at all workers.
 const MAX_FAIR_SHARE_FACTOR: f64 = 1.25;
-/// Fraction of the difference between an observed occupancy and the estimated slots per unit of weight by
-/// which one job start corrects the estimate.
+/// Fraction by which one job start corrects the estimated slots per unit of weight, relative to the
+/// difference between the occupancy at the job's sending and the estimate.
 const SLOTS_LEARNING_RATE: f64 = 0.05;
-/// Assumed slots per unit of weight before the first job start is observed.
+/// Assumed number of slots per unit of worker weight before the scheduler observes the first job start.
 const INITIAL_SLOTS_PER_WEIGHT: f64 = 1.0;
 
-/// Estimated slots per unit of worker weight, learned from how soon this scheduler's jobs start.
+/// Estimated number of slots per unit of worker weight, learned from how soon this scheduler's jobs start
+/// after they are sent.
 pub(crate) struct SlotsPerWeight(f64);
 
 impl Default for SlotsPerWeight {
@@ -34,9 +36,9 @@
         self.0
     }
 
-    /// Records the start of a job; `occupancy_at_send` is the worker's occupancy per unit of weight when the
-    /// job was sent. The estimate is corrected if the job started promptly although the occupancy was above
-    /// the estimate, or waited although the occupancy was not above the estimate.
+    /// Records that a worker has started a job; `occupancy_at_send` is the worker's occupancy per unit of
+    /// weight when the job was sent. Corrects the estimate if the job started promptly although the occupancy
+    /// was above the estimate, or if the job waited although the occupancy was not above the estimate.
     pub(crate) fn record_start(&mut self, occupancy_at_send: f64, started_promptly: bool) {
         if started_promptly == (occupancy_at_send > self.0) {
             self.0 += SLOTS_LEARNING_RATE * (occupancy_at_send - self.0);
@@ -49,16 +51,16 @@
 pub(crate) enum CandidateRole {
     /// The worker that the request's key belongs to.
     Home,
-    /// A worker that takes the request if the home has no capacity.
+    /// A worker that may take the request if the home has no capacity.
     Alternative,
 }
 
-/// The part of the scheduler's state that admission decisions use.
+/// A view of the parts of the scheduler's state that decide whether a worker may get a job.
 pub(crate) struct Admission<'a> {
     pub(crate) now: Micros,
     pub(crate) settings: &'a Settings,
     pub(crate) fleet: &'a Fleet,
-    /// Estimated slots per unit of worker weight.
+    /// Estimated number of slots per unit of worker weight.
     pub(crate) slots_per_weight: f64,
     /// Fraction of a warming worker's work budget that this scheduler may spend.
     pub(crate) budget_share: f64,
@@ -69,8 +71,8 @@
         worker.warm_up_fraction(self.now, &self.settings.rules)
     }
 
-    /// Returns the rate of work beyond which a warming worker fails, multiplied by this scheduler's fraction
-    /// of the work budget, in microseconds of work per microsecond.
+    /// Returns the rate of work beyond which a warming worker fails, multiplied by `budget_share`. The unit
+    /// is microseconds of work per microsecond.
     pub(crate) fn overload_rate(&self, index: usize) -> f64 {
         let worker = &self.fleet[index];
         self.budget_share
@@ -87,7 +89,7 @@
         self.fleet[index].work_budget.remaining(self.now, self.overload_rate(index), overload_time)
     }
 
-    /// Whether this scheduler may send a job of this many slots to a worker now.
+    /// Whether this scheduler may send a job of `slots` slots to the worker at `index` at the time `now`.
     pub(crate) fn has_capacity(&self, index: usize, slots: f64, role: CandidateRole) -> bool {
         let worker = &self.fleet[index];
         self.slow_start_allows(index, role)
@@ -95,8 +97,9 @@
             && !self.is_busy(worker, slots)
     }
 
-    /// Whether slow start allows a job at this worker. A warming worker takes a job only if the worker's load
-    /// is known or the worker is the request's home, and only while the work budget is not used up.
+    /// Whether the rules of slow start allow a job at this worker. A warming worker takes a job only if the
+    /// worker's load is known or the worker is the request's home, and only while the worker's work budget is
+    /// not used up.
     fn slow_start_allows(&self, index: usize, role: CandidateRole) -> bool {
         let worker = &self.fleet[index];
         if self.warm_up_fraction(worker) >= 1.0 {
@@ -118,16 +121,17 @@
         start_is_delayed || worker.is_busy(self.now, slots, usable_slots)
     }
 
-    /// Returns the limit of this scheduler's slots in flight at a worker whose load is unknown:
-    /// [`MAX_FAIR_SHARE_FACTOR`] times the worker's share, by present capacity, of this scheduler's slots in
-    /// flight at all workers. `None` if the load is known or if workers report job starts.
+    /// Returns the limit on the slots that this scheduler may have in flight at a worker whose load is
+    /// unknown: [`MAX_FAIR_SHARE_FACTOR`] times the worker's share, by current capacity, of the slots that
+    /// this scheduler has in flight at all ready workers. Returns `None` if the worker's load is known or if
+    /// workers report job starts.
     pub(crate) fn fair_share_limit(&self, index: usize) -> Option<f64> {
         let worker = &self.fleet[index];
         if self.settings.reports_start || worker.occupancy(self.now).is_some() {
             return None;
         }
         let capacity = |worker: &Worker| worker.weight * self.warm_up_fraction(worker);
-        // The total starts at one slot for the job that is being placed.
+        // The total number of slots starts at one, for the job that is being placed.
         let (mut total_slots, mut total_capacity) = (1.0, 0.0);
         for ready in self.fleet.ready() {
             total_slots += ready.slots_from_this_scheduler();
@@ -136,8 +140,8 @@
         Some(MAX_FAIR_SHARE_FACTOR * total_slots * capacity(worker) / total_capacity)
     }
 
-    /// Returns the least loaded candidate whose queue a job may join. Jobs never queue at a warming worker,
-    /// because the queue would grow and overload the worker.
+    /// Returns the least loaded candidate whose queue a job of `slots` slots may join. A job never joins the
+    /// queue of a warming worker, because the queue would grow and overload the worker.
     pub(crate) fn least_loaded(&self, candidates: &[usize], slots: f64) -> Option<usize> {
         let load = |index: &usize| self.fleet[*index].load(self.now);
         let eligible = candidates.iter().copied().filter(|index| self.may_join_queue(*index, slots));
--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Candidates: selects the workers that may take a request, in the order in which they are tried.
+//! Candidates: selects the workers that may take a request, in the order in which the scheduler tries them.
 
 use crate::fleet::Fleet;
 use crate::hash::mix;
@@ -10,13 +10,14 @@
 use crate::settings::{Idempotency, Settings};
 use crate::worker::Worker;
 
-/// Largest number of candidates for one decision, apart from the warming workers that come last. The limit
-/// bounds the cost of a decision when all neighbours on the ring are full.
+/// Largest number of candidate workers in one placement of a request, apart from the warming workers that
+/// come last. The number bounds the cost of a placement when all workers near the key on the ring are full.
 const MAX_CANDIDATES: usize = 4;
-/// Largest number of warming workers that come after the other candidates.
+/// Largest number of warming workers that come after the other candidates of a request.
 const MAX_WARMING_CANDIDATES: usize = 2;
 
-/// The search for the candidates of one request, which walks the ring clockwise from the request's key.
+/// The search for the candidate workers of one request. The search visits the points of the ring clockwise
+/// from the position of the request's key.
 struct CandidateSearch<'a> {
     now: Micros,
     settings: &'a Settings,
@@ -45,8 +46,9 @@
             if !self.is_eligible(worker) {
                 continue;
             }
-            // A warming worker keeps its place only for the first attempt of a request whose key belongs to
-            // the worker; otherwise the warming worker comes after the warm ones.
+            // A warming worker keeps its place in the order of the ring only for the first attempt of a
+            // request whose key belongs to the worker. Otherwise the warming worker comes after the warm
+            // workers.
             if warm_up_fraction < 1.0 && (found.len() >= spread || !self.request.attempts.is_empty()) {
                 warming_up.push(index);
                 continue;
@@ -67,15 +69,16 @@
             && self.request.class.machine_type.is_none_or(|kind| kind == worker.endpoint.machine_type)
     }
 
-    /// Whether the worker is healthy and an attempt there can't cause a second effect of the job.
+    /// Whether the worker is not ejected, and an attempt at the worker can't make the job take effect a
+    /// second time.
     fn is_eligible(&self, worker: &Worker) -> bool {
         self.drops_repeat_at(worker)
             && !self.may_have_run_at(worker)
             && !(self.enforce_ejections && worker.outlier.is_ejected(self.now))
     }
 
-    /// Whether the worker would drop this request's job as a repeat if the job has run before. Returns `true`
-    /// for jobs that have not run and for jobs that are not keyed.
+    /// Whether the worker would drop the request's job as a repeat if the job may have run before. Returns
+    /// `true` for jobs that can't have run and for jobs that are not keyed.
     fn drops_repeat_at(&self, worker: &Worker) -> bool {
         let (Some(first), Idempotency::Keyed { scope, .. }) =
             (self.request.first_run(), self.request.class.idempotency)
@@ -91,8 +94,9 @@
         attempts.any(|attempt| attempt.worker == worker.endpoint.worker && attempt.may_have_run())
     }
 
-    /// Rotates the candidates over which a hot key is spread, so that schedulers start at different workers.
-    /// The key and the scheduler's index determine the start, a worker of the scheduler's zone if possible.
+    /// Rotates the order of the candidates over which a hot key is spread, so that schedulers try different
+    /// workers first. The key and the scheduler's index determine the first candidate, which is a worker in
+    /// the scheduler's zone if possible.
     fn rotate_to_start(&self, found: &mut [usize]) {
         let spread = self.request.spread.min(found.len());
         if spread <= 1 {
@@ -107,7 +111,8 @@
 }
 
 impl Scheduler {
-    /// Returns the indices of the workers that may take this request, in the order in which they are tried.
+    /// Returns the indices of the workers that may take this request, in the order in which the scheduler
+    /// tries them.
     pub(crate) fn candidates(&self, now: Micros, id: RequestId) -> Vec<usize> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let (settings, fleet) = (&self.settings, &self.fleet);
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -1,24 +1,26 @@
-//! Concurrency limit: how many slots this scheduler may have in flight at a worker, learned from rejections,
-//! errors and served attempts.
+//! Concurrency limit: how many slots this scheduler may have in flight at a worker. The scheduler learns the
+//! limit from rejected, failed and served attempts at the worker.
 
 use crate::events::Outcome;
 use crate::ids::Micros;
 
 /// How long a worker is avoided after it rejected an attempt, in microseconds.
 const REJECTION_PAUSE: Micros = 150_000;
-/// How long a worker is avoided after it refused a connection immediately, in microseconds.
-/// The worker accepts no further connection until some of its jobs end.
+/// How long a worker is avoided after it refused a connection immediately, in microseconds. Such a worker
+/// accepts no further connection until some of its jobs end.
 const REFUSED_CONNECTION_PAUSE: Micros = 600_000;
-/// The limit is multiplied by this factor after an error or a timeout.
+/// A worker's concurrency limit is multiplied by this factor after an attempt with an error or a timeout.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Slots added to the limit for each served attempt.
+/// Number of slots added to a worker's concurrency limit for each served attempt.
 const INCREASE: f64 = 1.0;
-/// Smallest limit, in slots.
+/// Smallest concurrency limit of a worker, in slots.
 const MIN_LIMIT: f64 = 1.0;
 
-/// The learned limit on the slots that this scheduler may have in flight at one worker.
+/// The learned limit on the slots that this scheduler may have in flight at one worker, and the pause after a
+/// rejection.
 pub(crate) struct ConcurrencyLimit {
-    /// The limit, in slots; infinite until an attempt is rejected.
+    /// Maximum number of slots that this scheduler may have in flight at the worker; infinite until the
+    /// worker rejects an attempt.
     max_slots: f64,
     rejecting_until: Micros,
 }
@@ -30,8 +32,9 @@
 }
 
 impl ConcurrencyLimit {
-    /// Records the outcome of an attempt; `in_flight` is the number of slots that this scheduler still has in
-    /// flight at the worker.
+    /// Records the outcome of an attempt at the worker. `refused_immediately` says that a failed connection
+    /// was refused without delay; `in_flight` is the number of slots that this scheduler still has in flight
+    /// at the worker.
     pub(crate) fn record_result(
         &mut self,
         now: Micros,
@@ -55,8 +58,8 @@
         }
     }
 
-    /// Whether a job of `slots` slots would exceed the limit, in addition to the slots in flight. A single
-    /// job is always within the limit.
+    /// Whether a job of `slots` slots would exceed the worker's concurrency limit if this scheduler has
+    /// `in_flight` slots in flight at the worker. A job without others in flight is always within the limit.
     pub(crate) fn is_exceeded(&self, in_flight: f64, slots: f64) -> bool {
         in_flight + slots > self.max_slots.max(slots)
     }
--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -1,5 +1,5 @@
-//! Refresh of the endpoint list: schedules the polls of discovery, backs off after failed polls, and tracks
-//! whether discovery has confirmed a restored list.
+//! Refresh of the endpoint list: decides when the scheduler polls discovery, waits longer after failed polls,
+//! and keeps track of whether discovery has confirmed a restored endpoint list.
 
 use crate::actions::Action;
 use crate::events::{Endpoint, EndpointUpdate};
@@ -8,44 +8,50 @@
 use crate::settings::EndpointDelivery;
 use crate::timer::Timer;
 
-/// How long jobs wait for discovery to confirm a restored list, in microseconds. A restored list may contain
-/// workers that were removed, so no job is sent until discovery responds or this time has passed.
+/// How long jobs wait for discovery to confirm a restored endpoint list, in microseconds. A restored list may
+/// contain workers that were removed, so the scheduler sends no job until discovery responds or this time has
+/// passed.
 pub const LIST_CONFIRMATION_TIMEOUT: Micros = 5_000_000;
-/// Initial mean pause before discovery is polled again, in microseconds. Repeated failures double the pause.
+/// Mean interval between the starts of two polls of discovery after the first failure, in microseconds. Each
+/// repeated failure doubles the interval.
 const BASE_BACKOFF: Micros = 100_000;
-/// Maximum mean pause that the doubling reaches, in microseconds.
+/// Maximum mean interval between polls of discovery that the doubling reaches, in microseconds.
 const MAX_BACKOFF: Micros = 1_000_000;
-/// Maximum number of times the pause is doubled. The limit keeps the bit shift from overflowing.
+/// Maximum number of times the interval between polls of discovery is doubled. The maximum keeps the bit
+/// shift from overflowing.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Mean pause after a poll that took long to fail, in microseconds.
+/// Largest mean pause that must follow the failure of a poll of discovery, in microseconds. A poll that took
+/// long to fail has already used up its interval, so only this pause delays the next poll.
 const PAUSE_AFTER_SLOW_FAILURE: Micros = 500_000;
-/// Time over which polls are spread, per other scheduler, in microseconds. All schedulers poll the same
-/// discovery service.
+/// Time for each peer over which the schedulers spread their polls of discovery, in microseconds. The polls
+/// are spread because all schedulers poll the same discovery service.
 const SPREAD_PER_PEER: Micros = 30_000;
-/// Maximum time over which the first polls are spread, in microseconds.
+/// Maximum time over which the schedulers spread their first polls of discovery, in microseconds.
 const MAX_FIRST_SPREAD: Micros = 2_000_000;
-/// Maximum time over which polls are spread after failures, in microseconds; also the maximum mean interval
-/// between one scheduler's polls.
+/// Maximum time over which the schedulers spread their polls of discovery after failures, in microseconds;
+/// also the maximum mean interval between two polls of one scheduler.
 const MAX_REPEATED_SPREAD: Micros = 2_000_000;
-/// Maximum number of times the spread is doubled.
+/// Maximum number of times that failures double the time over which polls of discovery are spread.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
 
-/// The polls of the endpoint list since discovery's last response, and whether the list is confirmed.
+/// The polls of discovery since its last response, and whether discovery has confirmed the endpoint list.
 #[derive(Default)]
 pub(crate) struct EndpointRefresh {
-    /// Number of polls scheduled since the latest update that [`EndpointRefresh::record_update`] counts as a
-    /// response.
+    /// Number of polls of discovery scheduled since the latest update that [`EndpointRefresh::record_update`]
+    /// counts as a response.
     polls_since_response: u32,
-    /// Time of the latest scheduled poll, which may be in the future.
+    /// Time for which the most recent poll of discovery was scheduled, in microseconds of the scheduler's
+    /// clock. The time may lie in the future.
     last_poll: Micros,
-    /// End of the time in which jobs wait for a restored list to be confirmed; 0 if the list is confirmed.
+    /// Time until which jobs wait for discovery to confirm a restored endpoint list; 0 if the list is
+    /// confirmed.
     unconfirmed_until: Micros,
 }
 
 impl EndpointRefresh {
-    /// Records an update of the list. Failed polls and renumbered lists change nothing. Any other update
-    /// counts as a response: the update resets the number of polls, and confirms the list unless the list was
-    /// restored.
+    /// Records an update of the endpoint list. A failed poll of discovery or a renumbered list changes
+    /// nothing. Any other update counts as a response: the update resets the number of polls, and confirms
+    /// the endpoint list unless the update is a restored list.
     pub(crate) fn record_update(&mut self, now: Micros, update: EndpointUpdate) {
         if matches!(update, EndpointUpdate::Failed | EndpointUpdate::Renumbered) {
             return;
@@ -55,12 +61,14 @@
         *self = EndpointRefresh { unconfirmed_until, ..EndpointRefresh::default() };
     }
 
-    /// Whether jobs have to wait because the list was restored and is not confirmed yet.
+    /// Whether jobs have to wait because the endpoint list was restored and discovery has not confirmed the
+    /// list yet.
     pub(crate) fn is_unconfirmed(&self, now: Micros) -> bool {
         now < self.unconfirmed_until
     }
 
-    /// Schedules the next poll and returns its time. `random` is a fraction in `[0, 1)`.
+    /// Schedules the next poll of discovery after an update of the endpoint list, and returns the time of the
+    /// poll. `random` is a random fraction in `[0, 1)`.
     pub(crate) fn schedule_poll(
         &mut self,
         now: Micros,
@@ -81,8 +89,9 @@
 
     fn next_poll_time(&self, now: Micros, spread: Micros, random: f64) -> Micros {
         let jittered = |pause: Micros| (pause as f64 * (0.5 + random)) as Micros;
-        // The first failure after a response is taken as a broken watch of this scheduler alone. If the next
-        // poll fails too, all schedulers are assumed to be affected, and the polls are spread.
+        // The first failure after a response of discovery is taken as a broken watch of this scheduler alone.
+        // If the next poll fails too, all schedulers are assumed to be affected, and the schedulers spread
+        // their polls.
         let repeated_failures = self.polls_since_response.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
         let spread = if self.polls_since_response == 0 {
             0
@@ -90,7 +99,7 @@
             (spread << repeated_failures.min(MAX_SPREAD_DOUBLINGS)).min(MAX_REPEATED_SPREAD)
         };
         let interval = (BASE_BACKOFF << repeated_failures).min(MAX_BACKOFF).max(spread);
-        // The interval is measured between the starts of polls, since a poll that took long to fail has
+        // The interval is measured between the starts of two polls, because a poll that took long to fail has
         // already used up the interval.
         let after_last_poll = self.last_poll + jittered(interval);
         let after_failure = now + jittered(interval.min(PAUSE_AFTER_SLOW_FAILURE));
@@ -99,7 +108,8 @@
 }
 
 impl Scheduler {
-    /// Applies an update of the endpoint list, schedules the next poll and places the queued requests.
+    /// Applies an update of the endpoint list, schedules the next poll of discovery if the update needs one,
+    /// and places the queued requests.
     pub(crate) fn on_endpoints(
         &mut self,
         now: Micros,
--- a/crates/scheduling/src/migration.rs
+++ b/crates/scheduling/src/migration.rs
@@ -1,5 +1,5 @@
-//! Migration: cancels an attempt that waits for a slot, has stalled or is slow, and sends the request to
-//! another worker.
+//! Migration: if a request's attempt waits for a slot at its worker, has stalled or is slow, the scheduler
+//! cancels the attempt and sends the request to another worker.
 
 use crate::actions::Action;
 use crate::admission::CandidateRole;
@@ -11,48 +11,50 @@
 use crate::timer::{SequenceNumber, Timer};
 use crate::worker::{AttemptId, StartedAttempt, MAX_START_DELAY};
 
-/// Longest time from sending an attempt to its first check, in microseconds; also the shortest interval
-/// between later checks of a running attempt.
+/// Longest time from sending an attempt to the first check of the attempt's progress, in microseconds; also
+/// the shortest interval between later checks of a running attempt.
 const MIGRATION_DELAY: Micros = 300_000;
-/// The first check takes place at the latest when the time from sending the attempt to the deadline, divided
-/// by this number, has passed, but not before [`MAX_START_DELAY`].
+/// The first check of an attempt's progress takes place at the latest after the time from sending the attempt
+/// to the request's deadline, divided by this number, but not before [`MAX_START_DELAY`].
 const FIRST_CHECK_DIVISOR: Micros = 4;
-/// Largest number of migrations of one request.
+/// Largest number of migrations of one request to another worker.
 const MAX_MIGRATIONS: usize = 2;
-/// A running job migrates if its remainder is projected to take more than this multiple of the job's whole
-/// expected time.
+/// A running job is too slow if the rest of the job is projected to take more than this multiple of the
+/// expected time of the whole job.
 const SLOW_FACTOR: f64 = 3.0;
-/// A running job has stalled once this many progress reports are missing.
+/// A running job has stalled if the worker has sent no progress report during this number of report
+/// intervals.
 const MISSED_PROGRESS_REPORTS: u64 = 2;
 
-/// Whether attempts may migrate: workers report job starts, attempts may be cancelled, and a request may have
-/// two attempts in flight.
+/// Whether attempts may migrate. The settings must say that workers report job starts, that the scheduler may
+/// cancel attempts, and that a request may have two attempts in flight.
 pub(crate) fn is_enabled(settings: &Settings) -> bool {
     settings.reports_start && settings.limits.may_cancel && settings.limits.hedging
 }
 
-/// Returns when an attempt is first checked.
+/// Returns when the progress of an attempt is checked for the first time, given the time of sending and the
+/// request's deadline.
 pub(crate) fn first_check_at(sent_at: Micros, deadline: Micros) -> Micros {
     let remaining = deadline.saturating_sub(sent_at);
     sent_at + MIGRATION_DELAY.min(remaining / FIRST_CHECK_DIVISOR).max(MAX_START_DELAY)
 }
 
-/// How well an attempt proceeds.
+/// How well an attempt proceeds at its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptHealth {
-    /// The attempt has not started: it waits for a slot.
+    /// The worker has not started the attempt's job, which waits for a slot.
     Waiting,
-    /// The attempt has started, but its progress reports are missing.
+    /// The worker has started the attempt's job, but the job's progress reports are overdue.
     Stalled,
-    /// The attempt makes progress, but too slowly.
+    /// The attempt's job makes progress, but too slowly.
     Slow,
-    /// The attempt is as fast as expected, or its speed is unknown.
+    /// The attempt's job is about as fast as expected, or its speed is unknown.
     Normal,
 }
 
 impl AttemptHealth {
-    /// Assesses an attempt; `attempt` is `None` if its start was not reported. `worker_speed` is the worker's
-    /// present speed as a fraction of its full speed.
+    /// Assesses how well an attempt proceeds; `attempt` is `None` if the worker has not reported the start of
+    /// the attempt. `worker_speed` is the worker's current speed as a fraction of its full speed.
     fn assess(
         attempt: Option<&StartedAttempt>,
         now: Micros,
@@ -78,7 +80,8 @@
     }
 }
 
-/// Returns the latest attempt in flight if its check is due and the request may still migrate.
+/// Returns the request's latest attempt in flight, if the check of the attempt's progress is due and the
+/// request may still migrate.
 fn attempt_to_check(now: Micros, request: &PendingRequest) -> Option<(AttemptNo, &Attempt)> {
     let position = request.attempts.iter().rposition(Attempt::is_in_flight)?;
     let attempt = &request.attempts[position];
@@ -89,7 +92,7 @@
 }
 
 impl Scheduler {
-    /// Records a report of an attempt's start or progress.
+    /// Records a worker's report about the start or the progress of an attempt.
     pub(crate) fn on_job_progress(
         &mut self,
         now: Micros,
@@ -116,8 +119,8 @@
         }
     }
 
-    /// Checks a request's attempt. An attempt that waits, has stalled or is slow migrates to the first other
-    /// candidate with capacity.
+    /// Checks the progress of a request's attempt in flight. If the attempt waits for a slot, has stalled or
+    /// is slow, the request migrates to the first other candidate worker with capacity.
     pub(crate) fn on_attempt_check_timer(
         &mut self,
         now: Micros,
@@ -145,8 +148,8 @@
         actions.push(Action::SetTimer { at: now + pause, token: Timer::AttemptCheck(sequence).token() });
     }
 
-    /// Returns the worker that an attempt migrates to; `None` if the attempt proceeds normally, may not
-    /// migrate or finds no worker with capacity.
+    /// Returns the index of the worker that an attempt migrates to. Returns `None` if the attempt proceeds
+    /// normally, if the attempt may not migrate, or if no other worker has capacity.
     fn migration_target(
         &self,
         now: Micros,
--- a/crates/scheduling/src/request.rs
+++ b/crates/scheduling/src/request.rs
@@ -1,4 +1,5 @@
-//! Pending requests, which still need their final answer, and their attempts.
+//! Pending requests, to which the scheduler has not given the final answer yet, and the attempts of these
+//! requests.
 
 use crate::ids::{Micros, RequestId, WorkerId};
 use crate::retry::RetrySafety;
@@ -6,10 +7,12 @@
 use crate::timer::SequenceNumber;
 use std::collections::BTreeMap;
 
-/// Late answers that keep less than this fraction of their weight are not worth a worker's time.
+/// If a late final answer keeps less than this fraction of the class's weight, work on a late request is not
+/// worth a worker's time.
 const MIN_LATE_WEIGHT: f64 = 0.01;
 
-/// The state of an attempt: in flight, or ended with or without a possible run of the job.
+/// The state of an attempt: in flight, ended without a run of the job, or ended after a possible run of the
+/// job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
     InFlight,
@@ -20,9 +23,9 @@
 /// An attempt of a pending request.
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
-    /// The worker's occupancy per unit of weight when the attempt was sent, in slots; `None` if the occupancy
-    /// was unknown. The attempt's own slots are included, unless this scheduler is the worker's coordinator
-    /// and took the occupancy report at the time of sending.
+    /// The worker's occupancy in slots per unit of weight when the attempt was sent; `None` if the occupancy
+    /// was unknown. The occupancy includes the slots of this attempt, unless this scheduler is the worker's
+    /// coordinator and made its occupancy report at the time of sending.
     pub(crate) occupancy_at_send: Option<f64>,
     pub(crate) state: AttemptState,
     pub(crate) sent_at: Micros,
@@ -33,23 +36,26 @@
         self.state == AttemptState::InFlight
     }
 
-    /// Whether the job may have run, or may be running, in this attempt.
+    /// Whether the worker may have run the job in this attempt or may be running the job.
     pub(crate) fn may_have_run(&self) -> bool {
         self.state != AttemptState::NeverRan
     }
 }
 
-/// A request that still needs its final answer.
+/// A request to which the scheduler has not given the final answer yet.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
-    /// The class as it was when the request arrived; newer settings don't change it.
+    /// The request's class as it was when the request arrived; newer settings don't change the class of a
+    /// pending request.
     pub(crate) class: Class,
-    /// Attempts allowed: the smallest limit of all settings in effect since the request arrived.
+    /// Maximum number of attempts of the request: the smallest maximum in all settings that were in effect
+    /// since the request arrived.
     pub(crate) max_attempts: u32,
-    /// Position on the ring: the hash of the request's key, or of the request's id if the request has no key.
+    /// The request's position on the ring: the hash of the request's key, or of the request's id if the
+    /// request has no key.
     pub(crate) key_hash: u64,
     pub(crate) slots: f64,
-    /// Expected work, in microseconds; 0 if the client gave no hint.
+    /// Expected work of the request's job, in microseconds; 0 if the client gave no estimate.
     pub(crate) expected_work: Micros,
     pub(crate) arrived_at: Micros,
     pub(crate) deadline: Micros,
@@ -57,14 +63,15 @@
     /// Number of workers over which the request's key is spread.
     pub(crate) spread: usize,
     pub(crate) attempts: Vec<Attempt>,
-    /// When the wait for replies to occupancy queries ends; `None` if the request does not wait.
+    /// When the request's wait for replies to occupancy queries ends, in microseconds of the scheduler's
+    /// clock; `None` if the request does not wait for replies.
     pub(crate) awaits_occupancy_until: Option<Micros>,
     pub(crate) is_queued: bool,
 }
 
 impl PendingRequest {
-    /// Returns the time after which the request misses its latency objective if the remaining work is
-    /// `remaining_work_factor` times the expected work.
+    /// Returns the time after which the request misses its latency objective, if `remaining_work_factor`
+    /// times the expected work still has to be done at that time.
     pub(crate) fn objective_missed_after(&self, remaining_work_factor: f64) -> Micros {
         let work_allowance = (self.class.objective_per_work - remaining_work_factor).max(0.0);
         self.arrived_at
@@ -72,13 +79,14 @@
             + (work_allowance * self.expected_work as f64) as Micros
     }
 
-    /// Whether a late answer is worthless and the time from which the answer is late is known.
+    /// Whether a late final answer to the request is worthless. Returns `false` if the time from which the
+    /// final answer is late is unknown.
     pub(crate) fn is_worthless_when_late(&self) -> bool {
         let objective_is_known = self.expected_work > 0 || self.class.objective_per_work == 0.0;
         self.class.late_weight < MIN_LATE_WEIGHT && objective_is_known
     }
 
-    /// Returns the first attempt in which the job may have run or may be running.
+    /// Returns the request's first attempt in which the job may have run or may be running.
     pub(crate) fn first_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
@@ -92,13 +100,14 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether the limit of attempts and the idempotency allow a further attempt that starts at this time.
+    /// Whether the request's maximum number of attempts and the idempotency of its class allow a further
+    /// attempt that starts at the time `start`.
     pub(crate) fn allows_attempt_at(&self, start: Micros) -> bool {
         self.attempts.len() < self.max_attempts as usize && self.retry_safety().allows_attempt_at(start)
     }
 
-    /// Returns the expected work. Without a hint, returns the latency objective of the class, because a class
-    /// is meant for jobs of about that length.
+    /// Returns the expected work of the request's job, in microseconds. If the client gave no estimate,
+    /// returns the latency objective of the class, because a class is meant for jobs of about that length.
     pub(crate) fn estimated_work(&self) -> Micros {
         if self.expected_work > 0 {
             self.expected_work
@@ -108,7 +117,8 @@
     }
 }
 
-/// All pending requests, by id and by the sequence number that their timers contain.
+/// All pending requests, indexed by request id and by the sequence number in the tokens of the request's
+/// timers.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     by_id: BTreeMap<RequestId, PendingRequest>,
@@ -117,7 +127,7 @@
 }
 
 impl PendingRequests {
-    /// Adds a request and returns its new sequence number.
+    /// Adds a pending request and returns the sequence number that the request gets.
     pub(crate) fn insert(&mut self, id: RequestId, request: PendingRequest) -> SequenceNumber {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -144,7 +154,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Returns the request with this sequence number.
+    /// Returns the pending request with this sequence number, and its id.
     pub(crate) fn find_by_sequence(&self, sequence: SequenceNumber) -> Option<(RequestId, &PendingRequest)> {
         let id = *self.by_sequence.get(&sequence)?;
         self.by_id.get(&id).map(|request| (id, request))
@@ -158,7 +168,8 @@
         self.by_id.iter().filter(|(_, request)| request.is_queued).map(|(id, _)| *id).collect()
     }
 
-    /// Lowers the maximum number of attempts of all pending requests to the limit of new settings.
+    /// Lowers the maximum number of attempts of all pending requests to `max_attempts`, the maximum in new
+    /// settings.
     pub(crate) fn limit_attempts(&mut self, max_attempts: u32) {
         for request in self.by_id.values_mut() {
             request.max_attempts = request.max_attempts.min(max_attempts);
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -1,30 +1,31 @@
-//! Retries: decides by a job's idempotency and deduplication window whether the job may run again, and keeps
-//! the budget for migrations and for retries at workers whose load is unknown.
+//! Retries: decides from a job's idempotency and deduplication window whether the job may run again. Also
+//! keeps the retry budget, which limits migrations and the retries at workers whose load is unknown.
 
 use crate::events::Endpoint;
 use crate::ids::Micros;
 use crate::settings::{DeduplicationScope, Idempotency};
 
-/// Longest expected delay between the end of a client's Retry-After and the client's retry, in microseconds.
+/// Longest time that a client is expected to wait after its Retry-After has passed until its retry arrives,
+/// in microseconds.
 const MAX_CLIENT_DELAY: Micros = 500_000;
-/// Retries added to the budget for each served attempt.
+/// Number of retries added to the retry budget for each served attempt.
 const RETRIES_PER_SUCCESS: f64 = 1.0;
-/// Largest number of retries in the budget, and the number at the start.
+/// Largest number of retries in the retry budget, and the number of retries in a new budget.
 const MAX_RETRIES: f64 = 10.0;
-/// Attempts may migrate only while the budget holds at least this many retries: when many attempts fail, the
-/// budget is kept for retries.
+/// Attempts may migrate only while the retry budget holds at least this number of retries. When many attempts
+/// fail, the rest of the budget is kept for retries.
 const MIN_RETRIES_TO_MIGRATE: f64 = 0.9 * MAX_RETRIES;
 
-/// The properties of a job that decide whether the job may run again.
+/// The properties of a request's job that decide whether the job may run again.
 #[derive(Clone, Copy)]
 pub(crate) struct RetrySafety {
     pub(crate) idempotency: Idempotency,
-    /// When the first attempt that may have run was sent; `None` if no attempt can have run.
+    /// When the first attempt that may have run the job was sent; `None` if no attempt can have run the job.
     pub(crate) first_run_at: Option<Micros>,
 }
 
 impl RetrySafety {
-    /// Whether a further attempt that starts at this time can't cause a second effect.
+    /// Whether a further attempt that starts at this time can't make the job take effect a second time.
     pub(crate) fn allows_attempt_at(self, start: Micros) -> bool {
         let Some(first_run_at) = self.first_run_at else { return true };
         match self.idempotency {
@@ -44,8 +45,8 @@
     }
 }
 
-/// Whether the worker `candidate` drops the repeat of a keyed job that may have run at the worker `first`;
-/// `first` is `None` if that worker is no longer known.
+/// Whether the worker `candidate` drops a repeat of a keyed job, if the job may have run at the worker
+/// `first` before; `first` is `None` if that worker is no longer known.
 pub(crate) fn drops_repeat(
     scope: DeduplicationScope,
     first: Option<&Endpoint>,
@@ -58,9 +59,9 @@
     }
 }
 
-/// Limits retries, because retries add load but no capacity.
+/// The retry budget of a scheduler: limits retries and migrations, because they add load but no capacity.
 pub(crate) struct RetryBudget {
-    /// Retries that may still be sent.
+    /// Number of retries that the scheduler may still send.
     available: f64,
 }
 
@@ -71,7 +72,7 @@
 }
 
 impl RetryBudget {
-    /// Adds the retries for one served attempt.
+    /// Adds [`RETRIES_PER_SUCCESS`] retries to the budget for one served attempt.
     pub(crate) fn deposit(&mut self) {
         self.available = (self.available + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
     }
--- a/crates/scheduling/src/test_support.rs
+++ b/crates/scheduling/src/test_support.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns rules by which a worker starts with a quarter of its capacity and warms up within ten seconds.
+/// Returns rules under which a worker starts with a quarter of its capacity and warms up within ten seconds.
 pub(crate) fn rules() -> Rules {
     Rules {
         answer_slack: 8_000,
@@ -68,12 +68,12 @@
     }
 }
 
-/// Returns the entry of a ready worker of weight 1 that started long ago.
+/// Returns the endpoint list entry of a ready worker of weight 1 that started long ago.
 pub(crate) fn endpoint(n: u64) -> Endpoint {
     Endpoint { worker: WorkerId(n), weight: 1.0, ..Endpoint::default() }
 }
 
-/// Returns a fleet of the listed workers, in the order of the list.
+/// Returns a fleet of the workers in `endpoints`, in the order of `endpoints`.
 pub(crate) fn fleet_of(endpoints: impl IntoIterator<Item = Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
     fleet.update(NOW, EndpointUpdate::Snapshot, endpoints.into_iter().collect(), WeightSource::Size);
