--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -15,8 +15,8 @@
 /// Limit on the slots that this scheduler has in flight at a worker whose load is unknown, as a multiple of
 /// the worker's fair share of the slots that this scheduler has in flight at all workers.
 const MAX_FAIR_SHARE_FACTOR: f64 = 1.25;
-/// Fraction by which one job start corrects the estimated slots per unit of weight, relative to the
-/// difference between the occupancy at the job's sending and the estimate.
+/// Fraction of the difference between a job's `occupancy_at_send` and the estimated slots per unit of weight
+/// that is added to the estimate when the job's start corrects the estimate.
 const SLOTS_LEARNING_RATE: f64 = 0.05;
 /// Assumed number of slots per unit of worker weight before the scheduler observes the first job start.
 const INITIAL_SLOTS_PER_WEIGHT: f64 = 1.0;
--- a/crates/scheduling/src/admission/tests.rs
+++ b/crates/scheduling/src/admission/tests.rs
@@ -9,13 +9,15 @@
     Admission { now: NOW, settings, fleet, slots_per_weight: 1.0, budget_share: 1.0 }
 }
 
-/// Adds an attempt of this scheduler to the worker at `index`.
+/// Adds an attempt of `slots` slots to this scheduler's attempts in flight at the worker with this index in
+/// the fleet.
 fn add_attempt(fleet: &mut Fleet, index: usize, slots: f64) {
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
     fleet[index].in_flight.push(InFlightAttempt { id, sent_at: NOW, slots });
 }
 
-/// Sets the occupancy that the coordinator reported for the worker at `index`.
+/// Sets the occupancy that the worker's coordinator reported at [`NOW`] for the worker with this index in the
+/// fleet.
 fn set_occupancy(fleet: &mut Fleet, index: usize, slots: f64) {
     fleet[index].occupancy_report = Some(OccupancyReport { slots: Some(slots), queried_at: NOW });
 }
--- a/crates/scheduling/src/candidates/tests.rs
+++ b/crates/scheduling/src/candidates/tests.rs
@@ -12,7 +12,7 @@
     PendingRequest { class, key_hash: KEY, spread: 1, ..PendingRequest::default() }
 }
 
-/// Returns the candidates of a request, with ejections in effect.
+/// Returns the candidate workers of a request in the order of preference; ejected workers are excluded.
 fn search(settings: &Settings, fleet: &Fleet, request: &PendingRequest) -> Vec<WorkerId> {
     let search = CandidateSearch { now: NOW, settings, fleet, request, enforce_ejections: true };
     search.run().into_iter().map(|index| fleet[index].endpoint.worker).collect()
--- a/crates/scheduling/src/completion/tests.rs
+++ b/crates/scheduling/src/completion/tests.rs
@@ -6,7 +6,8 @@
 
 const REQUEST: RequestId = RequestId(1);
 
-/// Returns a scheduler with one request in flight, and the worker that runs the request's attempt.
+/// Returns a scheduler with three workers and one request, whose first attempt is in flight, and the worker
+/// of this attempt.
 fn scheduler_with_request(settings: Settings) -> (Scheduler, WorkerId) {
     let mut scheduler = Scheduler::new(settings, 1).expect("the settings are valid");
     let endpoints = (1..=3).map(endpoint).collect();
@@ -32,7 +33,7 @@
     settings
 }
 
-/// Ends the first attempt of the request and returns the actions.
+/// Passes the result of the request's first attempt to the scheduler and returns the scheduler's actions.
 fn finish_attempt(
     scheduler: &mut Scheduler,
     worker: WorkerId,
--- a/crates/scheduling/src/hash/tests.rs
+++ b/crates/scheduling/src/hash/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Schedulers of different versions may run in one tier, so the hash values must never change.
+/// Schedulers of different versions may run in one tier and must choose the same worker for a key, so the
+/// hash values must never change.
 #[test]
 fn hashes_have_the_published_values() {
     assert_eq!(mix(0), 0xe220_a839_7b1d_cdaf, "the first output of splitmix64 with seed 0");
--- a/crates/scheduling/src/migration/tests.rs
+++ b/crates/scheduling/src/migration/tests.rs
@@ -5,13 +5,14 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Returns an attempt that started at [`NOW`].
+/// Returns an attempt whose job started at [`NOW`] and last reported progress at `last_progress_at`.
 fn started(last_progress_at: Micros, fraction_done: f64) -> StartedAttempt {
     let id = AttemptId { request: RequestId(1), number: AttemptNo(0) };
     StartedAttempt { id, started_at: NOW, last_progress_at, fraction_done }
 }
 
-/// Assesses a started attempt whose job has one second of expected work and reports progress every second.
+/// Assesses how well a started attempt proceeds. The expected work of its job is one second, and the worker
+/// reports the job's progress every second.
 fn health(attempt: &StartedAttempt, now: Micros, worker_speed: f64) -> AttemptHealth {
     AttemptHealth::assess(Some(attempt), now, SECOND, SECOND, worker_speed)
 }
--- a/crates/scheduling/src/outlier/tests.rs
+++ b/crates/scheduling/src/outlier/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::test_support::NOW;
 
-/// Returns a detector that has recorded these outcomes.
+/// Returns the outlier detector of a worker that has recorded these outcomes of attempts, all at [`NOW`].
 fn detector_after(outcomes: &[Outcome]) -> OutlierDetector {
     let mut detector = OutlierDetector::default();
     for outcome in outcomes {
--- a/crates/scheduling/src/placement/tests.rs
+++ b/crates/scheduling/src/placement/tests.rs
@@ -4,7 +4,8 @@
 use crate::settings::{LoadReportSource, Settings};
 use crate::test_support::{endpoint, settings, NOW};
 
-/// Returns a request with a key and without a hint of its work, five seconds before its deadline.
+/// Returns a request with a key and without an estimate of its work. The request's deadline is five seconds
+/// after [`NOW`].
 fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -18,7 +19,7 @@
     }
 }
 
-/// Returns a scheduler that knows the workers with numbers from 1 to `workers`.
+/// Returns a scheduler whose endpoint list contains the workers with ids from 1 to `workers`.
 fn scheduler(settings: Settings, workers: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(settings, 1).expect("the settings are valid");
     let endpoints = (1..=workers).map(endpoint).collect();
@@ -26,14 +27,14 @@
     scheduler
 }
 
-/// Passes a request to the scheduler and returns the actions.
+/// Passes a client's request to the scheduler at [`NOW`] and returns the scheduler's actions.
 fn submit(scheduler: &mut Scheduler, request: &Request) -> Vec<Action> {
     let mut actions = Vec::new();
     scheduler.on_request(NOW, request, &mut actions);
     actions
 }
 
-/// Returns the action that sets a timer.
+/// Returns the action by which the scheduler sets this timer.
 fn timer(at: Micros, timer: Timer) -> Action {
     Action::SetTimer { at, token: timer.token() }
 }
--- a/crates/scheduling/src/request/tests.rs
+++ b/crates/scheduling/src/request/tests.rs
@@ -3,7 +3,8 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// Returns an idempotent request that arrived at 100 ms and gives no hint of its work.
+/// Returns a pending idempotent request that arrived at 100 ms of the scheduler's clock, without an estimate
+/// of its work.
 fn request() -> PendingRequest {
     let class = Class {
         latency_objective: 500 * MILLISECOND,
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -1,4 +1,4 @@
-//! Reads `services`: the classes of requests.
+//! Reads the part `services` of a settings object: the classes of requests.
 
 use crate::error::{Expected, SettingsFormatError};
 use crate::json_object::JsonObject;
--- a/crates/settings/src/cost_weights.rs
+++ b/crates/settings/src/cost_weights.rs
@@ -1,4 +1,5 @@
-//! Reads `charges`: costs as fractions of the overall result.
+//! Reads the part `charges` of a settings object: the costs of a scheduler's choices, as fractions of the
+//! deployment's overall result.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,35 +1,36 @@
-//! Errors of reading a settings object.
+//! The errors that reading a settings object from JSON can cause.
 
 use std::fmt;
 
-/// A key that is missing or has an invalid value.
+/// The error for a settings object that can't be read: a key is missing or has an invalid value, or the whole
+/// object is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFormatError {
-    /// The key's path within the settings object, with `[]` for an entry of a list; empty if the error
-    /// concerns the whole object.
+    /// The path of the key within the settings object, with `[]` for an entry of a list; empty if the error
+    /// concerns the whole settings object.
     pub path: String,
-    /// What is wrong with the key.
+    /// What is wrong with the key or with the whole settings object.
     pub problem: Problem,
 }
 
-/// What is wrong with a key.
+/// What is wrong with a key of the settings object or with the whole settings object.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// The text is not JSON; the string is the parser's message.
+    /// The text of the settings is not JSON; the string is the message of the JSON parser.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// The settings are a JSON value other than an object.
+    /// The settings are JSON, but not a JSON object.
     #[error("not an object")]
     NotAnObject,
-    /// A required key is missing.
+    /// A required key is missing; its value must have this form.
     #[error("missing; add {0}")]
     Missing(Expected),
-    /// The value is not of the expected form.
+    /// The value of a key does not have the expected form.
     #[error("invalid value; expected {0}")]
     InvalidValue(Expected),
 }
 
-/// The form that a value must have.
+/// The form that the JSON value of a key must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
     /// An object.
@@ -73,7 +74,8 @@
         SettingsFormatError { path: path.into(), problem }
     }
 
-    /// Returns the key's path prefixed with `root`, the name of the settings object in its document.
+    /// Returns the path of the key, prefixed with `root`, the name of the settings object in the document
+    /// that contains it.
     #[must_use]
     pub fn key_under(&self, root: &str) -> String {
         if self.path.is_empty() {
--- a/crates/settings/src/json_object.rs
+++ b/crates/settings/src/json_object.rs
@@ -1,13 +1,13 @@
-//! Reads values of a JSON object and checks that each has the expected form.
+//! Reads the values of a JSON object and checks that each value has the expected form.
 
 use crate::error::{Expected, Problem, SettingsFormatError};
 use serde_json::{Map, Value};
 
-/// A JSON object together with its path, which error messages name.
+/// A JSON object within the settings, together with its path, which error messages contain.
 pub(crate) struct JsonObject<'a> {
-    /// The object's entries; `None` is read as an empty object.
+    /// The entries of the JSON object; `None` is read as an empty object.
     map: Option<&'a Map<String, Value>>,
-    /// The prefix of the keys' paths, with the separator.
+    /// The prefix of the paths of the object's keys, including the separator.
     path: &'a str,
 }
 
@@ -16,7 +16,7 @@
         JsonObject { map: Some(map), path }
     }
 
-    /// Returns the error for a value that is not of the expected form.
+    /// Returns the error for a key whose value does not have the expected form.
     pub(crate) fn invalid_value(&self, key: &str, expected: Expected) -> SettingsFormatError {
         SettingsFormatError::new(format!("{}{key}", self.path), Problem::InvalidValue(expected))
     }
@@ -25,7 +25,8 @@
         self.map?.get(key)
     }
 
-    /// Reads a required value with `read`, which returns `None` if the value is not of the expected form.
+    /// Reads the value of a required key with `read`. The function `read` returns `None` if the value does
+    /// not have the expected form.
     fn require<T>(
         &self,
         key: &str,
@@ -42,12 +43,14 @@
         Ok(JsonObject::new(map, path))
     }
 
-    /// Reads an optional object; a value that is not an object counts as absent.
+    /// Reads the JSON object of an optional key; a value that is not an object counts as absent. `path` is
+    /// the prefix of the paths of that object's keys.
     pub(crate) fn optional_object(&self, key: &str, path: &'a str) -> JsonObject<'a> {
         JsonObject { map: self.get(key).and_then(Value::as_object), path }
     }
 
-    /// Reads a list of objects; `path` is the prefix of the paths of the entries' keys.
+    /// Reads the list of JSON objects of a required key; `path` is the prefix of the paths of the keys in
+    /// these objects.
     pub(crate) fn objects<'b>(
         &'b self,
         key: &'b str,
@@ -69,7 +72,7 @@
         self.get(key).map_or(Ok(default), |_| self.number(key))
     }
 
-    /// Reads a non-negative number and drops its fraction.
+    /// Reads the non-negative number of a required key and drops the number's fraction.
     pub(crate) fn integer(&self, key: &str) -> Result<u64, SettingsFormatError> {
         self.require(key, Expected::Integer, integer)
     }
@@ -95,7 +98,7 @@
         self.require(key, Expected::String, Value::as_str)
     }
 
-    /// Reads an optional string; a value that is not a string counts as absent.
+    /// Reads the string of an optional key; a value that is not a string counts as absent.
     pub(crate) fn optional_string(&self, key: &str) -> Option<&'a str> {
         self.get(key).and_then(Value::as_str)
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,10 @@
-//! Reads a deployment's settings object, which the simulator's protocol and the daemon's configuration share.
+//! Reads a deployment's settings object: the JSON object with the settings of the schedulers. The simulator's
+//! protocol and the daemon's configuration contain the same object.
 //!
-//! Only this crate maps the object's keys to the fields of [`Settings`]; each part of the object has a module
-//! of its own. Unknown keys are skipped, since new keys can appear at any time. This crate checks the form of
-//! each value; [`Settings::check`] checks that the values are in range.
+//! Only this crate maps the keys of the settings object to the fields of [`Settings`]; each part of the
+//! settings object has a module of its own. Unknown keys are skipped, because later versions of the settings
+//! object may have new keys. This crate checks the form of each value; [`Settings::check`] checks that the
+//! values are in range.
 //!
 //! ```
 //! let error = vetchbridge_settings::from_json(r#"{"limits": {}}"#).unwrap_err();
@@ -35,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the text is not JSON, and the errors of [`from_value`].
+/// Returns an error if the text is not JSON, and otherwise the errors of [`from_value`].
 pub fn from_json(json: &str) -> Result<Settings, SettingsFormatError> {
     match serde_json::from_str(json) {
         Ok(value) => from_value(&value),
@@ -47,7 +49,8 @@
 ///
 /// # Errors
 ///
-/// Returns the first key that is missing or has an invalid value, or an error if the value is not an object.
+/// Returns an error for the first key that is missing or has an invalid value, or an error if the JSON value
+/// is not an object.
 pub fn from_value(value: &Value) -> Result<Settings, SettingsFormatError> {
     let Some(map) = value.as_object() else {
         return Err(SettingsFormatError::new("", Problem::NotAnObject));
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! Reads `limits`: what a scheduler is allowed to do.
+//! Reads the part `limits` of a settings object: limits on what a scheduler may do.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,4 +1,5 @@
-//! Reads `rules`: the times and factors of the rules that the platform imposes on schedulers.
+//! Reads the part `rules` of a settings object: the times and factors of the rules that the platform imposes
+//! on schedulers.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/settings/src/specifics.rs
+++ b/crates/settings/src/specifics.rs
@@ -1,4 +1,4 @@
-//! Reads `specifics`: settings that only some deployments have.
+//! Reads the part `specifics` of a settings object: settings that only some deployments have.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
@@ -15,7 +15,8 @@
         Specifics { object }
     }
 
-    /// Returns the number for a class from the list at `key`, which has one entry for each class.
+    /// Returns the number for the class with index `class` from the list at `key`, which has one entry for
+    /// each class of requests.
     fn class_number(&self, key: &str, class: usize) -> Option<f64> {
         self.object
             .get(key)
@@ -28,7 +29,8 @@
         self.class_number("class_stretch", class)
     }
 
-    /// Returns the only machine type that runs a class; a negative number stands for any machine type.
+    /// Returns the only machine type that runs the class with index `class`, or `None` if any machine type
+    /// runs the class. The list gives a negative number for such a class.
     pub(crate) fn machine_type(&self, class: usize) -> Option<MachineTypeId> {
         self.class_number("class_kind", class)
             .filter(|number| *number >= 0.0)
@@ -51,7 +53,8 @@
         self.object.boolean_or("tells_start", false)
     }
 
-    /// Returns the interval between progress reports of a job; 0 if workers send none.
+    /// Returns the interval between a worker's progress reports about one job, in microseconds; 0 if workers
+    /// send no progress reports.
     pub(crate) fn progress_interval(&self) -> Result<Micros, SettingsFormatError> {
         self.object.integer_or("progress", 0)
     }
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Reads `accounts`: the tenants, if the deployment has any.
+//! Reads the part `accounts` of a settings object: the tenants, if the deployment has any.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,31 +1,33 @@
-//! The instances of the decision module and the current batch of messages. All decisions are made by the
-//! instances.
+//! The instances of the decision module (the scheduling crate) and the simulator's current batch of messages.
+//! The instances make all decisions.
 
 use crate::wire::{print_actions, FieldError, FieldProblem, Message};
 use std::collections::BTreeMap;
 use vetchbridge_scheduling::Scheduler;
 use vetchbridge_scheduling::{Action, Event, Micros, Settings};
 
-/// A batch of messages that has begun and not ended.
+/// A batch of messages from the simulator that has begun and not ended.
 struct Batch {
     now: Micros,
-    /// The instance that the next messages are for; `None` until an instance is selected.
+    /// The instance that gets the next messages; `None` until a message of the batch selects an instance.
     selected: Option<u32>,
 }
 
-/// Runs the instances; each instance is one scheduler and shares no state with the others.
+/// Runs the instances of the decision module. Each instance is one scheduler and shares no state with other
+/// instances.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Scheduler>,
     batch: Option<Batch>,
-    /// The actions of one event; the vector is kept to reuse its memory.
+    /// The actions that an instance returned for one event. The vector is kept between events to reuse its
+    /// memory.
     actions: Vec<Action>,
-    /// The reply to the current batch.
+    /// The text of the reply to the current batch of messages.
     reply: Vec<u8>,
 }
 
 impl Host {
-    /// Handles a message; returns the reply to the batch if the message ends the batch.
+    /// Handles a message from the simulator. Returns the reply to the batch if the message ends the batch.
     pub(crate) fn handle(&mut self, message: Message) -> Result<Option<&[u8]>, FieldError> {
         match message {
             Message::BeginBatch(now) => self.begin_batch(now)?,
@@ -38,7 +40,7 @@
         Ok(None)
     }
 
-    /// Checks that the input does not end inside a batch.
+    /// Checks, at the end of the simulator's input, that no batch is open.
     pub(crate) fn finish(&self) -> Result<(), FieldError> {
         match self.batch {
             Some(_) => Err(FieldError::new("commit", FieldProblem::EndsInsideBatch)),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs instances of the decision module over the simulator's text protocol: reads messages from standard
-//! input and writes replies to standard output.
+//! Runs instances of the decision module (the scheduling crate) under a simulator: reads the messages of the
+//! simulator's text protocol from standard input, and writes the replies to standard output.
 
 #![deny(missing_docs)]
 
@@ -11,13 +11,13 @@
 use std::process::ExitCode;
 use wire::{Reader, WireError};
 
-/// Size of the input buffer in bytes.
+/// Size of the buffer for standard input, in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
 /// An error that stops the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// The input is malformed.
+    /// A message on standard input is malformed, or standard input can't be read.
     #[error(transparent)]
     Wire(#[from] WireError),
     /// Standard output can't be written.
--- a/crates/simulator-adapter/src/wire/base64.rs
+++ b/crates/simulator-adapter/src/wire/base64.rs
@@ -1,4 +1,5 @@
-//! Encodes bytes as text: base64, or `-` for an empty sequence.
+//! Encodes the bytes of a message between schedulers as text for the simulator's protocol: base64, or `-` for
+//! an empty sequence of bytes.
 
 use ::base64::engine::general_purpose::STANDARD;
 use ::base64::Engine as _;
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,11 +1,11 @@
-//! Errors of malformed input.
+//! Errors that the adapter reports for malformed input of the simulator.
 
 use std::fmt;
 use std::io;
 use vetchbridge_scheduling::SettingsError;
 use vetchbridge_settings::SettingsFormatError;
 
-/// What is wrong with a field or message.
+/// What is wrong with a field or a message of the input.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FieldProblem {
     #[error("missing")]
@@ -40,12 +40,12 @@
     Io(#[from] io::Error),
 }
 
-/// An error in a field or message, without the number of its line.
+/// An error in a field or a message of the input, without the number of the line.
 #[derive(Debug)]
 pub(crate) struct FieldError {
-    /// Name of the field or message.
+    /// Name of the field or the message in the protocol.
     pub(crate) field: String,
-    /// What is wrong with the field or message.
+    /// What is wrong with that field or message.
     pub(crate) problem: FieldProblem,
 }
 
@@ -54,7 +54,7 @@
         FieldError { field: field.into(), problem }
     }
 
-    /// Adds the number of the line.
+    /// Adds to this error the number of the line that contains the field or the message.
     pub(crate) fn at_line(self, line: u64) -> WireError {
         WireError { line, error: self }
     }
@@ -69,7 +69,7 @@
 /// An error in the input, with the number of its line.
 #[derive(Debug)]
 pub(crate) struct WireError {
-    /// Number of the line in the input, from 1.
+    /// Number of the malformed line in the input, counted from 1.
     line: u64,
     error: FieldError,
 }
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,24 +1,25 @@
-//! Reads the `name=value` fields of a line.
+//! Reads the `name=value` fields of a line of the simulator's text protocol.
 
 use super::error::{FieldError, FieldProblem};
 use std::str::FromStr;
 
-/// The fields of a line, separated by spaces.
+/// The `name=value` fields of a line, separated by spaces.
 #[derive(Clone, Copy)]
 pub(super) struct Fields<'a>(pub(super) &'a str);
 
 impl<'a> Fields<'a> {
-    /// Returns the value of an optional field.
+    /// Returns the text of the value of an optional field; `None` if the line lacks the field.
     pub(super) fn optional(&self, name: &str) -> Option<&'a str> {
         self.0.split(' ').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// Returns the value of a required field.
+    /// Returns the text of the value of a required field, or an error if the line lacks the field.
     pub(super) fn required(&self, name: &str) -> Result<&'a str, FieldError> {
         self.optional(name).ok_or_else(|| FieldError::new(name, FieldProblem::Missing))
     }
 
-    /// Reads a required field with `parse`, which returns `None` if the value is invalid.
+    /// Reads the value of a required field with `parse`. The function `parse` returns `None` if the value is
+    /// invalid.
     pub(super) fn parsed<T>(
         &self,
         name: &str,
@@ -40,7 +41,8 @@
         self.optional(name).map(|_| self.number(name)).transpose()
     }
 
-    /// Reads an optional flag, `0` or `1`; an absent flag is false.
+    /// Reads an optional field that is `0` for false or `1` for true. Returns `false` if the line lacks the
+    /// field.
     pub(super) fn flag(&self, name: &str) -> Result<bool, FieldError> {
         match self.optional(name) {
             None | Some("0") => Ok(false),
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Reads a required field with `map`, which returns `None` for an unknown value.
+    /// Reads a required field that has one of several known values. The function `map` returns `None` for an
+    /// unknown value.
     pub(super) fn known_value<T>(
         &self,
         name: &str,
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! The simulator's text protocol: converts lines of text to and from the types of the decision module.
+//! The simulator's text protocol: converts messages and replies, which are lines of text, to and from the
+//! types of the decision module.
 //!
-//! The names of the protocol appear in [`mod@parse`] and [`mod@print`] only. This module makes no decisions.
-//! Unknown messages, fields and settings are skipped. A known message that is malformed causes a
-//! [`WireError`] that names the line and the field.
+//! The names that the protocol gives to messages, fields and values appear in [`mod@parse`] and [`mod@print`]
+//! only. This module makes no decisions. Unknown messages, fields and settings are skipped. A known message
+//! that is malformed causes a [`WireError`] that names the line and the field.
 
 mod base64;
 mod error;
@@ -18,23 +19,23 @@
 
 use vetchbridge_scheduling::{Event, Micros, Settings};
 
-/// One message of a batch.
+/// One message from the simulator; messages come in batches.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Message {
-    /// A batch begins; the value is the current time.
+    /// A batch of messages begins; the value is the current time, in microseconds of the simulated clock.
     BeginBatch(Micros),
-    /// The current batch ends.
+    /// The current batch of messages ends, and the simulator expects the reply.
     CommitBatch,
-    /// The messages that follow are for this instance.
+    /// The messages that follow in the batch are for the instance with this number.
     SelectInstance(u32),
-    /// The selected instance starts.
+    /// The selected instance of the decision module starts.
     StartInstance {
         /// Seed of the instance's random numbers.
         seed: u64,
         /// The instance's settings.
         settings: Box<Settings>,
     },
-    /// The selected instance is killed, without a shutdown event.
+    /// The selected instance stops as if its process were killed, without a shutdown event.
     StopInstance,
     /// An event for the selected instance.
     Event(Event),
--- a/crates/simulator-adapter/src/wire/parse.rs
+++ b/crates/simulator-adapter/src/wire/parse.rs
@@ -1,5 +1,5 @@
-//! Parses the lines that the simulator sends: maps the names of messages and fields to the types of the
-//! decision module.
+//! Parses the lines that the simulator sends: maps the protocol's names of messages, fields and values to the
+//! types of the decision module.
 
 use super::error::{FieldError, FieldProblem};
 use super::fields::Fields;
@@ -9,17 +9,17 @@
     MachineTypeId, Outcome, Request, RequestId, TenantId, TimerToken, WorkerId, ZoneId,
 };
 
-/// A parsed line.
+/// A parsed line of the simulator's input, other than an entry of an endpoint list.
 pub(super) enum Line {
-    /// A message.
+    /// A complete message in one line.
     Message(Message),
     /// The first line of an endpoint list; each of the `count` entries follows on a line of its own.
     EndpointList { update: EndpointUpdate, count: usize },
-    /// An unknown message.
+    /// A message with an unknown name, which the reader skips.
     Unknown,
 }
 
-/// Parses a line other than an entry of an endpoint list.
+/// Parses a line of the input other than an entry of an endpoint list.
 pub(super) fn parse_line(line: &str) -> Result<Line, FieldError> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
     let fields = Fields(rest);
@@ -39,7 +39,8 @@
     Ok(Line::Message(message))
 }
 
-/// Parses an event; returns `None` for an unknown event.
+/// Parses a message that carries an event for the selected instance. Returns `None` if the name of the event
+/// is unknown.
 fn parse_event(name: &str, fields: Fields<'_>) -> Result<Option<Event>, FieldError> {
     let event = match name {
         "req" => Event::Request(parse_request(fields)?),
@@ -62,7 +63,8 @@
     Ok(Some(event))
 }
 
-/// Parses the message that starts an instance. The settings are the rest of the line and may contain spaces.
+/// Parses `rest`, the message that starts an instance without its name. The settings are the rest of the line
+/// and may contain spaces.
 fn parse_start(rest: &str) -> Result<Message, FieldError> {
     let (head, json) =
         rest.split_once("setup=").ok_or_else(|| FieldError::new("setup", FieldProblem::Missing))?;
@@ -82,7 +84,7 @@
     Ok(Line::EndpointList { update, count: fields.number_or("nodes_list", 0)? })
 }
 
-/// Parses an entry of an endpoint list.
+/// Parses a line that contains one entry of an endpoint list.
 pub(super) fn parse_endpoint(line: &str) -> Result<Endpoint, FieldError> {
     let Some(rest) = line.strip_prefix("row ") else {
         return Err(FieldError::new("row", FieldProblem::MissingRow));
@@ -129,7 +131,7 @@
     })
 }
 
-/// Parses a progress report; returns `None` for an unknown kind of report.
+/// Parses a worker's report about the progress of a job. Returns `None` if the kind of the report is unknown.
 fn parse_progress(fields: Fields<'_>) -> Result<Option<Event>, FieldError> {
     let progress = match fields.number::<u32>("sort")? {
         1 => JobProgress::Started,
@@ -170,7 +172,8 @@
     })
 }
 
-/// Parses a load report of `name:value` pairs; unknown names and invalid values are skipped.
+/// Parses a worker's load report, a list of `name:value` pairs separated by commas. Skips unknown names and
+/// invalid values.
 fn parse_load(fields: Fields<'_>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in fields.optional("feedback")?.split(',') {
--- a/crates/simulator-adapter/src/wire/print.rs
+++ b/crates/simulator-adapter/src/wire/print.rs
@@ -1,11 +1,11 @@
-//! Prints actions as lines of the simulator's text protocol.
+//! Prints the actions of a scheduler as lines of the simulator's text protocol.
 
 use super::base64;
 use super::worker_address::WorkerAddress;
 use std::io::{self, Write};
 use vetchbridge_scheduling::{Action, Micros, Recipient, RequestId, WorkerId};
 
-/// Prints the actions of one instance as reply lines.
+/// Appends the actions of one instance to the reply to the current batch, one line for each action.
 pub(crate) fn print_actions(out: &mut Vec<u8>, instance: u32, actions: &[Action]) -> io::Result<()> {
     writeln!(out, "from who={instance}")?;
     actions.iter().try_for_each(|action| print_action(out, action))
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -1,4 +1,4 @@
-//! Reads messages from a stream of lines.
+//! Reads the simulator's messages from a stream of lines.
 
 use super::error::{FieldError, FieldProblem, WireError};
 use super::parse::{parse_endpoint, parse_line, Line};
@@ -6,31 +6,31 @@
 use std::io::BufRead;
 use vetchbridge_scheduling::{EndpointUpdate, Event};
 
-/// Initial capacity of the line buffer in bytes.
+/// Initial capacity of the buffer for one line of input, in bytes.
 const LINE_CAPACITY: usize = 1 << 16;
-/// Maximum number of list entries for which memory is reserved before the entries are read.
+/// Maximum number of entries of an endpoint list for which memory is reserved before the entries are read.
 const MAX_RESERVED_ENDPOINTS: usize = 1 << 16;
 
-/// Reads messages and counts the lines.
+/// Reads the simulator's messages and counts the lines of the input.
 pub(crate) struct Reader<R> {
     input: R,
     buffer: Vec<u8>,
-    /// Number of the line that was read last, from 1.
+    /// Number of the last line that was read, counted from 1.
     line_number: u64,
 }
 
 impl<R: BufRead> Reader<R> {
-    /// Creates a reader at the start of its input.
+    /// Creates a reader whose `input` is at its first line.
     pub(crate) fn new(input: R) -> Reader<R> {
         Reader { input, buffer: Vec::with_capacity(LINE_CAPACITY), line_number: 0 }
     }
 
-    /// Adds the number of the line that was read last to an error.
+    /// Adds the number of the last line that was read to an error in that line.
     pub(crate) fn error(&self, error: FieldError) -> WireError {
         error.at_line(self.line_number)
     }
 
-    /// Reads the next known message; returns `None` at the end of the input.
+    /// Reads the next message and skips unknown messages. Returns `None` at the end of the input.
     pub(crate) fn next_message(&mut self) -> Result<Option<Message>, WireError> {
         self.read_message().map_err(|error| self.error(error))
     }
@@ -48,7 +48,7 @@
         Ok(None)
     }
 
-    /// Reads the entries that follow the first line of an endpoint list.
+    /// Reads the `count` entries that follow the first line of an endpoint list, one per line.
     fn read_endpoints(&mut self, update: EndpointUpdate, count: usize) -> Result<Message, FieldError> {
         let mut endpoints = Vec::with_capacity(count.min(MAX_RESERVED_ENDPOINTS));
         while endpoints.len() < count {
@@ -59,7 +59,7 @@
         Ok(Message::Event(Event::Endpoints { update, endpoints }))
     }
 
-    /// Reads the next line without its line break; returns `None` at the end of the input.
+    /// Reads the next line of the input without its line break. Returns `None` at the end of the input.
     fn next_line(&mut self) -> Result<Option<&str>, FieldError> {
         self.buffer.clear();
         self.line_number += 1;
--- a/crates/simulator-adapter/src/wire/worker_address.rs
+++ b/crates/simulator-adapter/src/wire/worker_address.rs
@@ -1,13 +1,13 @@
-//! Converts a worker's address, `a.b.c.d:port`, to and from a worker id. Every scheduler derives the same id
-//! from an address.
+//! Converts a worker's address, `a.b.c.d:port`, to and from a worker id. Every scheduler derives the same
+//! worker id from an address.
 
 use std::fmt;
 use vetchbridge_scheduling::WorkerId;
 
-/// Maximum number of digits in a part of an address: the length of the longest port.
+/// Maximum number of digits in one number of a worker's address: the number of digits of the largest port.
 const MAX_DIGITS: u32 = 5;
 
-/// A worker id that is displayed as the worker's address.
+/// A worker id whose displayed text is the worker's address.
 pub(super) struct WorkerAddress(pub(super) WorkerId);
 
 impl fmt::Display for WorkerAddress {
@@ -18,7 +18,8 @@
     }
 }
 
-/// Parses an address. Only the canonical form, in which the address is displayed, is accepted.
+/// Parses a worker's address into a worker id. Only the canonical form of an address is accepted, which is
+/// the form in which [`WorkerAddress`] displays it.
 pub(super) fn parse(text: &str) -> Option<WorkerId> {
     let bytes = text.as_bytes();
     let (mut id, mut part, mut digits, mut separators) = (0u64, 0u64, 0u32, 0u32);
