--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: which workers get jobs when their load is unknown, and which jobs wait or are answered.
+//! Tests of admission: which workers get jobs when the load of workers is unknown, and which requests wait at
+//! the scheduler or get their final answer.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,10 +7,10 @@
 use std::collections::BTreeMap;
 use vetchbridge_scheduling::*;
 
-/// Workers that report neither job starts nor load queue jobs for seconds before they reject one. The arcs of
-/// the ring are never even, so the home of a popular key would be overloaded while other workers are idle. A
-/// scheduler therefore spreads its jobs by weight, and keeps each key as near to its home as the weights
-/// allow.
+/// Workers that report neither job starts nor load queue jobs for seconds before they reject a job. The parts
+/// of the ring that belong to the workers are never equal, so the home of a popular key would be overloaded
+/// while other workers are idle. A scheduler therefore spreads its jobs by the weights of the workers, and
+/// keeps each key as near to its home on the ring as the weights allow.
 #[test]
 fn no_worker_of_unknown_load_is_sent_much_more_than_its_fair_share() {
     let mut driver = Driver::new(Settings { load_report_source: LoadReportSource::Never, ..settings() });
@@ -36,13 +37,14 @@
     );
 }
 
-/// If a late answer is worthless, work on it takes the worker's time from jobs that can still be in time;
-/// during a burst all jobs would become late. An attempt therefore times out once its answer would be late,
-/// and a request that can't be in time is answered at once.
+/// If a late final answer is worthless, work on a late request takes a worker's time from jobs that can still
+/// meet their latency objective, so that all jobs would become late during a burst. An attempt therefore
+/// times out when its response would be late, and a request that can't meet its latency objective gets its
+/// final answer at once.
 #[test]
 fn a_request_whose_late_answer_is_worthless_is_answered_once_it_is_late() {
-    // Idempotency, weight of a late answer, hint of the work, expected timeout of the attempt, and whether a
-    // retry by the client is harmless.
+    // Each case: the idempotency of the class, the weight of a late final answer, the client's estimate of
+    // the work, the expected timeout of the attempt, and whether a retry by the client is harmless.
     let (non_idempotent, idempotent) = (Idempotency::NonIdempotent, Idempotency::Idempotent);
     for (idempotency, late_weight, work_hint, expected_timeout, is_harmless) in [
         (idempotent, 0.0, Some(300 * MILLISECOND), Some(500 * MILLISECOND + 690 * MILLISECOND), true),
@@ -73,8 +75,8 @@
     }
 }
 
-/// A queued request whose late answer is worthless is answered as soon as not even an idle worker could serve
-/// it in time.
+/// A queued request whose late final answer is worthless gets its final answer as soon as not even an idle
+/// worker could serve the request within the latency objective.
 #[test]
 fn a_queued_request_is_answered_when_it_can_no_longer_be_in_time() {
     let classes = vec![Class { late_weight: 0.0, ..class(Idempotency::Idempotent) }];
@@ -100,8 +102,9 @@
     );
 }
 
-/// Each of two workers has one job in flight, and the connection of one job breaks. The job is retried at the
-/// other worker; it must not be queued because that worker has a job already.
+/// Each of two workers has one job in flight, and the connection of one job breaks. The scheduler must retry
+/// the job at the other worker at once. The scheduler must not queue the job on the ground that the other
+/// worker has a job already.
 #[test]
 fn a_job_whose_connection_broke_is_retried_at_once_at_the_only_other_worker() {
     let mut driver =
@@ -112,9 +115,9 @@
     assert_eq!(sent_to(&driver.event(attempt_finished(2, 0, second, Outcome::Reset))), first);
 }
 
-/// A worker that answers quickly with errors looks idle, and would be sent more jobs than any other worker.
-/// Such a worker is ejected, each time for longer, even if the worker serves every second job. A worker is
-/// not ejected for one error in fifty jobs, and ejections are ignored if all workers answer with errors.
+/// A worker that responds quickly with errors looks idle and would get more jobs than any other worker. Such
+/// a worker is ejected, each time for a longer time, even if the worker serves every second job. A worker is
+/// not ejected for one error in fifty jobs, and ejections are ignored if all workers respond with errors.
 #[test]
 fn a_worker_that_repeatedly_answers_with_errors_is_ejected() {
     let percent_of_jobs_at_worker = |fails: &dyn Fn(WorkerId, u64) -> bool| {
@@ -147,7 +150,7 @@
     assert!(percent_of_jobs_at_worker(&|_, _| true) >= 10, "all workers fail every job");
 }
 
-/// Hashes a small number, without a seed.
+/// Returns a hash of a small number, which decides whether the worker fails the job with this number.
 fn mix(n: u64) -> u64 {
     (n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 29) ^ n.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 33
 }
--- a/crates/scheduling/tests/combined_faults.rs
+++ b/crates/scheduling/tests/combined_faults.rs
@@ -1,13 +1,13 @@
-//! Combinations of faults: the scheduler does not panic, no worker stays ejected, and no concurrency limit
-//! stays low.
+//! Tests of combined faults of workers and of the endpoint list: the scheduler does not panic, no worker
+//! stays ejected after a fault, and no concurrency limit stays low.
 #![allow(missing_docs)]
 
 mod common;
 use common::*;
 use vetchbridge_scheduling::*;
 
-/// Sends 20 jobs per second to the scheduler for `seconds` seconds; `outcome_at` gives the outcome of
-/// attempts at a worker. Returns the fraction of jobs that were served.
+/// Passes 20 requests per second to the scheduler for `seconds` seconds. `outcome_at` returns the outcome of
+/// every attempt at a worker. Returns the number of served attempts divided by the number of requests.
 fn run_jobs(
     driver: &mut Driver,
     first_id: u64,
@@ -28,7 +28,8 @@
                     served += u64::from(outcome == Outcome::Ok);
                     let attempts = (0..4).map(AttemptNo);
                     for attempt in attempts {
-                        // The scheduler ignores results of attempts that are not in flight.
+                        // The scheduler ignores the results for attempt numbers that are not in flight at
+                        // this worker.
                         unprocessed.push(driver.event(Event::AttemptFinished {
                             request: *request,
                             attempt,
@@ -94,7 +95,8 @@
 fn errors_at_all_workers_leave_no_concurrency_limit_low() {
     let mut driver = Driver::with_fleet(settings(), 4);
     run_jobs(&mut driver, 0, 10, |_| Outcome::Error);
-    // The scheduler can have many jobs in flight afterwards only if served jobs have raised the limits again.
+    // After the errors, the scheduler can have many jobs in flight only if served jobs have raised the
+    // concurrency limits again.
     run_jobs(&mut driver, 10_000, 5, |_| Outcome::Ok);
     let placed = (0..12)
         .filter(|n| !sent_workers(&driver.request(20_000 + n, IDEMPOTENT, &format!("many-{n}"))).is_empty())
--- a/crates/scheduling/tests/common/mod.rs
+++ b/crates/scheduling/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers that the tests share: settings, endpoints, requests, events, and a driver of one scheduler.
+//! Helpers that the integration tests share: settings, endpoints, requests, events, and a driver that passes
+//! events to one scheduler.
 #![allow(dead_code, missing_docs)]
 
 use vetchbridge_scheduling::*;
@@ -8,7 +9,7 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// Returns a class with a latency objective of 500 ms and a deadline of 5 s.
+/// Returns a class of requests with a latency objective of 500 ms and a deadline of 5 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 500 * MILLISECOND,
@@ -23,15 +24,15 @@
     }
 }
 
-// Indices of the classes in `settings()`.
+// Indices of the classes in the settings that `settings()` returns.
 pub const IDEMPOTENT: u32 = 0;
 pub const KEYED_ALL: u32 = 1;
 pub const KEYED_CELL: u32 = 2;
 pub const NON_IDEMPOTENT: u32 = 3;
 pub const MACHINE_BOUND: u32 = 4;
 
-/// Returns the settings of a single scheduler with the classes of the constants above. The class
-/// `MACHINE_BOUND` runs on machine type 1 only.
+/// Returns the settings of a single scheduler with the five classes from `IDEMPOTENT` to `MACHINE_BOUND`.
+/// Jobs of the class `MACHINE_BOUND` run on machine type 1 only.
 pub fn settings() -> Settings {
     let deduplication_window = 2 * SECOND;
     let mut machine_bound = class(Idempotency::Idempotent);
@@ -80,7 +81,8 @@
     }
 }
 
-/// Returns the entry of a ready worker, whose zone, machine type and cell are derived from `n`.
+/// Returns the endpoint list entry of the ready worker with id `n`, whose zone, machine type and cell are
+/// derived from `n`.
 pub fn endpoint(n: u64) -> Endpoint {
     Endpoint {
         worker: WorkerId(n),
@@ -93,7 +95,7 @@
     }
 }
 
-/// Returns an event with entries of the endpoint list.
+/// Returns an event that updates the endpoint list with these entries.
 pub fn endpoints_event(update: EndpointUpdate, endpoints: impl IntoIterator<Item = Endpoint>) -> Event {
     Event::Endpoints { update, endpoints: endpoints.into_iter().collect() }
 }
@@ -128,7 +130,7 @@
     }
 }
 
-/// A scheduler and its clock.
+/// A scheduler under test and the current time of its clock, in microseconds.
 pub struct Driver {
     pub scheduler: Scheduler,
     pub now: Micros,
@@ -148,45 +150,46 @@
         driver
     }
 
-    /// Handles an event at the current time and returns the actions.
+    /// Passes an event to the scheduler at the current time and returns the scheduler's actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Sets the clock, handles an event and returns the actions.
+    /// Sets the clock to `now`, passes an event to the scheduler and returns the scheduler's actions.
     pub fn at(&mut self, now: Micros, event: Event) -> Vec<Action> {
         self.now = now;
         self.event(event)
     }
 
-    /// Handles a new request with a deadline in 5 s and returns the actions.
+    /// Passes a new request with a deadline in 5 s to the scheduler and returns the scheduler's actions.
     pub fn request(&mut self, id: u64, class: u32, key: &str) -> Vec<Action> {
         let deadline = self.now + 5 * SECOND;
         self.event(Event::Request(request(id, class, key, deadline)))
     }
 }
 
-/// Returns the workers that the actions send attempts to.
+/// Returns the workers to which the actions send attempts, in order.
 pub fn sent_workers(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| if let Action::Send { worker, .. } = a { Some(*worker) } else { None };
     actions.iter().filter_map(send).collect()
 }
 
-/// Returns the worker that the actions send an attempt to; panics unless they send exactly one.
+/// Returns the worker to which the actions send an attempt. Panics unless the actions send exactly one
+/// attempt.
 pub fn sent_to(actions: &[Action]) -> WorkerId {
     let workers = sent_workers(actions);
     assert_eq!(workers.len(), 1, "one attempt expected in {actions:?}");
     workers[0]
 }
 
-/// Whether the actions reject a request.
+/// Whether one of the actions rejects a request.
 pub fn has_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether the actions answer a request with a failure.
+/// Whether one of the actions gives a request a failure as its final answer.
 pub fn has_failure(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/crates/scheduling/tests/common/simulation.rs
+++ b/crates/scheduling/tests/common/simulation.rs
@@ -1,4 +1,5 @@
-//! A simulation of workers and of the timers of several schedulers, in steps of a fixed tick.
+//! Parts of the simulations in the tests of slow start: simulated workers, the timers of several schedulers,
+//! and random numbers. Time advances in steps of a fixed tick.
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,31 +12,31 @@
         Lcg(seed)
     }
 
-    /// Returns the next fraction, in `[0, 1)`.
+    /// Returns the next random fraction, in `[0, 1)`.
     pub fn fraction(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as f64 / (1u64 << 31) as f64
     }
 }
 
-/// An attempt at a simulated worker.
+/// An attempt that a simulated worker runs or has in its queue.
 pub struct Job {
     /// Index of the scheduler that sent the attempt.
     pub scheduler: usize,
-    /// Id of the request.
+    /// Id of the request that the attempt belongs to.
     pub id: u64,
-    /// Remaining work at speed 1, in microseconds.
+    /// Remaining running time of the job at speed 1, in microseconds.
     pub remaining: f64,
     pub timeout_at: Micros,
 }
 
-/// Workers that run one job per slot, in order of arrival, and queue the other jobs.
+/// The simulated workers. Each worker runs one job per slot, in order of arrival, and queues the other jobs.
 pub struct Workers {
     /// Number of slots of each worker.
     pub slots: usize,
-    /// Jobs of each worker in order of arrival.
+    /// Running and queued jobs of each worker in order of arrival, by worker ID.
     pub jobs: BTreeMap<u64, Vec<Job>>,
-    /// Number of completed jobs.
+    /// Number of jobs that all workers have completed.
     pub served: usize,
 }
 
@@ -48,8 +49,8 @@
         self.jobs.entry(worker.0).or_default().push(job);
     }
 
-    /// Runs all workers for one tick, each at its speed. Returns an event for each attempt that has ended,
-    /// with the index of the attempt's scheduler.
+    /// Runs all workers for one tick, each worker at the speed that `speed` returns for its ID. Returns an
+    /// event for each attempt that has ended, with the index of the attempt's scheduler.
     pub fn run(&mut self, now: Micros, tick: Micros, speed: impl Fn(u64) -> f64) -> Vec<(usize, Event)> {
         let mut ended = Vec::new();
         for (worker, jobs) in &mut self.jobs {
@@ -70,7 +71,7 @@
     }
 }
 
-/// The timers of all schedulers in order of expiry.
+/// The timers that all schedulers have set, in order of expiry.
 #[derive(Default)]
 pub struct Timers(BTreeSet<(Micros, usize, TimerToken)>);
 
--- a/crates/scheduling/tests/coordination.rs
+++ b/crates/scheduling/tests/coordination.rs
@@ -1,5 +1,6 @@
-//! Coordination: the messages that schedulers exchange, and how the messages change placement at workers that
-//! each single scheduler seldom uses.
+//! Tests of coordination between schedulers: the messages that schedulers exchange about a worker's
+//! occupancy, and how these messages change the placement of requests at workers that each single scheduler
+//! seldom uses.
 #![allow(missing_docs)]
 
 mod common;
@@ -19,7 +20,8 @@
     settings
 }
 
-/// Schedulers with equal endpoint lists. A message arrives at once, unless its recipient is unreachable.
+/// Several schedulers with equal endpoint lists. A message between schedulers arrives at once, unless the
+/// recipient is unreachable.
 struct Fleet {
     schedulers: Vec<Driver>,
     unreachable: Vec<u32>,
@@ -36,8 +38,8 @@
         }
     }
 
-    /// Delivers an event to one scheduler, and the messages that follow to their recipients. Returns the
-    /// actions of all schedulers except messages.
+    /// Passes an event to one scheduler, and delivers the messages that schedulers send in consequence.
+    /// Returns the actions of all schedulers other than these messages.
     fn event(&mut self, scheduler_index: u32, event: Event) -> Vec<Action> {
         let mut pending_events = vec![(scheduler_index, event)];
         let mut actions = vec![];
@@ -67,8 +69,8 @@
     }
 }
 
-/// Each of ten schedulers sends one job to the home of one key. One job is little for a single scheduler, but
-/// together the schedulers put ten jobs on one worker.
+/// Each of ten schedulers sends one job to the home of one key. One job looks like little load to a single
+/// scheduler, but without coordination the ten schedulers together put ten jobs on one worker.
 #[test]
 fn jobs_of_one_key_from_many_schedulers_spill_once_the_key_s_home_is_full() {
     for coordinated in [true, false] {
@@ -84,8 +86,8 @@
             (0..10).flat_map(|index| sent_workers(&fleet.request(index, u64::from(index), "k"))).collect();
         let max_jobs =
             workers.iter().map(|worker| workers.iter().filter(|other| *other == worker).count()).max();
-        // Four of the twelve workers are candidates. With coordination, each candidate runs one job and
-        // queues one job, and two jobs are queued at the schedulers.
+        // Four of the twelve workers are candidates for the key. With coordination, each candidate runs one
+        // job and has one job in its queue, and the other two jobs are queued at the schedulers.
         assert_eq!(
             (workers.len(), max_jobs),
             if coordinated { (8, Some(2)) } else { (10, Some(10)) },
@@ -109,8 +111,9 @@
     assert_eq!(sent_to(&fleet.request(2, 2, "k")), home);
 }
 
-/// If a coordinator does not reply in time, the scheduler places the job without an occupancy report. The
-/// next scheduler by rendezvous hashing then coordinates the unresponsive coordinator's workers.
+/// If a worker's coordinator does not reply to an occupancy query in time, the scheduler places the job
+/// without an occupancy report. The next scheduler in the order of rendezvous hashing then becomes the
+/// coordinator of the worker.
 #[test]
 fn an_unresponsive_coordinator_delays_one_job_a_little_and_is_replaced() {
     let mut fleet = Fleet::new(10, 12);
@@ -136,8 +139,8 @@
     );
 }
 
-/// A single failure may be the connection's fault, so one scheduler ejects a worker only after two failures.
-/// With coordination, one failure at each of two schedulers suffices.
+/// The cause of a single failed attempt may be the connection, so one scheduler ejects a worker only after
+/// two failures. With coordination, one failure at each of two schedulers suffices to eject the worker.
 #[test]
 fn failures_at_two_schedulers_eject_a_worker_for_all() {
     let mut fleet = Fleet::new(10, 12);
@@ -154,8 +157,8 @@
     }
 }
 
-/// Unexpected messages are replies without a query, messages about workers that are not listed, and data that
-/// can't be decoded.
+/// Unexpected messages from a peer must not change what a scheduler does: replies without an occupancy query,
+/// messages about workers that the endpoint list lacks, and data that can't be decoded.
 #[test]
 fn unexpected_messages_change_nothing() {
     let mut driver = Driver::with_fleet(coordinating_settings(0, 3), 12);
@@ -187,7 +190,8 @@
     );
 }
 
-/// Notifies every scheduler that a peer has sent an attempt of `slots_per_worker` slots to each worker.
+/// Sends every scheduler messages in which a peer claims to have sent an attempt of `slots_per_worker` slots
+/// to each worker.
 fn occupy_workers(fleet: &mut Fleet, workers: u64, slots_per_worker: f64) {
     for scheduler_index in 0..fleet.schedulers.len() as u32 {
         for worker in (1..=workers).map(WorkerId) {
@@ -198,8 +202,8 @@
     }
 }
 
-/// In a long queue, one more job would make all later jobs late. The job is therefore queued at the
-/// scheduler, where younger jobs may overtake it.
+/// In a worker's long queue, one more job would make all later jobs late. The job is therefore queued at the
+/// scheduler, where younger jobs may overtake the job.
 #[test]
 fn a_job_joins_a_worker_s_short_queue_but_waits_at_the_scheduler_if_queues_are_long() {
     for (slots_per_worker, is_sent) in [(1.0, true), (2.0, false)] {
@@ -219,8 +223,8 @@
     }
 }
 
-/// Restarted workers take jobs that other workers have no capacity for, but only within the limits that slow
-/// start sets on slots and work.
+/// Restarted workers take jobs for which the other workers have no capacity, but only within the limits that
+/// slow start sets on a worker's slots and work.
 #[test]
 fn a_warming_worker_takes_other_keys_while_its_coordinator_reports_capacity() {
     let mut fleet = Fleet::new(10, 0);
@@ -237,7 +241,7 @@
     occupy_workers(&mut fleet, 9, 9.0);
     let mut jobs_per_worker = BTreeMap::new();
     for id in 0..40 {
-        // Earlier occupancy reports are no longer fresh.
+        // After this time, the occupancy reports of earlier requests are no longer fresh.
         fleet.advance(30 * MILLISECOND);
         for worker in sent_workers(&fleet.request(id as u32 % 10, id, &format!("key-{id}"))) {
             assert!(worker.0 > 9, "workers that are warm have long queues");
@@ -245,13 +249,13 @@
         }
     }
     assert_eq!(jobs_per_worker.len(), 3, "{jobs_per_worker:?}");
-    // At a quarter of its capacity, a worker may use three quarters of its four slots, and fewer if its jobs
+    // At a quarter of its capacity, a worker may use three of its four slots, and fewer slots if its jobs
     // have much work.
     assert!(jobs_per_worker.values().all(|jobs| (2..=3).contains(jobs)), "{jobs_per_worker:?}");
 }
 
-/// All schedulers are notified of a restarted worker at the same time and query its occupancy at the same
-/// time. The coordinator may report free capacity only to some of them.
+/// All schedulers learn of a restarted worker at the same time, and all query the worker's coordinator for
+/// its occupancy at the same time. The coordinator may report free capacity only to some of the schedulers.
 #[test]
 fn simultaneous_queries_for_a_restarted_worker_admit_only_a_few_jobs() {
     for (work, max_admitted) in [(100 * MILLISECOND, 3), (2 * SECOND, 1)] {
@@ -298,7 +302,7 @@
 }
 
 /// Each zone holds a third of the workers. If two of three zones fail, more than half of the workers are
-/// ejected, so the fault is assumed to affect all workers and ejections are ignored.
+/// ejected, so the schedulers assume that the cause affects all workers, and ignore ejections.
 #[test]
 fn a_failed_zone_gets_no_jobs_unless_most_workers_have_failed() {
     for (failed_zones, ejected) in [(1, true), (2, false)] {
@@ -314,7 +318,8 @@
         for id in 0..60 {
             let mut actions = driver.request(id, IDEMPOTENT, &format!("key-{id}"));
             if sent_workers(&actions).is_empty() {
-                // No coordinator replies.
+                // No coordinator replies to the occupancy queries, so the request is placed when the wait for
+                // the replies ends.
                 driver.now += 40 * MILLISECOND;
                 let (_, token) = timers(&actions).into_iter().min().expect("a timer for the next placement");
                 actions = driver.event(Event::Timer(token));
@@ -331,9 +336,9 @@
     }
 }
 
-/// Two attempts start, and the message about the end of the first is lost. The message about the second
-/// attempt's end must not remove the first attempt in its place, or the second attempt would be counted as
-/// running.
+/// A peer starts two attempts at a worker, and the message about the end of the first attempt is lost. The
+/// worker's coordinator must not remove the first attempt when the message about the end of the second
+/// attempt arrives, because the second attempt would then count as in flight after its end.
 #[test]
 fn an_attempt_whose_end_message_was_lost_is_forgotten_before_a_later_attempt_ends() {
     let mut driver = Driver::with_fleet(coordinating_settings(0, 10), 12);
--- a/crates/scheduling/tests/endpoint_list.rs
+++ b/crates/scheduling/tests/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Changes of the endpoint list: draining, removed and returning workers, and requests without any worker.
+//! Tests of changes of the endpoint list: draining, removed and returning workers, and requests that arrive
+//! while no worker is listed.
 #![allow(missing_docs)]
 
 mod common;
--- a/crates/scheduling/tests/endpoint_refresh.rs
+++ b/crates/scheduling/tests/endpoint_refresh.rs
@@ -1,5 +1,5 @@
-//! Refresh of the endpoint list: how schedulers spread their polls of a shared discovery service, and how
-//! they use restored, handed-over and incomplete lists.
+//! Tests of the refresh of the endpoint list: how schedulers spread their polls of a shared discovery
+//! service, and how they use restored, handed-over and incomplete endpoint lists.
 #![allow(missing_docs)]
 
 mod common;
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use vetchbridge_scheduling::*;
 
-/// Starts one of `scheduler_count` schedulers with a restored list. Returns the scheduler and its first
-/// actions.
+/// Starts one of `scheduler_count` schedulers with a restored endpoint list of nine workers. Returns the
+/// scheduler and its first actions.
 fn start_with_restored_list(scheduler_index: u32, scheduler_count: u32) -> (Driver, Vec<Action>) {
     let settings = Settings {
         scheduler_index,
@@ -26,13 +26,14 @@
     actions.iter().filter(|a| **a == Action::Subscribe(true)).count()
 }
 
-/// Runs one scheduler during an outage of discovery in which every poll fails after 2 s, the longest time
-/// that discovery keeps a poll waiting. Returns the times of the polls since the start.
+/// Runs one scheduler during an outage of discovery in which every poll of discovery fails after 2 s, the
+/// longest time that discovery keeps a poll waiting. Returns the time of each poll, in microseconds since the
+/// start of the scheduler.
 fn poll_times(scheduler_index: u32, scheduler_count: u32, outage: Micros) -> Vec<Micros> {
     poll_times_failing_after(scheduler_index, scheduler_count, outage, 2 * SECOND)
 }
 
-/// Like [`poll_times`], but each poll fails after `failure_delay`.
+/// Does the same as [`poll_times`], but each poll of discovery fails after `failure_delay`.
 fn poll_times_failing_after(
     scheduler_index: u32,
     scheduler_count: u32,
@@ -59,14 +60,15 @@
 }
 
 /// Simulates one discovery service for all schedulers. Discovery is unreachable for `outage` after the
-/// schedulers start. Then it serves one poll at a time and needs `time_to_serve_all` for one poll of every
-/// scheduler. A poll that has waited for 2 s fails. Returns for each scheduler the time between the end of
-/// the outage and the arrival of its list.
+/// schedulers start. Afterwards, discovery serves one poll at a time and needs `time_to_serve_all` to serve
+/// one poll of every scheduler. A poll that has waited for 2 s fails. Returns for each scheduler the time
+/// from the end of the outage to the arrival of the scheduler's endpoint list, in microseconds.
 fn list_times(scheduler_count: u32, outage: Micros, time_to_serve_all: Micros) -> Vec<Micros> {
     let (mut discovery_free_at, service_time, outage_end) =
         (0, time_to_serve_all / u64::from(scheduler_count), 100 * SECOND + outage);
     let mut drivers = vec![];
-    // Each entry holds the time, the scheduler's index and the event.
+    // Each entry consists of the time of the event, the index of the scheduler that gets the event, and the
+    // event.
     let mut upcoming_events = BTreeSet::new();
     let mut delays = vec![None; scheduler_count as usize];
     let mut apply_actions =
@@ -111,10 +113,11 @@
     delays.into_iter().map(|at| at.expect("every scheduler is notified")).collect()
 }
 
-/// A scheduler counts as notified of a change 6 s after discovery has the change and is reachable. Schedulers
-/// that start at the same time, or that waited for the end of an outage, must all be notified within 6 s if
-/// discovery can serve all of them in that time. Otherwise discovery must notify as many schedulers as it can
-/// serve: polls must neither leave discovery idle while schedulers wait nor overload it.
+/// By the rules, a scheduler counts as notified of a change of the endpoint list 6 s after discovery has the
+/// change and is reachable. Schedulers that start at the same time, or that waited for the end of an outage,
+/// must all be notified within 6 s if discovery can serve all of them in that time. Otherwise discovery must
+/// notify as many schedulers as it can serve: the schedulers' polls must neither leave discovery idle while
+/// schedulers wait for a list nor overload discovery.
 #[test]
 fn schedulers_are_notified_in_time_after_a_start_or_an_outage_as_far_as_discovery_can_serve_them() {
     for schedulers in [3, 20, 100, 300] {
@@ -126,8 +129,8 @@
                 0,
                 "number of late schedulers among {schedulers} after an outage of {outage} us"
             );
-            // Discovery serves at most three quarters of the schedulers in 6 s. A third may be late: the
-            // remaining quarter and one in twelve more.
+            // Discovery can serve at most three quarters of the schedulers in 6 s. A third of the schedulers
+            // may be late: the quarter that discovery can't serve in time, and one scheduler in twelve more.
             let late_count = late_count(8 * SECOND);
             assert!(
                 late_count <= schedulers.div_ceil(3) as usize,
@@ -137,8 +140,9 @@
     }
 }
 
-/// A single scheduler polls at once, and the spread delays a few schedulers only slightly. No scheduler waits
-/// longer between polls than the protocol allows.
+/// A single scheduler polls discovery at once after its start. If there are only a few schedulers, spreading
+/// their polls delays each scheduler only slightly. No scheduler waits longer between two polls than the
+/// protocol of discovery allows.
 #[test]
 fn few_schedulers_poll_at_once_and_many_within_the_time_allowed() {
     let (_, actions) = start_with_restored_list(0, 1);
@@ -151,9 +155,9 @@
     }
 }
 
-/// A scheduler counts as notified of a change 6 s after discovery is reachable, and discovery may become
-/// reachable just after a poll was lost. The next poll may have to wait 2 s until discovery serves it, so it
-/// must follow soon enough, however long the last poll took to fail.
+/// By the rules, a scheduler counts as notified of a change 6 s after discovery is reachable. Discovery may
+/// become reachable just after a poll was lost, and the next poll may have to wait 2 s until discovery serves
+/// the poll. The next poll must therefore follow soon enough, however long the lost poll took to fail.
 #[test]
 fn polls_follow_one_another_soon_enough_however_long_they_take_to_fail() {
     for scheduler_count in [1, 3, 300] {
@@ -170,8 +174,9 @@
     }
 }
 
-/// Schedulers that start at the same time receive discovery's list before they may send jobs by the restored
-/// list, if discovery can serve all of them in that time.
+/// Schedulers that start at the same time must receive discovery's endpoint list before
+/// [`LIST_CONFIRMATION_TIMEOUT`] allows them to send jobs by the restored list, if discovery can serve all
+/// schedulers in that time.
 #[test]
 fn schedulers_that_all_start_at_once_have_their_list_confirmed_before_they_send() {
     for scheduler_count in [1, 3, 20, 100, 300] {
@@ -183,9 +188,10 @@
     }
 }
 
-/// A restored list may contain workers that were removed, so a job waits until discovery has responded. A
-/// response that holds only changes counts too, and a failed poll does not. Without a response, the job is
-/// sent by the restored list after [`LIST_CONFIRMATION_TIMEOUT`].
+/// A restored endpoint list may contain workers that were removed, so a job waits until discovery has
+/// responded. A response that contains only changes of the list ends the wait too, but a failed poll does
+/// not. Without a response, the scheduler sends the job by the restored list after
+/// [`LIST_CONFIRMATION_TIMEOUT`].
 #[test]
 fn no_job_is_sent_by_a_restored_list_until_it_is_confirmed() {
     let (mut driver, _) = start_with_restored_list(0, 3);
@@ -217,8 +223,8 @@
     );
 }
 
-/// A list handed over by the predecessor is recent, so the scheduler sends jobs by it and subscribes again
-/// without delay.
+/// An endpoint list handed over by the predecessor process is recent, so the scheduler sends jobs by the list
+/// at once and subscribes to changes at discovery without delay.
 #[test]
 fn a_handed_over_list_is_used_at_once_and_polled_soon() {
     let settings = Settings {
@@ -234,9 +240,10 @@
     assert_eq!(sent_workers(&driver.request(1, IDEMPOTENT, "k")).len(), 1);
 }
 
-/// A scheduler counts as notified 6 s after a change, and detects a stalled watch only after 5.2 s. If one
-/// watch stalls, the next poll must therefore not be delayed by the spread. If that poll fails too, all
-/// schedulers are assumed to be affected, and polls are spread as after a start.
+/// By the rules, a scheduler counts as notified 6 s after a change of the endpoint list, but a scheduler
+/// detects a stalled watch on discovery only after 5.2 s. If the watch of one scheduler stalls, the scheduler
+/// must therefore poll again without the delay that spreads the polls of many schedulers. If that poll fails
+/// too, all schedulers are assumed to be affected, and polls are spread as after a start.
 #[test]
 fn a_single_stalled_watch_among_three_hundred_is_reopened_at_once() {
     let pause_after_failure = |driver: &mut Driver| {
@@ -256,14 +263,16 @@
             "only the watch of scheduler {scheduler_index} stalled"
         );
         spread_count += u32::from(pause_after_failure(&mut driver) > SECOND);
-        // After a response, a further stall counts as a single broken watch again.
+        // After a response of discovery, a further stall of the watch counts as a broken watch of this
+        // scheduler alone again.
         driver.event(endpoints_event(EndpointUpdate::Changes, []));
         assert!(pause_after_failure(&mut driver) <= 150 * MILLISECOND);
     }
     assert!(spread_count >= 290, "only {spread_count} of 300 schedulers spread their polls");
 }
 
-/// An event of a simulated outage. Events are ordered by time first and then by variant.
+/// An event in the simulation of an outage of discovery. Simulated events are ordered by time first and then
+/// by variant.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SimulatedEvent {
     Timer(TimerToken),
@@ -272,10 +281,10 @@
     PollIsAnswered,
 }
 
-/// Runs one of three schedulers through an outage of discovery. The scheduler's watch breaks, and for 23 s
-/// each poll fails after `failure_delay`, while the scheduler goes on serving requests. Discovery then
-/// responds with `change`. Returns the times of the polls since the watch broke, and the scheduler after the
-/// response.
+/// Runs one of three schedulers through an outage of discovery. The scheduler's watch on discovery breaks,
+/// and for 23 s each poll fails after `failure_delay`, while the scheduler goes on serving requests.
+/// Discovery then responds with `change`. Returns the time of each poll, in microseconds since the watch
+/// broke, and the scheduler after the response.
 fn run_outage(scheduler_index: u32, failure_delay: Micros, change: Endpoint) -> (Vec<Micros>, Driver) {
     let (mut driver, _) = start_with_restored_list(scheduler_index, 3);
     driver.event(fleet_snapshot(9));
@@ -314,9 +323,9 @@
     }
 }
 
-/// Discovery is unreachable for 23 s. Each scheduler serves requests by its current list, keeps polling, and
-/// applies the changes once discovery responds. All schedulers lost their watch at the same time and must not
-/// poll at the same time.
+/// Discovery is unreachable for 23 s. Each scheduler serves requests by its current endpoint list, keeps
+/// polling discovery, and applies the changes of the list once discovery responds. All schedulers lose their
+/// watch at the same time, but must not poll at the same time afterwards.
 #[test]
 fn schedulers_serve_by_their_current_list_and_poll_until_discovery_is_reachable() {
     let draining = || Endpoint { state: EndpointState::Draining, ..endpoint(1) };
@@ -330,8 +339,8 @@
                 poll_times[0]
             );
             let intervals: Vec<Micros> = poll_times.windows(2).map(|pair| pair[1] - pair[0]).collect();
-            // A poll that is refused at once is not repeated at once. With as few as three schedulers, each
-            // polls again within 1.5 s of a failure.
+            // A poll of discovery that is refused at once must not be repeated at once. With only three
+            // schedulers, each scheduler must poll again within 1.5 s of a failure.
             assert!(
                 intervals
                     .iter()
@@ -353,8 +362,9 @@
     }
 }
 
-/// A response that breaks off counts as a failed poll, although the scheduler applies the entries received
-/// before the break. If every response breaks off, many schedulers must not poll again at once each time.
+/// A response of discovery that breaks off counts as a failed poll, although the scheduler applies the
+/// entries of the endpoint list received before the break. If every response breaks off, many schedulers must
+/// not poll again at once after each break.
 #[test]
 fn entries_of_a_list_that_broke_off_are_applied_but_do_not_count_as_a_response() {
     let mut pauses = vec![];
--- a/crates/scheduling/tests/isolated_schedulers.rs
+++ b/crates/scheduling/tests/isolated_schedulers.rs
@@ -1,5 +1,5 @@
-//! Slow start without messages between schedulers: the total work that three schedulers send to a warming
-//! worker.
+//! Tests of slow start without messages between schedulers: the total work that three schedulers send to a
+//! warming worker must not overload the worker.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,9 +10,9 @@
 const TICK: Micros = 2 * MILLISECOND;
 /// Mean work of a job, in microseconds.
 const MEAN_WORK: Micros = 225 * MILLISECOND;
-/// Slots of each worker.
+/// Number of slots of each worker.
 const SLOTS: usize = 5;
-/// Number of the worker that is restarted.
+/// Id of the worker that is restarted during the simulation.
 const RESTARTED: u64 = 4;
 
 fn slow_start_rules() -> Rules {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns three schedulers that exchange no messages. Workers do not report job starts, and report their
+/// Returns three schedulers that exchange no messages. The workers do not report job starts, and report their
 /// load only in response to probes.
 fn isolated_schedulers(seed: u64) -> Vec<Driver> {
     let classes = [(Idempotency::Idempotent, 2.5), (Idempotency::NonIdempotent, 1.75)];
@@ -57,18 +57,21 @@
     (0..3).map(new_driver).collect()
 }
 
-/// The result of one simulation.
+/// The result of one simulation: how far the restarted worker was overloaded, and how often other workers
+/// were idle.
 struct Overload {
-    /// Largest amount of work sent to the restarted worker within any `overload_time`, as a multiple of the
-    /// work that the worker can do in that time.
+    /// Largest amount of work sent to the restarted worker within any window of `overload_time`, as a
+    /// multiple of the work that the worker can do in that window.
     max_factor: f64,
-    /// Number of times that another worker had an idle slot at a measurement.
+    /// Number of times that a measurement found a worker other than the restarted worker with an idle slot.
     idle_workers: usize,
 }
 
-/// Three schedulers under a constant load while one of ten workers is restarted and warms up.
+/// A simulation of three schedulers under a constant load, during which one of ten workers is restarted and
+/// warms up.
 struct Simulation {
-    /// Load, as a multiple of the capacity of the other nine workers.
+    /// Work of the arriving requests, as a multiple of the capacity of the nine workers that are not
+    /// restarted.
     load: f64,
     rules: Rules,
     schedulers: Vec<Driver>,
@@ -77,7 +80,8 @@
     random: Lcg,
     /// Work of each job, in microseconds; the index is the job's id.
     work: Vec<f64>,
-    /// Times and amounts of work, in microseconds, that were sent to the restarted worker.
+    /// The attempts sent to the restarted worker: the time of each attempt and the attempt's work, both in
+    /// microseconds.
     admitted: Vec<(Micros, f64)>,
     restarted_at: Micros,
     overload: Overload,
@@ -130,14 +134,14 @@
         self.overload
     }
 
-    /// Returns the events that notify all schedulers of the restarted worker.
+    /// Returns the events that notify all schedulers that the worker was restarted.
     fn notifications(&self) -> Vec<(usize, Event)> {
         let restarted = Endpoint { started_at: self.restarted_at, ..endpoint(RESTARTED) };
         let notification = || endpoints_event(EndpointUpdate::Changes, [restarted.clone()]);
         (0..self.schedulers.len()).map(|scheduler| (scheduler, notification())).collect()
     }
 
-    /// Returns at most one new request, for a random scheduler.
+    /// Returns at most one new request, which arrives at a random scheduler.
     fn arrival(&mut self, now: Micros) -> Option<(usize, Event)> {
         let arrivals_per_tick = self.load * (9 * SLOTS) as f64 * TICK as f64 / MEAN_WORK as f64;
         if self.random.fraction() >= arrivals_per_tick {
@@ -184,9 +188,10 @@
     }
 }
 
-/// A warming worker is overloaded by the total work of all schedulers, and schedulers that exchange no
-/// messages don't know what the others send. Each scheduler must therefore keep to its share of the worker's
-/// work budget, even if the load is twice the capacity of the other workers.
+/// The total work that all schedulers send can overload a warming worker, and schedulers that exchange no
+/// messages don't know how much work other schedulers send. Each scheduler must therefore keep to its share
+/// of the worker's work budget, even if the load is twice the capacity of the workers that were not
+/// restarted.
 #[test]
 fn three_isolated_schedulers_together_send_a_warming_worker_less_than_what_overloads_it() {
     for seed in 1..=5 {
--- a/crates/scheduling/tests/limits.rs
+++ b/crates/scheduling/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Limits on the size of the decision module's files, and a check that the deploy file names all of them.
+//! Tests of the decision module's source files (the files of this crate that influence scheduling decisions):
+//! limits on the size of each file, and a check that the deploy file names all of these files.
 #![allow(missing_docs)]
 
 use std::collections::BTreeSet;
@@ -9,8 +10,8 @@
 /// Largest number of characters in one line of a decision file.
 const MAX_COLUMNS: usize = 110;
 
-/// Decision files: all files that influence a scheduling decision, with their contents. A rule that no longer
-/// fits into its file moves to a new file, which is named after the rule.
+/// Decision files: all source files that influence a scheduling decision, with their contents. A rule that no
+/// longer fits into its file under the limits moves to a new file, which is named after the rule.
 const DECISION_FILES: [(&str, &str); 20] = [
     ("admission.rs", include_str!("../src/admission.rs")),
     ("candidates.rs", include_str!("../src/candidates.rs")),
@@ -34,7 +35,8 @@
     ("worker.rs", include_str!("../src/worker.rs")),
 ];
 
-/// Files without decisions: the interface, the encoding of messages, and the helpers of the unit tests.
+/// Source files without scheduling decisions: the interface, the encoding of messages between schedulers, and
+/// the helpers of the unit tests.
 const OTHER_FILES: [&str; 7] =
     ["actions.rs", "events.rs", "ids.rs", "lib.rs", "peer_message.rs", "settings.rs", "test_support.rs"];
 
--- a/crates/scheduling/tests/migration.rs
+++ b/crates/scheduling/tests/migration.rs
@@ -1,4 +1,5 @@
-//! Migration: requests whose attempts wait, stall or are slow are sent to another worker.
+//! Tests of migration: if an attempt waits for a slot, stalls or is slow, the scheduler sends the request to
+//! another worker.
 #![allow(missing_docs)]
 
 mod common;
@@ -12,8 +13,8 @@
     Driver::with_fleet(settings, 12)
 }
 
-/// Advances the driver's clock by `duration` and lets the timers in `actions` expire; appends the resulting
-/// actions.
+/// Advances the scheduler's clock by `duration` and lets the timers in `actions` expire. Appends the
+/// scheduler's actions to `actions`.
 fn advance(driver: &mut Driver, duration: Micros, actions: &mut Vec<Action>) {
     let end = driver.now + duration;
     let next_timer =
@@ -26,17 +27,18 @@
     driver.now = end;
 }
 
-/// Returns a progress report of the first attempt of request 1.
+/// Returns an event with a worker's progress report about the first attempt of request 1.
 fn progress_report(progress: JobProgress) -> Event {
     Event::JobProgress { request: RequestId(1), attempt: AttemptNo(0), progress }
 }
 
-/// An attempt that waits for a slot, has stalled or is slow is cancelled, and the request is sent to another
-/// worker if its class allows a second attempt. An attempt that makes progress as expected stays at its
-/// worker.
+/// If an attempt waits for a slot, has stalled or is slow, the scheduler cancels the attempt and sends the
+/// request to another worker, provided that the request's class allows a second attempt. An attempt that
+/// makes progress as expected stays at its worker.
 #[test]
 fn an_attempt_that_makes_too_little_progress_migrates_if_its_class_allows_it() {
-    // Progress reports of the attempt: time since the previous report, and completed fraction of the job.
+    // The worker's progress reports about the attempt. Each report consists of the time since the previous
+    // report and the completed fraction of the job; a fraction of 0 reports the start of the job.
     let waiting: &[(Micros, f64)] = &[];
     let stalled = &[(0, 0.0), (SECOND, 0.5)][..];
     let slow = &[(0, 0.0), (SECOND, 0.1), (SECOND, 0.2)][..];
@@ -58,7 +60,8 @@
             }
             advance(&mut driver, if needs_migration { 4 * SECOND } else { SECOND }, &mut actions);
             let targets = &sent_workers(&actions)[1..];
-            // The deduplication window ends 2 s after the first attempt, before the stall is detected.
+            // The deduplication window of a keyed job ends 2 s after the first attempt was sent, before the
+            // scheduler detects the stall.
             let allowed = class == IDEMPOTENT || class == KEYED_ALL && reports != stalled;
             assert_eq!(
                 !targets.is_empty(),
--- a/crates/scheduling/tests/outlier.rs
+++ b/crates/scheduling/tests/outlier.rs
@@ -1,11 +1,11 @@
-//! Outlier detection: which outcomes eject a worker.
+//! Tests of outlier detection: which outcomes of attempts eject a worker.
 #![allow(missing_docs)]
 
 mod common;
 use common::*;
 use vetchbridge_scheduling::*;
 
-/// Returns a scheduler with twelve workers. The scheduler has served jobs with so many keys that no key
+/// Returns a scheduler with twelve workers. The scheduler has handled requests with so many keys that no key
 /// counts as hot.
 fn busy_driver() -> Driver {
     let mut driver = Driver::with_fleet(settings(), 12);
@@ -16,8 +16,8 @@
     driver
 }
 
-/// A single failure may be due to the connection or the request; a second failure in a row is due to the
-/// worker.
+/// The cause of a single failed attempt may be the connection or the request; a second failure in a row is
+/// attributed to the worker, which is then ejected.
 #[test]
 fn a_worker_is_ejected_after_the_second_failure_in_a_row() {
     for outcome in [Outcome::Reset, Outcome::NoResponse] {
@@ -30,7 +30,8 @@
     }
 }
 
-/// A request that one worker finds invalid is invalid at every worker, so the worker is not at fault.
+/// A request that one worker finds invalid is invalid at every worker, so the worker is not at fault and must
+/// not be ejected.
 #[test]
 fn an_invalid_request_fails_at_once_and_does_not_eject_the_worker() {
     let mut driver = busy_driver();
--- a/crates/scheduling/tests/peer_messages.rs
+++ b/crates/scheduling/tests/peer_messages.rs
@@ -1,5 +1,5 @@
-//! The 16-byte messages between schedulers, as literal bytes. Schedulers of different versions may run in one
-//! tier, so the encoding must not change.
+//! Tests of the encoding of the messages between schedulers: compares the 16 bytes of each message with
+//! literal bytes. Schedulers of different versions may run in one tier, so the encoding must not change.
 
 use vetchbridge_scheduling::WorkerId;
 use vetchbridge_scheduling::{Occupancy, PeerMessage};
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -1,5 +1,6 @@
-//! Random sequences of outcomes, list changes, messages and timers, at fixed seeds: the scheduler violates no
-//! rule and does not panic, and equal events give equal actions.
+//! Property tests of the scheduler with random sequences of requests, outcomes of attempts, changes of the
+//! endpoint list, messages from peers and timers, at fixed seeds. The scheduler must violate no rule and must
+//! not panic, and equal events must give equal actions.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,20 +12,21 @@
 use vetchbridge_scheduling::{Occupancy, PeerMessage};
 
 const WORKERS: u64 = 9;
-/// How long workers drop a repeat of a keyed request, in microseconds; equal to the value in the settings.
+/// How long workers drop a repeat of a keyed request, in microseconds. The value must equal the deduplication
+/// window in `settings()`.
 const DEDUPLICATION_WINDOW: Micros = 2 * SECOND;
 const MAX_ATTEMPTS: usize = 4;
 const ANSWER_SLACK: Micros = 8 * MILLISECOND;
 
-/// An attempt, as recorded for the checks.
+/// An attempt that the scheduler has sent, as the harness records the attempt for its checks.
 struct AttemptRecord {
     worker: WorkerId,
     sent_at: Micros,
-    /// Whether the job may have run in the attempt; `None` while the attempt is in flight.
+    /// Whether the worker may have run the job in the attempt; `None` while the attempt is in flight.
     may_have_run: Option<bool>,
 }
 
-/// A request, as recorded for the checks.
+/// A request, as the harness records the request for its checks.
 struct RequestRecord {
     class: u32,
     deadline: Micros,
@@ -33,7 +35,7 @@
 }
 
 impl RequestRecord {
-    /// Checks that the rules allow an attempt at this worker now.
+    /// Checks that the rules allow an attempt of the request at this worker at the time `now`.
     fn check_send(&self, now: Micros, worker: WorkerId) {
         assert!(!self.answered, "an attempt was sent after the final answer");
         assert!(now < self.deadline);
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Checks that the rules allow this final answer now.
+    /// Checks that the rules allow this final answer to the request at the time `now`.
     fn check_answer(&self, now: Micros, is_rejection: bool) {
         assert!(!self.answered, "the request was answered twice");
         assert!(now <= self.deadline + ANSWER_SLACK, "the request was answered too late");
@@ -63,14 +65,14 @@
     }
 }
 
-/// An attempt that the scheduler has sent and that has no outcome yet.
+/// An attempt that the scheduler has sent and that has not ended.
 struct InFlight {
     request: u64,
     attempt: u32,
     worker: WorkerId,
 }
 
-/// An occupancy query that has no reply yet.
+/// An occupancy query of the scheduler that has no reply yet.
 struct Query {
     coordinator: u32,
     data: Vec<u8>,
@@ -79,16 +81,17 @@
 /// One step of a random sequence: a number that selects the operation, and two arguments of the operation.
 type Step = (u8, u8, u8);
 
-/// A scheduler under test, and the attempts, queries and timers whose results the scheduler still awaits.
+/// A scheduler under test, together with the attempts, occupancy queries and timers of which the scheduler
+/// still awaits the result.
 struct Harness {
     driver: Driver,
-    /// All actions of the scheduler, in order.
+    /// All actions that the scheduler has returned, in order.
     actions: Vec<Action>,
     requests: BTreeMap<u64, RequestRecord>,
     in_flight: Vec<InFlight>,
     queries: Vec<Query>,
     timers: Vec<(Micros, TimerToken)>,
-    /// Workers that are draining or removed, with the time of that change.
+    /// Workers that are draining or removed, with the time at which the endpoint list changed their state.
     stopped: BTreeMap<WorkerId, Micros>,
     next_request: u64,
 }
@@ -109,7 +112,7 @@
         harness
     }
 
-    /// Gives the scheduler an event and checks the resulting actions against the rules.
+    /// Passes an event to the scheduler and checks the resulting actions against the rules.
     fn event(&mut self, event: Event) {
         let actions = self.driver.event(event);
         for action in &actions {
@@ -159,11 +162,13 @@
         }
     }
 
-    /// Advances the clock. Attempts that reach the deadline of their request time out, and due timers expire.
+    /// Advances the scheduler's clock to `until`. On the way, attempts that reach the deadline of their
+    /// request time out, and due timers expire.
     fn advance(&mut self, until: Micros) {
         loop {
             let next_timer = self.timers.iter().enumerate().min_by_key(|(_, t)| t.0).map(|(i, t)| (i, t.0));
-            // An attempt times out at its request's deadline.
+            // Find an attempt whose request reaches its deadline before the next timer expires; the attempt
+            // times out at the deadline.
             let overdue = self.in_flight.iter().position(|attempt| {
                 let record = &self.requests[&attempt.request];
                 record.deadline <= until.min(next_timer.map_or(until, |(_, at)| at))
@@ -248,7 +253,8 @@
         self.finish_attempt(&ended, OUTCOMES[b as usize % OUTCOMES.len()], Some(load));
     }
 
-    /// Delivers a message other than a reply from a peer; the message may be truncated.
+    /// Delivers a message from a peer to the scheduler, other than a reply to an occupancy query. The message
+    /// may be truncated.
     fn deliver_message(&mut self, a: u8, b: u8) {
         let messages = [
             PeerMessage::OccupancyQuery { work: SECOND },
@@ -261,7 +267,7 @@
         self.event(Event::PeerMessage { from: u32::from(a) % 5, data });
     }
 
-    /// Delivers a coordinator's reply to an occupancy query.
+    /// Delivers a coordinator's reply to one of the scheduler's occupancy queries.
     fn reply(&mut self, a: u8, b: u8) {
         let query = self.queries.swap_remove(a as usize % self.queries.len());
         let (_, worker) = PeerMessage::decode(&query.data).expect("the query can be decoded");
@@ -292,8 +298,8 @@
         self.event(Event::ClientDisconnected(RequestId(id)));
     }
 
-    /// Advances the clock beyond all deadlines, checks that every request was answered, and returns all
-    /// actions.
+    /// Advances the scheduler's clock beyond all deadlines, checks that every request got its final answer,
+    /// and returns all actions of the scheduler.
     fn finish(mut self) -> Vec<Action> {
         self.advance(self.driver.now + 20 * SECOND);
         for (id, record) in &self.requests {
@@ -303,7 +309,7 @@
     }
 }
 
-/// Runs one sequence of steps and returns the scheduler's actions.
+/// Runs one sequence of steps with a new scheduler and returns the scheduler's actions.
 fn run(settings: &Settings, steps: &[Step]) -> Vec<Action> {
     let mut harness = Harness::new(settings.clone());
     for step in steps {
--- a/crates/scheduling/tests/restarts.rs
+++ b/crates/scheduling/tests/restarts.rs
@@ -1,6 +1,6 @@
-//! Restarted workers: how a scheduler recognises a new process of a worker and determines the process's age.
-//! The endpoint list dates the start of a process by another machine's wall clock, which may have been
-//! stepped forward or back.
+//! Tests of restarted workers: how a scheduler recognises a new process of a worker and determines the
+//! process's age. The endpoint list gives the start time of a process by another machine's wall clock, which
+//! may have been stepped forward or back.
 #![allow(missing_docs)]
 
 mod common;
@@ -9,21 +9,21 @@
 
 const HOUR: Micros = 3600 * SECOND;
 const WORKERS: u64 = 12;
-/// The worker that restarts.
+/// Id of the worker that restarts in the tests.
 const RESTARTED: u64 = 5;
-/// When the scheduler under test gets its first endpoint list, in microseconds.
+/// Time at which the scheduler under test gets its first endpoint list, in microseconds of its clock.
 const BEGIN: Micros = 10 * HOUR;
 
-/// Returns settings with a practically unlimited work budget: a warming worker gets every key of its active
-/// virtual points.
+/// Returns settings with a practically unlimited work budget, so that a warming worker gets all requests
+/// whose keys belong to its active virtual points.
 fn with_unlimited_work_budget() -> Settings {
     let mut settings = settings();
     settings.rules.overload_factor = 1e9;
     settings
 }
 
-/// Returns a scheduler that got the complete list at `BEGIN` and, a second later, a response without changes.
-/// `started_at` is the listed start of all workers.
+/// Returns a scheduler that got the complete endpoint list at `BEGIN` and a response of discovery without
+/// changes a second later. `started_at` is the listed start time of all workers.
 fn driver_with_confirmed_list(started_at: Micros) -> Driver {
     let mut driver = Driver::new(with_unlimited_work_budget());
     driver.at(
@@ -37,13 +37,13 @@
     driver
 }
 
-/// Lists the restarted worker with a new start.
+/// Passes to the scheduler a change of the endpoint list that gives the restarted worker a new start time.
 fn list_start(driver: &mut Driver, started_at: Micros) {
     driver.event(endpoints_event(EndpointUpdate::Changes, [Endpoint { started_at, ..endpoint(RESTARTED) }]));
 }
 
-/// Counts the keys, of 2000, whose requests are sent to the restarted worker. Each request is served before
-/// the next request arrives.
+/// Sends the scheduler requests with 2000 keys and counts the requests that go to the restarted worker. Each
+/// request is served before the next request arrives.
 fn keys_at_restarted_worker(driver: &mut Driver) -> usize {
     let is_sent_to_restarted = |id: u64| {
         let first = sent_workers(&driver.request(id, IDEMPOTENT, &format!("key-{id}")));
@@ -53,8 +53,8 @@
     (0..2000).map(is_sent_to_restarted).filter(|is_sent| *is_sent).count()
 }
 
-/// A process is at most as old as the scheduler's observations allow; the wall clock that dates the start can
-/// only lower this age.
+/// A scheduler assumes that a worker's process is at most as old as the responses of discovery allow. The
+/// other machine's wall clock, which gives the listed start time, can only lower this age.
 #[test]
 fn a_stepped_wall_clock_neither_shortens_nor_extends_a_slow_start() {
     let before = BEGIN - 20 * SECOND;
@@ -71,7 +71,7 @@
         driver.now = now;
         list_start(&mut driver, started_at);
         let warming = keys_at_restarted_worker(&mut driver);
-        // A worker has a quarter of its virtual points right after its start.
+        // A quarter of a worker's virtual points are active right after its start.
         assert!(
             (warm / 8..=warm / 2).contains(&warming),
             "{name}: {warming} keys of {warm} right after the start"
@@ -82,8 +82,8 @@
     }
 }
 
-/// A scheduler that has just started knows only the listed start. A listed start in the future counts as a
-/// start at the current time.
+/// A scheduler that has just started determines a worker's age from the listed start time alone. A listed
+/// start time in the future counts as a start at the current time.
 #[test]
 fn a_start_in_the_future_in_the_first_list_counts_as_a_start_now() {
     let mut driver = Driver::new(with_unlimited_work_budget());
@@ -96,8 +96,8 @@
     assert!(warming * 2 < warm, "{warming} keys right after the start, {warm} after the slow start");
 }
 
-/// A process keeps its age when the same start is listed again: in changes, in a complete list or in a failed
-/// update.
+/// A worker's process keeps its age if an update of the endpoint list repeats the start time of the process.
+/// The update may be a change, a complete list or the entries of a failed response.
 #[test]
 fn listing_the_same_start_again_does_not_restart_the_slow_start() {
     let mut driver = driver_with_confirmed_list(BEGIN - 20 * SECOND);
@@ -112,9 +112,9 @@
     }
 }
 
-/// The zone, machine type and cell of a worker are updated from the list even if its process is the same,
-/// since a repeat is dropped only within a cell, and new settings may number zones and machine types in
-/// another order.
+/// A scheduler updates the zone, machine type and cell of a worker from the endpoint list even if the worker
+/// has not restarted. A wrong cell would send a keyed job to a worker that does not drop the repeat, and new
+/// settings may number zones and machine types in another order.
 #[test]
 fn zone_machine_type_and_cell_are_updated_from_the_list() {
     let mut driver = Driver::new(settings());
--- a/crates/scheduling/tests/retry.rs
+++ b/crates/scheduling/tests/retry.rs
@@ -1,4 +1,5 @@
-//! Retries: when the scheduler retries a job and when the client may retry, for each idempotency.
+//! Tests of retries: when the scheduler retries a request at another worker and when the client may retry,
+//! for each idempotency of a class.
 #![allow(missing_docs)]
 
 mod common;
@@ -59,8 +60,8 @@
     }
 }
 
-/// After the deduplication window, the client's retry may go to any worker, and the worker would run the job
-/// again.
+/// After the deduplication window, workers no longer drop a repeat of a keyed job. A retry by the scheduler
+/// or by the client would therefore run the job again.
 #[test]
 fn a_keyed_job_is_neither_retried_nor_rejected_after_its_deduplication_window() {
     let mut driver = Driver::with_fleet(settings(), 24);
@@ -71,7 +72,7 @@
 }
 
 /// A rejection promises that a retry by the client is harmless. For a keyed job that may have run, a retry is
-/// harmless only while workers drop the repeat, and the client takes some time to retry.
+/// harmless only if it arrives while workers drop the repeat, and the client takes some time to retry.
 #[test]
 fn a_keyed_job_that_may_have_run_is_rejected_only_while_workers_drop_its_repeat() {
     for (name, age, is_harmless) in [
@@ -94,7 +95,8 @@
             (is_harmless, !is_harmless),
             "{name}: {actions:?}"
         );
-        // A rejected attempt never ran, so it does not start the deduplication window.
+        // A worker never ran the job of a rejected attempt, so the attempt does not start the deduplication
+        // window.
         let mut driver = Driver::with_fleet(settings(), 6);
         let worker = sent_to(&driver.request(1, KEYED_ALL, "k"));
         driver.now += age;
@@ -103,7 +105,8 @@
     }
 }
 
-/// A client that is rejected without a Retry-After retries at once, while the workers are still full.
+/// A rejection carries a Retry-After, because a client that is rejected without a Retry-After retries at
+/// once, while the workers are still full.
 #[test]
 fn a_rejection_has_a_retry_after_if_the_settings_allow_it() {
     for is_allowed in [true, false] {
--- a/crates/scheduling/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -1,5 +1,6 @@
-//! Choice of workers by the ring: agreement between schedulers, few moved keys when a worker leaves, spilling
-//! to other workers, machine types, slow start and hot keys.
+//! Tests of the choice of workers by the hash ring: schedulers agree, few keys move when a worker leaves,
+//! requests spill from a busy worker to others, and the choice respects machine types, slow start and hot
+//! keys.
 #![allow(missing_docs)]
 
 mod common;
@@ -7,7 +8,7 @@
 use std::collections::BTreeMap;
 use vetchbridge_scheduling::*;
 
-/// Returns the first and the second choice of worker for a key, by a scheduler without any earlier requests.
+/// Returns the first and the second worker that a scheduler without any earlier requests chooses for a key.
 fn first_two_choices(endpoints: &[Endpoint], key: &str) -> (WorkerId, WorkerId) {
     let mut driver = Driver::new(settings());
     for endpoint in endpoints {
@@ -96,9 +97,10 @@
 
 #[test]
 fn all_schedulers_together_send_a_warming_worker_only_its_warm_up_fraction_of_jobs() {
-    // 100 schedulers send 1000 jobs with different keys, and one of ten workers has just started. The warming
-    // worker's fair share is a tenth of the jobs times its warm-up fraction: 25 jobs at the start and 62
-    // halfway through the warm-up. The worker must get some jobs, but not many more than that share.
+    // 100 schedulers send 1000 jobs with different keys, and one of ten workers has just started. The fair
+    // share of this warming worker is a tenth of the jobs times its warm-up fraction: 25 jobs at the start of
+    // the warm-up and 62 jobs halfway through. The worker must get some jobs, but not many more than that
+    // share.
     for (age, min, max) in [(0, 2, 45), (5 * SECOND, 25, 140)] {
         let mut to_warming = 0;
         for scheduler_index in 0..100 {
@@ -133,7 +135,7 @@
         let Some(&first) = sent_workers(&driver.request(id, IDEMPOTENT, &format!("key-{id}"))).first() else {
             continue;
         };
-        // Most jobs are served, so that the warm workers have capacity for the rejected jobs.
+        // Most jobs are served, so that the warm workers have capacity for the jobs that a worker rejects.
         if id % 8 != 0 {
             driver.event(attempt_finished(id, 0, first, Outcome::Ok));
             continue;
@@ -171,11 +173,11 @@
 
 #[test]
 fn a_warming_worker_does_not_get_a_key_that_may_be_hot() {
-    // Each of 400 schedulers gets a request with the key now and then. All requests with the key together
-    // need the capacity of three workers.
+    // Each of 400 schedulers gets a request with one hot key now and then. All requests with this key
+    // together need the capacity of three workers.
     let (mut to_warming, mut sent_total) = (0, 0);
-    // Find a key that belongs to one of the first active points of the warming worker: without the limit by
-    // the overload factor, the key goes to that worker.
+    // Find a key that belongs to one of the active points of a worker that has just started: with a work
+    // budget that is practically unlimited, a request with this key goes to that worker.
     let mut settings_without_budget = settings();
     settings_without_budget.rules.overload_factor = 1e9;
     let key = (0..5000).map(|n| format!("key-{n}")).find(|key| {
@@ -211,8 +213,8 @@
     assert!(to_warming * 4 < sent_total, "{to_warming} of {sent_total} jobs went to the warming worker");
 }
 
-/// A slow worker rejects no job until its queue is full. Only missing reports of job starts show that jobs
-/// wait at the worker.
+/// A slow worker rejects no job until its queue is full. A scheduler learns that jobs wait at the worker only
+/// because the worker does not report their start.
 #[test]
 fn jobs_spill_to_the_second_choice_if_a_job_waits_for_a_slot_at_the_home() {
     for started in [true, false] {
@@ -223,7 +225,8 @@
             driver.event(Event::JobProgress { request, attempt, progress: JobProgress::Started });
         }
         driver.now += 300 * MILLISECOND;
-        // The second request has another key with the same home, since a key requested twice may be spread.
+        // The second request has another key with the same home as the first key, because two requests with
+        // one key may be spread over several workers.
         let home_of =
             |key: &String| sent_to(&Driver::with_fleet(common::settings(), 12).request(1, IDEMPOTENT, key));
         let key = (0..10_000)
@@ -235,8 +238,8 @@
     }
 }
 
-/// A warming worker whose slots are full must not get a queue in addition, since the queue would overload the
-/// worker.
+/// A warming worker whose slots are all occupied must get no further jobs, because a queue of jobs would
+/// overload the worker.
 #[test]
 fn a_busy_warming_worker_gets_no_queue() {
     let mut settings = settings();
--- a/crates/scheduling/tests/settings_changes.rs
+++ b/crates/scheduling/tests/settings_changes.rs
@@ -1,4 +1,5 @@
-//! New settings: their effect on pending requests, and the state that is kept.
+//! Tests of new settings that a scheduler gets while it runs: their effect on pending requests, and the state
+//! that the scheduler keeps.
 #![allow(missing_docs)]
 
 mod common;
@@ -20,7 +21,8 @@
             |idempotency, classes| Settings { classes: vec![class(idempotency); classes], ..settings() };
         let mut driver = Driver::with_fleet(settings_with(before, 2), 23);
         let pending = sent_to(&driver.request(1, 1, "k"));
-        // The pending request belongs to the second class; the new settings have only one, different class.
+        // The pending request belongs to the second class of the old settings; the new settings have a single
+        // class with another idempotency.
         driver.event(Event::Settings(Box::new(settings_with(after, 1))));
         assert_eq!(
             sent_workers(&driver.event(attempt_finished(1, 0, pending, Outcome::Error))).len(),
@@ -59,7 +61,8 @@
 #[test]
 fn new_settings_keep_the_ring_and_what_was_learned_about_workers() {
     let mut driver = Driver::with_fleet(settings(), 12);
-    // Each request is served at once, so that no home is busy when the next request arrives.
+    // The home of each request serves the request at once, so that no home is busy when the next request
+    // arrives.
     let serve_and_locate = |driver: &mut Driver, id: u64, class: u32, n: usize| {
         let worker = sent_to(&driver.request(id, class, &format!("key-{n}")));
         driver.event(attempt_finished(id, 0, worker, Outcome::Ok));
--- a/crates/scheduling/tests/slow_start.rs
+++ b/crates/scheduling/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start in a whole fleet: the work that all schedulers together send to workers that have just started.
+//! Tests of slow start in a simulated fleet: all schedulers together must not send more work to workers that
+//! have just started than these workers bear.
 #![allow(missing_docs)]
 
 mod common;
@@ -7,28 +8,28 @@
 use std::collections::{BTreeMap, VecDeque};
 use vetchbridge_scheduling::*;
 
-/// How messages between schedulers are delivered.
+/// How the simulation delivers messages between schedulers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Messages {
-    /// Messages are not allowed.
+    /// Schedulers may not send messages to each other.
     Forbidden,
-    /// Each message arrives after 4 ms.
+    /// Each message arrives at its recipient after 4 ms.
     Delivered,
-    /// One message in ten is lost. Every third scheduler is partitioned from the others for some seconds
-    /// during the slow start, and crashes once.
+    /// One message in ten is lost. Every third scheduler crashes once, and can't exchange messages with the
+    /// other schedulers for some seconds during the slow start.
     Faulty,
 }
 
-/// A simulated fleet. Workers report neither job starts nor load.
+/// The parameters of one simulated fleet. Its workers report neither job starts nor load.
 #[derive(Clone, Copy)]
 struct Scenario {
     schedulers: u32,
     workers: u64,
     /// Number of workers that restart, one after the other within one second.
     restarted: u64,
-    /// Offered load, as a multiple of the workers' current capacity during the warm-up.
+    /// Work of the arriving requests, as a multiple of the current capacity of all workers.
     load: f64,
-    /// Slots of each worker.
+    /// Number of slots of each worker.
     slots: usize,
     seed: u64,
     messages: Messages,
@@ -36,15 +37,18 @@
 
 const TICK: Micros = 4 * MILLISECOND;
 const MESSAGE_DELAY: Micros = 4 * MILLISECOND;
-/// Fraction of messages lost with [`Messages::Faulty`].
+/// Fraction of the messages between schedulers that are lost with [`Messages::Faulty`].
 const MESSAGE_LOSS_RATE: f64 = 0.1;
-/// Interval between the crashes of schedulers, in microseconds.
+/// Interval between the crashes of schedulers, in microseconds. The scheduler with index `i`, if it has
+/// faults, crashes `i` intervals after the start of the simulation.
 const CRASH_INTERVAL: Micros = 400 * MILLISECOND;
-/// Beginning and end of the partition, in microseconds since the start of the simulation.
+/// Beginning and end of the partition that separates every third scheduler from the others, in microseconds
+/// since the start of the simulation.
 const PARTITION_PERIOD: std::ops::Range<Micros> = 8 * SECOND..12 * SECOND;
 /// Mean work of a job, in microseconds.
 const MEAN_WORK: f64 = 0.225e6;
-/// Relative request rates of the schedulers, repeated in turn. Some schedulers get several times the mean.
+/// Relative rates of the requests that arrive at the schedulers; the list is repeated for more than four
+/// schedulers. Every fourth scheduler gets several times the mean rate.
 const RELATIVE_TRAFFIC: [f64; 4] = [0.4, 0.6, 1.0, 3.0];
 
 fn rules() -> Rules {
@@ -73,7 +77,7 @@
         }
     }
 
-    /// Returns a scheduler whose workers all started long ago.
+    /// Returns the scheduler with this index; all workers in its endpoint list started long ago.
     fn scheduler(&self, index: u32) -> Driver {
         let seed = 1000 * self.seed + u64::from(index);
         let scheduler = Scheduler::new(self.settings(index), seed).expect("the settings are valid");
@@ -96,15 +100,16 @@
 
 /// The result of one simulation.
 struct RunResult {
-    /// Work sent beyond the limit, in requests of mean work: the maximum over all windows of `overload_time`
-    /// and all restarted workers. The limit includes a margin for random variation. The value is negative if
-    /// the limit holds.
+    /// Largest amount of work that the schedulers sent to a restarted worker within one window of
+    /// `overload_time` beyond the work that makes the worker fail, in requests of mean work. A margin for
+    /// random variation is subtracted. The value is negative if no worker was overloaded.
     excess: f64,
-    /// Fraction of the jobs that were served.
+    /// Fraction of all jobs that were served.
     served: f64,
 }
 
-/// Attempts sent to a worker: the time of each attempt and the attempt's work, in requests of mean work.
+/// The attempts sent to one worker: the time of each attempt in microseconds, and the attempt's work in
+/// requests of mean work.
 type AdmittedWork = VecDeque<(Micros, f64)>;
 
 struct Simulation {
@@ -118,7 +123,7 @@
     random: Lcg,
     /// Work of each job in microseconds, indexed by job ID.
     work: Vec<f64>,
-    /// Attempts sent to each worker, by worker ID.
+    /// Attempts that the schedulers sent to each worker, by worker ID.
     admitted: BTreeMap<u64, AdmittedWork>,
     excess: f64,
 }
@@ -156,7 +161,7 @@
         (rules.slow_start_floor + (1.0 - rules.slow_start_floor) * age).min(1.0)
     }
 
-    /// Runs the simulation until the workers are warm.
+    /// Runs the simulation until the restarted workers are warm.
     fn run(mut self) -> RunResult {
         let end = self.start + 5 * SECOND + self.rules.slow_start_time;
         for now in (self.start..end).step_by(TICK as usize) {
@@ -175,8 +180,8 @@
         RunResult { excess: self.excess, served: self.workers.served as f64 / jobs as f64 }
     }
 
-    /// Restarts the workers that are due: notifies the schedulers, and breaks the attempts in flight at the
-    /// restarted workers.
+    /// Restarts the workers whose restart time has come. Returns the events that notify all schedulers of the
+    /// restart, and the results of the attempts that the restart breaks.
     fn restart_workers(&mut self, now: Micros) -> Vec<(usize, Event)> {
         let mut events = Vec::new();
         for worker in 1..=self.scenario.restarted {
@@ -201,8 +206,9 @@
         self.workers.run(now, TICK, |worker| speeds[worker as usize])
     }
 
-    /// Crashes one scheduler after another and replaces each with a new process. The crashed scheduler's jobs
-    /// in flight count as served, and the work of these jobs still counts toward the limit.
+    /// Crashes the scheduler that is due at this time, if the scheduler has faults, and replaces the
+    /// scheduler with a new process. The crashed scheduler's jobs in flight count as served, and the work of
+    /// these jobs still counts as sent to the workers.
     fn crash_scheduler(&mut self, now: Micros) {
         let elapsed = now - self.start;
         let crashing_index = (elapsed / CRASH_INTERVAL) as usize;
@@ -256,7 +262,7 @@
         (self.pick_scheduler(), Event::Request(job))
     }
 
-    /// Picks a scheduler at random, weighted by its traffic.
+    /// Picks at random the scheduler that gets a request, weighted by [`RELATIVE_TRAFFIC`].
     fn pick_scheduler(&mut self) -> usize {
         let traffic: Vec<f64> = (0..self.schedulers.len())
             .map(|scheduler| RELATIVE_TRAFFIC[scheduler % RELATIVE_TRAFFIC.len()])
@@ -287,7 +293,8 @@
         }
     }
 
-    /// Sends a message, unless the partition or random loss stops the message.
+    /// Sends a message from one scheduler to another, unless the partition or a random loss stops the
+    /// message.
     fn transmit_message(&mut self, now: Micros, from: usize, to: usize, data: Vec<u8>) {
         let is_partitioned = PARTITION_PERIOD.contains(&(now - self.start))
             && self.scenario.has_faults(from) != self.scenario.has_faults(to);
@@ -299,7 +306,8 @@
         }
     }
 
-    /// Compares the work sent to each restarted worker within `overload_time` with the limit.
+    /// Compares the work sent to each warming worker within the last `overload_time` with the work that makes
+    /// the worker fail, and records the largest excess.
     fn record_excess(&mut self, now: Micros) {
         let Rules { overload_time, overload_factor, .. } = self.rules;
         let mut admitted = std::mem::take(&mut self.admitted);
@@ -320,7 +328,7 @@
     }
 }
 
-/// Parameters of one test case.
+/// Parameters of one case of a test.
 #[derive(Clone, Copy)]
 struct Case {
     restarted: u64,
@@ -333,7 +341,7 @@
     Case { restarted, load, min_served }
 }
 
-/// The size of a fleet.
+/// The size of a simulated fleet.
 #[derive(Clone, Copy)]
 struct FleetSize {
     schedulers: u32,
@@ -343,8 +351,8 @@
 
 const TWENTY_EACH: FleetSize = FleetSize { schedulers: 20, workers: 20, slots: 4 };
 
-/// Simulates each case with each seed. Checks that the schedulers together don't overload a warming worker,
-/// and that enough of the jobs are served.
+/// Simulates each case with each seed, in a fleet of this size. Checks that the schedulers together don't
+/// overload a warming worker, and that enough of the jobs are served.
 fn assert_overload_limit_holds(messages: Messages, size: FleetSize, cases: &[Case], seeds: &[u64]) {
     let FleetSize { schedulers, workers, slots } = size;
     for Case { restarted, load, min_served } in cases.iter().copied() {
@@ -361,11 +369,11 @@
 }
 
 /// The work that all schedulers together send can overload a restarted worker, and without messages no
-/// scheduler knows what the others send. Each scheduler therefore stays within an equal share of the worker's
-/// work budget. The cases cover one restarted worker or six in ten, a load that the other workers carry
-/// easily or twice the capacity of all workers, and few schedulers or so many that a share is less than the
-/// work of one request. Restarted workers must not be starved either: the jobs that the fleet can serve are
-/// served.
+/// scheduler knows how much work other schedulers send. Each scheduler therefore stays within an equal share
+/// of the worker's work budget. The cases cover one restarted worker or six restarted workers in ten, a load
+/// that the other workers carry easily or a load of twice the capacity of all workers, and few schedulers or
+/// so many that a scheduler's share is less than the work of one request. The restarted workers must not be
+/// starved either, so that the fleet serves the jobs for which it has capacity.
 #[test]
 fn schedulers_without_messages_together_do_not_overload_warming_workers() {
     let seeds = std::env::var("RAMP_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(2);
@@ -387,15 +395,16 @@
     }
 }
 
-/// Schedulers that exchange messages rely on the account of a worker's coordinator, which covers the attempts
-/// of all schedulers.
+/// Schedulers that exchange messages limit the work sent to a warming worker by the account of the worker's
+/// coordinator, which covers the attempts of all schedulers.
 #[test]
 fn schedulers_that_exchange_messages_do_not_overload_warming_workers() {
     assert_overload_limit_holds(Messages::Delivered, TWENTY_EACH, &[case(12, 2.0, 0.4)], &[6]);
 }
 
-/// Coordinators crash, messages are lost, and a partition makes two schedulers coordinate the same worker.
-/// Each coordinator spends only the budget shares of the peers that it can reach.
+/// Coordinators crash, messages between schedulers are lost, and a partition makes two schedulers coordinate
+/// one worker. The worker must not be overloaded, because each coordinator spends only the work budget shares
+/// of the peers that it can reach.
 #[test]
 fn coordinators_that_crash_or_are_partitioned_don_t_overload_a_warming_worker() {
     assert_overload_limit_holds(
--- a/crates/settings/src/json_object.rs
+++ b/crates/settings/src/json_object.rs
@@ -3,7 +3,7 @@
 use crate::error::{Expected, Problem, SettingsFormatError};
 use serde_json::{Map, Value};
 
-/// A JSON object within the settings, together with its path, which error messages contain.
+/// A JSON object of the settings, together with its path, which error messages contain.
 pub(crate) struct JsonObject<'a> {
     /// The entries of the JSON object; `None` is read as an empty object.
     map: Option<&'a Map<String, Value>>,
--- a/crates/settings/src/specifics.rs
+++ b/crates/settings/src/specifics.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the only machine type that runs the class with index `class`, or `None` if any machine type
-    /// runs the class. The list gives a negative number for such a class.
+    /// runs the class. The list has a negative number or no entry for such a class.
     pub(crate) fn machine_type(&self, class: usize) -> Option<MachineTypeId> {
         self.class_number("class_kind", class)
             .filter(|number| *number >= 0.0)
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -17,7 +17,7 @@
 /// An error that stops the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// A message on standard input is malformed, or standard input can't be read.
+    /// A message on standard input is malformed or out of order, or standard input can't be read.
     #[error(transparent)]
     Wire(#[from] WireError),
     /// Standard output can't be written.
