--- a/crates/scheduling/src/candidates.rs
+++ b/crates/scheduling/src/candidates.rs
@@ -77,8 +77,8 @@
             && !(self.enforce_ejections && worker.outlier.is_ejected(self.now))
     }
 
-    /// Whether the worker would drop the request's job as a repeat if the job may have run before. Returns
-    /// `true` for jobs that can't have run and for jobs that are not keyed.
+    /// Whether the worker would drop the request's job as a repeat of an earlier attempt that may have run
+    /// the job. Returns `true` for jobs that can't have run and for jobs that are not keyed.
     fn drops_repeat_at(&self, worker: &Worker) -> bool {
         let (Some(first), Idempotency::Keyed { scope, .. }) =
             (self.request.first_run(), self.request.class.idempotency)
--- a/crates/scheduling/src/concurrency_limit.rs
+++ b/crates/scheduling/src/concurrency_limit.rs
@@ -4,10 +4,10 @@
 use crate::events::Outcome;
 use crate::ids::Micros;
 
-/// How long a worker is avoided after it rejected an attempt, in microseconds.
+/// How long this scheduler avoids a worker after the worker rejected an attempt, in microseconds.
 const REJECTION_PAUSE: Micros = 150_000;
-/// How long a worker is avoided after it refused a connection immediately, in microseconds. Such a worker
-/// accepts no further connection until some of its jobs end.
+/// How long this scheduler avoids a worker after the worker refused a connection immediately, in
+/// microseconds. Such a worker accepts no further connection until some of its jobs end.
 const REFUSED_CONNECTION_PAUSE: Micros = 600_000;
 /// A worker's concurrency limit is multiplied by this factor after an attempt with an error or a timeout.
 const DECREASE_FACTOR: f64 = 0.7;
@@ -59,7 +59,8 @@
     }
 
     /// Whether a job of `slots` slots would exceed the worker's concurrency limit if this scheduler has
-    /// `in_flight` slots in flight at the worker. A job without others in flight is always within the limit.
+    /// `in_flight` slots in flight at the worker. A job is always within the limit if no other job is in
+    /// flight.
     pub(crate) fn is_exceeded(&self, in_flight: f64, slots: f64) -> bool {
         in_flight + slots > self.max_slots.max(slots)
     }
@@ -68,8 +69,8 @@
         now < self.rejecting_until
     }
 
-    /// Returns the time until which the worker is expected to reject attempts. The time lies in the past if
-    /// no rejection is expected.
+    /// Returns the time until which the worker is expected to reject this scheduler's attempts. The time lies
+    /// in the past if no rejection is expected.
     pub(crate) fn rejecting_until(&self) -> Micros {
         self.rejecting_until
     }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -54,19 +54,23 @@
 //! let mut scheduler = Scheduler::new(settings(), 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // Discovery delivers the complete endpoint list. let endpoints = [7, 8, 9].map(|n| Endpoint { worker:
-//! WorkerId(n), ..Endpoint::default() }).to_vec(); let list = Event::Endpoints { update:
-//! EndpointUpdate::Snapshot, endpoints }; scheduler.handle(1_000, list, &mut actions);
+//! // Discovery delivers the complete endpoint list.
+//! let endpoints = [7, 8, 9].map(|n| Endpoint { worker: WorkerId(n), ..Endpoint::default() }).to_vec();
+//! let list = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints };
+//! scheduler.handle(1_000, list, &mut actions);
 //!
-//! // A client's request arrives. The scheduler sends the request to a worker. scheduler.handle(2_000,
-//! Event::Request(request(1)), &mut actions); let sent_to =
+//! // A client's request arrives. The scheduler sends the request to a worker.
+//! scheduler.handle(2_000, Event::Request(request(1)), &mut actions);
+//! let sent_to =
 //!     |action: &Action| if let Action::Send { worker, .. } = action { Some(*worker) } else { None };
 //! let worker = actions.iter().find_map(sent_to).expect("the request is sent");
 //!
 //! // The worker rejects the request, and the scheduler sends the request to the next worker on the ring.
-//! actions.clear(); scheduler.handle(3_000, rejection(worker), &mut actions);
-//! assert!(actions.iter().any(|action| sent_to(action).is_some_and(|next| next != worker))); # Ok::<(),
-//! SettingsError>(()) ```
+//! actions.clear();
+//! scheduler.handle(3_000, rejection(worker), &mut actions);
+//! assert!(actions.iter().any(|action| sent_to(action).is_some_and(|next| next != worker)));
+//! # Ok::<(), SettingsError>(())
+//! ```
 //!
 //! # Files
 //!
--- a/crates/scheduling/src/outlier.rs
+++ b/crates/scheduling/src/outlier.rs
@@ -9,7 +9,7 @@
 const BASE_EJECTION: Micros = 500_000;
 /// Longest duration of a worker's ejection, in microseconds.
 const MAX_EJECTION: Micros = 8_000_000;
-/// The duration of an ejection is doubled at most this many times.
+/// Maximum number of times that the duration of a worker's ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
 /// Ejections are ignored if more than this fraction of the ready workers is ejected, because the cause of so
 /// many failures is assumed to affect all workers. The fraction is larger than the part of the workers in one
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -35,7 +35,7 @@
     is_retry: bool,
     /// Whether the request's key is spread over several workers.
     is_spread: bool,
-    /// Whether the request has waited for occupancy replies until the query timeout.
+    /// Whether the request has waited for replies to occupancy queries until [`QUERY_TIMEOUT`] was over.
     reports_timed_out: bool,
     /// Whether the request can no longer meet its latency objective.
     is_late: bool,
--- a/crates/scheduling/src/retry.rs
+++ b/crates/scheduling/src/retry.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Whether a retry by the client after `retry_after` microseconds is harmless. The client may retry at
-    /// any scheduler, and any worker may get the request.
+    /// Whether a retry of the request by the client after `retry_after` microseconds can't make the job take
+    /// effect a second time. The client may retry at any scheduler, and any worker may get the request.
     pub(crate) fn allows_client_retry(self, now: Micros, retry_after: Micros) -> bool {
         let scope_covers_all_workers =
             !matches!(self.idempotency, Idempotency::Keyed { scope, .. } if scope != DeduplicationScope::All);
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -11,7 +11,7 @@
     /// The request has an idempotency key: the workers of one scope drop a repeat of the request within a
     /// time window after the first attempt.
     Keyed {
-        /// The workers that recognise a repeat.
+        /// The workers that recognise and drop a repeat of the request.
         scope: DeduplicationScope,
         /// How long the workers drop repeats, in microseconds since the first attempt that may have run was
         /// sent.
@@ -27,13 +27,14 @@
 pub enum DeduplicationScope {
     /// All workers.
     All,
-    /// The workers in the zone of the worker that may have run the request.
+    /// The workers in the zone of the first worker that may have run the job.
     Zone,
-    /// The workers in the cell of the worker that may have run the request.
+    /// The workers in the cell of the first worker that may have run the job.
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests: all requests of a class share its latency objective, deadline, priority and
+/// idempotency.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// Latency objective, in microseconds since the request's arrival. A final answer that meets the latency
@@ -74,7 +75,7 @@
     Fifo,
     /// The worker starts the first queued job that fits into the free slots.
     Backfill,
-    /// By the priority of the jobs' classes.
+    /// By the priority of the jobs' classes; see [`Class::priority`].
     Priority,
 }
 
@@ -92,9 +93,10 @@
 /// How changes of the endpoint list reach a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointDelivery {
-    /// Discovery sends changes without being asked.
+    /// Discovery sends changes of the endpoint list to the scheduler without being asked.
     Push,
-    /// Discovery sends changes only after [`Action::Subscribe`](crate::Action::Subscribe) or
+    /// Discovery sends changes of the endpoint list only after
+    /// [`Action::Subscribe`](crate::Action::Subscribe) or
     /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
     Poll,
 }
@@ -125,7 +127,7 @@
     pub may_probe: bool,
     /// Whether the scheduler may cancel an attempt that is in flight.
     pub may_cancel: bool,
-    /// Whether rejected clients are given a Retry-After.
+    /// Whether the scheduler gives the client of a rejected request a Retry-After.
     pub retry_after: bool,
     /// The longest Retry-After that clients honour, in microseconds.
     pub max_retry_after: Micros,
@@ -174,7 +176,7 @@
 pub struct Settings {
     /// Index of this scheduler among all schedulers, from 0.
     pub scheduler_index: u32,
-    /// Number of schedulers in the deployment.
+    /// Number of schedulers in the deployment, including this scheduler.
     pub scheduler_count: u32,
     /// This scheduler's zone.
     pub zone: ZoneId,
--- a/crates/scheduling/src/timer.rs
+++ b/crates/scheduling/src/timer.rs
@@ -22,7 +22,7 @@
 /// A timer. Each variant names what the scheduler does when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// Give the request its final answer.
+    /// Give the request its final answer, because its deadline is near.
     Deadline(SequenceNumber),
     /// Look for a worker for the request again, because the request is queued or its occupancy queries are
     /// overdue.
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -17,7 +17,7 @@
 /// An occupancy report younger than this, in microseconds, is used without a new query to the worker's
 /// coordinator. The value allows for the round trip of a message between schedulers and one tick.
 const FRESH_REPORT_AGE: Micros = 20_000;
-/// Smallest weight by which a worker's load is divided; keeps a tiny weight from making the quotient huge.
+/// Smallest weight by which a worker's load is divided, so that the division is never by 0.
 const MIN_WEIGHT: f64 = 1e-6;
 
 /// Identifies one attempt of one request.
--- a/crates/scheduling/tests/ring.rs
+++ b/crates/scheduling/tests/ring.rs
@@ -213,8 +213,8 @@
     assert!(to_warming * 4 < sent_total, "{to_warming} of {sent_total} jobs went to the warming worker");
 }
 
-/// A slow worker rejects no job until its queue is full. A scheduler learns that jobs wait at the worker only
-/// because the worker does not report their start.
+/// A slow worker rejects no job until its queue is full. Only the missing reports of job starts show the
+/// scheduler that its jobs wait in the worker's queue.
 #[test]
 fn jobs_spill_to_the_second_choice_if_a_job_waits_for_a_slot_at_the_home() {
     for started in [true, false] {
--- a/crates/scheduling/tests/slow_start.rs
+++ b/crates/scheduling/tests/slow_start.rs
@@ -1,5 +1,5 @@
 //! Tests of slow start in a simulated fleet: all schedulers together must not send more work to workers that
-//! have just started than these workers bear.
+//! have just started than these workers can take without failing.
 #![allow(missing_docs)]
 
 mod common;
--- a/crates/settings/src/specifics.rs
+++ b/crates/settings/src/specifics.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use vetchbridge_scheduling::{MachineTypeId, Micros, QueueOrder};
 
-/// The `specifics` object; each of its keys may be absent.
+/// The JSON object at the key `specifics` of a settings object; each of its keys may be absent.
 pub(crate) struct Specifics<'a> {
     object: JsonObject<'a>,
 }
