--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,6 +1,6 @@
-//! The arrivals of a load: which job arrives at which time. The arrivals are a pure function of the load's
-//! specification, which contains a seed. Each distribution draws from a random stream of its own, so that a
-//! change to one distribution does not change the draws of the others.
+//! The arrivals of a load: which job the clients send at which time. The arrivals are a pure function of the
+//! load's specification, which contains a seed. Each distribution draws from a random stream of its own, so
+//! that a change to one distribution does not change the draws of the others.
 
 mod load;
 
@@ -11,17 +11,17 @@
 use rand_pcg::Pcg64;
 use std::time::Duration;
 
-/// The smallest mean work of a class, in seconds.
+/// The smallest mean work of a job of any class, in seconds.
 const MIN_WORK_SECONDS: f64 = 1e-6;
-/// The largest work of a job, in seconds.
+/// The largest work of a job, in seconds; a larger drawn value is reduced to this value.
 const MAX_WORK_SECONDS: f64 = 600.0;
-/// The largest ratio of a hint to the work that the hint estimates.
+/// The largest ratio of a client's hint to the work that the hint estimates.
 const MAX_HINT_FACTOR: f64 = 1e3;
 
 /// The arrival of one job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When the job arrives, from the start of the load.
+    /// When the job is due to be sent, counted from the start of the load.
     pub at: Duration,
     /// The job's number, from 0.
     pub job: u64,
@@ -29,11 +29,11 @@
     pub class: usize,
     /// The object that the job's request names.
     pub object: String,
-    /// The job's work at speed 1.
+    /// The job's work: its run time in seconds of a worker's slot at speed 1.
     pub work: Duration,
     /// The index of the job's tenant in the load's specification, if the load has tenants.
     pub tenant: Option<usize>,
-    /// The client's estimate of the job's work, if clients send hints.
+    /// The hint, which is the client's estimate of the job's work; `None` if clients send no hints.
     pub hint: Option<Duration>,
     /// The number from which the request ids of the job's attempts and the job's idempotency key derive.
     pub id_seed: u64,
@@ -52,12 +52,13 @@
     gap: Exp<f64>,
     classes: Vec<ClassDistributions>,
     class_names: Vec<String>,
-    /// The cumulative shares of the tenants, as fractions of the total.
+    /// The cumulative shares of the tenants, in the order of the load's specification, as fractions of the
+    /// total.
     tenants: Vec<f64>,
     hints: Option<LogNormal<f64>>,
     time: Duration,
     job: u64,
-    /// One random stream for each kind of draw.
+    /// One random stream for each kind of draw, such as the time between arrivals or the class of a job.
     streams: [Pcg64; 7],
 }
 
@@ -77,7 +78,8 @@
     }
 }
 
-/// Returns the distribution of the time between two arrivals; `rate` is in jobs per second.
+/// Returns the distribution of the time between two arrivals, in seconds; `rate` is the mean number of
+/// arrivals per second.
 fn gap_distribution(rate: f64) -> Result<Exp<f64>, LoadError> {
     if !(rate.is_finite() && rate > 0.0) {
         return Err(LoadError::new("rate", LoadErrorReason::NotPositive));
@@ -109,7 +111,8 @@
     }
 }
 
-/// Returns the cumulative shares of the tenants, in the order of the tenants; empty if there are no tenants.
+/// Returns the cumulative shares of the tenants, in the order of the tenants. The list is empty if there are
+/// no tenants.
 fn tenant_distribution(tenants: &[TenantLoad]) -> Result<Vec<f64>, LoadError> {
     if tenants.is_empty() {
         return Ok(Vec::new());
@@ -118,7 +121,7 @@
     cumulative_shares("tenant", &shares)
 }
 
-/// Returns the distribution of the factor between a hint and the job's work, or `None` if clients send no
+/// Returns the distribution of the ratio of a client's hint to the job's work, or `None` if clients send no
 /// hints.
 fn hint_distribution(sigma: Option<f64>) -> Result<Option<LogNormal<f64>>, LoadError> {
     let Some(sigma) = sigma else { return Ok(None) };
@@ -129,7 +132,8 @@
     factor.map(Some).map_err(|error| LoadError::new("hint_spread", error))
 }
 
-/// Returns the cumulative sums of the shares, as fractions of the total; `key` names the setting in errors.
+/// Returns the cumulative sums of `shares`, as fractions of the total. In an error, `key` names the invalid
+/// setting.
 fn cumulative_shares(key: &str, shares: &[f64]) -> Result<Vec<f64>, LoadError> {
     let total: f64 = shares.iter().sum();
     let is_valid = total.is_finite() && total > 0.0 && !shares.iter().any(|share| *share < 0.0);
--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -1,7 +1,7 @@
-//! The exactly-once audit: compares the answers that clients received with the jobs that workers ran.
+//! The exactly-once audit: compares the responses that clients received with the jobs that workers ran.
 //!
-//! The audit is a pure function. It excuses the loss of an attempt only during an [`Outage`]; the code that
-//! ends a scheduler passes the outage in.
+//! The audit is a pure function of these records. It excuses the loss of an attempt only during an
+//! [`Outage`]; the code that kills a scheduler passes the outage to the audit.
 
 use crate::arrivals::{ClassLoad, Idempotency};
 use crate::client::{Attempt, JobRecord, Outcome};
@@ -10,19 +10,20 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A guarantee that was broken.
+/// A guarantee of the schedulers that the audit found broken. Numbers are request ids; the text is an
+/// idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[non_exhaustive]
 pub enum Violation {
-    /// An accepted attempt received no response before its client's deadline.
+    /// An attempt received no response before its client's deadline.
     Unanswered(u64),
-    /// The connection of an attempt ended without a response while no scheduler was down.
+    /// The connection of an attempt ended without a response, although no scheduler was down.
     ConnectionLost(u64),
-    /// An attempt was answered with a result that does not belong to a finished run of the attempt's job.
+    /// A client received a result that does not come from a finished run of the attempt's job.
     ForeignResult(u64),
     /// A keyed job finished twice, or started again after workers had forgotten its key.
     KeyedRanTwice(String),
-    /// A non-idempotent job ran again.
+    /// A non-idempotent job ran more than once.
     NonIdempotentRanTwice(u64),
     /// An attempt of a non-idempotent job ran, but its client received a rejection, which states that the job
     /// did not run and may be retried.
@@ -49,13 +50,13 @@
     }
 }
 
-/// A period in which a scheduler was down but might still receive connections. Attempts in flight during the
-/// period may be lost.
+/// A period in which a scheduler was down but the load balancer might still send connections to it. Attempts
+/// in flight during the period may be lost. The times count from the same start as those of the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// When the scheduler ended.
+    /// When the scheduler's process ended.
     pub from: Duration,
-    /// When the scheduler no longer received new connections.
+    /// The time by which the load balancer has stopped sending connections to the scheduler.
     pub until: Duration,
 }
 
@@ -65,21 +66,21 @@
     }
 }
 
-/// Numbers of attempts by outcome.
+/// Numbers of attempts by outcome, as the clients observed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Answers {
-    /// Attempts that were served.
+    /// Attempts whose response had status 200.
     pub served: u64,
-    /// Attempts that were rejected.
+    /// Attempts whose response had status 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Attempts that were answered with another status.
+    /// Attempts whose response had any other status.
     pub failed: u64,
-    /// Attempts whose connection ended without a response.
+    /// Attempts whose connection ended before the response was complete.
     pub lost: u64,
-    /// Attempts for which no connection could be made.
+    /// Attempts for which the client could not make a connection.
     pub unreachable: u64,
-    /// Attempts that received no response before the deadline.
+    /// Attempts that received no response before the client's deadline.
     #[serde(rename = "none")]
     pub unanswered: u64,
 }
@@ -101,22 +102,22 @@
 /// The result of an audit.
 #[derive(Debug, Default)]
 pub struct Audit {
-    /// Numbers of attempts by outcome.
+    /// Numbers of attempts by outcome, as the clients observed it.
     pub answers: Answers,
-    /// Number of runs at workers.
+    /// Number of runs of jobs at workers.
     pub runs: u64,
     /// The broken guarantees, sorted and without duplicates.
     pub violations: Vec<Violation>,
-    /// The share of runs that took place at the worker with most runs of the same object, over objects with
-    /// two runs or more; 1 if there are no such objects.
+    /// How strongly the jobs of an object went to one worker: the share of runs that took place at the worker
+    /// with most runs of the same object, over objects with two runs or more; 1 if there are no such objects.
     pub affinity: f64,
-    /// The priority weight of jobs served in time, divided by the priority weight of all jobs; 1 without
-    /// jobs.
+    /// The priority weight of the jobs that were served within their latency objective, divided by the
+    /// priority weight of all jobs; 1 without jobs.
     pub in_time_share: f64,
 }
 
-/// Compares the records of clients with the runs at workers. If `known_runs` is absent, audits the records of
-/// clients alone.
+/// Audits the records of clients against the runs of jobs at workers. If `known_runs` is absent, the audit
+/// checks the records of clients alone.
 pub fn audit_jobs(
     classes: &[ClassLoad],
     jobs: &[JobRecord],
@@ -139,13 +140,13 @@
     }
 }
 
-/// The records under audit, and the findings so far.
+/// The records of clients and workers under audit, and the violations found so far.
 struct Auditor<'a> {
     classes: &'a [ClassLoad],
     jobs: &'a [JobRecord],
     known_runs: Option<&'a [Run]>,
     outages: &'a [Outage],
-    /// When the first run of each request started.
+    /// When the first run of each request started, by request id.
     first_starts: HashMap<u64, Duration>,
     answers: Answers,
     affinity: Affinity<'a>,
@@ -176,13 +177,13 @@
         }
     }
 
-    /// Whether an outage excuses the loss of an attempt.
+    /// Whether the attempt was in flight during an outage, which excuses the loss of the attempt.
     fn is_excused(&self, attempt: &Attempt) -> bool {
         self.outages.iter().any(|outage| outage.overlaps(attempt))
     }
 
-    /// Whether an attempt ran before the client sent it again. In that case a scheduler had accepted the
-    /// attempt before the attempt's connection ended.
+    /// Whether an attempt ran before its client sent it again on a new connection. In that case a scheduler
+    /// had accepted the attempt before the first connection ended.
     fn ran_before_resend(&self, attempt: &Attempt) -> bool {
         let first_start = self.first_starts.get(&attempt.id);
         attempt.resent.zip(first_start).is_some_and(|(resent, started)| *started < resent)
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Checks that the attempt received a response, unless an outage excuses the loss.
+    /// Reports a violation if the attempt received no response and no outage excuses the loss.
     fn check_connection(&mut self, attempt: &Attempt) {
         if self.is_excused(attempt) {
             return;
@@ -214,8 +215,8 @@
         }
     }
 
-    /// Checks that the result of a served attempt comes from a finished run of this attempt or of its job's
-    /// key.
+    /// Reports a violation if the client received a result that does not come from a finished run of this
+    /// attempt, or of another attempt with the same idempotency key.
     fn check_result(&mut self, job: &JobRecord, attempt: &Attempt) {
         let (Outcome::Served(result), Some(runs)) = (&attempt.outcome, self.known_runs) else { return };
         if !is_result_of(result, attempt.id, job, runs) {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Checks that a rejected attempt of a non-idempotent job has not run.
+    /// Reports a violation if a rejected attempt of a non-idempotent job ran.
     fn check_rejection(&mut self, job: &JobRecord, attempt: &Attempt) {
         let non_idempotent = self.classes[job.arrival.class].idempotency == Idempotency::NonIdempotent;
         let ran = self.first_starts.contains_key(&attempt.id);
@@ -232,7 +233,8 @@
         }
     }
 
-    /// Checks that each run belongs to a request, and that the class of the job allows the repeated runs.
+    /// Reports a violation for each run of a request that no client sent, and for repeated runs of a job that
+    /// the job's class forbids.
     fn check_runs(&mut self) {
         let jobs_by_id = self.jobs_by_id();
         let resent_in_outage = self.resent_in_outage();
@@ -247,8 +249,8 @@
             if resent_in_outage.get(&run.id).is_some_and(|resent| run.started < *resent) {
                 continue;
             }
-            // Counts runs by job, not by attempt: a client may retry a non-idempotent job only after a
-            // rejection or a failure to connect, which means that the job has not run.
+            // Repeated runs are counted by job, not by attempt: a client may retry a non-idempotent job only
+            // after a rejection or a failure to connect, which means that the job has not run.
             let started_before = !started_jobs.insert(job.arrival.job);
             match self.classes[job.arrival.class].idempotency {
                 Idempotency::NonIdempotent if started_before => {
@@ -265,16 +267,16 @@
         self.violations.extend(repeated.map(|(key, _)| Violation::KeyedRanTwice((*key).to_string())));
     }
 
-    /// Returns the jobs by the request ids of their attempts.
+    /// Returns the job of each request, by request id; each attempt of a job has a request id of its own.
     fn jobs_by_id(&self) -> HashMap<u64, &'a JobRecord> {
         let attempts =
             self.jobs.iter().flat_map(|job| job.attempts.iter().map(move |attempt| (attempt, job)));
         attempts.map(|(attempt, job)| (attempt.id, job)).collect()
     }
 
-    /// Returns when the attempts in flight during an outage were sent again, by request id. A client can't
-    /// distinguish the end of its scheduler from the close of an idle connection, so a run that started
-    /// before the resend doesn't count towards repeated runs.
+    /// Returns when each attempt in flight during an outage was sent again on a new connection, by request
+    /// id. A client can't distinguish the end of its scheduler from the close of an idle connection, so a run
+    /// that started before the resend doesn't count towards repeated runs.
     fn resent_in_outage(&self) -> HashMap<u64, Duration> {
         let attempts = self.jobs.iter().flat_map(|job| &job.attempts);
         let excused = attempts.filter(|attempt| self.is_excused(attempt));
@@ -282,9 +284,9 @@
     }
 }
 
-/// The runs of one idempotency key.
+/// The runs of the jobs that carry the same idempotency key.
 struct KeyedRuns<'a> {
-    /// How long workers remember the key.
+    /// How long workers remember the key after the start of a run.
     window: Duration,
     runs: Vec<&'a Run>,
 }
@@ -294,7 +296,8 @@
         KeyedRuns { window, runs: Vec::new() }
     }
 
-    /// Whether more than one run finished, or a run started after workers had forgotten the key.
+    /// Whether more than one run finished, or a run started after workers had forgotten the key of the first
+    /// run.
     fn are_repeated(&self) -> bool {
         let finished = self.runs.iter().filter(|run| run.end == RunEnd::Finished).count();
         let first = self.runs.iter().map(|run| run.started).min().unwrap_or_default();
@@ -302,7 +305,7 @@
     }
 }
 
-/// Numbers of runs by object and worker.
+/// Numbers of runs, by object and worker.
 #[derive(Default)]
 struct Affinity<'a>(BTreeMap<&'a str, BTreeMap<&'a str, u64>>);
 
@@ -311,8 +314,8 @@
         *self.0.entry(&run.object).or_default().entry(&run.worker).or_default() += 1;
     }
 
-    /// The share of jobs at their object's most used worker, over objects with two jobs or more; 1 without
-    /// any.
+    /// Returns the share of runs that took place at the worker with most runs of the same object, over
+    /// objects with two runs or more; 1 if there are no such objects.
     fn share(&self) -> f64 {
         let (mut at_most_used, mut total) = (0, 0);
         for workers in self.0.values() {
@@ -330,8 +333,8 @@
     }
 }
 
-/// Returns the priority weight of jobs served in time, divided by the priority weight of all jobs; 1 without
-/// jobs.
+/// Returns the priority weight of the jobs that were served within their latency objective, divided by the
+/// priority weight of all jobs; 1 without jobs.
 fn in_time_share(classes: &[ClassLoad], jobs: &[JobRecord]) -> f64 {
     let (mut total_weight, mut in_time_weight) = (0.0, 0.0);
     for job in jobs {
@@ -349,7 +352,8 @@
     }
 }
 
-/// Whether a result comes from a finished run of the attempt with this id or of its job's key.
+/// Whether the result `text` comes from a finished run of the attempt `id`, or of a run with the job's
+/// idempotency key. Such a text ends with the number of the run.
 fn is_result_of(text: &str, id: u64, job: &JobRecord, runs: &[Run]) -> bool {
     let number = text.split_once(':').and_then(|(_, number)| number.parse::<usize>().ok());
     let Some((number, run)) = number.and_then(|number| Some((number, runs.get(number)?))) else {
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: send a load of jobs over real connections, retry each job as its class allows, and record the
-//! responses.
+//! Clients of the schedulers: they send the jobs of a load over real connections, retry each job as its class
+//! allows, and record the responses.
 //!
 //! The clients own the connections and the clock of the load. Latency counts from the time at which a job was
 //! due to be sent, not from the time at which it was sent, so that a delay of the clients stays visible in
@@ -27,12 +27,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// Time limit for making a connection.
+/// Time limit for connecting to a target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which an idle connection is no longer reused.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The clients of a load. Clones share the connections.
+/// The clients that send a load. Clones share their connections and the round robin over the targets.
 #[derive(Clone)]
 pub struct Clients {
     spec: Arc<LoadSpec>,
@@ -41,12 +41,12 @@
     pooled: HttpClient,
     /// The HTTP client that makes a new connection for each request.
     unpooled: HttpClient,
-    /// Number of targets chosen so far.
+    /// Number of attempts for which a target has been chosen so far, for the round robin.
     chosen_targets: Arc<AtomicUsize>,
 }
 
 impl Clients {
-    /// Creates clients that spread their attempts over the addresses `targets` by round robin.
+    /// Creates clients that send their attempts to the addresses `targets` by round robin.
     pub fn new(spec: LoadSpec, targets: Vec<SocketAddr>) -> Result<Clients, LoadError> {
         Arrivals::new(&spec)?;
         if targets.is_empty() {
@@ -64,18 +64,18 @@
         Ok(Clients { spec, targets, pooled, unpooled, chosen_targets: Arc::default() })
     }
 
-    /// Returns the target of the next attempt.
+    /// Returns the address to which the next attempt is sent, by round robin.
     fn next_target(&self) -> SocketAddr {
         self.targets[self.chosen_targets.fetch_add(1, Ordering::Relaxed) % self.targets.len()]
     }
 
-    /// Returns the job of an arrival, without attempts.
+    /// Creates the job of an arrival; no attempt has been sent yet.
     fn new_job(&self, load_start: Instant, arrival: Arrival) -> Job {
         Job::new(self.clone(), load_start, arrival)
     }
 
     /// Sends jobs in an open loop from `load_start` on, for `duration` or until `stop` is true, then waits
-    /// for the jobs in flight. Calls `on_progress` after each change of the progress.
+    /// until the jobs in flight have ended. Calls `on_progress` each time a job is sent or has ended.
     pub async fn run(
         self,
         load_start: Instant,
@@ -111,7 +111,7 @@
     }
 
     /// Sends jobs in a closed loop for `duration`: each of the connections sends its next job when its
-    /// previous job has ended. The number of jobs, not their latency, shows the capacity of the server.
+    /// previous job has ended. The number of jobs, not their latency, shows the capacity of the targets.
     pub async fn run_closed_loop(
         self,
         connections: usize,
--- a/crates/testbed/src/client/exchange.rs
+++ b/crates/testbed/src/client/exchange.rs
@@ -1,4 +1,5 @@
-//! One HTTP exchange: builds the request of an attempt and reads the response as an outcome.
+//! One HTTP exchange of a client: builds the request of an attempt and derives the attempt's outcome from the
+//! response.
 
 use super::record::{JobRecord, Outcome};
 use crate::arrivals::{Arrival, LoadSpec};
@@ -10,17 +11,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A `Retry-After` of this number of seconds or more is ignored.
+/// The smallest `Retry-After`, in seconds, that clients ignore as too long.
 const RETRY_AFTER_LIMIT: f64 = 3600.0;
 
-/// The HTTP client of a load.
+/// The HTTP client that sends the requests of a load.
 pub(super) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// The response to one request.
+/// What a client learns from sending the request of an attempt.
 pub(super) struct Response {
     /// The outcome of the attempt.
     pub(super) outcome: Outcome,
-    /// The time in the `Retry-After` header, if the response has that header.
+    /// The time in the response's `Retry-After` header; `None` without a response or a valid header.
     pub(super) retry_after: Option<Duration>,
 }
 
@@ -30,18 +31,18 @@
     }
 }
 
-/// The data of one attempt that its request contains.
+/// The data that distinguish the request of one attempt from the requests of the job's other attempts.
 pub(super) struct AttemptRequest {
-    /// The scheduler's address.
+    /// The address to which the client sends the request.
     pub(super) target: SocketAddr,
-    /// The attempt's id.
+    /// The attempt's request id.
     pub(super) id: u64,
-    /// The attempt's number, from 0.
+    /// The attempt's number within its job, from 0.
     pub(super) number: u32,
 }
 
 impl AttemptRequest {
-    /// Builds the request; `expires_in` is the time that the client waits for a response.
+    /// Builds the attempt's HTTP request; `expires_in` is the time for which the client waits for a response.
     pub(super) fn build(
         &self,
         spec: &LoadSpec,
@@ -71,8 +72,8 @@
         if self.number > 0 && spec.marks_retries {
             builder = builder.header("x-second-try", "1");
         }
-        // Class names are validated when the load is read. A name that is not valid in a path would yield an
-        // empty request here, which fails.
+        // Class names are validated when the load is read. A name that is not valid in a path would make the
+        // builder fail; the empty request sent in its place fails too.
         builder.body(Full::from(body)).unwrap_or_default()
     }
 }
@@ -98,13 +99,14 @@
     Response { outcome, retry_after }
 }
 
-/// Returns the time in the `Retry-After` header, if it is a number of seconds below the limit.
+/// Returns the time in the `Retry-After` header, if it is a number of seconds below [`RETRY_AFTER_LIMIT`].
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get("retry-after")?.to_str().ok()?.parse().ok()?;
     (0.0..RETRY_AFTER_LIMIT).contains(&seconds).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// Returns the messages of an error and its causes; the last one is the operating system's error.
+/// Returns the messages of an error and of its causes, joined by colons. The last message is usually the
+/// operating system's error.
 fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/testbed/src/client/job.rs
+++ b/crates/testbed/src/client/job.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Time after the client's deadline during which a response is still accepted.
+/// Time after the client's deadline for which a client still waits for the response to an attempt.
 const RESPONSE_GRACE: Duration = Duration::from_millis(100);
 
-/// A job in progress.
+/// A job that a client has begun to send.
 pub(super) struct Job {
     clients: Clients,
     load_start: Instant,
@@ -21,7 +21,7 @@
 }
 
 impl Job {
-    /// Creates a job without attempts, of a load that started at `load_start`.
+    /// Creates a job without attempts; the load to which the job belongs started at `load_start`.
     pub(super) fn new(clients: Clients, load_start: Instant, arrival: Arrival) -> Job {
         let class = &clients.spec.classes[arrival.class];
         let idempotency = class.idempotency;
@@ -32,7 +32,7 @@
         Job { clients, load_start, deadline, idempotency, record }
     }
 
-    /// Makes attempts until the job is served, a retry is not allowed, or the job's deadline has passed.
+    /// Sends attempts until the job is served, may not be retried, or its deadline has passed.
     pub(super) async fn run(mut self) -> JobRecord {
         for number in 0..=self.clients.spec.max_retries {
             let remaining = self.remaining();
@@ -45,13 +45,13 @@
         self.record
     }
 
-    /// Returns the time until the deadline.
+    /// Returns the time until the job's deadline; zero after the deadline.
     fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Makes one attempt and records it. Returns the time to wait before the next attempt, or `None` if the
-    /// job is not retried.
+    /// Sends one attempt and records its outcome. `remaining` is the time until the job's deadline. Returns
+    /// the time to wait before the next attempt, or `None` if the job is not retried.
     async fn attempt(&mut self, number: u32, remaining: Duration) -> Option<Duration> {
         let id = attempt_id(self.record.arrival.id_seed, number);
         let request = AttemptRequest { target: self.clients.next_target(), id, number };
@@ -65,8 +65,9 @@
         will_retry.then(|| self.retry_delay(id, retry_after))
     }
 
-    /// Sends a request. If the connection breaks, sends the request once more on a new connection: the
-    /// scheduler may have closed an idle connection without reading the request that arrived meanwhile.
+    /// Sends the request of an attempt. If the connection breaks, sends the request once more on a new
+    /// connection, because the scheduler may have closed an idle connection without reading the request.
+    /// `resent` is set to the time of the second sending.
     async fn send(
         &self,
         request: &AttemptRequest,
@@ -82,7 +83,8 @@
         exchange(&self.clients.unpooled, request.build(spec, &self.record, self.remaining())).await
     }
 
-    /// Whether the outcome of an attempt allows a retry; `sent` is when the attempt was sent.
+    /// Whether the outcome of an attempt allows a retry of the job; `sent` is when the attempt was sent,
+    /// counted from the start of the load.
     fn allows_retry(&self, outcome: &Outcome, sent: Duration) -> bool {
         let first_sent = self.record.attempts.first().map_or(sent, |first| first.sent);
         let until_retry =
@@ -90,7 +92,8 @@
         may_retry(self.idempotency, outcome, until_retry)
     }
 
-    /// Returns the time to wait before the next attempt.
+    /// Returns the time to wait before the next attempt; `id` is the rejected or failed attempt's request id,
+    /// and `retry_after` the time in the `Retry-After` of its response.
     fn retry_delay(&self, id: u64, retry_after: Option<Duration>) -> Duration {
         let spec = &self.clients.spec;
         let honored = retry_after.filter(|_| honors_retry_after(id, spec.retry_after_share));
--- a/crates/testbed/src/client/tests.rs
+++ b/crates/testbed/src/client/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the retry rules, which are private to the module.
+//! Tests of the rules by which clients retry jobs. The functions under test are private to the client module.
 
 use super::record::Outcome;
 use super::retry::{attempt_id, honors_retry_after, may_retry};
