--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,9 +1,10 @@
-//! A stand-in discovery service: the versioned list of workers, watches for changes, and scripted faults.
+//! A stand-in discovery service: it publishes the versioned endpoint list of the workers, lets schedulers
+//! watch the list for changes, and injects scripted faults.
 //!
 //! The service listens on one port for each scheduler, so that each scheduler can receive its own addresses
 //! of the workers, and so that the service can move to another port for one scheduler alone. A task for each
-//! port owns the listener and its connections. The list contains the workers as they were published; a change
-//! of a worker appears once it is published.
+//! port owns the listener and its connections. The endpoint list contains the workers as they were published;
+//! a change of a worker appears in the list once it is published.
 
 mod endpoints;
 mod server;
@@ -20,18 +21,18 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How the service answers calls.
+/// How the service responds to calls, which are requests for the endpoint list or watches on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// Answers normally.
+    /// Responds with the endpoint list.
     Normal,
-    /// Answers with 503; waiting watches get this answer at once.
+    /// Responds with 503; waiting watches get this response at once.
     Error,
-    /// Resets the connection instead of answering, including connections of waiting watches.
+    /// Resets the connection instead of responding, including the connections of waiting watches.
     Reset,
-    /// Accepts connections, keeps them open and does not answer.
+    /// Accepts connections, keeps them open and does not respond.
     Silent,
-    /// Sends half of the answer, then closes the connection.
+    /// Sends half of the response, then closes the connection.
     Truncate,
 }
 
@@ -39,16 +40,16 @@
 struct State {
     endpoints: EndpointList,
     response_mode: ResponseMode,
-    /// Time from the publication of a change until the list contains the change.
+    /// Time from the publication of a worker's change until the endpoint list contains the change.
     update_delay: Duration,
-    /// Number of calls handled so far; a watch counts when its wait ends.
+    /// Number of calls from schedulers handled so far; a watch counts when its wait ends.
     calls: u64,
 }
 
-/// The state of one discovery service, and the signal for its watches.
+/// The state of one discovery service, and the signal that wakes its waiting watches.
 struct Shared {
     state: Mutex<State>,
-    /// Wakes the waiting watches after each change of the list or of `response_mode`.
+    /// Wakes the waiting watches after each change of the endpoint list or of `response_mode`.
     changed: watch::Sender<()>,
 }
 
@@ -63,10 +64,10 @@
     }
 }
 
-/// The port of one scheduler.
+/// The port on which the service listens for one scheduler.
 struct SchedulerPort {
     port: Port,
-    /// The task that serves the port; `None` while the service does not listen on the port.
+    /// The task that serves the scheduler on the port; `None` while the service does not listen on the port.
     server: Option<AbortOnDrop>,
 }
 
@@ -77,7 +78,7 @@
 }
 
 impl Discovery {
-    /// Starts a service with an empty list and a port for each scheduler.
+    /// Starts a discovery service with an empty endpoint list and a port for each of `schedulers` schedulers.
     pub async fn start(schedulers: usize) -> io::Result<Discovery> {
         let state = State {
             endpoints: EndpointList::default(),
@@ -97,17 +98,17 @@
         self.ports[scheduler].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the service's address for a scheduler.
+    /// Returns the address at which a scheduler reaches the service; schedulers are numbered from 0.
     pub fn address(&self, scheduler: usize) -> SocketAddr {
         self.port(scheduler).port.address()
     }
 
-    /// Stops listening on a scheduler's port and ends the scheduler's connections.
+    /// Stops listening on the port for one scheduler and ends the scheduler's connections to the service.
     pub fn stop_listening(&self, scheduler: usize) {
         self.port(scheduler).server = None;
     }
 
-    /// Listens on a scheduler's port.
+    /// Starts to listen on the port for one scheduler.
     pub fn listen(&self, scheduler: usize) -> io::Result<()> {
         let port = &mut *self.port(scheduler);
         let listener = port.port.listen()?;
@@ -115,8 +116,8 @@
         Ok(())
     }
 
-    /// Moves to a new port for a scheduler and returns the new address. The old port refuses connections from
-    /// then on, and its open connections end.
+    /// Moves the service to a new port for one scheduler and returns the new address. The old port refuses
+    /// connections from then on, and its open connections end.
     pub fn move_to_new_port(&self, scheduler: usize) -> io::Result<SocketAddr> {
         let port = Port::reserve()?;
         let listener = port.listen()?;
@@ -126,46 +127,47 @@
         Ok(address)
     }
 
-    /// Sets how the service answers calls from now on.
+    /// Sets how the service responds to calls from schedulers, starting at once.
     pub fn set_response_mode(&self, mode: ResponseMode) {
         self.shared.state().response_mode = mode;
         self.shared.changed.send_replace(());
     }
 
-    /// Sets the time from the publication of a change until the list contains the change, for changes
-    /// published from now on.
+    /// Sets the time from the publication of a change until the endpoint list contains the change. The new
+    /// time applies to changes published later.
     pub fn set_update_delay(&self, delay: Duration) {
         self.shared.state().update_delay = delay;
     }
 
-    /// Answers as `mode` states for `duration`, then normally again.
+    /// Responds as `mode` states for `duration`, then normally again.
     pub async fn fail(&self, mode: ResponseMode, duration: Duration) {
         self.set_response_mode(mode);
         sleep(duration).await;
         self.set_response_mode(ResponseMode::Normal);
     }
 
-    /// Returns the number of calls handled so far; a watch counts when its wait ends.
+    /// Returns the number of calls from schedulers handled so far; a watch counts when its wait ends.
     pub fn calls(&self) -> u64 {
         self.shared.state().calls
     }
 
-    /// Lists a worker as up.
+    /// Publishes a worker as up.
     pub fn list_as_up(&self, worker: &Worker) {
         self.publish(Endpoint::of(worker, Lifecycle::Up));
     }
 
-    /// Lists a worker as draining.
+    /// Publishes a worker as draining.
     pub fn list_as_draining(&self, worker: &Worker) {
         self.publish(Endpoint::of(worker, Lifecycle::Draining));
     }
 
-    /// Marks a worker as removed from the list.
+    /// Publishes a worker as removed; the complete endpoint list no longer contains the worker.
     pub fn remove(&self, worker: &Worker) {
         self.publish(Endpoint::of(worker, Lifecycle::Removed));
     }
 
-    /// Adds or replaces an endpoint in the list, after the update delay.
+    /// Adds an endpoint to the endpoint list, or replaces the endpoint of the same name, after the update
+    /// delay.
     pub fn publish(&self, endpoint: Endpoint) {
         let delay = self.shared.state().update_delay;
         if delay.is_zero() {
--- a/crates/testbed/src/discovery/endpoints.rs
+++ b/crates/testbed/src/discovery/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: one entry for each worker, with the list version at which the entry last changed.
+//! The endpoint list of the stand-in discovery service: one entry for each worker, with the list version at
+//! which the entry last changed.
 
 use crate::worker::Worker;
 use serde_json::{json, Value};
@@ -17,7 +18,7 @@
 }
 
 impl Lifecycle {
-    /// Returns the value of the document's `lifecycle` field.
+    /// Returns the value of an entry's `lifecycle` field in the endpoint list's JSON.
     fn as_str(self) -> &'static str {
         match self {
             Lifecycle::Up => "up",
@@ -27,7 +28,7 @@
     }
 }
 
-/// The entry of one worker.
+/// The entry of one worker in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The worker's name.
@@ -42,14 +43,14 @@
     pub cell: u32,
     /// The worker's lifecycle state.
     pub lifecycle: Lifecycle,
-    /// The worker's weight.
+    /// The worker's weight, which the schedulers use to distribute jobs.
     pub weight: f64,
     /// The worker's last restart as Unix time in milliseconds; 0 if the worker was never restarted.
     pub started_at_ms: u64,
 }
 
 impl Endpoint {
-    /// Creates the entry of a worker.
+    /// Creates the entry of a worker from its configuration and addresses.
     pub fn of(worker: &Worker, lifecycle: Lifecycle) -> Endpoint {
         let spec = worker.spec();
         Endpoint {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Returns the entry as JSON, with the worker's address for one scheduler.
+    /// Returns the entry as JSON, with the address at which one scheduler reaches the worker.
     fn json(&self, scheduler: usize) -> Value {
         let address = self.addresses.get(scheduler).map(SocketAddr::to_string).unwrap_or_default();
         json!({"instanceId": self.name, "hostPort": address, "zone": self.zone, "machineType": self.kind,
@@ -79,34 +80,34 @@
     version: u64,
 }
 
-/// All endpoints by name, including removed ones.
+/// All endpoints by name, including those of removed workers.
 pub(super) struct EndpointList {
     version: u64,
     endpoints: BTreeMap<String, VersionedEndpoint>,
 }
 
 impl Default for EndpointList {
-    /// Returns an empty list; versions start at 1.
+    /// Returns an empty endpoint list; versions start at 1.
     fn default() -> EndpointList {
         EndpointList { version: 1, endpoints: BTreeMap::new() }
     }
 }
 
 impl EndpointList {
-    /// Returns the version of the last change.
+    /// Returns the version of the list, which each change increases by 1.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Adds or replaces an endpoint and increases the version.
+    /// Adds an endpoint, or replaces the endpoint of the same name, and increases the list's version.
     pub(super) fn update(&mut self, endpoint: Endpoint) {
         self.version += 1;
         let entry = VersionedEndpoint { endpoint, version: self.version };
         self.endpoints.insert(entry.endpoint.name.clone(), entry);
     }
 
-    /// Returns the document for a scheduler: the changes after version `since`, or the complete list if
-    /// `since` is absent or greater than the current version.
+    /// Returns the JSON document that a scheduler receives: the changes after version `since`, or the
+    /// complete list if `since` is absent or greater than the current version.
     pub(super) fn document(&self, scheduler: usize, since: Option<u64>) -> Value {
         let since = since.filter(|since| *since <= self.version);
         let selected = self.endpoints.values().filter(|entry| match since {
--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -1,4 +1,5 @@
-//! The HTTP interface of the discovery service: calls for the list, and watches that wait for a change.
+//! The HTTP interface of the stand-in discovery service: schedulers request the endpoint list, or watch the
+//! list for changes.
 
 use super::{ResponseMode, Shared};
 use crate::wire::{HttpConnection, Message};
@@ -9,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Maximum time that a watch waits for a change, in milliseconds.
+/// Maximum time for which a watch waits for a change of the endpoint list, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// Serves one scheduler until the future is dropped.
+/// Serves one scheduler on its port until the future is dropped.
 pub(super) async fn serve(shared: Arc<Shared>, listener: TcpListener, scheduler: usize) {
     let mut connections = JoinSet::new();
     loop {
@@ -55,13 +56,13 @@
     }
 }
 
-/// Returns the number that the query of a request has under `name`.
+/// Returns the number that the URL query of a request has under `name`.
 fn query_number(request: &Message, name: &str) -> Option<u64> {
     let (_, query) = request.target().split_once('?')?;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
 
-/// Waits until the list's version differs from `since` or the service no longer answers normally.
+/// Waits until the endpoint list's version differs from `since` or the service no longer responds normally.
 async fn wait_for_change(shared: &Shared, since: u64) {
     let mut changed = shared.changed.subscribe();
     loop {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Writes an answer's head and the first half of its body.
+/// Writes the head of a response and the first half of its body, `document`.
 async fn write_half(connection: &mut HttpConnection, document: &str) -> io::Result<()> {
     let (length, first_half) = (document.len(), &document[..document.len() / 2]);
     connection.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{first_half}")).await
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,14 @@
 //! Stand-ins on loopback sockets for everything around a scheduler, implemented from the daemon's protocol: a
-//! [`discovery::Discovery`] with watches, [`worker::Worker`]s that run jobs or misbehave as scripted, a
-//! [`load_balancer::LoadBalancer`] in front of the schedulers, and [`client`]s with a seeded load.
+//! [`discovery::Discovery`] service whose endpoint list schedulers can watch, [`worker::Worker`]s that run
+//! jobs or misbehave as scripted, a [`load_balancer::LoadBalancer`] in front of the schedulers, and
+//! [`client`]s with a seeded load. The module [`audit`] compares what the clients received with what the
+//! workers ran.
 //!
 //! Each stand-in is a value that owns its sockets and tasks; dropping the value ends them. A test controls a
-//! stand-in by calling its methods. Where a test must stop inside a message, [`wire::HttpConnection`] serves
-//! as either end of a connection. The crate does not depend on the daemon's code: it implements the protocol
-//! a second time, so that a mistake in either implementation becomes visible.
+//! stand-in by calling its methods. Where a test must stop in the middle of an HTTP message,
+//! [`wire::HttpConnection`] serves as either end of a connection. The crate does not depend on the daemon's
+//! code: it implements the protocol a second time, so that a mistake in either implementation becomes
+//! visible.
 //!
 //! ```no_run
 //! # async fn example() -> std::io::Result<()> {
--- a/crates/testbed/src/load_balancer.rs
+++ b/crates/testbed/src/load_balancer.rs
@@ -1,10 +1,10 @@
-//! A load balancer in front of the schedulers: one address for clients, whose connections go to the ready
-//! schedulers in turn.
+//! A stand-in load balancer in front of the schedulers: clients connect to its one address, and it relays
+//! their connections to the ready schedulers in turn.
 //!
 //! One task owns the listener, the relayed connections and the readiness checks. A scheduler receives
 //! connections after a positive readiness check and none after a negative one. A scheduler that no longer
-//! answers the checks still receives connections until the detection delay has passed. The load balancer does
-//! not interpret the bytes that it relays.
+//! responds to the checks still receives connections until the detection delay has passed. The load balancer
+//! does not interpret the bytes that it relays.
 
 use crate::wire::HttpConnection;
 use crate::{AbortOnDrop, Port};
@@ -20,17 +20,17 @@
 
 /// Interval between readiness checks of a scheduler.
 const READINESS_INTERVAL: Duration = Duration::from_millis(100);
-/// Time limit for a scheduler's answer to a readiness check.
+/// Time limit for a scheduler's response to a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time limit for connecting to a scheduler.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The request of a readiness check.
+/// The HTTP request of a readiness check.
 const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
 
 /// A scheduler behind the load balancer.
 struct Backend {
     address: SocketAddr,
-    /// Whether the scheduler receives connections.
+    /// Whether the scheduler receives clients' connections.
     ready: AtomicBool,
 }
 
@@ -53,8 +53,8 @@
 }
 
 impl LoadBalancer {
-    /// Starts a load balancer in front of the addresses `schedulers`. A scheduler that has not answered a
-    /// readiness check for `detection_delay` receives no further connections.
+    /// Starts a load balancer in front of the addresses `schedulers`. A scheduler receives no further
+    /// connections once its last positive response to a readiness check is `detection_delay` old.
     pub async fn start(schedulers: &[SocketAddr], detection_delay: Duration) -> io::Result<LoadBalancer> {
         let port = Port::reserve()?;
         let listener = port.listen()?;
@@ -68,18 +68,19 @@
         self.port.address()
     }
 
-    /// Returns the time for which a scheduler that no longer answers still receives connections.
+    /// Returns the time since the last positive readiness check for which a scheduler that no longer responds
+    /// still receives connections.
     pub fn detection_delay(&self) -> Duration {
         self.detection_delay
     }
 
-    /// Returns the number of schedulers that receive connections at present.
+    /// Returns the number of schedulers that receive clients' connections at present.
     pub fn ready_schedulers(&self) -> usize {
         self.backends.iter().filter(|backend| backend.is_ready()).count()
     }
 }
 
-/// Accepts clients and checks the schedulers until the future is dropped.
+/// Accepts connections of clients and checks the schedulers' readiness until the future is dropped.
 async fn serve(listener: TcpListener, backends: Arc<Vec<Backend>>, detection_delay: Duration) {
     let mut tasks = JoinSet::new();
     for index in 0..backends.len() {
@@ -107,8 +108,8 @@
     Some(backend.address)
 }
 
-/// Copies bytes in both directions until both ends have closed; an error at either end resets the client's
-/// connection.
+/// Relays a client's connection to the scheduler at `address`: copies bytes in both directions until both
+/// ends have closed. An error at either end resets the client's connection.
 async fn relay(mut client: TcpStream, address: SocketAddr) {
     // Failures to set socket options are ignored: the connection carries the bytes without the options, too.
     let _ = client.set_nodelay(true);
@@ -122,14 +123,14 @@
     }
 }
 
-/// Updates a scheduler's readiness at each interval until the future is dropped.
+/// Checks a scheduler's readiness at each [`READINESS_INTERVAL`] until the future is dropped.
 async fn check_readiness(backends: Arc<Vec<Backend>>, index: usize, detection_delay: Duration) {
     let backend = &backends[index];
     let mut interval = interval(READINESS_INTERVAL);
     let mut last_ready: Option<Instant> = None;
     loop {
         interval.tick().await;
-        // If there is no answer, the last state remains until the detection delay has passed.
+        // If the scheduler does not respond, its last readiness remains until the detection delay has passed.
         if let Ok(Some(ready)) = timeout(READINESS_TIMEOUT, query_readiness(backend.address)).await {
             last_ready = ready.then(Instant::now);
         }
@@ -138,7 +139,8 @@
     }
 }
 
-/// Returns a scheduler's answer to one readiness check, or `None` if the scheduler does not answer.
+/// Returns whether a scheduler responds to a readiness check that it is ready, or `None` if the scheduler
+/// does not respond.
 async fn query_readiness(address: SocketAddr) -> Option<bool> {
     let mut connection = HttpConnection::connect(address).await.ok()?;
     connection.write(READINESS_REQUEST).await.ok()?;
--- a/crates/testbed/src/owned.rs
+++ b/crates/testbed/src/owned.rs
@@ -6,7 +6,7 @@
 pub struct AbortOnDrop(JoinHandle<()>);
 
 impl AbortOnDrop {
-    /// Starts a task.
+    /// Starts a task, which is aborted when the returned value is dropped.
     pub fn spawn(task: impl std::future::Future<Output = ()> + Send + 'static) -> AbortOnDrop {
         AbortOnDrop(tokio::spawn(task))
     }
--- a/crates/testbed/src/port.rs
+++ b/crates/testbed/src/port.rs
@@ -1,21 +1,21 @@
-//! Loopback ports that stay reserved while nothing listens on them.
+//! Loopback ports that a process keeps reserved while nothing listens on them.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Maximum number of connections that wait to be accepted.
+/// Maximum number of connections to a port that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// A reserved port on the loopback address. While nothing listens on the port, connections to
-/// the port are refused and no other process can bind it.
+/// A reserved port on the loopback address. While nothing listens on the port, connections to the port are
+/// refused, and no other process can bind the port.
 pub struct Port {
     address: SocketAddr,
     _reserved: TcpSocket,
 }
 
 impl Port {
-    /// Reserves a free port.
+    /// Reserves a free port, which the operating system selects.
     pub fn reserve() -> io::Result<Port> {
         let reserved = TcpSocket::new_v4()?;
         reserved.set_reuseaddr(true)?;
--- a/crates/testbed/src/queue.rs
+++ b/crates/testbed/src/queue.rs
@@ -1,18 +1,20 @@
-//! The slots of a worker and the queue of waiters for slots.
+//! The slots of a stand-in worker, and the queue of waiters for slots.
 //!
-//! The queue is independent of jobs and probes: a waiter states only a number of slots.
+//! The queue does not know whether a waiter is a job or a probe: a waiter states only the number of slots
+//! that it needs.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::oneshot;
 
-/// The rule that selects the waiter that gets its slots next.
+/// The rule that selects the waiter in the queue that gets its slots next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
-    /// The first waiter. While too few slots are free for the first waiter, all other waiters wait, too.
+    /// The waiter that has waited longest. While too few slots are free for this waiter, all other waiters
+    /// wait, too.
     #[default]
     Fifo,
-    /// The first waiter for which enough slots are free.
+    /// The waiter that has waited longest among those for which enough slots are free.
     Backfill,
 }
 
@@ -28,7 +30,8 @@
 }
 
 impl QueueState {
-    /// Removes the waiters that can get their slots now, and subtracts their slots from the free ones.
+    /// Removes and returns the waiters that can get their slots at present, and subtracts their slots from
+    /// the free slots.
     fn remove_grantable(&mut self, order: Order) -> Vec<Waiter> {
         self.waiters.retain(|waiter| !waiter.granted.is_closed());
         let mut grants = Vec::new();
@@ -53,11 +56,11 @@
     state: Mutex<QueueState>,
 }
 
-/// The slots of a worker and the queue of waiters for them. Clones share both.
+/// The slots of a worker and the queue of waiters for them. Clones share the slots and the queue.
 #[derive(Clone)]
 pub struct Queue(Arc<Shared>);
 
-/// Acquired slots; dropping the value releases the slots.
+/// Slots that a waiter has acquired; dropping the value releases the slots.
 pub struct SlotPermit {
     queue: Queue,
     slots: usize,
@@ -70,8 +73,8 @@
     }
 }
 
-/// A place in the queue. Dropping the place of a waiter that has no slots yet may let later waiters get their
-/// slots.
+/// A waiter's place in the queue. If the place is dropped before the waiter has got its slots, later waiters
+/// may get these slots.
 struct QueuePlace<'a> {
     queue: &'a Queue,
     granted: oneshot::Receiver<SlotPermit>,
@@ -85,7 +88,7 @@
 }
 
 impl Queue {
-    /// Creates an empty queue with `slots` free slots.
+    /// Creates a queue without waiters, for a worker with `slots` free slots.
     pub fn new(slots: usize, order: Order) -> Queue {
         let state = Mutex::new(QueueState { free: slots, waiters: VecDeque::new() });
         Queue(Arc::new(Shared { order, slots, state }))
@@ -100,7 +103,8 @@
         self.state().free
     }
 
-    /// Waits for a number of slots. A request for more slots than the queue has waits for all of them.
+    /// Waits until `slots` slots are free for the caller, and acquires them. A request for more slots than
+    /// the worker has waits for all slots of the worker.
     pub async fn acquire(&self, slots: usize) -> Option<SlotPermit> {
         let (sender, granted) = oneshot::channel();
         let slots = slots.clamp(1, self.0.slots.max(1));
@@ -110,11 +114,11 @@
         (&mut place.granted).await.ok()
     }
 
-    /// Gives free slots to the waiters that can get them.
+    /// Gives free slots to the waiters that can get them, as the order of the queue states.
     fn grant(&self) {
         let grants = self.state().remove_grantable(self.0.order);
-        // Permits are sent outside the lock: if a waiter has left meanwhile, its permit is dropped here, and
-        // the drop locks the state to release the slots.
+        // Permits are sent after the lock is released: if a waiter has left meanwhile, its permit is dropped
+        // in this loop, and the drop locks the state again to release the slots.
         for Waiter { slots, granted } in grants {
             let _ = granted.send(SlotPermit { queue: self.clone(), slots });
         }
--- a/crates/testbed/src/stats.rs
+++ b/crates/testbed/src/stats.rs
@@ -1,33 +1,34 @@
-//! Load reports of a worker: their fields, the interval at which they are refreshed, and their age.
+//! The load reports of a stand-in worker: their fields, the interval at which the reported load is refreshed,
+//! and its age.
 //!
-//! The code here is pure: callers pass the times in, as durations from a common start.
+//! The code of this module is pure: callers state the time of each call, as a duration from a common start.
 
 use serde_json::{json, Map, Value};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which past loads are kept. The age of a reported load must not exceed this time.
+/// Time for which a worker's past loads are kept. The age of a reported load must not exceed this time.
 const HISTORY: Duration = Duration::from_secs(60);
 
 /// The load of a worker at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Number of jobs that wait or run.
+    /// Number of the worker's jobs that wait for slots or run.
     pub inflight: usize,
-    /// Number of jobs that wait.
+    /// Number of the worker's jobs that wait for slots.
     pub queue: usize,
-    /// Number of free slots.
+    /// Number of the worker's free slots.
     pub free: usize,
-    /// Number of all slots.
+    /// Number of all slots of the worker.
     pub slots: usize,
 }
 
-/// A field of a load report; the variants show the names that reports use.
+/// A field of a load report; each variant's description begins with the field's name in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// `inflight`: the number of jobs that wait or run.
+    /// `inflight`: the number of jobs that wait for slots or run.
     Inflight,
-    /// `queue`: the number of jobs that wait.
+    /// `queue`: the number of jobs that wait for slots.
     Queue,
     /// `x0`: the number of free slots.
     X0,
@@ -63,46 +64,47 @@
 pub struct StatsSpec {
     /// The fields of a report, in order.
     pub fields: Vec<Field>,
-    /// Interval at which the reported load is refreshed; with zero, each report has a fresh load.
+    /// Interval at which the reported load is refreshed; with zero, each report contains the worker's load at
+    /// the time that `delay` defines.
     pub refresh_interval: Duration,
     /// Age of the reported load, in addition to the time since its last refresh.
     pub delay: Duration,
-    /// Whether answers and callbacks that end an attempt carry a load report.
+    /// Whether responses and callbacks that end an attempt carry a load report.
     pub in_answers: bool,
 }
 
 impl StatsSpec {
-    /// Returns a report in the form of a header value, such as `TEXT inflight=7, queue=2`.
+    /// Returns a load report in the form of a header value, such as `TEXT inflight=7, queue=2`.
     pub fn text(&self, load: &Load) -> String {
         let pairs = self.fields.iter().map(|field| format!("{}={}", field.name(), field.value(load)));
         format!("TEXT {}", pairs.collect::<Vec<_>>().join(", "))
     }
 
-    /// Returns a report as a JSON object.
+    /// Returns a load report as a JSON object.
     pub fn json(&self, load: &Load) -> Value {
         let pairs = self.fields.iter().map(|field| (field.name().to_string(), field.value(load)));
         Value::Object(pairs.collect::<Map<_, _>>())
     }
 }
 
-/// The load from the time `at` until the next sample.
+/// The load of a worker from the time `at` until the next sample.
 #[derive(Clone, Copy)]
 struct Sample {
     at: Duration,
     load: Load,
 }
 
-/// The past loads of a worker that a report may still contain.
+/// The past loads of a worker, of which a load report may still contain one.
 pub struct LoadHistory {
     refresh_interval: Duration,
     delay: Duration,
-    /// The load of the idle worker, before the first sample.
+    /// The load of the worker without jobs, which applies before the first sample.
     idle: Load,
     samples: VecDeque<Sample>,
 }
 
 impl LoadHistory {
-    /// Creates the history of an idle worker.
+    /// Creates the history of a worker without jobs; `spec` is the configuration of its load reports, if any.
     pub fn new(spec: Option<&StatsSpec>, slots: usize) -> LoadHistory {
         LoadHistory {
             refresh_interval: spec.map_or(Duration::ZERO, |spec| spec.refresh_interval),
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Sets the delay of the load that is reported from now on.
+    /// Sets the age of the load that later reports contain, in addition to the time since the last refresh.
     pub fn set_delay(&mut self, delay: Duration) {
         self.delay = delay;
     }
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Returns the load that a report contains at the time `now`.
+    /// Returns the load that a report made at the time `now` contains.
     pub fn reported(&self, now: Duration) -> Load {
         let Some(delayed) = now.checked_sub(self.delay) else { return self.idle };
         let since_refresh = delayed.as_nanos().checked_rem(self.refresh_interval.as_nanos()).unwrap_or(0);
--- a/crates/testbed/src/stats/tests.rs
+++ b/crates/testbed/src/stats/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of load reports: their age, their text and JSON forms, and the old samples that the history drops.
+//! Tests of a worker's load reports: the age of the reported load, the text and JSON forms of a report, and
+//! the samples that the load history drops.
 
 use super::*;
 
@@ -23,7 +24,7 @@
     assert_eq!([19, 20, 39, 40].map(|at| reported(&history, at)), [0, 1, 1, 3]);
     history.set_delay(Duration::from_secs(1));
     assert_eq!([999, 1_019, 1_020, 1_040].map(|at| reported(&history, at)), [0, 0, 1, 3]);
-    // Samples that are too old for any report are dropped, except the last of them.
+    // Samples that are too old for any load report are dropped, except the latest of them.
     history.record(Duration::from_secs(200), load(2));
     history.record(Duration::from_secs(300), load(0));
     assert_eq!((history.samples.len(), reported(&history, 250_000)), (2, 2));
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -1,5 +1,5 @@
-//! The objects that jobs need before they run. Each worker caches its most recently used objects and fetches
-//! other objects from a store that all workers share.
+//! The objects that jobs need before a stand-in worker runs them. Each worker caches the objects that its
+//! jobs used most recently and fetches other objects from a store that all workers share.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// The store that all workers share, with a limit on concurrent fetches. Clones share the limit.
+/// The store of objects that all workers share, with a limit on concurrent fetches. Clones share the limit.
 #[derive(Clone, Debug)]
 pub struct Store {
     permits: Arc<Semaphore>,
@@ -53,12 +53,13 @@
         self.objects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Removes every object, as the end of the worker's process does.
+    /// Removes every object from the cache, as the end of the worker's process does.
     pub fn clear(&self) {
         self.objects().clear();
     }
 
-    /// Marks an object as the most recently used one, after fetching it from the store if necessary.
+    /// Fetches an object from the store unless the object is cached, and marks it as the most recently used
+    /// one.
     pub async fn load(&self, object: &str) {
         let Some(CacheSpec { store, capacity }) = &self.spec else { return };
         let is_cached = self.objects().iter().any(|cached| cached == object);
