--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -1,5 +1,5 @@
-//! Callbacks: requests by which a worker reports a job's state to the scheduler, retried until the scheduler
-//! answers.
+//! Callbacks: HTTP requests by which a stand-in worker reports the state of a job to the scheduler. A
+//! callback is retried until the scheduler responds.
 
 use crate::wire::HttpConnection;
 use bytes::Bytes;
@@ -15,38 +15,39 @@
 
 /// Maximum number of attempts to send a callback.
 const MAX_CALLBACK_ATTEMPTS: u32 = 10;
-/// Time limit for connecting to the scheduler, and for one attempt to send a callback including its answer.
+/// Time limit for connecting to the scheduler, and for one attempt to send a callback including the
+/// scheduler's response.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay before the next attempt to send a callback.
+/// Delay after a failed attempt to send a callback, before the next attempt.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long an idle connection to a scheduler is reused.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A change of a job's state, as a callback reports it.
+/// A change of a job's state that a callback reports to the scheduler.
 #[derive(Clone, Debug)]
 pub(super) enum JobUpdate {
-    /// The job started to run.
+    /// The worker started to run the job.
     Started,
-    /// The job runs and has made progress.
+    /// The worker runs the job and has made progress.
     Running {
         /// The fraction of the job's work that is done, between 0 and 1.
         share: f64,
     },
-    /// The job finished.
+    /// The worker finished the job.
     Done {
-        /// The job's result.
+        /// The job's result, which the client receives.
         result: String,
     },
-    /// The job failed.
+    /// The job failed at the worker.
     Failed,
     /// The worker returns the job to the scheduler without having run it.
     Returned,
-    /// The worker lost the job.
+    /// The worker lost the job, for example because the worker was killed.
     Lost,
 }
 
 impl JobUpdate {
-    /// Returns the value of the callback's `state` field.
+    /// Returns the value of the `state` field in the callback's JSON.
     fn state(&self) -> &'static str {
         match self {
             JobUpdate::Started => "started",
@@ -59,26 +60,26 @@
     }
 
     /// Whether the callback may carry a load report: only callbacks by which the worker itself ends an
-    /// attempt do.
+    /// attempt carry one.
     pub(super) fn carries_load(&self) -> bool {
         matches!(self, JobUpdate::Done { .. } | JobUpdate::Failed | JobUpdate::Returned)
     }
 }
 
-/// One callback.
+/// The content of one callback.
 pub(super) struct Callback<'a> {
-    /// The request's id.
+    /// The request id of the job's attempt.
     pub(super) id: u64,
-    /// The worker's name.
+    /// The name of the worker that sends the callback.
     pub(super) worker: &'a str,
-    /// The change of the job's state.
+    /// The change of the job's state that the callback reports.
     pub(super) update: &'a JobUpdate,
     /// The load report, if the callback carries one.
     pub(super) load: Option<Value>,
 }
 
 impl Callback<'_> {
-    /// Returns the body of the callback's request.
+    /// Returns the JSON text of the callback, which is the body of its HTTP request.
     pub(super) fn body(self) -> String {
         let state = self.update.state();
         let mut body = json!({"id": format!("{:016x}", self.id), "from": self.worker, "state": state});
@@ -94,20 +95,20 @@
     }
 }
 
-/// How the bytes of a callback are written.
+/// How a worker writes a callback to the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// At once, retried until the scheduler answers.
+    /// The complete callback at once; retried until the scheduler responds.
     Retried,
     /// One byte at a time, without retries.
     ByteByByte,
 }
 
-/// The HTTP client for callbacks.
+/// The HTTP client by which a worker sends callbacks.
 pub(super) struct CallbackClient(Client<HttpConnector, Full<Bytes>>);
 
 impl CallbackClient {
-    /// Creates a client without open connections.
+    /// Creates an HTTP client that has no open connections yet.
     pub(super) fn new() -> CallbackClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -119,7 +120,7 @@
         CallbackClient(client)
     }
 
-    /// Sends the body of a callback as `delivery` states.
+    /// Sends `body`, the JSON text of a callback, to a scheduler as `delivery` states.
     pub(super) async fn deliver(&self, scheduler: SocketAddr, body: String, delivery: Delivery) {
         match delivery {
             Delivery::Retried => self.deliver_with_retries(scheduler, body).await,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Sends a body until the scheduler answers with a success status or with 400, at most
+    /// Sends the body of a callback until the scheduler responds with a success status or with 400, at most
     /// [`MAX_CALLBACK_ATTEMPTS`] times.
     async fn deliver_with_retries(&self, scheduler: SocketAddr, body: String) {
         for _ in 0..MAX_CALLBACK_ATTEMPTS {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Sends one request and returns the status of the answer, or `None` if no answer came.
+    /// Sends one request of a callback and returns the status of the response, or `None` if no response came.
     async fn send(&self, request: Request<Full<Bytes>>) -> Option<StatusCode> {
         let response = self.0.request(request).await.ok()?;
         let status = response.status();
@@ -150,12 +151,12 @@
     }
 }
 
-/// Sends a body one byte at a time, without retries.
+/// Sends the body of a callback one byte at a time, without retries.
 async fn deliver_byte_by_byte(scheduler: SocketAddr, body: &str) {
     let Ok(mut connection) = HttpConnection::connect(scheduler).await else { return };
     let length = body.len();
     let text = format!("POST /callback HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
-    // This delivery has no retries: the callback is lost if the scheduler does not read it.
+    // A failure is ignored and not retried: the callback is lost if the scheduler does not read it.
     if connection.write_byte_by_byte(&text).await.is_ok() {
         connection.read().await;
     }
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP connection from a scheduler: reads jobs, cancellations and probes, and answers them or misbehaves
-//! as scripted.
+//! One HTTP connection from a scheduler to a stand-in worker: reads requests for jobs, cancellations and
+//! probes, and responds or misbehaves as scripted.
 
 use super::execution::JobFuture;
 use super::job::{expires_in, request_id, JobRequest};
@@ -13,18 +13,18 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::timeout;
 
-/// The header line by which an answer states that the job never ran.
+/// The header line by which a response states that the job never ran.
 const NEVER_RAN: &str = "x-never-ran: 1\r\n";
 
-/// Whether a connection stays open after a request: `Some(())` keeps the connection open, `None` closes it.
+/// Whether a connection stays open after a request: `Some(())` means that it stays open, `None` that it ends.
 pub(super) type KeepAlive = Option<()>;
 
-/// One connection from a scheduler. Dropping the value after the worker was killed resets the connection.
+/// One connection from a scheduler. If the worker has been killed, dropping this value resets the connection.
 pub(super) struct Connection {
     /// The worker that serves the connection.
     pub(super) worker: Arc<WorkerState>,
     scheduler: SocketAddr,
-    /// The worker's end of the connection; `None` once the connection was reset.
+    /// The worker's end of the connection; `None` once the worker has reset the connection.
     pub(super) http: Option<HttpConnection>,
 }
 
@@ -37,35 +37,36 @@
 }
 
 impl Connection {
-    /// Creates the state of an accepted connection.
+    /// Creates the state of a connection that the worker has accepted from `scheduler`.
     pub(super) fn new(worker: Arc<WorkerState>, scheduler: SocketAddr, http: HttpConnection) -> Connection {
         Connection { worker, scheduler, http: Some(http) }
     }
 
-    /// Serves requests until the connection ends. Sends the executions of accepted jobs to `job_starts`.
+    /// Serves requests until the connection ends. Sends the future that executes each accepted job to
+    /// `job_starts`.
     pub(super) async fn run(&mut self, job_starts: &UnboundedSender<JobFuture>) {
         while self.serve_request(job_starts).await.is_some() {}
     }
 
-    /// Resets the connection.
+    /// Resets the connection to the scheduler.
     pub(super) fn reset(&mut self) {
         if let Some(http) = self.http.take() {
             http.reset();
         }
     }
 
-    /// Writes a complete answer; each line in `headers` ends with `\r\n`.
+    /// Writes a complete response; each line in `headers` ends with `\r\n`.
     pub(super) async fn answer(&mut self, status: u16, headers: &str, body: &str) -> KeepAlive {
         self.http.as_mut()?.answer(status, headers, body).await.ok()
     }
 
-    /// Sends no bytes until the scheduler closes the connection.
+    /// Sends no bytes until the scheduler closes the connection; then ends the connection.
     pub(super) async fn stay_silent(&mut self) -> KeepAlive {
         self.http.as_mut()?.wait_for_close().await;
         None
     }
 
-    /// Reads one request and answers it.
+    /// Reads one request from the scheduler and responds to it.
     async fn serve_request(&mut self, job_starts: &UnboundedSender<JobFuture>) -> KeepAlive {
         let http = self.http.as_mut()?;
         let (head, length) = timeout(self.worker.spec.idle_timeout, http.read_head()).await.ok()??;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Cancels the job that the path names, if any.
+    /// Cancels the job that the path of the request names, if the worker has this job, and responds with 200.
     async fn serve_cancellation(&mut self, target: &str) -> KeepAlive {
         let id = target.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
         if let Some(id) = id {
@@ -122,7 +123,8 @@
         self.accept(job, behavior, job_starts).await
     }
 
-    /// Carries out a behavior that does not accept the job. Returns `Continue` if the job is to be accepted.
+    /// Carries out a scripted behavior that does not accept the job. Returns `Continue` if the behavior lets
+    /// the worker accept the job.
     async fn misbehave(&mut self, behavior: &JobBehavior) -> ControlFlow<KeepAlive> {
         match *behavior {
             JobBehavior::Answer { status, never_ran } => {
@@ -135,7 +137,8 @@
             }
             JobBehavior::HalfAnswer => {
                 if let Some(http) = &mut self.http {
-                    // A failed write needs no handling: the connection closes in either case.
+                    // A failed write needs no handling: the connection closes whether or not the write
+                    // succeeds.
                     let _ = http.write("HTTP/1.1 202 Acc").await;
                 }
                 ControlFlow::Break(None)
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Answers with a status that ends the attempt; with `never_ran`, the answer states that the job never
+    /// Responds with a status that ends the attempt; with `never_ran`, the response states that the job never
     /// ran.
     async fn end_attempt(&mut self, status: u16, never_ran: bool) -> KeepAlive {
         let never_ran = if never_ran { NEVER_RAN } else { "" };
@@ -152,7 +155,7 @@
         self.answer(status, &headers, "").await
     }
 
-    /// Answers 202 and starts the job, in the order and manner that the behavior states.
+    /// Responds with 202 and executes the job, in the order and manner that the scripted behavior states.
     async fn accept(
         &mut self,
         job: JobRequest,
--- a/crates/testbed/src/worker/execution.rs
+++ b/crates/testbed/src/worker/execution.rs
@@ -1,4 +1,5 @@
-//! The execution of a job: waiting for slots, the run itself, and the callbacks.
+//! The execution of a job at a stand-in worker: waiting for slots, the run itself, and the callbacks to the
+//! scheduler.
 
 use super::callbacks::{Delivery, JobUpdate};
 use super::job::{JobEntry, JobRequest};
@@ -14,32 +15,32 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The longest step in which the work of a job is done. Each step uses the worker's current speed, which may
-/// change while the job runs.
+/// The longest step in which a worker does the work of a job. Each step uses the worker's current speed,
+/// which may change while the job runs.
 const WORK_STEP: Duration = Duration::from_millis(50);
-/// Upper limit on the computed time that remaining work takes, in seconds. At a speed close to zero, that
-/// time might not be representable as a `Duration`.
+/// Upper limit on the computed time that the remaining work of a job takes, in seconds. At a speed close to
+/// zero, that time might not be representable as a `Duration`.
 const MAX_STEP_SECONDS: f64 = 3600.0;
-/// Remaining work, in seconds, at or below which a job counts as finished. A step shorter than the resolution
-/// of the clock would never complete the rest.
+/// Remaining work of a job, in seconds, at or below which the job counts as finished. A step shorter than the
+/// resolution of the clock would never complete the rest of the work.
 const WORK_EPSILON: f64 = 1e-6;
-/// The body of a callback that is not valid JSON.
+/// The body of a callback that a scripted worker sends although the body is not valid JSON.
 const INVALID_CALLBACK: &str = "{\"id\":";
 
 /// The execution of an accepted job, up to its last callback.
 pub(super) type JobFuture = BoxFuture<'static, ()>;
 
-/// An execution that ended before the job was done.
+/// How an execution ended before the worker finished the job.
 enum EarlyEnd {
-    /// The worker sends no further callback.
+    /// The worker sends no further callback for the job.
     Unreported,
-    /// The worker sends this callback as the last one.
+    /// The worker sends this callback as the last one for the job.
     Reported(JobUpdate),
 }
 
 impl WorkerState {
-    /// Adds a job to the queue and returns the future that executes it. The job's callbacks are sent in order
-    /// and never delay its run.
+    /// Adds a job to the queue for slots and returns the future that executes the job. The job's callbacks
+    /// are sent in order and never delay its run.
     pub(super) fn execute(self: Arc<Self>, job: JobRequest, behavior: JobBehavior) -> JobFuture {
         let entry = JobEntry::enqueue(self.clone(), job.id);
         Box::pin(async move {
@@ -57,7 +58,8 @@
         })
     }
 
-    /// Runs a job and sends its callbacks to the channel `updates`.
+    /// Runs a job and sends each change of its state to the channel `updates`, from which the callbacks are
+    /// sent.
     async fn run_job(
         &self,
         entry: JobEntry,
@@ -76,18 +78,18 @@
         };
         let repeats = if let JobBehavior::RepeatCallback(times) = behavior { *times } else { 1 };
         for _ in 0..repeats {
-            // The receiver exists until this sender is dropped, so sending cannot fail.
+            // The receiver exists until all senders are dropped, so sending cannot fail.
             let _ = updates.send(last.clone());
         }
     }
 
-    /// Returns the last callback of a job whose run has finished.
+    /// Returns the last callback of a job; `number` is the finished run from which the job gets its result.
     fn done_update(&self, number: usize) -> JobUpdate {
         JobUpdate::Done { result: run_result(self.runs.id_of(number), number) }
     }
 }
 
-/// One job in execution.
+/// One job that a worker executes.
 struct Execution<'a> {
     worker: &'a WorkerState,
     job: &'a JobRequest,
@@ -97,7 +99,8 @@
 }
 
 impl Execution<'_> {
-    /// Waits for slots and runs the job; returns its last callback.
+    /// Waits for slots and runs the job, or carries out the scripted behavior instead. Returns the job's last
+    /// callback.
     async fn run(mut self, mut entry: JobEntry) -> Result<JobUpdate, EarlyEnd> {
         match self.behavior {
             JobBehavior::NoCallback => return Err(EarlyEnd::Unreported),
@@ -124,7 +127,8 @@
         }
     }
 
-    /// Waits until the job has its slots. Fails if the job is cancelled or the worker drains before that.
+    /// Waits until the job has its slots. Fails if the job is cancelled or the worker starts to drain before
+    /// that.
     async fn wait_for_slots(&mut self) -> Result<SlotPermit, EarlyEnd> {
         let mut draining = self.worker.draining.subscribe();
         tokio::select! {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Runs the job in slots that the caller has acquired.
+    /// Runs the job in slots that the caller has acquired; `number` is the run's number in the record.
     async fn run_in_slots(&mut self, number: usize) -> Result<JobUpdate, EarlyEnd> {
         if self.worker.spec.reports_start {
             self.send_update(JobUpdate::Started)?;
@@ -155,7 +159,8 @@
         Ok(worker.done_update(number))
     }
 
-    /// Spends the time of the job's work and reports progress.
+    /// Waits for the time that the job's work takes at the worker's speed, and reports progress to the
+    /// scheduler.
     async fn work(&mut self, number: usize) -> Result<(), EarlyEnd> {
         let (worker, progress) = (self.worker, self.worker.spec.progress_interval);
         let total = self.job.work.as_secs_f64();
@@ -175,8 +180,8 @@
         Ok(())
     }
 
-    /// Awaits one part of a run. If the job is cancelled meanwhile and the worker's configuration lets a
-    /// cancellation stop running jobs, the run ends.
+    /// Awaits `part`, one part of a run. If the job is cancelled meanwhile and the worker's configuration
+    /// lets a cancellation stop running jobs, the run ends.
     async fn unless_cancelled(
         &mut self,
         number: usize,
@@ -191,7 +196,7 @@
         }
     }
 
-    /// Queues a callback for sending.
+    /// Queues a callback that reports a change of the job's state.
     fn send_update(&self, update: JobUpdate) -> Result<(), EarlyEnd> {
         self.updates.send(update).map_err(|_| EarlyEnd::Unreported)
     }
--- a/crates/testbed/src/worker/job.rs
+++ b/crates/testbed/src/worker/job.rs
@@ -1,4 +1,5 @@
-//! A job: the content of its request, and its entry among the jobs that wait or run at a worker.
+//! A job at a stand-in worker: the content of its request, and its entry among the jobs that wait for slots
+//! or run.
 
 use super::state::WorkerState;
 use crate::runs::{Run, RunEnd};
@@ -9,13 +10,14 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Returns the id in a request's `x-trace-id` header, or `None` if the request has no such header.
+/// Returns the request id in the `x-trace-id` header, a hexadecimal number; `None` if the request has no such
+/// header.
 pub(super) fn request_id(message: &Message) -> Option<Result<u64, ParseIntError>> {
     message.header("x-trace-id").map(|id| u64::from_str_radix(id, 16))
 }
 
-/// Returns how long the scheduler waits for the job's end, from the request's `x-expires-in` header: a number
-/// with the unit `m` (milliseconds) or `u` (microseconds).
+/// Returns how long the scheduler waits for the end of the job, from the request's `x-expires-in` header: a
+/// number with the unit `m` (milliseconds) or `u` (microseconds).
 pub(super) fn expires_in(message: &Message) -> Option<Duration> {
     let text = message.header("x-expires-in")?;
     match text.strip_suffix('u') {
@@ -24,17 +26,17 @@
     }
 }
 
-/// A job as its request describes it.
+/// A job as the scheduler's request describes it.
 pub(super) struct JobRequest {
-    /// The request's id.
+    /// The request id of the job's attempt.
     pub(super) id: u64,
-    /// Address of the scheduler, to which callbacks are sent.
+    /// Address of the scheduler that sent the job, to which callbacks are sent.
     pub(super) scheduler: SocketAddr,
-    /// The job's work at speed 1.
+    /// The job's work: its run time in a slot at speed 1.
     pub(super) work: Duration,
-    /// Number of slots that the job takes.
+    /// Number of the worker's slots that the job takes while it runs.
     pub(super) slots: usize,
-    /// The object that the job needs.
+    /// The object that the worker must have cached or fetched before it runs the job.
     pub(super) object: String,
     class: String,
     key: Option<String>,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Returns the entry for the record of runs.
+    /// Returns a run of this job for the record of runs; `started` counts from the start of the recording.
     pub(super) fn run_entry(&self, worker: &str, started: Duration) -> Run {
         Run {
             id: self.id,
@@ -90,36 +92,36 @@
     Running,
 }
 
-/// A job's entry among the jobs that wait or run. Dropping the entry removes the job from the worker's
-/// counts, and records its run as lost if the run has no recorded end.
+/// A job's entry among the worker's jobs that wait for slots or run. Dropping the entry removes the job from
+/// the worker's counts, and records the job's run as lost if the run has no recorded end.
 pub(super) struct JobEntry {
     worker: Arc<WorkerState>,
     id: u64,
     cancelled: watch::Receiver<bool>,
-    /// Number of the job's run, once it has started.
+    /// Number of the job's run in the record of runs, once the run has started.
     run: Option<usize>,
     phase: Phase,
 }
 
 impl JobEntry {
-    /// Adds a job to the waiting jobs.
+    /// Adds a job to the jobs that wait for slots.
     pub(super) fn enqueue(worker: Arc<WorkerState>, id: u64) -> JobEntry {
         let cancelled = worker.enqueue(id);
         JobEntry { worker, id, cancelled, run: None, phase: Phase::Waiting }
     }
 
-    /// Returns the signal that is true once the job is cancelled.
+    /// Returns a receiver whose value is true once the job is cancelled.
     pub(super) fn cancelled(&self) -> watch::Receiver<bool> {
         self.cancelled.clone()
     }
 
-    /// Counts the job as running.
+    /// Counts the job as running instead of waiting.
     pub(super) fn move_to_running(&mut self) {
         self.phase = Phase::Running;
         self.worker.move_to_running();
     }
 
-    /// Sets the number of the job's run.
+    /// Sets the number that the job's run has in the record of runs.
     pub(super) fn set_run(&mut self, number: usize) {
         self.run = Some(number);
     }
@@ -133,7 +135,7 @@
         }
         self.worker.record_load();
         if let Some(run) = self.run {
-            // Has no effect if the end of the run is already recorded.
+            // This call has no effect if the end of the run is already recorded.
             self.worker.runs.end(run, RunEnd::Lost);
         }
         self.worker.remove_cancellation(self.id, &self.cancelled);
--- a/crates/testbed/src/worker/mod.rs
+++ b/crates/testbed/src/worker/mod.rs
@@ -1,10 +1,10 @@
-//! A stand-in worker: accepts jobs, simulates running them, and reports their state to the scheduler by
-//! callbacks. A test can script misbehavior: each [`JobBehavior`] applies to one job.
+//! A stand-in worker: accepts jobs from schedulers, simulates running them, and reports their state to the
+//! scheduler by callbacks. A test can script misbehavior: each [`JobBehavior`] applies to one job.
 //!
-//! One task owns the listeners, the connections and the jobs. [`Worker::kill`], like dropping the worker,
-//! ends all of them as the death of a process does. A worker listens on one port for each scheduler: the port
-//! on which a job arrives determines the scheduler that receives the callbacks. [`Runs`] records the jobs
-//! that ran.
+//! One task owns the listeners, the connections and the jobs of a worker. [`Worker::kill`], like dropping the
+//! worker, ends all of them as the death of a process does. A worker listens on one port for each scheduler:
+//! the port on which a job arrives determines the scheduler that receives the callbacks. [`Runs`] records the
+//! jobs that ran.
 
 mod callbacks;
 mod connection;
@@ -35,7 +35,7 @@
 /// The port on which one scheduler reaches a worker.
 struct SchedulerPort {
     port: Port,
-    /// Address of the scheduler, to which callbacks are sent.
+    /// Address of the scheduler that connects to the port; callbacks are sent to this address.
     scheduler: SocketAddr,
 }
 
@@ -49,13 +49,13 @@
     }
 }
 
-/// The task of a running worker.
+/// The server task of a running worker, and the channel by which the worker asks it to stop.
 struct RunningServer {
     _task: AbortOnDrop,
     stop: oneshot::Sender<Stop>,
 }
 
-/// A worker on loopback sockets; dropping the value ends the worker.
+/// A stand-in worker on loopback sockets; dropping the value ends the worker.
 pub struct Worker {
     state: Arc<WorkerState>,
     ports: Vec<SchedulerPort>,
@@ -64,12 +64,13 @@
 
 impl Worker {
     /// Starts a worker at full speed, with a port for each scheduler. `schedulers` are the addresses to which
-    /// the worker sends callbacks.
+    /// the worker sends callbacks, and `runs` is the record to which the worker adds its runs.
     pub async fn start(spec: WorkerSpec, runs: Runs, schedulers: &[SocketAddr]) -> io::Result<Worker> {
         Worker::start_at(spec, runs, schedulers, Instant::now()).await
     }
 
-    /// Starts a worker like [`Worker::start`]; the times of its runs count from `recording_start`.
+    /// Starts a worker like [`Worker::start`], except that the times of its runs count from
+    /// `recording_start`.
     pub async fn start_at(
         spec: WorkerSpec,
         runs: Runs,
@@ -100,29 +101,30 @@
         &self.state.spec
     }
 
-    /// Returns the worker's address for each scheduler, in the order of the schedulers.
+    /// Returns the address at which each scheduler reaches the worker, in the order of the schedulers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.ports.iter().map(|port| port.port.address()).collect()
     }
 
-    /// Returns the time of the last restart as Unix time in milliseconds, or 0 if the worker was never
+    /// Returns when the worker was last restarted, as Unix time in milliseconds; 0 if the worker was never
     /// restarted.
     pub fn started_at_ms(&self) -> u64 {
         self.state.restarted_at_ms()
     }
 
-    /// Appends a behavior for each of the next jobs; the jobs after the scripted ones are served normally.
+    /// Appends a behavior for each of the next jobs to the script. Jobs after the scripted ones are served
+    /// normally.
     pub fn script_jobs(&self, behaviors: impl IntoIterator<Item = JobBehavior>) {
         self.state.lock().script.extend_jobs(behaviors);
     }
 
-    /// Appends a behavior for each of the next probes; the probes after the scripted ones are answered
-    /// normally.
+    /// Appends a behavior for each of the next probes to the script. The worker responds normally to probes
+    /// after the scripted ones.
     pub fn script_probes(&self, behaviors: impl IntoIterator<Item = ProbeBehavior>) {
         self.state.lock().script.extend_probes(behaviors);
     }
 
-    /// Sets the age of the load that the worker reports from now on.
+    /// Sets how old the load in the worker's load reports is, from this call on.
     pub fn set_report_delay(&self, delay: Duration) {
         self.state.lock().load_history.set_delay(delay);
     }
@@ -132,19 +134,20 @@
         self.state.lock().rejecting = rejecting;
     }
 
-    /// Sets the factor by which the worker is slower than configured.
+    /// Sets the factor by which the worker is slower than its configured speed.
     pub fn set_slowdown(&self, factor: f64) {
         self.state.set_slowdown(factor);
     }
 
-    /// Starts draining: the worker returns its waiting jobs to the scheduler and rejects new jobs.
+    /// Starts draining: the worker returns the jobs that wait for slots to the scheduler and rejects new
+    /// jobs.
     pub fn drain(&self) {
         self.state.draining.send_replace(true);
     }
 
-    /// Ends the worker as the death of its process does: its connections are reset, its jobs are lost and new
-    /// connections are refused. With `reports_lost_jobs`, callbacks report the lost jobs to every scheduler,
-    /// as an agent on the worker's machine would.
+    /// Ends the worker as the death of its process does: the worker's connections are reset, its jobs are
+    /// lost and new connections are refused. With `reports_lost_jobs`, callbacks report the lost jobs to
+    /// every scheduler, as an agent on the worker's machine would.
     pub async fn kill(&self, reports_lost_jobs: bool) {
         self.state.lock().killed = true;
         let Some(server) = self.server().take() else { return };
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Reports a job as lost to every scheduler.
+    /// Reports the job of a request as lost to every scheduler.
     fn report_lost(&self, id: u64) {
         for port in &self.ports {
             let (state, scheduler) = (self.state.clone(), port.scheduler);
--- a/crates/testbed/src/worker/probes.rs
+++ b/crates/testbed/src/worker/probes.rs
@@ -1,4 +1,5 @@
-//! Probes of a worker's load or liveness: answers, and misbehavior as scripted.
+//! Probes, by which a scheduler asks a stand-in worker for its load or whether it is alive. The worker
+//! responds, or misbehaves as scripted.
 
 use super::connection::{Connection, KeepAlive};
 use super::script::ProbeBehavior;
@@ -7,17 +8,17 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The lowest rate at which the work of a probe is done, in seconds of work at speed 1 per second.
+/// The lowest speed at which the work of a probe is done, in seconds of work at speed 1 per second.
 const MIN_PROBE_RATE: f64 = 1e-6;
-/// The longest time that the work of a probe takes.
+/// The longest time that the work of one probe takes.
 const MAX_PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// The resource that a probe requests.
+/// The resource that a scheduler requests by a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeTarget {
     /// The worker's load report.
     Stats,
-    /// Whether the worker is alive.
+    /// The information that the worker is alive.
     Liveness,
 }
 
@@ -32,7 +33,7 @@
 }
 
 impl Connection {
-    /// Answers one probe, or misbehaves as scripted.
+    /// Responds to one probe of a scheduler, or misbehaves as scripted.
     pub(super) async fn serve_probe(&mut self, target: &str) -> KeepAlive {
         let target = ProbeTarget::parse(target).filter(|_| self.worker.spec.probes.is_some());
         let Some(target) = target else { return self.answer(404, "", "").await };
@@ -44,8 +45,8 @@
         let http = self.http.as_mut()?;
         let served = tokio::select! {
             served = self.worker.do_probe_work() => served,
-            // The scheduler cancelled the probe: dropping the other future removes the probe from the slot
-            // queue.
+            // The scheduler cancelled the probe by closing the connection. Dropping the other future removes
+            // the probe from the slot queue.
             () = http.wait_for_close() => return None,
         };
         if !served {
@@ -55,8 +56,8 @@
         self.answer(200, "", &body).await
     }
 
-    /// Carries out a behavior that delays or replaces the probe's answer. Returns `Continue` if the probe is
-    /// to be answered.
+    /// Carries out a scripted behavior that delays or replaces the response to a probe. Returns `Continue` if
+    /// the worker is to respond to the probe.
     async fn misbehave_at_probe(&mut self, behavior: ProbeBehavior) -> ControlFlow<KeepAlive> {
         match behavior {
             ProbeBehavior::Answer => {}
@@ -73,7 +74,8 @@
 }
 
 impl WorkerState {
-    /// Spends the time of a probe's work. Returns whether the probe was accepted.
+    /// Waits for the time that a probe's work takes, and for a slot if probes take one. Returns whether the
+    /// worker accepted the probe.
     async fn do_probe_work(&self) -> bool {
         let Some(probe) = self.spec.probes else { return false };
         if probe.deep && !self.has_capacity() {
@@ -94,8 +96,8 @@
         true
     }
 
-    /// Returns the body of a probe's answer: the load report, or an empty string for a liveness probe or a
-    /// worker without load reports.
+    /// Returns the body of the response to a probe: the load report, or an empty string for a liveness probe
+    /// or a worker without load reports.
     fn probe_body(&self, target: ProbeTarget) -> String {
         match (target, &self.spec.stats) {
             (ProbeTarget::Stats, Some(stats)) => stats.json(&self.reported_load()).to_string(),
--- a/crates/testbed/src/worker/reporting.rs
+++ b/crates/testbed/src/worker/reporting.rs
@@ -1,11 +1,12 @@
-//! Sends a worker's callbacks, with a load report if load reports are configured.
+//! Sends a stand-in worker's callbacks, with a load report if the worker's configuration asks for one.
 
 use super::callbacks::{Callback, Delivery, JobUpdate};
 use super::state::WorkerState;
 use std::net::SocketAddr;
 
 impl WorkerState {
-    /// Reports one change of a job's state to the scheduler.
+    /// Sends a callback that reports one change of a job's state to a scheduler; `id` is the request id of
+    /// the job.
     pub(super) async fn report(
         &self,
         scheduler: SocketAddr,
--- a/crates/testbed/src/worker/server.rs
+++ b/crates/testbed/src/worker/server.rs
@@ -1,4 +1,4 @@
-//! The task that owns the listeners, connections and jobs of a running worker.
+//! The task that owns the listeners, connections and jobs of a running stand-in worker.
 
 use super::connection::Connection;
 use super::execution::JobFuture;
@@ -12,15 +12,16 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinSet;
 
-/// A listener for one scheduler.
+/// The listener on the port that one scheduler connects to.
 pub(super) struct SchedulerListener {
     /// The listening socket.
     pub(super) listener: TcpListener,
-    /// Address of the scheduler, to which callbacks are sent.
+    /// Address of the scheduler that connects to the listener; callbacks are sent to this address.
     pub(super) scheduler: SocketAddr,
 }
 
-/// A request to stop: the server signals on this sender once all connections and jobs have ended.
+/// A request to stop the server: the channel on which the server signals once all its connections and jobs
+/// have ended.
 pub(super) type Stop = oneshot::Sender<()>;
 
 /// The connections and jobs of a running worker.
@@ -31,7 +32,7 @@
     job_starts: UnboundedSender<JobFuture>,
 }
 
-/// Serves until `stop` is received, then ends all connections and jobs.
+/// Runs the server of a worker until `stop` is received, then ends all connections and jobs.
 pub(super) async fn serve(
     worker: Arc<WorkerState>,
     listeners: Vec<SchedulerListener>,
@@ -62,7 +63,8 @@
 }
 
 impl Server {
-    /// Serves a new connection, or closes it if the maximum number of connections is open.
+    /// Serves a new connection from a scheduler, or closes it if the worker's maximum number of connections
+    /// is open.
     fn accept(&mut self, stream: TcpStream, scheduler: SocketAddr) {
         if self.connections.len() >= self.worker.spec.max_connections {
             return;
--- a/crates/testbed/src/worker/spec.rs
+++ b/crates/testbed/src/worker/spec.rs
@@ -5,66 +5,66 @@
 use crate::store::CacheSpec;
 use std::time::Duration;
 
-/// Configuration of one worker.
+/// Configuration of one stand-in worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
-    /// Name under which discovery lists the worker.
+    /// Name of the worker in the endpoint list.
     pub name: String,
-    /// Zone that discovery lists for the worker.
+    /// Zone of the worker in the endpoint list.
     pub zone: String,
-    /// Machine type that discovery lists for the worker.
+    /// Machine type of the worker in the endpoint list.
     pub kind: String,
-    /// Cell number that discovery lists for the worker.
+    /// Cell number of the worker in the endpoint list.
     pub cell: u32,
-    /// Weight that discovery lists for the worker.
+    /// Weight of the worker in the endpoint list.
     pub weight: f64,
-    /// Number of slots; a job takes one or more of them while it runs.
+    /// Number of the worker's slots; a job takes one or more slots while it runs.
     pub slots: usize,
-    /// Maximum number of jobs that wait for slots; a further job is rejected without running.
+    /// Maximum number of jobs that wait for slots; the worker rejects a further job without running it.
     pub max_queued: usize,
     /// Work that one slot completes per second, in seconds of work at speed 1.
     pub speed: f64,
-    /// Fraction of `speed` at which a worker runs directly after a restart.
+    /// Fraction of `speed` at which the worker runs directly after a restart.
     pub slow_start_floor: f64,
-    /// Time from a restart until the worker reaches full speed.
+    /// Time from a restart until the worker runs at `speed`.
     pub slow_start_time: Duration,
-    /// Whether the worker sends a callback when a job starts.
+    /// Whether the worker sends a callback when it starts to run a job.
     pub reports_start: bool,
-    /// Interval between the progress callbacks of a running job; zero disables them.
+    /// Interval between the progress callbacks of a running job; with zero, the worker sends none.
     pub progress_interval: Duration,
-    /// Maximum number of open connections; the worker closes a further connection at once.
+    /// Maximum number of open connections to the worker; the worker closes a further connection at once.
     pub max_connections: usize,
-    /// Idle time after which the worker closes a connection.
+    /// Time without a request after which the worker closes a connection.
     pub idle_timeout: Duration,
-    /// Whether a cancellation stops a job that already runs.
+    /// Whether a cancellation by the scheduler stops a job that already runs.
     pub cancels_running_jobs: bool,
     /// Time from the start of a keyed job during which workers deduplicate further jobs with the same key.
     pub deduplication_window: Duration,
-    /// Work of a job whose body does not state its work, at speed 1.
+    /// Work of a job whose request does not state its work, as run time in a slot at speed 1.
     pub work: Duration,
-    /// Order in which waiting jobs get slots.
+    /// Order in which waiting jobs and probes get slots.
     pub order: Order,
-    /// Configuration of the load reports; `None` if the worker sends no load reports.
+    /// Configuration of the worker's load reports; `None` if the worker sends no load reports.
     pub stats: Option<StatsSpec>,
-    /// Handling of probes; with `None` the worker answers probes with 404.
+    /// Handling of probes; with `None`, the worker responds to probes with 404.
     pub probes: Option<ProbeSpec>,
-    /// Cache of the objects that jobs need; `None` if jobs need no objects.
+    /// Cache of the objects that the worker's jobs need; `None` if jobs need no objects.
     pub cache: Option<CacheSpec>,
 }
 
 /// How a worker handles probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeSpec {
-    /// Whether a probe waits for a slot and takes it as a job does, and is rejected when a job would be
-    /// rejected.
+    /// Whether a probe waits for a slot and takes it as a job does. The worker then rejects a probe when it
+    /// would reject a job.
     pub deep: bool,
-    /// Work of a probe at speed 1.
+    /// Work of a probe, as its run time in a slot at speed 1.
     pub work: Duration,
 }
 
 impl WorkerSpec {
-    /// Returns the configuration of a worker at full speed, whose jobs end at once unless their body states
-    /// work.
+    /// Returns a configuration with default values: the worker runs at speed 1, and its jobs end at once
+    /// unless their requests state work.
     pub fn new(name: &str) -> WorkerSpec {
         WorkerSpec {
             name: name.to_string(),
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -1,4 +1,5 @@
-//! The state that a worker's tasks share: configuration, load, speed, and the cancellation signals of jobs.
+//! The state that the tasks of a stand-in worker share: its configuration, load, speed, and the cancellation
+//! signals of jobs.
 
 use super::callbacks::CallbackClient;
 use super::script::Script;
@@ -13,12 +14,13 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The smallest slowdown factor that can be set.
+/// The smallest factor by which the worker can be slower than configured; a factor below 1 makes the worker
+/// faster.
 const MIN_SLOWDOWN: f64 = 1e-3;
-/// The shortest slow start, in seconds; it prevents a division by zero.
+/// The shortest slow start, in seconds; this minimum prevents a division by zero.
 const MIN_SLOW_START_TIME: f64 = 1e-9;
 
-/// The time of a worker's last restart, by the monotonic clock and as Unix time.
+/// The time of a worker's last restart, by the monotonic clock and as Unix time in milliseconds.
 #[derive(Clone, Copy)]
 struct Restart {
     at: Instant,
@@ -27,40 +29,42 @@
 
 /// The part of a worker's state that changes while the worker runs.
 pub(super) struct MutableState {
-    /// Scripted behavior for the next jobs and probes.
+    /// Scripted behavior of the worker towards the next jobs and probes.
     pub(super) script: Script,
-    /// The worker's past loads, from which reports are made.
+    /// The worker's past loads, from which its load reports are made.
     pub(super) load_history: LoadHistory,
-    /// Whether the worker rejects every job.
+    /// Whether the worker rejects every job without running it.
     pub(super) rejecting: bool,
-    /// Whether the worker's simulated process is dead.
+    /// Whether [`super::Worker::kill`] has ended the worker's simulated process.
     pub(super) killed: bool,
-    /// Factor by which the worker is slower than configured.
+    /// Factor by which the worker is slower than its configured speed.
     slowdown: f64,
     last_restart: Option<Restart>,
     /// Number of jobs that wait for slots.
     waiting: usize,
     /// Number of jobs that run.
     running: usize,
-    /// Cancellation signals of the waiting and running jobs, by request id.
+    /// Cancellation signals of the jobs that wait for slots or run, by request id; a signal's value is true
+    /// once its job is cancelled.
     cancellations: HashMap<u64, Vec<watch::Sender<bool>>>,
 }
 
-/// The state that a worker's tasks share.
+/// The state that the tasks of one worker share.
 pub(super) struct WorkerState {
     /// The worker's configuration.
     pub(super) spec: WorkerSpec,
-    /// The record of runs, shared with other workers.
+    /// The record of runs, which other workers share.
     pub(super) runs: Runs,
-    /// The time from which the times of runs and of load reports count.
+    /// The start of the recording, from which the times of runs and of load reports count.
     recording_start: Instant,
     /// The worker's slots and the jobs that wait for them.
     pub(super) slots: Queue,
-    /// The cache of the objects that jobs need.
+    /// The cache of the objects that the worker's jobs need.
     pub(super) cache: ObjectCache,
-    /// Whether the worker drains: it returns waiting jobs and rejects new ones.
+    /// Whether the worker drains: it returns the jobs that wait for slots to the scheduler and rejects new
+    /// jobs.
     pub(super) draining: watch::Sender<bool>,
-    /// The HTTP client that sends callbacks.
+    /// The HTTP client by which the worker sends callbacks.
     pub(super) callbacks: CallbackClient,
     mutable: Mutex<MutableState>,
 }
@@ -91,23 +95,23 @@
         }
     }
 
-    /// Locks the changing part of the state; the guard must not be held across an `.await`.
+    /// Locks the changing part of the worker's state; the caller must not hold the guard across an `.await`.
     pub(super) fn lock(&self) -> MutexGuard<'_, MutableState> {
         self.mutable.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the time of the last restart as Unix time in milliseconds, or 0 if the worker was never
+    /// Returns when the worker was last restarted, as Unix time in milliseconds; 0 if the worker was never
     /// restarted.
     pub(super) fn restarted_at_ms(&self) -> u64 {
         self.lock().last_restart.map_or(0, |restart| restart.unix_ms)
     }
 
-    /// Sets the factor by which the worker is slower than configured.
+    /// Sets the factor by which the worker is slower than its configured speed.
     pub(super) fn set_slowdown(&self, factor: f64) {
         self.lock().slowdown = factor.max(MIN_SLOWDOWN);
     }
 
-    /// Resets the state that the death of a process discards, and begins the slow start.
+    /// Resets the state that a process loses when it dies, and begins the slow start.
     pub(super) fn restart(&self) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         {
@@ -131,7 +135,7 @@
         has_capacity && !state.rejecting && !*self.draining.borrow()
     }
 
-    /// Returns the work that one slot completes per second at present, in seconds of work at speed 1.
+    /// Returns the current speed: the work that one slot completes per second, in seconds of work at speed 1.
     pub(super) fn rate(&self) -> f64 {
         let state = self.lock();
         let warm_up_fraction = state.last_restart.map_or(1.0, |restart| {
@@ -142,13 +146,13 @@
         self.spec.speed * warm_up_fraction / state.slowdown
     }
 
-    /// Returns the time since the start of the recording.
+    /// Returns the time since the start of the recording of runs.
     pub(super) fn elapsed(&self) -> Duration {
         self.recording_start.elapsed()
     }
 }
 
-/// Load reports.
+/// Load reports of the worker.
 impl WorkerState {
     /// Adds the current load to the load history.
     pub(super) fn record_load(&self) {
@@ -159,19 +163,20 @@
         state.load_history.record(self.elapsed(), load);
     }
 
-    /// Returns the load that a report states at present; as configured, that load may be out of date.
+    /// Returns the load that a load report made at present states. As configured, that load may be out of
+    /// date.
     pub(super) fn reported_load(&self) -> Load {
         self.lock().load_history.reported(self.elapsed())
     }
 
-    /// Returns the configuration of load reports if answers and callbacks that end an attempt carry a load
+    /// Returns the configuration of load reports if responses and callbacks that end an attempt carry a load
     /// report.
     pub(super) fn stats_in_answers(&self) -> Option<&StatsSpec> {
         self.spec.stats.as_ref().filter(|stats| stats.in_answers)
     }
 
-    /// Returns the header line with the load report for an answer that ends an attempt, or an empty string if
-    /// such answers carry no load report.
+    /// Returns the header line with the load report for a response that ends an attempt, or an empty string
+    /// if such responses carry no load report.
     pub(super) fn load_header(&self) -> String {
         let line =
             |stats: &StatsSpec| format!("endpoint-load-metrics: {}\r\n", stats.text(&self.reported_load()));
@@ -179,9 +184,9 @@
     }
 }
 
-/// Accounting and cancellation of the jobs that wait or run.
+/// Counts and cancellation of the jobs that wait for slots or run.
 impl WorkerState {
-    /// Counts a new waiting job and returns its cancellation signal.
+    /// Counts a new job that waits for slots, and returns the job's cancellation signal.
     pub(super) fn enqueue(&self, id: u64) -> watch::Receiver<bool> {
         let (cancel, cancelled) = watch::channel(false);
         {
@@ -193,7 +198,7 @@
         cancelled
     }
 
-    /// Counts a waiting job as a running job from now on.
+    /// Counts a job that waited for slots as running.
     pub(super) fn move_to_running(&self) {
         {
             let mut state = self.lock();
@@ -203,7 +208,7 @@
         self.record_load();
     }
 
-    /// Removes a waiting job from the counts.
+    /// Removes a job that waits for slots from the counts.
     pub(super) fn leave_queue(&self) {
         let mut state = self.lock();
         state.waiting = state.waiting.saturating_sub(1);
@@ -215,7 +220,7 @@
         state.running = state.running.saturating_sub(1);
     }
 
-    /// Cancels every waiting or running job with a request id.
+    /// Cancels every job that waits for slots or runs and has the request id `id`.
     pub(super) fn cancel(&self, id: u64) {
         if let Some(cancellations) = self.lock().cancellations.get(&id) {
             for cancel in cancellations {
@@ -224,7 +229,8 @@
         }
     }
 
-    /// Removes the cancellation signal of a job that has ended.
+    /// Removes the cancellation signal of a job that has ended; `cancelled` identifies the job among those
+    /// with the same request id.
     pub(super) fn remove_cancellation(&self, id: u64, cancelled: &watch::Receiver<bool>) {
         let mut state = self.lock();
         let Some(cancellations) = state.cancellations.get_mut(&id) else { return };
@@ -234,7 +240,7 @@
         }
     }
 
-    /// Returns the request ids of the jobs that wait or run.
+    /// Returns the request ids of the jobs that wait for slots or run.
     pub(super) fn open_jobs(&self) -> Vec<u64> {
         self.lock().cancellations.keys().copied().collect()
     }
