--- a/crates/testbed/tests/arrivals.rs
+++ b/crates/testbed/tests/arrivals.rs
@@ -1,10 +1,11 @@
-//! The arrivals of a seeded load: distributions, reproducibility and the errors of an invalid specification.
+//! Tests the arrivals that are drawn from a seeded load: their distributions, their reproducibility, and the
+//! errors for an invalid specification of a load.
 #![allow(missing_docs)]
 
 use std::time::Duration;
 use vetchbridge_testbed::arrivals::{Arrival, Arrivals, ClassLoad, Idempotency, LoadSpec, TenantLoad};
 
-/// Returns a load of 50 jobs per second with two classes, two tenants and exact hints.
+/// Returns a load of 50 jobs per second with two classes, two tenants, and hints that equal the jobs' work.
 fn spec() -> LoadSpec {
     let class = |name: &str, share, work_ms| ClassLoad {
         name: name.to_string(),
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,4 +1,5 @@
-//! The exactly-once audit: the audit reports every broken guarantee, and no violation for correct records.
+//! Tests the exactly-once audit: it must report every broken guarantee, and no violation for correct records
+//! of clients and workers.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -8,18 +9,18 @@
 use vetchbridge_testbed::client::{Attempt, JobRecord, Outcome};
 use vetchbridge_testbed::runs::{run_result, Run, RunEnd};
 
-/// How long workers remember the key of a job.
+/// How long workers remember the idempotency key of the keyed job.
 const WINDOW: Duration = Duration::from_secs(15);
-/// The key of the keyed job.
+/// The idempotency key of the keyed job.
 const KEY: &str = "k";
-/// The number of the idempotent job, of its run and of its class.
+/// The number of the idempotent job; its run and its class have the same number.
 const IDEMPOTENT: usize = 0;
-/// The number of the keyed job, of its run and of its class.
+/// The number of the keyed job; its run and its class have the same number.
 const KEYED: usize = 1;
-/// The number of the non-idempotent job, of its run and of its class.
+/// The number of the non-idempotent job; its run and its class have the same number.
 const NON_IDEMPOTENT: usize = 2;
 
-/// The records of clients and workers that a test audits.
+/// The records of clients and of workers that a test passes to the audit.
 struct Records {
     classes: Vec<ClassLoad>,
     jobs: Vec<JobRecord>,
@@ -106,7 +107,7 @@
     Duration::from_millis(count)
 }
 
-/// Returns an outage between two times in milliseconds.
+/// Returns an outage between two times, in milliseconds.
 fn outage(from: u64, until: u64) -> Outage {
     Outage { from: milliseconds(from), until: milliseconds(until) }
 }
--- a/crates/testbed/tests/clients.rs
+++ b/crates/testbed/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: the headers of their requests, and retries.
+//! Tests the clients of a load: the headers of their requests, and their retries.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -11,7 +11,8 @@
 /// Time limit for one test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Returns a load of one class. With `optional_headers`, the load has a tenant, hints and marked retries.
+/// Returns a load of one class. With `optional_headers`, the jobs have a tenant and hints, and retries are
+/// marked.
 fn load(optional_headers: bool, slots: usize) -> LoadSpec {
     let class = ClassLoad {
         name: "c".to_string(),
@@ -52,7 +53,7 @@
 ) {
     let spec = load(optional_headers, slots);
     let scheduler = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    // The load ends before its second job arrives.
+    // The load ends before its second job is due.
     let load_duration =
         Arrivals::new(&spec).expect("the load is valid").nth(1).expect("arrivals are endless").at;
     let clients = Clients::new(spec, vec![scheduler.local_addr().expect("the listener is bound")])
@@ -62,7 +63,8 @@
         let (stream, _) = scheduler.accept().await.expect("a client connects");
         let mut connection = HttpConnection::new(stream);
         let first = connection.read().await.expect("a job arrives");
-        // The clients must not honor this time: a client that did would exceed the time limit of the test.
+        // The client must ignore this `Retry-After`: waiting for this time would exceed the time limit of the
+        // test.
         connection.answer(503, "retry-after: 3000\r\n", "").await.expect("the answer is sent");
         (first, connection.read().await.expect("the job is retried"), connection)
     };
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A worker for tests, and a listener in the place of the scheduler that receives the worker's callbacks.
+//! Helpers of the stand-in worker's tests: a worker under test, and a listener that takes the place of the
+//! scheduler and receives the worker's callbacks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,15 +10,15 @@
 
 /// Time limit for one test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The body of a job that does not finish within a test.
+/// The body of a job's request whose work does not finish within a test.
 pub const ENDLESS_WORK: &str = "work_us=600000000";
 
-/// One worker, and the listener that receives its callbacks.
+/// A worker under test, and the listener that receives its callbacks as a scheduler would.
 pub struct TestWorker {
     callbacks: TcpListener,
     /// The worker under test.
     pub worker: Worker,
-    /// The record of the worker's runs.
+    /// The record of the runs of jobs at the worker.
     pub runs: Runs,
 }
 
@@ -31,12 +32,12 @@
         TestWorker { callbacks, worker, runs }
     }
 
-    /// Returns the worker's address for the scheduler.
+    /// Returns the address at which the scheduler reaches the worker.
     pub fn address(&self) -> SocketAddr {
         self.worker.addresses()[0]
     }
 
-    /// Sends a job on a new connection and returns the connection.
+    /// Sends the request of a job to the worker on a new connection, and returns the connection.
     pub async fn send(&self, id: u64, headers: &str, body: &str) -> HttpConnection {
         let mut connection = HttpConnection::connect(self.address()).await.expect("the worker listens");
         connection
@@ -46,13 +47,13 @@
         connection
     }
 
-    /// Accepts the connection of the next callback.
+    /// Accepts the connection on which the worker sends its next callback.
     pub async fn accept_callback(&self) -> HttpConnection {
         let (stream, _) = self.callbacks.accept().await.expect("a callback arrives");
         HttpConnection::new(stream)
     }
 
-    /// Answers the next callback with 200 and returns the callback's request.
+    /// Responds to the worker's next callback with 200 and returns the callback's request.
     pub async fn next_callback(&self) -> Message {
         let mut connection = self.accept_callback().await;
         let request = connection.read().await.expect("the callback is complete");
@@ -60,7 +61,7 @@
         request
     }
 
-    /// Answers the next callback with 200 and returns the job's state in the callback.
+    /// Responds to the worker's next callback with 200 and returns the job's state that the callback reports.
     pub async fn next_state(&self) -> String {
         let body = self.next_callback().await.body;
         let callback: serde_json::Value = serde_json::from_slice(&body).expect("the callback is JSON");
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service: versions, watches and faults.
+//! Tests the stand-in discovery service: versions of the endpoint list, watches and faults.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -34,7 +34,7 @@
     let changes = call(&watch).await;
     assert_eq!(changes["reset"].as_bool(), Some(false));
     assert_eq!(changes["instances"][0]["hostPort"], worker.addresses()[0].to_string());
-    // A waiting watch ends when discovery starts to fail.
+    // A waiting watch ends when the discovery service starts to fail.
     let watch = format!("/registry/instances?index={}&wait=60000", changes["generation"]);
     let (failed, ()) = tokio::join!(call(&watch), async { discovery.set_response_mode(ResponseMode::Error) });
     assert!(failed.is_null());
@@ -61,7 +61,8 @@
             .write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n"))
             .await
             .expect("the call is sent");
-        // In the silent mode, the service keeps the connection open until the caller closes it.
+        // In the silent mode, the service keeps the connection open until its client, which is this test,
+        // closes it.
         tokio::io::AsyncWriteExt::shutdown(connection.socket()).await.expect("the sending side closes");
         connection.read().await.map(|answer| answer.text())
     };
--- a/crates/testbed/tests/load_balancer.rs
+++ b/crates/testbed/tests/load_balancer.rs
@@ -1,4 +1,5 @@
-//! The load balancer: readiness, round robin and the detection of a scheduler that no longer answers.
+//! Tests the stand-in load balancer: readiness of schedulers, round robin, and the detection of a scheduler
+//! that no longer responds.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -50,7 +51,8 @@
         client.post("/c/k", "", "").await.expect("the request is sent");
         assert_eq!(client.read().await.expect("an answer").text(), "ok");
     }
-    // A scheduler that reports not ready leaves the rotation, and returns when it reports ready again.
+    // A scheduler that reports that it is not ready receives no more connections, until it reports ready
+    // again.
     for expected_ready in [false, true] {
         ready.store(expected_ready, Ordering::Relaxed);
         while (balancer.ready_schedulers() > 0) != expected_ready {
--- a/crates/testbed/tests/queue.rs
+++ b/crates/testbed/tests/queue.rs
@@ -1,11 +1,11 @@
-//! The slot queue: the waiter that gets slots next, and waiters that leave.
+//! Tests the queue for a worker's slots: which waiter gets slots next, and what happens when a waiter leaves.
 #![allow(missing_docs)]
 
 use futures_util::FutureExt;
 use vetchbridge_testbed::queue::{Order, Queue};
 
-/// Returns which of three waiters get their slots from a queue with three slots, two of which are in use.
-/// `needs` are the numbers of slots that the waiters request.
+/// Returns for each of three waiters whether it gets its slots from a queue with three slots, two of which
+/// are in use. `needs` are the numbers of slots that the waiters request.
 fn granted(order: Order, needs: [usize; 3]) -> [bool; 3] {
     let queue = Queue::new(3, order);
     let in_use = queue.acquire(2).now_or_never().flatten().expect("two slots are free");
@@ -27,7 +27,7 @@
 fn a_first_waiter_that_needs_too_many_slots_blocks_a_fifo_queue_but_not_a_backfill_queue() {
     assert_eq!(granted(Order::Fifo, [2, 1, 1]), [false, false, false]);
     assert_eq!(granted(Order::Backfill, [2, 1, 1]), [false, true, false]);
-    // A request for more slots than the queue has waits for all of them.
+    // A request for more slots than the queue has, such as 9, waits for all three slots.
     assert_eq!(granted(Order::Backfill, [9, 1, 2]), [false, true, false]);
 }
 
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -1,10 +1,10 @@
-//! The record of runs: the deduplication of keyed jobs.
+//! Tests the record of the runs of jobs at workers: the deduplication of keyed jobs.
 #![allow(missing_docs)]
 
 use std::time::Duration;
 use vetchbridge_testbed::runs::{Admission, AttemptCounts, Run, RunEnd, Runs};
 
-/// Returns a run of a keyed job that starts at `started_s`, in seconds.
+/// Returns a run of the job with the idempotency key `key`; the run starts at `started_s`, in seconds.
 fn run(key: &str, started_s: u64) -> Run {
     let (class, object, worker) = ("c".to_string(), "o".to_string(), "s-0".to_string());
     let started = Duration::from_secs(started_s);
--- a/crates/testbed/tests/store.rs
+++ b/crates/testbed/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store and the object caches of workers: fetches, evictions, and waits for the store.
+//! Tests the store of objects and the object caches of workers: fetches, evictions, and waits for the store.
 #![allow(missing_docs)]
 
 use std::time::Duration;
@@ -24,7 +24,7 @@
         load_time(&first_cache, "a").await,
     ];
     assert_eq!(first_loads, [second, second, Duration::ZERO]);
-    // Loading the third object evicts the least recently used one.
+    // Loading the third object evicts the least recently used object.
     let later_loads = [
         load_time(&first_cache, "c").await,
         load_time(&first_cache, "a").await,
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -1,4 +1,5 @@
-//! The jobs of a worker: execution, callbacks, rejections, scripted misbehavior and the death of the worker.
+//! Tests how a stand-in worker handles jobs: execution, callbacks, rejections, scripted misbehavior and the
+//! death of the worker.
 #![allow(missing_docs)]
 
 mod common;
@@ -17,7 +18,7 @@
     let worker = TestWorker::start(WorkerSpec::new("s-0")).await;
     let mut connection = worker.send(0xab, "", "").await;
     assert_eq!(connection.read().await.expect("an answer").status(), "202");
-    // The first attempt to send the callback receives no answer.
+    // The worker's first attempt to send the callback receives no response.
     drop(worker.accept_callback().await);
     assert_eq!(worker.next_state().await, "started");
     let done: serde_json::Value =
@@ -51,12 +52,12 @@
         assert_eq!(worker.send(id, "", work).await.read().await.expect("an answer").status(), "202");
     }
     worker.worker.drain();
-    // This is the first callback: the running job continues, and this worker does not report starts.
+    // This is the worker's first callback: the running job continues, and this worker does not report starts.
     assert_eq!(worker.next_state().await, "returned");
     expect_rejected(4).await;
 }
 
-/// A job must end even if its last step of work is shorter than the resolution of the clock.
+/// A job must end even if the last step of its work is shorter than the resolution of the clock.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
@@ -126,7 +127,7 @@
     assert_eq!((rejected.status(), rejected.header("x-never-ran")), ("503", Some("1")));
     running.write("DELETE /jobs/0000000000000001 HTTP/1.1\r\n\r\n").await.expect("the request is sent");
     assert_eq!(running.read().await.expect("an answer").status(), "200");
-    // The first run was cancelled, so the waiting repeat runs.
+    // The run of the first job with the key was cancelled, so the waiting job with the same key runs.
     assert_eq!(worker.next_state().await, "started");
     assert_eq!(worker.next_state().await, "done");
     worker.send(4, key, "").await.read().await.expect("an answer");
@@ -156,7 +157,8 @@
     assert_eq!(worker.send(2, "", "").await.read().await.expect("an answer").status(), "202");
 }
 
-/// A callback may arrive before the 202 answer, be invalid, or arrive late from a slow worker.
+/// A script can make a worker send a callback before its 202 response, or an invalid callback. A slow worker
+/// sends its callback late.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/testbed/tests/worker_probes.rs
+++ b/crates/testbed/tests/worker_probes.rs
@@ -1,4 +1,4 @@
-//! The probes of a worker, and load reports in answers and callbacks.
+//! Tests how a stand-in worker responds to probes, and the load reports in its responses and callbacks.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,13 +10,14 @@
 use vetchbridge_testbed::wire::{HttpConnection, Message};
 use vetchbridge_testbed::worker::{JobBehavior, ProbeBehavior, ProbeSpec, WorkerSpec};
 
-/// Returns a configuration of load reports without delay.
+/// Returns a configuration of load reports without delay; `in_answers` is whether responses and callbacks
+/// that end an attempt carry a load report.
 fn load_reports(in_answers: bool) -> StatsSpec {
     let fields = vec![Field::Inflight, Field::Queue, Field::X0];
     StatsSpec { fields, refresh_interval: Duration::ZERO, delay: Duration::ZERO, in_answers }
 }
 
-/// Sends a `GET` request and returns the answer, or `None` if there is none.
+/// Sends a `GET` request and returns the response, or `None` if the connection ends without a response.
 async fn get(connection: &mut HttpConnection, target: &str) -> Option<Message> {
     connection
         .write(&format!("GET {target} HTTP/1.1\r\nhost: x\r\n\r\n"))
@@ -79,7 +80,7 @@
     assert_eq!(probe.read().await.expect("the probe is answered once the slot is free").status(), "200");
     worker.send(2, "", ENDLESS_WORK).await.read().await.expect("an answer");
     assert_eq!(worker.next_state().await, "started");
-    // The worker reads the next request on this connection once the job is in the queue.
+    // The worker has put job 3 into the queue before it reads the next request on the same connection.
     let mut waiting = worker.send(3, "", ENDLESS_WORK).await;
     waiting.read().await.expect("an answer");
     assert_eq!(get(&mut waiting, "/stats").await.expect("a worker without capacity answers").status(), "503");
