--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -1,6 +1,7 @@
-//! Measures the daemon's cost by a closed loop against one scheduler whose workers finish at once, compared
-//! with the plain relay under the same load. The targets are measured in turn within one run, because only
-//! the ratio between them is comparable: the other figures depend on the machine.
+//! The benchmark of the daemon. It measures a scheduler whose workers finish each job at once, by a closed
+//! loop of requests, and compares it with the plain relay under the same load. The targets (the relay and
+//! several variants of the daemon) are measured in turn within one run, because only the ratio between them
+//! is comparable: the other figures depend on the machine.
 
 use crate::deployment::Deployment;
 use crate::plan::Plan;
@@ -18,58 +19,59 @@
 use vetchbridge_testbed::client::{Clients, JobRecord, LoadRecord, Outcome};
 use vetchbridge_testbed::{wire::HttpConnection, AbortOnDrop, Port};
 
-/// A way to run the daemon: a set of log options.
+/// A way to run the daemon that the benchmark measures: a name and the log options.
 struct Variant {
     name: &'static str,
     arguments: &'static [&'static str],
 }
 
-/// The variants of the daemon that are measured.
+/// The variants of the daemon that the benchmark measures.
 const VARIANTS: [Variant; 4] = [
     Variant { name: "daemon, no log", arguments: &["--log-filter", "off"] },
     Variant { name: "daemon, text at info", arguments: &["--log-filter", "info"] },
     Variant { name: "daemon, JSON at info", arguments: &["--log-filter", "info", "--log-format", "json"] },
     Variant { name: "daemon, JSON at debug", arguments: &["--log-filter", "debug", "--log-format", "json"] },
 ];
-/// The number of slots and of queue places of a worker: more than any load of a benchmark takes.
+/// The number of slots of each worker, and of places in its queue: more than any load of a benchmark needs.
 const UNLIMITED_JOBS: usize = 1 << 16;
-/// The smallest share of jobs, in percent, that must be served for a turn to count.
+/// The smallest share of a turn's jobs, in percent, that must be served; otherwise the benchmark fails.
 const MIN_SERVED_PERCENT: usize = 99;
 /// The interval between two attempts to connect to the relay while the relay starts.
 const RELAY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The number of attempts to connect to the relay before its start counts as failed.
 const RELAY_POLLS: usize = 500;
 
-/// The figures of one target: medians over the rounds.
+/// The figures of one target (the relay or a variant of the daemon): rates and processor times are medians
+/// over the rounds.
 #[derive(Debug, Serialize)]
 pub struct Figures {
-    /// The name of the target.
+    /// The name of the target, as the table shows it.
     pub name: String,
-    /// Served requests per second.
+    /// Jobs that the target served per second.
     pub per_second: f64,
-    /// Processor time per request, in microseconds.
+    /// Processor time of the target's process per served job, in microseconds.
     pub cpu_us: f64,
-    /// The processor time per request, divided by the relay's.
+    /// The target's processor time per served job, divided by that of the relay.
     pub ratio: f64,
-    /// Resident memory before the load, in KiB.
+    /// Resident memory of the target's process before the benchmark's load, in KiB.
     pub idle_kib: u64,
-    /// Resident memory after the load, in KiB.
+    /// Resident memory of the target's process after the benchmark's load, in KiB.
     pub loaded_kib: u64,
 }
 
 /// The result of a benchmark.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
-    /// The relay's figures, then those of each variant of the daemon.
+    /// The figures of the relay, then those of each variant of the daemon.
     pub figures: Vec<Figures>,
-    /// The number of connections that were kept busy.
+    /// The number of connections to a target that were kept busy during its turn.
     pub connections: usize,
-    /// The number of measured turns of each target.
+    /// The number of rounds; each round measures one turn of each target.
     pub rounds: usize,
 }
 
 impl Comparison {
-    /// Returns the result as a table.
+    /// Returns the figures as a table for people.
     pub fn text(&self) -> String {
         let mut table = new_table();
         let header = ["", "requests/s", "CPU us/request", "ratio to relay", "idle KiB", "loaded KiB"];
@@ -88,7 +90,8 @@
     }
 }
 
-/// Measures the relay and each variant of the daemon, in turn, for a number of rounds.
+/// Measures the relay and each variant of the daemon, in turn, for a number of rounds; `turn` is how long
+/// each measurement lasts.
 pub async fn compare(
     plan: &Plan,
     daemon: Option<&Path>,
@@ -107,7 +110,7 @@
     for (variant, scheduler) in VARIANTS.iter().zip(&deployment.schedulers) {
         targets.push(Target::new(variant.name, scheduler.address(), scheduler.pid())?);
     }
-    // The first round is a warm-up and is not measured.
+    // The first round warms the targets up and is not measured.
     for round in 0..=rounds {
         eprintln!("round {round} of {rounds}{}", if round == 0 { " (warm-up)" } else { "" });
         for target in &mut targets {
@@ -137,7 +140,8 @@
     plan
 }
 
-/// Restarts each scheduler with the arguments of its variant, with the same configuration and address.
+/// Restarts each scheduler at the same address with the same configuration, but with the arguments of its
+/// variant.
 async fn restart_as_variants(deployment: &mut Deployment, binary: &Path) -> Result<(), Failure> {
     let directory = deployment.directory().to_path_buf();
     for (number, variant) in VARIANTS.iter().enumerate() {
@@ -151,7 +155,7 @@
     Ok(())
 }
 
-/// The plain relay as a child process, and its worker.
+/// The plain relay as a child process, and the stand-in worker to which the relay forwards requests.
 struct Relay {
     process: Child,
     address: SocketAddr,
@@ -187,13 +191,13 @@
     }
 }
 
-/// The figures of one turn of a target.
+/// The figures of one turn: the time in which the benchmark sends load to one target.
 struct Turn {
     per_second: f64,
     cpu_us: f64,
 }
 
-/// A target of the measurement (the relay or a variant of the daemon), and its turns.
+/// A target of the benchmark (the relay or a variant of the daemon), and its measured turns.
 struct Target {
     name: &'static str,
     address: SocketAddr,
@@ -224,7 +228,8 @@
         cpu_time(self.pid).ok_or_else(|| Failure::System(format!("{} exited early", self.name)))
     }
 
-    /// Returns the number of served jobs; fails if fewer than [`MIN_SERVED_PERCENT`] were served.
+    /// Returns the number of served jobs of a turn; fails if fewer than [`MIN_SERVED_PERCENT`] percent were
+    /// served.
     fn count_served(&self, load: &LoadRecord) -> Result<usize, Failure> {
         let (served, jobs) = (load.jobs.iter().filter(|job| job.served()).count(), load.jobs.len());
         if served * 100 >= jobs * MIN_SERVED_PERCENT {
@@ -255,7 +260,7 @@
     }
 }
 
-/// Returns the upper median of `values`, which must not be empty.
+/// Returns the median of `values`, or the greater of the two middle values. `values` must not be empty.
 fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/testkit/src/cli/bench.rs
+++ b/crates/testkit/src/cli/bench.rs
@@ -1,4 +1,5 @@
-//! `bench`: measures the daemon's processor time per request compared with a plain relay's.
+//! The command `bench`: measures the daemon's processor time per request and compares it with a plain
+//! relay's.
 
 use super::options::ensure_descriptors;
 use super::output::{print, to_json};
@@ -8,9 +9,9 @@
 use std::path::PathBuf;
 use vetchbridge::config::units::HumanDuration;
 
-/// Number of file descriptors per connection, over all targets.
+/// Number of the kit's file descriptors per connection of the load, over all targets.
 const DESCRIPTORS_PER_CONNECTION: u64 = 8;
-/// Number of file descriptors for everything but connections.
+/// Number of the kit's file descriptors for everything but the load's connections.
 const SPARE_DESCRIPTORS: u64 = 256;
 
 #[derive(Debug, Args)]
--- a/crates/testkit/src/cli/demo.rs
+++ b/crates/testkit/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: starts a deployment, sends it load with faults, and prints a report.
+//! The command `demo`: starts a deployment, sends it a load while faults happen, and prints a report.
 
 use super::options::{ensure_descriptors, override_load, DeploymentOptions};
 use super::output::print_and_check;
@@ -12,9 +12,9 @@
 use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::client::Clients;
 
-/// Number of file descriptors for each job per second of the load.
+/// Number of the kit's file descriptors for each job per second of the load's rate.
 const DESCRIPTORS_PER_RATE: f64 = 4.0;
-/// Number of file descriptors per worker.
+/// Number of the kit's file descriptors per worker of the deployment.
 const DESCRIPTORS_PER_WORKER: u64 = 64;
 
 #[derive(Debug, Args)]
@@ -73,7 +73,7 @@
         print_and_check(&report, self.json, &failed_shutdowns)
     }
 
-    /// Returns the scheduler faults in order: drains, upgrades, kills.
+    /// Returns the scheduler faults in the order in which they are injected: drains, upgrades, kills.
     fn scheduler_faults(&self) -> Vec<SchedulerFault> {
         let upgrade = if self.careless { SchedulerFault::AbruptUpgrade } else { SchedulerFault::Upgrade };
         let drains = repeat_n(SchedulerFault::Drain, self.drain);
--- a/crates/testkit/src/cli/load.rs
+++ b/crates/testkit/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load`: sends a load to given addresses and prints a report.
+//! The command `load`: sends a load to given addresses and prints a report.
 
 use super::options::{ensure_descriptors, override_load};
 use super::output::print_and_check;
@@ -13,7 +13,7 @@
 use vetchbridge::config::units::HumanDuration;
 use vetchbridge_testbed::client::Clients;
 
-/// Number of file descriptors for everything but connections.
+/// Number of the kit's file descriptors for everything but the load's connections.
 const SPARE_DESCRIPTORS: u64 = 64;
 
 #[derive(Debug, Args)]
@@ -44,8 +44,8 @@
     pub(super) async fn run(self) -> Result<(), Failure> {
         let mut plan = Plan::read(self.plan.as_deref())?;
         override_load(&mut plan, self.rate, self.duration)?;
-        // An open loop has about as many connections as jobs in flight; the estimate is the jobs of one
-        // second.
+        // An open loop has about as many connections as jobs in flight. As an estimate, this is the number of
+        // jobs that arrive in one second.
         let connections = self.connections.map_or(plan.load.rate.ceil() as u64, |count| count as u64);
         ensure_descriptors(connections + SPARE_DESCRIPTORS)?;
         let clients = Clients::new(plan.load_spec(), self.to);
--- a/crates/testkit/src/cli/mod.rs
+++ b/crates/testkit/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The kit's command line: one file for each command, and the exit codes.
+//! The testing kit's command line: one file for each command, and the exit codes.
 
 mod bench;
 mod demo;
@@ -112,8 +112,8 @@
     }
 }
 
-/// Returns a runtime with one thread for the relay, as in the daemon, and with one thread per processor for
-/// other commands.
+/// Returns the asynchronous runtime of a command: with one thread for the relay, as in the daemon, and with
+/// one thread per processor for other commands.
 fn runtime(command: &Command) -> io::Result<Runtime> {
     let mut builder = match command {
         Command::Relay { .. } => Builder::new_current_thread(),
--- a/crates/testkit/src/cli/options.rs
+++ b/crates/testkit/src/cli/options.rs
@@ -1,4 +1,4 @@
-//! Options that several commands share, and the limit on file descriptors.
+//! Options that several commands share, and the check of the process's limit on file descriptors.
 
 use crate::deployment::Deployment;
 use crate::plan::Plan;
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use vetchbridge::config::units::HumanDuration;
 
-/// The highest rate of a load, in jobs per second.
+/// The highest rate of a load that the command line accepts, in jobs per second.
 const MAX_RATE: f64 = 1e6;
 
 /// Options of the commands that start schedulers.
@@ -27,7 +27,7 @@
 }
 
 impl DeploymentOptions {
-    /// Starts a deployment, or fails if a signal interrupts the start.
+    /// Starts the deployment of a plan, or fails if Ctrl-C or SIGTERM interrupts the start.
     pub(super) async fn start(&self, plan: &Plan, interrupt: &Interrupt) -> Result<Deployment, Failure> {
         let arguments = self.scheduler_arguments();
         let starting = Deployment::start(plan, self.daemon.as_deref(), self.logs.as_deref(), &arguments);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Replaces the rate and the duration of a plan's load by the command line's values, if given.
+/// Replaces the rate and the duration of a plan's load by those of the command line, where given.
 pub(super) fn override_load(
     plan: &mut Plan,
     rate: Option<f64>,
@@ -58,11 +58,12 @@
     Ok(())
 }
 
-/// Raises the limit on file descriptors as far as possible, and fails if the limit stays below `needed`.
+/// Raises the process's limit on file descriptors as far as possible, and fails if the limit stays below
+/// `needed`.
 pub(super) fn ensure_descriptors(needed: u64) -> Result<(), Failure> {
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_some_and(|current| current < needed) {
-        // The check below finds a limit that could not be raised.
+        // A failure needs no handling: the comparison below finds a limit that is too low.
         let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
     }
     match getrlimit(Resource::Nofile).current {
--- a/crates/testkit/src/cli/output.rs
+++ b/crates/testkit/src/cli/output.rs
@@ -1,11 +1,11 @@
-//! Prints the results of commands, and derives the exit code from a report.
+//! Prints the results of commands, and derives a command's exit code from a report.
 
 use crate::deployment::FailedShutdown;
 use crate::report::Report;
 use crate::Failure;
 use std::io::{self, Write};
 
-/// Prints to standard output. A pipe that its reader has closed is no error.
+/// Prints a text to standard output. A pipe that its reader has closed is no error.
 pub(super) fn print(text: &str) -> Result<(), Failure> {
     match io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(Failure::System(error.to_string())),
@@ -19,8 +19,8 @@
     Ok(text + "\n")
 }
 
-/// Prints the report of a load, then fails if a check failed. `failed_shutdowns` lists the schedulers that
-/// did not shut down cleanly.
+/// Prints the report of a load. Then fails if the audit found violations, no job was served, the load could
+/// not be sent as planned, or `failed_shutdowns` lists a scheduler that did not shut down cleanly.
 pub(super) fn print_and_check(
     report: &Report,
     json: bool,
@@ -39,7 +39,7 @@
     check_shutdowns(failed_shutdowns)
 }
 
-/// Fails if a scheduler did not shut down cleanly.
+/// Fails if `failed` lists a scheduler that did not shut down cleanly.
 pub(super) fn check_shutdowns(failed: &[FailedShutdown]) -> Result<(), Failure> {
     if failed.is_empty() {
         return Ok(());
--- a/crates/testkit/src/cli/plan.rs
+++ b/crates/testkit/src/cli/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: prints and checks plans.
+//! The command `plan`: prints and checks plans, which describe deployments.
 
 use super::output::{print, to_json};
 use crate::plan::{self, Plan};
--- a/crates/testkit/src/cli/soak.rs
+++ b/crates/testkit/src/cli/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: runs many schedulers under overlapping faults.
+//! The command `soak`: runs many schedulers under overlapping faults and checks invariants.
 
 use super::options::{ensure_descriptors, DeploymentOptions};
 use super::output::print;
@@ -7,8 +7,8 @@
 use clap::Args;
 use vetchbridge::config::units::HumanDuration;
 
-/// The number of file descriptors for each worker's listeners (one per scheduler), connection floods, the
-/// load and jobs in flight.
+/// The number of the kit's file descriptors for the listeners of each worker (one per scheduler), connection
+/// floods, the load's connections and jobs in flight.
 const DESCRIPTORS: u64 = 8192;
 /// The schedulers' log filter unless the user specifies one.
 const DEFAULT_LOG_FILTER: &str = "info";
--- a/crates/testkit/src/cli/up.rs
+++ b/crates/testkit/src/cli/up.rs
@@ -1,4 +1,4 @@
-//! `up`: starts a deployment and keeps it running until Ctrl-C.
+//! The command `up`: starts a deployment and keeps it running until Ctrl-C.
 
 use super::options::DeploymentOptions;
 use super::output::{check_shutdowns, print};
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns a text with the addresses of the deployment's parts and a command that sends a load.
+/// Returns a text that lists the addresses of the deployment's parts and a command that sends a load to it.
 fn describe(deployment: &Deployment) -> String {
     let load_balancer = deployment.load_balancer.address();
     let mut text = format!("load balancer {load_balancer}\n");
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -1,8 +1,8 @@
-//! A deployment on one machine: schedulers as child processes, with simulated workers, discovery and load
-//! balancer.
+//! A deployment on one machine: schedulers as child processes, and simulated workers, discovery and load
+//! balancer within the kit's process.
 //!
-//! [`Deployment`] owns everything that it starts and ends all of it when dropped. It does not judge what
-//! happens in the deployment.
+//! [`Deployment`] owns everything that it starts and ends all of it when dropped. It does not check whether
+//! the schedulers behave correctly.
 
 use crate::plan::{KnownWorker, Plan, SchedulerSpec};
 use crate::scheduler::{find_daemon, LaunchOptions, Scheduler};
@@ -20,32 +20,32 @@
 use vetchbridge_testbed::worker::Worker;
 use vetchbridge_testbed::Port;
 
-/// How long the schedulers may take until all of them are ready.
+/// How long it may take until all schedulers of a deployment are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// The interval between two checks of the schedulers' readiness.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Schedulers, workers, discovery and the load balancer that clients connect to.
+/// A running deployment: schedulers, workers, discovery and the load balancer that clients connect to.
 pub struct Deployment {
-    /// The schedulers, by their number.
+    /// The schedulers; a scheduler's number is its index.
     pub schedulers: Vec<Scheduler>,
     /// The simulated workers.
     pub workers: Vec<Worker>,
     /// The simulated discovery service.
     pub discovery: Discovery,
-    /// The jobs that the workers ran.
+    /// The record of the jobs that the workers ran.
     pub runs: Runs,
     /// The load balancer in front of the schedulers, which clients connect to.
     pub load_balancer: LoadBalancer,
-    /// The instant from which the workers' records count times.
+    /// The start of the deployment, from which the times in the workers' records count.
     pub epoch: Instant,
     directory: WorkingDirectory,
     _ports: Vec<Port>,
 }
 
-/// The directory of configurations and logs.
+/// The directory that contains the schedulers' configurations and logs.
 enum WorkingDirectory {
-    /// Given by the user, and left in place.
+    /// A directory that the user specified. It stays when the deployment ends.
     Given(PathBuf),
     /// A temporary directory that is removed with the deployment.
     Temporary(tempfile::TempDir),
@@ -75,7 +75,7 @@
 pub struct FailedShutdown {
     /// The scheduler's number.
     pub scheduler: usize,
-    /// The exit status.
+    /// The exit status of the scheduler's process.
     pub status: ExitStatus,
 }
 
@@ -99,8 +99,8 @@
         Deployment::start_with(plan, daemon, logs, options).await
     }
 
-    /// Starts a deployment as [`Deployment::start`] does; `options` returns a scheduler's options from its
-    /// number and the directory of its files.
+    /// Starts a deployment as [`Deployment::start`] does, except that `options` returns the options of each
+    /// scheduler's process from the scheduler's number and the directory of its files.
     pub async fn start_with(
         plan: &Plan,
         daemon: Option<&Path>,
@@ -140,7 +140,7 @@
         Ok(deployment)
     }
 
-    /// Writes the configuration of each scheduler and starts it.
+    /// Writes the configuration file of each scheduler and starts the scheduler.
     fn start_schedulers(
         &mut self,
         plan: &Plan,
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Returns the workers with the addresses at which one scheduler reaches them.
+    /// Returns all workers, with the address at which the given scheduler reaches each worker.
     fn known_workers(&self, scheduler: usize) -> Vec<KnownWorker> {
         let known = |worker: &Worker| KnownWorker {
             spec: worker.spec().clone(),
@@ -173,13 +173,13 @@
         self.workers.iter().map(known).collect()
     }
 
-    /// Returns the directory of configurations and logs.
+    /// Returns the directory that contains the schedulers' configurations and logs.
     pub fn directory(&self) -> &Path {
         self.directory.path()
     }
 
-    /// Returns the temporary directory, which then outlives the deployment; `None` if the user specified a
-    /// directory.
+    /// Returns the temporary directory of configurations and logs, which then outlives the deployment; `None`
+    /// if the user specified a directory.
     pub fn take_temporary_directory(&mut self) -> Option<tempfile::TempDir> {
         let path = self.directory().to_path_buf();
         match std::mem::replace(&mut self.directory, WorkingDirectory::Given(path)) {
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Waits until the load balancer has found every scheduler ready.
+    /// Waits until every scheduler has passed a readiness check of the load balancer. Fails after
+    /// [`READY_TIMEOUT`].
     pub async fn wait_until_ready(&mut self) -> Result<(), Failure> {
         let (started, mut poll) = (Instant::now(), interval(READY_POLL_INTERVAL));
         while self.load_balancer.ready_schedulers() < self.schedulers.len() {
@@ -203,7 +204,7 @@
         Ok(())
     }
 
-    /// Fails if a scheduler has exited on its own.
+    /// Fails if the process of a scheduler has exited on its own.
     pub fn check_running(&mut self) -> Result<(), Failure> {
         for (number, scheduler) in self.schedulers.iter_mut().enumerate() {
             if let Some(status) = scheduler.try_exit_status() {
@@ -216,7 +217,8 @@
         Ok(())
     }
 
-    /// Shuts down all schedulers at once, gracefully; returns those that did not exit cleanly.
+    /// Shuts down all schedulers gracefully and at the same time. Returns the schedulers that did not exit
+    /// cleanly.
     pub async fn shut_down(mut self) -> Vec<FailedShutdown> {
         let mut shutdowns = JoinSet::new();
         for (number, mut scheduler) in self.schedulers.drain(..).enumerate() {
--- a/crates/testkit/src/failure.rs
+++ b/crates/testkit/src/failure.rs
@@ -1,21 +1,21 @@
-//! Failures of the kit's commands, and the exit code of each kind of failure.
+//! Failures of the kit's commands, and the exit code for each kind of failure.
 
 use std::fmt;
 use std::io;
 
-/// The failure of a command.
+/// The reason why a command of the kit failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// A checked rule was violated or a goal was not reached.
+    /// The command ran, and a checked rule was violated or a goal was not reached.
     CheckFailed(String),
-    /// The input is invalid; no process was started.
+    /// The user's input is invalid; the command has started no process.
     BadInput(String),
     /// The machine, the operating system or the installation prevented the command from completing.
     System(String),
 }
 
 impl Failure {
-    /// Returns the exit code.
+    /// Returns the exit code of the kit for this failure.
     pub fn code(&self) -> u8 {
         match self {
             Failure::CheckFailed(_) => 1,
@@ -35,8 +35,8 @@
 
 impl std::error::Error for Failure {}
 
-/// Returns a function that converts an I/O error into a [`Failure::System`]. `subject` names what the
-/// error concerns.
+/// Returns a function that converts an I/O error into a [`Failure::System`]. `subject` names the thing that
+/// the failed operation concerned.
 pub fn io_failure(subject: &str) -> impl FnOnce(io::Error) -> Failure + '_ {
     move |error| Failure::System(format!("{subject}: {error}"))
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,13 +2,13 @@
 //! schedulers (as child processes) with simulated workers, discovery and load balancer, sends load to it,
 //! injects faults, and measures the daemon.
 //!
-//! No other crate depends on this crate. The modules, from a command to its result:
+//! No other crate depends on this crate. The modules, in the order in which a command uses them:
 //!
 //! - [`cli`] parses and runs a command;
 //! - [`plan`] reads the description of a deployment;
 //! - [`deployment`] starts a deployment, with each [`scheduler`] as a child process;
-//! - [`runner`] runs a load against the deployment and injects faults;
-//! - [`report`] summarizes the load and checks its rules;
+//! - [`runner`] sends a load to the deployment and injects faults;
+//! - [`report`] summarizes the load and checks its results;
 //! - [`soak`] runs a load under many overlapping faults and checks invariants;
 //! - [`mod@bench`] compares the daemon's processor time with that of a plain [`relay`].
 
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The kit's executable; the library implements everything.
+//! The executable of the testing kit; the library implements everything.
 
 fn main() -> std::process::ExitCode {
     vetchbridge_testkit::cli::main()
--- a/crates/testkit/src/plan/check.rs
+++ b/crates/testkit/src/plan/check.rs
@@ -1,5 +1,5 @@
-//! Checks of a plan beyond its schema: references to names in other tables, and values that the daemon would
-//! reject.
+//! Checks of a plan beyond its schema: references to names that other tables of the plan define, and values
+//! that the daemon would reject.
 
 use super::fault::PlannedFaultKind;
 use super::scheduler::SchedulerSpec;
@@ -11,17 +11,17 @@
 use vetchbridge::config::Fault;
 use vetchbridge_testbed::arrivals::Arrivals;
 
-/// An address for a configuration that is checked but never used.
+/// The address of the scheduler and of discovery in a configuration that is checked but never used.
 const PLACEHOLDER: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 1);
 
-/// Returns a failure that lists the faults, one per line.
+/// Returns a failure that lists the faults of a plan, one per line.
 pub(super) fn bad_input(faults: &[Fault]) -> Failure {
     let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
     Failure::BadInput(lines.join("\n"))
 }
 
-/// Returns a fault for each reference to an undefined name, each prefix that is used twice, and an empty list
-/// of workers.
+/// Checks the references within a plan. Returns a fault for each reference to an undefined name, for each
+/// prefix that two tables of workers use, and for an empty list of workers.
 pub(super) fn check_references(plan: &Plan, source: &str, text: &str) -> Vec<Fault> {
     let (text, _) = Text::parse(source, text);
     let mut faults = check_workers(plan, &text);
@@ -35,7 +35,7 @@
     faults
 }
 
-/// Checks the plan as the daemon and the clients would, before any process is started.
+/// Checks the plan as the daemon and the clients would when they read it, before the kit starts any process.
 pub(super) fn check_as_daemon(plan: &Plan, source: &str) -> Result<(), Failure> {
     let address = SocketAddr::from(PLACEHOLDER);
     let first = SchedulerSpec { number: 0, listen: address, discovery: address, known: &[], handover: None };
@@ -87,7 +87,8 @@
     unknown_names(text, "load.tenant", names, "daemon.tenant", &known)
 }
 
-/// Returns a fault for each name in `list` that is not among the `known` names, which `table` defines.
+/// Returns a fault for each of `names`, which the tables `list` contain, that is not among the `known` names,
+/// which the tables `table` define.
 fn unknown_names<'n>(
     text: &Text<'_>,
     list: &str,
--- a/crates/testkit/src/plan/fault.rs
+++ b/crates/testkit/src/plan/fault.rs
@@ -24,7 +24,8 @@
 }
 
 impl PlannedFaultKind {
-    /// Returns how discovery responds during the fault; `None` if the fault does not affect discovery.
+    /// Returns how discovery responds to schedulers during the fault; `None` if the fault does not affect
+    /// discovery.
     pub fn response_mode(self) -> Option<ResponseMode> {
         match self {
             PlannedFaultKind::DiscoveryError => Some(ResponseMode::Error),
--- a/crates/testkit/src/plan/load.rs
+++ b/crates/testkit/src/plan/load.rs
@@ -1,4 +1,5 @@
-//! The load of a plan: its tables in the plan's format, and their conversion to the clients' configuration.
+//! The load of a plan: its tables in the plan's file format, and their conversion to the clients'
+//! configuration.
 
 use super::defaults::{enabled, unit};
 use super::Plan;
@@ -104,8 +105,8 @@
 }
 
 impl LoadClass {
-    /// Returns the load of this class, with the objectives of `class`, the same class in the daemon's
-    /// configuration.
+    /// Returns this class's part of the load. `class` is the same class in the daemon's configuration, which
+    /// contains its objectives.
     fn spec(&self, class: &file::Class) -> ClassLoad {
         ClassLoad {
             name: self.name.clone(),
@@ -131,7 +132,7 @@
 }
 
 impl Plan {
-    /// Returns the load as the clients' configuration.
+    /// Returns the plan's load as the configuration of the clients.
     pub fn load_spec(&self) -> LoadSpec {
         let class = |load: &LoadClass| {
             let class = self.daemon.class.iter().find(|class| class.name == load.name)?;
--- a/crates/testkit/src/plan/mod.rs
+++ b/crates/testkit/src/plan/mod.rs
@@ -1,7 +1,7 @@
 //! The plan of a deployment on one machine: schedulers, workers, load and faults. This module reads and
 //! checks plans and translates them to the configuration of the schedulers and of the simulated workers. It
-//! starts no process. The keys are part of the users' file format; serde attributes map them to fields of
-//! other names.
+//! starts no process. The keys of a plan are part of the users' file format; serde attributes map them to
+//! fields of other names.
 
 mod check;
 mod defaults;
@@ -22,13 +22,14 @@
 use vetchbridge::config::file::File;
 use vetchbridge::config::schema::{self, schema_of};
 
-/// The text of the demonstration's plan.
+/// The text of the plan that `demo` runs by default.
 pub const DEMO: &str = include_str!("../../plans/demo.toml");
 
-/// The text of the soak test's plan.
+/// The text of the plan that `soak` runs.
 pub const SOAK: &str = include_str!("../../plans/soak.toml");
 
-/// The built-in plans by their names. A plan file of the same name is given as a path, such as `./demo`.
+/// The built-in plans: their names and texts. A plan file with the name of a built-in plan is given as a
+/// path, such as `./demo`.
 pub const BUILT_IN: [(&str, &str); 3] =
     [("demo", DEMO), ("scans", include_str!("../../plans/scans.toml")), ("soak", SOAK)];
 
@@ -63,14 +64,14 @@
     pub load: Load,
 }
 
-/// Returns the JSON Schema of the format.
+/// Returns the JSON Schema of the plans' file format.
 pub fn schema() -> serde_json::Value {
     schema_of::<Plan>()
 }
 
 impl Plan {
-    /// Reads a plan from its file, or by its name if it is built in; `None` means the demonstration's plan.
-    /// An error lists all faults of the plan.
+    /// Reads a plan from its file, or by its name if the plan is built in; `None` means the plan `demo`. An
+    /// error lists all faults of the plan.
     pub fn read(path: Option<&Path>) -> Result<Plan, Failure> {
         let Some(path) = path else { return Plan::parse("the built-in plan", DEMO) };
         if let Some((name, text)) = BUILT_IN.iter().find(|(name, _)| path == Path::new(name)) {
@@ -82,7 +83,7 @@
         Plan::parse(&source, &text)
     }
 
-    /// Parses and checks the text of a plan. `source` names the text in errors.
+    /// Parses and checks the text of a plan. `source` names the plan in errors.
     pub fn parse(source: &str, text: &str) -> Result<Plan, Failure> {
         let plan: Plan =
             schema::parse(source, text, &schema()).map_err(|faults| check::bad_input(&faults))?;
--- a/crates/testkit/src/plan/scheduler.rs
+++ b/crates/testkit/src/plan/scheduler.rs
@@ -1,4 +1,5 @@
-//! The schedulers of a plan: their table in the plan's format, and the configuration file of each scheduler.
+//! The schedulers of a plan: their table in the plan's file format, and the configuration file of each
+//! scheduler.
 
 use super::Plan;
 use schemars::JsonSchema;
@@ -9,7 +10,8 @@
 use vetchbridge::config::units::{Address, HumanDuration, Seed};
 use vetchbridge_testbed::worker::WorkerSpec;
 
-/// An odd constant that derives distinct seeds from the plan's seed: 2^64 divided by the golden ratio.
+/// An odd constant, 2^64 divided by the golden ratio. It multiplies the plan's seed before a scheduler's
+/// number is added, so that the schedulers of plans with different seeds get distinct seeds.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The schedulers.
@@ -31,12 +33,12 @@
     HumanDuration::from_secs(2)
 }
 
-/// A worker that is listed in a scheduler's configuration, so that the scheduler knows it before the first
+/// A worker that a scheduler's configuration lists, so that the scheduler knows the worker before the first
 /// poll of discovery.
 pub struct KnownWorker {
     /// The worker's configuration.
     pub spec: WorkerSpec,
-    /// The address at which this scheduler reaches the worker.
+    /// The address at which the configured scheduler reaches the worker.
     pub address: SocketAddr,
 }
 
@@ -53,7 +55,7 @@
     }
 }
 
-/// The values in one scheduler's configuration that are not in the plan.
+/// The values in one scheduler's configuration that the kit, not the plan, determines.
 pub struct SchedulerSpec<'a> {
     /// The scheduler's number, from 0.
     pub number: usize,
@@ -63,12 +65,13 @@
     pub discovery: SocketAddr,
     /// The workers that the scheduler knows when it starts.
     pub known: &'a [KnownWorker],
-    /// The path of the socket at which a successor takes over; `None` disables upgrades.
+    /// The path of the socket at which a successor process takes over from the scheduler; `None` disables
+    /// upgrades.
     pub handover: Option<PathBuf>,
 }
 
 impl Plan {
-    /// Returns the text of one scheduler's configuration file.
+    /// Returns the text of the configuration file of the scheduler that `spec` describes.
     pub fn scheduler_config(&self, spec: SchedulerSpec<'_>) -> String {
         let mut file = self.daemon.clone();
         let seed = self.seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(spec.number as u64);
@@ -82,7 +85,7 @@
         file.handover = spec.handover;
         file.seed = Some(Seed(seed));
         file.workers = spec.known.iter().map(KnownWorker::entry).collect();
-        // A File is plain data, which TOML can always represent.
+        // Serialization cannot fail: a `File` is plain data, which TOML can always represent.
         toml::to_string(&file).unwrap_or_default()
     }
 
--- a/crates/testkit/src/plan/workers.rs
+++ b/crates/testkit/src/plan/workers.rs
@@ -1,5 +1,5 @@
-//! The workers of a plan: their tables in the plan's format, and their conversion to the configuration of the
-//! simulated workers.
+//! The workers of a plan: their tables in the plan's file format, and their conversion to the configuration
+//! of the simulated workers.
 
 use super::defaults::unit;
 use super::Plan;
@@ -12,7 +12,8 @@
 use vetchbridge_testbed::store::{CacheSpec, Store};
 use vetchbridge_testbed::worker::{ProbeSpec, WorkerSpec};
 
-/// How long repeats of a keyed job are deduplicated if no class of the plan defines a window.
+/// How long workers deduplicate repeats of a keyed job if no class of the plan defines a deduplication
+/// window.
 const DEFAULT_DEDUPLICATION_WINDOW: HumanDuration = HumanDuration::from_secs(15);
 
 /// A field of a load report.
@@ -179,7 +180,7 @@
 }
 
 impl Plan {
-    /// Returns the configuration of each worker, in the order of the plan.
+    /// Returns the configuration of each worker, in the order of the plan's groups.
     pub fn worker_specs(&self) -> Vec<WorkerSpec> {
         let (zones, common) = (&self.daemon.fleet.zones, self.common_worker_spec());
         let named = self.workers.iter().flat_map(|workers| workers.names().map(move |name| (workers, name)));
@@ -188,7 +189,7 @@
         named.zip(zones.iter().cycle()).map(spec).collect()
     }
 
-    /// Returns the configuration that all workers share.
+    /// Returns the configuration values that all workers of the plan share.
     fn common_worker_spec(&self) -> WorkerSpec {
         let fleet = &self.daemon.fleet;
         let windows = self.daemon.class.iter().filter_map(|class| class.window);
@@ -199,7 +200,7 @@
             idle_timeout: fleet.conn_idle.duration(),
             deduplication_window: windows.max().unwrap_or(DEFAULT_DEDUPLICATION_WINDOW).duration(),
             order: match fleet.queue_order {
-                // The simulated workers have no priorities; they serve jobs in the order of arrival.
+                // The simulated workers know no priorities; they serve jobs in the order of arrival.
                 QueueOrder::Fifo | QueueOrder::Priority => Order::Fifo,
                 QueueOrder::Backfill => Order::Backfill,
             },
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -1,5 +1,5 @@
-//! The plain relay that the daemon's cost is compared with. The relay serves clients by axum, as the daemon
-//! does, and calls its worker by hyper-util's client, without scheduling, callbacks or records.
+//! The plain relay that the benchmark compares the daemon with. The relay serves clients by axum, as the
+//! daemon does, and calls its worker by hyper-util's client, without scheduling, callbacks or records.
 
 use crate::{io_failure, Failure};
 use axum::body::Body;
@@ -16,22 +16,23 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// The largest accepted request body, in bytes.
+/// The largest request body that the relay accepts, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// How long an unused connection to the worker stays open.
+/// How long an unused connection from the relay to its worker stays open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The path of the readiness check, which the relay answers itself.
+/// The path of the readiness check, to which the relay responds itself.
 const READY_PATH: &str = "/health/ready";
 
-/// The state that all requests share.
+/// The state that the relay needs for each request.
 #[derive(Clone)]
 struct Relay {
     client: Client<HttpConnector, Full<Bytes>>,
     worker: SocketAddr,
 }
 
-/// Forwards every request to `worker`, and the response back, until the process ends.
+/// Runs the relay until the process ends: forwards every request to `worker`, and the response back to the
+/// client.
 pub async fn serve(listen: SocketAddr, worker: SocketAddr) -> Result<(), Failure> {
     let mut tcp = HttpConnector::new();
     tcp.set_nodelay(true);
@@ -64,10 +65,10 @@
     }
 }
 
-/// Serves as the relay's worker: answers every request at once.
+/// Serves as the relay's worker: responds to every request at once.
 pub async fn answer_at_once(listener: TcpListener) {
     let router = Router::new()
         .fallback(|body: Bytes| async move { (StatusCode::OK, format!("made of {}", body.len())) });
-    // The server runs until its task is cancelled.
+    // The server runs until its task is aborted, so its result needs no handling.
     let _ = axum::serve(listener, router).await;
 }
