--- a/crates/testkit/src/report/mod.rs
+++ b/crates/testkit/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The result of a load, as a table for people and as JSON for programs.
+//! The report on a load: its results as tables for people and as JSON for programs.
 
 mod summary;
 mod tables;
@@ -14,47 +14,53 @@
 use vetchbridge_testbed::client::{JobRecord, LoadRecord, Outcome};
 use vetchbridge_testbed::runs::Run;
 
-/// The longest delay with which the load may be sent. Beyond it, the load generator rather than the
-/// schedulers delays clients.
+/// The longest acceptable delay between the time at which a job is due and the time at which the clients send
+/// it. With a longer delay, the load generator rather than the schedulers delays clients.
 pub const MAX_LAG: Duration = Duration::from_millis(100);
-/// The text in the operating system's error for "too many open files" (EMFILE).
+/// The text by which an error message of the operating system is recognized as "too many open files"
+/// (EMFILE).
 const NO_DESCRIPTOR_ERROR: &str = "os error 24";
 
-/// The result of a load.
+/// The report on a load that clients sent to schedulers.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The number of jobs.
+    /// The number of jobs that clients sent.
     pub jobs: u64,
-    /// The number of requests for these jobs, retries included.
+    /// The number of requests that clients sent for these jobs, retries included.
     #[serde(rename = "tries")]
     pub requests: u64,
-    /// The number of requests by how they ended.
+    /// The numbers of clients' requests by outcome.
     pub answers: Answers,
-    /// The number of attempts that reached workers, per job; absent if the workers are not the kit's own.
+    /// The number of attempts that reached workers, divided by the number of jobs; absent if the workers are
+    /// not the kit's own.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempts_per_job: Option<f64>,
-    /// The number of repeats of keyed jobs that workers dropped.
+    /// The number of attempts that workers did not run because they repeated a keyed job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub repeats_dropped: Option<u64>,
-    /// The share of an object's jobs that ran at the worker that ran most of them.
+    /// The share of runs that took place at the worker with most runs of the same object, over objects with
+    /// two runs or more.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub affinity: Option<f64>,
-    /// The share of the requested priority weight that was served in time.
+    /// The priority weight of jobs that were served within their latency objective, divided by that of all
+    /// jobs.
     #[serde(rename = "service")]
     pub in_time_share: f64,
-    /// The number of probes that workers received, per job.
+    /// The number of probes that workers received, divided by the number of jobs.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probes_per_job: Option<f64>,
-    /// The results of each class.
+    /// The results of each class of jobs.
     pub classes: Vec<ClassSummary>,
-    /// The results of each tenant.
+    /// The results of each tenant; empty if the load has no tenants.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<TenantSummary>,
-    /// The longest delay with which the load was sent, in milliseconds.
+    /// The longest delay between the time at which a job was due and the time at which it was sent, in
+    /// milliseconds.
     pub lag_ms: f64,
-    /// The number of requests without an answer, by the error of their connections.
+    /// The numbers of requests whose connection failed, by the error of the connection.
     pub causes: BTreeMap<String, u64>,
-    /// The violations that the audit found; if there are none, each job had exactly one final answer.
+    /// The violations that the exactly-once audit found; if there are none, each job had exactly one final
+    /// answer.
     pub violations: Vec<String>,
 }
 
@@ -63,21 +69,21 @@
     (time.as_secs_f64() * 1e5).round() / 1e2
 }
 
-/// The records of a deployment's workers.
+/// The records that the workers of a deployment made of a load.
 pub struct WorkerRecord {
-    /// The runs of jobs.
+    /// The runs of jobs at the workers.
     pub runs: Vec<Run>,
-    /// The number of attempts that arrived.
+    /// The number of attempts that arrived at workers.
     pub attempts: u64,
-    /// The number of repeats that workers dropped.
+    /// The number of attempts that workers did not run because they repeated a keyed job.
     pub repeats_dropped: u64,
-    /// The number of probes that arrived; `None` if the workers don't answer probes.
+    /// The number of probes that arrived at workers; `None` if the workers don't answer probes.
     pub probes: Option<u64>,
 }
 
 impl Report {
-    /// Summarizes a load and audits it. Without records of the workers, the report covers only what the
-    /// clients observed.
+    /// Audits the records of a load and summarizes the load. Without records of the workers, the report
+    /// covers only what the clients observed.
     pub fn new(
         spec: &LoadSpec,
         load: &LoadRecord,
@@ -109,8 +115,8 @@
         }
     }
 
-    /// Returns why the load could not be generated as planned, in which case the latencies are not the
-    /// schedulers' alone; `None` if it could.
+    /// Returns the reason why the clients could not send the load as planned, so that not only the schedulers
+    /// determined the latencies; `None` if the clients sent the load as planned.
     pub fn load_generation_error(&self) -> Option<String> {
         let causes = self.causes.iter().filter(|(cause, _)| cause.contains(NO_DESCRIPTOR_ERROR));
         let without_descriptor: u64 = causes.map(|(_, count)| count).sum();
@@ -129,7 +135,7 @@
     }
 }
 
-/// Counts the requests whose connection failed, by the connection's error.
+/// Returns the numbers of requests whose connection failed, by the error of the connection.
 fn count_causes(jobs: &[JobRecord]) -> BTreeMap<String, u64> {
     let mut causes = BTreeMap::new();
     for request in jobs.iter().flat_map(|job| &job.attempts) {
--- a/crates/testkit/src/report/summary.rs
+++ b/crates/testkit/src/report/summary.rs
@@ -1,4 +1,4 @@
-//! The results of one class and of one tenant of a load.
+//! The part of a report on the jobs of one class or of one tenant.
 
 use super::milliseconds;
 use hdrhistogram::Histogram;
@@ -7,37 +7,38 @@
 use vetchbridge_testbed::arrivals::ClassLoad;
 use vetchbridge_testbed::client::JobRecord;
 
-/// The shortest latency that the histogram resolves, in microseconds.
+/// The shortest latency that the histogram of latencies resolves, in microseconds.
 const MIN_LATENCY_MICROS: u64 = 1;
-/// The longest latency that the histogram resolves, in microseconds: one hour.
+/// The longest latency that the histogram of latencies resolves, in microseconds: one hour.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
-/// The number of significant decimal digits of a latency.
+/// The number of significant decimal digits to which the histogram keeps a latency.
 const LATENCY_DIGITS: u8 = 3;
 
-/// The results of one class. Latencies are in milliseconds and count from when a job should have been sent.
+/// The results of the jobs of one class. Latencies are in milliseconds and count from the time at which a job
+/// was due to be sent.
 #[derive(Debug, Serialize)]
 pub struct ClassSummary {
     /// The name of the class.
     #[serde(rename = "class")]
     pub name: String,
-    /// The number of jobs.
+    /// The number of jobs of the class.
     pub jobs: u64,
-    /// The number of jobs that were finally served.
+    /// The number of jobs whose last attempt was served.
     pub served: u64,
-    /// The number of served jobs that were served in time.
+    /// The number of jobs that were served within their latency objective.
     pub in_time: u64,
-    /// The median latency of served jobs.
+    /// The median latency of the served jobs.
     pub p50_ms: f64,
-    /// The 90th percentile of the latency.
+    /// The 90th percentile of the latency of the served jobs.
     pub p90_ms: f64,
-    /// The 99th percentile of the latency.
+    /// The 99th percentile of the latency of the served jobs.
     pub p99_ms: f64,
-    /// The maximum latency.
+    /// The maximum latency of the served jobs.
     pub max_ms: f64,
 }
 
 impl ClassSummary {
-    /// Summarizes the jobs of the class with this index.
+    /// Summarizes those of the load's jobs that belong to the class with this index.
     pub(super) fn new(class: &ClassLoad, index: usize, jobs: &[JobRecord]) -> ClassSummary {
         let jobs: Vec<&JobRecord> = jobs.iter().filter(|job| job.arrival.class == index).collect();
         let mut latencies = new_histogram();
@@ -66,22 +67,22 @@
         .unwrap_or_else(|error| unreachable!("these constant bounds are valid: {error}"))
 }
 
-/// The results of one tenant.
+/// The results of the jobs of one tenant.
 #[derive(Debug, Serialize)]
 pub struct TenantSummary {
     /// The name of the tenant.
     #[serde(rename = "tenant")]
     pub name: String,
-    /// The number of jobs.
+    /// The number of jobs of the tenant.
     pub jobs: u64,
-    /// The number of jobs that were finally served.
+    /// The number of jobs whose last attempt was served.
     pub served: u64,
-    /// The number of served jobs that were served in time.
+    /// The number of jobs that were served within their latency objective.
     pub in_time: u64,
 }
 
 impl TenantSummary {
-    /// Summarizes the jobs of the tenant with this index.
+    /// Summarizes those of the load's jobs that belong to the tenant with this index.
     pub(super) fn new(name: &str, index: usize, classes: &[ClassLoad], jobs: &[JobRecord]) -> TenantSummary {
         let jobs: Vec<&JobRecord> = jobs.iter().filter(|job| job.arrival.tenant == Some(index)).collect();
         let served = jobs.iter().filter(|job| job.served()).count();
--- a/crates/testkit/src/report/tables.rs
+++ b/crates/testkit/src/report/tables.rs
@@ -1,10 +1,10 @@
-//! Formats a report as tables for people.
+//! Formats the report on a load as tables for people.
 
 use super::{ClassSummary, Report, TenantSummary};
 use comfy_table::{presets, Table};
 use vetchbridge_testbed::audit::Answers;
 
-/// The number of violations that the text lists.
+/// The largest number of violations that the text of a report lists.
 const MAX_LISTED_VIOLATIONS: usize = 10;
 
 impl Report {
@@ -92,7 +92,7 @@
     table
 }
 
-/// Returns an empty table in the kit's style.
+/// Returns an empty table with the borders that all tables of the kit have.
 pub(crate) fn new_table() -> Table {
     let mut table = Table::new();
     table.load_style(presets::UTF8_BORDERS_ONLY);
--- a/crates/testkit/src/runner/faults.rs
+++ b/crates/testkit/src/runner/faults.rs
@@ -1,4 +1,5 @@
-//! Faults during a load: scheduler faults at even intervals, and the plan's faults at their configured times.
+//! Injects faults into a deployment during a load: scheduler faults at even intervals, and the plan's faults
+//! at their configured times.
 
 use super::{DETECTION_SLACK, RESTART_DELAY};
 use crate::plan::{PlannedFault, PlannedFaultKind};
@@ -11,23 +12,24 @@
 use vetchbridge_testbed::discovery::Discovery;
 use vetchbridge_testbed::worker::Worker;
 
-/// How long a drained scheduler waits before it resumes.
+/// How long a scheduler stays drained before it resumes.
 const DRAINED_TIME: Duration = Duration::from_secs(2);
 
-/// A fault of a scheduler.
+/// A fault that is injected into a scheduler during a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerFault {
     /// The scheduler is killed by SIGKILL and restarted after [`RESTART_DELAY`].
     Kill,
-    /// A successor takes over, and the predecessor shuts down gracefully.
+    /// A successor process takes over, and the predecessor process shuts down gracefully.
     Upgrade,
-    /// A successor takes over, and the predecessor is killed as soon as the successor is ready.
+    /// A successor process takes over, and the predecessor process is killed by SIGKILL as soon as the
+    /// successor process is ready.
     AbruptUpgrade,
-    /// The scheduler is drained and then resumes.
+    /// The scheduler is drained and resumes after [`DRAINED_TIME`].
     Drain,
 }
 
-/// Injects the faults at even intervals during a load, into the schedulers in turn. Pushes to `outages` the
+/// Injects `faults` at even intervals during a load, into the schedulers in turn. Pushes to `outages` the
 /// periods, counted from the load's start, in which attempts may be lost: only a kill excuses a loss. Uses an
 /// output parameter, so that the periods are kept when the load ends before the last fault does.
 pub(super) async fn inject_scheduler_faults(
@@ -58,7 +60,7 @@
     Ok(())
 }
 
-/// Injects the faults of a plan at their times. These faults excuse no lost attempt.
+/// Injects the faults of a plan at their configured times. None of these faults excuses a lost attempt.
 pub(super) async fn inject_planned_faults(
     faults: &[PlannedFault],
     discovery: &Discovery,
--- a/crates/testkit/src/runner/interrupt.rs
+++ b/crates/testkit/src/runner/interrupt.rs
@@ -1,4 +1,5 @@
-//! Ctrl-C and SIGTERM: the first signal ends the work cleanly, the second exits the program immediately.
+//! Handles Ctrl-C (SIGINT) and SIGTERM to the kit: the first signal ends the command cleanly, the second
+//! exits the kit immediately.
 
 use crate::scheduler::kill_all;
 use crate::{io_failure, Failure};
@@ -7,11 +8,11 @@
 use tokio::sync::watch;
 use vetchbridge_testbed::AbortOnDrop;
 
-/// The exit code after a second signal.
+/// The kit's exit code after a second Ctrl-C or SIGTERM.
 const EXIT_CODE_INTERRUPTED: i32 = 130;
 
-/// Turns the first signal into a request to stop. The second signal kills the child processes and exits the
-/// program.
+/// Turns the first Ctrl-C or SIGTERM into a request to stop. The second signal kills the child processes and
+/// exits the kit.
 pub struct Interrupt {
     stop: watch::Sender<bool>,
     _listener: AbortOnDrop,
@@ -41,12 +42,12 @@
         Ok(Interrupt { stop, _listener: listener })
     }
 
-    /// Waits until the first signal has come.
+    /// Waits until the first Ctrl-C or SIGTERM has arrived.
     pub async fn requested(&self) {
         let _ = self.stop.subscribe().wait_for(|stop| *stop).await;
     }
 
-    /// Runs `work` to its end, or fails if a signal comes first.
+    /// Runs `work` to its end, or fails if Ctrl-C or SIGTERM arrives first.
     pub async fn run_unless_stopped<T>(
         &self,
         work: impl Future<Output = Result<T, Failure>>,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Returns a receiver of the request to stop, for a task that ends on its own after the request.
+    /// Returns a receiver whose value is true once a stop is requested, for a task that then ends on its own.
     pub fn subscribe(&self) -> watch::Receiver<bool> {
         self.stop.subscribe()
     }
--- a/crates/testkit/src/runner/mod.rs
+++ b/crates/testkit/src/runner/mod.rs
@@ -1,5 +1,5 @@
-//! Runs a load against a deployment, shows the progress, and injects faults during the load. Does not judge
-//! the result.
+//! Runs a load against a deployment, shows the load's progress, and injects faults during the load. This
+//! module does not judge the result.
 
 mod faults;
 mod interrupt;
@@ -18,10 +18,10 @@
 use vetchbridge_testbed::audit::Outage;
 use vetchbridge_testbed::client::{Clients, LoadRecord};
 
-/// How long a killed scheduler stays down.
+/// How long the runner leaves a killed scheduler down before it restarts the scheduler.
 pub const RESTART_DELAY: Duration = Duration::from_secs(2);
-/// How long, beyond the load balancer's detection delay, clients may still be sent to a killed scheduler: the
-/// time of the last readiness check and of its answer.
+/// How long, beyond the load balancer's detection delay, the load balancer may still send clients to a killed
+/// scheduler: the time of the last readiness check and of the scheduler's response to it.
 pub const DETECTION_SLACK: Duration = Duration::from_millis(700);
 
 /// The duration of a load and the faults during it.
@@ -29,22 +29,23 @@
 pub struct LoadPlan<'a> {
     /// How long the load lasts.
     pub duration: Duration,
-    /// Faults of schedulers, injected at even intervals.
+    /// Faults of schedulers, injected at even intervals during the load.
     pub scheduler_faults: &'a [SchedulerFault],
-    /// Faults of the plan, injected at their times.
+    /// Faults of the plan, injected at their configured times.
     pub planned_faults: &'a [PlannedFault],
 }
 
-/// The record of a load; times count from the deployment's epoch.
+/// The record of a load and of its outages; times count from the deployment's epoch.
 #[derive(Debug)]
 pub struct LoadRun {
-    /// The jobs and their requests.
+    /// The jobs of the load and their requests.
     pub record: LoadRecord,
-    /// The periods in which attempts may be lost.
+    /// The periods in which attempts may be lost because a scheduler was killed.
     pub outages: Vec<Outage>,
 }
 
-/// Runs a load to its end and returns its record.
+/// Sends a load to a deployment while faults are injected, until the load ends, and returns the record of the
+/// load.
 pub async fn run(
     deployment: &mut Deployment,
     clients: Clients,
--- a/crates/testkit/src/runner/progress.rs
+++ b/crates/testkit/src/runner/progress.rs
@@ -1,14 +1,14 @@
-//! The progress of a load on standard error.
+//! Shows the progress of a load on standard error.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 use std::time::Duration;
 use vetchbridge_testbed::client::LoadProgress;
 
-/// The interval between two lines of progress if standard error is no terminal.
+/// The interval between two lines of progress if standard error is not a terminal.
 const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Shows progress on standard error: as a bar on a terminal, as plain lines elsewhere.
+/// Shows the progress of a load on standard error: as a bar on a terminal, as plain lines elsewhere.
 pub struct Progress {
     bar: Option<ProgressBar>,
     total: Duration,
@@ -28,7 +28,7 @@
         Progress { bar, total, last_line: Duration::ZERO }
     }
 
-    /// Shows the progress of a load.
+    /// Updates the bar, or prints a line if the last line is old enough.
     pub fn show(&mut self, progress: LoadProgress) {
         let text = format!(
             "{:.0} of {:.0} s, {} sent, {} in flight",
--- a/crates/testkit/src/scheduler/admin.rs
+++ b/crates/testkit/src/scheduler/admin.rs
@@ -1,4 +1,4 @@
-//! A client of the schedulers' admin interface: each connection carries one command and one line of answer.
+//! A client of the schedulers' admin interface. Each connection carries one command, and one line of answer.
 
 use crate::Failure;
 use std::io;
@@ -8,14 +8,15 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a scheduler may take to reach an awaited state: ready after its start, or drained.
+/// How long a scheduler may take to reach a state that the kit waits for: ready after its start, or drained.
 const STATE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long the answer to one command may take.
+/// How long the scheduler's answer to one command may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The interval between two commands while a state is awaited.
+/// The interval between two commands while the kit waits for a state.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sends a command repeatedly until `is_wanted` accepts the answer; fails after [`STATE_TIMEOUT`].
+/// Sends a command to a scheduler's admin interface repeatedly until `is_wanted` accepts the answer; fails
+/// after [`STATE_TIMEOUT`].
 pub(super) async fn wait_for_answer(
     address: SocketAddr,
     command: &str,
--- a/crates/testkit/src/scheduler/mod.rs
+++ b/crates/testkit/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! Runs a scheduler as a child process: the daemon's binary with a configuration and a log file.
 //!
-//! [`Scheduler`] owns the child process and kills it when dropped. The scheduler's state is read from its
-//! admin interface only.
+//! [`Scheduler`] owns the child process and kills it when dropped. The kit learns the scheduler's state only
+//! from the scheduler's admin interface.
 
 mod admin;
 mod process;
@@ -20,30 +20,30 @@
 use tokio::process::Command;
 use vetchbridge_testbed::Port;
 
-/// The environment variable that holds the address of the daemon's admin interface.
+/// The environment variable by which the kit tells the daemon the address of its admin interface.
 const ADMIN_ADDRESS_VARIABLE: &str = "BALANCER_ADMIN";
-/// The number of log lines that an error message about an exit contains.
+/// The number of lines of a scheduler's log that an error message about the scheduler's exit contains.
 const LOG_TAIL_LINES: usize = 3;
 
-/// The options of a scheduler's process, in addition to its configuration.
+/// The options with which a scheduler's process is started, in addition to its configuration.
 #[derive(Clone, Debug, Default)]
 pub struct LaunchOptions {
-    /// Additional command-line arguments.
+    /// Command-line arguments of the daemon in addition to those that name its configuration.
     pub arguments: Vec<String>,
-    /// Environment variables; the process inherits none from the kit.
+    /// Environment variables of the process, which inherits none from the kit.
     pub environment: Vec<(String, String)>,
 }
 
-/// How the predecessor ends in an upgrade, once the successor is ready.
+/// How the predecessor process of an upgrade ends once the successor process is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorEnd {
-    /// The predecessor shuts down gracefully.
+    /// The predecessor process shuts down gracefully.
     Graceful,
-    /// The predecessor is killed by SIGKILL, which loses all of its requests.
+    /// The predecessor process is killed by SIGKILL, which loses all of its requests.
     Killed,
 }
 
-/// A scheduler, whether its process currently runs or not.
+/// A scheduler of a deployment, whose process may be running or not.
 pub struct Scheduler {
     binary: PathBuf,
     config: PathBuf,
@@ -53,7 +53,7 @@
     process: Option<Process>,
 }
 
-/// Returns the path of the daemon's binary: the given one, or the one beside the kit's executable.
+/// Returns the path of the daemon's binary: the given path, or the path beside the kit's executable.
 pub fn find_daemon(given: Option<&Path>) -> Result<PathBuf, Failure> {
     let path = match given {
         Some(path) => path.to_path_buf(),
@@ -69,7 +69,7 @@
 }
 
 impl Scheduler {
-    /// Starts a scheduler, which logs to a file beside its configuration.
+    /// Starts a scheduler's process, which logs to a file beside its configuration.
     pub fn start(
         binary: &Path,
         config: &Path,
@@ -88,7 +88,8 @@
         Ok(scheduler)
     }
 
-    /// Starts the scheduler's process again after its exit, at the same address. The log file is continued.
+    /// Starts a new process of the scheduler after the old process has exited, at the same address. The new
+    /// process appends to the log file.
     pub fn restart(&mut self) -> Result<(), Failure> {
         self.process = Some(self.launch()?);
         Ok(())
@@ -100,7 +101,7 @@
         let log = log.map_err(io_failure("a scheduler's log"))?;
         let mut command = Command::new(&self.binary);
         command.arg("serve").arg("--config").arg(&self.config).args(&self.options.arguments);
-        // The child has its own process group, so that Ctrl-C reaches only the kit.
+        // The child process gets a process group of its own, so that Ctrl-C reaches only the kit.
         command
             .env_clear()
             .envs(self.options.environment.iter().map(|(name, value)| (name, value)))
@@ -114,7 +115,8 @@
         Ok(Process::new(child, admin))
     }
 
-    /// Starts a successor and, once it is ready, ends the predecessor.
+    /// Starts a successor process of the scheduler and, once the successor process is ready, ends the
+    /// predecessor process as `predecessor_end` states.
     pub async fn upgrade(&mut self, predecessor_end: PredecessorEnd) -> Result<(), Failure> {
         let successor = self.launch()?;
         let admin = successor.admin.address();
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Drains the scheduler, waits for `drained_for`, and resumes the scheduler.
+    /// Drains the scheduler, waits for `drained_for` once the scheduler is drained, and resumes the
+    /// scheduler.
     pub async fn drain(&mut self, drained_for: Duration) -> Result<(), Failure> {
         let Some(admin) = self.admin_address() else { return Ok(()) };
         admin::wait_for_answer(admin, "quiesce", |answer| answer.starts_with("ok")).await?;
@@ -143,14 +146,14 @@
         admin::wait_for_answer(admin, "resume", |answer| answer == "ok serving").await
     }
 
-    /// Makes the scheduler reload its configuration.
+    /// Sends SIGHUP to the scheduler's process, which makes the scheduler reload its configuration.
     pub fn reload(&self) {
         if let Some(process) = &self.process {
             process.signal(Signal::HUP);
         }
     }
 
-    /// Returns the path of the scheduler's configuration.
+    /// Returns the path of the scheduler's configuration file.
     pub fn config_path(&self) -> &Path {
         &self.config
     }
@@ -160,39 +163,40 @@
         self.address
     }
 
-    /// Returns the address of the admin interface, or `None` if the scheduler does not run.
+    /// Returns the address of the scheduler's admin interface, or `None` if the scheduler has no process.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.process.as_ref().map(|process| process.admin.address())
     }
 
-    /// Returns the path of the scheduler's log.
+    /// Returns the path of the scheduler's log file.
     pub fn log_path(&self) -> &Path {
         &self.log
     }
 
-    /// Returns the process id, or `None` if the scheduler does not run.
+    /// Returns the process id of the scheduler, or `None` if the scheduler does not run.
     pub fn pid(&self) -> Option<u32> {
         self.process.as_ref().and_then(Process::pid)
     }
 
-    /// Returns the exit status if the process has exited on its own.
+    /// Returns the exit status of the scheduler's process if the process has exited on its own.
     pub fn try_exit_status(&mut self) -> Option<ExitStatus> {
         self.process.as_mut()?.try_exit_status()
     }
 
-    /// Kills the process by SIGKILL.
+    /// Kills the scheduler's process by SIGKILL.
     pub async fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             process.kill().await;
         }
     }
 
-    /// Shuts the scheduler down gracefully and returns the exit status; `None` if the scheduler did not run.
+    /// Shuts the scheduler down gracefully and returns the exit status of its process; `None` if the
+    /// scheduler had no process.
     pub async fn shut_down(&mut self) -> Option<ExitStatus> {
         self.process.take()?.shut_down().await
     }
 
-    /// Returns the last lines of the log, for an error message about an exit.
+    /// Returns the last lines of the scheduler's log, for an error message about the scheduler's exit.
     pub fn log_tail(&self) -> String {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
--- a/crates/testkit/src/scheduler/process.rs
+++ b/crates/testkit/src/scheduler/process.rs
@@ -1,4 +1,5 @@
-//! Child processes: signals to a child process, and the registry of all running child processes.
+//! The schedulers' child processes: signals to a child process, and the registry of all running child
+//! processes.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
@@ -14,14 +15,15 @@
 /// after 3.3 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The process ids of all running children, for an exit that can't wait for destructors.
+/// The process ids of all running child processes, so that the kit can kill them in an exit that can't wait
+/// for destructors.
 static CHILDREN: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn children() -> MutexGuard<'static, BTreeSet<u32>> {
     CHILDREN.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Kills every child process by SIGKILL; for use just before the program exits.
+/// Kills every child process by SIGKILL; called just before the kit exits without running destructors.
 pub fn kill_all() {
     for pid in children().iter() {
         send_signal(*pid, Signal::KILL);
@@ -35,8 +37,8 @@
     }
 }
 
-/// A child process and the reserved port of its admin interface. The child is registered until this value is
-/// dropped.
+/// A scheduler's child process, and the reserved port of its admin interface. The child process is in the
+/// registry until this value is dropped.
 pub(super) struct Process {
     child: Child,
     registered_pid: u32,
@@ -50,7 +52,7 @@
         Process { child, registered_pid, admin }
     }
 
-    /// Returns the process id; `None` once the process has exited and its status has been collected.
+    /// Returns the process id; `None` once the process has exited and its exit status has been collected.
     pub(super) fn pid(&self) -> Option<u32> {
         self.child.id()
     }
