--- a/crates/testkit/src/scheduler/process.rs
+++ b/crates/testkit/src/scheduler/process.rs
@@ -11,8 +11,8 @@
 use tokio::time::timeout;
 use vetchbridge_testbed::Port;
 
-/// How long a scheduler may take to exit after SIGTERM. The daemon closes connections that are still open
-/// after 3.3 s.
+/// How long a scheduler's process may take to exit after SIGTERM before the kit kills it. The daemon closes
+/// client connections that are still open after 3.3 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// The process ids of all running child processes, so that the kit can kill them in an exit that can't wait
@@ -32,7 +32,7 @@
 
 fn send_signal(pid: u32, signal: Signal) {
     if let Some(pid) = Pid::from_raw(pid as i32) {
-        // A process that has exited in the meantime needs no signal.
+        // Sending fails if the process has exited in the meantime; such a process needs no signal.
         let _ = kill_process(pid, signal);
     }
 }
@@ -57,7 +57,7 @@
         self.child.id()
     }
 
-    /// Sends a signal to the process, unless it has exited.
+    /// Sends a signal to the process, unless the process has exited.
     pub(super) fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
             send_signal(pid, signal);
@@ -75,7 +75,8 @@
         let _ = self.child.kill().await;
     }
 
-    /// Shuts the process down gracefully, or kills it after [`SHUTDOWN_TIMEOUT`]. Returns the exit status.
+    /// Shuts the process down gracefully by SIGTERM, or kills it after [`SHUTDOWN_TIMEOUT`]. Returns the exit
+    /// status.
     pub(super) async fn shut_down(&mut self) -> Option<ExitStatus> {
         self.signal(Signal::TERM);
         if let Ok(status) = timeout(SHUTDOWN_TIMEOUT, self.child.wait()).await {
--- a/crates/testkit/src/scheduler/usage.rs
+++ b/crates/testkit/src/scheduler/usage.rs
@@ -1,4 +1,4 @@
-//! The resource usage of a process, as reported by the kernel.
+//! The processor time and memory that a process uses, as the kernel reports them.
 
 use std::time::Duration;
 
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -1,5 +1,5 @@
-//! The invariants of the soak test, in addition to those of the exactly-once audit, as pure functions of the
-//! evidence.
+//! The invariants that the soak test checks in addition to the exactly-once audit, as pure functions of the
+//! evidence that a run of the test leaves.
 
 use super::fault::{FaultKind, InjectedFault};
 use super::{DisconnectedClient, StalledClient};
@@ -12,22 +12,25 @@
 use vetchbridge_testbed::client::JobRecord;
 use vetchbridge_testbed::runs::AttemptArrival;
 
-/// The time within which schedulers must learn of a published change, as long as discovery is available.
+/// The time within which schedulers must learn of a change that discovery has published, as long as discovery
+/// is available.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long attempts may still be sent to a worker after schedulers must know that the worker is draining.
+/// How long schedulers may still send attempts to a worker after they must know that the worker is draining.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// How long after a client's disconnect an attempt for this client may begin.
+/// How long after a client has disconnected a scheduler may still begin an attempt for this client's request.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// By how much the expiry in an attempt may exceed the client's deadline.
+/// By how much the expiry that a scheduler states in an attempt may exceed the client's deadline.
 const EXPIRY_TOLERANCE: Duration = Duration::from_millis(150);
-/// The time within which a client that stalls in a request must get an error or be disconnected.
+/// The time within which a scheduler must respond to a client that stalls in the middle of a request, or must
+/// close the client's connection.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest delay between a scheduler's decision and its write.
+/// The longest delay between a scheduler's decision, such as to send an attempt, and its write to the
+/// connection.
 const SCHEDULER_DELAY: Duration = Duration::from_millis(150);
-/// The longest delay that a busy machine adds between two processes.
+/// The longest delay that a busy machine adds between two processes, such as a scheduler and a worker.
 const MACHINE_DELAY: Duration = Duration::from_millis(250);
 
-/// A violation of an invariant.
+/// A violation of an invariant that the soak test found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum InvariantViolation {
@@ -35,40 +38,41 @@
     Audit(Violation),
     /// A scheduler exited on its own; the text contains its exit status and the last lines of its log.
     EarlyExit(String),
-    /// A scheduler did not shut down cleanly.
+    /// A scheduler did not shut down cleanly at the end of the test.
     FailedShutdown(FailedShutdown),
-    /// An attempt reached a worker long after schedulers must have known that the worker is draining.
+    /// An attempt reached a worker long after the schedulers must have known that the worker is draining.
     AttemptWhileDraining {
-        /// The request's id.
+        /// The attempt's request id.
         request_id: u64,
-        /// The worker's name.
+        /// The name of the draining worker.
         worker: String,
-        /// The time since the worker began to drain.
+        /// The time from the start of the worker's drain to the arrival of the attempt.
         after: Duration,
     },
-    /// An attempt reached a worker after its client had disconnected.
+    /// An attempt reached a worker although the client of its request had disconnected long enough before.
     AttemptAfterDisconnect {
-        /// The request's id.
+        /// The attempt's request id.
         request_id: u64,
-        /// The worker's name.
+        /// The name of the worker.
         worker: String,
-        /// The time since the client disconnected.
+        /// The time from the client's disconnect to the arrival of the attempt.
         after: Duration,
     },
-    /// An attempt reached a worker with an expiry after the client's deadline.
+    /// An attempt that reached a worker states an expiry that is later than the client's deadline.
     ExpiryAfterDeadline {
-        /// The request's id.
+        /// The attempt's request id.
         request_id: u64,
-        /// The time from the deadline to the expiry.
+        /// The time from the client's deadline to the attempt's expiry.
         excess: Duration,
     },
-    /// A client that stalled in a request was neither answered nor disconnected in time.
+    /// A client that stalled in the middle of a request neither received a response nor was disconnected in
+    /// time.
     StalledClientKept(StalledClient),
-    /// A scheduler logged a violated invariant or a panic.
+    /// A scheduler's log contains a violated invariant or a panic.
     LoggedError {
         /// The scheduler's number.
         scheduler: usize,
-        /// The logged line.
+        /// The line of the scheduler's log.
         line: String,
     },
 }
@@ -104,27 +108,28 @@
     }
 }
 
-/// The observations of a run; times count from the deployment's epoch.
+/// The observations of one run of the soak test, which the checks judge; times count from the deployment's
+/// epoch.
 pub struct Evidence<'a> {
     /// The injected faults.
     pub faults: &'a [InjectedFault],
     /// The attempts that arrived at workers.
     pub arrivals: &'a [AttemptArrival],
-    /// The load's jobs.
+    /// The jobs of the load, with the requests that clients sent for them.
     pub jobs: &'a [JobRecord],
-    /// The load's classes, which jobs refer to by index.
+    /// The classes of the load, which jobs refer to by index.
     pub classes: &'a [ClassLoad],
-    /// Clients that disconnected before their response.
+    /// Faulty clients that disconnected before the response to their request.
     pub disconnected: &'a [DisconnectedClient],
-    /// Clients that stalled in the middle of a request.
+    /// Faulty clients that stalled in the middle of a request.
     pub stalled: &'a [StalledClient],
     /// The text of each scheduler's log, by the scheduler's number.
     pub logs: &'a [String],
-    /// The longest delay with which discovery publishes a change.
+    /// The longest delay between the publication of a change and its appearance in the endpoint list.
     pub publication_delay: Duration,
 }
 
-/// Runs all checks and returns the violations.
+/// Checks all invariants of this module and returns the violations.
 pub fn check_all(evidence: &Evidence<'_>) -> Vec<InvariantViolation> {
     let found = [
         check_draining_workers(evidence),
@@ -136,8 +141,8 @@
     found.into_iter().flatten().collect()
 }
 
-/// Returns when every scheduler must know of a change published at `published`: once discovery has been
-/// available for [`PROPAGATION_TIMEOUT`] without interruption.
+/// Returns the time at which every scheduler must know of a change published at `published`: the time at
+/// which discovery has been available for [`PROPAGATION_TIMEOUT`] without interruption since the publication.
 fn propagation_deadline(published: Duration, faults: &[InjectedFault]) -> Duration {
     let mut available_since = published;
     for outage in faults.iter().filter(|fault| fault.kind.is_discovery_outage()) {
--- a/crates/testkit/src/soak/checks/tests.rs
+++ b/crates/testkit/src/soak/checks/tests.rs
@@ -69,8 +69,8 @@
     check_all(&evidence)
 }
 
-/// Each check reports a violation for evidence just beyond its limit, and none for evidence just within the
-/// limit.
+/// Each check of the soak test's invariants reports a violation for evidence just beyond the check's limit,
+/// and none for evidence just within the limit.
 #[test]
 fn each_check_finds_its_violation_and_nothing_else() {
     let drain = fault(FaultKind::WorkerDrain, 10.0, 23.0);
--- a/crates/testkit/src/soak/fault.rs
+++ b/crates/testkit/src/soak/fault.rs
@@ -1,56 +1,57 @@
-//! The platform faults that a soak test injects, and the log of injected faults.
+//! The kinds of platform faults that a soak test injects, and the log of the injected faults.
 
 use std::fmt;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A kind of platform fault.
+/// A kind of fault that a soak test injects into the platform: schedulers, workers, discovery or clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
     /// A scheduler shuts down gracefully and is restarted.
     SchedulerRestart,
-    /// A successor takes over from a scheduler's process.
+    /// A successor process takes over from a scheduler's process.
     SchedulerUpgrade,
     /// A scheduler is drained and then resumes.
     SchedulerDrain,
     /// A scheduler reloads its configuration several times in a row.
     SchedulerReload,
-    /// A scheduler's discovery moves to another address, which the scheduler learns by a configuration
-    /// reload.
+    /// Discovery moves to another address for one scheduler, and the scheduler learns the address by
+    /// reloading its configuration.
     DiscoveryMove,
     /// A scheduler is killed by SIGKILL and restarted.
     SchedulerCrash,
-    /// A worker crashes and restarts.
+    /// A worker crashes and is restarted.
     WorkerCrash,
-    /// A worker is published as draining.
+    /// Discovery publishes a worker as draining.
     WorkerDrain,
-    /// A worker handles some attempts as a broken program might.
+    /// A worker handles some attempts as a faulty program might, for example without a response or without a
+    /// callback.
     WorkerMisbehavior,
-    /// A worker runs its jobs many times slower.
+    /// A worker runs its jobs slower than configured.
     WorkerSlowdown,
-    /// A worker refuses connections.
+    /// A worker rejects all jobs without running them.
     WorkerRefusal,
-    /// Discovery answers with status 503.
+    /// Discovery responds to schedulers with status 503.
     DiscoveryError,
-    /// Discovery resets connections.
+    /// Discovery resets the connections of schedulers.
     DiscoveryReset,
-    /// Discovery accepts requests and never answers.
+    /// Discovery accepts requests of schedulers and never responds.
     DiscoveryTimeout,
-    /// Discovery truncates its responses.
+    /// Discovery closes connections in the middle of its responses.
     DiscoveryTruncation,
-    /// Discovery publishes changes with a delay.
+    /// Discovery publishes changes of workers with a delay.
     DiscoveryDelay,
-    /// Clients disconnect before the response.
+    /// Clients disconnect before the response to their request.
     ClientDisconnect,
     /// A client stalls in the middle of a request.
     ClientStall,
-    /// Clients open many connections and send nothing.
+    /// Clients open many connections to a scheduler and send nothing.
     ConnectionFlood,
 }
 
 impl FaultKind {
-    /// All kinds, in the order of the report.
+    /// All kinds of faults, in the order in which the report lists them.
     pub const ALL: &'static [FaultKind] = &[
         FaultKind::SchedulerRestart,
         FaultKind::SchedulerUpgrade,
@@ -73,7 +74,7 @@
         FaultKind::ConnectionFlood,
     ];
 
-    /// Whether schedulers can't poll discovery during the fault.
+    /// Whether schedulers can't get the endpoint list from discovery during a fault of this kind.
     pub fn is_discovery_outage(self) -> bool {
         matches!(
             self,
@@ -85,7 +86,7 @@
     }
 }
 
-/// Writes the kind's name in the printed report. Scripts may match these names.
+/// Writes the name of the kind as the printed report shows it. Scripts may match these names.
 impl fmt::Display for FaultKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -112,13 +113,12 @@
     }
 }
 
-/// A fault that was injected; times count from the deployment's epoch.
+/// A fault that a soak test injected; times count from the deployment's epoch.
 #[derive(Clone, Debug)]
 pub struct InjectedFault {
-    /// The kind of fault.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// What the fault was injected into: a worker's name, a scheduler's number or address; empty for
-    /// discovery.
+    /// The target of the fault: a worker's name, a scheduler's number or address; empty for discovery.
     pub target: String,
     /// When the fault began.
     pub started: Duration,
@@ -127,13 +127,13 @@
 }
 
 impl InjectedFault {
-    /// Whether the two faults overlapped in time.
+    /// Whether this fault and `other` overlapped in time.
     pub fn overlaps(&self, other: &InjectedFault) -> bool {
         self.started < other.ended && other.started < self.ended
     }
 }
 
-/// Records each fault once it has ended.
+/// The log of the faults of a soak test; each fault is recorded once it has ended.
 pub(super) struct FaultLog {
     epoch: Instant,
     faults: Mutex<Vec<InjectedFault>>,
@@ -144,7 +144,7 @@
         FaultLog { epoch, faults: Mutex::default() }
     }
 
-    /// Returns the instant from which the log counts times.
+    /// Returns the deployment's epoch, from which the times in the log count.
     pub(super) fn epoch(&self) -> Instant {
         self.epoch
     }
--- a/crates/testkit/src/soak/faulty_clients.rs
+++ b/crates/testkit/src/soak/faulty_clients.rs
@@ -1,5 +1,5 @@
-//! Faulty clients: they disconnect before the response, stall in the middle of a request, or open many
-//! connections and send nothing. Their observations are recorded for the checks.
+//! Faulty clients of a soak test: they disconnect before the response, stall in the middle of a request, or
+//! open many connections and send nothing. What they observe is recorded for the checks of invariants.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,31 +8,32 @@
 use tokio::time::{sleep, timeout, Instant};
 use vetchbridge_testbed::wire::HttpConnection;
 
-/// The prefix of the faulty clients' request ids; no request of the load has it.
+/// The leading bits of the faulty clients' request ids; no request id of the load has these bits.
 const ID_PREFIX: u64 = 0xdead_0000_0000_0000;
-/// How long a stalled client waits for its connection to end.
+/// How long a client that has stalled in the middle of a request waits until the scheduler responds or closes
+/// the connection.
 const STALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A client that closed its connection before the response.
+/// A faulty client that closed its connection before the response to its request.
 #[derive(Clone, Copy, Debug)]
 pub struct DisconnectedClient {
-    /// The request's id.
+    /// The id of the client's request.
     pub request_id: u64,
-    /// When the connection was closed, counted from the epoch.
+    /// When the client closed its connection, counted from the deployment's epoch.
     pub closed_at: Duration,
 }
 
-/// A client that stalled in the middle of a request and kept its connection open.
+/// A faulty client that stopped sending in the middle of a request and kept its connection open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StalledClient {
-    /// When the client sent its last byte, counted from the epoch.
+    /// When the client sent its last byte, counted from the deployment's epoch.
     pub stalled_at: Duration,
-    /// How long after the last byte a response came or the connection was closed; `None` if neither happened
-    /// before the client's timeout.
+    /// How long after the client's last byte a response came or the scheduler closed the connection; `None`
+    /// if neither happened before [`STALL_TIMEOUT`].
     pub ended_after: Option<Duration>,
 }
 
-/// Sends the requests of faulty clients and records what the clients observe.
+/// Sends the requests of faulty clients to schedulers and records what the clients observe.
 #[derive(Debug, Default)]
 pub(super) struct FaultyClients(Mutex<Observations>);
 
@@ -54,7 +55,7 @@
         ID_PREFIX | observations.requests
     }
 
-    /// Returns the ids of all requests that faulty clients have sent.
+    /// Returns the ids of all requests that the faulty clients have sent so far.
     pub(super) fn request_ids(&self) -> BTreeSet<u64> {
         (1..=self.observations().requests).map(|number| ID_PREFIX | number).collect()
     }
@@ -67,7 +68,8 @@
         self.observations().stalled.clone()
     }
 
-    /// Submits a long job and disconnects when `after` has passed since the request was sent.
+    /// Sends a long job to the scheduler at `address` and closes the connection when `after` has passed since
+    /// the request was sent.
     pub(super) async fn disconnect(&self, address: SocketAddr, after: Duration, epoch: Instant) {
         let Ok(mut connection) = HttpConnection::connect(address).await else { return };
         let id = self.next_id();
@@ -82,8 +84,8 @@
             .push(DisconnectedClient { request_id: id, closed_at: epoch.elapsed() });
     }
 
-    /// Sends the beginning of a request, which ends within the body or within the headers, and waits for the
-    /// response or the end of the connection.
+    /// Sends the beginning of a request to the scheduler at `address`, up to the middle of the body or of the
+    /// headers, and waits for a response or the end of the connection.
     pub(super) async fn stall(&self, address: SocketAddr, within_body: bool, epoch: Instant) {
         let Ok(mut connection) = HttpConnection::connect(address).await else { return };
         let id = self.next_id();
@@ -101,7 +103,8 @@
         self.observations().stalled.push(StalledClient { stalled_at, ended_after });
     }
 
-    /// Opens `count` connections, sends nothing, and closes the connections after `duration`.
+    /// Opens `count` connections to the scheduler at `address`, sends nothing, and closes them after
+    /// `duration`.
     pub(super) async fn flood(&self, address: SocketAddr, count: usize, duration: Duration) {
         let mut open = Vec::with_capacity(count);
         for _ in 0..count {
--- a/crates/testkit/src/soak/inject/clients.rs
+++ b/crates/testkit/src/soak/inject/clients.rs
@@ -1,4 +1,4 @@
-//! Faults that clients cause: disconnects, stalled requests and connection floods.
+//! Faults of a soak test that faulty clients cause: disconnects, stalled requests and connection floods.
 
 use super::super::fault::FaultKind;
 use super::super::faulty_clients::FaultyClients;
@@ -9,9 +9,10 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The number of clients that disconnect at about the same time.
+/// The number of clients that one [`FaultKind::ClientDisconnect`] lets disconnect at about the same time.
 const DISCONNECTS: usize = 8;
-/// The number of connections in a flood: more than a scheduler of the plan accepts.
+/// The number of connections that a connection flood opens: more than a scheduler of the soak test's plan
+/// accepts.
 const FLOOD_CONNECTIONS: usize = 300;
 
 impl FaultInjector<'_> {
--- a/crates/testkit/src/soak/inject/discovery.rs
+++ b/crates/testkit/src/soak/inject/discovery.rs
@@ -1,4 +1,4 @@
-//! Faults of discovery: outages and delayed publication of changes.
+//! Faults of discovery in a soak test: outages, and delayed publication of changes to the endpoint list.
 
 use super::super::fault::FaultKind;
 use super::{track, FaultInjector};
@@ -7,7 +7,7 @@
 use tokio::time::{sleep, Instant};
 use vetchbridge_testbed::discovery::ResponseMode;
 
-/// By how much discovery delays the publication of changes during a [`FaultKind::DiscoveryDelay`].
+/// By how much discovery delays changes to the endpoint list during a [`FaultKind::DiscoveryDelay`].
 pub(in crate::soak) const PUBLICATION_DELAY: Duration = Duration::from_millis(800);
 
 impl FaultInjector<'_> {
--- a/crates/testkit/src/soak/inject/mod.rs
+++ b/crates/testkit/src/soak/inject/mod.rs
@@ -1,6 +1,6 @@
-//! Injects faults into the platform on several tracks at once. A track injects one fault at a time and cycles
-//! through its own kinds in an order drawn from the seed. Thus every kind happens, and faults of different
-//! tracks overlap.
+//! Injects faults into the platform of a soak test, on several tracks at once. A track injects one fault at a
+//! time and cycles through its own kinds of faults in an order drawn from the seed. Thus every kind happens,
+//! and faults of different tracks overlap.
 
 mod clients;
 mod discovery;
@@ -20,8 +20,8 @@
 
 pub(super) use discovery::PUBLICATION_DELAY;
 
-/// The numbers of the tracks, from which each track derives its own random sequence. For a constant named
-/// `FIRST_...`, the track's index is added to the number.
+/// The numbers of the tracks, which give each track a random sequence of its own. For several tracks of one
+/// kind, the constant `FIRST_...` is the number of the first; the index of a track is added to it.
 mod track {
     pub(super) const FIRST_SCHEDULERS: u64 = 1;
     pub(super) const WORKER_CRASHES: u64 = 10;
@@ -31,10 +31,11 @@
     pub(super) const FIRST_CLIENTS: u64 = 50;
 }
 
-/// The number of tracks that inject faults into schedulers. Each track has its own share of the schedulers.
+/// The number of tracks that inject faults into schedulers. Each of these tracks has its own share of the
+/// schedulers.
 const SCHEDULER_TRACKS: usize = 3;
 
-/// The state that all tracks share.
+/// The parts of the deployment, and the parameters, that all tracks of a soak test share.
 pub(super) struct FaultInjector<'a> {
     pub(super) seed: u64,
     pub(super) until: Instant,
@@ -44,7 +45,7 @@
 }
 
 impl FaultInjector<'_> {
-    /// Runs all tracks until the end of the load.
+    /// Runs all tracks until the load ends; a track that is injecting a fault at that time finishes it.
     pub(super) async fn run(
         &self,
         schedulers: &mut [Scheduler],
--- a/crates/testkit/src/soak/inject/schedule.rs
+++ b/crates/testkit/src/soak/inject/schedule.rs
@@ -1,4 +1,4 @@
-//! Chooses when a track injects its next fault, and of which kind.
+//! Chooses when a track of a soak test injects its next fault, and of which kind the fault is.
 
 use super::super::fault::FaultKind;
 use rand::seq::SliceRandom;
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// The longest pause between two faults of a track, in seconds.
+/// The longest random pause before a track's next fault, in seconds.
 const MAX_PAUSE_SECONDS: f64 = 0.8;
 
-/// Cycles through a track's kinds of faults, shuffled anew for each cycle, and draws the parameters of each
-/// fault.
+/// The sequence of a track's faults: cycles through the track's kinds of faults, shuffled anew for each
+/// cycle, and draws the parameters of each fault.
 pub(super) struct FaultSchedule {
     pub(super) random: Pcg64,
     kinds: Vec<FaultKind>,
@@ -27,7 +27,8 @@
         FaultSchedule { random, kinds, next_index: 0, until }
     }
 
-    /// Waits for a random pause and returns the next kind; `None` once the end of the load is reached.
+    /// Waits for a random pause and returns the kind of the track's next fault; `None` once the load has
+    /// ended.
     pub(super) async fn next(&mut self) -> Option<FaultKind> {
         let pause = Duration::from_secs_f64(self.random.random_range(0.0..MAX_PAUSE_SECONDS));
         sleep(pause).await;
@@ -47,7 +48,7 @@
         &items[self.random.random_range(0..items.len())]
     }
 
-    /// Returns a random duration between two numbers of seconds.
+    /// Returns a random duration between two durations, which are given in seconds.
     pub(super) fn duration(&mut self, min_seconds: f64, max_seconds: f64) -> Duration {
         Duration::from_secs_f64(self.random.random_range(min_seconds..max_seconds))
     }
--- a/crates/testkit/src/soak/inject/schedulers.rs
+++ b/crates/testkit/src/soak/inject/schedulers.rs
@@ -1,4 +1,4 @@
-//! Faults of schedulers: restarts, upgrades, drains, reloads and crashes.
+//! Faults of schedulers in a soak test: restarts, upgrades, drains, reloads, moves of discovery, and crashes.
 
 use super::super::fault::FaultKind;
 use super::schedule::FaultSchedule;
@@ -10,8 +10,8 @@
 use tokio::time::{sleep, Instant};
 
 impl FaultInjector<'_> {
-    /// Injects faults into some of the schedulers, on one track. `first` is the number of the first scheduler
-    /// in `schedulers`.
+    /// Runs the track with this `index`, which injects faults into its share of the schedulers. `first` is
+    /// the number of the first scheduler in `schedulers`.
     pub(super) async fn inject_scheduler_faults(
         &self,
         index: usize,
@@ -25,7 +25,8 @@
             FaultKind::SchedulerReload,
             FaultKind::DiscoveryMove,
         ];
-        // Only one track crashes schedulers, so that no two schedulers are down at once.
+        // Only the first track crashes schedulers, so that no two schedulers are down after a crash at the
+        // same time.
         if index == 0 {
             kinds.push(FaultKind::SchedulerCrash);
         }
@@ -66,8 +67,8 @@
         Ok(())
     }
 
-    /// Moves the discovery of one scheduler to another address, writes the address to the scheduler's
-    /// configuration and makes the scheduler reload it.
+    /// Moves discovery to another address for one scheduler, writes this address to the scheduler's
+    /// configuration file, and makes the scheduler reload the file.
     fn move_discovery(&self, scheduler: &Scheduler, number: usize) -> Result<(), Failure> {
         let old = self.discovery.address(number).to_string();
         let new =
--- a/crates/testkit/src/soak/inject/workers.rs
+++ b/crates/testkit/src/soak/inject/workers.rs
@@ -1,4 +1,4 @@
-//! Faults of workers: crashes, drains, slowdowns, refused connections, and responses of a broken or
+//! Faults of workers in a soak test: crashes, drains, slowdowns, rejected jobs, and responses of a faulty or
 //! overloaded program.
 
 use super::super::fault::FaultKind;
@@ -10,11 +10,11 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use vetchbridge_testbed::worker::{JobBehavior, Worker};
 
-/// How long a worker is published as draining: long enough for schedulers to learn of the drain despite an
-/// outage.
+/// How long discovery publishes a worker as draining: long enough for schedulers to learn of the drain
+/// despite an outage of discovery.
 const DRAIN_TIME: Duration = Duration::from_secs(13);
 
-/// The faulty ways in which a worker may handle an attempt.
+/// The faulty ways in which a worker may handle one attempt.
 const MISBEHAVIOR: [JobBehavior; 15] = [
     JobBehavior::Answer { status: 500, never_ran: false },
     JobBehavior::Answer { status: 503, never_ran: true },
@@ -34,7 +34,8 @@
 ];
 
 impl FaultInjector<'_> {
-    /// Crashes workers one after another. About half of the crashes are published by discovery.
+    /// Crashes and restarts workers, one at a time. For about half of the crashes, the worker's jobs are
+    /// reported as lost and discovery removes the worker from the endpoint list.
     pub(super) async fn crash_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
         let mut schedule = self.schedule(track::WORKER_CRASHES, &[FaultKind::WorkerCrash]);
         while let Some(kind) = schedule.next().await {
@@ -52,7 +53,7 @@
         Ok(())
     }
 
-    /// Drains half of the workers repeatedly, each on its own track.
+    /// Publishes half of the given workers as draining repeatedly, each worker on a track of its own.
     pub(super) async fn drain_workers(&self, workers: &[Worker]) -> Result<(), Failure> {
         let half = workers.iter().take(workers.len().div_ceil(2)).enumerate();
         join_all(half.map(|(index, worker)| self.drain_worker(index as u64, worker))).await;
@@ -64,7 +65,8 @@
         while let Some(kind) = schedule.next().await {
             let started = Instant::now();
             self.discovery.list_as_draining(worker);
-            // The worker keeps accepting attempts, so that attempts that come too late are recorded.
+            // The worker keeps accepting attempts, so that attempts that schedulers send too late are
+            // recorded.
             sleep_until((started + DRAIN_TIME).min(self.until)).await;
             self.log.record(kind, &worker.spec().name, started);
             self.discovery.list_as_up(worker);
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Slows workers down, makes them refuse connections, and makes them mishandle attempts.
+    /// Slows workers down, makes them reject all jobs, and makes them mishandle attempts, for one worker at a
+    /// time.
     pub(super) async fn inject_worker_faults(&self, workers: &[Worker]) -> Result<(), Failure> {
         let kinds = [FaultKind::WorkerMisbehavior, FaultKind::WorkerSlowdown, FaultKind::WorkerRefusal];
         let mut schedule = self.schedule(track::WORKER_MISBEHAVIOR, &kinds);
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -1,11 +1,12 @@
 //! The soak test: a few dozen real schedulers under load, with platform faults that overlap in time and with
-//! failing system calls. One seed determines all faults. Invariants decide whether the test passes.
+//! failing system calls in the schedulers. One seed determines all faults. Invariants decide whether the test
+//! passes.
 //!
 //! - [`fault`]: the kinds of platform faults, and the log of injected faults;
 //! - `inject`: injects faults into schedulers, workers and discovery, and through `faulty_clients`;
 //! - `syscall_faults`: failing system calls in the schedulers' processes;
-//! - [`checks`]: compares the observations with the invariants;
-//! - [`report`]: the result.
+//! - [`checks`]: compares the observations of the test with the invariants;
+//! - [`report`]: the result of the test.
 
 pub mod checks;
 pub mod fault;
@@ -36,21 +37,21 @@
 use vetchbridge_testbed::audit::{audit_jobs, Outage, Violation};
 use vetchbridge_testbed::client::{Clients, LoadRecord};
 
-/// The shortest duration in which every kind of fault must happen.
+/// The shortest duration of a soak test in which every kind of fault must happen.
 const FULL_LENGTH: Duration = Duration::from_secs(30);
 
-/// The parameters of a soak test.
+/// The parameters of a soak test, which the command line sets.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSpec {
-    /// The seed of all faults.
+    /// The seed from which all faults are drawn.
     pub seed: u64,
     /// How long the load lasts.
     pub duration: Duration,
-    /// The number of schedulers; `None` means the plan's number.
+    /// The number of schedulers; `None` means the number in the soak test's plan.
     pub schedulers: Option<usize>,
 }
 
-/// Runs a soak test and returns its report.
+/// Runs a soak test with the built-in plan `soak` and returns the test's report.
 pub async fn run(
     spec: SoakSpec,
     daemon: Option<&Path>,
@@ -72,7 +73,7 @@
     Ok(judge_run(spec, deployment, observed, early_exit).await)
 }
 
-/// Observations from outside the schedulers while they ran.
+/// What the soak test observed from outside the schedulers while they ran.
 struct Observed {
     faults: Vec<InjectedFault>,
     load: LoadRecord,
@@ -80,7 +81,7 @@
     clients: FaultyClients,
 }
 
-/// Sends the load and injects faults until both end.
+/// Sends the load and injects faults until the load and the faults have ended, and returns the observations.
 async fn run_load(
     spec: SoakSpec,
     plan: &Plan,
@@ -115,8 +116,9 @@
     Ok(Observed { faults: log.faults(), load: record, classes: load.classes, clients: faulty_clients })
 }
 
-/// Shuts the deployment down and judges the run. `early_exit` describes a scheduler that exited on its own.
-/// Reads the logs after the shutdown, because schedulers log violations during the shutdown too.
+/// Shuts the deployment down and checks the observations. `early_exit` describes a scheduler that exited on
+/// its own. The schedulers' logs are read after the shutdown, because schedulers log violations during the
+/// shutdown too.
 async fn judge_run(
     spec: SoakSpec,
     mut deployment: Deployment,
@@ -130,7 +132,8 @@
         deployment.runs.clone(),
         deployment.load_balancer.detection_delay(),
     );
-    // The directory is removed at the end of this function, after its logs and counts have been read.
+    // A temporary directory is removed at the end of this function, after the logs and fault counts in it
+    // have been read.
     let _temporary = deployment.take_temporary_directory();
     let failed_shutdowns = deployment.shut_down().await;
     let outages = outages(&observed.faults, detection_delay);
@@ -162,8 +165,8 @@
     }
 }
 
-/// Returns the audit's violations except runs of requests that the faulty clients sent: the audit knows only
-/// the load's requests.
+/// Returns the audit's violations, except unknown requests that the faulty clients sent: the audit knows only
+/// the requests of the load.
 fn audit_violations(found: Vec<Violation>, clients: &FaultyClients) -> Vec<InvariantViolation> {
     let ids = clients.request_ids();
     let is_of_faulty_client =
--- a/crates/testkit/src/soak/report.rs
+++ b/crates/testkit/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! The result of a soak test, as data and as text.
+//! The result of a soak test, as a data structure and as text.
 
 use super::checks::InvariantViolation;
 use super::fault::{FaultKind, InjectedFault};
@@ -6,30 +6,30 @@
 use std::collections::BTreeSet;
 use vetchbridge_testbed::audit::Answers;
 
-/// The number of violations that the text lists.
+/// The largest number of violations that the text of a report lists.
 const MAX_LISTED_VIOLATIONS: usize = 20;
 
-/// The injected faults and the violated invariants.
+/// The result of a soak test: the injected faults and the violated invariants.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// The seed of all faults.
+    /// The seed from which all faults of the test were drawn.
     pub seed: u64,
-    /// Whether the test lasted long enough for every kind of fault to happen.
+    /// Whether the test lasted long enough that every kind of fault must have happened.
     pub is_full_length: bool,
-    /// The number of jobs in the load.
+    /// The number of jobs that the load's clients sent.
     pub jobs: usize,
-    /// The number of requests by how they ended.
+    /// The numbers of clients' requests by outcome.
     pub answers: Answers,
     /// The injected platform faults, in the order of their start.
     pub faults: Vec<InjectedFault>,
-    /// The number of injected system call faults, by fault.
+    /// The number of injected system call faults, for each kind of fault that may be injected.
     pub syscall_faults: Vec<SyscallFaultCount>,
-    /// The violations of invariants.
+    /// The violations of invariants, including those that the exactly-once audit found.
     pub violations: Vec<InvariantViolation>,
 }
 
 impl SoakReport {
-    /// Returns the number of pairs of platform faults that overlapped in time.
+    /// Returns the number of pairs of injected platform faults that overlapped in time.
     pub fn overlaps(&self) -> usize {
         let pairs_with_later = |(index, fault): (usize, &InjectedFault)| {
             self.faults[index + 1..].iter().filter(|other| fault.overlaps(other)).count()
@@ -37,8 +37,8 @@
         self.faults.iter().enumerate().map(pairs_with_later).sum()
     }
 
-    /// Returns a line for each kind of fault that never happened; empty if the test was too short to require
-    /// all kinds.
+    /// Returns a line for each kind of fault that was never injected; empty if the test was too short to
+    /// require all kinds.
     pub fn missing(&self) -> Vec<String> {
         if !self.is_full_length {
             return Vec::new();
@@ -79,7 +79,8 @@
         text
     }
 
-    /// Whether no invariant was violated and every required kind of fault happened.
+    /// Whether no invariant was violated and every kind of fault happened, if the test was long enough to
+    /// require all kinds.
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.missing().is_empty()
     }
--- a/crates/testkit/src/soak/syscall_faults.rs
+++ b/crates/testkit/src/soak/syscall_faults.rs
@@ -1,24 +1,26 @@
-//! System call faults in the schedulers: which calls fail, at which rates, and how often they failed.
+//! Faults of system calls in the schedulers of a soak test: which calls fail, at which rates, and how often
+//! they failed.
 //!
-//! The library that injects these faults lies beside the kit's executable and is preloaded into the
-//! schedulers only.
+//! A shared library injects these faults. The library lies beside the kit's executable and is preloaded into
+//! the schedulers' processes only.
 
 use crate::{io_failure, Failure};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::path::{Path, PathBuf};
 
-/// The file name of the library.
+/// The file name of the library that injects the faults.
 const LIBRARY: &str = "libsyscall_faults.so";
 /// The number of fault kinds that the library counts.
 const FAULT_KINDS: usize = 14;
-/// The fault that is configured by a step and a time instead of a rate.
+/// The name of the fault that is configured by a step of the wall clock and a time instead of a rate.
 const CLOCK_STEPPED: &str = "clock.stepped";
 
-/// A fault that the library can inject.
+/// A kind of fault that the library can inject into system calls.
 struct SyscallFault {
     name: &'static str,
-    /// The highest rate that may be drawn, as a share of calls; 0 if the soak test never injects the fault.
+    /// The highest rate at which the fault may be injected, as a share of the system calls that the fault
+    /// applies to; 0 if the soak test never injects the fault at a rate.
     max_rate: f64,
 }
 
@@ -26,8 +28,8 @@
     SyscallFault { name, max_rate }
 }
 
-/// The faults in the library's order. Writes to files never fail, because violations are read from the log
-/// files.
+/// The kinds of faults, in the order in which the library counts them. Writes to files never fail, because
+/// the soak test reads violations from the schedulers' log files.
 const FAULTS: [SyscallFault; FAULT_KINDS] = [
     fault("recv.interrupted", 0.05),
     fault("recv.short", 0.2),
@@ -44,26 +46,27 @@
     fault("file.sync", 0.0),
     fault(CLOCK_STEPPED, 0.0),
 ];
-/// The possible steps of the wall clock, in seconds.
+/// The steps by which the wall clock of a scheduler may be moved, in seconds.
 const CLOCK_STEPS_SECONDS: [f64; 4] = [-3600.0, -5.0, 5.0, 3600.0];
-/// The latest time of a clock step, in seconds after a scheduler's start.
+/// The latest time of a step of the wall clock, in seconds after the start of a scheduler's process.
 const MAX_CLOCK_STEP_DELAY_SECONDS: f64 = 6.0;
 
-/// The number of times a fault was injected.
+/// The number of times that the library injected one kind of fault, over all schedulers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SyscallFaultCount {
-    /// The fault's name.
+    /// The name of the fault's kind.
     pub name: &'static str,
-    /// A lower bound of the number of injections.
+    /// A lower bound of the number of times that the fault was injected.
     pub count: u64,
 }
 
-/// The faults of one scheduler, in the library's configuration format.
+/// The system call faults of one scheduler, in the library's configuration format.
 pub(super) struct SyscallFaultPlan(String);
 
 impl SyscallFaultPlan {
-    /// Draws the faults of one scheduler. Each fault is included with a probability of one half, at a random
-    /// rate up to its maximum; a clock step is included with a probability of one half.
+    /// Draws the system call faults of one scheduler. Each kind of fault is included with a probability of
+    /// one half, at a random rate up to its maximum; a step of the wall clock is included with a probability
+    /// of one half.
     pub(super) fn draw(seed: u64, scheduler: usize) -> SyscallFaultPlan {
         let mut random = Pcg64::seed_from_u64(seed ^ ((scheduler as u64 + 1) << 32));
         let mut text = format!("seed={}", seed.wrapping_mul(1000).wrapping_add(scheduler as u64));
@@ -81,7 +84,8 @@
         SyscallFaultPlan(text)
     }
 
-    /// Returns the environment variables that make the library inject the faults into a scheduler's process.
+    /// Returns the environment variables that make the library inject these faults into a scheduler's
+    /// process.
     pub(super) fn environment(
         &self,
         library: &Path,
@@ -98,7 +102,7 @@
     }
 }
 
-/// Finds the library beside this executable or in cargo's `deps` folder.
+/// Returns the path of the library beside the kit's executable or in cargo's `deps` folder.
 pub(super) fn find_library() -> Result<PathBuf, Failure> {
     let program = std::env::current_exe().map_err(io_failure("path of the kit's executable"))?;
     let beside = [program.with_file_name(LIBRARY), program.with_file_name("deps").join(LIBRARY)];
@@ -109,8 +113,8 @@
     })
 }
 
-/// Returns how often each fault that may be drawn was injected. The counts are lower bounds, because a
-/// successor's counts replace those of its predecessor.
+/// Returns how often each kind of fault that may be drawn was injected. The counts are lower bounds, because
+/// the counts of an upgrade's successor process replace those of its predecessor process.
 pub(super) fn read_counts(directory: &Path) -> Vec<SyscallFaultCount> {
     let mut sums = [0; FAULT_KINDS];
     let entries = std::fs::read_dir(directory).into_iter().flatten().flatten();
--- a/crates/testkit/tests/commands.rs
+++ b/crates/testkit/tests/commands.rs
@@ -1,5 +1,5 @@
-//! The kit's commands as a user runs them: real schedulers under load, killed schedulers, invalid input,
-//! limits of the machine, and Ctrl-C.
+//! Tests the kit's commands as a user runs them: real schedulers under load, killed schedulers, invalid
+//! input, limits of the machine, and Ctrl-C.
 #![allow(missing_docs)]
 
 mod common;
@@ -28,7 +28,7 @@
     assert!(Command::new("kill").args(["-INT", &pid]).status().expect("kill runs").success());
 }
 
-/// Whether a process runs; a zombie process does not.
+/// Whether a process runs; a zombie process does not run.
 fn is_running(pid: &str) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     status.lines().any(|line| line.starts_with("State:") && !line.contains('Z'))
@@ -42,12 +42,12 @@
     let report: Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(report["violations"], serde_json::json!([]), "{report:#}");
     assert!(report["jobs"].as_u64().expect("jobs") > 200, "{report:#}");
-    // Almost every job had an attempt of its own; keyed jobs of the killed schedulers were not run again.
+    // Almost every job had an attempt of its own. Keyed jobs whose scheduler was killed were not run again.
     assert!(report["attempts_per_job"].as_f64().expect("attempts") >= 0.9, "{report:#}");
     assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", stderr(&output));
 }
 
-/// Upgrades and drains are invisible to clients: no request loses its connection, and every scheduler stays
+/// Clients must not notice upgrades and drains: no request loses its connection, and every scheduler stays
 /// reachable.
 #[test]
 fn a_demo_loses_no_request_while_schedulers_are_upgraded_and_drained() {
@@ -62,7 +62,7 @@
     assert!(matches!(output.status.code(), Some(0 | 3)), "{}: {report:#}", stderr(&output));
 }
 
-/// An upgrade that loses the predecessor's requests is reported as a violation.
+/// The report must list the requests that an upgrade loses with the predecessor process as violations.
 #[test]
 fn requests_that_an_abrupt_upgrade_loses_are_reported() {
     let daemon = daemon();
@@ -122,13 +122,14 @@
     }
 }
 
-/// A plan may contain as many schedulers and workers as a large deployment has.
+/// A plan may contain as many schedulers and workers as a large deployment has, such as 1200 of each.
 #[test]
 fn a_plan_of_many_schedulers_and_workers_is_accepted() {
     let demo = String::from_utf8(run(&["plan", "show", "demo"]).stdout).expect("text");
     let table = |name: &str| demo.find(name).expect("a table");
     let mut plan = demo.clone();
-    // Replaces from the end of the text, so that earlier positions stay valid.
+    // The replacement starts at the end of the plan's text, so that the positions of earlier tables stay
+    // valid.
     let mut tables = [table("[schedulers]"), table("[[peers]]")];
     tables.sort_unstable();
     for table in tables.into_iter().rev() {
@@ -206,7 +207,7 @@
             .spawn()
             .expect("the kit starts");
         let mut lines = BufReader::new(kit.stderr.take().expect("piped")).lines().map_while(Result::ok);
-        // The first line of progress shows that the load is running.
+        // The first line about the load's progress shows that the load is running.
         lines.find(|line| line.contains(" sent, ")).expect("progress");
         interrupt(&kit);
         lines
@@ -221,7 +222,8 @@
         if interrupt_twice && code == Some(130) {
             assert!(printed.is_empty(), "{printed}");
         } else {
-            // The second signal may arrive after the end of the load; the report is then complete.
+            // The second Ctrl-C may reach the kit after the load has ended; the kit then prints a complete
+            // report.
             let report: Value = serde_json::from_str(&printed).expect("JSON");
             assert!(report["jobs"].as_u64().expect("jobs") > 0);
             assert!(matches!(code, Some(0 | 3)), "{code:?}: {printed}");
--- a/crates/testkit/tests/deployment.rs
+++ b/crates/testkit/tests/deployment.rs
@@ -1,5 +1,5 @@
-//! Tests a deployment that has nothing in common with the demonstration's: real schedulers run the built-in
-//! plan `scans` while its workers misbehave and its discovery is unavailable.
+//! Tests a deployment whose plan has nothing in common with the demonstration's: real schedulers run the
+//! built-in plan `scans` while its workers misbehave and its discovery is unavailable.
 #![allow(missing_docs)]
 
 mod common;
@@ -26,7 +26,8 @@
 /// How long discovery stays unavailable.
 const OUTAGE_TIME: Duration = Duration::from_secs(2);
 
-/// Returns each way in which a worker may report, or fail to report, whether a job ran; each twice.
+/// Returns the scripted behaviors of a worker that reports, or fails to report, whether a job ran; each
+/// behavior twice.
 fn misbehavior() -> Vec<JobBehavior> {
     let once = [
         JobBehavior::Lose,
@@ -42,7 +43,8 @@
 }
 
 /// Runs a deployment while its discovery is unavailable and each worker misbehaves, and audits the run. The
-/// schedulers are configured by `scheduler_plan`; the clients and the audit use `plan`.
+/// schedulers are configured by `scheduler_plan`; the clients and the audit use `plan`, which may differ from
+/// it.
 async fn run_deployment(scheduler_plan: &Plan, plan: &Plan, outage: ResponseMode) -> Audit {
     let mut deployment =
         Deployment::start(scheduler_plan, Some(&daemon()), None, &[]).await.expect("a deployment");
@@ -55,8 +57,8 @@
         sleep(OUTAGE_START).await;
         deployment.discovery.fail(outage, OUTAGE_TIME).await;
         let calls = deployment.discovery.calls();
-        // Each scheduler draws the time of its next call at random; this loop waits for the first call after
-        // the outage.
+        // Each scheduler draws the time of its next call to discovery at random; this loop waits for the
+        // first call after the outage of discovery.
         while deployment.discovery.calls() == calls {
             sleep(Duration::from_millis(20)).await;
         }
@@ -93,12 +95,12 @@
         assert_eq!(verdict.violations, [], "{verdict:?}");
         let answers = verdict.answers;
         assert_eq!((answers.lost, answers.unanswered, answers.unreachable), (0, 0, 0), "{verdict:?}");
-        // Jobs that may have run and must not run again fail; all other jobs are served.
+        // Jobs that may have run and must not run again fail; clients get the results of all other jobs.
         assert!(answers.failed > 0 && answers.served > 5 * answers.failed, "{verdict:?}");
     }
 }
 
-/// The audit detects schedulers that are configured to treat the non-idempotent class as idempotent.
+/// The audit must detect schedulers that are configured to treat the non-idempotent class as idempotent.
 #[tokio::test(flavor = "multi_thread")]
 async fn schedulers_that_retry_non_idempotent_jobs_are_detected() {
     let (mut scheduler_plan, plan) = (scans(), scans());
--- a/crates/testkit/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -1,5 +1,5 @@
-//! How `make test` treats KNOWN-RED.txt, tested in a temporary workspace whose tests fail or hang as
-//! environment variables specify.
+//! Tests how `make test` treats the tests that KNOWN-RED.txt lists as known to fail. The tests run in a
+//! temporary workspace, whose own tests fail or hang as environment variables specify.
 #![allow(missing_docs)]
 
 use rstest::rstest;
@@ -11,8 +11,8 @@
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
-/// The workspace has two packages, the first in a folder of another name. Both have a test `stories fails`,
-/// and the name of another test starts with this name.
+/// The files of the temporary workspace. It has two packages, the first in a folder of another name. Both
+/// packages have a test `stories fails`, and the name of another test starts with this name.
 const FILES: &[(&str, &str)] = &[
     (
         "Cargo.toml",
@@ -97,7 +97,8 @@
         self
     }
 
-    /// Returns how many tests counted as passed, failed and skipped in the result lines of `cargo test`.
+    /// Returns the numbers of tests that passed, failed and were skipped, in this order, from the result
+    /// lines of `cargo test`.
     fn counts(&self) -> [usize; 3] {
         let results = self.stdout.lines().filter(|line| line.starts_with("test result: "));
         results.fold([0; 3], |counts, line| {
@@ -134,7 +135,7 @@
         self.0.path()
     }
 
-    /// Copies files of this repository to the same paths in the workspace.
+    /// Copies files of this repository to the same paths in the temporary workspace.
     fn copy_files(&self, files: &[&str]) {
         fs::create_dir_all(self.path().join(".ci")).expect("a folder");
         for file in files {
@@ -150,7 +151,7 @@
             .env("CARGO_NET_OFFLINE", "true")
             .env("CARGO_TERM_COLOR", "never")
             .env("CARGO_INCREMENTAL", "0");
-        // The `make` that runs this test sets these variables.
+        // The `make` that runs this test sets these variables; they must not reach the `make` under test.
         command.env_remove("MAKEFLAGS").env_remove("MFLAGS").env_remove("MAKELEVEL");
         command
     }
@@ -159,7 +160,7 @@
         fs::write(self.path().join("KNOWN-RED.txt"), text).expect("the file is written");
     }
 
-    /// Runs `make test` while the named tests fail.
+    /// Runs `make test` in the temporary workspace while the tests named in `failing` fail.
     fn test(&self, failing: &str) -> Run {
         Self::run(self.command("make", &["test"]).env("FAILING", failing))
     }
@@ -192,9 +193,10 @@
     let run = workspace.test("first::stories fails");
     run.assert_success(true)
         .assert_prints("known red: first::stories fails: failed as known (the cause; issue 7)");
-    // The output of the listed test is shown, but not as a result that counts.
+    // The output of the test that KNOWN-RED.txt lists is shown, but not as a result that counts.
     assert!(run.stdout.contains("\n  | first::stories fails fails as configured\n"), "{}", run.stdout);
-    // The counted tests include the doc test and the tests with an extended or equal name elsewhere.
+    // The counted tests include the doc test, and the tests elsewhere whose name equals the listed name or
+    // starts with it.
     assert_eq!(run.counts(), [7, 0, 1], "{}", run.stdout);
     run.assert_prints("test fails_more ... ok")
         .assert_prints("test what::fails ... ok")
@@ -321,7 +323,7 @@
         .contains("cannot find function `nothing`"));
 }
 
-/// CI runs the Makefile's targets in order and stops at the first that fails.
+/// CI runs the Makefile's targets in order and stops at the first target that fails.
 #[rstest]
 #[case::all_pass("true", true, &["lint", "test", "demo", "demo", "soak"])]
 #[case::a_test_fails("false", false, &["lint", "test"])]
