--- a/crates/testbed/src/arrivals/load.rs
+++ b/crates/testbed/src/arrivals/load.rs
@@ -8,8 +8,7 @@
 pub enum Idempotency {
     /// A job may run any number of times.
     Idempotent,
-    /// A job carries an idempotency key. Workers run a job with the key once within this time and deduplicate
-    /// repeats.
+    /// A job carries an idempotency key. Workers deduplicate repeated runs of the job within this time.
     Keyed(Duration),
     /// A job must never run twice.
     NonIdempotent,
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -29,7 +29,7 @@
 
 /// Time limit for connecting to a target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which an idle connection is no longer reused.
+/// Time after which clients no longer reuse an idle connection to a target.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The clients that send a load. Clones share their connections and the round robin over the targets.
--- a/crates/testbed/src/client/exchange.rs
+++ b/crates/testbed/src/client/exchange.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Sends a request and reads its response.
+/// Sends the request of an attempt and returns the outcome of the attempt and the response's `Retry-After`.
 pub(super) async fn exchange(http: &HttpClient, request: Request<Full<Bytes>>) -> Response {
     let response = match http.request(request).await {
         Ok(response) => response,
--- a/crates/testbed/src/client/retry.rs
+++ b/crates/testbed/src/client/retry.rs
@@ -4,8 +4,8 @@
 use crate::arrivals::Idempotency;
 use std::time::Duration;
 
-/// The difference between the ids of a job's consecutive attempts, modulo 2^64. The number is odd so that no
-/// two attempts of a job have equal ids.
+/// The difference between the request ids of a job's consecutive attempts, modulo 2^64. The number is odd so
+/// that no two attempts of a job have equal ids.
 const ATTEMPT_ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Returns the request id of a job's attempt with this number; two attempts of a job never have the same id.
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -36,7 +36,7 @@
     Truncate,
 }
 
-/// The state that the tasks of all ports share.
+/// The state of the discovery service, which the tasks of all its ports share.
 struct State {
     endpoints: EndpointList,
     response_mode: ResponseMode,
--- a/crates/testbed/src/discovery/endpoints.rs
+++ b/crates/testbed/src/discovery/endpoints.rs
@@ -13,7 +13,7 @@
     Up,
     /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// The worker is no longer part of the list.
+    /// The worker is no longer part of the endpoint list.
     Removed,
 }
 
@@ -33,7 +33,7 @@
 pub struct Endpoint {
     /// The worker's name.
     pub name: String,
-    /// The worker's address for each scheduler, in the order of the schedulers.
+    /// The address at which each scheduler reaches the worker, in the order of the schedulers.
     pub addresses: Vec<SocketAddr>,
     /// The worker's zone.
     pub zone: String,
--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -31,7 +31,7 @@
         let since = query_number(&request, "index");
         if let Some(since) = since {
             let wait = query_number(&request, "wait").unwrap_or(0).min(MAX_WAIT_MS);
-            // A timeout is no error: the call is answered with or without a change.
+            // A timeout is no error: the watch gets a response whether the endpoint list has changed or not.
             let _ = timeout(Duration::from_millis(wait), wait_for_change(&shared, since)).await;
         }
         let (document, response_mode) = {
@@ -45,7 +45,7 @@
             ResponseMode::Reset => return connection.reset(),
             ResponseMode::Silent => return connection.wait_for_close().await,
             ResponseMode::Truncate => {
-                // A failed write needs no handling: the connection closes in either case.
+                // A failed write needs no handling: the connection closes whether or not the write succeeds.
                 let _ = write_half(&mut connection, &document).await;
                 return;
             }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -34,9 +34,9 @@
     pub class: String,
     /// The object that the job needs, from the request path.
     pub object: String,
-    /// The worker's name.
+    /// The name of the worker that ran the job.
     pub worker: String,
-    /// When the run started, from the start of the recording.
+    /// When the run started, counted from the start of the recording.
     pub started: Duration,
     /// How the run ended, or [`RunEnd::Running`].
     pub end: RunEnd,
@@ -58,9 +58,9 @@
 pub struct AttemptArrival {
     /// The attempt's request id.
     pub id: u64,
-    /// The worker's name.
+    /// The name of the worker at which the attempt arrived.
     pub worker: String,
-    /// When the attempt arrived, from the start of the recording.
+    /// When the attempt arrived, counted from the start of the recording.
     pub at: Duration,
     /// How long the scheduler waits for the end of the job, if the request states that time.
     pub expires_in: Option<Duration>,
@@ -69,7 +69,7 @@
 /// Numbers of attempts that arrived at workers, over all workers that share the record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// Number of attempts that arrived.
+    /// Number of attempts whose complete requests arrived at workers.
     pub arrived: u64,
     /// Number of attempts that did not run because they repeated a keyed job.
     pub deduplicated: u64,
--- a/crates/testbed/src/stats.rs
+++ b/crates/testbed/src/stats.rs
@@ -62,7 +62,7 @@
 /// Configuration of a worker's load reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatsSpec {
-    /// The fields of a report, in order.
+    /// The fields of a load report, in the order in which the report lists them.
     pub fields: Vec<Field>,
     /// Interval at which the reported load is refreshed; with zero, each report contains the worker's load at
     /// the time that `delay` defines.
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -44,7 +44,7 @@
 }
 
 impl ObjectCache {
-    /// Creates an empty cache.
+    /// Creates the object cache of a worker, without objects.
     pub fn new(spec: Option<CacheSpec>) -> ObjectCache {
         ObjectCache { spec, objects: Mutex::default() }
     }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -80,8 +80,8 @@
         &mut self.stream
     }
 
-    /// Receives more bytes. Returns `None` at the end of the connection, or if more than [`MAX_PART_BYTES`]
-    /// unread bytes have been received.
+    /// Receives more bytes from the other end. Returns `None` at the end of the connection, or if more than
+    /// [`MAX_PART_BYTES`] unread bytes have been received.
     async fn receive(&mut self) -> Option<()> {
         match self.stream.read_buf(&mut self.received).await {
             Ok(read) if read > 0 && self.received.len() <= MAX_PART_BYTES => Some(()),
--- a/crates/testbed/src/worker/callbacks.rs
+++ b/crates/testbed/src/worker/callbacks.rs
@@ -20,7 +20,7 @@
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay after a failed attempt to send a callback, before the next attempt.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long an idle connection to a scheduler is reused.
+/// How long a worker reuses an idle connection to a scheduler for callbacks.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A change of a job's state that a callback reports to the scheduler.
@@ -100,7 +100,7 @@
 pub(super) enum Delivery {
     /// The complete callback at once; retried until the scheduler responds.
     Retried,
-    /// One byte at a time, without retries.
+    /// The callback one byte at a time, without retries.
     ByteByByte,
 }
 
--- a/crates/testbed/src/worker/script.rs
+++ b/crates/testbed/src/worker/script.rs
@@ -6,7 +6,7 @@
 /// How a worker behaves towards one job that a scheduler sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobBehavior {
-    /// Serves the job normally.
+    /// Accepts the job with 202, runs it and sends its callbacks.
     Serve,
     /// Responds to the job's request with `status` instead of 202 and does not run the job.
     Answer {
--- a/crates/testbed/src/worker/server.rs
+++ b/crates/testbed/src/worker/server.rs
@@ -14,7 +14,7 @@
 
 /// The listener on the port that one scheduler connects to.
 pub(super) struct SchedulerListener {
-    /// The listening socket.
+    /// The listening socket on the worker's port for the scheduler.
     pub(super) listener: TcpListener,
     /// Address of the scheduler that connects to the listener; callbacks are sent to this address.
     pub(super) scheduler: SocketAddr,
--- a/crates/testbed/src/worker/state.rs
+++ b/crates/testbed/src/worker/state.rs
@@ -128,7 +128,7 @@
         self.draining.send_replace(false);
     }
 
-    /// Whether the worker accepts another job.
+    /// Whether the worker would accept another job at present.
     pub(super) fn has_capacity(&self) -> bool {
         let state = self.lock();
         let has_capacity = state.waiting < self.spec.max_queued || self.slots.free() > state.waiting;
@@ -154,7 +154,7 @@
 
 /// Load reports of the worker.
 impl WorkerState {
-    /// Adds the current load to the load history.
+    /// Adds the worker's current load to its load history.
     pub(super) fn record_load(&self) {
         let free = self.slots.free();
         let state = &mut *self.lock();
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -59,7 +59,7 @@
     pub loaded_kib: u64,
 }
 
-/// The result of a benchmark.
+/// The result of a benchmark: the relay compared with the variants of the daemon.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
     /// The figures of the relay, then those of each variant of the daemon.
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -29,7 +29,7 @@
 pub struct Deployment {
     /// The schedulers; a scheduler's number is its index.
     pub schedulers: Vec<Scheduler>,
-    /// The simulated workers.
+    /// The simulated workers, in the order of the plan.
     pub workers: Vec<Worker>,
     /// The simulated discovery service.
     pub discovery: Discovery,
@@ -189,7 +189,7 @@
     }
 
     /// Waits until every scheduler has passed a readiness check of the load balancer. Fails after
-    /// [`READY_TIMEOUT`].
+    /// `READY_TIMEOUT`.
     pub async fn wait_until_ready(&mut self) -> Result<(), Failure> {
         let (started, mut poll) = (Instant::now(), interval(READY_POLL_INTERVAL));
         while self.load_balancer.ready_schedulers() < self.schedulers.len() {
--- a/crates/testkit/src/runner/faults.rs
+++ b/crates/testkit/src/runner/faults.rs
@@ -25,7 +25,7 @@
     /// A successor process takes over, and the predecessor process is killed by SIGKILL as soon as the
     /// successor process is ready.
     AbruptUpgrade,
-    /// The scheduler is drained and resumes after [`DRAINED_TIME`].
+    /// The scheduler is drained and resumes after `DRAINED_TIME`.
     Drain,
 }
 
--- a/crates/testkit/src/scheduler/process.rs
+++ b/crates/testkit/src/scheduler/process.rs
@@ -69,7 +69,7 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// Kills the process by SIGKILL.
+    /// Kills the process by SIGKILL and waits for its exit.
     pub(super) async fn kill(&mut self) {
         // `Child::kill` fails only if the process has already exited.
         let _ = self.child.kill().await;
--- a/crates/testkit/src/soak/checks.rs
+++ b/crates/testkit/src/soak/checks.rs
@@ -111,9 +111,9 @@
 /// The observations of one run of the soak test, which the checks judge; times count from the deployment's
 /// epoch.
 pub struct Evidence<'a> {
-    /// The injected faults.
+    /// The platform faults that the test injected.
     pub faults: &'a [InjectedFault],
-    /// The attempts that arrived at workers.
+    /// The attempts whose complete requests arrived at workers.
     pub arrivals: &'a [AttemptArrival],
     /// The jobs of the load, with the requests that clients sent for them.
     pub jobs: &'a [JobRecord],
--- a/crates/testkit/src/soak/faulty_clients.rs
+++ b/crates/testkit/src/soak/faulty_clients.rs
@@ -29,7 +29,7 @@
     /// When the client sent its last byte, counted from the deployment's epoch.
     pub stalled_at: Duration,
     /// How long after the client's last byte a response came or the scheduler closed the connection; `None`
-    /// if neither happened before [`STALL_TIMEOUT`].
+    /// if neither happened before `STALL_TIMEOUT`.
     pub ended_after: Option<Duration>,
 }
 
--- a/crates/testkit/src/soak/report.rs
+++ b/crates/testkit/src/soak/report.rs
@@ -52,7 +52,8 @@
             .collect()
     }
 
-    /// Returns the report as text; the last line contains the totals.
+    /// Returns the report as text; the last line contains the seed and the total numbers of faults and
+    /// violations.
     pub fn text(&self) -> String {
         let mut text = format!("answers   {}\n", self.answers_text());
         for kind in FaultKind::ALL {
--- a/crates/testkit/src/soak/syscall_faults.rs
+++ b/crates/testkit/src/soak/syscall_faults.rs
@@ -11,7 +11,7 @@
 
 /// The file name of the library that injects the faults.
 const LIBRARY: &str = "libsyscall_faults.so";
-/// The number of fault kinds that the library counts.
+/// The number of kinds of system call faults that the library counts.
 const FAULT_KINDS: usize = 14;
 /// The name of the fault that is configured by a step of the wall clock and a time instead of a rate.
 const CLOCK_STEPPED: &str = "clock.stepped";
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Returns the path of the daemon's binary beside the kit's; builds the daemon if only the kit's tests were
-/// built.
+/// Returns the path of the daemon's binary beside the kit's binary. Builds the daemon if only the kit's tests
+/// were built.
 pub fn daemon() -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_vetchbridge-testkit")).with_file_name("vetchbridge");
     if !path.is_file() {
