--- a/crates/testkit/src/scheduler/process.rs
+++ b/crates/testkit/src/scheduler/process.rs
@@ -1,4 +1,5 @@
-//! Child processes: signals to a child process, and the registry of all running child processes.
+//! The schedulers' child processes: signals to a child process, and the registry of all running child
+//! processes.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
@@ -10,18 +11,19 @@
 use tokio::time::timeout;
 use vetchbridge_testbed::Port;
 
-/// How long a scheduler may take to exit after SIGTERM. The daemon closes connections that are still open
-/// after 3.3 s.
+/// How long a scheduler's process may take to exit after SIGTERM before the kit kills it. The daemon closes
+/// client connections that are still open after 3.3 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The process ids of all running children, for an exit that can't wait for destructors.
+/// The process ids of all running child processes, so that the kit can kill them in an exit that can't wait
+/// for destructors.
 static CHILDREN: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn children() -> MutexGuard<'static, BTreeSet<u32>> {
     CHILDREN.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Kills every child process by SIGKILL; for use just before the program exits.
+/// Kills every child process by SIGKILL; called just before the kit exits without running destructors.
 pub fn kill_all() {
     for pid in children().iter() {
         send_signal(*pid, Signal::KILL);
@@ -30,13 +32,13 @@
 
 fn send_signal(pid: u32, signal: Signal) {
     if let Some(pid) = Pid::from_raw(pid as i32) {
-        // A process that has exited in the meantime needs no signal.
+        // Sending fails if the process has exited in the meantime; such a process needs no signal.
         let _ = kill_process(pid, signal);
     }
 }
 
-/// A child process and the reserved port of its admin interface. The child is registered until this value is
-/// dropped.
+/// A scheduler's child process, and the reserved port of its admin interface. The child process is in the
+/// registry until this value is dropped.
 pub(super) struct Process {
     child: Child,
     registered_pid: u32,
@@ -50,12 +52,12 @@
         Process { child, registered_pid, admin }
     }
 
-    /// Returns the process id; `None` once the process has exited and its status has been collected.
+    /// Returns the process id; `None` once the process has exited and its exit status has been collected.
     pub(super) fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends a signal to the process, unless it has exited.
+    /// Sends a signal to the process, unless the process has exited.
     pub(super) fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
             send_signal(pid, signal);
@@ -67,13 +69,14 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// Kills the process by SIGKILL.
+    /// Kills the process by SIGKILL and waits for its exit.
     pub(super) async fn kill(&mut self) {
         // `Child::kill` fails only if the process has already exited.
         let _ = self.child.kill().await;
     }
 
-    /// Shuts the process down gracefully, or kills it after [`SHUTDOWN_TIMEOUT`]. Returns the exit status.
+    /// Shuts the process down gracefully by SIGTERM, or kills it after [`SHUTDOWN_TIMEOUT`]. Returns the exit
+    /// status.
     pub(super) async fn shut_down(&mut self) -> Option<ExitStatus> {
         self.signal(Signal::TERM);
         if let Ok(status) = timeout(SHUTDOWN_TIMEOUT, self.child.wait()).await {
