--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -102,7 +102,7 @@
 impl CallError {
     /// Whether the call timed out before any response of the discovery service. An overloaded service, in
     /// contrast, still responds, with a late refusal.
-    pub(super) fn is_unanswered(&self) -> bool {
+    pub(super) fn timed_out_without_response(&self) -> bool {
         matches!(self, CallError::ConnectTimeout | CallError::ResponseTimeout(_))
     }
 
--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -20,8 +20,8 @@
 /// is longer than the time for which the discovery service queues a call, because a call that is abandoned
 /// sooner may still cost the service the work.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Time after which a watch call is hedged by a second call. A call is hedged only if the call before it was
-/// unanswered, because in that case the new call may have been lost as well.
+/// Time after which a watch call is hedged by a second call. A call is hedged only if the call before it got
+/// no response, because in that case the new call may have been lost as well.
 const HEDGE_DELAY: Duration = Duration::from_millis(1100);
 /// Maximum number of schedulers in a deployment whose schedulers hedge their calls. The discovery service
 /// serves one call after another; when the service is overloaded, the hedged calls of many schedulers would
@@ -38,12 +38,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallOutcome {
     /// The discovery service returned a complete endpoint document.
-    Answered,
+    Succeeded,
     /// The call failed with an error, such as a refusal, which shows that the discovery service or its host
     /// reacted.
     Failed,
     /// The call timed out without a response, and may never have reached the discovery service.
-    Unanswered,
+    NoResponse,
 }
 
 /// The time limits of one watch call to the discovery service.
@@ -73,7 +73,7 @@
     /// Creates a schedule that allows the watcher to open the first watch at `now`.
     pub(super) fn new(now: Instant) -> DiscoverySchedule {
         DiscoverySchedule {
-            last_outcome: CallOutcome::Answered,
+            last_outcome: CallOutcome::Succeeded,
             waiting_calls: 0,
             reopen_at: now,
             reopens_by_itself: false,
@@ -113,7 +113,7 @@
     /// Before the first response of the discovery service (`confirmed` is false) and after a failed call, the
     /// watch call requests an immediate response, which shows soonest that the service is reachable.
     pub(super) fn next_watch_times(&mut self, scheduler_index: u32, confirmed: bool) -> WatchTimes {
-        if self.last_outcome != CallOutcome::Answered || !confirmed {
+        if self.last_outcome != CallOutcome::Succeeded || !confirmed {
             return WatchTimes { wait: Duration::ZERO, timeout: RESPONSE_TIMEOUT };
         }
         let wait = MAX_WATCH_WAIT - WATCH_WAIT_SPREAD.mul_f64(self.next_phase(scheduler_index));
@@ -124,7 +124,7 @@
     /// is not hedged.
     pub(super) fn hedge_at(&self, now: Instant, scheduler_count: u32) -> Option<Instant> {
         let is_hedged =
-            self.last_outcome == CallOutcome::Unanswered && scheduler_count <= MAX_HEDGING_SCHEDULERS;
+            self.last_outcome == CallOutcome::NoResponse && scheduler_count <= MAX_HEDGING_SCHEDULERS;
         is_hedged.then(|| now + HEDGE_DELAY)
     }
 
--- a/crates/vetchbridge/src/discovery/schedule/tests.rs
+++ b/crates/vetchbridge/src/discovery/schedule/tests.rs
@@ -7,9 +7,9 @@
 const IMMEDIATE: WatchTimes = WatchTimes { wait: Duration::ZERO, timeout: RESPONSE_TIMEOUT };
 
 #[rstest]
-#[case::before_the_first_answer(CallOutcome::Answered, false)]
+#[case::before_the_first_response(CallOutcome::Succeeded, false)]
 #[case::after_a_failed_call(CallOutcome::Failed, true)]
-#[case::after_an_unanswered_call(CallOutcome::Unanswered, true)]
+#[case::after_a_call_without_response(CallOutcome::NoResponse, true)]
 fn a_call_that_checks_whether_the_service_is_reachable_does_not_wait(
     #[case] outcome: CallOutcome,
     #[case] confirmed: bool,
@@ -52,11 +52,11 @@
 }
 
 #[rstest]
-#[case::after_an_unanswered_call_in_a_small_tier(CallOutcome::Unanswered, 11, true)]
-#[case::not_in_a_large_tier(CallOutcome::Unanswered, 12, false)]
+#[case::after_a_call_without_response_in_a_small_tier(CallOutcome::NoResponse, 11, true)]
+#[case::not_in_a_large_tier(CallOutcome::NoResponse, 12, false)]
 #[case::not_after_a_call_that_was_refused(CallOutcome::Failed, 1, false)]
-#[case::not_after_an_answer(CallOutcome::Answered, 1, false)]
-fn a_call_is_hedged_only_after_an_unanswered_one_and_in_a_small_tier(
+#[case::not_after_a_successful_call(CallOutcome::Succeeded, 1, false)]
+fn a_call_is_hedged_only_after_one_without_response_and_in_a_small_tier(
     #[case] outcome: CallOutcome,
     #[case] scheduler_count: u32,
     #[case] hedged: bool,
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -45,16 +45,16 @@
 /// A call to the discovery service that is in flight.
 struct Call {
     /// The watcher's generation of the endpoint list when the call was made.
-    known_generation: Option<u64>,
+    base_generation: Option<u64>,
     /// When the call is to be hedged by a second call; `None` if the call is not hedged.
     hedge_at: Option<Instant>,
-    response: Pin<Box<dyn Future<Output = Result<EndpointDocument, CallError>> + Send>>,
+    result: Pin<Box<dyn Future<Output = Result<EndpointDocument, CallError>> + Send>>,
 }
 
 /// The result of a finished call to the discovery service.
-struct Answer {
+struct CallResult {
     /// The watcher's generation of the endpoint list when the call was made.
-    known_generation: Option<u64>,
+    base_generation: Option<u64>,
     result: Result<EndpointDocument, CallError>,
 }
 
@@ -146,9 +146,9 @@
                     None => return,
                 },
                 () = wait_until(hedge_at), if self.hedge.is_none() => self.open_hedge(),
-                answer = wait_for_answer(&mut self.watch) => self.handle_watch_answer(answer),
-                answer = wait_for_answer(&mut self.hedge) => self.handle_hedge_answer(answer),
-                answer = wait_for_answer(&mut self.fetch) => self.handle_fetch_answer(answer),
+                call_result = wait_for_result(&mut self.watch) => self.handle_watch_result(call_result),
+                call_result = wait_for_result(&mut self.hedge) => self.handle_hedge_result(call_result),
+                call_result = wait_for_result(&mut self.fetch) => self.handle_fetch_result(call_result),
             }
         }
     }
@@ -233,15 +233,15 @@
 
     fn new_call(
         &self,
-        response: impl Future<Output = Result<EndpointDocument, CallError>> + Send + 'static,
+        result: impl Future<Output = Result<EndpointDocument, CallError>> + Send + 'static,
     ) -> Call {
-        Call { known_generation: self.generation, hedge_at: None, response: Box::pin(response) }
+        Call { base_generation: self.generation, hedge_at: None, result: Box::pin(result) }
     }
 
-    fn handle_watch_answer(&mut self, answer: Answer) {
+    fn handle_watch_result(&mut self, call_result: CallResult) {
         self.watch = None;
         self.schedule.record_watch_end(Instant::now());
-        if self.handle_answer(answer) {
+        if self.handle_result(call_result) {
             // The discovery service treats the next call as part of the same watch only if the call arrives
             // within 200 ms.
             self.hedge = None;
@@ -249,37 +249,38 @@
         }
     }
 
-    fn handle_hedge_answer(&mut self, answer: Answer) {
+    fn handle_hedge_result(&mut self, call_result: CallResult) {
         self.hedge = None;
-        match &answer.result {
+        match &call_result.result {
             // The watch call that was hedged reports its own failure; a second report would count the failure
             // twice.
             Err(error) if !error.has_instances() => debug!(reason = %error, "discovery.hedge_failed"),
             _ => {
-                if self.handle_answer(answer) {
+                if self.handle_result(call_result) {
                     self.open_watch();
                 }
             }
         }
     }
 
-    fn handle_fetch_answer(&mut self, answer: Answer) {
+    fn handle_fetch_result(&mut self, call_result: CallResult) {
         self.fetch = None;
-        self.handle_answer(answer);
+        self.handle_result(call_result);
     }
 
     /// Publishes the update in the result of a call. Returns whether the result was a complete endpoint
     /// document.
-    fn handle_answer(&mut self, answer: Answer) -> bool {
-        match answer.result {
+    fn handle_result(&mut self, call_result: CallResult) -> bool {
+        match call_result.result {
             Ok(document) => {
-                self.schedule.record_outcome(CallOutcome::Answered);
-                self.handle_document(answer.known_generation, document);
+                self.schedule.record_outcome(CallOutcome::Succeeded);
+                self.handle_document(call_result.base_generation, document);
                 true
             }
             Err(error) => {
-                let is_unanswered = error.is_unanswered();
-                let outcome = if is_unanswered { CallOutcome::Unanswered } else { CallOutcome::Failed };
+                let timed_out_without_response = error.timed_out_without_response();
+                let outcome =
+                    if timed_out_without_response { CallOutcome::NoResponse } else { CallOutcome::Failed };
                 self.schedule.record_outcome(outcome);
                 self.handle_failure(error);
                 false
@@ -287,11 +288,11 @@
         }
     }
 
-    fn handle_document(&mut self, known_generation: Option<u64>, document: EndpointDocument) {
+    fn handle_document(&mut self, base_generation: Option<u64>, document: EndpointDocument) {
         // A complete list with a lower generation shows that the discovery service was reset, but only if no
         // other call has changed the watcher's generation in the meantime. Otherwise the received list is
         // older than the published list.
-        let service_was_reset = document.reset && known_generation == self.generation;
+        let service_was_reset = document.reset && base_generation == self.generation;
         if self.is_older(document.generation) && !service_was_reset {
             debug!(generation = document.generation, "endpoints.stale_update");
             return;
@@ -358,9 +359,9 @@
 }
 
 /// Waits for the result of `call`; forever if `call` is `None`.
-async fn wait_for_answer(call: &mut Option<Call>) -> Answer {
+async fn wait_for_result(call: &mut Option<Call>) -> CallResult {
     match call {
-        Some(call) => Answer { known_generation: call.known_generation, result: (&mut call.response).await },
+        Some(call) => CallResult { base_generation: call.base_generation, result: (&mut call.result).await },
         None => pending().await,
     }
 }
