--- a/crates/vetchbridge/src/clients/handler.rs
+++ b/crates/vetchbridge/src/clients/handler.rs
@@ -99,7 +99,7 @@
             debug!(request = callback.id, worker = callback.worker, "callback.unmatched");
             StatusCode::OK.into_response()
         }
-        ForwardOutcome::Unanswered => {
+        ForwardOutcome::NoReply => {
             warn!(request = callback.id, worker = callback.worker, "callback.forward_failed");
             (StatusCode::SERVICE_UNAVAILABLE, "say it again\n").into_response()
         }
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -122,7 +122,7 @@
             // If a third process did not reply, this process sends no reply either. The time limit of the
             // process that forwarded the callback then expires, and the callback counts as unanswered there
             // too.
-            if forwarded != ForwardOutcome::Unanswered {
+            if forwarded != ForwardOutcome::NoReply {
                 let known = forwarded == ForwardOutcome::Known;
                 link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
             }
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -31,7 +31,7 @@
     /// No other process has the callback's attempt.
     Unknown,
     /// A process that may have the callback's attempt did not reply in time.
-    Unanswered,
+    NoReply,
 }
 
 /// The state that another process of this scheduler has reported.
@@ -91,7 +91,7 @@
             match timeout(CALLBACK_REPLY_TIMEOUT, reply).await {
                 Ok(Ok(true)) => ForwardOutcome::Known,
                 Ok(Ok(false)) => ForwardOutcome::Unknown,
-                Ok(Err(_)) | Err(_) => ForwardOutcome::Unanswered,
+                Ok(Err(_)) | Err(_) => ForwardOutcome::NoReply,
             }
         } else {
             ForwardOutcome::Unknown
@@ -193,7 +193,7 @@
             }
             match link.forward(callback.clone()).await {
                 ForwardOutcome::Known => return ForwardOutcome::Known,
-                ForwardOutcome::Unanswered => result = ForwardOutcome::Unanswered,
+                ForwardOutcome::NoReply => result = ForwardOutcome::NoReply,
                 ForwardOutcome::Unknown => {}
             }
         }
--- a/crates/vetchbridge/src/upgrade/process_links/tests.rs
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -84,6 +84,6 @@
     );
     // In this second round, the fourth process sent the callback; the second process may have the attempt and
     // does not reply.
-    let unanswered = process_links.forward(&callback, Some(&queues[3].0)).await;
-    assert_eq!(unanswered, ForwardOutcome::Unanswered, "no reply from the second process");
+    let outcome = process_links.forward(&callback, Some(&queues[3].0)).await;
+    assert_eq!(outcome, ForwardOutcome::NoReply, "no reply from the second process");
 }
