--- a/crates/vetchbridge/src/workers/attempt.rs
+++ b/crates/vetchbridge/src/workers/attempt.rs
@@ -81,7 +81,7 @@
             let end = tokio::select! {
                 biased;
                 Ok(()) = &mut cancelled => Some(attempt.cancel()),
-                outcome = wait_until_unavailable(&mut availability), if attempt.phase == Phase::Writing => {
+                outcome = wait_until_unavailable(&mut availability), if attempt.phase == Phase::Pending => {
                     attempt.on_worker_unavailable(outcome)
                 }
                 Some(callback) = attempt.subscription.callbacks.recv() => {
@@ -124,12 +124,13 @@
 /// The phase that an attempt is in.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The worker is available, or its availability has not been checked yet. If the worker becomes
-    /// unavailable before the attempt's first byte is written, the attempt ends without being sent.
-    Writing,
-    /// The worker became unavailable after the attempt's first byte was written. The attempt continues, and
-    /// later changes of the worker's availability are ignored.
-    AwaitingResponse,
+    /// The worker has not accepted the job yet. The worker is available, or its availability has not been
+    /// checked yet. If the worker becomes unavailable before the attempt's first byte is written, the attempt
+    /// ends without being sent.
+    Pending,
+    /// The worker became unavailable after the attempt's first byte was written, and has not accepted the job
+    /// yet. The attempt continues, and later changes of the worker's availability are ignored.
+    WorkerUnavailable,
     /// The worker has accepted the job, and reports on it by callbacks.
     Accepted,
 }
@@ -158,7 +159,7 @@
         subscription: CallbackSubscription,
     ) -> Attempt<'a> {
         let Exchange { progress, response } = exchange;
-        let phase = Phase::Writing;
+        let phase = Phase::Pending;
         Attempt { group, worker, payload, permission, phase, progress, response, subscription }
     }
 
@@ -194,7 +195,7 @@
     /// Ends the attempt if the worker started to drain or was replaced before the request's first byte was
     /// written.
     fn on_worker_unavailable(&mut self, outcome: Outcome) -> Option<AttemptEnd> {
-        self.phase = Phase::AwaitingResponse;
+        self.phase = Phase::WorkerUnavailable;
         (!self.progress.first_byte_written()).then(|| not_served(outcome))
     }
 
