--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -149,7 +149,7 @@
         let (successor, descriptor) = (self.process_links.successor().borrow().clone(), socket.into_std());
         let is_sent = descriptor.map(|stream| {
             successor.is_some_and(|to| {
-                to.send(HandoverMessage::ClientConnection { reused: is_kept_alive }, vec![stream.into()])
+                to.send(HandoverMessage::ClientConnection { is_kept_alive }, vec![stream.into()])
             })
         });
         debug!(sent = ?is_sent, "connection.handed_over");
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -97,9 +97,9 @@
                 // of this process are no longer needed.
                 self.upstream.close_all_idle_connections();
             }
-            HandoverMessage::ClientConnection { reused } => {
+            HandoverMessage::ClientConnection { is_kept_alive } => {
                 for connection in envelope.descriptors {
-                    self.client_server.take_over_connection(connection, reused);
+                    self.client_server.take_over_connection(connection, is_kept_alive);
                 }
             }
             HandoverMessage::ForwardedCallback { number, callback } => {
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -49,9 +49,9 @@
     /// carries the connection's descriptor.
     #[serde(rename = "Connection")]
     ClientConnection {
-        /// Whether the connection has already carried a response.
+        /// Whether a response has been sent on the connection.
         #[serde(rename = "kept")]
-        reused: bool,
+        is_kept_alive: bool,
     },
     /// The number of client connections that the sender has.
     #[serde(rename = "Holds")]
--- a/crates/vetchbridge/src/upgrade/message/tests.rs
+++ b/crates/vetchbridge/src/upgrade/message/tests.rs
@@ -24,7 +24,7 @@
         HandoverMessage::Offer(offer),
         HandoverMessage::Endpoints(Vec::new()),
         HandoverMessage::Rejected("no".to_string()),
-        HandoverMessage::ClientConnection { reused: true },
+        HandoverMessage::ClientConnection { is_kept_alive: true },
         HandoverMessage::RequestOpened(u64::MAX),
     ];
     for message in messages {
--- a/crates/vetchbridge/src/upgrade/process_links/tests.rs
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -23,7 +23,7 @@
         (&old, HandoverMessage::RequestOpened(2)),
         (&old, HandoverMessage::RequestClosed(1)),
         (&old, HandoverMessage::ConnectionCount(5)),
-        (&old, HandoverMessage::ClientConnection { reused: true }),
+        (&old, HandoverMessage::ClientConnection { is_kept_alive: true }),
         (&new, HandoverMessage::ConnectionCount(3)),
     ] {
         link.record(&message);
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -68,7 +68,7 @@
         (HandoverMessage::Endpoints(vec![instance()]), json!({"Entries": [instance_json()]})),
         (HandoverMessage::Rejected("no".to_string()), json!({"Refused": "no"})),
         (HandoverMessage::TookOver, json!("Taken")),
-        (HandoverMessage::ClientConnection { reused: true }, json!({"Connection": {"kept": true}})),
+        (HandoverMessage::ClientConnection { is_kept_alive: true }, json!({"Connection": {"kept": true}})),
         (HandoverMessage::ConnectionCount(9), json!({"Holds": 9})),
         (HandoverMessage::RequestOpened(11), json!({"Opened": 11})),
         (HandoverMessage::RequestClosed(12), json!({"Closed": 12})),
