--- a/crates/vetchbridge/src/clients/job/tests.rs
+++ b/crates/vetchbridge/src/clients/job/tests.rs
@@ -16,7 +16,7 @@
         "services": [{{"name": "safe", "repeat": "safe", "aim": 1000, "deadline": 9000000}}],
         "rules": {{"stop_sending_within": 1, "start_capacity": 0.2, "cold": 1, "tip_multiple": 2.5, "fall": 1}}}}}}"#
     );
-    Arc::new(read_text("test", &text).expect("a valid configuration").config.snapshot)
+    Arc::new(read_text("test", &text).expect("a valid configuration").config.settings_snapshot)
 }
 
 fn parse(
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -53,7 +53,7 @@
     /// The worker list that this scheduler last received from the discovery service.
     pub saved_list: EndpointDocument,
     /// The validated settings of the scheduler.
-    pub snapshot: SettingsSnapshot,
+    pub settings_snapshot: SettingsSnapshot,
     /// Seed of the scheduler's random numbers.
     pub seed: u64,
     /// The platform's JSON document as it was read; `None` if the configuration is a TOML file.
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -261,7 +261,7 @@
         max_memory: own.memory_mb.saturating_mul(1 << 20),
         saved_list: own.saved_list,
         seed: own.seed,
-        snapshot: settings.snapshot(),
+        settings_snapshot: settings.snapshot(),
         platform_document: Some(unchanged),
         log: precedence::log(&file::File::default(), flags, env),
     };
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -100,7 +100,7 @@
             peers: peers(file),
             saved_list,
             seed: file.seed.map_or_else(new_seed, |seed| seed.0),
-            snapshot: snapshot(file, settings),
+            settings_snapshot: settings_snapshot(file, settings),
             platform_document: None,
             log: file.log.clone(),
         })
@@ -260,7 +260,7 @@
     })
 }
 
-fn snapshot(file: &File, settings: Settings) -> SettingsSnapshot {
+fn settings_snapshot(file: &File, settings: Settings) -> SettingsSnapshot {
     let reports = LoadReportSettings {
         source: settings.load_report_source,
         free_slots: match file.fleet.free_slots {
--- a/crates/vetchbridge/src/engine/tests.rs
+++ b/crates/vetchbridge/src/engine/tests.rs
@@ -16,7 +16,7 @@
 #[tokio::test]
 async fn a_probe_is_sent_to_its_worker_and_its_outcome_returned() {
     let text = toml::to_string(&file::example()).expect("TOML");
-    let settings = read_text("test", &text).expect("a configuration").config.snapshot.settings;
+    let settings = read_text("test", &text).expect("a configuration").config.settings_snapshot.settings;
     let scheduler = Scheduler::new(settings, 1).expect("valid settings");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -48,12 +48,12 @@
         if let Err(error) = self.logs.set_filter(&config.log.filter.0) {
             error!(%error, "log.filter_invalid");
         }
-        let settings = config.snapshot.settings.clone();
+        let settings = config.settings_snapshot.settings.clone();
         let dial_timeout = Duration::from_micros(settings.limits.dial_timeout);
-        upstream.set_timeouts(dial_timeout, config.snapshot.worker_idle_timeout);
-        upstream.set_load_report_settings(config.snapshot.load_reports);
-        let names = config.snapshot.names.clone();
-        let old = current_settings.swap(config.snapshot);
+        upstream.set_timeouts(dial_timeout, config.settings_snapshot.worker_idle_timeout);
+        upstream.set_load_report_settings(config.settings_snapshot.load_reports);
+        let names = config.settings_snapshot.names.clone();
+        let old = current_settings.swap(config.settings_snapshot);
         if old.settings != settings {
             engine.handle(Event::Settings(Box::new(settings)));
         }
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -84,9 +84,14 @@
     let (discovery_requests, queued_discovery_requests) = unbounded_channel();
     let (datagrams, queued_datagrams) = unbounded_channel();
     let max_sockets = config.max_sockets;
-    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed)?;
-    let shared =
-        SharedState::new(scheduler, config.snapshot, max_sockets, discovery_requests.clone(), datagrams);
+    let scheduler = Scheduler::new(config.settings_snapshot.settings.clone(), config.seed)?;
+    let shared = SharedState::new(
+        scheduler,
+        config.settings_snapshot,
+        max_sockets,
+        discovery_requests.clone(),
+        datagrams,
+    );
     let reloader = Reloader {
         flags,
         logs,
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -76,7 +76,8 @@
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let document = configuration(&setup, discovery.local_addr().expect("a bound socket"));
         let config = read_text("test", &document.to_string()).expect("a configuration").config;
-        let scheduler = Scheduler::new(config.snapshot.settings.clone(), setup.seed).expect("valid settings");
+        let scheduler =
+            Scheduler::new(config.settings_snapshot.settings.clone(), setup.seed).expect("valid settings");
         let upstream = Arc::new(UpstreamGroup::new(TEST_TIMEOUT, TEST_TIMEOUT, 1));
         let (discovery_request_sender, discovery_request_receiver) = unbounded_channel();
         let engine =
@@ -85,7 +86,7 @@
         TestScheduler {
             engine,
             upstream,
-            settings: Arc::new(CurrentSettings::new(config.snapshot)),
+            settings: Arc::new(CurrentSettings::new(config.settings_snapshot)),
             discovery,
             discovery_request_sender,
             discovery_request_receiver: Some(discovery_request_receiver),
--- a/crates/vetchbridge/tests/configuration.rs
+++ b/crates/vetchbridge/tests/configuration.rs
@@ -173,7 +173,7 @@
         "probes.toml",
         &text.replace("probe = false", "probe = true").replace("probe = 0.0", "probe = 0.01"),
     );
-    let snapshot = read_file(&path).expect("the configuration is valid").config.snapshot;
+    let snapshot = read_file(&path).expect("the configuration is valid").config.settings_snapshot;
     assert_eq!(
         snapshot.load_reports,
         LoadReportSettings { source: LoadReportSource::Probes, free_slots: FreeSlotsField::X1 }
--- a/crates/vetchbridge/tests/invariants.rs
+++ b/crates/vetchbridge/tests/invariants.rs
@@ -81,7 +81,8 @@
             "rules": {"stop_sending_within": 500_000, "start_capacity": 0.2, "cold": 24_000_000,
                       "tip_multiple": 2.5, "fall": 2_000_000}}});
     let config = read_text("invariants", &document.to_string()).expect("a valid configuration").config;
-    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("valid settings");
+    let scheduler =
+        Scheduler::new(config.settings_snapshot.settings.clone(), config.seed).expect("valid settings");
     let runtime = runtime();
     let answer = runtime.block_on(async {
         let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
@@ -93,7 +94,7 @@
         let submitted = SubmittedRequest {
             request,
             payload: payload(),
-            settings: Arc::new(config.snapshot),
+            settings: Arc::new(config.settings_snapshot),
             body_permit: None,
         };
         let answer = submit(engine, upstream, Arc::new(ProcessLinks::default()), submitted);
--- a/crates/vetchbridge/tests/late_connections.rs
+++ b/crates/vetchbridge/tests/late_connections.rs
@@ -336,7 +336,8 @@
 #[tokio::test]
 async fn a_keyed_job_is_not_retried_on_a_connection_established_after_its_deduplication_window() {
     let config = keyed_config();
-    let scheduler = Scheduler::new(config.snapshot.settings.clone(), config.seed).expect("valid settings");
+    let scheduler =
+        Scheduler::new(config.settings_snapshot.settings.clone(), config.seed).expect("valid settings");
     let upstream = Arc::new(UpstreamGroup::new(MINUTE, MINUTE, 1));
     let engine = Engine::new(scheduler, upstream.clone(), unbounded_channel().0, unbounded_channel().0);
     tokio::spawn(engine.clone().run_timers());
@@ -346,7 +347,7 @@
     let submitted = SubmittedRequest {
         request,
         payload: payload(REQUEST_ID),
-        settings: Arc::new(config.snapshot),
+        settings: Arc::new(config.settings_snapshot),
         body_permit: None,
     };
     let answer = submit(engine.clone(), upstream.clone(), Arc::new(ProcessLinks::default()), submitted);
