--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -20,7 +20,7 @@
     pub flags: Flags,
     pub logs: Logs,
     /// The configuration document in force; `None` if the configuration is not in the platform's format.
-    pub document: Option<Value>,
+    pub platform_document: Option<Value>,
     pub discovery_requests: UnboundedSender<DiscoveryRequest>,
     pub shared: SharedState,
 }
@@ -31,7 +31,7 @@
     pub async fn run(mut self, hangup: Arc<Notify>) {
         loop {
             hangup.notified().await;
-            match config::reload(&self.flags, self.document.as_ref()) {
+            match config::reload(&self.flags, self.platform_document.as_ref()) {
                 Ok(config) => self.apply(config),
                 Err(error) => {
                     error.0.iter().for_each(|fault| error!(%fault, "configuration.invalid"));
@@ -57,7 +57,7 @@
         if old.settings != settings {
             engine.handle(Event::Settings(Box::new(settings)));
         }
-        self.document = config.platform_document;
+        self.platform_document = config.platform_document;
         if (&old.names.zones, &old.names.machine_types) != (&names.zones, &names.machine_types) {
             // The scheduler has the endpoints with the old indices of zones and machine types. No job may be
             // placed by the old indices, so the endpoints are passed to the scheduler again with the new
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -95,7 +95,7 @@
     let reloader = Reloader {
         flags,
         logs,
-        document: config.platform_document,
+        platform_document: config.platform_document,
         discovery_requests,
         shared: shared.clone(),
     };
