--- a/crates/vetchbridge/src/peers.rs
+++ b/crates/vetchbridge/src/peers.rs
@@ -34,7 +34,7 @@
 /// Prepares the UDP socket and returns the task that sends and receives the peers' messages until the engine
 /// closes `outgoing`. While this process has a successor process, the successor alone receives messages.
 pub fn run(
-    config: Peers,
+    peers: Peers,
     socket: std::net::UdpSocket,
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
@@ -42,11 +42,11 @@
 ) -> io::Result<impl Future<Output = ()>> {
     socket.set_nonblocking(true)?;
     let socket = UdpSocket::from_std(socket)?;
-    Ok(PeerSocket { config, socket, engine }.exchange_messages(process_links, outgoing))
+    Ok(PeerSocket { peers, socket, engine }.exchange_messages(process_links, outgoing))
 }
 
 struct PeerSocket {
-    config: Peers,
+    peers: Peers,
     socket: UdpSocket,
     engine: Arc<Engine>,
 }
@@ -87,13 +87,13 @@
 
     fn address_of(&self, recipient: Recipient) -> Option<SocketAddr> {
         match recipient {
-            Recipient::One(index) => self.config.addresses.get(index as usize).copied(),
-            Recipient::All => self.config.broadcast_address,
+            Recipient::One(index) => self.peers.addresses.get(index as usize).copied(),
+            Recipient::All => self.peers.broadcast_address,
         }
     }
 
     fn handle_datagram(&self, datagram: &[u8], sender: SocketAddr) {
-        let peer = self.config.addresses.iter().position(|address| *address == sender);
+        let peer = self.peers.addresses.iter().position(|address| *address == sender);
         if let Some(index) = peer.filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES) {
             let data = datagram.to_vec();
             self.engine.handle(Event::PeerMessage { from: index as u32, data });
