--- a/crates/scheduling/src/endpoint_refresh.rs
+++ b/crates/scheduling/src/endpoint_refresh.rs
@@ -14,15 +14,15 @@
 pub const LIST_CONFIRMATION_TIMEOUT: Micros = 5_000_000;
 /// Mean interval between the starts of two polls of discovery after the first failure, in microseconds. Each
 /// repeated failure doubles the interval.
-const BASE_BACKOFF: Micros = 100_000;
+const BASE_POLL_INTERVAL: Micros = 100_000;
 /// Maximum mean interval between polls of discovery that the doubling reaches, in microseconds.
-const MAX_BACKOFF: Micros = 1_000_000;
+const MAX_DOUBLED_POLL_INTERVAL: Micros = 1_000_000;
 /// Maximum number of times the interval between polls of discovery is doubled. The maximum keeps the bit
 /// shift from overflowing.
-const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Largest mean pause that must follow the failure of a poll of discovery, in microseconds. A poll that took
+const MAX_INTERVAL_DOUBLINGS: u32 = 8;
+/// Maximum mean pause that must follow the failure of a poll of discovery, in microseconds. A poll that took
 /// long to fail has already used up its interval, so only this pause delays the next poll.
-const PAUSE_AFTER_SLOW_FAILURE: Micros = 500_000;
+const MAX_PAUSE_AFTER_FAILURE: Micros = 500_000;
 /// Time for each peer over which the schedulers spread their polls of discovery, in microseconds. The polls
 /// are spread because all schedulers poll the same discovery service.
 const SPREAD_PER_PEER: Micros = 30_000;
@@ -92,17 +92,17 @@
         // The first failure after a response of discovery is taken as a broken watch of this scheduler alone.
         // If the next poll fails too, all schedulers are assumed to be affected, and the schedulers spread
         // their polls.
-        let repeated_failures = self.polls_since_response.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        let repeated_failures = self.polls_since_response.saturating_sub(1).min(MAX_INTERVAL_DOUBLINGS);
         let spread = if self.polls_since_response == 0 {
             0
         } else {
             (spread << repeated_failures.min(MAX_SPREAD_DOUBLINGS)).min(MAX_REPEATED_SPREAD)
         };
-        let interval = (BASE_BACKOFF << repeated_failures).min(MAX_BACKOFF).max(spread);
+        let interval = (BASE_POLL_INTERVAL << repeated_failures).min(MAX_DOUBLED_POLL_INTERVAL).max(spread);
         // The interval is measured between the starts of two polls, because a poll that took long to fail has
         // already used up the interval.
         let after_last_poll = self.last_poll + jittered(interval);
-        let after_failure = now + jittered(interval.min(PAUSE_AFTER_SLOW_FAILURE));
+        let after_failure = now + jittered(interval.min(MAX_PAUSE_AFTER_FAILURE));
         after_last_poll.max(after_failure)
     }
 }
--- a/crates/scheduling/src/endpoint_refresh/tests.rs
+++ b/crates/scheduling/src/endpoint_refresh/tests.rs
@@ -50,14 +50,14 @@
     let mut refresh = EndpointRefresh { polls_since_response: 9, last_poll: NOW, unconfirmed_until: 0 };
     let failed_at = NOW + 10_000_000;
     let at = refresh.schedule_poll(failed_at, EndpointUpdate::Failed, 300, 0.5);
-    assert_eq!(at - failed_at, PAUSE_AFTER_SLOW_FAILURE);
+    assert_eq!(at - failed_at, MAX_PAUSE_AFTER_FAILURE);
 }
 
 #[test]
 fn a_single_broken_watch_is_reopened_soon_and_repeated_failures_are_spread() {
     let mut refresh = EndpointRefresh::default();
     let first = refresh.schedule_poll(NOW, EndpointUpdate::Failed, 300, 0.5);
-    assert_eq!(first - NOW, BASE_BACKOFF);
+    assert_eq!(first - NOW, BASE_POLL_INTERVAL);
     let second = refresh.schedule_poll(first, EndpointUpdate::Failed, 300, 0.5);
     assert_eq!(second - first, MAX_REPEATED_SPREAD);
 }
