--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -117,8 +117,9 @@
 
     fn is_busy(&self, worker: &Worker, slots: f64) -> bool {
         let start_is_delayed = self.settings.reports_start && worker.has_delayed_start(self.now);
-        let usable_slots = self.slots_per_weight * usable_slot_fraction(self.warm_up_fraction(worker));
-        start_is_delayed || worker.is_busy(self.now, slots, usable_slots)
+        let usable_slots_per_weight =
+            self.slots_per_weight * usable_slot_fraction(self.warm_up_fraction(worker));
+        start_is_delayed || worker.is_busy(self.now, slots, usable_slots_per_weight)
     }
 
     /// Returns the limit on the slots that this scheduler may have in flight at a worker whose load is
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -156,10 +156,10 @@
         self.started.iter().find(|attempt| attempt.id == id)
     }
 
-    /// Whether the worker has no capacity for a job that takes `slots` slots. `slots_per_weight` is the
-    /// number of usable slots per unit of worker weight.
-    pub(crate) fn is_busy(&self, now: Micros, slots: f64, slots_per_weight: f64) -> bool {
-        let is_full = |occupancy: f64| occupancy + slots > (slots_per_weight * self.weight).max(slots);
+    /// Whether the worker has no capacity for a job that takes `slots` slots. `usable_slots_per_weight` is
+    /// the number of usable slots per unit of worker weight.
+    pub(crate) fn is_busy(&self, now: Micros, slots: f64, usable_slots_per_weight: f64) -> bool {
+        let is_full = |occupancy: f64| occupancy + slots > (usable_slots_per_weight * self.weight).max(slots);
         self.concurrency_limit.is_rejecting(now)
             || self.occupancy(now).is_some_and(is_full)
             || self.concurrency_limit.is_exceeded(self.slots_from_this_scheduler(), slots)
