--- a/crates/vetchbridge/src/clients/budget.rs
+++ b/crates/vetchbridge/src/clients/budget.rs
@@ -3,7 +3,7 @@
 use crate::workers::ConnectionCount;
 
 /// Number of descriptors that a process needs in addition to client and worker connections: for standard
-/// streams, the runtime, listeners, signals, peers, discovery and a hand-over. An idle process has 14 of
+/// streams, the runtime, listeners, signals, peers, discovery and a handover. An idle process has 14 of
 /// these descriptors open.
 pub(super) const PROCESS_DESCRIPTORS: usize = 24;
 /// The descriptor limit of the process divided by this number is the number of descriptors that are kept free
--- a/crates/vetchbridge/src/clients/mod.rs
+++ b/crates/vetchbridge/src/clients/mod.rs
@@ -1,6 +1,6 @@
 //! The server for clients and for workers' callbacks: the listener, its connections, and the HTTP on them.
 //!
-//! This module contains all behaviour of the daemon that its clients can observe, and that workers can
+//! This module contains all behavior of the daemon that its clients can observe, and that workers can
 //! observe when they send callbacks. The module neither chooses nor contacts workers.
 
 mod body;
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -23,11 +23,11 @@
 /// Default of the time after which workers close an idle connection.
 pub const DEFAULT_CONN_IDLE: Duration = Duration::from_secs(60);
 
-/// Maximum number of characters that a scheduler's name contributes to the file name of its hand-over socket.
+/// Maximum number of characters that a scheduler's name contributes to the file name of its handover socket.
 /// The path of a Unix socket is limited to 107 characters in total.
 const MAX_NAME_IN_FILE: usize = 32;
 
-/// Returns the file name of a scheduler's hand-over socket. Schedulers may share a folder, and their names
+/// Returns the file name of a scheduler's handover socket. Schedulers may share a folder, and their names
 /// may begin with the same characters, so a long name is shortened to a prefix and a hash.
 fn handover_file_name(scheduler: &str) -> String {
     let file_name_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -89,14 +89,14 @@
 }
 
 /// Takes over from the process that already serves as this scheduler; returns `None` if no such process is
-/// found or the take-over is rejected.
+/// found or the takeover is rejected.
 async fn take_over(config: &mut Config) -> Option<InheritedState> {
     let path = config.handover_path.as_ref()?;
     match upgrade::take_over(path, &config.name, config.listen).await {
         TakeoverOutcome::Inherited(inherited) => Some(*inherited),
         TakeoverOutcome::NoPredecessor => None,
         TakeoverOutcome::Rejected => {
-            // The process that rejected the take-over keeps the hand-over path, so no successor process can
+            // The process that rejected the takeover keeps the handover path, so no successor process can
             // take over from this process.
             config.handover_path = None;
             None
--- a/crates/vetchbridge/src/serve/sockets.rs
+++ b/crates/vetchbridge/src/serve/sockets.rs
@@ -38,7 +38,7 @@
 }
 
 impl Sockets {
-    /// Opens the sockets that were not inherited from a predecessor process. The hand-over listener is
+    /// Opens the sockets that were not inherited from a predecessor process. The handover listener is
     /// published last, so that a successor process connects only after this process has the client listener.
     pub async fn open(config: &Config, inherited: InheritedSockets) -> Result<Sockets, ServeError> {
         let mut handover_listener = match config.handover_path.as_deref() {
@@ -48,7 +48,7 @@
         let client_listener = if let Some(listener) = inherited.client_listener {
             into_tokio_listener(listener).map_err(ServeError::ClientListener)?
         } else {
-            // A successor process can't inherit the client listener if the hand-over socket is unavailable.
+            // A successor process can't inherit the client listener if the handover socket is unavailable.
             // SO_REUSEPORT then lets the next process of this scheduler listen at the same address.
             let reuse_port = config.handover_path.is_some() && handover_listener.is_none();
             bind_with_retry(config.listen, || listen(config.listen, reuse_port)).await?
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -1,7 +1,7 @@
-//! The hand-over messages between two processes of one scheduler, and their encoding.
+//! The handover messages between two processes of one scheduler, and their encoding.
 //!
 //! Each message is encoded as one JSON value; some messages also carry file descriptors. The JSON names are
-//! those of version 1 of the hand-over messages and must not change; this module maps the Rust names to them.
+//! those of version 1 of the handover messages and must not change; this module maps the Rust names to them.
 //! A message that can't be decoded, such as a message of another version, ends the link between the
 //! processes.
 
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// The version of the hand-over messages. A process does not take over from a process that uses another
+/// The version of the handover messages. A process does not take over from a process that uses another
 /// version.
 pub const VERSION: u32 = 1;
 /// Maximum length of an encoded message, in bytes. A callback with a body of 64 KiB fits, encoded as JSON.
@@ -26,7 +26,7 @@
     /// Sent by the successor: asks to take over from the process that serves as the scheduler with this name
     /// and address.
     Hello {
-        /// The version of the sender's hand-over messages; [`VERSION`] in this build.
+        /// The version of the sender's handover messages; [`VERSION`] in this build.
         version: u32,
         /// The scheduler's name.
         name: String,
@@ -104,10 +104,10 @@
     true
 }
 
-/// A hand-over message and the file descriptors that accompany it.
+/// A handover message and the file descriptors that accompany it.
 #[derive(Debug)]
 pub struct Envelope {
-    /// The hand-over message.
+    /// The handover message.
     pub message: HandoverMessage,
     /// The file descriptors that accompany the message.
     pub descriptors: Vec<OwnedFd>,
--- a/crates/vetchbridge/src/upgrade/message/tests.rs
+++ b/crates/vetchbridge/src/upgrade/message/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the length limits and the encoding of hand-over messages.
+//! Tests of the length limits and the encoding of handover messages.
 
 use super::*;
 
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -1,6 +1,6 @@
 //! The predecessor's side of an upgrade: the process that serves hands over to its successor process.
 //!
-//! This module owns the hand-over listener. If a successor fails, this process continues to serve as before.
+//! This module owns the handover listener. If a successor fails, this process continues to serve as before.
 
 use super::message::{batch_endpoints, HandoverMessage, Offer, VERSION};
 use super::process_links::{Link, ProcessLinks};
@@ -25,7 +25,7 @@
 /// Time limit for the first message of a process that has connected as a successor, and for sending a
 /// rejection to that process.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before the next accept after an accept on the hand-over listener has failed.
+/// Delay before the next accept after an accept on the handover listener has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Why a process that has connected is rejected as a successor. The text is sent to that process.
@@ -70,7 +70,7 @@
 }
 
 impl HandoverServer {
-    /// Hands over to each successor process that connects to the hand-over listener, which is published at
+    /// Hands over to each successor process that connects to the handover listener, which is published at
     /// `path`. Runs until this process ends.
     pub async fn run(self: Arc<Self>, path: PathBuf, mut listener: HandoverListener) {
         loop {
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -2,7 +2,7 @@
 //! same scheduler.
 //!
 //! This module owns the connection to the predecessor process until everything has been inherited. If the
-//! take-over fails, the new process starts without a predecessor.
+//! takeover fails, the new process starts without a predecessor.
 
 use super::message::{Envelope, HandoverMessage, Offer, VERSION};
 use super::reader::{MessageReader, ReceiveError};
@@ -33,14 +33,14 @@
 pub enum TakeoverOutcome {
     /// A process of the same scheduler has handed over its sockets and state.
     Inherited(Box<InheritedState>),
-    /// No process listens at the hand-over path, or the process there failed or did not respond in time.
+    /// No process listens at the handover path, or the process there failed or did not respond in time.
     NoPredecessor,
-    /// The process that listens at the hand-over path is running and has rejected this process as its
+    /// The process that listens at the handover path is running and has rejected this process as its
     /// successor.
     Rejected,
 }
 
-/// Why nothing could be inherited from the process that listens at the hand-over path.
+/// Why nothing could be inherited from the process that listens at the handover path.
 #[derive(Debug, thiserror::Error)]
 enum TakeoverError {
     #[error("{0}")]
@@ -78,7 +78,7 @@
             TakeoverOutcome::Rejected
         }
         // The other process may have ended after the connection was made. This process can then use the
-        // hand-over path for its own socket.
+        // handover path for its own socket.
         Ok(Err(error)) => {
             warn!(path = %path.display(), reason = %error, "upgrade.takeover_failed");
             TakeoverOutcome::NoPredecessor
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -24,7 +24,7 @@
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// The number of file descriptors that the daemon may open, unless a test sets another limit.
 pub const DESCRIPTOR_LIMIT: u32 = 64;
-/// The file name of the scheduler `n0`'s hand-over socket, at which a successor process takes over from the
+/// The file name of the scheduler `n0`'s handover socket, at which a successor process takes over from the
 /// daemon.
 pub const HANDOVER_SOCKET: &str = "vetchbridge-n0.handover";
 /// The response with which a worker accepts a job.
@@ -200,7 +200,7 @@
 }
 
 impl Process {
-    /// Starts the daemon and waits until it listens. If `folder` holds the hand-over socket of a predecessor
+    /// Starts the daemon and waits until it listens. If `folder` holds the handover socket of a predecessor
     /// process, the daemon takes over from that process.
     pub fn start(config: &Value, folder: &Path) -> Process {
         Process::start_with_faults(config, folder, "")
@@ -294,7 +294,7 @@
 /// A running daemon with scripted workers and a scripted discovery service.
 pub struct Harness {
     pub daemon: Process,
-    /// The folder of the daemon's hand-over socket.
+    /// The folder of the daemon's handover socket.
     pub folder: tempfile::TempDir,
     /// The entries of the endpoint list that is saved in the daemon's configuration.
     pub instances: Vec<Value>,
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Compatibility between versions of the daemon. The tests compare the JSON of hand-over messages and
+//! Compatibility between versions of the daemon. The tests compare the JSON of handover messages and
 //! callbacks, the numbers that all schedulers of a tier derive from names, and the values of configuration
 //! files with literals. If one of these names or numbers changes, processes of two versions can't work side
 //! by side.
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -25,7 +25,7 @@
 /// The generation of the discovery service's endpoint list.
 pub const GENERATION: u32 = 70;
 /// Length of a long worker name, in bytes: a hundred endpoint list entries with such names do not fit into
-/// one hand-over message.
+/// one handover message.
 pub const LONG_NAME_BYTES: usize = 2000;
 /// Length of each piece of an endpoint list that the discovery service writes in pieces, in bytes.
 pub const PIECE_BYTES: usize = 1024;
--- a/crates/vetchbridge/tests/large_fleet.rs
+++ b/crates/vetchbridge/tests/large_fleet.rs
@@ -104,7 +104,7 @@
     assert_eq!(join_all(clients).await.len() as u64, CLIENTS);
 }
 
-/// Many schedulers may share a directory for their hand-over sockets. Each scheduler's socket is found only
+/// Many schedulers may share a directory for their handover sockets. Each scheduler's socket is found only
 /// by its own successor process, even if the schedulers' long names have the same beginning.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
@@ -131,7 +131,7 @@
     }
 }
 
-/// If an entry of the endpoint list is too long for a hand-over message, the successor process requests the
+/// If an entry of the endpoint list is too long for a handover message, the successor process requests the
 /// complete list from discovery, so that no worker is missing.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
@@ -149,7 +149,7 @@
     fleet.assert_complete_list_is_used().await;
 }
 
-/// The predecessor process splits an endpoint list with entries of various lengths into hand-over messages.
+/// The predecessor process splits an endpoint list with entries of various lengths into handover messages.
 /// No message exceeds the maximum length, and no entry that fits into a message is lost.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
--- a/crates/vetchbridge/tests/leaving.rs
+++ b/crates/vetchbridge/tests/leaving.rs
@@ -118,7 +118,7 @@
     let (_, mut worker) = harness.accept_worker_connection().await;
     worker.read().await.expect("the job");
     disconnect.run(client).await;
-    assert!(worker.read().await.is_none(), "the attempt is canceled by closing its connection");
+    assert!(worker.read().await.is_none(), "the attempt is cancelled by closing its connection");
     assert_eq!(harness.assert_only_next_job_arrives().await, 0, "no worker is dialled for the job");
 }
 
--- a/crates/vetchbridge/tests/upgrade.rs
+++ b/crates/vetchbridge/tests/upgrade.rs
@@ -154,7 +154,7 @@
     assert_eq!(harness.get_readiness().await.status(), "200");
 }
 
-/// The daemon can start regardless of which file exists at the path of its hand-over socket.
+/// The daemon can start regardless of which file exists at the path of its handover socket.
 #[rstest]
 #[case::nothing(|_: &Path| {})]
 #[case::garbage(|path: &Path| std::fs::write(path, "garbage").expect("the write succeeds"))]
@@ -174,7 +174,7 @@
     assert_eq!(successor.admin_command("health").await, "ok serving\n");
 }
 
-/// A process that connects to the daemon's hand-over socket does not disturb the daemon if the process is not
+/// A process that connects to the daemon's handover socket does not disturb the daemon if the process is not
 /// a successor of the daemon, or if it is a successor that hangs.
 #[rstest]
 #[case::garbage(b"garbage".to_vec(), "Refused")]
@@ -202,13 +202,13 @@
     assert_eq!(harness.start_successor().admin_command("health").await, "ok serving\n");
 }
 
-/// Returns the `Hello` message with which a successor process begins a hand-over. The test replaces `LISTEN`
+/// Returns the `Hello` message with which a successor process begins a handover. The test replaces `LISTEN`
 /// in the message with the daemon's address.
 fn hello(version: u32, name: &str) -> Vec<u8> {
     json!({"Hello": {"version": version, "name": name, "listen": "LISTEN"}}).to_string().into_bytes()
 }
 
-/// If the daemon can't create its Unix socket for hand-overs, it still starts, and the next process of the
+/// If the daemon can't create its Unix socket for handovers, it still starts, and the next process of the
 /// daemon starts beside it at the same address.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
