--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -41,7 +41,7 @@
 
 /// Reads and writes on a connection between the test and the daemon. Each method panics if the operation
 /// fails.
-pub trait WireExt {
+pub trait HttpConnectionExt {
     async fn send(&mut self, text: &str);
     async fn post_request(&mut self, target: &str, headers: &str, body: &str);
     /// Reads a request and returns its target.
@@ -49,7 +49,7 @@
     async fn send_endpoints(&mut self, generation: u32, instances: Value);
 }
 
-impl WireExt for HttpConnection {
+impl HttpConnectionExt for HttpConnection {
     async fn send(&mut self, text: &str) {
         self.write(text).await.expect("the peer reads");
     }
@@ -93,16 +93,16 @@
 }
 
 /// Returns the local address and the peer address of a connection.
-pub fn local_and_peer_addresses(wire: &mut HttpConnection) -> (SocketAddr, SocketAddr) {
-    let socket = wire.socket();
+pub fn local_and_peer_addresses(connection: &mut HttpConnection) -> (SocketAddr, SocketAddr) {
+    let socket = connection.socket();
     (socket.local_addr().expect("a bound socket"), socket.peer_addr().expect("a connected socket"))
 }
 
 /// Waits until the peer's kernel has acknowledged all bytes written to the connection. The peer's process
 /// need not have read these bytes.
-pub async fn wait_until_delivered(wire: &mut HttpConnection) {
-    let (local, peer) = local_and_peer_addresses(wire);
-    let is_pending = |connection: TcpTableEntry| !connection.unacknowledged.trim_matches('0').is_empty();
+pub async fn wait_until_delivered(connection: &mut HttpConnection) {
+    let (local, peer) = local_and_peer_addresses(connection);
+    let is_pending = |entry: TcpTableEntry| !entry.unacknowledged.trim_matches('0').is_empty();
     while tcp_table_entry(local, peer).is_some_and(is_pending) {
         tokio::task::yield_now().await;
     }
@@ -126,10 +126,10 @@
 /// endpoint list. Closes the connection, so that the daemon sends its next discovery request on a new
 /// connection.
 pub async fn confirm_endpoint_list(discovery: &TcpListener) {
-    let mut wire = HttpConnection::new(discovery.accept().await.expect("the first call").0);
-    assert_eq!(wire.read_target().await, "/registry/instances?index=1&wait=0");
+    let mut connection = HttpConnection::new(discovery.accept().await.expect("the first call").0);
+    assert_eq!(connection.read_target().await, "/registry/instances?index=1&wait=0");
     let unchanged = r#"{"generation":1,"reset":false,"instances":[]}"#;
-    wire.answer(200, "connection: close\r\n", unchanged).await.expect("the peer reads");
+    connection.answer(200, "connection: close\r\n", unchanged).await.expect("the peer reads");
 }
 
 /// Returns a configuration of the daemon with up to two attempts per request and one class of each
@@ -389,11 +389,11 @@
     /// Sends a worker's callback for a job to the daemon, which must acknowledge the callback whatever its
     /// `state`.
     pub async fn send_callback(&self, id: &str, worker: usize, state: &str) {
-        let mut wire = dial(self.daemon.address).await;
+        let mut connection = dial(self.daemon.address).await;
         let body =
             json!({"id": id, "from": format!("s-{worker}"), "state": state, "result": "made"}).to_string();
-        wire.post_request("/callback", "", &body).await;
-        assert_eq!(status(wire.read().await.as_ref()), "200");
+        connection.post_request("/callback", "", &body).await;
+        assert_eq!(status(connection.read().await.as_ref()), "200");
     }
 
     /// Sends requests of a class with several keys, and checks that worker 0 receives all of them. Worker 0
@@ -420,8 +420,8 @@
         let mut reads = FuturesUnordered::new();
         loop {
             let read_request =
-                async |(number, mut wire): (usize, HttpConnection)| (number, wire.read().await, wire);
-            let (number, request, mut wire) = tokio::select! {
+                async |(number, mut worker): (usize, HttpConnection)| (number, worker.read().await, worker);
+            let (number, request, mut worker) = tokio::select! {
                 dialled = self.accept_worker_connection() => {
                     reads.push(read_request(dialled));
                     continue;
@@ -433,7 +433,7 @@
                 continue;
             };
             assert_eq!(request.header("x-trace-id"), Some(next_id.as_str()), "{request:?}");
-            wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+            worker.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             self.send_callback(&next_id, number, "done").await;
             assert_eq!(status(client.read().await.as_ref()), "200");
             return empty_connections;
--- a/crates/vetchbridge/tests/connection_limits.rs
+++ b/crates/vetchbridge/tests/connection_limits.rs
@@ -21,11 +21,11 @@
 /// for each connection that the upstream group closes.
 async fn reject_jobs(number: usize, listener: TcpListener, closed: UnboundedSender<usize>) {
     loop {
-        let (mut wire, closed) =
+        let (mut connection, closed) =
             (HttpConnection::new(listener.accept().await.expect("a connection").0), closed.clone());
         tokio::spawn(async move {
-            while wire.read().await.is_some() {
-                wire.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
+            while connection.read().await.is_some() {
+                connection.send("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\ncontent-length: 0\r\n\r\n").await;
             }
             closed.send(number).expect("the test receives");
         });
--- a/crates/vetchbridge/tests/discovery_calls.rs
+++ b/crates/vetchbridge/tests/discovery_calls.rs
@@ -40,17 +40,17 @@
         };
         let mut scheduler = TestScheduler::new(setup).await;
         scheduler.start_endpoint_watcher(json!([]));
-        let (wire, _) = scheduler.accept_call().await;
-        schedulers.push((wire, scheduler));
+        let (connection, _) = scheduler.accept_call().await;
+        schedulers.push((connection, scheduler));
     }
     let mut previous_waits = vec![0; schedulers.len()];
     for generation in 2..5 {
         let mut waits = Vec::new();
-        for (wire, _) in &mut schedulers {
-            answer_changes(wire, generation, json!([])).await;
+        for (connection, _) in &mut schedulers {
+            answer_changes(connection, generation, json!([])).await;
         }
-        for (wire, _) in &mut schedulers {
-            let call = wire.read().await.expect("the watch continues");
+        for (connection, _) in &mut schedulers {
+            let call = connection.read().await.expect("the watch continues");
             let (_, wait) = call.target().split_once("wait=").expect("a call with a wait");
             waits.push(wait.parse::<u64>().expect("a wait in milliseconds"));
         }
@@ -77,11 +77,11 @@
 async fn a_silent_watch_is_reopened_before_its_updates_count_as_notified() {
     let mut scheduler = TestScheduler::with_scheduler_count(300).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let mut wire = HttpConnection::new(scheduler.discovery.accept().await.expect("the watch").0);
+    let mut connection = HttpConnection::new(scheduler.discovery.accept().await.expect("the watch").0);
     let target = |call: Option<Message>| call.expect("a call to discovery").target().to_string();
-    assert!(target(wire.read().await).contains("index=1&wait="));
-    answer_changes(&mut wire, 2, json!([])).await;
-    assert!(target(wire.read().await).contains("index=2&wait="));
+    assert!(target(connection.read().await).contains("index=1&wait="));
+    answer_changes(&mut connection, 2, json!([])).await;
+    assert!(target(connection.read().await).contains("index=2&wait="));
     let called_at = Instant::now();
     // The discovery service sends nothing more, and the connection stays open.
     let mut next = HttpConnection::new(scheduler.discovery.accept().await.expect("the next watch").0);
@@ -106,17 +106,17 @@
 
 impl CallFailure {
     /// Makes the call to discovery on this connection fail. Returns the connection if it stays open.
-    async fn fail(self, mut wire: HttpConnection) -> Option<HttpConnection> {
+    async fn fail(self, mut connection: HttpConnection) -> Option<HttpConnection> {
         let document = r#"{"generation":9,"reset":true,"instances":[{"instanceId":"s-cut"}]}"#;
         match self {
-            CallFailure::Refused => reject_call(&mut wire).await,
-            CallFailure::Reset => wire.reset(),
-            CallFailure::Truncated => answer_part_and_close(wire, document, "s-cut").await,
+            CallFailure::Refused => reject_call(&mut connection).await,
+            CallFailure::Reset => connection.reset(),
+            CallFailure::Truncated => answer_part_and_close(connection, document, "s-cut").await,
             CallFailure::Stalled => {
-                answer_part(&mut wire, document, "s-cut").await;
-                return Some(wire);
+                answer_part(&mut connection, document, "s-cut").await;
+                return Some(connection);
             }
-            CallFailure::Silent => return Some(wire),
+            CallFailure::Silent => return Some(connection),
         }
         None
     }
@@ -144,12 +144,12 @@
     let mut scheduler =
         TestScheduler::new(SchedulerSetup { scheduler_count, seed, ..SchedulerSetup::default() }).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let mut wire = scheduler.confirm_saved_list().await;
+    let mut connection = scheduler.confirm_saved_list().await;
     let mut open_connections = Vec::new();
     for number in 0..6 {
         let called_at = Instant::now();
-        open_connections.extend(call_failure.fail(wire).await);
-        wire = scheduler.accept_call().await.0;
+        open_connections.extend(call_failure.fail(connection).await);
+        connection = scheduler.accept_call().await.0;
         let elapsed = called_at.elapsed();
         assert!(
             elapsed <= Duration::from_millis(3_500),
@@ -212,16 +212,16 @@
 async fn the_call_after_a_failure_waits_for_no_change_and_is_made_once() {
     let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let (mut wire, _) = scheduler.accept_call().await;
-    reject_call(&mut wire).await;
-    let (mut wire, target) = scheduler.accept_call().await;
+    let (mut connection, _) = scheduler.accept_call().await;
+    reject_call(&mut connection).await;
+    let (mut connection, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances?index=1&wait=0");
     scheduler.send_discovery_request(DiscoveryRequest::Subscribe);
     scheduler.send_discovery_request(DiscoveryRequest::Fetch);
     let (_fetch, target) = scheduler.accept_call().await;
     assert_eq!(target, "/registry/instances", "the subscription opened a second watch");
-    answer_changes(&mut wire, 2, json!([])).await;
-    let target = wire.read().await.expect("the watch continues").target().to_string();
+    answer_changes(&mut connection, 2, json!([])).await;
+    let target = connection.read().await.expect("the watch continues").target().to_string();
     assert!(target.contains("index=2&wait=") && !target.ends_with("wait=0"), "{target}");
 }
 
@@ -235,11 +235,11 @@
     scheduler.start_endpoint_watcher(json!([]));
     let entries = json!([instance("s-a", unused_address()), {"instanceId": "s-b"}]);
     let document = json!({"generation": 2, "instances": entries, "reset": false}).to_string();
-    let (mut wire, _) = scheduler.accept_call().await;
+    let (mut connection, _) = scheduler.accept_call().await;
     for pause_ms in [0, 0, 1_000, 1_000] {
         let truncated_at = Instant::now();
-        answer_part_and_close(wire, &document, "s-b").await;
-        (wire, _) = scheduler.accept_call().await;
+        answer_part_and_close(connection, &document, "s-b").await;
+        (connection, _) = scheduler.accept_call().await;
         let waited = truncated_at.elapsed();
         assert!(
             waited >= Duration::from_millis(pause_ms),
--- a/crates/vetchbridge/tests/discovery_delivery.rs
+++ b/crates/vetchbridge/tests/discovery_delivery.rs
@@ -46,7 +46,7 @@
     let mut scheduler = TestScheduler::new(setup).await;
     scheduler.start_endpoint_watcher(json!([]));
     let accept = || async { HttpConnection::new(scheduler.discovery.accept().await.expect("the watch").0) };
-    let mut wire = accept().await;
+    let mut connection = accept().await;
     // How the discovery service ends the watch, and the maximum time from the call that opened this watch to
     // the next call to discovery, in milliseconds.
     let ends = [
@@ -56,23 +56,23 @@
         (WatchEnd::Answer, 10),
     ];
     for (end, max_ms) in ends {
-        let call = wire.read().await.expect("a call to discovery");
+        let call = connection.read().await.expect("a call to discovery");
         assert!(call.target().contains("index=1&wait="), "{} before {end:?}", call.target());
         let called_at = Instant::now();
         let mut unanswered = None;
         match end {
-            WatchEnd::Refusal => reject_call(&mut wire).await,
-            WatchEnd::Reset => wire.reset(),
+            WatchEnd::Refusal => reject_call(&mut connection).await,
+            WatchEnd::Reset => connection.reset(),
             // The connection to discovery stays open without a response.
-            WatchEnd::NoAnswer => unanswered = Some(wire),
+            WatchEnd::NoAnswer => unanswered = Some(connection),
             WatchEnd::Answer => {
-                answer_changes(&mut wire, 2, json!([])).await;
-                let call = wire.read().await.expect("the next call");
+                answer_changes(&mut connection, 2, json!([])).await;
+                let call = connection.read().await.expect("the next call");
                 assert!(call.target().contains("index=2&wait="), "{}", call.target());
                 return;
             }
         }
-        wire = accept().await;
+        connection = accept().await;
         drop(unanswered);
         assert!(
             called_at.elapsed() <= Duration::from_millis(max_ms),
@@ -102,26 +102,26 @@
     let setup = SchedulerSetup { scheduler_count: LARGE_TIER, delivery: from, ..SchedulerSetup::default() };
     let mut scheduler = TestScheduler::new(setup).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let (mut wire, _) = scheduler.accept_call().await;
-    answer_complete_list(&mut wire, 2, json!([])).await;
-    assert!(wire.read().await.expect("the watch continues").target().contains("index=2&"));
+    let (mut connection, _) = scheduler.accept_call().await;
+    answer_complete_list(&mut connection, 2, json!([])).await;
+    assert!(connection.read().await.expect("the watch continues").target().contains("index=2&"));
     if watch_is_open {
         scheduler.reload_with_delivery(to);
         wait_until_idle().await;
-        answer_complete_list(&mut wire, 3, json!([])).await;
-        assert!(wire.read().await.expect("the same watch continues").target().contains("index=3&"));
+        answer_complete_list(&mut connection, 3, json!([])).await;
+        assert!(connection.read().await.expect("the same watch continues").target().contains("index=3&"));
     }
     let mut waited = Duration::ZERO;
     // Two failures of a watch come after the reload. If the reload comes just after a failure, that failure
     // is the first of three.
     for failure in 0..if watch_is_open { 2 } else { 3 } {
         let failed_at = Instant::now();
-        reject_call(&mut wire).await;
+        reject_call(&mut connection).await;
         if !watch_is_open && failure == 0 {
             wait_until_idle().await;
             scheduler.reload_with_delivery(to);
         }
-        (wire, _) =
+        (connection, _) =
             timeout(MAX_PAUSE, scheduler.accept_call()).await.expect("the scheduler calls discovery again");
         waited = failed_at.elapsed();
     }
--- a/crates/vetchbridge/tests/discovery_documents.rs
+++ b/crates/vetchbridge/tests/discovery_documents.rs
@@ -29,15 +29,15 @@
 ) {
     let mut scheduler = TestScheduler::with_scheduler_count(1).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let (mut wire, _) = scheduler.accept_call().await;
+    let (mut connection, _) = scheduler.accept_call().await;
     let (a, b) = (instance("s-a", unused_address()), instance("s-b", unused_address()));
-    answer_complete_list(&mut wire, 5, json!([as_draining(a.clone()), b])).await;
-    wire.read().await.expect("the watch continues");
+    answer_complete_list(&mut connection, 5, json!([as_draining(a.clone()), b])).await;
+    connection.read().await.expect("the watch continues");
     // This text is an indented document that ends within its third entry.
     let entries = json!([a, as_draining(b), {"instanceId": "s-c"}]);
     let document = json!({"generation": generation, "reset": false, "instances": entries});
     let text = serde_json::to_string_pretty(&document).expect("the document is valid JSON");
-    answer_part_and_close(wire, &text, "s-c").await;
+    answer_part_and_close(connection, &text, "s-c").await;
     let _next = scheduler.accept_call().await;
     let expected = [("s-a".into(), expected_state), ("s-b".into(), InstanceState::Draining)];
     assert_eq!(scheduler.listed_workers(), expected);
--- a/crates/vetchbridge/tests/discovery_hedge.rs
+++ b/crates/vetchbridge/tests/discovery_hedge.rs
@@ -64,14 +64,14 @@
     const REFUSAL_DELAY: Duration = Duration::from_millis(2_000);
     let mut scheduler = TestScheduler::with_scheduler_count(3).await;
     scheduler.start_endpoint_watcher(json!([]));
-    let mut wire = scheduler.confirm_saved_list().await;
+    let mut connection = scheduler.confirm_saved_list().await;
     for number in 0..6 {
         tokio::select! {
             _ = scheduler.discovery.accept() => panic!("a hedged call while call {number} is in flight"),
             () = tokio::time::sleep(REFUSAL_DELAY) => {}
         }
-        reject_call(&mut wire).await;
-        wire = scheduler.accept_call().await.0;
+        reject_call(&mut connection).await;
+        connection = scheduler.accept_call().await.0;
     }
 }
 
--- a/crates/vetchbridge/tests/fleet/mod.rs
+++ b/crates/vetchbridge/tests/fleet/mod.rs
@@ -66,10 +66,10 @@
 /// Serves the jobs on one connection from the scheduler to a worker; see [`run_workers`].
 pub async fn run_worker(stream: TcpStream, name_length: usize, scheduler: SchedulerAddress) {
     let number = worker_number(stream.local_addr().expect("a connected socket"));
-    let mut wire = HttpConnection::new(stream);
-    while let Some(job) = wire.read().await {
+    let mut connection = HttpConnection::new(stream);
+    while let Some(job) = connection.read().await {
         let id = job.header("x-trace-id").expect("a job has an id").to_string();
-        wire.send(ACCEPTED).await;
+        connection.send(ACCEPTED).await;
         let callback = json!({"id": id, "from": worker_name(number, name_length), "state": "done",
                               "result": number.to_string()});
         let mut connection = dial(scheduler_address(&scheduler)).await;
@@ -102,12 +102,12 @@
 
 /// Answers the requests on one connection from the scheduler to the discovery service; see [`run_discovery`].
 pub async fn answer_calls(
-    mut wire: HttpConnection,
+    mut connection: HttpConnection,
     list: Arc<Value>,
     format: ListFormat,
     calls: UnboundedSender<String>,
 ) {
-    while let Some(call) = wire.read().await {
+    while let Some(call) = connection.read().await {
         let target = call.target().to_string();
         let wait = target.split("wait=").nth(1).map_or(0, |wait| wait.parse().expect("milliseconds"));
         let is_watch = target.contains(&format!("index={GENERATION}&"));
@@ -119,8 +119,8 @@
         let no_changes = json!({"generation": GENERATION, "reset": false, "instances": []});
         let answer = if is_watch { &no_changes } else { &*list };
         let written = match format {
-            ListFormat::Compact => wire.answer(200, "", &answer.to_string()).await,
-            ListFormat::IndentedInPieces => write_in_pieces(&mut wire, &format!("{answer:#}")).await,
+            ListFormat::Compact => connection.answer(200, "", &answer.to_string()).await,
+            ListFormat::IndentedInPieces => write_in_pieces(&mut connection, &format!("{answer:#}")).await,
         };
         if written.is_err() {
             return;
@@ -129,10 +129,10 @@
 }
 
 /// Writes a response with this body, in pieces of [`PIECE_BYTES`] bytes.
-pub async fn write_in_pieces(wire: &mut HttpConnection, body: &str) -> std::io::Result<()> {
-    wire.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
+pub async fn write_in_pieces(connection: &mut HttpConnection, body: &str) -> std::io::Result<()> {
+    connection.write(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())).await?;
     for piece in body.as_bytes().chunks(PIECE_BYTES) {
-        wire.write(std::str::from_utf8(piece).expect("ASCII")).await?;
+        connection.write(std::str::from_utf8(piece).expect("ASCII")).await?;
         // Yields so that the daemon can read this piece before the next one is written.
         tokio::task::yield_now().await;
     }
--- a/crates/vetchbridge/tests/probes.rs
+++ b/crates/vetchbridge/tests/probes.rs
@@ -53,10 +53,10 @@
     /// Sends a probe to the worker. The worker responds with this status, these header lines and this body.
     async fn probe(&self, status: u16, headers: &str, body: &str) -> (Outcome, Option<LoadReport>) {
         let responding = async {
-            let mut wire = self.accept().await;
-            wire.read().await.expect("a probe");
-            wire.answer(status, headers, body).await.expect("the group reads the response");
-            wire
+            let mut connection = self.accept().await;
+            connection.read().await.expect("a probe");
+            connection.answer(status, headers, body).await.expect("the group reads the response");
+            connection
         };
         tokio::join!(self.group.probe(self.worker_id), responding).0
     }
@@ -81,14 +81,14 @@
             |_| {},
         );
         let responding = async {
-            let mut wire = self.accept().await;
-            wire.read().await.expect("the job");
-            wire.answer(response.0, response.1, "").await.expect("the group reads the response");
+            let mut connection = self.accept().await;
+            connection.read().await.expect("the job");
+            connection.answer(response.0, response.1, "").await.expect("the group reads the response");
             if let Some(callback) = callback {
                 let callback: Callback = serde_json::from_str(callback).expect("a callback");
                 assert!(self.group.dispatch_callback(&callback));
             }
-            wire
+            connection
         };
         tokio::join!(attempt, responding).0
     }
@@ -110,14 +110,14 @@
         [fixture.group.probe(fixture.worker_id).await, fixture.group.probe(fixture.worker_id).await]
     };
     let responding = async {
-        let mut wire = fixture.accept().await;
+        let mut connection = fixture.accept().await;
         for body in ["{\"queue\":2}", "TEXT queue=3, x0=1"] {
-            let probe = wire.read().await.expect("a probe");
+            let probe = connection.read().await.expect("a probe");
             assert_eq!(probe.start_line, "GET /stats HTTP/1.1");
             assert_eq!((probe.header("x-trace-id"), probe.body.len()), (None, 0));
-            wire.answer(200, "", body).await.expect("the group reads the response");
+            connection.answer(200, "", body).await.expect("the group reads the response");
         }
-        wire
+        connection
     };
     let (outcomes, _wire) = tokio::join!(probing, responding);
     let second_report = LoadReport { queued: Some(3.0), free_slots: Some(1.0), ..LoadReport::default() };
@@ -153,10 +153,10 @@
 async fn an_oversized_report_is_ignored() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
     let responding = async {
-        let mut wire = fixture.accept().await;
-        wire.read().await.expect("a probe");
+        let mut connection = fixture.accept().await;
+        connection.read().await.expect("a probe");
         // The upstream group may close the connection before the worker has written the whole response.
-        let _ = wire.answer(200, "", &format!("queue=1,{}", " ".repeat(1 << 20))).await;
+        let _ = connection.answer(200, "", &format!("queue=1,{}", " ".repeat(1 << 20))).await;
     };
     let (result, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
     assert_eq!(result, (Outcome::Ok, None));
@@ -171,9 +171,9 @@
 async fn a_probe_whose_connection_breaks_ends_with_the_outcome_reset(#[case] written: &str) {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
     let responding = async {
-        let mut wire = fixture.accept().await;
-        wire.read().await.expect("a probe");
-        wire.write(written).await.expect("the group reads the response");
+        let mut connection = fixture.accept().await;
+        connection.read().await.expect("a probe");
+        connection.write(written).await.expect("the group reads the response");
     };
     let (result, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), responding);
     assert_eq!(result, (Outcome::Reset, None));
@@ -187,12 +187,12 @@
 async fn a_probe_without_a_response_times_out_and_releases_its_permit() {
     let fixture = Fixture::new(LoadReportSource::Probes, 1).await;
     let unresponsive = async {
-        let mut wire = fixture.accept().await;
-        wire.read().await.expect("a probe");
+        let mut connection = fixture.accept().await;
+        connection.read().await.expect("a probe");
         // Only the probe's timeout is pending from here on, so the runtime's paused clock advances directly
         // to this timeout.
         tokio::time::pause();
-        wire.wait_for_close().await;
+        connection.wait_for_close().await;
         tokio::time::resume();
     };
     let (result, ()) = tokio::join!(fixture.group.probe(fixture.worker_id), unresponsive);
--- a/crates/vetchbridge/tests/reload.rs
+++ b/crates/vetchbridge/tests/reload.rs
@@ -121,9 +121,9 @@
     drop(address_holder);
     process.wait_for_log("daemon.listening").await;
     process.wait_for_log("configuration.applied").await;
-    let mut wire = HttpConnection::new(new_discovery.accept().await.expect("a call to discovery").0);
+    let mut connection = HttpConnection::new(new_discovery.accept().await.expect("a call to discovery").0);
     assert_eq!(
-        wire.read_target().await,
+        connection.read_target().await,
         "/registry/instances",
         "the daemon calls the discovery service of the new configuration"
     );
@@ -163,9 +163,9 @@
                 accepted = workers[1].accept() => (1, accepted),
             };
             assert_eq!(worker, 1, "round {round}, job {number}: the job is bound to large machines");
-            let mut wire = HttpConnection::new(accepted.expect("a connection").0);
-            wire.read().await.expect("the job");
-            wire.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
+            let mut connection = HttpConnection::new(accepted.expect("a connection").0);
+            connection.read().await.expect("the job");
+            connection.send("HTTP/1.1 202 Accepted\r\nconnection: close\r\ncontent-length: 0\r\n\r\n").await;
             let mut callback = dial(daemon.address).await;
             let body = json!({"id": id, "from": "s-1", "state": "done", "result": "made"}).to_string();
             callback.post_request("/callback", "", &body).await;
@@ -226,9 +226,9 @@
 async fn new_settings_apply_and_open_requests_keep_their_class() {
     let mut harness = Harness::start(2).await;
     let (mut unsafe_client, unsafe_id) = harness.submit_job("unsafe", "k").await;
-    let (first_worker, mut wire) = harness.accept_worker_connection().await;
-    wire.read().await.expect("the job");
-    wire.send(ACCEPTED).await;
+    let (first_worker, mut connection) = harness.accept_worker_connection().await;
+    connection.read().await.expect("the job");
+    connection.send(ACCEPTED).await;
     let (mut safe_client, safe_id) = harness.submit_job("safe", "k").await;
     let (_, mut second_connection) = harness.accept_worker_connection().await;
     second_connection.read().await.expect("the job, at the idle worker");
@@ -254,8 +254,8 @@
     // The worker's connection fails before a 202 response. The job that was accepted when class safe allowed
     // retries is retried; a job of the new class safe is not.
     drop(second_connection);
-    wire.read().await.expect("the retried job");
-    wire.send(ACCEPTED).await;
+    connection.read().await.expect("the retried job");
+    connection.send(ACCEPTED).await;
     harness.send_callback(&safe_id, first_worker, "done").await;
     assert_eq!(status(safe_client.read().await.as_ref()), "200");
     let (mut new_safe_client, _) = harness.submit_job("safe", "k").await;
@@ -264,8 +264,8 @@
     drop(second_connection);
     assert_eq!(status(new_safe_client.read().await.as_ref()), "502");
     let (mut fresh_client, fresh_id) = harness.submit_job("fresh", "k").await;
-    wire.read().await.expect("the job, since the other worker has failed twice");
-    wire.send(ACCEPTED).await;
+    connection.read().await.expect("the job, since the other worker has failed twice");
+    connection.send(ACCEPTED).await;
     harness.send_callback(&fresh_id, first_worker, "done").await;
     assert_eq!(status(fresh_client.read().await.as_ref()), "200");
     harness.send_callback(&unsafe_id, first_worker, "done").await;
