--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -120,7 +120,7 @@
                 process_links.forward(&callback, Some(&link)).await
             };
             // If a third process did not reply, this process sends no reply either. The time limit of the
-            // process that forwarded the callback then expires, and the callback counts as unanswered there
+            // process that forwarded the callback then expires, and the callback counts as `NoReply` there
             // too.
             if forwarded != ForwardOutcome::NoReply {
                 let known = forwarded == ForwardOutcome::Known;
