--- a/crates/vetchbridge/src/serve/reload.rs
+++ b/crates/vetchbridge/src/serve/reload.rs
@@ -20,7 +20,7 @@
     pub flags: Flags,
     pub logs: Logs,
     /// The configuration document in force; `None` if the configuration is not in the platform's format.
-    pub document: Option<Value>,
+    pub platform_document: Option<Value>,
     pub discovery_requests: UnboundedSender<DiscoveryRequest>,
     pub shared: SharedState,
 }
@@ -31,7 +31,7 @@
     pub async fn run(mut self, hangup: Arc<Notify>) {
         loop {
             hangup.notified().await;
-            match config::reload(&self.flags, self.document.as_ref()) {
+            match config::reload(&self.flags, self.platform_document.as_ref()) {
                 Ok(config) => self.apply(config),
                 Err(error) => {
                     error.0.iter().for_each(|fault| error!(%fault, "configuration.invalid"));
@@ -48,16 +48,16 @@
         if let Err(error) = self.logs.set_filter(&config.log.filter.0) {
             error!(%error, "log.filter_invalid");
         }
-        let settings = config.snapshot.settings.clone();
+        let settings = config.settings_snapshot.settings.clone();
         let dial_timeout = Duration::from_micros(settings.limits.dial_timeout);
-        upstream.set_timeouts(dial_timeout, config.snapshot.worker_idle_timeout);
-        upstream.set_load_report_settings(config.snapshot.load_reports);
-        let names = config.snapshot.names.clone();
-        let old = current_settings.swap(config.snapshot);
+        upstream.set_timeouts(dial_timeout, config.settings_snapshot.worker_idle_timeout);
+        upstream.set_load_report_settings(config.settings_snapshot.load_reports);
+        let names = config.settings_snapshot.names.clone();
+        let old = current_settings.swap(config.settings_snapshot);
         if old.settings != settings {
             engine.handle(Event::Settings(Box::new(settings)));
         }
-        self.document = config.platform_document;
+        self.platform_document = config.platform_document;
         if (&old.names.zones, &old.names.machine_types) != (&names.zones, &names.machine_types) {
             // The scheduler has the endpoints with the old indices of zones and machine types. No job may be
             // placed by the old indices, so the endpoints are passed to the scheduler again with the new
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -97,9 +97,9 @@
                 // of this process are no longer needed.
                 self.upstream.close_all_idle_connections();
             }
-            HandoverMessage::ClientConnection { reused } => {
+            HandoverMessage::ClientConnection { is_kept_alive } => {
                 for connection in envelope.descriptors {
-                    self.client_server.take_over_connection(connection, reused);
+                    self.client_server.take_over_connection(connection, is_kept_alive);
                 }
             }
             HandoverMessage::ForwardedCallback { number, callback } => {
@@ -120,9 +120,9 @@
                 process_links.forward(&callback, Some(&link)).await
             };
             // If a third process did not reply, this process sends no reply either. The time limit of the
-            // process that forwarded the callback then expires, and the callback counts as unanswered there
+            // process that forwarded the callback then expires, and the callback counts as `NoReply` there
             // too.
-            if forwarded != ForwardOutcome::Unanswered {
+            if forwarded != ForwardOutcome::NoReply {
                 let known = forwarded == ForwardOutcome::Known;
                 link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
             }
--- a/crates/vetchbridge/tests/compatibility.rs
+++ b/crates/vetchbridge/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Compatibility between versions of the daemon. The tests compare the JSON of hand-over messages and
+//! Compatibility between versions of the daemon. The tests compare the JSON of handover messages and
 //! callbacks, the numbers that all schedulers of a tier derive from names, and the values of configuration
 //! files with literals. If one of these names or numbers changes, processes of two versions can't work side
 //! by side.
@@ -68,7 +68,7 @@
         (HandoverMessage::Endpoints(vec![instance()]), json!({"Entries": [instance_json()]})),
         (HandoverMessage::Rejected("no".to_string()), json!({"Refused": "no"})),
         (HandoverMessage::TookOver, json!("Taken")),
-        (HandoverMessage::ClientConnection { reused: true }, json!({"Connection": {"kept": true}})),
+        (HandoverMessage::ClientConnection { is_kept_alive: true }, json!({"Connection": {"kept": true}})),
         (HandoverMessage::ConnectionCount(9), json!({"Holds": 9})),
         (HandoverMessage::RequestOpened(11), json!({"Opened": 11})),
         (HandoverMessage::RequestClosed(12), json!({"Closed": 12})),
