--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -240,8 +240,8 @@
     PeerMessage {
         /// Index of the scheduler that sent the message.
         from: u32,
-        /// The message, as encoded by [`PeerMessage::encode`](crate::PeerMessage::encode); the data may be
-        /// invalid.
+        /// The bytes received from the other scheduler, not yet checked. A valid message was encoded by
+        /// [`PeerMessage::encode`](crate::PeerMessage::encode).
         data: Vec<u8>,
     },
 }
--- a/crates/simulator-adapter/src/wire/parse.rs
+++ b/crates/simulator-adapter/src/wire/parse.rs
@@ -11,15 +11,16 @@
 
 /// A parsed line of the simulator's input, other than an entry of an endpoint list.
 pub(super) enum Line {
-    /// A complete message in one line.
+    /// A message of the simulator that consists of this one line, unlike an endpoint list, which takes
+    /// several lines.
     Message(Message),
     /// The first line of an endpoint list; each of the `count` entries follows on a line of its own.
     EndpointList { update: EndpointUpdate, count: usize },
-    /// A message with an unknown name, which the reader skips.
+    /// A line with an unknown message name, which the reader skips.
     Unknown,
 }
 
-/// Parses a line of the input other than an entry of an endpoint list.
+/// Parses a line of the simulator's input other than an entry of an endpoint list.
 pub(super) fn parse_line(line: &str) -> Result<Line, FieldError> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
     let fields = Fields(rest);
@@ -63,8 +64,8 @@
     Ok(Some(event))
 }
 
-/// Parses `rest`, the message that starts an instance without its name. The settings are the rest of the line
-/// and may contain spaces.
+/// Parses the simulator's message that starts an instance. `rest` is the message's line without the message's
+/// name. The settings are the last part of the line and may contain spaces.
 fn parse_start(rest: &str) -> Result<Message, FieldError> {
     let (head, json) =
         rest.split_once("setup=").ok_or_else(|| FieldError::new("setup", FieldProblem::Missing))?;
--- a/crates/syscall-faults/src/plan.rs
+++ b/crates/syscall-faults/src/plan.rs
@@ -7,13 +7,15 @@
 pub(crate) enum Fault {
     /// `recv` and `readv` return EINTR.
     ReceiveInterrupted,
-    /// `recv` reads fewer bytes than requested, 63 at most. A request for one byte is not shortened.
+    /// `recv` reads at most 63 bytes, and fewer bytes than the caller requested. A call that requests one
+    /// byte is not shortened.
     ReceiveShort,
     /// `recv` on a connection that this process opened shuts it down and returns ETIMEDOUT or EHOSTUNREACH.
     ReceiveBroken,
     /// `send` and `writev` return EINTR.
     SendInterrupted,
-    /// `send` and `writev` write fewer bytes than requested. A request for one byte is not shortened.
+    /// `send` and `writev` write fewer bytes than the caller requested. A call that writes one byte is not
+    /// shortened.
     SendShort,
     /// `send` and `writev` are delayed by less than [`LONGEST_STALL_MICROS`] before they write.
     SendStalled,
--- a/crates/vetchbridge/src/clients/body.rs
+++ b/crates/vetchbridge/src/clients/body.rs
@@ -21,11 +21,11 @@
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
 /// Size in bytes of the blocks in which memory for bodies is reserved.
 const BLOCK_BYTES: usize = 1024;
-/// The process's memory divided by this number is the memory that the bodies of one kind (jobs or callbacks)
-/// may use together.
+/// The memory that the daemon's process may use, divided by this number, is the memory that all bodies of one
+/// kind (jobs or callbacks) may use together.
 const MEMORY_DIVISOR: usize = 8;
 
-/// The memory for the bodies of one kind: jobs or callbacks.
+/// The memory for the bodies of one kind of HTTP request: jobs or callbacks.
 pub(super) struct BodyMemory {
     blocks: Arc<Semaphore>,
 }
@@ -49,11 +49,11 @@
 /// the body may still arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
-    /// The body is longer than [`MAX_BODY_BYTES`].
+    /// The body of the request is longer than [`MAX_BODY_BYTES`].
     TooLong,
-    /// Not enough of the memory for bodies of this kind is free.
+    /// Not enough memory is free for the bodies of this kind of request (jobs or callbacks).
     NoMemory,
-    /// The body did not arrive in time.
+    /// The body of the request did not arrive in time.
     Timeout,
 }
 
@@ -89,8 +89,8 @@
     }
 }
 
-/// Reads the whole body of a request, and marks the connection as awaiting the response. Returns the body,
-/// and the permit for its memory; the memory is released when the permit is dropped.
+/// Reads the whole body of a request, and marks the client connection as awaiting the response. Returns the
+/// body, and the permit for its memory; the memory is released when the permit is dropped.
 pub(super) async fn read(
     body: Body,
     connection: &ClientConnection,
--- a/crates/vetchbridge/src/clients/chunked_body.rs
+++ b/crates/vetchbridge/src/clients/chunked_body.rs
@@ -7,11 +7,11 @@
 /// The result of advancing the position in a chunked body over received bytes.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// All received bytes belong to the body, and the body is not complete yet.
+    /// All received bytes belong to the chunked body, and the end of the body has not arrived yet.
     Incomplete,
-    /// The body is complete.
+    /// The last byte of the chunked body is among the received bytes.
     Complete {
-        /// Number of the received bytes that belong to the body.
+        /// Number of the received bytes that belong to the chunked body.
         length: usize,
     },
     /// The received bytes are not a valid continuation of a chunked body.
@@ -23,9 +23,9 @@
 enum Position {
     /// The size of a chunk. `has_digits`: whether at least one digit has arrived.
     Size { size: u64, has_digits: bool },
-    /// The chunk extension, between the size and the end of its line.
+    /// The chunk extension, between the chunk's size and the end of the line.
     Extension { size: u64 },
-    /// The line feed at the end of the line with the size.
+    /// The line feed at the end of the line with the chunk's size.
     SizeLineFeed { size: u64 },
     /// The data of a chunk; `remaining` is the number of its bytes that have not arrived.
     Data { remaining: u64 },
@@ -51,7 +51,7 @@
         ChunkedBody { position: Position::Size { size: 0, has_digits: false } }
     }
 
-    /// Advances the position over received bytes, at most to the end of the body.
+    /// Advances the position in the chunked body over received bytes, at most to the end of the body.
     pub(super) fn advance(&mut self, bytes: &[u8]) -> Progress {
         let mut offset = 0;
         while offset < bytes.len() {
@@ -78,8 +78,8 @@
 }
 
 impl Position {
-    /// Returns the position in the body after a byte that is not chunk data; `None` if the byte is not
-    /// allowed at this position.
+    /// Returns the position in the chunked body after a byte that is not chunk data; `None` if the byte is
+    /// not allowed at this position.
     fn after_byte(self, byte: u8) -> Option<Position> {
         match (self, byte) {
             (Position::Size { size, has_digits: true }, b'\r') => Some(Position::SizeLineFeed { size }),
--- a/crates/vetchbridge/src/clients/connection/lingering_close.rs
+++ b/crates/vetchbridge/src/clients/connection/lingering_close.rs
@@ -12,9 +12,9 @@
 /// completely.
 const MAX_DROPPED_BYTES: usize = 1 << 20;
 
-/// Closes the daemon's side of a connection, then reads and drops further input until the client closes its
-/// side too, the time limit or the limit on dropped bytes is reached, or another connection needs the
-/// descriptor.
+/// Closes the daemon's side of a client connection, then reads and drops further input until the client
+/// closes its side too, the time limit or the limit on dropped bytes is reached, or another connection needs
+/// the file descriptor.
 pub(crate) async fn lingering_close(stream: RequestStream) {
     let RequestStream { mut socket, connection } = stream;
     connection.start_lingering();
--- a/crates/vetchbridge/src/clients/connection/mod.rs
+++ b/crates/vetchbridge/src/clients/connection/mod.rs
@@ -62,7 +62,7 @@
         result
     }
 
-    /// Resolves when the connection must close because of an eviction or a time limit.
+    /// Resolves when the daemon must close the client connection because of an eviction or a time limit.
     pub(super) async fn wait_for_forced_close(&self) {
         loop {
             self.close_check.notified().await;
@@ -89,8 +89,9 @@
         self.wait_for_phase(|phase| matches!(phase, Phase::New | Phase::Idle)).await;
     }
 
-    /// Resolves when the connection is between requests and has carried a response. Before the first
-    /// response, the connection is not treated as idle, since the first request may be in transit.
+    /// Resolves when no request is in progress on the connection and the connection has carried a response.
+    /// Before the first response, the connection is not treated as idle, since the client's first request may
+    /// be in transit.
     pub(super) async fn wait_until_idle(&self) {
         self.wait_for_phase(|phase| phase == Phase::Idle).await;
     }
@@ -105,18 +106,20 @@
         }
     }
 
-    /// Returns when the request that is being received must be complete.
+    /// Returns the time by which the request that is being received must have arrived completely.
     pub(super) fn request_arrival_deadline(&self) -> Instant {
         lock_ignoring_poison(&self.state).phase_started_at + REQUEST_TIMEOUT
     }
 
-    /// Whether the body of any request on the connection may conceal another request.
+    /// Whether the body of any request on the connection may conceal another request, because the request had
+    /// both a `Content-Length` and a `Transfer-Encoding`.
     pub(super) fn has_ambiguous_framing(&self) -> bool {
         lock_ignoring_poison(&self.state).framing.is_ambiguous
     }
 
-    /// Whether the connection closes after the current response, because the next request can't be tracked,
-    /// the next request can't be stored, or the connection is chosen for eviction.
+    /// Whether the connection closes after the current response, because requests after the current request
+    /// can't be tracked, the input after the current request can't be stored, or the connection is chosen for
+    /// eviction.
     pub(super) fn closes_after_response(&self) -> bool {
         lock_ignoring_poison(&self.state).closes_after_response()
     }
@@ -136,7 +139,7 @@
         lock_ignoring_poison(&self.state).response_count > 0
     }
 
-    /// Records that the current request is complete and awaits its response.
+    /// Records that the current request has arrived completely and awaits its response.
     pub(super) fn mark_awaiting_response(&self) {
         self.update(|state| state.phase = Phase::AwaitingResponse);
     }
@@ -155,13 +158,14 @@
         self.update(|state| state.record_received(bytes, Instant::now()))
     }
 
-    /// Whether the current request is complete. hyper must not get further input before the response is sent.
+    /// Whether the current request has arrived completely. hyper must not get further input before the
+    /// response to the request is sent.
     fn is_request_complete(&self) -> bool {
         lock_ignoring_poison(&self.state).is_request_complete
     }
 
-    /// Moves stored pipelined input into `buffer`, at most to the end of one request; returns `false` if no
-    /// input is stored.
+    /// Moves pipelined input that the connection has stored into `buffer`, at most to the end of one request.
+    /// Returns `false` if no pipelined input is stored.
     fn read_pipelined_input(&self, buffer: &mut ReadBuf<'_>) -> bool {
         self.update(|state| {
             let has_pipelined_input = state.has_pipelined_input();
@@ -172,18 +176,18 @@
         })
     }
 
-    /// Whether more pipelined input may be read from the socket.
+    /// Whether more pipelined input may be read from the client's socket.
     fn accepts_pipelined_input(&self) -> bool {
         lock_ignoring_poison(&self.state).accepts_pipelined_input()
     }
 
-    /// Stores input that follows the current request.
+    /// Stores input that the client sent after the current request, until hyper has to read the next request.
     fn store_pipelined_input(&self, bytes: &[u8]) {
         lock_ignoring_poison(&self.state).store_pipelined_input(bytes);
     }
 
-    /// Records that all output of the connection has been flushed. Returns true if the flush completed a
-    /// response and input of the next request is already stored.
+    /// Records that all output of the client connection has been flushed. Returns `true` if the flush
+    /// completed a response and a part of the client's next request has already been read from the socket.
     pub(super) fn record_flush(&self) -> bool {
         let sent = self.update(|state| {
             let is_response = state.phase == Phase::SendingResponse;
@@ -212,7 +216,7 @@
         lock_ignoring_poison(&self.state).close_reason(Instant::now())
     }
 
-    /// Whether a complete request awaits its response.
+    /// Whether a request has arrived completely on the connection and its response is not ready yet.
     pub(super) fn is_awaiting_response(&self) -> bool {
         lock_ignoring_poison(&self.state).phase == Phase::AwaitingResponse
     }
--- a/crates/vetchbridge/src/clients/connection/request_stream.rs
+++ b/crates/vetchbridge/src/clients/connection/request_stream.rs
@@ -44,8 +44,8 @@
             }
             self.connection.store_pipelined_input(piece.filled());
         }
-        // The stored input has reached its maximum, so reading is paused until the response is sent. The
-        // flush of the response wakes this task.
+        // The stored pipelined input has reached its maximum length, so reading from the client is paused
+        // until the response is sent. The flush of the response wakes this task.
         Poll::Pending
     }
 }
--- a/crates/vetchbridge/src/clients/connection/state.rs
+++ b/crates/vetchbridge/src/clients/connection/state.rs
@@ -8,18 +8,19 @@
 use tokio::io::ReadBuf;
 use tokio::time::Instant;
 
-/// The phases of a connection.
+/// The phases of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No byte has been received on the connection.
+    /// No byte has been received on the client connection.
     New,
-    /// A part of a request has arrived.
+    /// A part of a client's request has arrived.
     ReceivingRequest,
-    /// A complete request has arrived, and its response is not ready yet.
+    /// A complete request has arrived from the client, and the response to the request is not ready yet.
     AwaitingResponse,
     /// The response to the current request is being sent to the client.
     SendingResponse,
-    /// The connection is kept alive between requests.
+    /// The response to the last request has been sent, and the daemon has not begun to read the client's next
+    /// request.
     Idle,
     /// The daemon has closed its side of the connection; further input from the client is dropped.
     Lingering,
@@ -28,13 +29,13 @@
 /// Why the daemon closes a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// Another connection needs the descriptor.
+    /// Another connection needs the file descriptor of this client connection.
     Evicted,
     /// The client has not read the response in time.
     ResponseTimeout,
     /// The request has not arrived in time.
     RequestTimeout,
-    /// None of the other reasons applies any longer at the time of the close.
+    /// None of the other reasons to close the connection applies any longer at the time of the close.
     Other,
 }
 
@@ -52,19 +53,19 @@
 /// The facts about a connection that matter directly after a response has been sent on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ResponseSent {
-    /// Whether input of the next request is stored already.
+    /// Whether bytes of the client's next request have already been read from the socket.
     pub(super) has_pipelined_input: bool,
     /// Whether the connection is chosen for eviction.
     pub(super) is_evicted: bool,
 }
 
-/// The state of a connection.
+/// The state of a client connection.
 pub(super) struct ConnectionState {
     pub(super) phase: Phase,
-    /// When the phase began. For the phase in which the first request is received, this is the time when the
-    /// connection was accepted.
+    /// When the connection's current phase began. For the phase in which the first request is received, this
+    /// is the time when the connection was accepted.
     pub(super) phase_started_at: Instant,
-    /// Number of responses on the connection whose sending has started.
+    /// Number of responses on this client connection whose sending has started.
     pub(super) response_count: u32,
     /// The phase in which the connection was chosen for eviction; `None` if the connection is not chosen.
     pub(super) evicted_in_phase: Option<Phase>,
@@ -74,8 +75,8 @@
     /// Pipelined input: the bytes that follow the current request, stored until the response to the current
     /// request is sent.
     pipelined_input: Vec<u8>,
-    /// Whether more pipelined input has arrived than can be stored. If so, the connection closes after the
-    /// current response.
+    /// Whether the client has sent more pipelined input than this state can hold. If so, the connection
+    /// closes after the current response.
     pipelined_overflow: bool,
 }
 
@@ -137,12 +138,13 @@
         length
     }
 
-    /// Whether input after the current request (pipelined input) is stored.
+    /// Whether this state holds pipelined input: bytes that the client sent after the current request and
+    /// that hyper has not read yet.
     pub(super) fn has_pipelined_input(&self) -> bool {
         !self.pipelined_input.is_empty()
     }
 
-    /// Moves stored pipelined input into `buffer`, at most to the end of one request.
+    /// Moves pipelined input that this state holds into `buffer`, at most to the end of one request.
     pub(super) fn read_pipelined_input(&mut self, buffer: &mut ReadBuf<'_>, now: Instant) {
         let mut pipelined = std::mem::take(&mut self.pipelined_input);
         let available = pipelined.len().min(buffer.remaining());
@@ -152,7 +154,7 @@
         self.pipelined_input = pipelined;
     }
 
-    /// Whether more pipelined input may be read from the socket.
+    /// Whether more pipelined input may be read from the client's socket.
     pub(super) fn accepts_pipelined_input(&self) -> bool {
         // Once the head of the response is written, the response can't announce any more that the connection
         // closes. While a response is sent, reading therefore pauses when `MAX_HEAD_BYTES` bytes of pipelined
@@ -160,7 +162,7 @@
         self.phase != Phase::SendingResponse || self.pipelined_input.len() < MAX_HEAD_BYTES
     }
 
-    /// Stores input that follows the current request.
+    /// Stores input that the client sent after the current request, until hyper has to read the next request.
     pub(super) fn store_pipelined_input(&mut self, bytes: &[u8]) {
         let exceeds_limit = self.pipelined_input.len() + bytes.len() > MAX_HEAD_BYTES;
         self.pipelined_overflow |= self.phase != Phase::SendingResponse && exceeds_limit;
@@ -189,12 +191,12 @@
         self.pipelined_input = Vec::new();
     }
 
-    /// Whether the connection closes after the current response.
+    /// Whether the daemon closes the client connection after the current response.
     pub(super) fn closes_after_response(&self) -> bool {
         self.framing.is_last_request() || self.pipelined_overflow || self.is_evicted()
     }
 
-    /// Whether the connection has exceeded the time limit of its phase.
+    /// Whether the connection has exceeded the time limit of its current phase at time `now`.
     pub(super) fn has_timed_out(&self, now: Instant) -> bool {
         self.phase.time_limit().is_some_and(|limit| now >= self.phase_started_at + limit)
     }
--- a/crates/vetchbridge/src/clients/framing.rs
+++ b/crates/vetchbridge/src/clients/framing.rs
@@ -16,21 +16,21 @@
 /// A position in the byte stream that a client sends on one connection.
 #[derive(Debug, PartialEq, Eq)]
 enum Position {
-    /// In the head of a request; contains the bytes of the head that have arrived.
+    /// In the head of a request; contains the bytes of the head that have arrived so far.
     Head(Vec<u8>),
     /// In a request body of known length; `remaining` is the number of its bytes that have not arrived.
     Body { remaining: u64 },
     /// In a chunked request body.
     Chunked(ChunkedBody),
-    /// After a chunked request body. The connection closes after the pending response, so further input is
-    /// not read.
+    /// After a chunked request body. The connection closes after the response to this request, so further
+    /// input is not read.
     Ended,
-    /// After input in which the end of a request can't be found. The connection closes after the pending
-    /// response.
+    /// After input in which the end of a request can't be found. The connection closes after the response to
+    /// this request.
     Untracked,
 }
 
-/// The framing of the requests on one connection, as far as the requests have arrived.
+/// How far the requests on one client connection have arrived, and what is known about the current request.
 #[derive(Debug)]
 pub(super) struct RequestFraming {
     position: Position,
@@ -42,7 +42,7 @@
 }
 
 impl RequestFraming {
-    /// Creates the framing of a connection on which no byte has arrived.
+    /// Creates the framing of a client connection on which no byte has arrived.
     pub(super) fn new() -> RequestFraming {
         RequestFraming { position: Position::Head(Vec::new()), is_ambiguous: false, is_callback: false }
     }
@@ -52,19 +52,20 @@
         self.position == Position::Ended || self.is_between_requests()
     }
 
-    /// Whether requests after the current request can't be tracked, so that the connection must close after
-    /// the response to the current request.
+    /// Whether this module can't track requests after the current request, so that the connection must close
+    /// after the response to the current request.
     pub(super) fn is_last_request(&self) -> bool {
         matches!(self.position, Position::Chunked(_) | Position::Ended | Position::Untracked)
     }
 
-    /// Whether the position is between two requests, where no byte of the next request has arrived.
+    /// Whether every request so far has arrived completely, and no byte of the next request has arrived.
     pub(super) fn is_between_requests(&self) -> bool {
         matches!(&self.position, Position::Head(head) if head.is_empty())
     }
 
-    /// Advances the position over received bytes, at most to the end of the current request. Returns how many
-    /// of the bytes belong to the current request; the other bytes belong to the next request.
+    /// Advances the position in the client's byte stream over received bytes, at most to the end of the
+    /// current request. Returns how many of the bytes belong to the current request; the other bytes belong
+    /// to the next request.
     pub(super) fn advance(&mut self, received: &[u8]) -> usize {
         let mut consumed = 0;
         while consumed < received.len() {
@@ -76,8 +77,8 @@
         consumed
     }
 
-    /// Advances the position within the current part of the request, at most to the end of that part. Returns
-    /// the number of bytes that belong to the part.
+    /// Advances the position in the client's byte stream within the current part of the request, at most to
+    /// the end of that part. Returns the number of bytes that belong to the part.
     fn advance_position(&mut self, bytes: &[u8]) -> usize {
         match &mut self.position {
             Position::Head(_) => self.advance_head(bytes),
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Advances the position within a request's head, at most to its end. Returns the number of bytes that
-    /// belong to the head.
+    /// Advances the position in the client's byte stream within a request's head, at most to the end of the
+    /// head. Returns the number of bytes that belong to the head.
     fn advance_head(&mut self, bytes: &[u8]) -> usize {
         let Position::Head(head) = &mut self.position else { return 0 };
         let already_received = head.len();
@@ -134,20 +135,20 @@
 
 /// The result of parsing the part of a request's head that has arrived.
 enum ParsedHead {
-    /// The head has not arrived completely yet.
+    /// The request's head has not arrived completely yet.
     Incomplete,
-    /// The head has arrived completely.
+    /// The request's head has arrived completely.
     Complete {
-        /// Length of the head in bytes.
+        /// Length of the request's head in bytes.
         length: usize,
         /// Whether the request is a callback.
         is_callback: bool,
-        /// Whether the head has both a `Content-Length` and a `Transfer-Encoding`.
+        /// Whether the request's head has both a `Content-Length` and a `Transfer-Encoding`.
         is_ambiguous: bool,
         /// The position in the client's byte stream after the head.
         next: Position,
     },
-    /// The head is too long or malformed.
+    /// The request's head is too long or malformed.
     Invalid,
 }
 
@@ -173,7 +174,7 @@
     }
 }
 
-/// Returns the value of the first header with this name.
+/// Returns the value of the first header of a request with this name.
 fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
     headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -1,5 +1,5 @@
-//! Translates a configuration file that is valid under the schema into a [`Config`] and reports the faults
-//! that the schema can't find.
+//! Translates a configuration file that is valid under the JSON Schema of its format into a [`Config`], and
+//! reports the errors in the file that the schema can't find.
 //!
 //! This module maps the keys of the configuration file to the fields of the scheduler's settings.
 
@@ -18,12 +18,14 @@
     Tenant, ZoneId,
 };
 
-/// Translates a configuration file; `text` is its text. Returns all faults in the order of their positions.
+/// Translates a configuration file into a [`Config`]. `text` is the file's text, from which errors get their
+/// positions. Returns all errors in the file that the schema can't find, in the order of their positions in
+/// the text.
 pub(super) fn config(file: &File, text: &Text<'_>) -> Result<Config, ConfigError> {
     Translation { file, text, faults: Vec::new() }.config()
 }
 
-/// Translates a configuration file and collects its faults.
+/// Translates a configuration file into a [`Config`] and collects the errors found in the file.
 struct Translation<'f> {
     file: &'f File,
     text: &'f Text<'f>,
@@ -31,13 +33,14 @@
 }
 
 impl Translation<'_> {
-    /// Records a fault at a configuration key.
+    /// Records an error in the value of a configuration key.
     fn add_fault(&mut self, key: impl AsRef<str>, what: impl Into<String>, remedy: impl Into<String>) {
         self.faults.push(self.text.fault(key.as_ref(), what, remedy));
     }
 
-    /// Returns the index of a zone's or machine type's name in the list of allowed names. Returns 0 if the
-    /// name is absent or not in the list; the latter is recorded as a fault.
+    /// Returns the index of a zone's or machine type's name in the list of names that the configuration
+    /// allows. Returns 0 if the name is absent or not in the list; a name that is not in the list is recorded
+    /// as an error in the configuration file.
     fn name_index(&mut self, key: String, name: Option<&String>, allowed: &[String], list: &str) -> u32 {
         let Some(name) = name else { return 0 };
         if let Some(index) = allowed.iter().position(|known| known == name) {
@@ -51,7 +54,7 @@
         0
     }
 
-    /// Checks that no name in the entries of a list is empty or repeated.
+    /// Checks that no name in the entries of a list in the configuration file is empty or repeated.
     fn check_names<'n>(&mut self, list: &str, names: impl Iterator<Item = &'n String>) {
         let mut seen = BTreeSet::new();
         for (index, name) in names.enumerate() {
@@ -106,8 +109,8 @@
         })
     }
 
-    /// Checks that the lists of the file (classes, tenants and workers) have the required entries, and that
-    /// no list repeats a name.
+    /// Checks that the lists of the configuration file (classes, tenants and workers) have the required
+    /// entries, and that no list repeats a name.
     fn check_lists(&mut self) {
         let file = self.file;
         if file.class.is_empty() {
@@ -141,8 +144,8 @@
         self.name_index("tier.zone".to_string(), tier.zone.as_ref(), &fleet.zones, "fleet.zones")
     }
 
-    /// Checks that the keys for messages between schedulers agree with the number of schedulers, and that the
-    /// keys for load reports agree with the key for probes.
+    /// Checks that the configuration keys for messages between schedulers agree with the number of
+    /// schedulers, and that the keys for load reports agree with the key for probes.
     fn check_tier_and_load(&mut self) {
         let (tier, file) = (&self.file.tier, self.file);
         let addresses = tier.each.len();
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -51,7 +51,8 @@
 struct EngineState {
     scheduler: Scheduler,
     timers: TimerQueue,
-    /// For each open request, the sender of the scheduler's commands to the request's task.
+    /// For each open request, the sender of the scheduler's commands to the request's task. A request is open
+    /// until its task ends.
     command_senders: HashMap<RequestId, UnboundedSender<RequestCommand>>,
     /// The actions that the scheduler returned for the current event; the list is kept between events to
     /// reuse its allocation.
@@ -107,8 +108,8 @@
         self.handle_locked(&mut self.lock_state(), event);
     }
 
-    /// Passes a new request to the scheduler and returns the receiver of the request's commands. Returns
-    /// `None` if another open request has the same id.
+    /// Passes a new request to the scheduler and returns the receiver of the scheduler's commands for the
+    /// request. Returns `None` if the task of another request with the same id has not ended yet.
     pub fn open_request(&self, request: Request) -> Option<UnboundedReceiver<RequestCommand>> {
         let state = &mut *self.lock_state();
         if state.command_senders.contains_key(&request.id) {
@@ -120,17 +121,20 @@
         Some(receiver)
     }
 
-    /// Removes the sender of a request's commands. The request's task calls this when it ends.
+    /// Removes the sender of the scheduler's commands for a request. The request's task calls this function
+    /// when the task ends.
     pub fn close_request(&self, id: RequestId) {
         self.lock_state().command_senders.remove(&id);
     }
 
-    /// Returns the ids of the open requests.
+    /// Returns the ids of the open requests: a request is open until it has its final answer and all of its
+    /// attempts have ended.
     pub fn open_request_ids(&self) -> Vec<RequestId> {
         self.lock_state().command_senders.keys().copied().collect()
     }
 
-    /// Returns the number of open requests.
+    /// Returns the number of open requests: a request is open until it has its final answer and all of its
+    /// attempts have ended.
     pub fn open_request_count(&self) -> usize {
         self.lock_state().command_senders.len()
     }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -386,8 +386,8 @@
         (client, id)
     }
 
-    /// Sends a worker's callback for a job to the daemon, which must acknowledge the callback whatever its
-    /// `state`.
+    /// Sends a worker's callback for a job to the daemon and checks that the daemon acknowledges the
+    /// callback, which the daemon must do for any value of the callback's `state` field.
     pub async fn send_callback(&self, id: &str, worker: usize, state: &str) {
         let mut wire = dial(self.daemon.address).await;
         let body =
--- a/crates/vetchbridge/tests/cut_answers.rs
+++ b/crates/vetchbridge/tests/cut_answers.rs
@@ -320,8 +320,8 @@
     assert_eq!(result, if completes { served() } else { AttemptResult::NotServed(Outcome::Cancelled) });
 }
 
-/// A request whose connection breaks after the request's last byte was written may have run, with or without
-/// an idempotency key or a body.
+/// If the connection to the worker breaks after the last byte of a request was written, the worker may have
+/// run the job, whether or not the request has an idempotency key or a body.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
