--- a/crates/vetchbridge/src/cli/default_file.rs
+++ b/crates/vetchbridge/src/cli/default_file.rs
@@ -4,8 +4,8 @@
 use crate::config::file;
 use serde_json::{Map, Value};
 
-/// Returns a file with every key, preceded by a comment with the key's meaning. Keys that the example lacks
-/// are commented out.
+/// Returns the text of a configuration file with every key, preceded by a comment with the key's meaning.
+/// Keys that the example of the configuration file lacks are commented out.
 pub(super) fn default_file() -> String {
     let schema = file::schema();
     let values = serde_json::to_value(file::example()).unwrap_or_default();
@@ -26,8 +26,8 @@
     text + &tables
 }
 
-/// Formats a list of tables, such as `[[class]]`, by its first entry. The list is commented out if the
-/// example file has no entry.
+/// Formats a list of tables of the configuration file, such as `[[class]]`, by the list's first entry. The
+/// list is commented out if the example of the configuration file has no entry.
 fn table_list(name: &str, schema: &Value, keys: &Map<String, Value>, first: Option<&Value>) -> String {
     let comment_marker = if first.is_some() { "" } else { "#" };
     let mut text = format!("\n# {}\n{comment_marker}[[{name}]]\n", description(schema));
@@ -37,7 +37,8 @@
     text
 }
 
-/// Formats a key with its value. A key without a default value is commented out and gets an example value.
+/// Formats a configuration key with its value. A key without a default value is commented out and gets an
+/// example value.
 fn key_line(name: &str, schema: &Value, value: Option<&Value>) -> String {
     match value {
         Some(value) => format!("# {}\n{name} = {value}\n", description(schema)),
--- a/crates/vetchbridge/src/cli/mod.rs
+++ b/crates/vetchbridge/src/cli/mod.rs
@@ -180,7 +180,7 @@
     Ok((runtime, signals))
 }
 
-/// Prints the configuration values of each file, or all faults of the file.
+/// Prints the configuration values of each file or, if the file is invalid, all errors in the file.
 fn check(files: &[PathBuf], json: bool) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     let mut reports = Vec::new();
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -72,7 +72,7 @@
     pub broadcast_address: Option<SocketAddr>,
 }
 
-/// All faults of a configuration that was rejected.
+/// All errors (faults) in a configuration that was rejected because of them.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError(pub Vec<Fault>);
 
@@ -97,7 +97,7 @@
 pub struct LoadedConfig {
     /// The configuration in the form that the daemon uses.
     pub config: Config,
-    /// Every configuration value in force with its origin, for the output of `check`.
+    /// Every configuration value in force with its origin, for the output of the command `check`.
     pub effective: Vec<EffectiveValue>,
 }
 
@@ -211,8 +211,8 @@
     Ok(LoadedConfig { config, effective })
 }
 
-/// Parses a TOML configuration file and validates it against the schema. Returns all faults that the schema
-/// finds.
+/// Parses a TOML configuration file and validates it against the JSON Schema. Returns all errors in the file
+/// that the schema finds.
 fn parse_file(source: &str, text: &str) -> Result<File, ConfigError> {
     schema::parse(source, text, &file::schema()).map_err(ConfigError)
 }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -40,7 +40,7 @@
     format!("vetchbridge-{name}.handover")
 }
 
-/// Reads keys of the platform's document and collects all faults of the document.
+/// Reads keys of the platform's configuration document and collects all errors found in the document.
 struct Document<'s> {
     source: &'s str,
     faults: Vec<Fault>,
@@ -66,8 +66,8 @@
         self.optional(Some(object), key, key)
     }
 
-    /// Records a fault like [`Document::add_fault`], unless a fault was already recorded for the same key,
-    /// with or without the key's index in a list.
+    /// Records an error in the document like [`Document::add_fault`], unless an error was already recorded
+    /// for the same key, with or without the key's index in a list.
     fn add_fault_once(&mut self, key: &str, what: impl Into<String>) {
         let without_index = |known: &str| {
             let parts = known.split('[').map(|part| part.split_once(']').map_or(part, |(_, rest)| rest));
@@ -79,7 +79,7 @@
     }
 
     /// Checks that every class's deadline and the maximum number of attempts are numbers above 0, and records
-    /// a fault otherwise.
+    /// an error in the document otherwise.
     fn check_positive(&mut self, settings: &Value) {
         let services = settings.get("services").and_then(Value::as_array).into_iter().flatten();
         let deadlines = services.enumerate().map(|(index, service)| {
@@ -109,7 +109,7 @@
     }
 }
 
-/// The values of the document's keys outside its settings object.
+/// The values of the platform document's keys outside its settings object.
 struct OwnKeys {
     name: String,
     listen: SocketAddr,
@@ -124,8 +124,8 @@
     broadcast_address: Option<SocketAddr>,
 }
 
-/// The scheduler's settings from the document's settings object, and values from this object that only the
-/// daemon uses.
+/// The scheduler's settings from the platform document's settings object, and values from this object that
+/// only the daemon uses.
 struct SettingsKeys {
     settings: Settings,
     names: NameTables,
@@ -134,7 +134,8 @@
 }
 
 impl Document<'_> {
-    /// Reads the document's keys outside its settings object. Keys with a fault get placeholder values.
+    /// Reads the platform document's keys outside its settings object. Keys with an invalid value get
+    /// placeholder values.
     fn own_keys(&mut self, root: &Value) -> OwnKeys {
         let (top, limits) = (Some(root), root.get("limits"));
         let placeholder = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -158,7 +159,7 @@
         u64::from_str_radix(&digits, 16).map_err(|error| self.add_fault("seed", error.to_string())).ok()
     }
 
-    /// Reads the document's settings object. Returns `None` if the settings do not parse.
+    /// Reads the platform document's settings object. Returns `None` if the settings do not parse.
     fn settings(&mut self, json: &Value) -> Option<SettingsKeys> {
         let limits = json.get("limits");
         let conn_idle = self.optional(limits, "conn_idle", "settings.limits.conn_idle");
@@ -204,7 +205,7 @@
     }
 }
 
-/// Parses the text of the document as a JSON object.
+/// Parses the text of the platform's configuration document as a JSON object.
 fn parse(source: &str, text: &str) -> Result<Map<String, Value>, ConfigError> {
     serde_json::from_str(text).map_err(|error| {
         let at = Some((error.line(), error.column())).filter(|(line, _)| *line > 0);
@@ -214,7 +215,7 @@
     })
 }
 
-/// Overrides keys of the document with the values of command line flags and environment variables.
+/// Overrides keys of the platform's document with the values of command line flags and environment variables.
 fn apply(root: &mut Map<String, Value>, flags: &Flags, env: &Environment<'_>) -> Overrides {
     let mut overrides = Overrides::default();
     for (variable, key, flag) in [
@@ -232,7 +233,8 @@
     overrides
 }
 
-/// Reads and validates the document's text. Flags and environment variables override the keys that they name.
+/// Reads and validates the text of the platform's document. Flags and environment variables override the
+/// document's keys that they set.
 pub fn read(
     source: &str,
     text: &str,
@@ -271,9 +273,9 @@
     Ok(LoadedConfig { config, effective: effective.collect() })
 }
 
-/// Returns a fault for each key that the old document has and the new document lacks. In a list of objects,
-/// only keys that every old entry has are required of the new entries. The saved worker list (`known`) is not
-/// compared.
+/// Returns a fault for each key that the old platform document has and the new platform document lacks. In a
+/// list of objects, only keys that every old entry has are required of the new entries. The saved worker list
+/// (`known`) is not compared.
 pub fn check_no_key_removed(old: &Value, new: &Value) -> Result<(), ConfigError> {
     fn entries(value: &Value) -> Option<Vec<&Map<String, Value>>> {
         let list = value.as_array()?.iter().map(Value::as_object).collect::<Option<Vec<_>>>()?;
--- a/crates/vetchbridge/src/config/precedence.rs
+++ b/crates/vetchbridge/src/config/precedence.rs
@@ -44,7 +44,7 @@
 /// A configuration key whose value comes from a flag or an environment variable.
 struct Override {
     key: &'static str,
-    /// `flag`, or the name of the environment variable.
+    /// Where the value comes from: `flag`, or the name of the environment variable.
     origin: &'static str,
 }
 
@@ -59,8 +59,8 @@
         self.0.push(Override { key, origin });
     }
 
-    /// Returns the flag or environment variable that set the value of a configuration key. Returns `None` if
-    /// neither did.
+    /// Returns the flag or environment variable that set the value of a configuration key, or `None` if
+    /// neither a flag nor an environment variable did.
     pub(super) fn origin(&self, key: &str) -> Option<&'static str> {
         self.0.iter().find(|entry| entry.key == key).map(|entry| entry.origin)
     }
@@ -114,7 +114,8 @@
     text.parse().map(Some).map_err(fault)
 }
 
-/// Returns the log settings in force: those of the file, overridden by flags and environment variables.
+/// Returns the log settings in force: the log settings of the configuration file, overridden by flags and
+/// environment variables.
 pub(super) fn log(file: &File, flags: &Flags, env: &Environment<'_>) -> file::Log {
     let filter = flags.log_filter.clone().or_else(|| env("RUST_LOG")).map(Filter);
     file::Log {
@@ -139,8 +140,8 @@
     values.into_iter().map(|(key, value)| EffectiveValue { from: from(&key), key, value }).collect()
 }
 
-/// Returns the values of a configuration document with the paths of their keys. A list that holds no objects
-/// is one value.
+/// Returns the values of a configuration document, each with the path of its key. A list that holds no
+/// objects is one value.
 pub(super) fn leaves(document: Value) -> Vec<(String, Value)> {
     fn walk(path: String, value: Value, found: &mut Vec<(String, Value)>) {
         let join = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
--- a/crates/vetchbridge/src/config/schema.rs
+++ b/crates/vetchbridge/src/config/schema.rs
@@ -1,5 +1,5 @@
 //! Validation of a configuration file's text against the JSON Schema of its format. The validation reports
-//! all faults at once, each with its position.
+//! all errors in the text at once, each with its position.
 //!
 //! The validation has no rules for particular keys: all rules are in the schema, which is generated from the
 //! types of the format.
@@ -22,12 +22,12 @@
     settings.with(|s| s.inline_subschemas = true).into_generator().into_root_schema_for::<T>().to_value()
 }
 
-/// Validates a TOML text against a JSON Schema and deserializes it. `source` is the name of the text in
-/// faults.
+/// Validates a TOML text against a JSON Schema and deserializes the text. `source` is the name that error
+/// reports give the text.
 ///
 /// # Errors
 ///
-/// Returns all faults of the text's syntax and all faults that the schema finds, in the order of their
+/// Returns all syntax errors in the text and all errors that the schema finds, in the order of their
 /// positions.
 pub fn parse<T: DeserializeOwned>(source: &str, text: &str, schema: &Value) -> Result<T, Vec<Fault>> {
     let (parsed, mut faults) = Text::parse(source, text);
@@ -45,7 +45,7 @@
     })
 }
 
-/// Returns all faults of a parsed text that the schema finds.
+/// Returns all errors that the schema finds in a parsed configuration text.
 fn validate(text: &Text<'_>, schema: &Value) -> Vec<Fault> {
     let mut validation = Validation { text, faults: Vec::new() };
     let root = text.root();
@@ -53,7 +53,7 @@
     validation.faults
 }
 
-/// Walks through a TOML text and its schema in parallel and collects faults.
+/// Walks through a TOML text and its JSON Schema in parallel and collects the errors in the text.
 struct Validation<'v, 't> {
     text: &'v Text<'t>,
     faults: Vec<Fault>,
@@ -70,7 +70,7 @@
         });
     }
 
-    /// Validates a TOML table: the schema must know each key of the table, and each required key must be
+    /// Validates a TOML table: the JSON Schema must know each key of the table, and each required key must be
     /// present.
     fn table(&mut self, schema: &Value, table: &DeTable<'_>, start: usize, path: &str) {
         let empty = Map::new();
@@ -95,9 +95,10 @@
         }
     }
 
-    /// Validates a TOML value against a schema of any form: an optional value, an enum or a type.
+    /// Validates a TOML value against a JSON Schema of any form: of an optional value, an enum or a type.
     fn value(&mut self, schema: &Value, value: &Spanned<DeValue<'_>>, path: &str) {
-        // The schema of an optional configuration key is a choice between the schema of its value and null.
+        // The JSON Schema of an optional configuration key is a choice between the schema of its value and
+        // null.
         let variants = schema["anyOf"].as_array().or(schema["oneOf"].as_array());
         let choices: Vec<&Value> = variants.into_iter().flatten().filter(|s| s["type"] != "null").collect();
         if let [single] = choices[..] {
@@ -127,7 +128,7 @@
         self.add_fault(value.span().start, path, format!("found {found}, expected an allowed value"), remedy);
     }
 
-    /// Validates a TOML value against the type that the schema names.
+    /// Validates a TOML value against the type that the JSON Schema names.
     fn typed_value(&mut self, schema: &Value, value: &Spanned<DeValue<'_>>, path: &str) {
         let start = value.span().start;
         match (type_of(schema), value.get_ref()) {
@@ -195,8 +196,8 @@
     }
 }
 
-/// Returns the type of value that a schema requires; the type of an optional value is the one that is not
-/// null.
+/// Returns the type of value that a JSON Schema requires; the type of an optional value is the one that is
+/// not null.
 fn type_of(schema: &Value) -> &str {
     let types: Vec<&str> = match &schema["type"] {
         Value::String(single) => vec![single],
@@ -206,7 +207,8 @@
     types.first().copied().unwrap_or("object")
 }
 
-/// Returns the remedy for an unknown configuration key: the most similar known key, or all known keys.
+/// Returns the advice to the user who wrote an unknown configuration key: the most similar known key, or all
+/// known keys.
 fn unknown_key_remedy(name: &str, known: &Map<String, Value>) -> String {
     match nearest_key(name, known.keys()) {
         Some(nearest) => format!("did you mean {nearest:?}?"),
--- a/crates/vetchbridge/src/config/text.rs
+++ b/crates/vetchbridge/src/config/text.rs
@@ -1,5 +1,5 @@
-//! The text of a configuration file with the positions of its keys, from which configuration faults get their
-//! line and column.
+//! The text of a configuration file with the positions of its keys, from which error reports get their line
+//! and column.
 
 use super::Fault;
 use toml::de::{DeTable, DeValue};
@@ -9,24 +9,24 @@
 pub struct Text<'t> {
     source: &'t str,
     content: &'t str,
-    /// Byte offset in the text at which each line begins.
+    /// Byte offset in the configuration file's text at which each line begins.
     line_starts: Vec<usize>,
     root: Spanned<DeTable<'t>>,
 }
 
 impl<'t> Text<'t> {
-    /// Returns the name of the configuration file, which faults name as their source.
+    /// Returns the name of the configuration file, which error reports name as the source of an error.
     pub(super) fn source(&self) -> &str {
         self.source
     }
 
-    /// Returns the root table of the TOML text.
+    /// Returns the root table of the configuration file's TOML text.
     pub(super) fn root(&self) -> &Spanned<DeTable<'t>> {
         &self.root
     }
 
-    /// Parses a TOML text; `source` is the name of its file. Syntax errors are returned as faults. The parts
-    /// that are valid TOML can still be examined.
+    /// Parses a TOML text; `source` is the name of its file. Returns the syntax errors as faults. The parts
+    /// of the text that are valid TOML can still be examined.
     pub fn parse(source: &'t str, text: &'t str) -> (Text<'t>, Vec<Fault>) {
         let (root, errors) = DeTable::parse_recoverable(text);
         let line_starts =
@@ -45,7 +45,7 @@
         (parsed, faults)
     }
 
-    /// Returns the line and column of a byte offset in the text, both counted from 1.
+    /// Returns the line and column of a byte offset in the configuration file's text, both counted from 1.
     pub(super) fn place(&self, offset: usize) -> (usize, usize) {
         let offset = offset.min(self.content.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
@@ -53,8 +53,8 @@
         (line, String::from_utf8_lossy(before).chars().count() + 1)
     }
 
-    /// Returns a fault of a configuration key, positioned at the key's value or, if the text lacks the key,
-    /// at the innermost enclosing table that the text has.
+    /// Returns the error report (fault) for a configuration key, positioned at the key's value or, if the
+    /// text lacks the key, at the innermost enclosing table that the text has.
     pub fn fault(&self, key: &str, what: impl Into<String>, remedy: impl Into<String>) -> Fault {
         let at = self.locate(key).1;
         let (source, key) = (self.source.to_string(), key.to_string());
--- a/crates/vetchbridge/src/config/units.rs
+++ b/crates/vetchbridge/src/config/units.rs
@@ -11,30 +11,31 @@
 use std::time::Duration;
 use vetchbridge_scheduling::Micros;
 
-/// Why a text does not parse as a configuration value. [`TextFormat::REMEDY`] describes a valid text.
+/// Why a text does not parse as a configuration value. [`TextFormat::REMEDY`] describes a valid text of the
+/// type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TextFormatError {
-    /// The text is not a duration.
+    /// The text of the configuration value is not a duration.
     #[error("found {0:?}, expected a duration")]
     InvalidDuration(String),
-    /// The duration in microseconds does not fit in 64 bits.
+    /// The duration in the configuration does not fit in 64 bits as a number of microseconds.
     #[error("the duration {0:?} is too long")]
     DurationTooLong(String),
-    /// The text is not a number of bytes.
+    /// The text of the configuration value is not a number of bytes.
     #[error("found {0:?}, expected a size")]
     InvalidSize(String),
-    /// The text is not an IP address with a port.
+    /// The text of the configuration value is not an IP address with a port.
     #[error("found {0:?}, expected an IP address with a port")]
     InvalidAddress(String),
-    /// The text is not a hexadecimal number of at most 64 bits.
+    /// The text of the configuration value is not a hexadecimal number of at most 64 bits.
     #[error("found {text:?}, expected a hexadecimal number: {reason}")]
     InvalidSeed {
-        /// The text that does not parse.
+        /// The text that does not parse as a seed.
         text: String,
-        /// Why the text does not parse.
+        /// Why the text does not parse as a seed.
         reason: ParseIntError,
     },
-    /// The text is not a log filter.
+    /// The text of the configuration value is not a log filter.
     #[error("{0}")]
     InvalidFilter(String),
 }
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -15,7 +15,7 @@
 use tracing::{debug, info, warn};
 
 /// Interval at which this process checks its number of client connections and, if the number has changed,
-/// sends it to the other process.
+/// sends the number to the other process of the scheduler.
 const CONNECTION_COUNT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl HandoverServer {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Sends and receives the messages of a link to another process until either process ends, then removes
-    /// the link.
+    /// Sends and receives the messages on a link to another process of this scheduler until either process
+    /// ends, then removes the link.
     pub(super) async fn run_link(
         &self,
         socket: HandoverSocket,
@@ -93,8 +93,8 @@
                     "upgrade.taken_over"
                 );
                 self.process_links.set_successor(link.clone());
-                // From now on the successor process opens its own connections to workers, so idle connections
-                // of this process are no longer needed.
+                // From now on the successor process opens its own connections to workers, so this process no
+                // longer needs its idle connections to workers.
                 self.upstream.close_all_idle_connections();
             }
             HandoverMessage::ClientConnection { reused } => {
@@ -109,8 +109,9 @@
         }
     }
 
-    /// Passes a worker's callback that another process forwarded to the callback's attempt, in this process
-    /// or in a third process, and sends the reply.
+    /// Passes a worker's callback that another process of this scheduler forwarded to the callback's attempt,
+    /// in this process or in a third process. Sends the process that forwarded the callback a reply with
+    /// whether an attempt was found.
     fn handle_callback(&self, link: Arc<Link>, number: u64, callback: Callback) {
         let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
         tokio::spawn(async move {
@@ -119,9 +120,9 @@
             } else {
                 process_links.forward(&callback, Some(&link)).await
             };
-            // If a third process did not reply, this process sends no reply either. The time limit of the
-            // process that forwarded the callback then expires, and the callback counts as unanswered there
-            // too.
+            // If a third process of the scheduler did not reply, this process sends no reply either. The time
+            // limit of the process that forwarded the callback then expires, so that the callback counts as
+            // unanswered in that process too.
             if forwarded != ForwardOutcome::Unanswered {
                 let known = forwarded == ForwardOutcome::Known;
                 link.send(HandoverMessage::CallbackReply { number, known }, Vec::new());
--- a/crates/vetchbridge/src/upgrade/message.rs
+++ b/crates/vetchbridge/src/upgrade/message.rs
@@ -14,55 +14,59 @@
 /// The version of the hand-over messages. A process does not take over from a process that uses another
 /// version.
 pub const VERSION: u32 = 1;
-/// Maximum length of an encoded message, in bytes. A callback with a body of 64 KiB fits, encoded as JSON.
+/// Maximum length of an encoded hand-over message, in bytes. A worker's callback with a body of 64 KiB fits,
+/// encoded as JSON.
 pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Maximum length of a message with several entries of the endpoint list, in bytes. A longer entry gets a
-/// message of its own.
+/// Maximum length of a hand-over message with several entries of the endpoint list, in bytes. An entry that
+/// is longer gets a message of its own.
 const MAX_BATCH_BYTES: usize = 32 * 1024;
 
-/// A message from one process of a scheduler to another.
+/// A hand-over message from one process of a scheduler to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// Sent by the successor: asks to take over from the process that serves as the scheduler with this name
-    /// and address.
+    /// Sent by the successor process: asks to take over from the process that serves as the scheduler with
+    /// this name and address.
     Hello {
-        /// The version of the sender's hand-over messages; [`VERSION`] in this build.
+        /// The version of the hand-over messages that the sender uses; [`VERSION`] in this build.
         version: u32,
         /// The scheduler's name.
         name: String,
         /// The address at which clients connect to the scheduler.
         listen: SocketAddr,
     },
-    /// Sent by the predecessor: its state. The message carries the descriptors of the listener for clients
-    /// and, if there is one, of the socket for messages between schedulers.
+    /// Sent by the predecessor process: the predecessor's state. The message carries the descriptors of the
+    /// listener for clients and, if there is one, of the socket for messages between schedulers.
     Offer(Offer),
-    /// Sent by the predecessor: a part of its endpoint list. An empty message marks the end of the list.
+    /// Sent by the predecessor process: a part of the predecessor's endpoint list. A message with no entries
+    /// marks the end of the list.
     #[serde(rename = "Entries")]
     Endpoints(Vec<Instance>),
-    /// Sent by the predecessor: rejects the other process as a successor, for this reason.
+    /// Sent by the predecessor process: rejects the other process as a successor, for the reason in this
+    /// text.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// Sent by the successor: announces that it serves from now on.
+    /// Sent by the successor process: announces that the successor serves from now on.
     #[serde(rename = "Taken")]
     TookOver,
-    /// Passes a client connection on which no request is in progress to the other process. The message
-    /// carries the connection's descriptor.
+    /// Passes a client connection on which no request is in progress to the other process of the scheduler.
+    /// The message carries the connection's descriptor.
     #[serde(rename = "Connection")]
     ClientConnection {
-        /// Whether the connection has already carried a response.
+        /// Whether the client connection has already carried a response.
         #[serde(rename = "kept")]
         reused: bool,
     },
-    /// The number of client connections that the sender has.
+    /// The number of client connections that the process that sends the message has.
     #[serde(rename = "Holds")]
     ConnectionCount(usize),
-    /// The request with this id is now open at the sender.
+    /// The process that sends the message has accepted the client's request with this id, and the request has
+    /// not ended yet.
     #[serde(rename = "Opened")]
     RequestOpened(u64),
-    /// The request with this id is no longer open at the sender.
+    /// The client's request with this id has ended in the process that sends the message.
     #[serde(rename = "Closed")]
     RequestClosed(u64),
-    /// Forwards a worker's callback for which the sender has no attempt.
+    /// Forwards a worker's callback for which the process that sends the message has no attempt.
     #[serde(rename = "Callback")]
     ForwardedCallback {
         /// A number that identifies the forwarded callback in the [`HandoverMessage::CallbackReply`] to it.
@@ -70,25 +74,25 @@
         /// The forwarded callback.
         callback: Callback,
     },
-    /// Replies to a forwarded callback with whether an attempt was found for it.
+    /// The reply to a forwarded callback: whether an attempt was found for the callback.
     #[serde(rename = "Heard")]
     CallbackReply {
-        /// The `number` of the forwarded callback.
+        /// The `number` of the forwarded callback that this message replies to.
         number: u64,
         /// Whether an attempt was found for the forwarded callback.
         known: bool,
     },
 }
 
-/// The predecessor's state, from which the successor starts.
+/// The predecessor process's state, from which the successor process starts.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Offer {
     /// Whether an operator has quiesced the scheduler.
     pub quiesced: bool,
     /// The address of the discovery service from which the endpoint list was received.
     pub source: Option<SocketAddr>,
-    /// The generation of the endpoint list at that discovery service; `None` if the generation is unknown or
-    /// the list can't be sent completely.
+    /// The generation of the endpoint list at that discovery service; `None` if the generation is unknown, or
+    /// if the endpoint list can't be sent whole.
     pub generation: Option<u64>,
     /// Whether discovery has confirmed the endpoint list to the predecessor, or the predecessor already
     /// serves without a confirmation.
@@ -98,8 +102,8 @@
     pub connections: usize,
 }
 
-/// Returns the value of `confirmed` for an offer without that field. Older versions, which don't send the
-/// field, serve immediately after their start.
+/// Returns the value of `confirmed` for an offer that lacks the field. Older versions of the daemon, which
+/// don't send the field, serve immediately after their start.
 fn confirmed_by_default() -> bool {
     true
 }
@@ -114,27 +118,27 @@
 }
 
 impl HandoverMessage {
-    /// Encodes the message as JSON.
+    /// Encodes the hand-over message as JSON.
     pub fn encode(&self) -> Vec<u8> {
-        // Encoding can't fail: a message has no map with keys other than strings and no type whose encoding
-        // can fail.
+        // Encoding can't fail, because a hand-over message has no map with keys other than strings and no
+        // type whose encoding can fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Decodes a message from JSON.
+    /// Decodes a hand-over message from JSON.
     pub fn decode(bytes: &[u8]) -> Result<HandoverMessage, serde_json::Error> {
         serde_json::from_slice(bytes)
     }
 }
 
 /// Splits the entries of an endpoint list into batches, one for each [`HandoverMessage::Endpoints`]. Omits an
-/// entry that is too long for any message.
+/// entry that is too long for any hand-over message.
 pub fn batch_endpoints(instances: Vec<Instance>) -> Vec<Vec<Instance>> {
     let overhead = HandoverMessage::Endpoints(Vec::new()).encode().len();
     let mut batches: Vec<Vec<Instance>> = Vec::new();
     let mut bytes_left = 0;
     for instance in instances {
-        // The 1 is for the comma before the next entry.
+        // The 1 is for the comma between this entry and the next entry in the JSON list.
         let length = serde_json::to_vec(&instance).map_or(MAX_MESSAGE_BYTES, |entry| entry.len()) + 1;
         if overhead + length > MAX_MESSAGE_BYTES {
             continue;
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -28,7 +28,8 @@
 /// Delay before the next accept after an accept on the hand-over listener has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a process that has connected is rejected as a successor. The text is sent to that process.
+/// Why a process that has connected to the hand-over listener is rejected as a successor. The text is sent to
+/// that process.
 #[derive(Debug, thiserror::Error)]
 enum Rejection {
     #[error("the process has already handed over to another successor")]
@@ -45,7 +46,8 @@
     Receive(#[from] ReceiveError),
 }
 
-/// Hands over to successor processes, and holds everything that a successor takes over.
+/// Hands over to successor processes. Holds the sockets, the state and the connections that a successor takes
+/// over.
 pub struct HandoverServer {
     /// The scheduler's name.
     pub name: String,
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Hands over to the process that has connected, if that process is a successor of this scheduler's
-    /// process, and keeps the link to it.
+    /// Hands over to the process that has connected to the hand-over listener, if that process is a successor
+    /// of this process, and keeps the link to the successor.
     async fn hand_over(self: Arc<Self>, socket: HandoverSocket) {
         match self.receive_hello(&socket).await {
             Ok(true) => {}
@@ -117,8 +119,8 @@
         self.run_link(socket, link, outgoing).await;
     }
 
-    /// Receives the first message of the process that has connected. Returns `true` if that process may
-    /// become the successor, `false` if it has closed the connection.
+    /// Receives the first message of the process that has connected to the hand-over listener. Returns `true`
+    /// if that process may become the successor, `false` if it has closed the connection.
     async fn receive_hello(&self, socket: &HandoverSocket) -> Result<bool, Rejection> {
         let received = timeout(HELLO_TIMEOUT, MessageReader::new(socket).next()).await;
         let Some(envelope) = received.map_err(|_| Rejection::NoHello)?? else { return Ok(false) };
--- a/crates/vetchbridge/src/upgrade/process_links.rs
+++ b/crates/vetchbridge/src/upgrade/process_links.rs
@@ -26,23 +26,23 @@
 /// The result of forwarding a worker's callback to the other processes of this scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardOutcome {
-    /// One of the processes has the callback's attempt.
+    /// One of the other processes has the attempt that the callback belongs to.
     Known,
-    /// No other process has the callback's attempt.
+    /// No other process has the attempt that the callback belongs to.
     Unknown,
-    /// A process that may have the callback's attempt did not reply in time.
+    /// A process that may have the attempt that the callback belongs to did not reply in time.
     Unanswered,
 }
 
 /// The state that another process of this scheduler has reported.
 #[derive(Default)]
 struct RemoteState {
-    /// The ids of the requests that are open in the other process.
+    /// The ids of the clients' requests that have not ended yet in the other process.
     open_requests: HashSet<u64>,
     /// The number of client connections of the other process.
     connections: usize,
-    /// For each forwarded callback that awaits a reply, by its number, the sender that passes on whether the
-    /// callback's attempt was found.
+    /// The forwarded callbacks that await a reply, by number. The sender of each passes on whether the other
+    /// process found the callback's attempt.
     pending_callbacks: HashMap<u64, oneshot::Sender<bool>>,
     /// The number that identifies the last callback that was forwarded to the other process.
     last_callback: u64,
@@ -73,7 +73,7 @@
         self.outgoing.try_send(Envelope { message, descriptors }).is_ok()
     }
 
-    /// Whether messages to the other process are still queued.
+    /// Whether messages to the other process are still queued and not yet sent.
     pub fn has_queued(&self) -> bool {
         self.outgoing.capacity() < QUEUE_CAPACITY
     }
@@ -100,7 +100,7 @@
         forwarded
     }
 
-    /// Updates the reported state of the other process from a message that the other process sent.
+    /// Updates what this process knows of the other process from a message that the other process sent.
     pub fn record(&self, message: &HandoverMessage) {
         let remote = &mut *lock_ignoring_poison(&self.remote);
         match message {
@@ -112,7 +112,8 @@
             }
             HandoverMessage::CallbackReply { number, known } => {
                 if let Some(reply_sender) = remote.pending_callbacks.remove(number) {
-                    // Passing the reply on fails if the wait for the reply has timed out.
+                    // Passing on the reply to a forwarded callback fails if the wait for the reply has timed
+                    // out.
                     let _ = reply_sender.send(*known);
                 }
             }
@@ -121,7 +122,8 @@
     }
 }
 
-/// All links of this process, and the link to its successor if there is one.
+/// All links of this process to other processes of the scheduler, and the link to the successor process if
+/// there is one.
 pub struct ProcessLinks {
     links: Mutex<Vec<Arc<Link>>>,
     successor: watch::Sender<Option<Arc<Link>>>,
@@ -200,7 +202,8 @@
         result
     }
 
-    /// Whether a request with this id is open in another process.
+    /// Whether a client's request with this id is open (has not ended yet) in another process of this
+    /// scheduler.
     pub fn has_open_request(&self, id: RequestId) -> bool {
         lock_ignoring_poison(&self.links)
             .iter()
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Whether messages to any other process of this scheduler are still queued.
+    /// Whether messages to any other process of this scheduler are still queued and not yet sent.
     pub fn has_queued(&self) -> bool {
         lock_ignoring_poison(&self.links).iter().any(|link| link.has_queued())
     }
--- a/crates/vetchbridge/src/upgrade/process_links/tests.rs
+++ b/crates/vetchbridge/src/upgrade/process_links/tests.rs
@@ -65,7 +65,8 @@
         process_links.add(link.clone());
         queues.push((link, Some(queue)));
     }
-    // The first process has ended, the second hangs, the third sent the callback, the fourth has the attempt.
+    // The first process has ended, the second process hangs, the third process sent the callback, and the
+    // fourth process has the callback's attempt.
     queues[0].1 = None;
     let (with_attempt, mut forwarded) = (queues[3].0.clone(), queues[3].1.take().expect("a queue"));
     let replying = async {
--- a/crates/vetchbridge/src/upgrade/socket.rs
+++ b/crates/vetchbridge/src/upgrade/socket.rs
@@ -18,7 +18,7 @@
 use tokio::io::Interest;
 use tokio::net::{UnixListener, UnixStream};
 
-/// Maximum number of descriptors in one message.
+/// Maximum number of file descriptors in one hand-over message.
 const MAX_DESCRIPTORS: usize = 2;
 /// Maximum number of connections of successor processes that may wait in the listener's queue.
 const ACCEPT_BACKLOG: i32 = 4;
@@ -31,7 +31,8 @@
 /// The listening socket to which successor processes connect.
 pub struct HandoverListener {
     socket: UnixListener,
-    /// The temporary path of the socket; `None` once the socket has been published.
+    /// The temporary path of the listening socket; `None` once the socket has been moved to the path where
+    /// successor processes connect.
     unpublished_path: Option<PathBuf>,
 }
 
@@ -50,8 +51,8 @@
         })
     }
 
-    /// Moves the socket to `path`, where successor processes connect. Replaces the socket of a process that
-    /// has ended or has handed over.
+    /// Moves the listening socket to `path`, where successor processes connect. Replaces the socket of a
+    /// process that has ended or has handed over.
     pub fn publish(&mut self, path: &Path) -> io::Result<()> {
         match self.unpublished_path.take() {
             Some(temporary_path) => std::fs::rename(temporary_path, path),
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Accepts the next connection of a process. Returns an error if that process belongs to another user.
+    /// Accepts the next connection of a process to the hand-over socket. Returns an error if that process
+    /// belongs to another user.
     pub async fn accept(&self) -> io::Result<HandoverSocket> {
         let (accepted, _) = self.socket.accept().await?;
         if accepted.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
@@ -82,9 +84,9 @@
 
 /// A message that was received into the caller's buffer.
 pub struct ReceivedMessage {
-    /// The length of the message, in bytes.
+    /// The length of the received message, in bytes.
     pub length: usize,
-    /// The descriptors that came with the message.
+    /// The file descriptors that came with the received message.
     pub descriptors: Vec<OwnedFd>,
 }
 
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -77,8 +77,8 @@
             warn!(path = %path.display(), reason, "upgrade.takeover_rejected");
             TakeoverOutcome::Rejected
         }
-        // The other process may have ended after the connection was made. This process can then use the
-        // hand-over path for its own socket.
+        // The process at the other end may have ended after the connection was made. This process can then
+        // use the hand-over path for its own socket.
         Ok(Err(error)) => {
             warn!(path = %path.display(), reason = %error, "upgrade.takeover_failed");
             TakeoverOutcome::NoPredecessor
@@ -90,7 +90,7 @@
     }
 }
 
-/// Sends the hello message and receives everything that the predecessor hands over.
+/// Sends the predecessor process the hello message and receives everything that the predecessor hands over.
 async fn inherit(
     socket: HandoverSocket,
     name: &str,
@@ -112,7 +112,8 @@
     Ok(InheritedState { listener, peer_socket, offer, endpoints, socket })
 }
 
-/// Receives the predecessor's endpoint list, up to the empty message that marks the end of the list.
+/// Receives the predecessor process's endpoint list, up to the message without entries that marks the end of
+/// the list.
 async fn receive_endpoints(
     reader: &mut MessageReader<'_>,
     generation: u64,
