--- a/crates/scheduling/src/actions.rs
+++ b/crates/scheduling/src/actions.rs
@@ -18,7 +18,7 @@
     Send {
         /// The request to send.
         request: RequestId,
-        /// The worker that gets the attempt.
+        /// The worker that the attempt is sent to.
         worker: WorkerId,
         /// Maximum duration of the attempt, in microseconds; `None` if only the request's deadline limits the
         /// attempt.
@@ -47,14 +47,14 @@
     },
     /// Send a health check to a worker. The worker's response may carry a load report.
     Probe(WorkerId),
-    /// Close the idle connections to this worker.
+    /// Close the idle connections to the worker with this id.
     CloseIdle(WorkerId),
     /// Subscribe to discovery's changes of the endpoint list (`true`), or unsubscribe (`false`).
     Subscribe(bool),
     /// Fetch the complete endpoint list from discovery once, without a subscription.
     FetchEndpoints,
-    /// Set a timer: pass the token to the scheduler with [`Event::Timer`](crate::Event::Timer) at the given
-    /// time or soon after.
+    /// Set a timer: pass the timer's token to the scheduler with [`Event::Timer`](crate::Event::Timer) at the
+    /// given time or soon after.
     SetTimer {
         /// When the timer expires, in microseconds of the scheduler's clock.
         at: Micros,
@@ -63,9 +63,10 @@
     },
     /// Send a message of at most 256 bytes to other schedulers.
     SendPeerMessage {
-        /// The scheduler or schedulers that get the message.
+        /// The scheduler or schedulers that the message is sent to.
         to: Recipient,
-        /// The message, as encoded by [`PeerMessage::encode`](crate::PeerMessage::encode).
+        /// The message to the other schedulers, as encoded by
+        /// [`PeerMessage::encode`](crate::PeerMessage::encode).
         data: Vec<u8>,
     },
     /// Write a line to the scheduler's log.
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -59,21 +59,21 @@
 }
 
 impl EndpointUpdate {
-    /// Whether the entries are the complete endpoint list, so that a worker that is missing from the entries
-    /// was removed.
+    /// Whether an update of this kind contains the complete endpoint list, so that a worker that is missing
+    /// from the entries was removed.
     #[must_use]
     pub fn is_complete(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Restored | EndpointUpdate::HandedOver)
     }
 
-    /// Whether the scheduler has to poll discovery after this update.
+    /// Whether the scheduler has to poll discovery after an update of the endpoint list of this kind.
     #[must_use]
     pub fn needs_poll(self) -> bool {
         matches!(self, EndpointUpdate::Restored | EndpointUpdate::HandedOver | EndpointUpdate::Failed)
     }
 
-    /// Whether the update of the endpoint list came from discovery, as a response to a poll or as a pushed
-    /// change.
+    /// Whether an update of the endpoint list of this kind came from discovery, as a response to a poll or as
+    /// a pushed change.
     #[must_use]
     pub fn is_response(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Changes)
@@ -102,8 +102,8 @@
     pub retry: bool,
 }
 
-/// A worker's load report. A field is `None` if the worker did not send the value or if the value was out of
-/// range.
+/// A worker's load report. Each field is `None` if the worker did not send the field's value or if the value
+/// was out of range.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Number of the worker's free slots.
@@ -139,8 +139,8 @@
     Invalid,
     /// The scheduler cancelled the attempt; the job may have run.
     Cancelled,
-    /// The attempt was not sent to the worker, because the request was complete, was past its deadline or had
-    /// used up its attempts.
+    /// The attempt was not sent to the worker, because the request already had its final answer, its client
+    /// had disconnected, or the request was past its deadline or had used up its attempts.
     NotSent,
 }
 
@@ -160,7 +160,7 @@
     }
 }
 
-/// A worker's report about the progress of a running job.
+/// A worker's report about the progress of a job that the worker runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobProgress {
     /// The worker has started the job.
@@ -174,7 +174,7 @@
 pub enum Event {
     /// The endpoint list has changed, or the list could not be fetched from discovery.
     Endpoints {
-        /// Where the entries come from, and which part of the endpoint list they are.
+        /// Where the entries of the endpoint list come from, and which part of the endpoint list they are.
         update: EndpointUpdate,
         /// The entries of the endpoint list that the update contains.
         endpoints: Vec<Endpoint>,
@@ -193,7 +193,8 @@
         outcome: Outcome,
         /// Time from sending the attempt to its end, in microseconds.
         latency: Micros,
-        /// Whether the request is complete, so that the scheduler must give it no final answer.
+        /// Whether the request already has its final answer or its client has disconnected, so that the
+        /// scheduler must give it no final answer.
         request_closed: bool,
         /// The worker's load report, if the worker sent one.
         load: Option<LoadReport>,
@@ -206,7 +207,7 @@
         /// The attempt whose response has started.
         attempt: AttemptNo,
     },
-    /// Progress of a running attempt.
+    /// A worker has reported progress of a running attempt.
     JobProgress {
         /// The request that the attempt belongs to.
         request: RequestId,
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -10,18 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// The fleet keeps removed workers while the number of all its workers is below twice the number of ready
-/// workers plus this number.
+/// Limit on the workers that the fleet keeps: it drops removed workers once the number of all its workers
+/// reaches twice the number of ready workers plus this number.
 const MAX_REMOVED_WORKERS: usize = 64;
-/// A change of a worker's listed weight by at most this fraction of the weight is ignored.
+/// A change of a worker's weight in the endpoint list by at most this fraction of the weight is ignored.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
-/// The workers that a scheduler knows, in the order in which the endpoint list first contained them, and
-/// their ring.
+/// The workers that a scheduler knows, in the order in which the endpoint list first contained them, and the
+/// hash ring of these workers.
 #[derive(Default)]
 pub(crate) struct Fleet {
     workers: Vec<Worker>,
-    /// Index of each worker in `workers`.
+    /// Index of each worker in the list `workers`, by the worker's id.
     index_by_id: BTreeMap<WorkerId, usize>,
     ring: Ring,
     ready_count: usize,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Applies one entry of the endpoint list. Returns the worker's index if the worker's points have to be
-    /// placed on the ring.
+    /// Applies one entry of the endpoint list. Returns the worker's index if the worker's virtual points have
+    /// to be placed on the hash ring.
     fn apply_entry(&mut self, now: Micros, endpoint: Endpoint, weights: WeightSource) -> Option<usize> {
         let weight = listed_weight(&endpoint, weights);
         let is_ready = endpoint.state == EndpointState::Ready;
@@ -97,8 +97,8 @@
         index
     }
 
-    /// Drops the removed workers that have no attempts in flight, once there are more workers than
-    /// [`MAX_REMOVED_WORKERS`] allows. Otherwise memory would grow as machines come and go.
+    /// Drops the removed workers that have no attempts in flight, once the fleet has more workers than
+    /// [`MAX_REMOVED_WORKERS`] allows. Otherwise the fleet's memory would grow as machines come and go.
     fn drop_removed(&mut self) {
         if self.workers.len() < 2 * self.ready_count + MAX_REMOVED_WORKERS {
             return;
@@ -152,7 +152,7 @@
     }
 }
 
-/// Returns the weight in the worker's entry if the weight is a valid size, otherwise 1.
+/// Returns the weight in a worker's entry of the endpoint list if the weight is a valid size, otherwise 1.
 fn listed_weight(endpoint: &Endpoint, weights: WeightSource) -> f64 {
     let is_valid = weights == WeightSource::Size && endpoint.weight.is_finite() && endpoint.weight > 0.0;
     if is_valid {
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -6,7 +6,7 @@
 /// Whether workers may run the job of a request of a class more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The job may run any number of times.
+    /// Workers may run the job of a request any number of times.
     Idempotent,
     /// The request has an idempotency key: the workers of one scope drop a repeat of the request within a
     /// time window after the first attempt.
@@ -17,7 +17,7 @@
         /// sent.
         deduplication_window: Micros,
     },
-    /// The job must not run more than once.
+    /// Workers must not run the job of a request more than once.
     #[default]
     NonIdempotent,
 }
@@ -25,11 +25,11 @@
 /// The workers that drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All workers.
+    /// All workers drop a repeat of the request.
     All,
-    /// The workers in the zone of the first worker that may have run the job.
+    /// The workers in the zone of the first worker that may have run the job drop a repeat of the request.
     Zone,
-    /// The workers in the cell of the first worker that may have run the job.
+    /// The workers in the cell of the first worker that may have run the job drop a repeat of the request.
     Cell,
 }
 
@@ -53,7 +53,8 @@
     pub late_weight: f64,
     /// Whether workers may run the job of a request more than once.
     pub idempotency: Idempotency,
-    /// The only machine type that runs this class; `None` if every machine type does.
+    /// The only machine type whose workers run the jobs of this class; `None` if workers of every machine
+    /// type run them.
     pub machine_type: Option<MachineTypeId>,
     /// Priority of the class's jobs in the queues of workers that use [`QueueOrder::Priority`].
     pub priority: i64,
@@ -71,11 +72,12 @@
 /// The order in which a worker serves its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// In order of arrival. No queued job starts before the first job in the queue fits into the free slots.
+    /// The worker serves its queue in order of arrival. No queued job starts before the first job in the
+    /// queue fits into the worker's free slots.
     Fifo,
-    /// The worker starts the first queued job that fits into the free slots.
+    /// The worker starts the first queued job that fits into the worker's free slots.
     Backfill,
-    /// By the priority of the jobs' classes; see [`Class::priority`].
+    /// The worker serves its queue by the priority of the jobs' classes; see [`Class::priority`].
     Priority,
 }
 
@@ -106,14 +108,15 @@
 pub enum WeightSource {
     /// The weights in the endpoint list are ignored: every worker has weight 1.
     Fixed,
-    /// The registered or approximate size of the worker.
+    /// The weight in the endpoint list is the registered or approximate size of the worker.
     Size,
-    /// The worker's size, reduced by the worker's load at an earlier sample. The scheduler ignores these
-    /// weights and gives every worker weight 1, because the ring must not follow the load.
+    /// The weight in the endpoint list is the worker's size, reduced by the worker's load at an earlier
+    /// sample. The scheduler ignores these weights and gives every worker weight 1, because the ring must not
+    /// follow the load.
     Live,
 }
 
-/// Limits on what the scheduler may do.
+/// Limits on what a scheduler may do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum number of attempts for one request.
@@ -140,15 +143,16 @@
 pub struct Rules {
     /// Time after a request's deadline within which the request's final answer still counts, in microseconds.
     pub answer_slack: Micros,
-    /// Time within which the scheduler must stop sending jobs to a worker that was drained or removed, in
-    /// microseconds.
+    /// Time within which the scheduler must stop sending jobs to a worker that drains or was removed from the
+    /// endpoint list, in microseconds.
     pub drain_grace: Micros,
     /// With [`EndpointDelivery::Poll`]: a scheduler that has not polled discovery for this long, in
     /// microseconds, counts as notified of a change of the endpoint list.
     pub poll_within: Option<Micros>,
-    /// Smallest fraction of its full capacity that a worker can have right after the start of its process.
+    /// Smallest fraction of its full capacity that a worker can have right after the start of the worker's
+    /// process.
     pub slow_start_floor: f64,
-    /// Time after the start of its process by which a worker has its full capacity, in microseconds.
+    /// Time after the start of a worker's process by which the worker has its full capacity, in microseconds.
     pub slow_start_time: Micros,
     /// A worker that is warming up fails if schedulers send it more work than this multiple of its current
     /// capacity for `overload_time`.
@@ -161,9 +165,9 @@
 /// to compare one cost with another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CostWeights {
-    /// Cost of attempts sent to a worker in another zone.
+    /// Cost of attempts that the scheduler sends to workers in other zones.
     pub cross_zone: f64,
-    /// Cost of the health checks, per request of a client.
+    /// Cost of the health checks that the scheduler sends to workers, per request of a client.
     pub probe: f64,
     /// Cost of the work that workers do on jobs whose request is not served in the end.
     pub waste: f64,
@@ -203,7 +207,7 @@
     /// Interval between a worker's progress reports about one job, in microseconds; 0 if workers send no
     /// progress reports.
     pub progress_interval: Micros,
-    /// Limits on what the scheduler may do.
+    /// Limits on what this scheduler may do.
     pub limits: Limits,
     /// Times and factors of the rules that schedulers must follow.
     pub rules: Rules,
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -34,12 +34,12 @@
     pub(crate) slots: f64,
 }
 
-/// An attempt that its worker has reported as started.
+/// An attempt whose job the worker has reported as started.
 pub(crate) struct StartedAttempt {
     pub(crate) id: AttemptId,
     pub(crate) started_at: Micros,
     pub(crate) last_progress_at: Micros,
-    /// Fraction of the job that was done according to the worker's last progress report.
+    /// Fraction of the job that the worker had completed according to the last progress report of the worker.
     pub(crate) fraction_done: f64,
 }
 
@@ -62,7 +62,7 @@
     pub(crate) started_at: Option<Micros>,
     /// Whether the endpoint list contains the worker as ready for new jobs.
     pub(crate) is_ready: bool,
-    /// The worker's size relative to other workers.
+    /// The worker's size relative to other workers, without a unit.
     pub(crate) weight: f64,
     /// Number of the worker's virtual points on the ring.
     pub(crate) points: u32,
@@ -76,8 +76,8 @@
     pub(crate) outlier: OutlierDetector,
     /// This scheduler's attempts at the worker that have not ended.
     pub(crate) in_flight: Vec<InFlightAttempt>,
-    /// The attempts in `in_flight` that the worker has reported as started; empty if workers do not report
-    /// the start of a job.
+    /// The attempts in `in_flight` whose job the worker has reported as started; empty if workers do not
+    /// report the start of a job.
     pub(crate) started: Vec<StartedAttempt>,
     /// The attempts that peers have in flight at the worker and the capacity reserved for peers. This
     /// scheduler keeps the account while it is the worker's coordinator.
@@ -92,8 +92,8 @@
         Worker { endpoint, started_at, is_ready, weight, ..Worker::default() }
     }
 
-    /// Replaces the state of the worker after its process restarted: discards what was learned about the
-    /// earlier process, but keeps the attempts in flight, because their results still arrive.
+    /// Starts to track the worker's new process after a restart: discards what was learned about the earlier
+    /// process, but keeps the attempts in flight, because their results still arrive.
     pub(crate) fn restart(&mut self, endpoint: Endpoint, weight: f64, started_at: Option<Micros>) {
         let (in_flight, points) = (std::mem::take(&mut self.in_flight), self.points);
         *self = Worker { points, in_flight, ..Worker::new(endpoint, weight, started_at) };
@@ -113,9 +113,9 @@
     }
 
     /// Returns the number of slots that all schedulers have in flight at the worker: the slots in the latest
-    /// report of the worker's coordinator, plus the slots of this scheduler's attempts sent since the query.
-    /// Returns `None` if the report is missing or too old, or if the coordinator's endpoint list lacks the
-    /// worker.
+    /// occupancy report of the worker's coordinator, plus the slots of this scheduler's attempts sent since
+    /// the query that led to the report. Returns `None` if the report is missing or too old, or if the
+    /// coordinator's endpoint list lacks the worker.
     pub(crate) fn occupancy(&self, now: Micros) -> Option<f64> {
         let report = self
             .occupancy_report
--- a/crates/settings/src/cost_weights.rs
+++ b/crates/settings/src/cost_weights.rs
@@ -1,4 +1,5 @@
-//! Reads `charges`: the weights by which costs are compared, as fractions of the overall result.
+//! Reads the part `charges` of a settings object: the weights by which costs are compared, as fractions of
+//! the overall result.
 
 use crate::error::SettingsFormatError;
 use crate::json_object::JsonObject;
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -16,16 +16,16 @@
 /// What is wrong with a key of the settings object or with the whole settings object.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// The text of the settings is not JSON; the string is the message of the JSON parser.
+    /// The text of the settings is not JSON; the value is the message of the JSON parser.
     #[error("not JSON: {0}")]
     NotJson(String),
     /// The settings are JSON, but not a JSON object.
     #[error("not an object")]
     NotAnObject,
-    /// A required key is missing; its value must have this form.
+    /// A required key of the settings object is missing; the key's value must have this form.
     #[error("missing; add {0}")]
     Missing(Expected),
-    /// The value of a key does not have the expected form.
+    /// The value of a key of the settings object does not have this expected form.
     #[error("invalid value; expected {0}")]
     InvalidValue(Expected),
 }
@@ -33,23 +33,23 @@
 /// The form that the JSON value of a key must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// An object.
+    /// A JSON object.
     Object,
-    /// A list.
+    /// A JSON list.
     List,
-    /// A list of objects.
+    /// A JSON list of objects.
     Objects,
     /// A number.
     Number,
-    /// A non-negative number; its fraction is dropped.
+    /// A non-negative number; a fraction of the number is dropped.
     Integer,
-    /// A number from 0 to [`u32::MAX`]; its fraction is dropped.
+    /// A number from 0 to [`u32::MAX`]; a fraction of the number is dropped.
     SmallInteger,
     /// `true` or `false`.
     Boolean,
     /// A string.
     String,
-    /// One of the given strings.
+    /// One of the strings in this list.
     OneOf(&'static [&'static str]),
 }
 
@@ -74,8 +74,8 @@
         SettingsFormatError { path: path.into(), problem }
     }
 
-    /// Returns the path of the key, prefixed with `root`, the name of the settings object in the document
-    /// that contains it.
+    /// Returns the path of the key that the error concerns, prefixed with `root`, the name of the settings
+    /// object in the document that contains it.
     #[must_use]
     pub fn key_under(&self, root: &str) -> String {
         if self.path.is_empty() {
--- a/crates/settings/src/json_object.rs
+++ b/crates/settings/src/json_object.rs
@@ -3,11 +3,11 @@
 use crate::error::{Expected, Problem, SettingsFormatError};
 use serde_json::{Map, Value};
 
-/// A JSON object of the settings, together with its path, which error messages contain.
+/// A JSON object within the settings, together with the object's path, which error messages contain.
 pub(crate) struct JsonObject<'a> {
     /// The entries of the JSON object; `None` is read as an empty object.
     map: Option<&'a Map<String, Value>>,
-    /// The prefix of the paths of the object's keys, including the separator.
+    /// The prefix of the paths of the JSON object's keys, including the separator.
     path: &'a str,
 }
 
@@ -16,7 +16,7 @@
         JsonObject { map: Some(map), path }
     }
 
-    /// Returns the error for a key whose value does not have the expected form.
+    /// Returns the error for a key of the JSON object whose value does not have the expected form.
     pub(crate) fn invalid_value(&self, key: &str, expected: Expected) -> SettingsFormatError {
         SettingsFormatError::new(format!("{}{key}", self.path), Problem::InvalidValue(expected))
     }
@@ -25,8 +25,8 @@
         self.map?.get(key)
     }
 
-    /// Reads the value of a required key with `read`. The function `read` returns `None` if the value does
-    /// not have the expected form.
+    /// Reads the value of a required key of the JSON object with `read`. The function `read` returns `None`
+    /// if the value does not have the expected form.
     fn require<T>(
         &self,
         key: &str,
@@ -43,14 +43,14 @@
         Ok(JsonObject::new(map, path))
     }
 
-    /// Reads the JSON object of an optional key; a value that is not an object counts as absent. `path` is
-    /// the prefix of the paths of that object's keys.
+    /// Reads the value of an optional key as a JSON object; a value that is not an object counts as absent.
+    /// `path` is the prefix of the paths of the keys in the object that is read.
     pub(crate) fn optional_object(&self, key: &str, path: &'a str) -> JsonObject<'a> {
         JsonObject { map: self.get(key).and_then(Value::as_object), path }
     }
 
-    /// Reads the list of JSON objects of a required key; `path` is the prefix of the paths of the keys in
-    /// these objects.
+    /// Reads the value of a required key as a list of JSON objects; `path` is the prefix of the paths of the
+    /// keys in these objects.
     pub(crate) fn objects<'b>(
         &'b self,
         key: &'b str,
@@ -72,7 +72,7 @@
         self.get(key).map_or(Ok(default), |_| self.number(key))
     }
 
-    /// Reads the non-negative number of a required key and drops the number's fraction.
+    /// Reads the value of a required key as a non-negative number and drops a fraction of the number.
     pub(crate) fn integer(&self, key: &str) -> Result<u64, SettingsFormatError> {
         self.require(key, Expected::Integer, integer)
     }
@@ -98,13 +98,13 @@
         self.require(key, Expected::String, Value::as_str)
     }
 
-    /// Reads the string of an optional key; a value that is not a string counts as absent.
+    /// Reads the value of an optional key as a string; a value that is not a string counts as absent.
     pub(crate) fn optional_string(&self, key: &str) -> Option<&'a str> {
         self.get(key).and_then(Value::as_str)
     }
 }
 
-/// Returns the value as a non-negative integer; the fraction of a number is dropped.
+/// Returns a JSON value as a non-negative integer; a fraction of the number is dropped.
 fn integer(value: &Value) -> Option<u64> {
     let truncated = || value.as_f64().filter(|number| *number >= 0.0).map(|number| number as u64);
     value.as_u64().or_else(truncated)
--- a/crates/settings/src/specifics.rs
+++ b/crates/settings/src/specifics.rs
@@ -15,8 +15,8 @@
         Specifics { object }
     }
 
-    /// Returns the number for the class with index `class` from the list at `key`, which has one entry for
-    /// each class of requests.
+    /// Returns the number for the class of requests with index `class` from the list at `key` of the settings
+    /// object's part `specifics`. The list has one entry for each class.
     fn class_number(&self, key: &str, class: usize) -> Option<f64> {
         self.object
             .get(key)
@@ -29,8 +29,9 @@
         self.class_number("class_stretch", class)
     }
 
-    /// Returns the only machine type that runs the class with index `class`, or `None` if any machine type
-    /// runs the class. The list has a negative number or no entry for such a class.
+    /// Returns the only machine type that runs the class of requests with index `class`, or `None` if any
+    /// machine type runs the class. For a class that any machine type runs, the list in the settings object
+    /// has a negative number or no entry.
     pub(crate) fn machine_type(&self, class: usize) -> Option<MachineTypeId> {
         self.class_number("class_kind", class)
             .filter(|number| *number >= 0.0)
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -6,10 +6,11 @@
 use vetchbridge_scheduling::Scheduler;
 use vetchbridge_scheduling::{Action, Event, Micros, Settings};
 
-/// A batch of messages from the simulator that has begun and not ended.
+/// A batch of messages from the simulator that has begun and not yet ended.
 struct Batch {
     now: Micros,
-    /// The instance that gets the next messages; `None` until a message of the batch selects an instance.
+    /// The number of the instance of the decision module that gets the next messages; `None` until a message
+    /// of the batch selects an instance.
     selected: Option<u32>,
 }
 
@@ -19,8 +20,8 @@
 pub(crate) struct Host {
     instances: BTreeMap<u32, Scheduler>,
     batch: Option<Batch>,
-    /// The actions that an instance returned for one event. The vector is kept between events to reuse its
-    /// memory.
+    /// The actions that an instance of the decision module returned for one event. The vector is kept between
+    /// events to reuse its memory.
     actions: Vec<Action>,
     /// The text of the reply to the current batch of messages.
     reply: Vec<u8>,
@@ -40,7 +41,7 @@
         Ok(None)
     }
 
-    /// Checks, at the end of the simulator's input, that no batch is open.
+    /// Checks, at the end of the simulator's input, that the last batch of messages has ended.
     pub(crate) fn finish(&self) -> Result<(), FieldError> {
         match self.batch {
             Some(_) => Err(FieldError::new("commit", FieldProblem::EndsInsideBatch)),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -14,13 +14,14 @@
 /// Size of the buffer for standard input, in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
-/// An error that stops the adapter before the end of its input.
+/// An error that stops the adapter before the end of the simulator's messages.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// A message on standard input is malformed or out of order, or standard input can't be read.
+    /// A message from the simulator on standard input is malformed or out of order, or standard input can't
+    /// be read.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Standard output can't be written.
+    /// The replies to the simulator can't be written to standard output.
     #[error(transparent)]
     Output(#[from] io::Error),
 }
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,11 +1,11 @@
-//! Errors for malformed input.
+//! Errors for malformed messages in the simulator's input.
 
 use std::fmt;
 use std::io;
 use vetchbridge_scheduling::SettingsError;
 use vetchbridge_settings::SettingsFormatError;
 
-/// What is wrong with a field or a message of the input.
+/// What is wrong with a field or a message of the simulator's input.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FieldProblem {
     #[error("missing")]
@@ -40,12 +40,12 @@
     Io(#[from] io::Error),
 }
 
-/// An error in a field or a message of the input, without the number of the line.
+/// An error in a field or a message of the simulator's input, without the number of the line.
 #[derive(Debug)]
 pub(crate) struct FieldError {
-    /// Name of the field or the message in the protocol.
+    /// Name that the simulator's protocol has for the field or the message that contains the error.
     pub(crate) field: String,
-    /// What is wrong with that field or message.
+    /// What is wrong with the field or the message.
     pub(crate) problem: FieldProblem,
 }
 
@@ -54,7 +54,7 @@
         FieldError { field: field.into(), problem }
     }
 
-    /// Adds to this error the number of the line that contains the field or the message.
+    /// Adds to this error the number of the input line that contains the field or the message.
     pub(crate) fn at_line(self, line: u64) -> WireError {
         WireError { line, error: self }
     }
@@ -66,10 +66,10 @@
     }
 }
 
-/// An error in the input, with the number of its line.
+/// An error in the simulator's input, with the number of the line that contains the error.
 #[derive(Debug)]
 pub(crate) struct WireError {
-    /// Number of the malformed line in the input, counted from 1.
+    /// Number of the malformed line in the simulator's input, counted from 1.
     line: u64,
     error: FieldError,
 }
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -3,7 +3,7 @@
 use super::error::{FieldError, FieldProblem};
 use std::str::FromStr;
 
-/// The `name=value` fields of a line, separated by spaces.
+/// The `name=value` fields of a line of the simulator's protocol, separated by spaces.
 #[derive(Clone, Copy)]
 pub(super) struct Fields<'a>(pub(super) &'a str);
 
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -23,19 +23,20 @@
 pub(crate) enum Message {
     /// A batch of messages begins; the value is the current time, in microseconds of the simulated clock.
     BeginBatch(Micros),
-    /// The current batch of messages ends, and the simulator expects the reply.
+    /// The current batch of messages ends, and the simulator expects the reply to the batch.
     CommitBatch,
-    /// The messages that follow in the batch are for the instance with this number.
+    /// The messages that follow in the batch are for the instance of the decision module with this number.
     SelectInstance(u32),
     /// The selected instance of the decision module starts.
     StartInstance {
-        /// Seed of the instance's random numbers.
+        /// Seed of the random numbers of the instance that starts.
         seed: u64,
-        /// The instance's settings.
+        /// The settings of the instance that starts.
         settings: Box<Settings>,
     },
-    /// The selected instance stops as if its process were killed, without a shutdown event.
+    /// The selected instance of the decision module stops as if its process were killed, without a shutdown
+    /// event.
     StopInstance,
-    /// An event for the selected instance.
+    /// An event for the selected instance of the decision module.
     Event(Event),
 }
--- a/crates/simulator-adapter/src/wire/print.rs
+++ b/crates/simulator-adapter/src/wire/print.rs
@@ -5,8 +5,8 @@
 use std::io::{self, Write};
 use vetchbridge_scheduling::{Action, Micros, Recipient, RequestId, WorkerId};
 
-/// Appends the actions of one instance to the reply to the current batch: a line that names the instance, and
-/// one line for each action.
+/// Appends to `out`, the reply to the current batch of messages, the actions of one instance of the decision
+/// module: a line that names the instance, and one line for each action.
 pub(crate) fn print_actions(out: &mut Vec<u8>, instance: u32, actions: &[Action]) -> io::Result<()> {
     writeln!(out, "from who={instance}")?;
     actions.iter().try_for_each(|action| print_action(out, action))
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -6,16 +6,16 @@
 use std::io::BufRead;
 use vetchbridge_scheduling::{EndpointUpdate, Event};
 
-/// Initial capacity of the buffer for one line of input, in bytes.
+/// Initial capacity of the buffer for one line of the simulator's input, in bytes.
 const LINE_CAPACITY: usize = 1 << 16;
 /// Maximum number of entries of an endpoint list for which memory is reserved before the entries are read.
 const MAX_RESERVED_ENDPOINTS: usize = 1 << 16;
 
-/// Reads the simulator's messages and counts the lines of the input.
+/// Reads the simulator's messages and counts the lines of the simulator's input.
 pub(crate) struct Reader<R> {
     input: R,
     buffer: Vec<u8>,
-    /// Number of the last line that was read, counted from 1.
+    /// Number of the last input line that was read, counted from 1.
     line_number: u64,
 }
 
@@ -25,12 +25,13 @@
         Reader { input, buffer: Vec::with_capacity(LINE_CAPACITY), line_number: 0 }
     }
 
-    /// Adds the number of the last line that was read to an error in that line.
+    /// Adds the number of the input line that was read last to an error in that line.
     pub(crate) fn error(&self, error: FieldError) -> WireError {
         error.at_line(self.line_number)
     }
 
-    /// Reads the next message and skips unknown messages. Returns `None` at the end of the input.
+    /// Reads the simulator's next message and skips messages with unknown names. Returns `None` at the end of
+    /// the input.
     pub(crate) fn next_message(&mut self) -> Result<Option<Message>, WireError> {
         self.read_message().map_err(|error| self.error(error))
     }
@@ -59,7 +60,8 @@
         Ok(Message::Event(Event::Endpoints { update, endpoints }))
     }
 
-    /// Reads the next line of the input without its line break. Returns `None` at the end of the input.
+    /// Reads the next line of the simulator's input without its line break. Returns `None` at the end of the
+    /// input.
     fn next_line(&mut self) -> Result<Option<&str>, FieldError> {
         self.buffer.clear();
         self.line_number += 1;
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Passes a worker's callback that another process of this scheduler forwarded to the callback's attempt,
-    /// in this process or in a third process. Sends the process that forwarded the callback a reply with
-    /// whether an attempt was found.
+    /// Handles a worker's callback that another process of this scheduler has forwarded: passes the callback
+    /// to the callback's attempt, in this process or in a third process. Sends the process that forwarded the
+    /// callback a reply with whether an attempt was found.
     fn handle_callback(&self, link: Arc<Link>, number: u64, callback: Callback) {
         let (upstream, process_links) = (self.upstream.clone(), self.process_links.clone());
         tokio::spawn(async move {
