--- a/crates/vetchbridge/src/admin/command.rs
+++ b/crates/vetchbridge/src/admin/command.rs
@@ -9,7 +9,7 @@
 /// An operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
-    /// Report whether this scheduler can serve clients, and the state of its lifecycle.
+    /// Report whether this scheduler can serve clients, and the state of the process's lifecycle.
     Health,
     /// Start to drain clients from this scheduler.
     Quiesce,
@@ -70,7 +70,7 @@
 }
 
 impl Command {
-    /// Carries out the command and returns the state of the process's lifecycle afterwards.
+    /// Carries out an operator's command and returns the state of the process's lifecycle afterwards.
     fn execute(
         self,
         lifecycle: &Lifecycle,
@@ -88,7 +88,8 @@
     }
 }
 
-/// Carries out the command in a line that an operator sent, and returns the response without a line feed.
+/// Carries out the command in a line that an operator sent, and returns the response to the operator without
+/// a line feed.
 pub(super) fn respond(line: &[u8], lifecycle: &Lifecycle, process_links: &ProcessLinks) -> String {
     let text = std::str::from_utf8(line).map_err(|_| CommandError::NotText);
     let state =
@@ -99,7 +100,7 @@
     }
 }
 
-/// Returns the response to a command that was not carried out.
+/// Returns the response to an operator's command that was not carried out.
 pub(super) fn failure_response(error: CommandError) -> String {
     format!("fail {error}")
 }
--- a/crates/vetchbridge/src/admin/mod.rs
+++ b/crates/vetchbridge/src/admin/mod.rs
@@ -24,11 +24,11 @@
 
 /// Maximum length of an operator's command line in bytes, including the line feed.
 pub const LINE_LIMIT: usize = 256;
-/// Time limit for reading a command line, and also for writing its response. Some clients take 4 s to send a
-/// complete line.
+/// Time limit for reading an operator's command line, and also for writing the response to the command. Some
+/// clients of the admin interface take 4 s to send a complete line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which further input on a connection is read and discarded after the response. Closing the
-/// connection with unread input would reset the connection and discard the response.
+/// Time for which further input on a connection to the admin interface is read and discarded after the
+/// response. Closing the connection with unread input would reset the connection and discard the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause before the next accept after accepting a connection to the admin interface has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -46,7 +46,7 @@
 
 /// A connection to the admin interface that may still be open.
 struct OpenConnection {
-    /// Whether any input has arrived on the connection.
+    /// Whether any input has arrived on the connection to the admin interface.
     has_input: Arc<AtomicBool>,
     task: AbortHandle,
 }
@@ -80,8 +80,8 @@
     }
 }
 
-/// Closes the connection that was accepted first among the connections without input; if all connections have
-/// had input, closes the connection that was accepted first of all.
+/// Closes the connection to the admin interface that was accepted first among the connections without input;
+/// if all connections have had input, closes the connection that was accepted first of all.
 fn evict_one(connections: &mut VecDeque<OpenConnection>) {
     let without_input =
         connections.iter().position(|connection| !connection.has_input.load(Ordering::Relaxed));
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -41,7 +41,7 @@
 pub(super) struct ClientConnections {
     budget: DescriptorBudget,
     table: Mutex<ConnectionTable>,
-    /// The number of callback connections that are open beyond the clients' share of the budget.
+    /// The number of callback connections that are open beyond the clients' share of the descriptor budget.
     extra_callbacks: ConnectionCount,
 }
 
@@ -49,7 +49,7 @@
 pub(super) struct ConnectionSlot<'a> {
     connections: &'a ClientConnections,
     id: ConnectionId,
-    /// The connection that occupies the slot.
+    /// The client connection that occupies this place in the descriptor budget.
     pub(super) connection: Arc<ClientConnection>,
 }
 
@@ -105,8 +105,8 @@
         Some(ConnectionSlot { connections: self, id, connection })
     }
 
-    /// Admits a connection beyond the clients' share of the budget for one callback, since a pending request
-    /// may be waiting for the callback. Returns `None` if too many such connections are open.
+    /// Admits a connection beyond the clients' share of the descriptor budget for one callback, since a
+    /// pending request may be waiting for the callback. Returns `None` if too many such connections are open.
     pub(super) fn admit_extra_callback(&self) -> Option<ConnectionGuard> {
         (self.extra_callbacks.get() < self.budget.max_extra_callbacks())
             .then(|| self.extra_callbacks.register())
--- a/crates/vetchbridge/src/clients/job.rs
+++ b/crates/vetchbridge/src/clients/job.rs
@@ -17,7 +17,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use vetchbridge_scheduling::{Class, ClassId, Idempotency, Micros, Request};
 
-/// Why a client's request is malformed. The error's text is the body of the error response.
+/// Why a client's request is malformed. The text of this error is the body of the error response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum MalformedRequest {
     /// The value of a header is not printable ASCII.
@@ -26,16 +26,16 @@
     /// A header is repeated, so that its value is ambiguous.
     #[error("{0}: given more than once")]
     RepeatedHeader(&'static str),
-    /// The request has no id.
+    /// The request has no header with a request id.
     #[error("{}: missing", REQUEST_ID)]
     MissingRequestId,
     /// The request's id is not 16 hex digits.
     #[error("{}: not 16 hex digits", REQUEST_ID)]
     InvalidRequestId,
-    /// The request's target is not a path, or contains characters that need escaping.
+    /// The target of the HTTP request is not a path, or contains characters that need escaping.
     #[error("not a path of plain characters")]
     InvalidPath,
-    /// The path and the class header name different classes.
+    /// The path and the class header of the request name different classes.
     #[error("{}: not the class in the path", CLASS)]
     ClassMismatch,
     /// The settings have no request class of this name.
@@ -90,7 +90,7 @@
     Ok(SubmittedRequest { request, payload, settings, body_permit: Some(body_permit) })
 }
 
-/// Returns the value of a header that must not be repeated; `None` if the header is absent.
+/// Returns the value of a request header that must not be repeated; `None` if the header is absent.
 fn single_header<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -27,10 +27,10 @@
 /// Interval at which the time limits of client connections and the descriptor budget are enforced.
 const ENFORCEMENT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A client connection that another process of this scheduler served before.
+/// A client connection that another process of this scheduler served before this process.
 struct HandedOverConnection {
     descriptor: OwnedFd,
-    /// Whether a response has been sent on the connection.
+    /// Whether a response has already been sent on the client connection.
     is_kept_alive: bool,
 }
 
@@ -102,7 +102,8 @@
         })
     }
 
-    /// Whether any request is open, or any client connection awaits a response or may still be sending one.
+    /// Whether any client's request has not ended yet, or any client connection awaits a response or may
+    /// still be sending one.
     pub fn has_pending_responses(&self) -> bool {
         self.connections.has_pending_response() || self.engine.open_request_count() > 0
     }
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -46,7 +46,7 @@
     ClosedByLimit,
     /// No request is in progress on the connection; the successor process takes the connection over.
     HandedOver,
-    /// The connection is idle, and the process is draining.
+    /// The client connection is idle, and this process is draining.
     Drained,
 }
 
@@ -101,7 +101,7 @@
         loop {
             drop(successor.wait_for(Option::is_some).await);
             connection.wait_until_between_requests().await;
-            // The successor process may have ended while a request was in progress on the connection.
+            // The successor process may have ended while a request was in progress on the client connection.
             if self.process_links.has_successor() {
                 return;
             }
--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -33,7 +33,7 @@
 /// The part of the endpoint list that a call to the discovery service requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Query {
-    /// The complete endpoint list.
+    /// The complete endpoint list, not only its changes.
     Complete,
     /// The changes of the endpoint list since a generation.
     ChangesSince {
@@ -66,21 +66,21 @@
     /// No connection to the discovery service was established within [`CONNECT_TIMEOUT`].
     #[error("no connection established within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
-    /// The service's response did not begin within this time.
+    /// The discovery service's response did not begin within this time.
     #[error("no response received within {0:?}")]
     ResponseTimeout(Duration),
     /// The connection to the discovery service failed before the response began.
     #[error(transparent)]
     Transport(legacy::Error),
-    /// The service responded with a status other than 200.
+    /// The discovery service responded with an HTTP status other than 200.
     #[error("the service responded with status {0}")]
     Status(StatusCode),
     /// The body of the service's response was truncated, stalled or malformed.
     #[error("{cause}")]
     Body {
-        /// Why the body could not be read or decoded.
+        /// Why the body of the response could not be read or decoded.
         cause: BodyError,
-        /// The parts of the endpoint document that arrived complete.
+        /// The parts of the endpoint document that arrived whole before the failure.
         partial: PartialDocument,
     },
 }
@@ -91,27 +91,28 @@
     /// The connection to the discovery service failed, or the body is longer than [`MAX_DOCUMENT_BYTES`].
     #[error("{0}")]
     Interrupted(Box<dyn Error + Send + Sync>),
-    /// The body was not complete within [`BODY_TIMEOUT`].
+    /// The body of the response did not arrive whole within [`BODY_TIMEOUT`].
     #[error("the response body was not complete within {BODY_TIMEOUT:?}")]
     Stalled,
-    /// The body is not a valid endpoint document.
+    /// The body of the response is not a valid endpoint document.
     #[error("invalid endpoint document: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
 impl CallError {
-    /// Whether the call timed out before any response of the discovery service. An overloaded service, in
-    /// contrast, still responds, with a late refusal.
+    /// Whether the call to the discovery service timed out before any response. An overloaded service, in
+    /// contrast, still responds, with a refusal that comes late.
     pub(super) fn is_unanswered(&self) -> bool {
         matches!(self, CallError::ConnectTimeout | CallError::ResponseTimeout(_))
     }
 
-    /// Whether the call failed, but at least one entry of the endpoint document arrived complete.
+    /// Whether the call to the discovery service failed, but at least one entry of the endpoint document
+    /// arrived whole.
     pub(super) fn has_instances(&self) -> bool {
         matches!(self, CallError::Body { partial, .. } if !partial.instances.is_empty())
     }
 
-    /// Returns the parts of the endpoint document that arrived complete; empty if no body was received.
+    /// Returns the parts of the endpoint document that arrived whole; empty if no body was received.
     pub(super) fn into_partial(self) -> PartialDocument {
         match self {
             CallError::Body { partial, .. } => partial,
@@ -163,8 +164,8 @@
     }
 }
 
-/// Reads the endpoint document in a response. The error carries the parts of the document that arrived
-/// complete.
+/// Reads the endpoint document in a response of the discovery service. The error carries the parts of the
+/// document that arrived whole.
 async fn read_document(response: Response<Incoming>) -> Result<EndpointDocument, CallError> {
     let mut text = Vec::new();
     let read = read_body(response.into_body(), &mut text).await;
@@ -172,8 +173,8 @@
     document.map_err(|cause| CallError::Body { cause, partial: PartialDocument::parse(&text) })
 }
 
-/// Appends the body of a response to `text`. After a failure, `text` holds the part of the body that arrived
-/// before the failure.
+/// Appends the body of a response of the discovery service to `text`. After a failure, `text` holds the part
+/// of the body that arrived before the failure.
 async fn read_body(body: Incoming, text: &mut Vec<u8>) -> Result<(), BodyError> {
     let mut body = Limited::new(body, MAX_DOCUMENT_BYTES);
     let deadline = Instant::now() + BODY_TIMEOUT;
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -29,9 +29,9 @@
 pub struct EndpointDocument {
     /// The generation (version number) of the endpoint list, which grows with each change of the list.
     pub generation: u64,
-    /// Whether `instances` is the complete endpoint list rather than the changes to an earlier list.
+    /// Whether `instances` is the complete endpoint list rather than the changes to an earlier endpoint list.
     pub reset: bool,
-    /// The workers in the complete list, or the workers that have changed.
+    /// The workers in the complete endpoint list, or the workers whose entries have changed.
     pub instances: Vec<Instance>,
 }
 
@@ -58,7 +58,8 @@
     /// The worker's capacity relative to that of other workers.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When the worker last started, as Unix time in milliseconds; 0 if unknown or long ago.
+    /// When the worker's process last started, as Unix time in milliseconds; 0 if the start time is unknown
+    /// or long ago.
     #[serde(default)]
     pub started_at_ms: u64,
 }
@@ -99,7 +100,7 @@
             cell: CellId(self.cell),
             state: self.endpoint_state(),
             weight: self.weight,
-            // Only the unit is converted, since the engine's clock reads Unix time too.
+            // Only the unit of the start time is converted, since the engine's clock reads Unix time too.
             started_at: self.started_at_ms.saturating_mul(MICROS_PER_MILLI),
         }
     }
--- a/crates/vetchbridge/src/discovery/endpoint_list.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use vetchbridge_scheduling::{Endpoint, EndpointUpdate};
 
-/// The complete endpoint list and its generation.
+/// The complete endpoint list of this scheduler and the list's generation.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     source: Option<SocketAddr>,
@@ -46,18 +46,19 @@
         self.generation = generation.or(self.generation);
     }
 
-    /// Returns the entries of the list, and their generation if the current source has provided a generation.
+    /// Returns the entries of the endpoint list, and their generation if the current source has provided a
+    /// generation.
     pub fn snapshot(&self) -> (Vec<Instance>, Option<u64>) {
         (self.instances.values().cloned().collect(), self.generation)
     }
 
-    /// Returns the entries of the list, converted to the scheduler's type.
+    /// Returns the entries of the endpoint list, converted to the scheduler's type.
     pub fn endpoints(&self, names: &NameTables) -> Vec<Endpoint> {
         self.instances.values().map(|instance| instance.to_endpoint(names)).collect()
     }
 
-    /// Returns the address of the discovery service that the list comes from; `None` if the list comes from
-    /// the configuration.
+    /// Returns the address of the discovery service that the endpoint list comes from; `None` if the list
+    /// comes from the configuration.
     pub fn source(&self) -> Option<SocketAddr> {
         self.source
     }
--- a/crates/vetchbridge/src/discovery/partial.rs
+++ b/crates/vetchbridge/src/discovery/partial.rs
@@ -1,4 +1,4 @@
-//! Reads the complete parts of a truncated endpoint document.
+//! Reads those parts of a truncated endpoint document that arrived whole.
 //!
 //! A response of the discovery service may end within the document because the service crashed, the
 //! connection was reset or the body stalled. The entries that arrived complete are still valid, and the
@@ -7,12 +7,12 @@
 use crate::discovery::document::Instance;
 use serde_json::Deserializer;
 
-/// The complete parts of a truncated endpoint document.
+/// The parts of a truncated endpoint document that arrived whole.
 #[derive(Debug, Default)]
 pub(super) struct PartialDocument {
-    /// The document's generation, if it arrived complete.
+    /// The endpoint document's generation, if the whole number arrived.
     pub(super) generation: Option<u64>,
-    /// The entries of the document that arrived complete.
+    /// The entries of the endpoint document that arrived whole.
     pub(super) instances: Vec<Instance>,
 }
 
@@ -25,14 +25,15 @@
     }
 }
 
-/// Returns the text that follows the first occurrence of a quoted JSON key; `None` if the key does not occur.
+/// Returns the part of an endpoint document's text that follows the first occurrence of a quoted JSON key;
+/// `None` if the key does not occur.
 fn after_key<'a>(text: &'a [u8], key: &[u8]) -> Option<&'a [u8]> {
     let start = text.windows(key.len()).position(|window| window == key)?;
     text.get(start + key.len()..)
 }
 
-/// Returns the generation, which is the number that follows its JSON key and a colon. A number at the very
-/// end of the text is ignored, since it may lack digits.
+/// Returns the endpoint document's generation: the number at the start of `rest`, after a colon. A number at
+/// the very end of the text is ignored, since it may lack digits.
 fn parse_generation(rest: &[u8]) -> Option<u64> {
     let colon = rest.iter().position(|byte| *byte == b':')?;
     let value = &rest[colon + 1..];
@@ -41,8 +42,8 @@
     (numbers.byte_offset() < value.len()).then_some(number)
 }
 
-/// Returns the endpoint entries that follow their JSON key, up to the first entry that is incomplete. The
-/// first entry begins after a bracket, and each further entry after a comma.
+/// Returns the entries of the endpoint document that `rest` begins with, up to the first entry that did not
+/// arrive whole. The first entry begins after a bracket, and each further entry after a comma.
 fn parse_instances(mut rest: &[u8]) -> Vec<Instance> {
     let mut instances = Vec::new();
     while let Some(separator) = rest.iter().position(|byte| matches!(byte, b'[' | b',')) {
--- a/crates/vetchbridge/src/discovery/request.rs
+++ b/crates/vetchbridge/src/discovery/request.rs
@@ -15,7 +15,7 @@
     Unsubscribe,
     /// Fetch the complete endpoint list once.
     Fetch,
-    /// Follow this source of the endpoint list instead of the current source. A configuration reload sends
+    /// Take the endpoint list from this source instead of the current source. A configuration reload sends
     /// this request; the scheduler never does.
     ChangeSource(EndpointSource),
 }
--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -14,14 +14,15 @@
 /// responds to the watch calls of all schedulers together; different waits keep the next calls of these
 /// schedulers from ending together.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_millis(800);
-/// Maximum time that the response to a watch call may take beyond its wait (docs/design/endpoint-refresh.md).
+/// Maximum time that the discovery service's response to a watch call may take beyond the time for which the
+/// service may hold the call (docs/design/endpoint-refresh.md).
 const WATCH_RESPONSE_MARGIN: Duration = Duration::from_secs(1);
-/// Maximum time for the response to a call that does not wait for a change of the endpoint list. This limit
-/// is longer than the time for which the discovery service queues a call, because a call that is abandoned
-/// sooner may still cost the service the work.
+/// Maximum time for the discovery service's response to a call that does not wait for a change of the
+/// endpoint list. This limit is longer than the time for which the discovery service queues a call, because a
+/// call that is abandoned sooner may still cost the service the work.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Time after which a watch call is hedged by a second call. A call is hedged only if the call before it was
-/// unanswered, because in that case the new call may have been lost as well.
+/// Time after which a watch call to the discovery service is hedged by a second call. A watch call is hedged
+/// only if the call before it got no response, because in that case the new call may have been lost as well.
 const HEDGE_DELAY: Duration = Duration::from_millis(1100);
 /// Maximum number of schedulers in a deployment whose schedulers hedge their calls. The discovery service
 /// serves one call after another; when the service is overloaded, the hedged calls of many schedulers would
@@ -39,8 +40,8 @@
 pub(super) enum CallOutcome {
     /// The discovery service returned a complete endpoint document.
     Answered,
-    /// The call failed with an error, such as a refusal, which shows that the discovery service or its host
-    /// reacted.
+    /// The call to the discovery service failed with an error, such as a refusal, which shows that the
+    /// service or its host reacted.
     Failed,
     /// The call timed out without a response, and may never have reached the discovery service.
     Unanswered,
@@ -52,7 +53,7 @@
     /// How long the discovery service may hold the call until the endpoint list changes; zero requests an
     /// immediate response.
     pub(super) wait: Duration,
-    /// Maximum time from the call until the response begins.
+    /// Maximum time from the start of the watch call until the discovery service's response begins.
     pub(super) timeout: Duration,
 }
 
@@ -64,8 +65,8 @@
     waiting_calls: u32,
     /// Earliest time at which the watcher may reopen a watch on the discovery service that has ended.
     reopen_at: Instant,
-    /// Whether the watcher reopens an ended watch without a request from the scheduler. Otherwise the
-    /// scheduler reopens the watch by subscribing.
+    /// Whether the watcher reopens an ended watch on the discovery service without a request from the
+    /// scheduler. Otherwise the scheduler reopens the watch by subscribing.
     reopens_by_itself: bool,
 }
 
@@ -102,8 +103,8 @@
             !watch_is_open && (self.reopens_by_itself || delivery == EndpointDelivery::Push);
     }
 
-    /// Returns when the watcher is to open a watch; `None` while a watch is open, or if the scheduler opens
-    /// the next watch by subscribing.
+    /// Returns when the watcher is to open a watch on the discovery service; `None` while a watch is open, or
+    /// if the scheduler opens the next watch by subscribing.
     pub(super) fn reopen_at(&self) -> Option<Instant> {
         self.reopens_by_itself.then_some(self.reopen_at)
     }
@@ -120,8 +121,8 @@
         WatchTimes { wait, timeout: wait + WATCH_RESPONSE_MARGIN }
     }
 
-    /// Returns when a watch call that is made at `now` is to be hedged by a second call; `None` if the call
-    /// is not hedged.
+    /// Returns when a watch call to the discovery service that is made at `now` is to be hedged by a second
+    /// call; `None` if the call is not hedged.
     pub(super) fn hedge_at(&self, now: Instant, scheduler_count: u32) -> Option<Instant> {
         let is_hedged =
             self.last_outcome == CallOutcome::Unanswered && scheduler_count <= MAX_HEDGING_SCHEDULERS;
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -31,29 +31,30 @@
 
 /// The endpoint list that the process has at its start.
 pub struct InitialEndpoints {
-    /// The entries of the list and their generation.
+    /// The entries of the endpoint list and their generation.
     pub document: EndpointDocument,
-    /// Whether the generation was assigned by the discovery service that is currently configured. Otherwise
-    /// the watcher fetches the complete list first.
+    /// Whether the generation of the endpoint list was assigned by the discovery service that is currently
+    /// configured. Otherwise the watcher fetches the complete list first.
     pub generation_valid: bool,
-    /// Whether a predecessor process handed over the list, and either discovery had confirmed the list to the
-    /// predecessor or the predecessor already served without a confirmation. Otherwise the list may be of any
-    /// age.
+    /// Whether a predecessor process handed over the endpoint list, and either discovery had confirmed the
+    /// list to the predecessor or the predecessor already served without a confirmation. Otherwise the list
+    /// may be of any age.
     pub confirmed_by_predecessor: bool,
 }
 
 /// A call to the discovery service that is in flight.
 struct Call {
-    /// The watcher's generation of the endpoint list when the call was made.
+    /// The generation of the watcher's endpoint list when the call to the discovery service was made.
     known_generation: Option<u64>,
-    /// When the call is to be hedged by a second call; `None` if the call is not hedged.
+    /// When the call to the discovery service is to be hedged by a second call; `None` if the call is not
+    /// hedged.
     hedge_at: Option<Instant>,
     response: Pin<Box<dyn Future<Output = Result<EndpointDocument, CallError>> + Send>>,
 }
 
 /// The result of a finished call to the discovery service.
 struct Answer {
-    /// The watcher's generation of the endpoint list when the call was made.
+    /// The generation of the watcher's endpoint list when the call to the discovery service was made.
     known_generation: Option<u64>,
     result: Result<EndpointDocument, CallError>,
 }
@@ -68,14 +69,14 @@
     engine: Arc<Engine>,
     upstream: Arc<UpstreamGroup>,
     endpoint_list: Arc<Mutex<EndpointList>>,
-    /// The generation last published from the current source; `None` before the first complete list from this
-    /// source.
+    /// The generation of the endpoint list that was last published from the current source; `None` before the
+    /// first complete list from this source.
     generation: Option<u64>,
-    /// Whether the published list is confirmed, as [`Self::confirmed`] defines it.
+    /// Whether the published endpoint list is confirmed, as [`Self::confirmed`] defines it.
     confirmed: watch::Sender<bool>,
     watch: Option<Call>,
-    /// The hedge: a second call, made because the watch call may have been lost. The hedge may outlive the
-    /// watch call.
+    /// The hedge: a second call to the discovery service, made because the watch call may have been lost. The
+    /// hedge may outlive the watch call.
     hedge: Option<Call>,
     fetch: Option<Call>,
 }
@@ -155,7 +156,8 @@
 
     fn handle_request(&mut self, request: DiscoveryRequest) {
         match request {
-            // A watch may be open already, after a change of the source.
+            // After a change of the source of the endpoint list, a watch on the new source may be open
+            // already.
             DiscoveryRequest::Subscribe if self.watch.is_some() => {}
             DiscoveryRequest::Subscribe => self.open_watch(),
             DiscoveryRequest::Unsubscribe => (self.watch, self.hedge) = (None, None),
@@ -184,7 +186,8 @@
         matches!((&self.source, source), (Service(current), Service(new)) if current == new)
     }
 
-    /// Makes the next watch call. The first call to a source requests the complete endpoint list.
+    /// Makes the next watch call to the source of the endpoint list. The first call to a source requests the
+    /// complete endpoint list.
     fn open_watch(&mut self) {
         let call = match (self.generation, &self.source) {
             (None, _) => self.call_for_complete_list(),
@@ -205,7 +208,8 @@
         self.watch = Some(Call { hedge_at, ..call });
     }
 
-    /// Hedges the watch call by a second call, which has the same query but requests an immediate response.
+    /// Hedges the watch call to the discovery service by a second call, which has the same query but requests
+    /// an immediate response.
     fn open_hedge(&mut self) {
         if let Some(watch) = &mut self.watch {
             watch.hedge_at = None;
@@ -252,8 +256,8 @@
     fn handle_hedge_answer(&mut self, answer: Answer) {
         self.hedge = None;
         match &answer.result {
-            // The watch call that was hedged reports its own failure; a second report would count the failure
-            // twice.
+            // The watch call that was hedged reports its own failure; a report of the hedge's failure would
+            // count the failure twice.
             Err(error) if !error.has_instances() => debug!(reason = %error, "discovery.hedge_failed"),
             _ => {
                 if self.handle_answer(answer) {
@@ -268,8 +272,8 @@
         self.handle_answer(answer);
     }
 
-    /// Publishes the update in the result of a call. Returns whether the result was a complete endpoint
-    /// document.
+    /// Publishes the update of the endpoint list in the result of a call to the discovery service. Returns
+    /// whether the result was a complete endpoint document.
     fn handle_answer(&mut self, answer: Answer) -> bool {
         match answer.result {
             Ok(document) => {
@@ -309,8 +313,8 @@
         let is_recent = generation.is_some_and(|generation| !self.is_older(generation));
         instances.retain(|instance| is_recent || instance.endpoint_state() != EndpointState::Ready);
         warn!(reason, entries = instances.len(), "discovery.failed");
-        // The entries are published as part of the `Failed` update: a `Changes` update would count as a
-        // successful response and end the scheduler's backoff.
+        // The received entries are published as part of the `Failed` update: a `Changes` update would count
+        // as a successful response of discovery and end the scheduler's backoff.
         self.publish(EndpointUpdate::Failed, None, &instances);
     }
 
@@ -357,7 +361,7 @@
     }
 }
 
-/// Waits for the result of `call`; forever if `call` is `None`.
+/// Waits for the result of `call` to the discovery service; forever if `call` is `None`.
 async fn wait_for_answer(call: &mut Option<Call>) -> Answer {
     match call {
         Some(call) => Answer { known_generation: call.known_generation, result: (&mut call.response).await },
--- a/crates/vetchbridge/src/engine/timers.rs
+++ b/crates/vetchbridge/src/engine/timers.rs
@@ -25,13 +25,13 @@
         is_first
     }
 
-    /// Returns the time at which the earliest pending timer fires, in microseconds; `None` if no timer is
-    /// pending.
+    /// Returns the time at which the earliest pending timer fires, in microseconds of the scheduler's clock;
+    /// `None` if no timer is pending.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Removes the earliest pending timer and returns its token.
+    /// Removes the earliest pending timer and returns the timer's token.
     pub(super) fn pop(&mut self) -> Option<TimerToken> {
         self.0.pop().map(|Reverse(timer)| timer.token)
     }
--- a/crates/vetchbridge/src/lifecycle/state.rs
+++ b/crates/vetchbridge/src/lifecycle/state.rs
@@ -15,10 +15,10 @@
 /// deadline plus 0.7 s after SIGTERM.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 /// Time between the end of the deadline for which the shutdown waits and the final responses to requests that
-/// are still open. SIGKILL, which arrives later, would discard these requests without a response.
+/// have no response by then. SIGKILL, which arrives later, would discard these requests without a response.
 const FINAL_RESPONSE_DELAY: Duration = Duration::from_millis(300);
-/// Time during a shutdown between the last reuse of client connections and the final responses to open
-/// requests. Requests that were accepted until the last reuse have this time to complete.
+/// Time during a shutdown between the last reuse of client connections and the final responses to requests
+/// that still have no response. Requests that were accepted until the last reuse have this time to complete.
 const CONNECTION_CLOSE_LEAD: Duration = Duration::from_secs(1);
 
 /// The state of a process in its lifecycle.
@@ -47,7 +47,7 @@
     /// Each response closes its connection, and idle client connections are closed, as in
     /// [`LifecycleState::Drained`].
     Drained,
-    /// No further request is accepted, and open requests get their final response.
+    /// No further request is accepted, and requests without a response get their final response.
     Terminating,
 }
 
@@ -122,7 +122,7 @@
     phase_started_at: Duration,
     /// Whether operators have quiesced this scheduler, possibly before the process could serve.
     quiesced: bool,
-    /// Time from the start of the shutdown to the final responses to open requests.
+    /// Time from the start of the shutdown to the final responses to requests that still have no response.
     final_responses_after: Duration,
 }
 
--- a/crates/vetchbridge/src/logs/mod.rs
+++ b/crates/vetchbridge/src/logs/mod.rs
@@ -22,7 +22,7 @@
 /// The log filter that applies if none is configured.
 pub const DEFAULT_FILTER: &str = "info";
 
-/// An error while starting the log or changing its filter.
+/// An error from starting the daemon's log or changing the log's filter.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The text of the log filter can't be parsed.
--- a/crates/vetchbridge/src/net/retry.rs
+++ b/crates/vetchbridge/src/net/retry.rs
@@ -41,8 +41,8 @@
         RetryState { subject, deadline: Instant::now() + RETRY_TIMEOUT, logged: false }
     }
 
-    /// Returns the result of a system call if the result is final; `None` if the call is to be retried. Logs
-    /// the first retry.
+    /// Returns the result of a system call if the result is final; `None` if the system call is to be
+    /// retried. Logs the first retry.
     fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
         match result {
             Err(error) if is_transient(&error) && Instant::now() < self.deadline => {
@@ -76,7 +76,8 @@
     }
 }
 
-/// Repeats `call` like [`retry`], but needs no async runtime: the thread is blocked between tries.
+/// Repeats the system call `call` like [`retry`], but needs no async runtime: the thread is blocked between
+/// tries.
 pub(crate) fn retry_blocking<T>(subject: &str, call: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let mut state = RetryState::new(subject);
     loop {
--- a/crates/vetchbridge/src/net/stream.rs
+++ b/crates/vetchbridge/src/net/stream.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Whether a read or write with this result is to be retried. After EAGAIN the async runtime has cleared the
-/// readiness of the socket, so the retry waits for the next readiness edge.
+/// Whether a read from a socket or a write to it that had this result is to be retried. After EAGAIN the
+/// async runtime has cleared the readiness of the socket, so the retry waits for the next readiness edge.
 fn is_retried<T>(result: &io::Result<T>) -> bool {
     let kind = result.as_ref().err().map(io::Error::kind);
     matches!(kind, Some(ErrorKind::WouldBlock | ErrorKind::Interrupted))
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -49,7 +49,7 @@
     },
     /// The request failed, and a worker may have run its job.
     Failed,
-    /// The request's id belongs to another request that is still open.
+    /// The request's id belongs to another request of this scheduler that has not ended yet.
     Duplicate,
 }
 
@@ -102,7 +102,7 @@
     answer
 }
 
-/// Runs one request until it is answered and all of its attempts have ended.
+/// Runs one client's request until it has its final answer and all of its attempts have ended.
 async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, payload: Payload) {
     let engine = context.engine.clone();
     let mut in_flight = FuturesUnordered::new();
@@ -138,7 +138,8 @@
     }
 }
 
-/// The state of one open request. The request stays registered with the engine until this state is dropped.
+/// The state of one open request: a request that has no final answer yet or has an attempt that has not
+/// ended. The request stays registered with the engine until this state is dropped.
 struct RequestContext {
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
@@ -146,7 +147,7 @@
     id: RequestId,
     class: ClassId,
     deadline: Micros,
-    /// All attempts so far, indexed by attempt number.
+    /// All attempts of the request so far, indexed by attempt number.
     attempts: Vec<AttemptRecord>,
     commands: UnboundedReceiver<RequestCommand>,
     /// The sender of the request's final answer; present until the request is answered or its client
@@ -259,7 +260,8 @@
     fn cancel_attempt(&mut self, number: AttemptNo) {
         let attempt = self.attempts.get_mut(number.0 as usize);
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
-            // Sending the cancellation fails if the attempt has ended; nothing is left to cancel then.
+            // Sending the cancellation fails if the attempt has already ended; the attempt then needs no
+            // cancellation.
             let _ = cancel.send(());
         }
     }
@@ -327,7 +329,7 @@
             self.concluded.store(true, Ordering::Relaxed);
             let class = self.settings.names.classes.get(self.class.0 as usize).map_or("", String::as_str);
             debug!(request = %HexRequestId(self.id), class, answer = answer.name(), "request.answered");
-            // Sending the answer fails if the client has just disconnected; the answer is dropped then.
+            // Sending the final answer fails if the client has just disconnected; the answer is dropped then.
             let _ = answer_sender.send(answer);
         }
     }
--- a/crates/vetchbridge/src/serve/mod.rs
+++ b/crates/vetchbridge/src/serve/mod.rs
@@ -41,9 +41,9 @@
     /// A socket can't be bound to its address.
     #[error("cannot bind {address}: {source}")]
     Bind {
-        /// The address from the configuration.
+        /// The address from the configuration to which the socket was to be bound.
         address: SocketAddr,
-        /// The error of the system call.
+        /// The error of the system call that binds the socket.
         source: io::Error,
     },
     /// The listener for clients can't be used.
--- a/crates/vetchbridge/src/serve/shutdown.rs
+++ b/crates/vetchbridge/src/serve/shutdown.rs
@@ -8,8 +8,8 @@
 
 /// Minimum time that the listener for clients stays open after SIGTERM, since new connections still arrive.
 const MIN_LISTEN_TIME: Duration = Duration::from_millis(900);
-/// Time without pending work after which the process ends. During this time the kernel sends the last
-/// responses.
+/// Time without pending work (responses or messages to send) after which the process ends. During this time
+/// the kernel sends the last responses.
 const QUIET_TIME: Duration = Duration::from_millis(100);
 /// Interval between checks whether work is still pending.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -238,7 +238,7 @@
     let lifecycle = lifecycle.clone();
     tokio::spawn(async move {
         // After the time limit the decision module uses the saved endpoint list, since discovery has provided
-        // no better list.
+        // no newer list.
         let time_limit = Duration::from_micros(LIST_CONFIRMATION_TIMEOUT);
         let _ = timeout(time_limit, list_confirmed.wait_for(|confirmed| *confirmed)).await;
         lifecycle.start_serving();
--- a/crates/vetchbridge/src/snapshot.rs
+++ b/crates/vetchbridge/src/snapshot.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use vetchbridge_scheduling::{Class, Settings, Tenant, TenantId};
 
-/// The names that clients, workers and the discovery service use. The settings refer to each name by its
-/// index in its table.
+/// The names that clients, workers and the discovery service use. The settings refer to each name by the
+/// name's index in one of these tables.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NameTables {
     /// Names of zones.
@@ -29,7 +29,7 @@
     pub settings: Settings,
     /// The names that the indices in `settings` refer to.
     pub names: NameTables,
-    /// Time after which a worker closes an idle connection that the daemon has opened to it.
+    /// Time after which a worker closes an idle connection that the daemon has opened to the worker.
     pub worker_idle_timeout: Duration,
     /// Which load reports of workers are used, and how their fields are interpreted.
     pub load_reports: LoadReportSettings,
--- a/crates/vetchbridge/src/workers/attempt.rs
+++ b/crates/vetchbridge/src/workers/attempt.rs
@@ -18,7 +18,7 @@
 use tracing::debug;
 use vetchbridge_scheduling::{JobProgress, LoadReport, Outcome, RequestId, WorkerId};
 
-/// The result of an attempt.
+/// The result of an attempt of a request at a worker.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The worker returned this result for the request.
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -30,7 +30,7 @@
     pub worker: String,
     /// The state of the job that the callback reports.
     pub state: CallbackState,
-    /// The fraction of the job that is done; used only while the job is running.
+    /// The fraction of the job that the worker has completed; used only while the job is running.
     #[serde(default, rename = "share")]
     pub fraction: f64,
     /// The result of the job; used only if the job is done.
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CallbackState {
-    /// The job has started.
+    /// The worker has started the job.
     Started,
-    /// The job is running.
+    /// The worker is running the job.
     Running,
     /// The job is done, and the callback carries the job's result.
     Done,
--- a/crates/vetchbridge/src/workers/connection.rs
+++ b/crates/vetchbridge/src/workers/connection.rs
@@ -42,9 +42,9 @@
     /// written.
     permission: Option<SendPermission>,
     expiry: Option<ExpiryHeader>,
-    /// Whether the connection is closed for writing, so that any further write fails.
+    /// Whether the connection to the worker is closed for writing, so that any further write fails.
     closed: bool,
-    /// When bytes were last read from the connection.
+    /// When bytes were last read from the connection to the worker.
     last_read: Option<Instant>,
 }
 
@@ -60,7 +60,7 @@
         state.expiry = expiry;
     }
 
-    /// Returns the number of bytes written for the current exchange.
+    /// Returns the number of bytes written to the connection for the current exchange with the worker.
     pub(super) fn exchange_bytes(&self) -> u64 {
         lock_ignoring_poison(&self.0).exchange_bytes()
     }
@@ -91,7 +91,7 @@
 }
 
 impl MeterState {
-    /// Returns the number of bytes written for the current exchange.
+    /// Returns the number of bytes written to the connection for the current exchange with the worker.
     fn exchange_bytes(&self) -> u64 {
         self.bytes_written - self.bytes_before_exchange
     }
--- a/crates/vetchbridge/src/workers/endpoint.rs
+++ b/crates/vetchbridge/src/workers/endpoint.rs
@@ -15,10 +15,10 @@
     pub name: &'a str,
     /// The worker's host and port.
     pub address: &'a str,
-    /// The worker's state: whether it accepts jobs, is draining or was removed.
+    /// The worker's state in the endpoint list: whether the worker accepts jobs, is draining or was removed.
     pub state: EndpointState,
-    /// When the worker's process last started, in microseconds of Unix time; 0 if that is unknown or long
-    /// ago.
+    /// When the worker's process last started, in microseconds of Unix time; 0 if the start time is unknown
+    /// or long ago.
     pub started_at: Micros,
 }
 
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns the outcome of an attempt if no byte of it has been written to the worker; `None` while the
-    /// worker is ready.
+    /// Returns the outcome of an attempt at the worker if no byte of the attempt has been written to the
+    /// worker; `None` while the worker is ready.
     pub(super) fn outcome_if_unwritten(self) -> Option<Outcome> {
         match self {
             Availability::Ready => None,
--- a/crates/vetchbridge/src/workers/exchange.rs
+++ b/crates/vetchbridge/src/workers/exchange.rs
@@ -20,7 +20,7 @@
 use tokio::time::{timeout, Instant};
 use tracing::debug;
 
-/// Why an exchange failed.
+/// Why an HTTP exchange with a worker failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ExchangeError {
     /// The connection failed before the request's last byte was written: the worker has not run the request.
@@ -49,23 +49,23 @@
 }
 
 impl ExchangeProgress {
-    /// Whether the request has been assigned a connection.
+    /// Whether a connection to the worker has been assigned to the request.
     pub(super) fn is_connected(&self) -> bool {
         self.connection.connection_metadata().is_some()
     }
 
-    /// Resolves when the request has been assigned a connection.
+    /// Resolves when a connection to the worker has been assigned to the request.
     pub(super) fn wait_for_connection(&self) -> impl Future<Output = ()> + use<> {
         let mut connection = self.connection.clone();
         async move { drop(connection.wait_for_connection_metadata().await) }
     }
 
-    /// Whether the request's first byte has been written to the connection.
+    /// Whether the request's first byte has been written to the connection to the worker.
     pub(super) fn first_byte_written(&self) -> bool {
         write_meter(&self.connection).is_some_and(|meter| meter.exchange_bytes() > 0)
     }
 
-    /// Whether the request's last byte has been written to the connection.
+    /// Whether the request's last byte has been written to the connection to the worker.
     pub(super) fn last_byte_written(&self) -> bool {
         write_meter(&self.connection).is_some_and(|meter| meter.exchange_bytes() >= self.request_length)
     }
@@ -90,7 +90,8 @@
     }
 }
 
-/// The sender of one request, with the worker's client, the send permission and the request's expiry header.
+/// Sends one request to a worker. Holds the worker's client, the send permission and the request's expiry
+/// header.
 struct RequestSender {
     client: HttpClient,
     connection: CaptureConnection,
@@ -128,7 +129,8 @@
                     Ok(WorkerResponse::from(response))
                 }
                 Ok(_) => {
-                    // No byte of this request was written, so the response cannot belong to this request.
+                    // No byte of this request was written yet, so the response that arrived cannot belong to
+                    // this request.
                     debug!(worker = self.worker_name, "exchange.unsolicited_response");
                     Err(ExchangeError::RequestIncomplete)
                 }
--- a/crates/vetchbridge/src/workers/expiry.rs
+++ b/crates/vetchbridge/src/workers/expiry.rs
@@ -91,13 +91,13 @@
     }
 }
 
-/// Returns the length of a request line, in bytes.
+/// Returns the length of the first line of an HTTP request (the request line), in bytes.
 pub(super) fn request_line_length<B>(request: &Request<B>) -> usize {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len()
 }
 
-/// Returns the length of a header's line, in bytes.
+/// Returns the length of a header's line in an HTTP request, in bytes.
 pub(super) fn header_length(name: &HeaderName, value_length: usize) -> usize {
     name.as_str().len() + ": ".len() + value_length + "\r\n".len()
 }
--- a/crates/vetchbridge/src/workers/group.rs
+++ b/crates/vetchbridge/src/workers/group.rs
@@ -48,7 +48,8 @@
 }
 
 impl Timeouts {
-    /// Creates the time limits. `worker_idle_timeout` is how long workers keep an idle connection open.
+    /// Creates the time limits of exchanges with workers. `worker_idle_timeout` is how long workers keep an
+    /// idle connection open.
     fn new(dial: Duration, worker_idle_timeout: Duration) -> Timeouts {
         // Half of the timeout after which workers close an idle connection, so that no request is written to
         // a connection that its worker is just closing.
--- a/crates/vetchbridge/src/workers/message.rs
+++ b/crates/vetchbridge/src/workers/message.rs
@@ -48,9 +48,9 @@
     },
     /// Asks the worker for its health and load.
     Probe,
-    /// Cancels an accepted job.
+    /// Asks the worker to cancel a job that the worker has accepted.
     CancelJob {
-        /// The path of the job.
+        /// The path of the job at the worker.
         path: PathAndQuery,
     },
 }
@@ -132,7 +132,7 @@
         self.headers.get(LOAD_REPORT_HEADER).map(axum::http::HeaderValue::as_bytes)
     }
 
-    /// Reads the complete body. Returns an empty body if the response's body is longer than
+    /// Reads the whole body of the worker's response. Returns an empty body if the body is longer than
     /// [`MAX_BODY_BYTES`], and `None` if the connection failed.
     pub(super) async fn read_body(&mut self) -> Option<Bytes> {
         match Limited::new(&mut self.body, MAX_BODY_BYTES).collect().await {
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Reads and discards the response's body in the background. The connection can be reused when the body
-    /// has been read.
+    /// Reads and discards the body of the worker's response in the background. The connection can be reused
+    /// when the body has been read.
     pub(super) fn drain_body(mut self) {
         if !self.body.is_end_stream() {
             tokio::spawn(timeout(BACKGROUND_READ_TIMEOUT, async move { drop(self.read_body().await) }));
--- a/crates/vetchbridge/src/workers/permission.rs
+++ b/crates/vetchbridge/src/workers/permission.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The reason why a request may no longer be written.
+/// The reason why a request may no longer be written to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum SendDenied {
     /// The worker is draining or was removed.
@@ -39,17 +39,17 @@
 }
 
 impl SendPermission {
-    /// Returns a permission without conditions, such as for the cancellation of a job.
+    /// Returns a send permission without conditions, such as for the cancellation of a job.
     pub(super) fn always() -> SendPermission {
         SendPermission { availability: None, concluded: Arc::default(), first_byte_deadline: None }
     }
 
-    /// Returns a permission that holds for as long as the worker is available.
+    /// Returns a send permission that holds for as long as the worker is available.
     pub(super) fn while_available(availability: watch::Receiver<Availability>) -> SendPermission {
         SendPermission { availability: Some(availability), ..SendPermission::always() }
     }
 
-    /// Returns this permission with two more conditions: the first byte must be written before
+    /// Returns this send permission with two more conditions: the request's first byte must be written before
     /// `first_byte_deadline` and before `concluded` is set.
     pub(super) fn until(self, first_byte_deadline: Instant, concluded: Arc<AtomicBool>) -> SendPermission {
         SendPermission { concluded, first_byte_deadline: Some(first_byte_deadline), ..self }
--- a/crates/vetchbridge/src/workers/probe.rs
+++ b/crates/vetchbridge/src/workers/probe.rs
@@ -17,8 +17,8 @@
 /// reused.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A worker's response to a probe, and the complete body of the response; the body is `None` if the
-/// connection failed before the end of the body.
+/// A worker's response to a probe, and the whole body of the response; the body is `None` if the connection
+/// failed before the end of the body.
 type ProbeResponse = (WorkerResponse, Option<Bytes>);
 
 impl UpstreamGroup {
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -110,15 +110,16 @@
     }
 
     /// Accepts the scheduler's next connection to the discovery service. Returns the connection and the
-    /// target of the first request on it.
+    /// target (path and query) of the first request on the connection.
     pub async fn accept_call(&self) -> (HttpConnection, String) {
         let mut wire = HttpConnection::new(self.discovery.accept().await.expect("a call to discovery").0);
         let target = wire.read().await.expect("a call to discovery").target().to_string();
         (wire, target)
     }
 
-    /// Answers the scheduler's first call to discovery with no changes, so that the saved endpoint list is
-    /// current. Returns the connection after reading the next watch call on it.
+    /// Answers the scheduler's first call to the discovery service with no changes, so that the saved
+    /// endpoint list counts as current. Returns the connection after reading the scheduler's next watch call
+    /// on the connection.
     pub async fn confirm_saved_list(&self) -> HttpConnection {
         let (mut wire, _) = self.accept_call().await;
         answer_changes(&mut wire, 1, json!([])).await;
@@ -213,33 +214,34 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// Answers a call to discovery with changes to the endpoint list.
+/// Responds to the scheduler's call to the discovery service with changes to the endpoint list.
 pub async fn answer_changes(wire: &mut HttpConnection, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": false, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Answers a call to discovery with a complete endpoint list.
+/// Responds to the scheduler's call to the discovery service with a complete endpoint list.
 pub async fn answer_complete_list(wire: &mut HttpConnection, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": true, "instances": instances});
     wire.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Rejects a call to discovery with status 503, as an overloaded discovery service does, and closes the
-/// connection.
+/// Rejects the scheduler's call to the discovery service with status 503, as an overloaded discovery service
+/// does, and closes the connection.
 pub async fn reject_call(wire: &mut HttpConnection) {
     wire.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
 }
 
-/// Answers a call to discovery with the part of `document` before the text `cut`. The connection stays open
-/// until the caller drops `wire`.
+/// Responds to the scheduler's call to the discovery service with the part of the endpoint document
+/// `document` before the text `cut`. The connection stays open until the caller drops `wire`.
 pub async fn answer_part(wire: &mut HttpConnection, document: &str, cut: &str) {
     let (part, _) = document.split_once(cut).expect("`cut` is in the document");
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{part}", document.len());
     wire.write(&answer).await.expect("the scheduler reads");
 }
 
-/// Answers a call to discovery with the part of `document` before the text `cut`, and closes the connection.
+/// Responds to the scheduler's call to the discovery service with the part of the endpoint document
+/// `document` before the text `cut`, and closes the connection.
 pub async fn answer_part_and_close(mut wire: HttpConnection, document: &str, cut: &str) {
     answer_part(&mut wire, document, cut).await;
 }
--- a/crates/vetchbridge/tests/common/mod.rs
+++ b/crates/vetchbridge/tests/common/mod.rs
@@ -44,7 +44,7 @@
 pub trait WireExt {
     async fn send(&mut self, text: &str);
     async fn post_request(&mut self, target: &str, headers: &str, body: &str);
-    /// Reads a request and returns its target.
+    /// Reads the daemon's request on this connection and returns the target (path and query) of the request.
     async fn read_target(&mut self) -> String;
     async fn send_endpoints(&mut self, generation: u32, instances: Value);
 }
@@ -122,7 +122,7 @@
            "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// Answers the first discovery request of a daemon that has just started with no changes to the saved
+/// Responds to the first discovery request of a daemon that has just started with no changes to the saved
 /// endpoint list. Closes the connection, so that the daemon sends its next discovery request on a new
 /// connection.
 pub async fn confirm_endpoint_list(discovery: &TcpListener) {
@@ -132,7 +132,7 @@
     wire.answer(200, "connection: close\r\n", unchanged).await.expect("the peer reads");
 }
 
-/// Returns a configuration of the daemon with up to two attempts per request and one class of each
+/// Returns a configuration of the daemon that allows up to two attempts per request and has one class of each
 /// idempotency.
 pub fn daemon_config(discovery: SocketAddr, instances: Value) -> Value {
     let class = |name: &str, repeat: &str| {
@@ -180,7 +180,7 @@
     format!("env LD_PRELOAD={} SYSCALL_FAULTS={faults}", library.display())
 }
 
-/// A process of the daemon, which is killed when the value is dropped.
+/// A process of the daemon, which is killed when this value is dropped.
 pub struct Process {
     pub child: Child,
     pub config_path: PathBuf,
@@ -243,7 +243,7 @@
         (process, discovery)
     }
 
-    /// Sends a command to the daemon's admin interface and returns the response.
+    /// Sends a command to the daemon's admin interface and returns the daemon's response.
     pub async fn admin_command(&self, command: &str) -> String {
         let mut stream = TcpStream::connect(self.admin).await.expect("the admin interface listens");
         stream.write_all(format!("{command}\n").as_bytes()).await.expect("the write succeeds");
@@ -280,7 +280,8 @@
                 std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the process runs");
             tasks.map(|task| task.expect("a thread").path().join("stat"))
         };
-        // A thread of the daemon that has not stopped yet could still read some of the events that follow.
+        // A thread of the daemon that has not stopped yet could still read some of the events that the test
+        // causes next.
         while !threads().all(|stat| std::fs::read_to_string(stat).is_ok_and(|stat| stat.contains(") T "))) {
             tokio::task::yield_now().await;
         }
