--- a/crates/scheduling/src/completion.rs
+++ b/crates/scheduling/src/completion.rs
@@ -24,7 +24,8 @@
     pub(crate) outcome: Outcome,
     /// Time from sending the attempt to its end, in microseconds.
     pub(crate) latency: Micros,
-    /// Whether the request is complete, so that the scheduler must give it no final answer.
+    /// Whether the request already has its final answer or its client has disconnected, so that the scheduler
+    /// must give the request no final answer.
     pub(crate) request_closed: bool,
 }
 
--- a/crates/scheduling/src/events.rs
+++ b/crates/scheduling/src/events.rs
@@ -194,7 +194,7 @@
         /// Time from sending the attempt to its end, in microseconds.
         latency: Micros,
         /// Whether the request already has its final answer or its client has disconnected, so that the
-        /// scheduler must give it no final answer.
+        /// scheduler must give the request no final answer.
         request_closed: bool,
         /// The worker's load report, if the worker sent one.
         load: Option<LoadReport>,
--- a/crates/scheduling/src/fleet.rs
+++ b/crates/scheduling/src/fleet.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// Limit on the workers that the fleet keeps: it drops removed workers once the number of all its workers
-/// reaches twice the number of ready workers plus this number.
+/// Limit on the workers that the fleet keeps: the fleet drops removed workers once the number of all its
+/// workers reaches twice the number of ready workers plus this number.
 const MAX_REMOVED_WORKERS: usize = 64;
 /// A change of a worker's weight in the endpoint list by at most this fraction of the weight is ignored.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
--- a/crates/scheduling/src/hot_keys.rs
+++ b/crates/scheduling/src/hot_keys.rs
@@ -26,7 +26,7 @@
 }
 
 impl DecayingCount {
-    /// Returns the count as it has decayed by the time `now`.
+    /// Returns the decayed value of this count at the time `now`.
     fn decayed(self, now: Micros) -> f64 {
         self.count * (-(now.saturating_sub(self.updated_at) as f64) / DECAY_TIME).exp()
     }
--- a/crates/vetchbridge/src/clients/budget.rs
+++ b/crates/vetchbridge/src/clients/budget.rs
@@ -16,8 +16,8 @@
 /// connections to workers.
 const MIN_WORKERS_DIVISOR: usize = 4;
 /// The descriptor limit of the process divided by this number is the maximum number of callback connections
-/// that may be open beyond the clients' share of the descriptors. Their descriptors come from the descriptors
-/// that are kept free for new connections to workers.
+/// that may be open beyond the clients' share of the descriptors. The descriptors of these callback
+/// connections come from the descriptors that are kept free for new connections to workers.
 const EXTRA_CALLBACKS_DIVISOR: usize = 32;
 /// Minimum value for the maximum number of callback connections that may be open beyond the clients' share of
 /// the descriptors.
--- a/crates/vetchbridge/src/clients/connection/lingering_close.rs
+++ b/crates/vetchbridge/src/clients/connection/lingering_close.rs
@@ -1,4 +1,4 @@
-//! Closes a client connection without losing the last response on it.
+//! Closes a client connection without losing the last response on the connection.
 
 use super::super::framing::MAX_HEAD_BYTES;
 use super::time_limits::LINGER_TIMEOUT;
--- a/crates/vetchbridge/src/clients/connections.rs
+++ b/crates/vetchbridge/src/clients/connections.rs
@@ -112,8 +112,8 @@
             .then(|| self.extra_callbacks.register())
     }
 
-    /// Whether any client connection awaits a response, or a response on it may still be in the process of
-    /// being sent.
+    /// Whether any client connection awaits a response, or a response on the connection may still be in the
+    /// process of being sent.
     pub(super) fn has_pending_response(&self) -> bool {
         let now = Instant::now();
         lock_ignoring_poison(&self.table).open.values().any(|connection| connection.has_pending_response(now))
--- a/crates/vetchbridge/src/clients/handler.rs
+++ b/crates/vetchbridge/src/clients/handler.rs
@@ -34,8 +34,8 @@
 }
 
 impl ClientServer {
-    /// Returns the response to an HTTP request. The response has `Connection: close` if the connection closes
-    /// after it.
+    /// Returns the response to an HTTP request. The response has the header `Connection: close` if the daemon
+    /// closes the connection after the response.
     pub(super) async fn respond(
         &self,
         mut request: hyper::Request<Incoming>,
@@ -87,8 +87,8 @@
     }
 }
 
-/// Passes a callback to the attempt that waits for it, in this process or in another process of this
-/// scheduler.
+/// Passes a worker's callback to the attempt that waits for the callback, in this process or in another
+/// process of this scheduler.
 async fn deliver_callback(server: &ClientServer, callback: &Callback) -> Response {
     if server.upstream.dispatch_callback(callback) {
         return StatusCode::OK.into_response();
--- a/crates/vetchbridge/src/clients/server.rs
+++ b/crates/vetchbridge/src/clients/server.rs
@@ -44,7 +44,7 @@
 /// The queue of handed-over connections that this process does not serve yet.
 struct HandoverQueue {
     sender: UnboundedSender<HandedOverConnection>,
-    /// The receiving end of the queue; `None` after the accept loop has taken it.
+    /// The receiving end of the queue; `None` after the accept loop has taken the receiving end.
     receiver: Mutex<Option<UnboundedReceiver<HandedOverConnection>>>,
 }
 
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -168,7 +168,7 @@
 }
 
 /// Whether the input of a connection starts with the request line of a callback. The input is only peeked at,
-/// so it stays in the socket's receive buffer.
+/// so the bytes stay in the socket's receive buffer.
 async fn starts_with_callback(stream: &TcpStream) -> bool {
     let mut head = [0; CALLBACK_REQUEST_LINE.len()];
     loop {
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -56,7 +56,7 @@
     pub snapshot: SettingsSnapshot,
     /// Seed of the scheduler's random numbers.
     pub seed: u64,
-    /// The platform's JSON document as it was read; `None` if the configuration is a TOML file.
+    /// The platform's JSON document as the daemon read it; `None` if the configuration is a TOML file.
     pub platform_document: Option<Value>,
     /// Format and filter of the log.
     pub log: file::Log,
@@ -117,7 +117,7 @@
 ///
 /// # Errors
 ///
-/// Returns every fault of the configuration file or the platform's document, the flags and the environment
+/// Returns every error in the configuration file or the platform's document, the flags and the environment
 /// variables.
 pub fn load(flags: &Flags) -> Result<Config, ConfigError> {
     read_sources(flags, ReadReason::Start)
@@ -184,17 +184,17 @@
 ///
 /// # Errors
 ///
-/// Returns every fault of the configuration file.
+/// Returns every error in the configuration file.
 pub fn read_file(path: &Path) -> Result<LoadedConfig, ConfigError> {
     read_text(&path.to_string_lossy(), &read_to_string(path)?)
 }
 
-/// Reads a configuration text of either format without flags and environment variables. `source` names the
-/// text in faults.
+/// Reads a configuration text of either format without flags and environment variables. `source` is the name
+/// that error reports give the text.
 ///
 /// # Errors
 ///
-/// Returns every fault of the configuration text.
+/// Returns every error in the configuration text.
 pub fn read_text(source: &str, text: &str) -> Result<LoadedConfig, ConfigError> {
     read(source, text, &Flags::default(), &|_| None)
 }
--- a/crates/vetchbridge/src/config/platform.rs
+++ b/crates/vetchbridge/src/config/platform.rs
@@ -273,9 +273,9 @@
     Ok(LoadedConfig { config, effective: effective.collect() })
 }
 
-/// Returns a fault for each key that the old platform document has and the new platform document lacks. In a
-/// list of objects, only keys that every old entry has are required of the new entries. The saved worker list
-/// (`known`) is not compared.
+/// Returns an error report (fault) for each key that the old platform document has and the new platform
+/// document lacks. In a list of objects, only keys that every old entry has are required of the new entries.
+/// The saved worker list (`known`) is not compared.
 pub fn check_no_key_removed(old: &Value, new: &Value) -> Result<(), ConfigError> {
     fn entries(value: &Value) -> Option<Vec<&Map<String, Value>>> {
         let list = value.as_array()?.iter().map(Value::as_object).collect::<Option<Vec<_>>>()?;
--- a/crates/vetchbridge/src/discovery/client.rs
+++ b/crates/vetchbridge/src/discovery/client.rs
@@ -21,9 +21,9 @@
 
 /// Maximum time to establish a connection to the discovery service.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum time to receive the body of the discovery service's response after its head. The service treats
-/// this scheduler as notified of an entry as soon as it has written the entry, so a stalled body must not
-/// delay the use of the entries that have arrived.
+/// Maximum time to receive the body of the discovery service's response after the response's head. The
+/// discovery service treats this scheduler as notified of an entry as soon as the service has written the
+/// entry, so a stalled body must not delay the use of the entries that have arrived.
 const BODY_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time after which an idle connection to the discovery service is closed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Why a call to the discovery service returned no complete document.
+/// Why a call to the discovery service returned no complete endpoint document.
 #[derive(Debug, ThisError)]
 pub(super) enum CallError {
     /// The HTTP request could not be built.
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// The worker's name, the same at every scheduler.
+    /// The worker's name, which is the same at every scheduler.
     pub instance_id: String,
     /// The address at which this scheduler reaches the worker.
     #[serde(default)]
--- a/crates/vetchbridge/src/discovery/partial.rs
+++ b/crates/vetchbridge/src/discovery/partial.rs
@@ -1,8 +1,8 @@
 //! Reads those parts of a truncated endpoint document that arrived whole.
 //!
 //! A response of the discovery service may end within the document because the service crashed, the
-//! connection was reset or the body stalled. The entries that arrived complete are still valid, and the
-//! entries of workers that are leaving matter most.
+//! connection was reset or the body stalled. The entries that arrived whole are still valid, and the entries
+//! of workers that are leaving matter most.
 
 use crate::discovery::document::Instance;
 use serde_json::Deserializer;
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -292,9 +292,9 @@
     }
 
     fn handle_document(&mut self, known_generation: Option<u64>, document: EndpointDocument) {
-        // A complete list with a lower generation shows that the discovery service was reset, but only if no
-        // other call has changed the watcher's generation in the meantime. Otherwise the received list is
-        // older than the published list.
+        // A complete endpoint list with a lower generation shows that the discovery service was reset, but
+        // only if no other call has changed the watcher's generation in the meantime. Otherwise the received
+        // list is older than the published list.
         let service_was_reset = document.reset && known_generation == self.generation;
         if self.is_older(document.generation) && !service_was_reset {
             debug!(generation = document.generation, "endpoints.stale_update");
@@ -331,8 +331,8 @@
         self.confirmed.send_replace(true);
     }
 
-    /// Applies an update to the endpoint list that is kept for a successor process, then to the upstream
-    /// group, then to the scheduler.
+    /// Applies an update of the endpoint list to the copy of the list that is kept for a successor process,
+    /// then to the upstream group, then to the scheduler.
     fn publish(&self, update: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
         self.endpoint_list().apply(update, generation, instances);
         let names = &self.settings.get().names;
--- a/crates/vetchbridge/src/engine.rs
+++ b/crates/vetchbridge/src/engine.rs
@@ -59,7 +59,7 @@
     actions: Vec<Action>,
 }
 
-/// Runs the scheduler: passes events to the scheduler and executes the actions that it returns.
+/// Runs the scheduler: passes events to the scheduler and executes the actions that the scheduler returns.
 pub struct Engine {
     /// The scheduler's clock.
     pub clock: Clock,
@@ -109,7 +109,8 @@
     }
 
     /// Passes a new request to the scheduler and returns the receiver of the scheduler's commands for the
-    /// request. Returns `None` if the task of another request with the same id has not ended yet.
+    /// request. Returns `None` if another request with the same id is still open, which means that its task
+    /// has not ended.
     pub fn open_request(&self, request: Request) -> Option<UnboundedReceiver<RequestCommand>> {
         let state = &mut *self.lock_state();
         if state.command_senders.contains_key(&request.id) {
@@ -127,20 +128,20 @@
         self.lock_state().command_senders.remove(&id);
     }
 
-    /// Returns the ids of the open requests: a request is open until it has its final answer and all of its
-    /// attempts have ended.
+    /// Returns the ids of the open requests. A request is open until it is answered (or its client has
+    /// disconnected) and all of its attempts have ended.
     pub fn open_request_ids(&self) -> Vec<RequestId> {
         self.lock_state().command_senders.keys().copied().collect()
     }
 
-    /// Returns the number of open requests: a request is open until it has its final answer and all of its
-    /// attempts have ended.
+    /// Returns the number of open requests. A request is open until it is answered (or its client has
+    /// disconnected) and all of its attempts have ended.
     pub fn open_request_count(&self) -> usize {
         self.lock_state().command_senders.len()
     }
 
     /// Passes one event to the scheduler and executes the resulting actions; the caller holds the lock on the
-    /// state.
+    /// engine's state.
     fn handle_locked(&self, state: &mut EngineState, event: Event) {
         let mut actions = std::mem::take(&mut state.actions);
         state.scheduler.handle(self.clock.now(), event, &mut actions);
--- a/crates/vetchbridge/src/lifecycle/clock.rs
+++ b/crates/vetchbridge/src/lifecycle/clock.rs
@@ -63,7 +63,8 @@
         self.with_machine(|machine, now| machine.begin_shutdown(now, longest_deadline));
     }
 
-    /// Advances the state machine to the current time, calls `call` on it, and publishes the resulting state.
+    /// Advances the lifecycle's state machine to the current time, calls `call` on the state machine, and
+    /// publishes the resulting state.
     fn with_machine<T>(&self, call: impl FnOnce(&mut LifecycleMachine, Duration) -> T) -> T {
         let machine = &mut *self.machine.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.started_at.elapsed();
--- a/crates/vetchbridge/src/lifecycle/state.rs
+++ b/crates/vetchbridge/src/lifecycle/state.rs
@@ -31,8 +31,8 @@
     /// An operator drains the process: the process is not ready, and each response closes its connection.
     /// Requests that arrive are still accepted.
     Draining,
-    /// As in `Draining`, and idle client connections are closed too. The state lasts until an operator
-    /// resumes the process or the process shuts down.
+    /// As in `Draining`, each response closes its connection, and idle client connections are closed too. The
+    /// state lasts until an operator resumes the process or the process shuts down.
     Drained,
     /// The process shuts down gracefully.
     ShuttingDown(ShutdownPhase),
--- a/crates/vetchbridge/src/logs/writer.rs
+++ b/crates/vetchbridge/src/logs/writer.rs
@@ -41,7 +41,8 @@
 fn is_writable(fd: BorrowedFd<'_>) -> bool {
     let mut fds = [PollFd::from_borrowed_fd(fd, PollFlags::OUT)];
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // An output that its reader has closed also polls as writable; a write to the output fails at once.
+    // An output that its reader has closed also polls as writable, but a write to such an output fails at
+    // once and thus does not block.
     poll(&mut fds, Some(&no_wait)).is_ok_and(|ready| ready > 0)
 }
 
@@ -49,7 +50,7 @@
 where
     for<'a> &'a W: Write,
 {
-    /// Writes one log line, which is cut at [`MAX_LINE_BYTES`], or drops it.
+    /// Writes one log line, which is cut at [`MAX_LINE_BYTES`] bytes, or drops the line.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut output = &*self.output;
         if !is_writable(output.as_fd()) {
--- a/crates/vetchbridge/src/request.rs
+++ b/crates/vetchbridge/src/request.rs
@@ -102,7 +102,8 @@
     answer
 }
 
-/// Runs one client's request until it has its final answer and all of its attempts have ended.
+/// Runs one client's request until it is answered (or its client has disconnected) and all of its attempts
+/// have ended.
 async fn run(mut context: RequestContext, upstream: Arc<UpstreamGroup>, payload: Payload) {
     let engine = context.engine.clone();
     let mut in_flight = FuturesUnordered::new();
@@ -138,8 +139,8 @@
     }
 }
 
-/// The state of one open request: a request that has no final answer yet or has an attempt that has not
-/// ended. The request stays registered with the engine until this state is dropped.
+/// The state of one client's request whose task has not ended. The request stays registered with the engine
+/// until this state is dropped.
 struct RequestContext {
     engine: Arc<Engine>,
     process_links: Arc<ProcessLinks>,
@@ -307,8 +308,8 @@
         self.engine.handle(Event::ClientDisconnected(self.id));
     }
 
-    /// Answers the request without a worker's result. For diagnosis, logs the number of attempts and the time
-    /// that remains until the request's deadline.
+    /// Gives the request a final answer without a worker's result. For diagnosis, logs the number of attempts
+    /// and the time that remains until the request's deadline.
     fn conclude_unserved(&mut self, answer: Answer) {
         let may_have_run =
             self.attempts.iter().filter(|attempt| attempt.may_have_run_since.is_some()).count();
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -49,12 +49,12 @@
 /// and endpoint list.
 struct Predecessor {
     socket: HandoverSocket,
-    /// Number of client connections that the predecessor had when it sent its offer.
+    /// Number of client connections that the predecessor had when the predecessor sent its offer.
     connections: usize,
 }
 
-/// The sockets and the endpoint list that the process starts with, inherited from a predecessor process if it
-/// handed them over.
+/// The sockets and the endpoint list that the process starts with, inherited from a predecessor process if
+/// one handed over its sockets and endpoint list.
 struct InitialState {
     sockets: InheritedSockets,
     initial_endpoints: InitialEndpoints,
--- a/crates/vetchbridge/src/upgrade/exchange.rs
+++ b/crates/vetchbridge/src/upgrade/exchange.rs
@@ -1,5 +1,5 @@
-//! Exchanges messages between two linked processes of a scheduler until either of them ends. Both processes
-//! run this code.
+//! Exchanges messages between two linked processes of a scheduler until one of the processes ends. Both
+//! processes run this code.
 
 use super::message::{Envelope, HandoverMessage};
 use super::predecessor::HandoverServer;
