--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -46,7 +46,7 @@
     ClosedByLimit,
     /// No request is in progress on the connection; the successor process takes the connection over.
     HandedOver,
-    /// The connection is idle, and the process is draining.
+    /// The client connection is idle, and this process is draining.
     Drained,
 }
 
@@ -101,7 +101,7 @@
         loop {
             drop(successor.wait_for(Option::is_some).await);
             connection.wait_until_between_requests().await;
-            // The successor process may have ended while a request was in progress on the connection.
+            // The successor process may have ended while a request was in progress on the client connection.
             if self.process_links.has_successor() {
                 return;
             }
@@ -168,7 +168,7 @@
 }
 
 /// Whether the input of a connection starts with the request line of a callback. The input is only peeked at,
-/// so it stays in the socket's receive buffer.
+/// so the bytes stay in the socket's receive buffer.
 async fn starts_with_callback(stream: &TcpStream) -> bool {
     let mut head = [0; CALLBACK_REQUEST_LINE.len()];
     loop {
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -56,7 +56,7 @@
     pub settings_snapshot: SettingsSnapshot,
     /// Seed of the scheduler's random numbers.
     pub seed: u64,
-    /// The platform's JSON document as it was read; `None` if the configuration is a TOML file.
+    /// The platform's JSON document as the daemon read it; `None` if the configuration is a TOML file.
     pub platform_document: Option<Value>,
     /// Format and filter of the log.
     pub log: file::Log,
@@ -72,7 +72,7 @@
     pub broadcast_address: Option<SocketAddr>,
 }
 
-/// All faults of a configuration that was rejected.
+/// All errors (faults) in a configuration that was rejected because of them.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError(pub Vec<Fault>);
 
@@ -97,7 +97,7 @@
 pub struct LoadedConfig {
     /// The configuration in the form that the daemon uses.
     pub config: Config,
-    /// Every configuration value in force with its origin, for the output of `check`.
+    /// Every configuration value in force with its origin, for the output of the command `check`.
     pub effective: Vec<EffectiveValue>,
 }
 
@@ -117,7 +117,7 @@
 ///
 /// # Errors
 ///
-/// Returns every fault of the configuration file or the platform's document, the flags and the environment
+/// Returns every error in the configuration file or the platform's document, the flags and the environment
 /// variables.
 pub fn load(flags: &Flags) -> Result<Config, ConfigError> {
     read_sources(flags, ReadReason::Start)
@@ -184,17 +184,17 @@
 ///
 /// # Errors
 ///
-/// Returns every fault of the configuration file.
+/// Returns every error in the configuration file.
 pub fn read_file(path: &Path) -> Result<LoadedConfig, ConfigError> {
     read_text(&path.to_string_lossy(), &read_to_string(path)?)
 }
 
-/// Reads a configuration text of either format without flags and environment variables. `source` names the
-/// text in faults.
+/// Reads a configuration text of either format without flags and environment variables. `source` is the name
+/// that error reports give the text.
 ///
 /// # Errors
 ///
-/// Returns every fault of the configuration text.
+/// Returns every error in the configuration text.
 pub fn read_text(source: &str, text: &str) -> Result<LoadedConfig, ConfigError> {
     read(source, text, &Flags::default(), &|_| None)
 }
@@ -211,8 +211,8 @@
     Ok(LoadedConfig { config, effective })
 }
 
-/// Parses a TOML configuration file and validates it against the schema. Returns all faults that the schema
-/// finds.
+/// Parses a TOML configuration file and validates it against the JSON Schema. Returns all errors in the file
+/// that the schema finds.
 fn parse_file(source: &str, text: &str) -> Result<File, ConfigError> {
     schema::parse(source, text, &file::schema()).map_err(ConfigError)
 }
--- a/crates/vetchbridge/src/serve/startup.rs
+++ b/crates/vetchbridge/src/serve/startup.rs
@@ -49,12 +49,12 @@
 /// and endpoint list.
 struct Predecessor {
     socket: HandoverSocket,
-    /// Number of client connections that the predecessor had when it sent its offer.
+    /// Number of client connections that the predecessor had when the predecessor sent its offer.
     connections: usize,
 }
 
-/// The sockets and the endpoint list that the process starts with, inherited from a predecessor process if it
-/// handed them over.
+/// The sockets and the endpoint list that the process starts with, inherited from a predecessor process if
+/// one handed over its sockets and endpoint list.
 struct InitialState {
     sockets: InheritedSockets,
     initial_endpoints: InitialEndpoints,
@@ -243,7 +243,7 @@
     let lifecycle = lifecycle.clone();
     tokio::spawn(async move {
         // After the time limit the decision module uses the saved endpoint list, since discovery has provided
-        // no better list.
+        // no newer list.
         let time_limit = Duration::from_micros(LIST_CONFIRMATION_TIMEOUT);
         let _ = timeout(time_limit, list_confirmed.wait_for(|confirmed| *confirmed)).await;
         lifecycle.start_serving();
--- a/crates/vetchbridge/src/upgrade/successor.rs
+++ b/crates/vetchbridge/src/upgrade/successor.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Sends the hello message and receives everything that the predecessor hands over.
+/// Sends the predecessor process the hello message and receives everything that the predecessor hands over.
 async fn inherit(
     socket: HandoverSocket,
     name: &str,
@@ -112,7 +112,8 @@
     Ok(InheritedState { listener, peer_socket, offer, endpoints, socket })
 }
 
-/// Receives the predecessor's endpoint list, up to the empty message that marks the end of the list.
+/// Receives the predecessor process's endpoint list, up to the message without entries that marks the end of
+/// the list.
 async fn receive_endpoints(
     reader: &mut MessageReader<'_>,
     generation: u64,
--- a/crates/vetchbridge/tests/common/in_process.rs
+++ b/crates/vetchbridge/tests/common/in_process.rs
@@ -111,7 +111,7 @@
     }
 
     /// Accepts the scheduler's next connection to the discovery service. Returns the connection and the
-    /// target of the first request on it.
+    /// target (path and query) of the first request on the connection.
     pub async fn accept_call(&self) -> (HttpConnection, String) {
         let mut connection =
             HttpConnection::new(self.discovery.accept().await.expect("a call to discovery").0);
@@ -119,8 +119,9 @@
         (connection, target)
     }
 
-    /// Answers the scheduler's first call to discovery with no changes, so that the saved endpoint list is
-    /// current. Returns the connection after reading the next watch call on it.
+    /// Answers the scheduler's first call to the discovery service with no changes, so that the saved
+    /// endpoint list counts as current. Returns the connection after reading the scheduler's next watch call
+    /// on the connection.
     pub async fn confirm_saved_list(&self) -> HttpConnection {
         let (mut connection, _) = self.accept_call().await;
         answer_changes(&mut connection, 1, json!([])).await;
@@ -215,20 +216,20 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// Answers a call to discovery with changes to the endpoint list.
+/// Responds to the scheduler's call to the discovery service with changes to the endpoint list.
 pub async fn answer_changes(connection: &mut HttpConnection, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": false, "instances": instances});
     connection.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Answers a call to discovery with a complete endpoint list.
+/// Responds to the scheduler's call to the discovery service with a complete endpoint list.
 pub async fn answer_complete_list(connection: &mut HttpConnection, generation: u32, instances: Value) {
     let document = json!({"generation": generation, "reset": true, "instances": instances});
     connection.answer(200, "", &document.to_string()).await.expect("the scheduler reads");
 }
 
-/// Rejects a call to discovery with status 503, as an overloaded discovery service does, and closes the
-/// connection.
+/// Rejects the scheduler's call to the discovery service with status 503, as an overloaded discovery service
+/// does, and closes the connection.
 pub async fn reject_call(connection: &mut HttpConnection) {
     connection.answer(503, "connection: close\r\n", "").await.expect("the scheduler reads");
 }
@@ -241,7 +242,8 @@
     connection.write(&answer).await.expect("the scheduler reads");
 }
 
-/// Answers a call to discovery with the part of `document` before the text `cut`, and closes the connection.
+/// Responds to the scheduler's call to the discovery service with the part of the endpoint document
+/// `document` before the text `cut`, and closes the connection.
 pub async fn answer_part_and_close(mut connection: HttpConnection, document: &str, cut: &str) {
     answer_part(&mut connection, document, cut).await;
 }
