--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -21,18 +21,25 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How the service responds to calls, which are requests for the endpoint list or watches on it.
+/// How the stand-in discovery service responds to calls from schedulers. A call is a request for the endpoint
+/// list, or a watch: a request that waits for a change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// Responds with the endpoint list.
+    /// The discovery service responds to a request for the endpoint list with the list, and to a watch with
+    /// the changes since the version of the list that the watch names. A watch that names a version higher
+    /// than the current one gets the list.
     Normal,
-    /// Responds with 503; waiting watches get this response at once.
+    /// The discovery service responds to every call with status 503; watches that wait for a change get the
+    /// response immediately.
     Error,
-    /// Resets the connection instead of responding, including the connections of waiting watches.
+    /// The discovery service resets the connection of every call instead of responding; it resets the
+    /// connections of watches that wait for a change immediately.
     Reset,
-    /// Accepts connections, keeps them open and does not respond.
+    /// The discovery service accepts connections, keeps them open and responds to no call, watches that wait
+    /// for a change included.
     Silent,
-    /// Sends half of the response, then closes the connection.
+    /// The discovery service sends the head and the first half of the body of its response to a call, then
+    /// closes the connection; watches that wait for a change get this response immediately.
     Truncate,
 }
 
@@ -139,7 +146,8 @@
         self.shared.state().update_delay = delay;
     }
 
-    /// Responds as `mode` states for `duration`, then normally again.
+    /// Lets the discovery service respond to calls as `mode` states for `duration`, then sets the mode
+    /// [`ResponseMode::Normal`].
     pub async fn fail(&self, mode: ResponseMode, duration: Duration) {
         self.set_response_mode(mode);
         sleep(duration).await;
--- a/crates/testbed/src/load_balancer.rs
+++ b/crates/testbed/src/load_balancer.rs
@@ -30,7 +30,7 @@
 /// A scheduler behind the load balancer.
 struct Backend {
     address: SocketAddr,
-    /// Whether the scheduler receives clients' connections.
+    /// Whether the load balancer relays new connections of clients to this scheduler.
     ready: AtomicBool,
 }
 
--- a/crates/testbed/src/worker/connection.rs
+++ b/crates/testbed/src/worker/connection.rs
@@ -147,15 +147,16 @@
         }
     }
 
-    /// Responds with a status that ends the attempt; with `never_ran`, the response states that the job never
-    /// ran.
+    /// Responds to a job's request with the HTTP status `status`, which ends the attempt; if `never_ran` is
+    /// set, the response states that the job never ran.
     async fn end_attempt(&mut self, status: u16, never_ran: bool) -> KeepAlive {
         let never_ran = if never_ran { NEVER_RAN } else { "" };
         let headers = format!("{never_ran}{}", self.worker.load_header());
         self.answer(status, &headers, "").await
     }
 
-    /// Responds with 202 and executes the job, in the order and manner that the scripted behavior states.
+    /// Responds to a job's request with status 202 and executes the job, in the order and manner that the
+    /// scripted behavior states.
     async fn accept(
         &mut self,
         job: JobRequest,
--- a/crates/testbed/src/worker/script.rs
+++ b/crates/testbed/src/worker/script.rs
@@ -3,56 +3,66 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How a worker behaves towards one job that a scheduler sends.
+/// How a worker behaves towards one job that a scheduler sends. A worker without capacity for the job rejects
+/// it with status 503 in place of a behavior that would accept or run the job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobBehavior {
-    /// Accepts the job with 202, runs it and sends its callbacks.
+    /// The worker responds to the job's request with status 202, runs the job and sends its callbacks.
     Serve,
-    /// Responds to the job's request with `status` instead of 202 and does not run the job.
+    /// The worker responds to the job's request with `status` instead of 202 and does not run the job.
     Answer {
         /// HTTP status code of the response.
         status: u16,
         /// Whether the response carries the header `X-Never-Ran: 1`, which states that the job never ran.
         never_ran: bool,
     },
-    /// Reads the job's request and sends no bytes until the scheduler closes the connection.
+    /// The worker reads the job's request and sends no bytes until the scheduler closes the connection.
     NoResponse,
-    /// Resets the connection after reading the head of the job's request, before reading the request's body.
+    /// The worker resets the connection after reading the head of the job's request, before reading the
+    /// request's body.
     ResetInBody,
-    /// Reads the complete request of the job, then resets the connection without a response.
+    /// The worker reads the complete request of the job, then resets the connection without a response.
     ResetBeforeAnswer,
-    /// Sends half of the 202 response, then closes the connection.
+    /// The worker sends an incomplete first line of a response with status 202, then closes the connection
+    /// and does not run the job.
     HalfAnswer,
-    /// Responds with 202, then neither runs the job nor sends a callback.
+    /// The worker responds to the job's request with status 202, then neither runs the job nor sends a
+    /// callback.
     NoCallback,
-    /// Responds with 202, starts the job, and reports by a callback that the worker lost the job.
+    /// The worker responds to the job's request with status 202, starts the job, and reports by a callback
+    /// that it lost the job.
     Lose,
-    /// Responds with 202, starts the job, and reports by a callback that the job failed.
+    /// The worker responds to the job's request with status 202, starts the job, and reports by a callback
+    /// that the job failed.
     Fail,
-    /// Responds with 202, and returns the job to the scheduler by a callback without starting the job.
+    /// The worker responds to the job's request with status 202, and returns the job to the scheduler by a
+    /// callback without starting the job.
     ReturnUnstarted,
-    /// Runs the job and sends all of its callbacks before the 202 response.
+    /// The worker runs the job and sends all of the job's callbacks, then responds to the job's request with
+    /// status 202.
     CallbackBeforeAnswer,
-    /// Runs the job and sends its final callback this number of times.
+    /// The worker runs the job and sends the job's final callback this number of times.
     RepeatCallback(u32),
-    /// Responds with 202, sends a callback that is not valid JSON, then runs the job.
+    /// The worker responds to the job's request with status 202, sends a callback that is not valid JSON,
+    /// then runs the job.
     InvalidCallback,
-    /// Runs the job; writes the 202 response and every callback one byte at a time.
+    /// The worker runs the job, and writes the response with status 202 and every callback one byte at a
+    /// time.
     ByteByByte,
 }
 
 /// How a worker behaves towards one probe of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeBehavior {
-    /// Responds to the probe as the worker's configuration states.
+    /// The worker responds to the probe as its configuration states.
     Answer,
-    /// Responds to the probe as the worker's configuration states, but only after this delay.
+    /// The worker waits for this delay, then responds to the probe as its configuration states.
     Delay(Duration),
-    /// Sends no bytes until the scheduler closes the connection.
+    /// The worker sends no bytes until the scheduler closes the connection.
     NoResponse,
-    /// Responds with 503.
+    /// The worker responds to the probe with status 503.
     Reject,
-    /// Resets the connection instead of responding.
+    /// The worker resets the connection instead of responding to the probe.
     Reset,
 }
 
--- a/crates/testbed/tests/queue.rs
+++ b/crates/testbed/tests/queue.rs
@@ -27,7 +27,8 @@
 fn a_first_waiter_that_needs_too_many_slots_blocks_a_fifo_queue_but_not_a_backfill_queue() {
     assert_eq!(granted(Order::Fifo, [2, 1, 1]), [false, false, false]);
     assert_eq!(granted(Order::Backfill, [2, 1, 1]), [false, true, false]);
-    // A request for more slots than the queue has, such as 9, waits for all three slots.
+    // A call to the queue that asks for more slots than the queue's total of three, here for 9, waits
+    // until all three slots are free.
     assert_eq!(granted(Order::Backfill, [9, 1, 2]), [false, true, false]);
 }
 
--- a/crates/testbed/tests/worker_jobs.rs
+++ b/crates/testbed/tests/worker_jobs.rs
@@ -157,8 +157,9 @@
     assert_eq!(worker.send(2, "", "").await.read().await.expect("an answer").status(), "202");
 }
 
-/// A script can make a worker send a callback before its 202 response, or an invalid callback. A slow worker
-/// sends its callback late.
+/// A script can make a worker send a job's callbacks before its response with status 202, or send an invalid
+/// callback. A worker that is slowed to a tenth of its speed reports a job that takes 20 ms at full speed as
+/// done no earlier than 190 ms after the test starts to send the job.
 #[rstest]
 #[timeout(TEST_TIMEOUT)]
 #[tokio::test]
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -20,9 +20,11 @@
 use vetchbridge_testbed::worker::Worker;
 use vetchbridge_testbed::Port;
 
-/// How long it may take until all schedulers of a deployment are ready.
+/// The longest time for which a deployment waits until the load balancer counts all of its schedulers as
+/// ready, measured from the start of the wait; after this time the wait fails.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// The interval between two checks of the schedulers' readiness.
+/// The interval at which a deployment, while it waits for its schedulers, reads from the load balancer how
+/// many of them are ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running deployment: schedulers, workers, discovery and the load balancer that clients connect to.
--- a/crates/testkit/src/report/mod.rs
+++ b/crates/testkit/src/report/mod.rs
@@ -31,8 +31,9 @@
     pub requests: u64,
     /// The numbers of clients' requests by outcome.
     pub answers: Answers,
-    /// The number of attempts that reached workers, divided by the number of jobs; absent if the workers are
-    /// not the kit's own.
+    /// The mean number of attempts per job that reached a worker, over all jobs that clients sent; an attempt
+    /// counts once its complete request has arrived at the worker. Absent if the workers are not the kit's
+    /// own.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempts_per_job: Option<f64>,
     /// The number of attempts that workers did not run because they repeated a keyed job.
