--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -207,7 +207,9 @@
     /// Interval between a worker's progress reports about one job, in microseconds; 0 if workers send no
     /// progress reports.
     pub progress_interval: Micros,
-    /// Limits on what this scheduler may do.
+    /// Limits on what this scheduler may do to serve requests: the number of attempts for a request, the time
+    /// to connect to a worker, the longest Retry-After, and whether the scheduler may hedge, probe workers,
+    /// cancel attempts and exchange messages with other schedulers.
     pub limits: Limits,
     /// Times and factors of the rules that schedulers must follow.
     pub rules: Rules,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -22,10 +22,12 @@
     /// The settings are JSON, but not a JSON object.
     #[error("not an object")]
     NotAnObject,
-    /// A required key of the settings object is missing; the key's value must have this form.
+    /// A required key of the deployment's settings object is missing; the variant's field is the form that
+    /// the key's value must have.
     #[error("missing; add {0}")]
     Missing(Expected),
-    /// The value of a key of the settings object does not have this expected form.
+    /// The value of a key of the deployment's settings object does not have the form that the key requires;
+    /// the variant's field is the required form.
     #[error("invalid value; expected {0}")]
     InvalidValue(Expected),
 }
--- a/crates/testkit/src/bench.rs
+++ b/crates/testkit/src/bench.rs
@@ -51,7 +51,9 @@
     pub per_second: f64,
     /// Processor time of the target's process per served job, in microseconds.
     pub cpu_us: f64,
-    /// The target's processor time per served job, divided by that of the relay.
+    /// Processor time per served job of the target's process (the measured program: the relay or a variant of
+    /// the daemon), divided by the processor time per served job of the relay (the plain HTTP relay without
+    /// scheduling that the benchmark compares the daemon with).
     pub ratio: f64,
     /// Resident memory of the target's process before the benchmark's load, in KiB.
     pub idle_kib: u64,
--- a/crates/vetchbridge/src/clients/session.rs
+++ b/crates/vetchbridge/src/clients/session.rs
@@ -101,7 +101,8 @@
         loop {
             drop(successor.wait_for(Option::is_some).await);
             connection.wait_until_between_requests().await;
-            // The successor process may have ended while a request was in progress on the client connection.
+            // If the successor process ended while a request was in progress on this client connection, this
+            // process keeps the connection, continues to serve it and waits for another successor process.
             if self.process_links.has_successor() {
                 return;
             }
--- a/crates/vetchbridge/src/config/mod.rs
+++ b/crates/vetchbridge/src/config/mod.rs
@@ -1,14 +1,17 @@
 //! Reads and validates the daemon's configuration and fills in its default values.
 //!
-//! Command line flags override environment variables, which override the configuration file, which overrides
-//! the defaults. The file is either TOML in the daemon's own format ([`mod@file`]) or the platform's JSON
-//! document (`platform`), whose path is in the environment variable `BALANCER_CONFIG`. Reading returns a
-//! [`Config`] or every [`Fault`] at once. This module opens no sockets and sends the scheduler no events.
+//! The configuration is either a TOML file in the daemon's own format ([`mod@file`]) or the JSON document of
+//! the deployment platform (`platform`), whose path is in the environment variable `BALANCER_CONFIG`. For
+//! both formats, command line flags override environment variables, which override the values in the file or
+//! document, which override the defaults. If both are given, the JSON document is used, and only the log
+//! settings, which the JSON document lacks, are read from the TOML file. Reading returns a [`Config`] or
+//! every [`Fault`] at once. This module opens no sockets and sends the decision module (the scheduling crate)
+//! no events.
 //!
 //! A TOML file is processed in four steps: [`text`] finds the keys and their positions, [`schema`] validates
 //! the file against the JSON Schema, `precedence` applies flags and environment variables, and `translate`
-//! converts the result to the settings of the scheduler and the daemon. `translate` also reports the faults
-//! that a schema can't find.
+//! converts the result to the settings of the decision module and the daemon. `translate` also reports the
+//! faults that a schema can't find.
 
 mod fault;
 pub mod file;
@@ -52,9 +55,9 @@
     pub peers: Option<Peers>,
     /// The worker list that this scheduler last received from the discovery service.
     pub saved_list: EndpointDocument,
-    /// The validated settings of the scheduler.
+    /// The validated settings of the decision module and of the daemon's connections to workers.
     pub settings_snapshot: SettingsSnapshot,
-    /// Seed of the scheduler's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// The platform's JSON document as the daemon read it; `None` if the configuration is a TOML file.
     pub platform_document: Option<Value>,
@@ -105,8 +108,11 @@
     std::env::var(key).ok().filter(|value| !value.is_empty())
 }
 
-/// Why the configuration is read. At a reload, the file may be newer than the environment variables, which
-/// are as old as the process.
+/// Why the configuration is read: the process starts, or a running process reloads its configuration. At a
+/// reload, the environment variables `BALANCER_DISCOVERY` (the discovery address) and `RUST_LOG` (the log
+/// filter) are ignored, so that a change of these values in the configuration file takes effect: environment
+/// variables are as old as the process, and the file may be newer. All other environment variables override
+/// the file at a reload as they do at the start.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadReason {
     Start,
--- a/crates/vetchbridge/src/config/translate.rs
+++ b/crates/vetchbridge/src/config/translate.rs
@@ -1,7 +1,7 @@
 //! Translates a configuration file that is valid under the JSON Schema of its format into a [`Config`], and
 //! reports the errors in the file that the schema can't find.
 //!
-//! This module maps the keys of the configuration file to the fields of the scheduler's settings.
+//! This module maps the keys of the configuration file to the fields of the decision module's settings.
 
 use super::file::{
     Attempts, File, Follow, FreeSlots, Group, Load, Prices, QueueOrder, Repeat, Rules, Weights,
--- a/crates/vetchbridge/src/discovery/document.rs
+++ b/crates/vetchbridge/src/discovery/document.rs
@@ -1,4 +1,4 @@
-//! The discovery service's endpoint document, and its conversion to the scheduler's types.
+//! The discovery service's endpoint document, and its conversion to the decision module's types.
 //!
 //! This module alone defines the JSON field names of the discovery protocol.
 
@@ -12,7 +12,7 @@
 /// scheduler has this index.
 const UNKNOWN_INDEX: u32 = u32::MAX;
 /// Microseconds per millisecond. Times in the discovery protocol are in milliseconds, and times in the
-/// scheduler are in microseconds.
+/// decision module are in microseconds.
 const MICROS_PER_MILLI: u64 = 1000;
 
 /// The source from which the daemon gets the endpoint list.
@@ -81,7 +81,7 @@
 }
 
 impl Instance {
-    /// Returns the worker's state, converted to the scheduler's type.
+    /// Returns the worker's state, converted to the decision module's type.
     pub fn endpoint_state(&self) -> EndpointState {
         match self.lifecycle {
             InstanceState::Up => EndpointState::Ready,
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Converts the worker's entry to the scheduler's type, in which zones and machine types are indices into
-    /// `names`.
+    /// Converts the worker's entry to the decision module's type, in which zones and machine types are
+    /// indices into `names`.
     pub fn to_endpoint(&self, names: &NameTables) -> Endpoint {
         Endpoint {
             worker: worker_id(&self.instance_id),
--- a/crates/vetchbridge/src/discovery/endpoint_list.rs
+++ b/crates/vetchbridge/src/discovery/endpoint_list.rs
@@ -52,7 +52,7 @@
         (self.instances.values().cloned().collect(), self.generation)
     }
 
-    /// Returns the entries of the endpoint list, converted to the scheduler's type.
+    /// Returns the entries of the endpoint list, converted to the decision module's type.
     pub fn endpoints(&self, names: &NameTables) -> Vec<Endpoint> {
         self.instances.values().map(|instance| instance.to_endpoint(names)).collect()
     }
--- a/crates/vetchbridge/src/discovery/partial.rs
+++ b/crates/vetchbridge/src/discovery/partial.rs
@@ -1,18 +1,19 @@
-//! Reads those parts of a truncated endpoint document that arrived whole.
+//! Reads those parts of a truncated endpoint document that were received completely.
 //!
 //! A response of the discovery service may end within the document because the service crashed, the
-//! connection was reset or the body stalled. The entries that arrived whole are still valid, and the entries
-//! of workers that are leaving matter most.
+//! connection was reset or the body stalled. The entries that were received completely are still valid, and
+//! the entries of workers that are leaving matter most.
 
 use crate::discovery::document::Instance;
 use serde_json::Deserializer;
 
-/// The parts of a truncated endpoint document that arrived whole.
+/// The parts of a truncated endpoint document that were received completely.
 #[derive(Debug, Default)]
 pub(super) struct PartialDocument {
-    /// The endpoint document's generation, if the whole number arrived.
+    /// The endpoint document's generation; `None` if the number was not received completely.
     pub(super) generation: Option<u64>,
-    /// The entries of the endpoint document that arrived whole.
+    /// The entries of the endpoint document that the daemon received completely before the discovery
+    /// service's response was cut off.
     pub(super) instances: Vec<Instance>,
 }
 
@@ -42,8 +43,8 @@
     (numbers.byte_offset() < value.len()).then_some(number)
 }
 
-/// Returns the entries of the endpoint document that `rest` begins with, up to the first entry that did not
-/// arrive whole. The first entry begins after a bracket, and each further entry after a comma.
+/// Returns the entries of the endpoint document that `rest` begins with, up to the first entry that was not
+/// received completely. The first entry begins after a bracket, and each further entry after a comma.
 fn parse_instances(mut rest: &[u8]) -> Vec<Instance> {
     let mut instances = Vec::new();
     while let Some(separator) = rest.iter().position(|byte| matches!(byte, b'[' | b',')) {
--- a/crates/vetchbridge/src/discovery/request.rs
+++ b/crates/vetchbridge/src/discovery/request.rs
@@ -1,8 +1,8 @@
 //! Requests to the endpoint watcher from the rest of the daemon.
 //!
 //! These requests have a module of their own so that the engine and the watcher need not depend on each
-//! other: the engine forwards the scheduler's requests to the watcher, and the watcher sends events to the
-//! engine.
+//! other: the engine forwards the decision module's requests to the watcher, and the watcher sends events
+//! to the engine.
 
 use crate::discovery::document::EndpointSource;
 
@@ -16,6 +16,6 @@
     /// Fetch the complete endpoint list once.
     Fetch,
     /// Take the endpoint list from this source instead of the current source. A configuration reload sends
-    /// this request; the scheduler never does.
+    /// this request; the decision module never does.
     ChangeSource(EndpointSource),
 }
--- a/crates/vetchbridge/src/discovery/schedule.rs
+++ b/crates/vetchbridge/src/discovery/schedule.rs
@@ -1,7 +1,9 @@
 //! The schedule of calls to the discovery service, and their time limits.
 //!
-//! This module makes no call and reads no clock; callers pass the current time in. The scheduler decides how
-//! long to pause after failed calls: when its backoff has ended, it subscribes to the endpoint list again.
+//! This module makes no call and reads no clock; callers pass the current time in. If endpoint lists are
+//! polled, the decision module (the scheduling crate), not this module, decides how long the daemon pauses
+//! after a failed call: the pause is the decision module's backoff, which grows with repeated failures, and
+//! the decision module subscribes to the endpoint list again when the backoff has ended.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -66,7 +68,7 @@
     /// Earliest time at which the watcher may reopen a watch on the discovery service that has ended.
     reopen_at: Instant,
     /// Whether the watcher reopens an ended watch on the discovery service without a request from the
-    /// scheduler. Otherwise the scheduler reopens the watch by subscribing.
+    /// decision module. Otherwise the decision module reopens the watch by subscribing.
     reopens_by_itself: bool,
 }
 
@@ -94,17 +96,17 @@
     /// Decides whether the watcher is to reopen the watch. `watch_is_open` says whether a watch is open, and
     /// `delivery` how endpoint lists are currently delivered.
     ///
-    /// If lists are pushed, the scheduler never subscribes, and the watcher opens a watch whenever none is
-    /// open. With pushed lists, the scheduler does not react to the end of a watch either. The watcher
-    /// therefore also reopens a watch that ended while lists were pushed, even if the delivery has changed to
-    /// polling since.
+    /// If lists are pushed, the decision module never subscribes, and the watcher opens a watch whenever none
+    /// is open. With pushed lists, the decision module does not react to the end of a watch either. The
+    /// watcher therefore also reopens a watch that ended while lists were pushed, even if the delivery has
+    /// changed to polling since.
     pub(super) fn update_reopening(&mut self, watch_is_open: bool, delivery: EndpointDelivery) {
         self.reopens_by_itself =
             !watch_is_open && (self.reopens_by_itself || delivery == EndpointDelivery::Push);
     }
 
     /// Returns when the watcher is to open a watch on the discovery service; `None` while a watch is open, or
-    /// if the scheduler opens the next watch by subscribing.
+    /// if the decision module opens the next watch by subscribing.
     pub(super) fn reopen_at(&self) -> Option<Instant> {
         self.reopens_by_itself.then_some(self.reopen_at)
     }
--- a/crates/vetchbridge/src/discovery/watcher.rs
+++ b/crates/vetchbridge/src/discovery/watcher.rs
@@ -2,11 +2,12 @@
 //!
 //! The watcher owns the last known generation of the endpoint list and the calls in flight to the discovery
 //! service. It publishes updates in the order in which responses arrive, each to the upstream group first and
-//! then to the scheduler. A call that fails causes one `Failed` update and ends the watch until the scheduler
-//! subscribes again, after its backoff. If lists are pushed, the scheduler never subscribes: the watch
-//! delivers the pushed lists, and the watcher opens a watch at the start and whenever the watch has ended.
+//! then to the decision module. A call that fails causes one `Failed` update and ends the watch until the
+//! decision module subscribes again, after its backoff. If lists are pushed, the decision module never
+//! subscribes: the watch delivers the pushed lists, and the watcher opens a watch at the start and whenever
+//! the watch has ended.
 //!
-//! The watcher makes every other call at the scheduler's request, or after a change of the discovery
+//! The watcher makes every other call at the decision module's request, or after a change of the discovery
 //! service's address. The watcher never replaces the list by an unreadable list, and never compares the
 //! generations of two services.
 
@@ -315,7 +316,7 @@
         instances.retain(|instance| is_recent || instance.endpoint_state() != EndpointState::Ready);
         warn!(reason, entries = instances.len(), "discovery.failed");
         // The received entries are published as part of the `Failed` update: a `Changes` update would count
-        // as a successful response of discovery and end the scheduler's backoff.
+        // as a successful response of discovery and end the decision module's backoff.
         self.publish(EndpointUpdate::Failed, None, &instances);
     }
 
@@ -333,7 +334,7 @@
     }
 
     /// Applies an update of the endpoint list to the copy of the list that is kept for a successor process,
-    /// then to the upstream group, then to the scheduler.
+    /// then to the upstream group, then to the decision module.
     fn publish(&self, update: EndpointUpdate, generation: Option<u64>, instances: &[Instance]) {
         self.endpoint_list().apply(update, generation, instances);
         let names = &self.settings.get().names;
--- a/crates/vetchbridge/src/upgrade/predecessor.rs
+++ b/crates/vetchbridge/src/upgrade/predecessor.rs
@@ -96,8 +96,10 @@
         }
     }
 
-    /// Hands over to the process that has connected to the hand-over listener, if that process is a successor
-    /// of this process, and keeps the link to the successor.
+    /// Offers this process's sockets (the listener for clients and the socket for messages between
+    /// schedulers) and its endpoint list to the process that has connected to the hand-over listener, if this
+    /// process accepts that process as its successor. Then registers a [`Link`], by which the two processes
+    /// exchange messages over the same socket, and keeps the link until either process ends.
     async fn hand_over(self: Arc<Self>, socket: HandoverSocket) {
         match self.receive_hello(&socket).await {
             Ok(true) => {}
--- a/crates/vetchbridge/src/workers/callbacks.rs
+++ b/crates/vetchbridge/src/workers/callbacks.rs
@@ -1,8 +1,9 @@
 //! Callbacks of workers, and their dispatch to the attempts that wait for them.
 //!
 //! Each attempt owns a [`CallbackSubscription`]; dropping the value unsubscribes the attempt. A callback
-//! without a subscriber is not stored. For [`CALLBACK_RETRY_WINDOW`] the router remembers which callbacks
-//! ended an attempt without a result.
+//! without a subscriber is not stored. When a callback ends an attempt without a result, [`CallbackRouter`]
+//! remembers the callback's job state for [`CALLBACK_RETRY_WINDOW`] from the end of the attempt, so that a
+//! later attempt of the same request at the same worker can recognise a retry of that callback.
 
 use super::{lock_ignoring_poison, parse_request_id, worker_id};
 use crate::invariants::{record_violation, Invariant};
